--- /dev/null
+++ b/internal/net/bans/golden_test.go
@@ -0,0 +1,53 @@
+package bans
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"go.uber.org/zap"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// The file outlives its process: the next one, of an older or a later version, reads it.
+func TestTheFileKeepsItsForm(t *testing.T) {
+	path := filepath.Join("testdata", "golden", "n1.bans")
+	entries := []Entry{{ID: "c-1", Out: 1764750000000}, {ID: "c-2", Out: 1764750000000, Back: 1764750001000}}
+	folder := t.TempDir()
+	b := Open(folder, "n1", func([]Entry) {}, zap.NewNop())
+	if err := b.write(entries); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(filepath.Join(folder, "n1.bans"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, written, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, stored) {
+		t.Errorf("wrote %s, want %s", written, stored)
+	}
+	other := t.TempDir()
+	if err := os.WriteFile(filepath.Join(other, "n1.bans"), stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var read []Entry
+	Open(other, "n1", func(all []Entry) { read = all }, zap.NewNop())
+	if !slices.Equal(read, entries) {
+		t.Errorf("read as %v, want %v", read, entries)
+	}
+}
--- /dev/null
+++ b/internal/net/fellows/golden_test.go
@@ -0,0 +1,229 @@
+package fellows
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"net"
+	"net/rpc"
+	"net/rpc/jsonrpc"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/lease"
+)
+
+// update writes the golden files anew. A file that changes breaks peers of another version, or stored data.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares bytes with a file under testdata/golden.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	got = append(bytes.TrimSuffix(got, []byte("\n")), '\n')
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s:\n got %s\nwant %s", name, got, want)
+	}
+	return want
+}
+
+// goldenForm writes a value as it crosses a socket or stands in a file, compares that with the golden file, and reads it again.
+func goldenForm(t *testing.T, name string, value any) {
+	t.Helper()
+	written, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := golden(t, name, written)
+	read := reflect.New(reflect.TypeOf(value))
+	if err := json.Unmarshal(stored, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
+		t.Errorf("%s: read as %+v, %v, want %+v", name, read.Elem(), err, value)
+	}
+}
+
+func TestGreetingsAndTheVotersFileKeepTheirForm(t *testing.T) {
+	goldenForm(t, "hello-votes.json", hello{Fleet: "f", For: forVotes, From: "n1", To: "n2.0badcafe"})
+	goldenForm(t, "hello-asks.json", hello{Fleet: "f", For: forAsks, From: "n1"})
+	goldenForm(t, "welcome.json", welcome{})
+	goldenForm(t, "welcome-refused.json", welcome{Refused: "no voter: fleet.folder is empty or can't be used"})
+	goldenForm(t, "voter.json", paper{Fleet: "f", Node: "n1", ID: "n1.0badcafe"})
+	goldenForm(t, "roll-up.json", sheet{Nodes: 2, Missing: []string{"n3"}, Sums: map[string]int64{"served": 7}})
+	if paperFile != "voter.json" || logFile != "log.db" {
+		t.Error("files of a voter's folder have other names")
+	}
+	if a := addressOf("n1.0badcafe", "10.0.0.1:7100"); a != "10.0.0.1:7100#n1.0badcafe" {
+		t.Error("a voter's address in the log is", a)
+	}
+}
+
+// conn keeps what is written, and reads what it was given.
+type conn struct {
+	net.Conn
+	in, out bytes.Buffer
+}
+
+func (c *conn) Read(b []byte) (int, error)  { return c.in.Read(b) }
+func (c *conn) Write(b []byte) (int, error) { return c.out.Write(b) }
+func (c *conn) Close() error                { return nil }
+
+var (
+	goldenHolder = lease.Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
+	goldenTerms  = lease.Terms{Kind: lease.RateKind, Bounds: "origin", Units: 40, Each: 2.5, Apart: 1, Nodes: 4, Revision: 3}
+	goldenBudget = lease.Budget{Terms: goldenTerms, Parts: map[string]lease.Part{"node/n1": {Token: 19, Units: 7}}}
+)
+
+// goldenCalls has each call with its argument and its answer.
+func goldenCalls() map[string][2]any {
+	return map[string][2]any{
+		"Ask": {Asked{Kind: lease.Do, Name: "roll-up", Fact: "roll-up/x", Holder: goldenHolder, Token: 19, Number: 5, Wait: 7500, Value: []byte("v")},
+			Answered{Token: 19, Holder: goldenHolder, Length: 30000, Refusal: refusalOf(lease.ErrHeld), Leader: "10.0.0.2:7100"}},
+		"Status": {struct{}{}, Status{Node: "n1", ID: "n1.0badcafe", Voter: true, Broken: "b", Leader: "n2.feedface", At: "10.0.0.2:7100", Leads: true,
+			Reign: 3, ViewMs: -1, Fleet: "f", Tokens: 21, Voters: []Member{{ID: "n1.0badcafe", Address: "10.0.0.1:7100"}},
+			Leases: []Held{{Name: "roll-up", Holder: goldenHolder, Token: 19, LeftMs: 2900, Waiting: 2}},
+			Facts:  map[string]lease.Fact{"roll-up": {Token: 19, Number: 5, Value: []byte("v")}}, Entries: 9, Rounds: 4, New: true, Revision: 11,
+			Budgets: map[string]BudgetState{"origin-rate": {goldenBudget, 9, 2}}}},
+		"Watch":     {uint64(11), Status{}},
+		"Figures":   {struct{}{}, map[string]int64{"served": 7}},
+		"Bootstrap": {Founding{Voters: []Member{{ID: "n1.0badcafe", Address: "10.0.0.1:7100"}}}, struct{}{}},
+		"Found":     {Founding{After: 17}, struct{}{}},
+		"Change":    {Change{Add: "n4", Remove: "n3", Address: "10.0.0.4:7100"}, "n4.0badcafe"},
+		"Term":      {struct{}{}, Word{ID: "n1.0badcafe", Term: 3}},
+		"Rest":      {Resting{Servers: map[string]string{"c-1": "10.0.1.1:80"}}, []lease.News{{ID: "c-1", Well: true, Next: 12500}}},
+		"Due":       {uint64(19), []lease.Trial{{ID: "c-1", Address: "10.0.1.1:80"}}},
+		"Result":    {Outcome{Token: 19, ID: "c-1", Well: true}, struct{}{}},
+		"Part": {budget.Ask{Lease: "node/n1", Token: 18, Weight: 2, Wait: 7500,
+			Holds:    []budget.Hold{{Budget: "origin-rate", Token: 19, Units: 7, Want: 9, Keep: -1, Revision: 3}},
+			Declares: map[string]lease.Terms{"origin-rate": goldenTerms}},
+			Parted{News: []budget.News{{Budget: "origin-rate", Terms: goldenTerms, Part: lease.Part{Token: 19, Units: 7}, Keep: 5, Given: 30, Reserve: 2}},
+				Refusal: refusalOf(fmt.Errorf("%w: name", lease.ErrForm))}},
+		"Lend":     {struct{}{}, Lent{All: []budget.Lent{{Name: "origin-rate", Units: 3, Terms: goldenTerms}}, For: 1000}},
+		"SetWhole": {NewWhole{Name: "origin-rate", Whole: 120.5}, BudgetState{goldenBudget, 9, 2}},
+	}
+}
+
+func TestCallsKeepTheirForm(t *testing.T) {
+	methods := reflect.TypeFor[*line]()
+	if n := methods.NumMethod(); n != len(goldenCalls()) {
+		t.Errorf("%d calls are served, %d have golden files", n, len(goldenCalls()))
+	}
+	for method, x := range goldenCalls() {
+		if _, served := methods.MethodByName(method); !served {
+			t.Errorf("Fleet.%s is not served any more", method)
+		}
+		var asking, answering conn
+		client := jsonrpc.NewClientCodec(&asking)
+		if err := client.WriteRequest(&rpc.Request{ServiceMethod: "Fleet." + method, Seq: 3}, x[0]); err != nil {
+			t.Fatal(err)
+		}
+		request := golden(t, method+"-request.json", asking.out.Bytes())
+		answering.in.Write(request)
+		server := jsonrpc.NewServerCodec(&answering)
+		var header rpc.Request
+		args := reflect.New(reflect.TypeOf(x[0]))
+		if err := errors.Join(server.ReadRequestHeader(&header), server.ReadRequestBody(args.Interface())); err != nil {
+			t.Fatal(method, err)
+		}
+		if header.ServiceMethod != "Fleet."+method || !reflect.DeepEqual(args.Elem().Interface(), x[0]) {
+			t.Errorf("%s: read as %+v, want %+v", header.ServiceMethod, args.Elem(), x[0])
+		}
+		if err := server.WriteResponse(&rpc.Response{Seq: header.Seq}, x[1]); err != nil {
+			t.Fatal(err)
+		}
+		asking.in.Write(golden(t, method+"-response.json", answering.out.Bytes()))
+		var back rpc.Response
+		reply := reflect.New(reflect.TypeOf(x[1]))
+		if err := errors.Join(client.ReadResponseHeader(&back), client.ReadResponseBody(reply.Interface())); err != nil {
+			t.Fatal(method, err)
+		}
+		if !reflect.DeepEqual(reply.Elem().Interface(), x[1]) {
+			t.Errorf("%s: answer read as %+v, want %+v", method, reply.Elem(), x[1])
+		}
+	}
+}
+
+// Peers know refusals by these names. The text is for people: one that a peer of another version writes otherwise still comes
+// back as the same error.
+func TestRefusalsKeepTheirNames(t *testing.T) {
+	all := []error{lease.ErrHeld, lease.ErrLapsed, lease.ErrRepeated, lease.ErrReign, lease.ErrFull, lease.ErrForm, lease.ErrUnbegun,
+		lease.ErrBegun, lease.ErrNotLeader, lease.ErrWait, lease.ErrWithdrawn}
+	if len(all) != len(refusals) {
+		t.Errorf("%d refusals have names, %d have golden ones", len(refusals), len(all))
+	}
+	for _, err := range all {
+		if got := refusalOf(err).err(); got != err {
+			t.Errorf("%v comes back as %v", err, got)
+		}
+		further := fmt.Errorf("%w: further", err)
+		if got := refusalOf(further).err(); !errors.Is(got, err) {
+			t.Errorf("%v comes back as %v", further, got)
+		}
+	}
+	stored, err := os.ReadFile(filepath.Join("testdata", "golden", "refusals.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := bytes.Split(bytes.TrimSpace(stored), []byte("\n"))
+	if len(lines) != len(all)+2 {
+		t.Fatalf("%d golden refusals, want %d, another and none", len(lines), len(all))
+	}
+	for i, line := range lines {
+		var r refusal
+		if err := json.Unmarshal(line, &r); err != nil {
+			t.Fatal(err)
+		}
+		if again, err := json.Marshal(r); err != nil || !bytes.Equal(again, line) {
+			t.Errorf("%s is written again as %s, %v", line, again, err)
+		}
+		switch got := r.err(); {
+		case i < len(all) && (!errors.Is(got, all[i]) || refusalOf(got).Name != r.Name || refusalOf(all[i]).Name != r.Name):
+			t.Errorf("%s is read as %v, want %v", line, got, all[i])
+		case i == len(all) && (got == nil || got.Error() != "another" || refusalOf(got) != r):
+			t.Errorf("%s is read as %v", line, got)
+		case i > len(all) && (got != nil || refusalOf(nil) != r):
+			t.Errorf("%s is read as %v, want none", line, got)
+		}
+	}
+}
+
+// A peer of another version recognises these texts, which net/rpc carries as they are.
+func TestErrorsOfCallsKeepTheirTexts(t *testing.T) {
+	for err, want := range map[error]string{
+		lease.ErrNotLeader: "not the leader",
+		lease.ErrBegun:     "the fleet is founded already",
+	} {
+		c, server := net.Pipe()
+		s := rpc.NewServer()
+		if e := s.RegisterName("Fleet", &failing{err}); e != nil {
+			t.Fatal(e)
+		}
+		go s.ServeCodec(jsonrpc.NewServerCodec(server))
+		client := jsonrpc.NewClient(c)
+		var reply struct{}
+		if got := call(client, "Fleet.Found", &Founding{}, &reply, time.Second); got == nil || got.Error() != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+		_ = client.Close()
+	}
+}
+
+type failing struct{ err error }
+
+func (f *failing) Found(*Founding, *struct{}) error { return f.err }
--- /dev/null
+++ b/lease/golden_test.go
@@ -0,0 +1,116 @@
+package lease
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+// update writes the golden files anew. A file that changes breaks stored data: that takes a new version of the format.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares bytes with a file under testdata/golden.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, append(got, '\n'), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want = bytes.TrimSuffix(want, []byte("\n"))
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s:\n got %s\nwant %s", name, got, want)
+	}
+	return want
+}
+
+func goldenEntries() map[string]Entry {
+	holder := Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
+	terms := &Terms{Kind: RateKind, Bounds: "origin", Units: 40, Each: 2.5, Apart: 1, Nodes: 4, Revision: 3}
+	return map[string]Entry{
+		Found: {Version: 1, Kind: Found, Name: "f", Number: 17},
+		Lead:  {Version: 1, Kind: Lead, Name: "n1"},
+		Grant: {Version: 1, Kind: Grant, Reign: 3, Name: "roll-up", Holder: holder},
+		End:   {Version: 1, Kind: End, Reign: 3, Name: "roll-up", Token: 19},
+		Act:   {Version: 1, Kind: Act, Name: "roll-up", Token: 19, Fact: "roll-up/x", Number: 5, Value: []byte("<v&\x00")},
+		Whole: {Version: 2, Kind: Whole, Reign: 3, Name: "origin-rate", Budget: terms},
+		Parts: {Version: 2, Kind: Parts, Reign: 3, Name: "n1", Moves: []Move{
+			{Budget: "origin-rate", Lease: "node/n1", Token: 19, Under: 20, Units: 7},
+			{Budget: "origin-rate", Lease: "node/n2", Token: 21}}},
+	}
+}
+
+// Entries stand in the voters' logs, which later versions read.
+func TestLogEntriesKeepTheirStoredForm(t *testing.T) {
+	for kind, e := range goldenEntries() {
+		written, err := e.Encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		stored := golden(t, "entry-"+kind+".json", written)
+		read, err := Decode(stored)
+		if err != nil || !reflect.DeepEqual(read, e) {
+			t.Errorf("%s: read as %+v, %v, want %+v", kind, read, err, e)
+		}
+	}
+}
+
+// goldenState applies entries of each kind.
+func goldenState(t *testing.T, withBudget bool) *State {
+	t.Helper()
+	s := NewState()
+	holder := Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
+	entries := []Entry{
+		{Kind: Found, Name: "f", Number: 17},
+		{Kind: Lead, Name: "n2"},
+		{Kind: Lead, Name: "n1"},
+		{Kind: Grant, Reign: 2, Name: "node/n1", Holder: holder},
+		{Kind: Act, Name: "node/n1", Token: 18, Fact: "node/n1", Number: 18, Value: []byte("10.0.0.1:7100")},
+	}
+	if withBudget {
+		entries = append(entries,
+			Entry{Kind: Whole, Reign: 2, Name: "origin-rate",
+				Budget: &Terms{Kind: RateKind, Bounds: "origin", Units: 40, Each: 2.5, Apart: 1, Nodes: 4}},
+			Entry{Kind: Parts, Reign: 2, Name: "n1", Moves: []Move{{Budget: "origin-rate", Lease: "node/n1", Token: 18, Units: 7}}})
+	}
+	for _, e := range entries {
+		stored, err := e.Encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		read, err := Decode(stored)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if r := s.Apply(read); r.Err != nil {
+			t.Fatal(e.Kind, r.Err)
+		}
+	}
+	return s
+}
+
+func TestSnapshotsKeepTheirStoredForm(t *testing.T) {
+	for name, withBudget := range map[string]bool{"snapshot-1.json": false, "snapshot-2.json": true} {
+		s := goldenState(t, withBudget)
+		written, err := s.Snapshot()
+		if err != nil {
+			t.Fatal(err)
+		}
+		stored := golden(t, name, written)
+		read := NewState()
+		if err := read.Restore(stored); err != nil || !reflect.DeepEqual(read, s) {
+			t.Errorf("%s: read as %+v, %v, want %+v", name, read, err, s)
+		}
+	}
+}
