--- a/budget/divider.go
+++ b/budget/divider.go
@@ -31,32 +31,33 @@
 
 // Hold is what a node says of one budget.
 type Hold struct {
-	Budget   string
-	Token    uint64 // of the part that it knows, 0: none
-	Units    int    // of it that it acts on at the most, from before this was sent on
-	Want     int    // all that it could use now
-	Keep     int    // what it was last asked to come down to, -1: nothing
-	Revision uint64 // of the terms that it knows
+	Budget   string `json:"Budget"`
+	Token    uint64 `json:"Token"`    // of the part that it knows, 0: none
+	Units    int    `json:"Units"`    // of it that it acts on at the most, from before this was sent on
+	Want     int    `json:"Want"`     // all that it could use now
+	Keep     int    `json:"Keep"`     // what it was last asked to come down to, -1: nothing
+	Revision uint64 `json:"Revision"` // of the terms that it knows
 }
 
 // Ask is a node's word: what it holds and wants, under the lease of its name. It is answered once there is news.
 type Ask struct {
-	Lease    string
-	Token    uint64
-	Weight   float64 // beside the others', 0: 1
-	Wait     Time
-	Holds    []Hold
-	Declares map[string]lease.Terms // as its own papers have them, where the fleet has none yet
+	Lease    string                 `json:"Lease"`
+	Token    uint64                 `json:"Token"`
+	Weight   float64                `json:"Weight"` // beside the others', 0: 1
+	Wait     Time                   `json:"Wait"`
+	Holds    []Hold                 `json:"Holds"`
+	Declares map[string]lease.Terms `json:"Declares"` // as its own papers have them, where the fleet has none yet
 }
 
 // News is what a node is told of one budget.
 type News struct {
-	Budget string
-	Terms  lease.Terms
-	Part   lease.Part
-	Keep   int // what it is to come down to, as soon as it can; -1: nothing
+	Budget string      `json:"Budget"`
+	Terms  lease.Terms `json:"Terms"`
+	Part   lease.Part  `json:"Part"`
+	Keep   int         `json:"Keep"` // what it is to come down to, as soon as it can; -1: nothing
 
-	Given, Reserve int // of the whole: what is out as parts, and what waits for newcomers
+	Given   int `json:"Given"` // of the whole: what is out as parts, and what waits for newcomers
+	Reserve int `json:"Reserve"`
 }
 
 // Answer is what an asking comes to.
--- a/budget/purse.go
+++ b/budget/purse.go
@@ -138,9 +138,9 @@
 
 // Lent is what the next process of this node may act on for a while.
 type Lent struct {
-	Name  string
-	Units int
-	Terms lease.Terms
+	Name  string      `json:"Name"`
+	Units int         `json:"Units"`
+	Terms lease.Terms `json:"Terms"`
 }
 
 // Lend lets the next process of this node have half of all that isn't in use, for a short time that each call begins anew.
--- a/internal/net/fellows/budgets.go
+++ b/internal/net/fellows/budgets.go
@@ -176,8 +176,8 @@
 
 // Parted is the answer to an asking for parts.
 type Parted struct {
-	News    []budget.News
-	Refusal refusal
+	News    []budget.News `json:"News"`
+	Refusal refusal       `json:"Refusal"`
 }
 
 // Part is a node's call: what it holds and wants. It is answered once there is news.
@@ -196,8 +196,8 @@
 
 // Lent is what the present process of a node lets the next one have for a while.
 type Lent struct {
-	All []budget.Lent
-	For int64 // in tenths of a millisecond
+	All []budget.Lent `json:"All"`
+	For int64         `json:"For"` // in tenths of a millisecond
 }
 
 // Lend is the call of our own node's next process, which waits for our address.
@@ -318,13 +318,14 @@
 // BudgetState is a budget as a voter has it; Want and Reserve are the leader's to know.
 type BudgetState struct {
 	lease.Budget
-	Want, Reserve int
+	Want    int `json:"Want"`
+	Reserve int `json:"Reserve"`
 }
 
 // NewWhole is an operator's word.
 type NewWhole struct {
-	Name  string
-	Whole float64
+	Name  string  `json:"Name"`
+	Whole float64 `json:"Whole"`
 }
 
 // SetWhole changes a whole, at the leader.
--- a/internal/net/fellows/probe.go
+++ b/internal/net/fellows/probe.go
@@ -23,13 +23,15 @@
 )
 
 // Resting is a node's word about its resting servers, addresses by id.
-type Resting struct{ Servers map[string]string }
+type Resting struct {
+	Servers map[string]string `json:"Servers"`
+}
 
 // Outcome is how a trial went, told under the token of the task.
 type Outcome struct {
-	Token uint64
-	ID    string
-	Well  bool
+	Token uint64 `json:"Token"`
+	ID    string `json:"ID"`
+	Well  bool   `json:"Well"`
 }
 
 // Rest tells the leader of resting servers, and gives what trials came to.
--- a/internal/net/fellows/round.go
+++ b/internal/net/fellows/round.go
@@ -18,8 +18,8 @@
 
 // Word is what a voter tells in a round.
 type Word struct {
-	ID   string
-	Term uint64
+	ID   string `json:"ID"`
+	Term uint64 `json:"Term"`
 }
 
 // Term tells the latest term in which this voter has voted, or may have.
--- a/internal/net/fellows/service.go
+++ b/internal/net/fellows/service.go
@@ -27,65 +27,74 @@
 
 // Asked is an asking of a lease.
 type Asked struct {
-	Kind, Name, Fact    string
-	Holder              lease.Holder
-	Token, Number, Wait uint64
-	Value               []byte
+	Kind   string       `json:"Kind"`
+	Name   string       `json:"Name"`
+	Fact   string       `json:"Fact"`
+	Holder lease.Holder `json:"Holder"`
+	Token  uint64       `json:"Token"`
+	Number uint64       `json:"Number"`
+	Wait   uint64       `json:"Wait"`
+	Value  []byte       `json:"Value"`
 }
 
 // Answered is what came of it. Leader is where to ask instead.
 type Answered struct {
-	Token   uint64
-	Holder  lease.Holder
-	Length  int64
-	Refusal refusal
-	Leader  string
+	Token   uint64       `json:"Token"`
+	Holder  lease.Holder `json:"Holder"`
+	Length  int64        `json:"Length"`
+	Refusal refusal      `json:"Refusal"`
+	Leader  string       `json:"Leader"`
 }
 
 // Status is how the fleet looks from one of its nodes.
 type Status struct {
-	Node, ID string
-	Voter    bool
-	Broken   string // why it is no voter, though it has a folder
-	Leader   string // name or id, empty: none is known
-	At       string // the leader's address
-	Leads    bool
-	Reign    uint64
-	ViewMs   int64 // since the last entry or word of the leader, -1: never
-	Fleet    string
-	Tokens   uint64
-	Voters   []Member
-	Leases   []Held
-	Facts    map[string]lease.Fact
-	Entries  int // applied, since the start
-	Rounds   int // to a majority, since the start
-	New      bool
-	Revision uint64 // of the log
-	Budgets  map[string]BudgetState
+	Node     string                 `json:"Node"`
+	ID       string                 `json:"ID"`
+	Voter    bool                   `json:"Voter"`
+	Broken   string                 `json:"Broken"` // why it is no voter, though it has a folder
+	Leader   string                 `json:"Leader"` // name or id, empty: none is known
+	At       string                 `json:"At"`     // the leader's address
+	Leads    bool                   `json:"Leads"`
+	Reign    uint64                 `json:"Reign"`
+	ViewMs   int64                  `json:"ViewMs"` // since the last entry or word of the leader, -1: never
+	Fleet    string                 `json:"Fleet"`
+	Tokens   uint64                 `json:"Tokens"`
+	Voters   []Member               `json:"Voters"`
+	Leases   []Held                 `json:"Leases"`
+	Facts    map[string]lease.Fact  `json:"Facts"`
+	Entries  int                    `json:"Entries"` // applied, since the start
+	Rounds   int                    `json:"Rounds"`  // to a majority, since the start
+	New      bool                   `json:"New"`
+	Revision uint64                 `json:"Revision"` // of the log
+	Budgets  map[string]BudgetState `json:"Budgets"`
 }
 
 // Member is a voter, as the members know it.
-type Member struct{ ID, Address string }
+type Member struct {
+	ID      string `json:"ID"`
+	Address string `json:"Address"`
+}
 
 // Held is a lease. LeftMs is told by the leader alone.
 type Held struct {
-	Name    string
-	Holder  lease.Holder
-	Token   uint64
-	LeftMs  int64
-	Waiting int
+	Name    string       `json:"Name"`
+	Holder  lease.Holder `json:"Holder"`
+	Token   uint64       `json:"Token"`
+	LeftMs  int64        `json:"LeftMs"`
+	Waiting int          `json:"Waiting"`
 }
 
 // Change is an operator's word about voters.
 type Change struct {
-	Add, Remove string // names
-	Address     string
+	Add     string `json:"Add"` // names
+	Remove  string `json:"Remove"`
+	Address string `json:"Address"`
 }
 
 // Founding begins a fleet.
 type Founding struct {
-	Voters []Member
-	After  uint64 // the token before the first
+	Voters []Member `json:"Voters"`
+	After  uint64   `json:"After"` // the token before the first
 }
 
 // line is one fellow's connection.
--- a/lease/board.go
+++ b/lease/board.go
@@ -34,13 +34,16 @@
 }
 
 // Trial is one to be made.
-type Trial struct{ ID, Address string }
+type Trial struct {
+	ID      string `json:"ID"`
+	Address string `json:"Address"`
+}
 
 // News is how the last trial of a server went. Next is when the one after it will have been told, from now on.
 type News struct {
-	ID   string
-	Well bool
-	Next Time
+	ID   string `json:"ID"`
+	Well bool   `json:"Well"`
+	Next Time   `json:"Next"`
 }
 
 // NewBoard makes an empty one.
