--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -17,7 +17,7 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 type noFigures struct{}
@@ -25,7 +25,7 @@
 func (noFigures) Figures() map[string]int64                 { return nil }
 func (noFigures) Resting() map[string]string                { return nil }
 func (noFigures) Tried(string, string, bool, time.Duration) {}
-func (noFigures) Part(logic.Bound, string, allowance.Part, time.Duration, time.Duration) (u allowance.Use) {
+func (noFigures) Part(routing.Bound, string, allowance.Part, time.Duration, time.Duration) (u allowance.Use) {
 	return u
 }
 
--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // checker holds a run against the rules, from what clients and servers see alone: it knows nothing of how a policy
@@ -33,7 +33,7 @@
 
 func (c *checker) taken(l *lookup) {
 	c.open[l] = true
-	c.w.clock.in(l.limit-c.w.clock.now+10*logic.Millisecond, func() {
+	c.w.clock.in(l.limit-c.w.clock.now+10*routing.Millisecond, func() {
 		if !l.over {
 			c.fault("lost", "no final answer 1 ms after its limit")
 			l.over = true
@@ -59,7 +59,7 @@
 // arrived counts shots at a cache that starts cold, from all nodes. It falls under more in a window than the settings allow
 // it by then and 2 x root of that and 2, which are put down to chance.
 func (c *checker) arrived(s *server) {
-	if s.origin || s.box.State != logic.Ready || s.speed() == 1 {
+	if s.origin || s.box.State != routing.Ready || s.speed() == 1 {
 		return
 	}
 	window := c.w.e.Rules.Window.ticks()
@@ -87,7 +87,7 @@
 	switch {
 	case l.over || !c.open[l]:
 		c.fault("lost", "a second final answer")
-	case c.w.clock.now > l.limit+10*logic.Millisecond:
+	case c.w.clock.now > l.limit+10*routing.Millisecond:
 		c.fault("lost", "a final answer after the limit")
 	}
 	// A deferral promises that a write has not run: a shot that may have is one that was not proved otherwise.
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -3,21 +3,21 @@
 import (
 	"container/heap"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // origo is the clock's start: not 0, which stands for long ago on the box list.
-const origo = logic.Time(1_000_000)
+const origo = routing.Time(1_000_000)
 
 // clock runs what is due, in the order of time, and what is due at once in the order in which it was asked for.
 type clock struct {
-	now   logic.Time
+	now   routing.Time
 	asked uint64
 	queue agenda
 }
 
 type due struct {
-	at    logic.Time
+	at    routing.Time
 	asked uint64
 	do    func()
 }
@@ -42,13 +42,13 @@
 }
 
 // in asks for something after a span.
-func (c *clock) in(span logic.Time, do func()) {
+func (c *clock) in(span routing.Time, do func()) {
 	c.asked++
 	heap.Push(&c.queue, due{c.now + max(0, span), c.asked, do})
 }
 
 // run plays all that is due up to a time.
-func (c *clock) run(until logic.Time) {
+func (c *clock) run(until routing.Time) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		d := heap.Pop(&c.queue).(due)
 		c.now = d.at
--- a/internal/emulator/divided.go
+++ b/internal/emulator/divided.go
@@ -10,7 +10,7 @@
 	"github.com/thistlerudder/thistlerudder/budget"
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/lease"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Budget is what all nodes together may do at the origin, divided among them as on sockets: by the same leader's memory, the
@@ -71,9 +71,9 @@
 	end   lease.Time
 	life  int
 	down  bool
-	cut   logic.Time // until when nobody hears it
+	cut   routing.Time // until when nobody hears it
 	nth   uint64
-	bound logic.Bound
+	bound routing.Bound
 }
 
 // division is the agreement and its leader, and all nodes' sides.
@@ -83,33 +83,33 @@
 	state  *lease.State
 	d      *budget.Divider
 	ends   map[string]lease.Time
-	unled  logic.Time
+	unled  routing.Time
 	leads  bool
 	reigns int
 	holds  []*shareholder
-	wakeAt logic.Time
+	wakeAt routing.Time
 	use    Use
 	asked  map[uint64]func(budget.Answer)
 	ids    uint64
 
 	exact       float64
-	exactAt     logic.Time
+	exactAt     routing.Time
 	evens       []float64
-	evensAt     []logic.Time
+	evensAt     []routing.Time
 	excess      float64
-	excessAt    logic.Time
+	excessAt    routing.Time
 	out         int
 	watch       []int // nodes whose demand has just come
-	watchFrom   logic.Time
+	watchFrom   routing.Time
 	killedUnits int
-	killedAt    logic.Time
+	killedAt    routing.Time
 	held        []int // by those, every lookEvery
 	evenPart    float64
 }
 
 const (
 	limitName = "origin"
-	lookEvery = 20 * logic.Millisecond
+	lookEvery = 20 * routing.Millisecond
 	settled   = 5 * second // after a move, when all has come to rest
 )
 
@@ -118,7 +118,7 @@
 func (w *world) divide() {
 	b := w.e.Fleet.Budget
 	d := &division{world: w, terms: b.terms(w.e.Fleet.Nodes), state: lease.NewState(), ends: map[string]lease.Time{}, asked: map[uint64]func(budget.Answer){},
-		evens: make([]float64, w.e.Fleet.Nodes), evensAt: make([]logic.Time, w.e.Fleet.Nodes)}
+		evens: make([]float64, w.e.Fleet.Nodes), evensAt: make([]routing.Time, w.e.Fleet.Nodes)}
 	w.division = d
 	tenths := int(w.e.Length.Seconds()*10) + 1
 	d.use = Use{Demand: make([]int, tenths), Done: make([]int, tenths), Exact: make([]int, tenths), Even: make([]int, tenths),
@@ -131,9 +131,9 @@
 	d.d = budget.NewDivider(d, d.state, budget.Unsafe{})
 	d.lead()
 	for i := range w.nodes {
-		h := &shareholder{w: d, n: i, bound: logic.OriginRate}
+		h := &shareholder{w: d, n: i, bound: routing.OriginRate}
 		if b.Kind == lease.NumberKind {
-			h.bound = logic.OriginRoom
+			h.bound = routing.OriginRoom
 		}
 		d.holds = append(d.holds, h)
 		h.begin()
@@ -155,7 +155,7 @@
 	d.d.Led(d.now(), r.Reign)
 }
 
-func (d *division) lose(span logic.Time) {
+func (d *division) lose(span routing.Time) {
 	d.unled = max(d.unled, d.clock.now+span)
 	if d.leads {
 		d.leads = false
@@ -254,7 +254,7 @@
 
 // Wake books the divider's alarm.
 func (d *division) Wake(at lease.Time) {
-	d.wakeAt = logic.Time(at)
+	d.wakeAt = routing.Time(at)
 	d.clock.in(d.wakeAt-d.clock.now, func() {
 		if d.led() && d.clock.now >= d.wakeAt {
 			d.d.Alarm(d.now())
@@ -272,18 +272,18 @@
 			return
 		}
 		if _, held := d.state.Leases[nameOf(h.n)]; held || !h.heard() {
-			d.clock.in(50*logic.Millisecond, claim)
+			d.clock.in(50*routing.Millisecond, claim)
 			return
 		}
 		sent := d.now()
 		d.clock.in(2*d.way()+d.e.Fleet.Budget.Log.ticks(), func() {
 			if life != h.life || !h.heard() {
-				d.clock.in(50*logic.Millisecond, claim)
+				d.clock.in(50*routing.Millisecond, claim)
 				return
 			}
 			r := d.apply(lease.Entry{Version: 1, Kind: lease.Grant, Name: nameOf(h.n), Holder: lease.Holder{Name: fmt.Sprint(h.n), Process: h.life}})
 			if r.Err != nil {
-				d.clock.in(50*logic.Millisecond, claim)
+				d.clock.in(50*routing.Millisecond, claim)
 				return
 			}
 			d.ends[nameOf(h.n)] = d.now() + d.long()
@@ -293,7 +293,7 @@
 			h.renew(life)
 		})
 	}
-	d.clock.in(logic.Time(float64(100*logic.Millisecond)*d.chance.Float64()), claim)
+	d.clock.in(routing.Time(float64(100*routing.Millisecond)*d.chance.Float64()), claim)
 }
 
 func (h *shareholder) short() lease.Time {
@@ -301,7 +301,7 @@
 	return lease.Short(lease.Time(b.Lease.ticks()), b.Drift)
 }
 
-func (d *division) way() logic.Time { return d.e.Network.OneWay.ticks() }
+func (d *division) way() routing.Time { return d.e.Network.OneWay.ticks() }
 
 // heard says whether the leader and the node hear each other now.
 func (h *shareholder) heard() bool { return !h.down && h.w.led() && h.w.clock.now >= h.cut }
@@ -339,9 +339,9 @@
 	h.down, h.purse = true, nil
 }
 
-func (h *shareholder) part(t lease.Terms, units, apart int, left logic.Time) allowance.Use {
+func (h *shareholder) part(t lease.Terms, units, apart int, left routing.Time) allowance.Use {
 	drift := 1 - h.w.e.Fleet.Budget.Drift
-	n, is := h.w.nodes[h.n].policy.(*logic.Balancer)
+	n, is := h.w.nodes[h.n].policy.(*routing.Balancer)
 	if !is {
 		return allowance.Use{}
 	}
@@ -361,7 +361,7 @@
 
 // Set is for budget.Acts, as all below.
 func (h *shareholder) Set(_ string, t lease.Terms, units, apart int, until lease.Time) allowance.Use {
-	return h.part(t, units, apart, logic.Time(until)-h.w.clock.now)
+	return h.part(t, units, apart, routing.Time(until)-h.w.clock.now)
 }
 
 // Ask sends an asking to the leader.
@@ -372,7 +372,7 @@
 	d.use.Messages++
 	d.clock.in(d.way(), func() {
 		if !h.heard() {
-			d.clock.in(300*logic.Millisecond, func() {
+			d.clock.in(300*routing.Millisecond, func() {
 				if current() {
 					h.purse.Unanswered(d.now())
 				}
@@ -391,7 +391,7 @@
 		}
 		d.d.Ask(d.now(), id, a)
 	})
-	d.clock.in(logic.Time(a.Wait)+300*logic.Millisecond, func() { // no answer in time
+	d.clock.in(routing.Time(a.Wait)+300*routing.Millisecond, func() { // no answer in time
 		if current() {
 			h.purse.Unanswered(d.now())
 		}
@@ -401,7 +401,7 @@
 // Wake books the purse's alarm.
 func (h *shareholder) Wake(at lease.Time) {
 	life := h.life
-	h.w.clock.in(logic.Time(at)-h.w.clock.now, func() {
+	h.w.clock.in(routing.Time(at)-h.w.clock.now, func() {
 		if life == h.life && h.purse != nil && !h.down {
 			h.purse.Alarm(h.w.now())
 		}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // A server alone is a queue of which theory knows the figures: the wait before one place and before several, and how
@@ -46,10 +46,10 @@
 		sum, lost, done := 0.0, 0, 0
 		for at, n := 0.0, 0; n < jobs; n++ {
 			at += r.ExpFloat64() * 1000 / (c.busy * float64(c.places))
-			k.run(origo + logic.Time(at))
+			k.run(origo + routing.Time(at))
 			came := k.now
-			s.take(job{done: func(code logic.Code) {
-				if code == logic.Full {
+			s.take(job{done: func(code routing.Code) {
+				if code == routing.Full {
 					lost++
 					return
 				}
@@ -163,13 +163,13 @@
 // faulty is the module with one of its orders changed.
 type faulty struct {
 	*node
-	shoot func(n *node, lkp, to int, timeout logic.Time)
-	give  func(n *node, lkp int, after logic.Time)
+	shoot func(n *node, lkp, to int, timeout routing.Time)
+	give  func(n *node, lkp int, after routing.Time)
 }
 
-func (f faulty) Shoot(lkp, to int, timeout logic.Time) { f.shoot(f.node, lkp, to, timeout) }
+func (f faulty) Shoot(lkp, to int, timeout routing.Time) { f.shoot(f.node, lkp, to, timeout) }
 
-func (f faulty) Defer(lkp int, after logic.Time) { f.give(f.node, lkp, after) }
+func (f faulty) Defer(lkp int, after routing.Time) { f.give(f.node, lkp, after) }
 
 // heedless sends each lookup on at once, whatever the list says, to the newest cache that there ever was.
 type heedless struct {
@@ -177,7 +177,7 @@
 	newest int
 }
 
-func (h *heedless) List(now logic.Time, how logic.ListKind, boxes []logic.Box) {
+func (h *heedless) List(now routing.Time, how routing.ListKind, boxes []routing.Box) {
 	for _, b := range boxes {
 		if b.Kind == 0 {
 			h.newest = max(h.newest, b.Server)
@@ -186,7 +186,7 @@
 	h.plain.List(now, how, boxes)
 }
 
-func (h *heedless) Lookup(now logic.Time, lkp int, in logic.Lookup) {
+func (h *heedless) Lookup(now routing.Time, lkp int, in routing.Lookup) {
 	h.lkps[lkp] = &plainLookup{Lookup: in, tried: []int{h.newest}}
 	h.host.Shoot(lkp, h.newest, in.Limit-now)
 }
@@ -197,7 +197,7 @@
 	e.Demand.Rate, e.Length.Duration, e.Events = 3*e.Demand.Rate, 12*time.Second, e.Events[:2]
 	honest := faulty{shoot: (*node).Shoot, give: (*node).Defer}
 	with := func(change func(f *faulty)) maker {
-		return func(host logic.Host, seed uint64, now logic.Time, e *Experiment) Policy {
+		return func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			f := honest
 			f.node = host.(*node)
 			change(&f)
@@ -210,39 +210,39 @@
 		make maker
 	}{
 		"a lookup that is never answered": {"lost", with(func(f *faulty) {
-			f.give = func(n *node, lkp int, after logic.Time) {
+			f.give = func(n *node, lkp int, after routing.Time) {
 				if number++; number%50 != 0 {
 					n.Defer(lkp, after)
 				}
 			}
 		})},
 		"an answer given twice": {"lost", with(func(f *faulty) {
-			f.give = func(n *node, lkp int, after logic.Time) {
+			f.give = func(n *node, lkp int, after routing.Time) {
 				l := n.lookups[lkp]
 				n.Defer(lkp, after)
 				n.w.check.ended(l, deferred)
 			}
 		})},
 		"a write sent twice": {"twice", with(func(f *faulty) {
-			f.shoot = func(n *node, lkp, to int, timeout logic.Time) {
+			f.shoot = func(n *node, lkp, to int, timeout routing.Time) {
 				n.Shoot(lkp, to, timeout)
 				if l := n.lookups[lkp]; l.write {
-					n.w.clock.in(10, func() { n.w.worked(l, l.shots[0], logic.Answered) })
+					n.w.clock.in(10, func() { n.w.worked(l, l.shots[0], routing.Answered) })
 				}
 			}
 		})},
-		"a cold cache pushed over, and one that drains": {"cold", func(h logic.Host, seed uint64, now logic.Time, e *Experiment) Policy {
+		"a cold cache pushed over, and one that drains": {"cold", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			return &heedless{plain: policies["random"](h, seed, now, e).(*plain)}
 		}},
-		"more shots than are allowed": {"shots", func(h logic.Host, seed uint64, now logic.Time, e *Experiment) Policy {
+		"more shots than are allowed": {"shots", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			more := *e
 			more.Rules.Shots = 9
 			return policies["random"](h, seed, now, &more)
 		}},
 		"shots at what drains": {"drain", with(func(f *faulty) {
-			f.shoot = func(n *node, lkp, to int, timeout logic.Time) {
+			f.shoot = func(n *node, lkp, to int, timeout routing.Time) {
 				for i, s := range n.w.servers {
-					if s.box.State == logic.Draining {
+					if s.box.State == routing.Draining {
 						to = i
 					}
 				}
@@ -260,7 +260,7 @@
 // rampless is the module, told of each cache as one that has run for long.
 type rampless struct{ Policy }
 
-func (r rampless) List(now logic.Time, how logic.ListKind, boxes []logic.Box) {
+func (r rampless) List(now routing.Time, how routing.ListKind, boxes []routing.Box) {
 	boxes = slices.Clone(boxes)
 	for i := range boxes {
 		boxes[i].Since = 0
@@ -301,7 +301,7 @@
 	e := parse(t, text)
 	for seed := range uint64(4) {
 		s := play(e, "ranges", ranges, seed)
-		bare := play(e, "rampless", func(h logic.Host, seed uint64, now logic.Time, e *Experiment) Policy {
+		bare := play(e, "rampless", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			return rampless{ranges(h, seed, now, e)}
 		}, seed)
 		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.Share(), bare.Share(), s.Faults, bare.Broken)
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -14,7 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Span is a time of a description, as 200ms or 2s.
@@ -29,10 +29,10 @@
 }
 
 // ticks gives it on the module's clock.
-func (s Span) ticks() logic.Time { return ticks(s.Duration) }
+func (s Span) ticks() routing.Time { return ticks(s.Duration) }
 
-func ticks(d time.Duration) logic.Time {
-	return logic.Time(d / (time.Millisecond / time.Duration(logic.Millisecond)))
+func ticks(d time.Duration) routing.Time {
+	return routing.Time(d / (time.Millisecond / time.Duration(routing.Millisecond)))
 }
 
 // Experiment is what is to be played.
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // request is what a client wants; it may ask several times for it.
@@ -11,7 +11,7 @@
 	key     uint64
 	write   bool
 	node    int
-	arrived logic.Time // its first lookup
+	arrived routing.Time // its first lookup
 	tries   int
 }
 
@@ -19,7 +19,7 @@
 type lookup struct {
 	*request
 	index int
-	limit logic.Time
+	limit routing.Time
 	shots []*shot
 	out   int
 	over  bool
@@ -37,21 +37,21 @@
 	policy  Policy
 	lookups []*lookup
 	free    []int
-	known   map[int]logic.Box // the list as told, where the fleet's trials go by it
-	drained map[int]logic.Time
+	known   map[int]routing.Box // the list as told, where the fleet's trials go by it
+	drained map[int]routing.Time
 }
 
 func (w *world) newNode(number int, seed uint64) *node {
-	n := &node{w: w, number: number, known: map[int]logic.Box{}, drained: map[int]logic.Time{}}
+	n := &node{w: w, number: number, known: map[int]routing.Box{}, drained: map[int]routing.Time{}}
 	n.policy = w.maker(n, seed, w.clock.now, w.e)
-	n.list(logic.Persisted, w.boxes())
+	n.list(routing.Persisted, w.boxes())
 	return n
 }
 
 // list tells the policy, and notes from when on a server is to be spared.
-func (n *node) list(how logic.ListKind, boxes []logic.Box) {
+func (n *node) list(how routing.ListKind, boxes []routing.Box) {
 	for _, b := range boxes {
-		if b.State == logic.Ready {
+		if b.State == routing.Ready {
 			delete(n.drained, b.Server)
 		} else if _, since := n.drained[b.Server]; !since {
 			n.drained[b.Server] = n.w.clock.now
@@ -77,7 +77,7 @@
 	if n.w.division != nil && r.write {
 		n.w.division.wants(n.number)
 	}
-	in := logic.Lookup{Partner: -1, Key: strconv.FormatUint(r.key, 10), Limit: l.limit, Write: r.write}
+	in := routing.Lookup{Partner: -1, Key: strconv.FormatUint(r.key, 10), Limit: l.limit, Write: r.write}
 	if r.write {
 		in.Namespace = 1
 	}
@@ -85,7 +85,7 @@
 }
 
 // Shoot is for logic.Host, as all below.
-func (n *node) Shoot(lkp, to int, timeout logic.Time) {
+func (n *node) Shoot(lkp, to int, timeout routing.Time) {
 	w, l := n.w, n.lookups[lkp]
 	s := &shot{server: w.servers[to]}
 	if r, is := n.policy.(rester); is && s.server.silent && r.Rests(to) {
@@ -95,13 +95,13 @@
 	number := len(l.shots)
 	l.shots = append(l.shots, s)
 	l.out++
-	settle := func(code logic.Code) {
+	settle := func(code routing.Code) {
 		if s.settled {
 			return
 		}
 		s.settled = true
 		l.out--
-		if code == logic.Answered && !l.over {
+		if code == routing.Answered && !l.over {
 			n.end(l, resolved, 0)
 		}
 		n.policy.Settled(w.clock.now, lkp, number, code, l.over)
@@ -114,7 +114,7 @@
 		if counted {
 			w.division.fetched(n.number)
 		}
-		s.server.take(job{key: l.key, write: l.write, done: func(code logic.Code) {
+		s.server.take(job{key: l.key, write: l.write, done: func(code routing.Code) {
 			if counted {
 				w.division.gone()
 			}
@@ -122,29 +122,29 @@
 			w.clock.in(way, func() { settle(code) })
 		}})
 	})
-	w.clock.in(timeout, func() { settle(logic.TimedOut) })
+	w.clock.in(timeout, func() { settle(routing.TimedOut) })
 }
 
 // Defer turns a lookup away; its client may come back.
-func (n *node) Defer(lkp int, retryAfter logic.Time) { n.end(n.lookups[lkp], deferred, retryAfter) }
+func (n *node) Defer(lkp int, retryAfter routing.Time) { n.end(n.lookups[lkp], deferred, retryAfter) }
 
 // Abandon gives a lookup up.
 func (n *node) Abandon(lkp int) { n.end(n.lookups[lkp], abandoned, 0) }
 
 // Subscribe asks for the list; what changes comes from then on.
 func (n *node) Subscribe() {
-	n.w.clock.in(n.w.delay(), func() { n.list(logic.Whole, n.w.boxes()) })
+	n.w.clock.in(n.w.delay(), func() { n.list(routing.Whole, n.w.boxes()) })
 }
 
 // HangUp does nothing: connections cost nothing here.
 func (n *node) HangUp(int, int) {}
 
 // Wake books an alarm.
-func (n *node) Wake(at logic.Time, handle int) {
+func (n *node) Wake(at routing.Time, handle int) {
 	n.w.clock.in(at-n.w.clock.now, func() { n.policy.Alarm(n.w.clock.now, handle) })
 }
 
-func (n *node) end(l *lookup, how outcome, retryAfter logic.Time) {
+func (n *node) end(l *lookup, how outcome, retryAfter routing.Time) {
 	n.w.check.ended(l, how)
 	l.over = true
 	n.w.ended(l, how, retryAfter)
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -8,20 +8,20 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Policy is what a node decides by; logic.Balancer is one.
 type Policy interface {
-	Lookup(now logic.Time, lkp int, in logic.Lookup)
-	Settled(now logic.Time, lkp, number int, code logic.Code, ended bool)
-	Left(now logic.Time, lkp int)
-	List(now logic.Time, how logic.ListKind, boxes []logic.Box)
-	Alarm(now logic.Time, handle int)
+	Lookup(now routing.Time, lkp int, in routing.Lookup)
+	Settled(now routing.Time, lkp, number int, code routing.Code, ended bool)
+	Left(now routing.Time, lkp int)
+	List(now routing.Time, how routing.ListKind, boxes []routing.Box)
+	Alarm(now routing.Time, handle int)
 }
 
 // maker starts a policy for one node.
-type maker func(host logic.Host, seed uint64, now logic.Time, e *Experiment) Policy
+type maker func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy
 
 // policies are the project's own, by its ranges, and the plain ones that it is compared with.
 var policies = map[string]maker{
@@ -31,11 +31,11 @@
 	"least":   plainly(least),
 }
 
-func ranges(host logic.Host, seed uint64, now logic.Time, e *Experiment) Policy {
+func ranges(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 	namespace := func(repeat string) map[string]any {
 		return map[string]any{"repeat": repeat, "target time": e.Demand.Target.ticks(), "late utility": 0.25}
 	}
-	return logic.New(host, seed, now, map[string]any{"nodes": e.Fleet.Nodes, "mode": "aside", "origin kind": 1,
+	return routing.New(host, seed, now, map[string]any{"nodes": e.Fleet.Nodes, "mode": "aside", "origin kind": 1,
 		"most shots": e.Rules.Shots, "longest retry-after": e.Demand.Target.ticks() * 2, "cold share": e.Fleet.ColdShare,
 		"warm-up": e.Fleet.WarmUp.ticks(), "overload factor": e.Rules.Overload, "fall window": e.Rules.Window.ticks(),
 		"namespaces": []map[string]any{namespace("replayable"), namespace("single-use")}})
@@ -69,11 +69,11 @@
 // plain is a textbook policy: it picks among ready caches, asks the origin after a miss and another cache after a
 // failure, and keeps the rules on effects and drains, but spares nobody.
 type plain struct {
-	host  logic.Host
+	host  routing.Host
 	e     *Experiment
 	rnd   *rand.Rand
 	pick  func(p *plain, key uint64, fit []int) int
-	boxes map[int]logic.Box
+	boxes map[int]routing.Box
 	ready []int
 	at    int // the origin
 	out   map[int]int
@@ -81,7 +81,7 @@
 }
 
 type plainLookup struct {
-	logic.Lookup
+	routing.Lookup
 	key    uint64
 	tried  []int
 	missed bool
@@ -89,19 +89,19 @@
 }
 
 func plainly(pick func(p *plain, key uint64, fit []int) int) maker {
-	return func(host logic.Host, seed uint64, now logic.Time, e *Experiment) Policy {
+	return func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 		host.Wake(now, 0)
-		return &plain{host: host, e: e, rnd: rand.New(rand.NewPCG(seed, 1)), pick: pick, boxes: map[int]logic.Box{},
+		return &plain{host: host, e: e, rnd: rand.New(rand.NewPCG(seed, 1)), pick: pick, boxes: map[int]routing.Box{},
 			at: -1, out: map[int]int{}, lkps: map[int]*plainLookup{}}
 	}
 }
 
-func (p *plain) Alarm(logic.Time, int) { p.host.Subscribe() }
+func (p *plain) Alarm(routing.Time, int) { p.host.Subscribe() }
 
-func (p *plain) Left(_ logic.Time, lkp int) { delete(p.lkps, lkp) }
+func (p *plain) Left(_ routing.Time, lkp int) { delete(p.lkps, lkp) }
 
-func (p *plain) List(_ logic.Time, how logic.ListKind, boxes []logic.Box) {
-	if how == logic.Whole || how == logic.Persisted {
+func (p *plain) List(_ routing.Time, how routing.ListKind, boxes []routing.Box) {
+	if how == routing.Whole || how == routing.Persisted {
 		clear(p.boxes)
 	}
 	for _, b := range boxes {
@@ -110,7 +110,7 @@
 	p.ready, p.at = p.ready[:0], -1
 	for i, b := range p.boxes {
 		switch {
-		case b.State != logic.Ready:
+		case b.State != routing.Ready:
 		case b.Kind == 1:
 			p.at = i
 		default:
@@ -120,13 +120,13 @@
 	slices.Sort(p.ready)
 }
 
-func (p *plain) Lookup(now logic.Time, lkp int, in logic.Lookup) {
+func (p *plain) Lookup(now routing.Time, lkp int, in routing.Lookup) {
 	key, _ := strconv.ParseUint(in.Key, 10, 64)
 	p.lkps[lkp] = &plainLookup{Lookup: in, key: key}
 	p.next(now, lkp)
 }
 
-func (p *plain) next(now logic.Time, lkp int) {
+func (p *plain) next(now routing.Time, lkp int) {
 	l := p.lkps[lkp]
 	to := -1
 	if len(l.tried) < p.e.Rules.Shots && now < l.Limit && !(l.Write && l.ran) {
@@ -151,14 +151,14 @@
 	}
 }
 
-func (p *plain) Settled(now logic.Time, lkp, number int, code logic.Code, ended bool) {
+func (p *plain) Settled(now routing.Time, lkp, number int, code routing.Code, ended bool) {
 	l := p.lkps[lkp]
 	if l == nil {
 		return // it left; whom its shot was at is not known any more, as in many a simple program
 	}
 	p.out[l.tried[number]]--
-	l.missed = l.missed || code == logic.Missing
-	l.ran = l.ran || code == logic.Errored || code == logic.TimedOut || code == logic.Answered
+	l.missed = l.missed || code == routing.Missing
+	l.ran = l.ran || code == routing.Errored || code == routing.TimedOut || code == routing.Answered
 	if ended {
 		delete(p.lkps, lkp)
 		return
--- a/internal/emulator/series.go
+++ b/internal/emulator/series.go
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Point is what happened in one second. Requests count when they end.
@@ -45,7 +45,7 @@
 
 func (s *Series) now() *Point { return &s.Points[len(s.Points)-1] }
 
-func (s *Series) took(t logic.Time) {
+func (s *Series) took(t routing.Time) {
 	_ = s.times.RecordValue(min(max(1, int64(t)), s.times.HighestTrackableValue())) // within its range
 }
 
@@ -53,10 +53,10 @@
 	at, worked, slots := s.now(), 0.0, 0
 	for _, v := range w.servers {
 		worked += v.worked
-		if v.box.State == logic.Gone {
+		if v.box.State == routing.Gone {
 			continue
 		}
-		if !v.origin && v.box.State == logic.Ready {
+		if !v.origin && v.box.State == routing.Ready {
 			at.Ready++
 		}
 		slots += v.of.Slots
@@ -118,7 +118,7 @@
 
 // Millis gives a quantile of the resolved requests' times, from their first lookup on.
 func (s *Series) Millis(percent float64) float64 {
-	return float64(s.times.ValueAtPercentile(percent)) / float64(logic.Millisecond)
+	return float64(s.times.ValueAtPercentile(percent)) / float64(routing.Millisecond)
 }
 
 // FetchRatio is how much the origin gave in the busiest so many seconds after a time, beside what it gave on average in
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -7,19 +7,19 @@
 	"math/rand/v2"
 	"slices"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // job is a shot at a server.
 type job struct {
 	key   uint64
 	write bool
-	done  func(logic.Code)
+	done  func(routing.Code)
 }
 
 // server is a cache or the origin: slots that work, a queue before them, and for a cache the values that it holds.
 type server struct {
-	box    logic.Box
+	box    routing.Box
 	clock  *clock
 	rnd    *rand.Rand
 	of     Station
@@ -27,7 +27,7 @@
 	miss   float64
 
 	coldShare float64
-	warmUp    logic.Time
+	warmUp    routing.Time
 	slow      float64 // factor on times
 
 	busy, life int         // life is another number after each crash: what was at work before is lost
@@ -35,7 +35,7 @@
 	waiting    []job
 	values     *values
 
-	arrivals []logic.Time // of late, for the checker
+	arrivals []routing.Time // of late, for the checker
 	jobs     int
 	begun    int
 	silent   bool    // it hears nothing, and is listed as before
@@ -63,16 +63,16 @@
 	switch {
 	case s.silent:
 		s.unheard++
-	case s.box.State == logic.Gone:
-		j.done(logic.Unconnected)
-	case s.box.State == logic.Draining:
-		j.done(logic.Full)
+	case s.box.State == routing.Gone:
+		j.done(routing.Unconnected)
+	case s.box.State == routing.Draining:
+		j.done(routing.Full)
 	case s.busy < s.of.Slots:
 		s.begin(j)
 	case len(s.waiting) < s.of.Queue:
 		s.waiting = append(s.waiting, j)
 	default:
-		j.done(logic.Full)
+		j.done(routing.Full)
 	}
 }
 
@@ -82,11 +82,11 @@
 	if s.of.Shape == "exponential" {
 		work = s.rnd.ExpFloat64()
 	}
-	code := logic.Answered
+	code := routing.Answered
 	if !s.origin && !s.values.use(j.key) {
-		code, work = logic.Missing, work*s.miss
+		code, work = routing.Missing, work*s.miss
 	}
-	span := logic.Time(math.Ceil(work * float64(s.of.Service.ticks()) * s.slow / s.speed()))
+	span := routing.Time(math.Ceil(work * float64(s.of.Service.ticks()) * s.slow / s.speed()))
 	s.worked += float64(span)
 	s.begun++
 	life, nth := s.life, s.begun
@@ -116,9 +116,9 @@
 	}
 	clear(s.working)
 	s.waiting = nil
-	s.box.State = logic.Gone
+	s.box.State = routing.Gone
 	for _, j := range lost {
-		j.done(logic.Errored)
+		j.done(routing.Errored)
 	}
 }
 
--- a/internal/emulator/sick.go
+++ b/internal/emulator/sick.go
@@ -5,33 +5,33 @@
 	"slices"
 
 	"github.com/thistlerudder/thistlerudder/lease"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 const (
-	tellEvery = 500 * logic.Millisecond // as the nodes on sockets do
-	dueEvery  = 50 * logic.Millisecond
-	trialIn   = 500 * logic.Millisecond
+	tellEvery = 500 * routing.Millisecond // as the nodes on sockets do
+	dueEvery  = 50 * routing.Millisecond
+	trialIn   = 500 * routing.Millisecond
 )
 
 // sick is what was seen of caches that fell silent.
 type sick struct {
-	Silent float64    // seconds of silence, all caches together
-	Shots  int        // lookups' shots that silent caches got,
-	Own    int        // those of them with which a node tried a cache that rested there,
-	Trials int        // and the fleet's trials
-	Back   []float64  // seconds from a cache's return until each node that rested it used it again
-	unled  logic.Time // until when the fleet is silent
+	Silent float64      // seconds of silence, all caches together
+	Shots  int          // lookups' shots that silent caches got,
+	Own    int          // those of them with which a node tried a cache that rested there,
+	Trials int          // and the fleet's trials
+	Back   []float64    // seconds from a cache's return until each node that rested it used it again
+	unled  routing.Time // until when the fleet is silent
 }
 
 // rester is a policy that lets servers rest, and hears of others' trials.
 type rester interface {
 	Rests(server int) bool
-	Tried(now logic.Time, server int, well bool, next logic.Time)
+	Tried(now routing.Time, server int, well bool, next routing.Time)
 }
 
 // silence lets caches hear nothing for a while, and looks when the nodes use them again.
-func (w *world) silence(some []*server, span logic.Time) {
+func (w *world) silence(some []*server, span routing.Time) {
 	for _, s := range some {
 		s.silent = true
 		before := s.unheard
@@ -86,17 +86,17 @@
 			n := w.nodes[i] // another after a restart
 			if r, is := n.policy.(rester); is && led() {
 				for _, server := range slices.Sorted(maps.Keys(n.known)) {
-					if n.known[server].State != logic.Ready || !r.Rests(server) {
+					if n.known[server].State != routing.Ready || !r.Rests(server) {
 						continue
 					}
 					if news, known := board.Rest(lease.Time(w.clock.now), n.known[server].ID, ""); known {
-						w.clock.in(2*way, func() { r.Tried(w.clock.now, server, news.Well, w.clock.now+logic.Time(news.Next)) })
+						w.clock.in(2*way, func() { r.Tried(w.clock.now, server, news.Well, w.clock.now+routing.Time(news.Next)) })
 					}
 				}
 			}
 			w.clock.in(tellEvery, tell)
 		}
-		w.clock.in(logic.Time(float64(tellEvery)*float64(i)/float64(len(w.nodes))), tell)
+		w.clock.in(routing.Time(float64(tellEvery)*float64(i)/float64(len(w.nodes))), tell)
 	}
 	var try func()
 	try = func() {
@@ -108,7 +108,7 @@
 					w.sick.Trials++
 					w.clock.in(trialIn, func() { on.Result(lease.Time(w.clock.now), 1, t.ID, false) })
 				} else {
-					w.clock.in(2*way, func() { on.Result(lease.Time(w.clock.now), 1, t.ID, s.box.State == logic.Ready) })
+					w.clock.in(2*way, func() { on.Result(lease.Time(w.clock.now), 1, t.ID, s.box.State == routing.Ready) })
 				}
 			}
 		}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 type outcome int
@@ -41,7 +41,7 @@
 	dead     map[int]bool
 }
 
-const second = 1000 * logic.Millisecond
+const second = 1000 * routing.Millisecond
 
 // Run plays an experiment under one policy and one seed.
 func Run(e *Experiment, policy string, seed uint64) (*Series, error) {
@@ -80,7 +80,7 @@
 	w.clock.run(origo + e.Length.ticks())
 	w.series.Offered, w.series.Busiest = w.check.offered, w.busiest()
 	w.demand = 0 // what is out ends
-	w.clock.run(w.clock.now + logic.Time(e.Demand.Tries)*(e.Demand.Limit.ticks()+3*e.Demand.Target.ticks()) + second)
+	w.clock.run(w.clock.now + routing.Time(e.Demand.Tries)*(e.Demand.Limit.ticks()+3*e.Demand.Target.ticks()) + second)
 	w.check.close()
 	w.series.Sick = w.sick
 	if w.division != nil {
@@ -94,7 +94,7 @@
 func (w *world) busiest() float64 {
 	most, sum, n := 0, 0, 0
 	for _, s := range w.servers {
-		if !s.origin && s.box.Since == 0 && s.box.State == logic.Ready {
+		if !s.origin && s.box.Since == 0 && s.box.State == routing.Ready {
 			most, sum, n = max(most, s.jobs), sum+s.jobs, n+1
 		}
 	}
@@ -105,11 +105,11 @@
 func (w *world) seed() uint64 { return w.seeds.Uint64() }
 
 // add starts a server; since 0 says that it has run for long.
-func (w *world) add(of Station, origin bool, since logic.Time) {
+func (w *world) add(of Station, origin bool, since routing.Time) {
 	i := len(w.servers)
 	s := &server{clock: w.clock, rnd: rand.New(rand.NewPCG(w.seed(), 4)), of: of, origin: origin, miss: w.e.Fleet.Miss,
 		coldShare: w.e.Fleet.ColdShare, warmUp: w.e.Fleet.WarmUp.ticks(), slow: 1, values: newValues(w.e.Fleet.Keep),
-		working: map[int]job{}, box: logic.Box{Server: i, ID: "origin", Kind: 1, Since: since}}
+		working: map[int]job{}, box: routing.Box{Server: i, ID: "origin", Kind: 1, Since: since}}
 	if !origin {
 		w.made++
 		s.box.ID, s.box.Kind = fmt.Sprintf("c-%08x", w.chance.Uint32()), 0
@@ -118,9 +118,9 @@
 }
 
 // boxes is the list as the discovery service has it.
-func (w *world) boxes() (list []logic.Box) {
+func (w *world) boxes() (list []routing.Box) {
 	for _, s := range w.servers {
-		if s.box.State != logic.Gone {
+		if s.box.State != routing.Gone {
 			list = append(list, s.box)
 		}
 	}
@@ -128,13 +128,13 @@
 }
 
 // delay is how long a node takes to hear of something.
-func (w *world) delay() logic.Time {
-	return logic.Time(w.chance.Float64() * float64(w.e.Network.Notice.ticks()))
+func (w *world) delay() routing.Time {
+	return routing.Time(w.chance.Float64() * float64(w.e.Network.Notice.ticks()))
 }
 
 // tell brings a change of the list to each node, to each in its own time and in order.
 func (w *world) tell(changed ...*server) {
-	boxes := make([]logic.Box, 0, len(changed))
+	boxes := make([]routing.Box, 0, len(changed))
 	for _, s := range changed {
 		boxes = append(boxes, s.box)
 	}
@@ -144,13 +144,13 @@
 			for i := range boxes {
 				boxes[i] = w.servers[boxes[i].Server].box
 			}
-			n.list(logic.Changes, slices.Clone(boxes))
+			n.list(routing.Changes, slices.Clone(boxes))
 		})
 	}
 }
 
 // caches gives those in a state, in an order of chance.
-func (w *world) caches(state logic.State, most int) (some []*server) {
+func (w *world) caches(state routing.State, most int) (some []*server) {
 	for _, s := range w.servers {
 		if !s.origin && s.box.State == state {
 			some = append(some, s)
@@ -170,25 +170,25 @@
 		}
 		w.tell(w.servers[from:]...)
 	case "drain":
-		some := w.caches(logic.Ready, ev.Caches)
+		some := w.caches(routing.Ready, ev.Caches)
 		for _, s := range some {
-			s.box.State = logic.Draining
+			s.box.State = routing.Draining
 		}
 		w.tell(some...)
 		w.clock.in(w.e.Network.Notice.ticks()+w.e.Rules.Grace.ticks()+w.e.Demand.Limit.ticks(), func() {
 			for _, s := range some {
-				s.box.State = logic.Gone
+				s.box.State = routing.Gone
 			}
 			w.tell(some...)
 		})
 	case "crash":
-		some := w.caches(logic.Ready, ev.Caches)
+		some := w.caches(routing.Ready, ev.Caches)
 		for _, s := range some {
 			s.crash()
 		}
 		w.tell(some...)
 	case "slow":
-		some := w.caches(logic.Ready, ev.Caches)
+		some := w.caches(routing.Ready, ev.Caches)
 		for _, s := range some {
 			s.slow *= ev.Factor
 		}
@@ -211,7 +211,7 @@
 			}
 		}
 	case "silent":
-		w.silence(w.caches(logic.Ready, ev.Caches), ev.For.ticks())
+		w.silence(w.caches(routing.Ready, ev.Caches), ev.For.ticks())
 	case "unled":
 		w.sick.unled = max(w.sick.unled, w.clock.now+ev.For.ticks())
 		if w.division != nil {
@@ -255,7 +255,7 @@
 			r.node = w.rnd.IntN(len(w.nodes))
 		}
 		gap := w.rnd.ExpFloat64() / (w.e.Demand.Rate * w.demand) * float64(second)
-		w.clock.in(logic.Time(math.Round(gap)), w.arrive)
+		w.clock.in(routing.Time(math.Round(gap)), w.arrive)
 		w.check.offered++
 		w.nodes[r.node].take(r)
 	}
@@ -269,8 +269,8 @@
 
 // worked says what a shot came to at its server: a value fetched is stored where it was missing, one written is
 // dropped everywhere.
-func (w *world) worked(l *lookup, s *shot, code logic.Code) {
-	if code != logic.Answered {
+func (w *world) worked(l *lookup, s *shot, code routing.Code) {
+	if code != routing.Answered {
 		return
 	}
 	w.check.ran(l)
@@ -282,7 +282,7 @@
 	case s.server.origin:
 		w.series.now().Fetches++
 		for _, t := range l.shots {
-			if !t.server.origin && t.server.box.State != logic.Gone {
+			if !t.server.origin && t.server.box.State != routing.Gone {
 				t.server.values.store(l.key)
 			}
 		}
@@ -292,7 +292,7 @@
 }
 
 // ended notes a final answer, and lets a client that was deferred come back.
-func (w *world) ended(l *lookup, how outcome, retryAfter logic.Time) {
+func (w *world) ended(l *lookup, how outcome, retryAfter routing.Time) {
 	took, target := w.clock.now-l.arrived, w.e.Demand.Target.ticks()
 	at := w.series.now()
 	switch {
@@ -302,7 +302,7 @@
 		at.Late++
 	case how == deferred && l.tries < w.e.Demand.Tries:
 		at.Deferrals++
-		wait := max(retryAfter, target/20) + logic.Time(w.rnd.Float64()*float64(target)/10)
+		wait := max(retryAfter, target/20) + routing.Time(w.rnd.Float64()*float64(target)/10)
 		w.clock.in(wait, func() { w.nodes[l.node].take(l.request) })
 		return
 	case how == deferred:
--- a/internal/net/boxlist/bench_test.go
+++ b/internal/net/boxlist/bench_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // pageOf is a discovery service's answer with so many caches of 23 regions and 82 zones; since is their start.
@@ -71,7 +71,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				x.List(logic.Whole, boxes)
+				x.List(routing.Whole, boxes)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			x.List(logic.Whole, boxes)
+			x.List(routing.Whole, boxes)
 			var pages [64][]byte
 			for i := range pages {
 				pages[i] = pageOf(1, false, i*caches/len(pages), 1764640000124+int64(i))
@@ -99,7 +99,7 @@
 					b.Fatal(err)
 				}
 				changed[0].StartedMs += float64(i) // another start each time
-				x.List(logic.Changes, changed)
+				x.List(routing.Changes, changed)
 				i++
 			}
 		})
--- a/internal/net/boxlist/crowd_test.go
+++ b/internal/net/boxlist/crowd_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // narrow is a discovery service that works through calls in turn, a call for the list and the begin of a watch at the same cost,
@@ -428,9 +428,9 @@
 		soonest, last time.Duration // the next call's begin, after that one's
 		second        time.Duration // and the begin of one more, at most
 	}{
-		{map[string]any{"registry-mode": "ask"}, false, time.Hour, terms.Duration(logic.AskMost) / 2, terms.Duration(logic.AskMost), 2 * terms.Duration(logic.AskMost)},
-		{map[string]any{"registry-mode": "ask"}, true, time.Hour, terms.Duration(logic.AskMost), lineIn, 2 * terms.Duration(logic.AskMost)},
-		{map[string]any{"registry-mode": "ask"}, true, 1900 * time.Millisecond, terms.Duration(logic.AskMost), 1900 * time.Millisecond, 2 * 1900 * time.Millisecond},
+		{map[string]any{"registry-mode": "ask"}, false, time.Hour, terms.Duration(routing.AskMost) / 2, terms.Duration(routing.AskMost), 2 * terms.Duration(routing.AskMost)},
+		{map[string]any{"registry-mode": "ask"}, true, time.Hour, terms.Duration(routing.AskMost), lineIn, 2 * terms.Duration(routing.AskMost)},
+		{map[string]any{"registry-mode": "ask"}, true, 1900 * time.Millisecond, terms.Duration(routing.AskMost), 1900 * time.Millisecond, 2 * 1900 * time.Millisecond},
 		{map[string]any{"registry-mode": "push", "invariants": map[string]any{"stop-sending-within-ms": 1500.}}, true, time.Hour,
 			500 * time.Millisecond, time.Second, 1500 * time.Millisecond},
 	} {
--- a/internal/net/boxlist/entry.go
+++ b/internal/net/boxlist/entry.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // page is an answer of the discovery service.
@@ -23,7 +23,7 @@
 	Started float64 `json:"started_ms"`
 }
 
-var states = map[string]logic.State{"Ready": logic.Ready, "Terminating": logic.Draining, "Gone": logic.Gone}
+var states = map[string]routing.State{"Ready": routing.Ready, "Terminating": routing.Draining, "Gone": routing.Gone}
 
 // parse reads a page whole or not at all: half a list would look like servers gone.
 func parse(body []byte) (version int64, full bool, boxes []exchange.Box, err error) {
@@ -36,7 +36,7 @@
 	}
 	for _, e := range p.Servers {
 		state, known := states[e.State]
-		if !known || e.ID == "" || (e.Address == "" && state != logic.Gone) {
+		if !known || e.ID == "" || (e.Address == "" && state != routing.Gone) {
 			return 0, false, nil, fmt.Errorf("server %q: expected an id, an address and a known state, not %q",
 				e.ID, e.State)
 		}
--- a/internal/net/boxlist/return_test.go
+++ b/internal/net/boxlist/return_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // The bounds on when a list is had, from the moment at which its service is back.
@@ -35,7 +35,7 @@
 // The sums beside the constants, with what a busy machine takes: raising any of the constants, here or in the module, breaks one.
 // That the module's waits keep to AskSpread and AskMost is TestTheNextCallForTheListIsNeverFar.
 func TestTheListIsHadInTime(t *testing.T) {
-	spread, most := terms.Duration(logic.AskSpread), terms.Duration(logic.AskMost)
+	spread, most := terms.Duration(routing.AskSpread), terms.Duration(routing.AskMost)
 	for _, c := range []struct {
 		what string
 		sum  time.Duration
--- a/internal/net/boxlist/watch.go
+++ b/internal/net/boxlist/watch.go
@@ -18,7 +18,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // What discovery tells counts as told 6 s after it had it and could be reached, whatever has become of the calls before: so the
@@ -117,7 +117,7 @@
 		f.from.version, f.from.resumes, f.from.heard = version, true, time.Now()
 		f.mu.Unlock()
 	}
-	f.exchange.List(logic.Persisted, boxes)
+	f.exchange.List(routing.Persisted, boxes)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 		}
 		if f.mu.Unlock(); !stale && ctx.Err() == nil {
 			f.log.Warn("box list lost, the old one stands", zap.Error(err))
-			f.exchange.List(logic.Failed, nil)
+			f.exchange.List(routing.Failed, nil)
 		}
 	}
 }
@@ -218,9 +218,9 @@
 	if f.from = at; goes && !full && len(boxes) == 0 {
 		return
 	}
-	how := logic.Changes
+	how := routing.Changes
 	if full {
-		how = logic.Whole
+		how = routing.Whole
 	}
 	f.exchange.List(how, boxes)
 	f.log.Info("box list", zap.Int64("version", at.version), zap.Bool("whole", full), zap.Int("boxes", len(boxes)))
--- a/internal/net/boxlist/watch_test.go
+++ b/internal/net/boxlist/watch_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 const box = `{"id":"a","addr":"127.0.0.1:1","kind":"box","state":"Ready","started_ms":0}`
@@ -307,7 +307,7 @@
 			`{"version":41,"full":true,"new":1,"servers":[` + box + `,{"id":"b","state":"Gone","started_ms":1700000000123}]}`,
 		),
 	)
-	if err != nil || !full || len(boxes) != 2 || boxes[0].Address != "127.0.0.1:1" || boxes[1].State != logic.Gone ||
+	if err != nil || !full || len(boxes) != 2 || boxes[0].Address != "127.0.0.1:1" || boxes[1].State != routing.Gone ||
 		boxes[1].StartedMs != 1700000000123 {
 		t.Errorf("%v %v %v", full, boxes, err)
 	}
--- a/internal/net/clients/clients_test.go
+++ b/internal/net/clients/clients_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // fleet hands each shot to the test.
@@ -64,7 +64,7 @@
 	x.Start(1, ships, ships)
 	if told {
 		x.List(
-			logic.Whole,
+			routing.Whole,
 			[]exchange.Box{{ID: "a", Address: "a:1", Machine: "box"}, {ID: "z", Address: "z:1", Machine: "origin"}},
 		)
 	}
--- a/internal/net/exchange/account.go
+++ b/internal/net/exchange/account.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/thistlerudder/thistlerudder/internal/net/figures"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Figures gives the totals since the start.
@@ -51,7 +51,7 @@
 			continue
 		}
 		listed++
-		if p.state != logic.Ready || x.balancer.Rests(i) {
+		if p.state != routing.Ready || x.balancer.Rests(i) {
 			avoided++
 		}
 	}
--- a/internal/net/exchange/alarms.go
+++ b/internal/net/exchange/alarms.go
@@ -3,12 +3,12 @@
 import (
 	"container/heap"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // alarm is one that the module asked for.
 type alarm struct {
-	at     logic.Time
+	at     routing.Time
 	handle int
 }
 
@@ -30,7 +30,7 @@
 }
 
 // wake books an alarm and sets the one timer to the earliest. Called with the lock held.
-func (x *Exchange) wake(at logic.Time, handle int) {
+func (x *Exchange) wake(at routing.Time, handle int) {
 	heap.Push(&x.alarms, alarm{at, handle})
 	x.windUp()
 }
@@ -44,7 +44,7 @@
 
 // ring tells the module of every alarm that is due.
 func (x *Exchange) ring() {
-	x.do("alarm", nil, func(now logic.Time) {
+	x.do("alarm", nil, func(now routing.Time) {
 		defer x.windUp()
 		for len(x.alarms) > 0 && x.alarms[0].at <= now {
 			x.balancer.Alarm(now, heap.Pop(&x.alarms).(alarm).handle)
--- a/internal/net/exchange/bans.go
+++ b/internal/net/exchange/bans.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Ban is a server that operators took out, by its id: places are used anew, and addresses change.
@@ -49,9 +49,9 @@
 
 // Bans takes over the whole list of bans and late returns. A server that is not on it stays as it is.
 func (x *Exchange) Bans(all []Ban) {
-	x.do("bans", nil, func(now logic.Time) {
+	x.do("bans", nil, func(now routing.Time) {
 		x.bans = make(map[string]Ban, len(all))
-		var list []logic.Box
+		var list []routing.Box
 		for _, b := range all {
 			x.bans[b.ID] = b
 			i, known := x.places[b.ID]
@@ -70,7 +70,7 @@
 			}
 		}
 		if len(list) > 0 {
-			x.balancer.List(now, logic.Changes, list)
+			x.balancer.List(now, routing.Changes, list)
 			x.census()
 		}
 	})
@@ -78,21 +78,21 @@
 
 // shown gives a place as the module is to see it. What is banned drains, whatever the list says. What is back is cold:
 // if the list has not told of a start since the ban, the return itself is the start.
-func (x *Exchange) shown(i int) logic.Box {
+func (x *Exchange) shown(i int) routing.Box {
 	p := &x.boxes[i]
 	p.state = p.listed
 	since := p.startedAt
 	switch {
 	case p.ban.Out == 0:
-	case p.ban.Back == 0 && p.listed == logic.Ready:
-		p.state = logic.Draining
+	case p.ban.Back == 0 && p.listed == routing.Ready:
+		p.state = routing.Draining
 	case p.ban.Back > 0 && p.startedAt < p.outAt:
 		since = p.backAt
 	}
-	if p.state == logic.Draining && faults.Without(faults.DrainNews) {
-		p.state = logic.Ready
+	if p.state == routing.Draining && faults.Without(faults.DrainNews) {
+		p.state = routing.Ready
 	}
-	return logic.Box{Server: i, ID: p.id, Kind: p.kind, State: p.state, Since: since}
+	return routing.Box{Server: i, ID: p.id, Kind: p.kind, State: p.state, Since: since}
 }
 
 // banned takes over a ban or a return.
--- a/internal/net/exchange/bans_test.go
+++ b/internal/net/exchange/bans_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"testing/quick"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Bans, lists, restarts, new addresses and returns in any order: no shot is decided to what is banned or doesn't stand
@@ -44,24 +44,24 @@
 					banned[id] = ban
 				}
 			case 2, 3:
-				b.State = []logic.State{logic.Ready, logic.Ready, logic.Draining}[r.Intn(3)]
+				b.State = []routing.State{routing.Ready, routing.Ready, routing.Draining}[r.Intn(3)]
 				listed[id] = b
-				x.List(logic.Changes, []Box{b})
+				x.List(routing.Changes, []Box{b})
 			case 4: // restarted, perhaps at another address
-				b.StartedMs, b.State, b.Address = float64(clock), logic.Ready, fmt.Sprint(id, ":", r.Intn(3))
+				b.StartedMs, b.State, b.Address = float64(clock), routing.Ready, fmt.Sprint(id, ":", r.Intn(3))
 				listed[id] = b
-				x.List(logic.Changes, []Box{b})
+				x.List(routing.Changes, []Box{b})
 			case 5:
 				if delete(listed, id); there {
-					b.State = logic.Gone
-					x.List(logic.Changes, []Box{b})
+					b.State = routing.Gone
+					x.List(routing.Changes, []Box{b})
 				}
 			case 6:
 				whole := []Box{}
 				for _, b := range listed {
 					whole = append(whole, b)
 				}
-				x.List(logic.Whole, whole)
+				x.List(routing.Whole, whole)
 			default:
 				in := Lookup{Namespace: "read", Key: fmt.Sprint("k", r.Intn(50)), Trace: fmt.Sprint(seed, step)}
 				if _, err := x.Take(in, x.clock.start, 1e9); err != nil {
@@ -76,7 +76,7 @@
 			for s := f.take(0); s != nil; s = f.take(0) {
 				id, _, _ := strings.Cut(s.Address, ":")
 				ban := banned[id]
-				if at := listed[id]; at.Address != s.Address || at.State != logic.Ready || ban.Out > 0 && ban.Back == 0 {
+				if at := listed[id]; at.Address != s.Address || at.State != routing.Ready || ban.Out > 0 && ban.Back == 0 {
 					t.Errorf("seed %d, step %d: a shot to %s, listed %+v, ban %+v", seed, step, s.Address, at, ban)
 					return false
 				}
@@ -91,7 +91,7 @@
 					continue
 				}
 				box := x.shown(i)
-				if ban.Back == 0 && box.State == logic.Ready || ban.Back > 0 && box.Since < fromUnix(ban.Out) {
+				if ban.Back == 0 && box.State == routing.Ready || ban.Back > 0 && box.Since < fromUnix(ban.Out) {
 					t.Errorf("seed %d, step %d: %s is shown as %+v, ban %+v", seed, step, id, box, ban)
 					return false
 				}
@@ -113,13 +113,13 @@
 func TestWhatIsBackStartsCold(t *testing.T) {
 	x := start(t, &fleet{})
 	out := float64(x.clock.start.UnixMilli())
-	since := func() logic.Time { return x.shown(x.places["a"]).Since }
+	since := func() routing.Time { return x.shown(x.places["a"]).Since }
 	x.Bans([]Ban{{ID: "a", Out: out}})
 	if since() != 0 {
 		t.Error("a ban alone is no start")
 	}
 	x.Bans([]Ban{{ID: "a", Out: out, Back: out + 100}})
-	x.List(logic.Whole, boxes) // which knows nothing yet
+	x.List(routing.Whole, boxes) // which knows nothing yet
 	if got := since(); got != fromUnix(out+100) {
 		t.Errorf("since %v, want the return", got)
 	}
@@ -129,7 +129,7 @@
 	}
 	later := boxes[0]
 	later.StartedMs = out + 50
-	x.List(logic.Changes, []Box{later})
+	x.List(routing.Changes, []Box{later})
 	if got := since(); got != fromUnix(out+50) {
 		t.Errorf("since %v, want the start that the list told of", got)
 	}
--- a/internal/net/exchange/checks_test.go
+++ b/internal/net/exchange/checks_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/permit"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // What a module orders against the rules is counted, and not carried out. The module at hand orders nothing of this, so the test
@@ -42,7 +42,7 @@
 				ticket.ran(first.sent)
 				x.mu.Unlock()
 			}
-			x.do("test", nil, func(logic.Time) { c.order(host{x}, ticket.index) })
+			x.do("test", nil, func(routing.Time) { c.order(host{x}, ticket.index) })
 			if n := x.figures.Violations[c.want].Load(); n != 1 {
 				t.Errorf("%d violations by %v, want one", n, c.want)
 			}
@@ -63,7 +63,7 @@
 	x := start(t, ships)
 	ticket := take(t, x, Lookup{Namespace: "read", Key: "k"}, time.Second)
 	out := ships.take(0) // stays out, so that the index is not used again
-	x.do("test", nil, func(logic.Time) {
+	x.do("test", nil, func(routing.Time) {
 		h := host{x}
 		h.Abandon(ticket.index)
 		h.Abandon(ticket.index)
--- a/internal/net/exchange/ends.go
+++ b/internal/net/exchange/ends.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // End is the way in which a shot ended, or in which its connection did.
@@ -32,42 +32,42 @@
 )
 
 // Code is what the module is told of it; this is the only place that says so.
-func (e End) Code() logic.Code {
+func (e End) Code() routing.Code {
 	if (e == Lost || e == CutShort) && faults.Without(faults.MayHaveRun) {
-		return logic.Unconnected
+		return routing.Unconnected
 	}
 	switch e {
 	case Whole:
-		return logic.Answered
+		return routing.Answered
 	case Lacking:
-		return logic.Missing
+		return routing.Missing
 	case Failing, Unclear, Spoilt, Lost, CutShort:
 		// Servers reset and close single connections and work on; taken for broken servers, most of a fleet would
 		// rest. Of a dead one the next dial tells.
-		return logic.Errored
+		return routing.Errored
 	case TurnedAway:
-		return logic.Full
+		return routing.Full
 	case Crowded:
-		return logic.Crowded
+		return routing.Crowded
 	case Unreached, Unwritten:
-		return logic.Unconnected
+		return routing.Unconnected
 	case Unheard:
-		return logic.Unheard
+		return routing.Unheard
 	case Silent:
-		return logic.TimedOut
+		return routing.TimedOut
 	case NoRoom, Overtaken:
-		return logic.Unsent
+		return routing.Unsent
 	case Withheld:
-		return logic.Withheld
+		return routing.Withheld
 	default:
-		return logic.CalledOff
+		return routing.CalledOff
 	}
 }
 
 // MayHaveRun says that nothing proves that the server did not act on the shot.
 func (e End) MayHaveRun() bool {
 	switch e.Code() {
-	case logic.Full, logic.Unconnected, logic.Unsent, logic.Missing, logic.Crowded, logic.Unheard, logic.Withheld:
+	case routing.Full, routing.Unconnected, routing.Unsent, routing.Missing, routing.Crowded, routing.Unheard, routing.Withheld:
 		return false
 	default:
 		return true
--- a/internal/net/exchange/exchange.go
+++ b/internal/net/exchange/exchange.go
@@ -15,7 +15,7 @@
 	wall "github.com/thistlerudder/thistlerudder/internal/clock"
 	"github.com/thistlerudder/thistlerudder/internal/net/figures"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Carrier brings shots to the servers; none of its methods may block. Each shot is settled once, by Settle.
@@ -33,7 +33,7 @@
 // Box is an entry of the box list.
 type Box struct {
 	ID, Address, Machine string
-	State                logic.State
+	State                routing.State
 	StartedMs            float64 // Unix time, 0: long ago
 }
 
@@ -47,7 +47,7 @@
 	lister  Lister
 
 	mu       sync.Mutex
-	balancer *logic.Balancer
+	balancer *routing.Balancer
 	decided  time.Time // when the module was told of what it acts on
 	tickets  []*Ticket // by the module's index
 	free     []int
@@ -57,21 +57,21 @@
 	resting  []int              // indices that were given back
 	told     uint64             // places that the list has told of so far
 	listed   bool
-	live     logic.Time // when the list was last told by its service; 0: not yet
+	live     routing.Time // when the list was last told by its service; 0: not yet
 	alarms   alarms
 	timer    *time.Timer
 	tally    Tally
 	figures  *figures.Figures
 	bans     map[string]Ban
 	heard    heard
-	parted   bool                      // parts of the fleet's budgets bound what is done
-	cuts     map[logic.Bound]time.Time // when what a part of a number at a time allowed has to be over
+	parted   bool                        // parts of the fleet's budgets bound what is done
+	cuts     map[routing.Bound]time.Time // when what a part of a number at a time allowed has to be over
 }
 
 // New makes the owner; nothing happens before Start.
 func New(t *terms.Terms, log *zap.Logger) *Exchange {
 	x := &Exchange{log: log, terms: t, clock: clock{time.Now()}, wall: wall.Wall, places: map[string]int{},
-		cuts: map[logic.Bound]time.Time{}, out: map[string]*Ticket{}, figures: figures.New(slices.Collect(maps.Keys(t.Namespaces)))}
+		cuts: map[routing.Bound]time.Time{}, out: map[string]*Ticket{}, figures: figures.New(slices.Collect(maps.Keys(t.Namespaces)))}
 	x.timer = time.AfterFunc(time.Hour, x.ring)
 	x.timer.Stop()
 	return x
@@ -80,14 +80,14 @@
 // Start hands over those who act, and makes the module.
 func (x *Exchange) Start(seed uint64, carrier Carrier, lister Lister) {
 	x.carrier, x.lister = carrier, lister
-	x.do("start", nil, func(now logic.Time) {
-		x.balancer = logic.New(host{x}, seed, now, x.terms.Module)
+	x.do("start", nil, func(now routing.Time) {
+		x.balancer = routing.New(host{x}, seed, now, x.terms.Module)
 	})
 }
 
 // do runs f as the only owner. A panic in it must not take the node down with all its lookups: it is
 // logged, and the lookup at hand is answered with no promise.
-func (x *Exchange) do(what string, t *Ticket, f func(now logic.Time)) {
+func (x *Exchange) do(what string, t *Ticket, f func(now routing.Time)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	defer func() {
@@ -105,7 +105,7 @@
 }
 
 // now gives the time of what is told to the module, and keeps it as that of the decisions that follow.
-func (x *Exchange) now() logic.Time {
+func (x *Exchange) now() routing.Time {
 	x.decided = time.Now()
 	return x.clock.at(x.decided)
 }
@@ -133,7 +133,7 @@
 	}
 	t := &Ticket{Lookup: in, x: x, read: read, answers: make(chan Answer, 1)}
 	twice := false
-	x.do("lookup", t, func(now logic.Time) {
+	x.do("lookup", t, func(now routing.Time) {
 		if _, twice = x.out[in.Trace]; twice {
 			return
 		}
@@ -152,7 +152,7 @@
 		} else {
 			t.limit = read.Add(within)
 		}
-		x.balancer.Lookup(now, t.index, logic.Lookup{Namespace: ns, Partner: partner, Key: in.Key,
+		x.balancer.Lookup(now, t.index, routing.Lookup{Namespace: ns, Partner: partner, Key: in.Key,
 			Limit: x.clock.at(limit), Work: in.Work, Write: in.Write,
 			Long: in.Rest != nil})
 	})
@@ -163,17 +163,17 @@
 }
 
 // List tells the module what the box list says.
-func (x *Exchange) List(how logic.ListKind, boxes []Box) {
-	x.do("list", nil, func(now logic.Time) {
-		if how == logic.Whole || how == logic.Persisted {
+func (x *Exchange) List(how routing.ListKind, boxes []Box) {
+	x.do("list", nil, func(now routing.Time) {
+		if how == routing.Whole || how == routing.Persisted {
 			for i := range x.boxes {
 				x.boxes[i].gone = true // unless the list names it
 			}
 		}
-		list := make([]logic.Box, 0, len(boxes))
+		list := make([]routing.Box, 0, len(boxes))
 		for _, b := range boxes {
 			i, known := x.places[b.ID]
-			if !known && b.State == logic.Gone {
+			if !known && b.State == routing.Gone {
 				continue
 			}
 			if !known {
@@ -193,7 +193,7 @@
 			p.kind, p.origin = kind, x.terms.Origin(kind)
 			list = append(list, x.shown(i))
 		}
-		if how == logic.Whole || how == logic.Changes {
+		if how == routing.Whole || how == routing.Changes {
 			x.live = now
 		}
 		x.balancer.List(now, how, list)
@@ -201,7 +201,7 @@
 			x.giveBack(i)
 		}
 		x.census()
-		if how != logic.Failed && len(boxes) > 0 {
+		if how != routing.Failed && len(boxes) > 0 {
 			x.listed = true
 		}
 	})
@@ -231,7 +231,7 @@
 // host is what the module acts through. Its methods run with the lock held.
 type host struct{ *Exchange }
 
-func (h host) Shoot(lkp, server int, timeout logic.Time) {
+func (h host) Shoot(lkp, server int, timeout routing.Time) {
 	t := h.tickets[lkp]
 	s := &Shot{
 		Lookup:  &t.Lookup,
@@ -269,7 +269,7 @@
 	h.carrier.Carry(s)
 }
 
-func (h host) Defer(lkp int, retryAfter logic.Time) {
+func (h host) Defer(lkp int, retryAfter routing.Time) {
 	t, answer := h.tickets[lkp], Answer{Outcome: Deferred, RetryAfter: spanOf(retryAfter)}
 	if !h.mayRefuse(t) {
 		answer = Answer{Outcome: Abandoned}
@@ -290,9 +290,9 @@
 // HangUp is carried out by the side that holds the connections.
 func (h host) HangUp(server, but int) { h.carrier.HangUp(h.boxes[server].nth, but) }
 
-func (h host) Wake(at logic.Time, handle int) { h.wake(at, handle) }
+func (h host) Wake(at routing.Time, handle int) { h.wake(at, handle) }
 
-func spanOf(t logic.Time) time.Duration { return terms.Duration(t) }
+func spanOf(t routing.Time) time.Duration { return terms.Duration(t) }
 
 // finish gives a lookup its one final answer. Called with the lock held.
 func (x *Exchange) finish(t *Ticket, a Answer) {
--- a/internal/net/exchange/exchange_test.go
+++ b/internal/net/exchange/exchange_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/internal/net/permit"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // followed is what a random run knows of one lookup.
@@ -60,7 +60,7 @@
 			}
 			end := End(r.Intn(int(endCount)))
 			switch end.Code() {
-			case logic.Full, logic.Unconnected, logic.Unsent, logic.Missing, logic.Crowded, logic.Unheard, logic.Withheld:
+			case routing.Full, routing.Unconnected, routing.Unsent, routing.Missing, routing.Crowded, routing.Unheard, routing.Withheld:
 			default:
 				of[s.ticket].mayHaveRun = true
 			}
@@ -236,7 +236,7 @@
 		t.Errorf("%+v, %v", a, came)
 	}
 	x.balancer = whole
-	host{x}.Shoot(ticket.index, 0, logic.Millisecond)
+	host{x}.Shoot(ticket.index, 0, routing.Millisecond)
 	if ships.take(0) != nil || len(x.out) != 0 {
 		t.Errorf("a shot after the final answer, or %d ids are kept", len(x.out))
 	}
@@ -250,7 +250,7 @@
 	x := start(t, ships)
 	moved := boxes[3]
 	moved.Address = "elsewhere:1"
-	x.List(logic.Changes, []Box{moved})
+	x.List(routing.Changes, []Box{moved})
 	take(t, x, Lookup{Namespace: "read", Write: true}, time.Second)
 	if s := ships.take(0); s.Address != "elsewhere:1" || len(x.boxes) != len(boxes) {
 		t.Errorf("sent to %s; %d indices for %d boxes", s.Address, len(x.boxes), len(boxes))
@@ -263,7 +263,7 @@
 func TestAReadThatOthersPassGoesElsewhereToo(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	x.List(logic.Whole, []Box{boxes[0], boxes[1], boxes[3]})
+	x.List(routing.Whole, []Box{boxes[0], boxes[1], boxes[3]})
 	for i := range x.boxes {
 		x.boxes[i].mean = 5 * time.Millisecond
 	}
@@ -391,7 +391,7 @@
 func TestConnectionsAreGivenBack(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	x.do("test", nil, func(logic.Time) { host{x}.HangUp(1, 0) })
+	x.do("test", nil, func(routing.Time) { host{x}.HangUp(1, 0) })
 	if len(ships.hungUp) != 1 || ships.hungUp[0] != x.boxes[1].nth || x.Tally().Panics != 0 {
 		t.Errorf("hung up on %v", ships.hungUp)
 	}
@@ -409,10 +409,10 @@
 	for n := range rounds {
 		fresh := []Box{{ID: fmt.Sprint("c", n), Address: "same:1", Machine: "box"}, {ID: fmt.Sprint("z", n), Address: "z:1", Machine: "origin"}}
 		if n%2 == 0 {
-			x.List(logic.Whole, fresh)
+			x.List(routing.Whole, fresh)
 		} else {
-			x.List(logic.Changes, append(fresh, Box{ID: fmt.Sprint("c", n-1), State: logic.Gone},
-				Box{ID: fmt.Sprint("z", n-1), State: logic.Gone}, Box{ID: "never seen", State: logic.Gone}))
+			x.List(routing.Changes, append(fresh, Box{ID: fmt.Sprint("c", n-1), State: routing.Gone},
+				Box{ID: fmt.Sprint("z", n-1), State: routing.Gone}, Box{ID: "never seen", State: routing.Gone}))
 		}
 		for _, write := range []bool{false, true} {
 			take(t, x, Lookup{Namespace: "late", Write: write}, time.Second)
@@ -431,7 +431,7 @@
 	same, again := boxes[0], boxes[0]
 	again.StartedMs = 5
 	for _, b := range []Box{same, same, again} {
-		x.List(logic.Whole, []Box{b})
+		x.List(routing.Whole, []Box{b})
 	}
 	if p := x.boxes[x.places["a"]]; p.nth != x.told || x.told != uint64(len(boxes)+2*rounds+2) {
 		t.Errorf("a restart is another place, the same list isn't: %+v of %d", p, x.told)
@@ -441,9 +441,9 @@
 func TestReadyOnceAListIsKnown(t *testing.T) {
 	x := New(start(t, &fleet{}).terms, nil)
 	x.Start(1, &fleet{}, nobody{})
-	x.List(logic.Persisted, nil)
+	x.List(routing.Persisted, nil)
 	before := x.Ready()
-	x.List(logic.Persisted, boxes)
+	x.List(routing.Persisted, boxes)
 	if before || !x.Ready() {
 		t.Errorf("ready %v before, %v after", before, x.Ready())
 	}
@@ -466,11 +466,11 @@
 		Withheld: true}
 	for end := range endCount {
 		code := end.Code()
-		notRun := code == logic.Full || code == logic.Unconnected || code == logic.Unsent || code >= logic.Missing
-		if code == logic.Broken {
+		notRun := code == routing.Full || code == routing.Unconnected || code == routing.Unsent || code >= routing.Missing
+		if code == routing.Broken {
 			t.Errorf("%v: one connection's end is taken for its server's", end)
 		}
-		if notRun != proofs[end] || end.String() == "" || (code == logic.Answered) != (end == Whole) {
+		if notRun != proofs[end] || end.String() == "" || (code == routing.Answered) != (end == Whole) {
 			t.Errorf("%v: code %v", end, code)
 		}
 	}
@@ -591,7 +591,7 @@
 		t.Fatalf("without a part: %+v", s)
 	}
 	part := allowance.Part{Number: true, Most: 2, ThenMost: 1}
-	x.Part(logic.OriginRoom, "", part, 200*time.Millisecond, 100*time.Millisecond)
+	x.Part(routing.OriginRoom, "", part, 200*time.Millisecond, 100*time.Millisecond)
 	_, one := write()
 	_, two := write()
 	if one == nil || two == nil || one.BeginBy.After(time.Now().Add(partWithin)) || one.Within > 300*time.Millisecond || one.Within < 200*time.Millisecond {
@@ -607,14 +607,14 @@
 	}
 	one.Settle(Whole, Answer{})
 	two.Settle(Whole, Answer{})
-	if u := x.Part(logic.OriginRoom, "", part, 0, 0); u.Asked != 3 || u.Done != 2 || u.Out != 0 {
+	if u := x.Part(routing.OriginRoom, "", part, 0, 0); u.Asked != 3 || u.Done != 2 || u.Out != 0 {
 		t.Errorf("told of %+v", u)
 	}
 	_, one = write()
 	if _, two = write(); one == nil || two != nil || one.Within < 600*time.Millisecond {
 		t.Errorf("after its end what is apart holds: %+v, %+v", one, two)
 	}
-	if u := x.Part(logic.PartnerRate, "nobody", part, 0, 0); u != (allowance.Use{}) {
+	if u := x.Part(routing.PartnerRate, "nobody", part, 0, 0); u != (allowance.Use{}) {
 		t.Error("a partner of no name is bounded")
 	}
 }
--- a/internal/net/exchange/grace_test.go
+++ b/internal/net/exchange/grace_test.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // A process may be held up for 0.15 s between its last look at the clock and the write. A drain's grace has to cover that too,
@@ -28,7 +28,7 @@
 		ships := &fleet{}
 		x := New(d, zap.NewNop())
 		x.Start(1, ships, nobody{})
-		x.List(logic.Whole, boxes)
+		x.List(routing.Whole, boxes)
 		take(t, x, Lookup{Namespace: "read", Key: "k"}, time.Second)
 		s := ships.take(0)
 		if within := s.BeginBy.Sub(s.sent); within <= 0 || news+within+stall > grace {
--- a/internal/net/exchange/heard_test.go
+++ b/internal/net/exchange/heard_test.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Every server that is on the list was heard of, however long the list is, and however many have come and gone.
@@ -17,7 +17,7 @@
 	for i := range heardMost + 1600 {
 		all = append(all, Box{ID: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("a:%d", i), Machine: "box"})
 	}
-	x.List(logic.Whole, all)
+	x.List(routing.Whole, all)
 	unknown := 0
 	for _, b := range all {
 		if !x.Heard(b.ID) {
--- a/internal/net/exchange/helper_test.go
+++ b/internal/net/exchange/helper_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // fleet keeps the shots for the test to settle.
@@ -78,7 +78,7 @@
 	}
 	x := New(d, zap.NewNop())
 	x.Start(7, carrier, nobody{})
-	x.List(logic.Whole, boxes)
+	x.List(routing.Whole, boxes)
 	return x
 }
 
--- a/internal/net/exchange/parts.go
+++ b/internal/net/exchange/parts.go
@@ -5,7 +5,7 @@
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // partWithin is how long a shot may be on its way to its first byte where a part of the fleet's budgets allowed it. A node
@@ -15,19 +15,19 @@
 // Part tells the module how much of a budget of the fleet is ours: acts may begin for so long, and then what p says for
 // after that. What began has to be over takes later, if it is of a number at a time. It gives what was asked of its bound
 // since the last time.
-func (x *Exchange) Part(of logic.Bound, partner string, p allowance.Part, left, takes time.Duration) (u allowance.Use) {
+func (x *Exchange) Part(of routing.Bound, partner string, p allowance.Part, left, takes time.Duration) (u allowance.Use) {
 	place, known := x.terms.Partners[partner]
-	if of == logic.PartnerRate && !known {
+	if of == routing.PartnerRate && !known {
 		return u
 	}
-	x.do("part", nil, func(now logic.Time) {
+	x.do("part", nil, func(now routing.Time) {
 		p.Until = int64(now + terms.Tenths(float64(left)/float64(time.Millisecond)))
 		u = x.balancer.Part(now, of, place, p)
 		x.parted = true
 		if p.Number {
 			x.cuts[of] = time.Now().Add(left + takes)
 		}
-		if of == logic.CacheRoom {
+		if of == routing.CacheRoom {
 			x.carrier.Most(max(0, int(p.Most)))
 		}
 	})
@@ -44,11 +44,11 @@
 	}
 }
 
-func roomOf(s *Shot) logic.Bound {
+func roomOf(s *Shot) routing.Bound {
 	if s.Origin {
-		return logic.OriginRoom
+		return routing.OriginRoom
 	}
-	return logic.CacheRoom
+	return routing.CacheRoom
 }
 
 // alone says whether a shot has to be over before another one may take its place: where the fleet may do so many at a time,
--- a/internal/net/exchange/places.go
+++ b/internal/net/exchange/places.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // startToldIn is how late a list may tell of a start: services notice some seconds late.
@@ -19,25 +19,25 @@
 // place is a box as the list last told of it.
 type place struct {
 	id, address string
-	since       float64    // its start, as the list tells it
-	startedAt   logic.Time // the same by our clock, as it was when it was heard of
-	outAt       logic.Time // when it was taken out, likewise; 0: never
-	backAt      logic.Time // when it was put back after that, likewise
-	nth         uint64     // another number for each box, start and address: what was kept to an earlier one isn't for it
+	since       float64      // its start, as the list tells it
+	startedAt   routing.Time // the same by our clock, as it was when it was heard of
+	outAt       routing.Time // when it was taken out, likewise; 0: never
+	backAt      routing.Time // when it was put back after that, likewise
+	nth         uint64       // another number for each box, start and address: what was kept to an earlier one isn't for it
 	out         []*Shot
 	mean        time.Duration // of the latest whole answers
 	answered    time.Time     // when the latest shot that was answered was sent
 	gone        bool
 	origin      bool
 	kind        int
-	listed      logic.State // what the list says,
-	state       logic.State // and what the module is shown
-	ban         Ban         // the latest
+	listed      routing.State // what the list says,
+	state       routing.State // and what the module is shown
+	ban         Ban           // the latest
 }
 
 // renew takes over what the list says. A box that starts again or moves keeps its index.
 func (x *Exchange) renew(p *place, b Box) {
-	if b.State != logic.Gone && (p.id != b.ID || p.address != b.Address || p.since != b.StartedMs) {
+	if b.State != routing.Gone && (p.id != b.ID || p.address != b.Address || p.since != b.StartedMs) {
 		x.told++
 		if p.id != b.ID || p.since != b.StartedMs {
 			at := x.started(b.StartedMs)
@@ -48,12 +48,12 @@
 		}
 		p.id, p.address, p.since, p.nth = b.ID, b.Address, b.StartedMs, x.told
 	}
-	p.gone, p.listed = b.State == logic.Gone, b.State
+	p.gone, p.listed = b.State == routing.Gone, b.State
 }
 
 // started converts a start time of the list, whose clock agrees with ours as it is now. One in the future is an error of a clock: it is not
 // later than the moment at which it is heard of. 0 stays 0, which means long ago.
-func (x *Exchange) started(ms float64) logic.Time {
+func (x *Exchange) started(ms float64) routing.Time {
 	if ms == 0 {
 		return 0
 	}
@@ -105,7 +105,7 @@
 // resolves the lookup if it comes first.
 func (s *Shot) look() {
 	x := s.ticket.x
-	x.do("watch", s.ticket, func(logic.Time) {
+	x.do("watch", s.ticket, func(routing.Time) {
 		if p := &x.boxes[s.server]; !s.told && p.passed(s) {
 			s.tell(Passed)
 		}
--- a/internal/net/exchange/repeats_test.go
+++ b/internal/net/exchange/repeats_test.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // still is a server side whose process has no core for a while in the middle of a decision.
@@ -49,7 +49,7 @@
 		carrier := &still{fleet: &fleet{}}
 		x := New(d, zap.NewNop())
 		x.Start(uint64(r.Int63()), carrier, nobody{})
-		x.List(logic.Whole, boxes)
+		x.List(routing.Whole, boxes)
 		take(t, x, Lookup{Namespace: "marked", Key: "k", Write: true}, 3*time.Second)
 		var first time.Time // the earliest that the first attempt that may have run can have begun
 		for n := 0; ; n++ {
--- a/internal/net/exchange/ticket.go
+++ b/internal/net/exchange/ticket.go
@@ -9,7 +9,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/internal/net/permit"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Lookup is what a client sent: the few fields that decisions need, and the bytes that go on as they came.
@@ -113,7 +113,7 @@
 }
 
 // left ends a lookup whose client is gone. Called with the lock held.
-func (t *Ticket) left(now logic.Time) {
+func (t *Ticket) left(now routing.Time) {
 	if t.over.Load() {
 		return
 	}
@@ -185,7 +185,7 @@
 // about it any more; the server has given its answer.
 func (s *Shot) Settle(end End, answer Answer) (first bool) {
 	t := s.ticket
-	t.x.do("settle", t, func(now logic.Time) {
+	t.x.do("settle", t, func(now routing.Time) {
 		if s.settled {
 			return
 		}
@@ -217,7 +217,7 @@
 // Over says that the rest of an answer is through, or broke: until then the lookup's id is out.
 func (s *Shot) Over() {
 	t := s.ticket
-	t.x.do("over", t, func(logic.Time) {
+	t.x.do("over", t, func(routing.Time) {
 		if s.flows {
 			s.flows = false
 			t.out--
@@ -228,7 +228,7 @@
 
 // Sent says that the last byte of a long body has gone out.
 func (s *Shot) Sent() {
-	s.ticket.x.do("sent", s.ticket, func(logic.Time) { s.begins() })
+	s.ticket.x.do("sent", s.ticket, func(routing.Time) { s.begins() })
 }
 
 // begins tells the module, once, that the shot of a long lookup counts from now on. Called with the lock held.
@@ -246,7 +246,7 @@
 		return
 	}
 	x := s.ticket.x
-	x.do("stall", s.ticket, func(logic.Time) {
+	x.do("stall", s.ticket, func(routing.Time) {
 		if !s.settled && !s.Write && x.terms.SecondCopies() && x.terms.Replayable(s.Namespace) && !x.alone(s) {
 			s.tell(Passed)
 		}
--- a/internal/net/exchange/tried.go
+++ b/internal/net/exchange/tried.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Resting gives the addresses of caches that are listed and rest here, by id. The origin is asked whatever was seen of it.
@@ -13,7 +13,7 @@
 	defer x.mu.Unlock()
 	all := map[string]string{}
 	for i := range x.boxes {
-		if p := &x.boxes[i]; p.id != "" && !p.gone && !p.origin && p.state == logic.Ready && x.balancer.Rests(i) {
+		if p := &x.boxes[i]; p.id != "" && !p.gone && !p.origin && p.state == routing.Ready && x.balancer.Rests(i) {
 			all[p.id] = p.address
 		}
 	}
@@ -22,7 +22,7 @@
 
 // Tried tells the module how another node's trial of a server went, and within which time it tells of the next.
 func (x *Exchange) Tried(id, address string, well bool, next time.Duration) {
-	x.do("tried", nil, func(now logic.Time) {
+	x.do("tried", nil, func(now routing.Time) {
 		if i, known := x.places[id]; known && !x.boxes[i].gone && x.boxes[i].address == address {
 			x.balancer.Tried(now, i, well, now+terms.Tenths(float64(next)/float64(time.Millisecond)))
 		}
--- a/internal/net/exchange/wall_test.go
+++ b/internal/net/exchange/wall_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Start times on the list are Unix times of clocks that agree. Where ours was stepped after the start of the process, a cache that starts
@@ -17,13 +17,13 @@
 		since := func() time.Duration { return spanOf(x.clock.now() - x.shown(x.places["a"]).Since) }
 		started := boxes[0]
 		started.StartedMs = float64(x.wall().UnixMilli()) - 500
-		x.List(logic.Changes, []Box{started})
+		x.List(routing.Changes, []Box{started})
 		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+close {
 			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, age)
 		}
 		at := x.shown(x.places["a"]).Since
 		x.wall = func() time.Time { return time.Now().Round(0) } // stepped back
-		x.List(logic.Whole, []Box{started, boxes[1], boxes[2], boxes[3]})
+		x.List(routing.Whole, []Box{started, boxes[1], boxes[2], boxes[3]})
 		if again := x.shown(x.places["a"]).Since; again != at {
 			t.Errorf("stepped by %v: one start is two, at %v and %v", step, at, again)
 		}
@@ -31,14 +31,14 @@
 	x := start(t, &fleet{})
 	future := boxes[0]
 	future.StartedMs = float64(time.Now().Add(time.Hour).UnixMilli())
-	x.List(logic.Changes, []Box{future})
+	x.List(routing.Changes, []Box{future})
 	if age := spanOf(x.clock.now() - x.shown(x.places["a"]).Since); age < -close || age > close {
 		t.Errorf("a start an hour ahead counts as %v ago", age)
 	}
-	x.List(logic.Changes, []Box{boxes[1]}) // the list is live
+	x.List(routing.Changes, []Box{boxes[1]}) // the list is live
 	past := boxes[0]
 	past.StartedMs = float64(time.Now().Add(-time.Hour).UnixMilli())
-	x.List(logic.Changes, []Box{past})
+	x.List(routing.Changes, []Box{past})
 	if age := spanOf(x.clock.now() - x.shown(x.places["a"]).Since); age > close {
 		t.Errorf("a cache that has started since the list was last told counts as %v old", age)
 	}
@@ -55,7 +55,7 @@
 		started := boxes[0]
 		started.ID, started.Address = "new", "new:1"
 		started.StartedMs = wall() - 600_000
-		x.List(logic.Changes, []Box{started})
+		x.List(routing.Changes, []Box{started})
 		x.wall = func() time.Time { return time.Now().Round(0).Add(step) }
 		ban := Ban{ID: "new", Out: wall()}
 		x.Bans([]Ban{ban})
@@ -67,7 +67,7 @@
 		ban = Ban{ID: "new", Out: wall() - 9_000}
 		x.Bans([]Ban{ban})
 		started.StartedMs = wall() - 5_000
-		x.List(logic.Changes, []Box{started})
+		x.List(routing.Changes, []Box{started})
 		ban.Back = wall()
 		x.Bans([]Ban{ban})
 		if age := since(); age < 5*time.Second-close || age > 5*time.Second+close {
--- a/internal/net/fellows/budgets_test.go
+++ b/internal/net/fellows/budgets_test.go
@@ -11,7 +11,7 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/lease"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // worker is a node that is asked to act, as far as its parts go.
@@ -23,7 +23,7 @@
 	until time.Time
 }
 
-func (w *worker) Part(_ logic.Bound, _ string, p allowance.Part, left, _ time.Duration) allowance.Use {
+func (w *worker) Part(_ routing.Bound, _ string, p allowance.Part, left, _ time.Duration) allowance.Use {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.part, w.until = p, time.Now().Add(left)
@@ -47,7 +47,7 @@
 	var nodes []*Fellows
 	for i, f := range all {
 		f.Weight = 1
-		f.Budgets = []terms.Budget{{Name: "x", Bound: logic.OriginRate, Terms: lease.Terms{Kind: lease.RateKind, Units: 100, Each: 1, Apart: 2, Nodes: 5}}}
+		f.Budgets = []terms.Budget{{Name: "x", Bound: routing.OriginRate, Terms: lease.Terms{Kind: lease.RateKind, Units: 100, Each: 1, Apart: 2, Nodes: 5}}}
 		w := &worker{asks: []float64{400, 0, 0, 40}[i]}
 		own, nodes = append(own, w), append(nodes, Start(f, w, time.Second, 256, zap.NewNop()))
 	}
--- a/internal/net/fellows/fellows.go
+++ b/internal/net/fellows/fellows.go
@@ -14,7 +14,7 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/lease"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 const addressAgain = 50 * time.Millisecond // until the process whose place we take has let the address go
@@ -29,7 +29,7 @@
 	Tried(id, address string, well bool, next time.Duration)
 	// Part tells how much of a budget of the fleet is ours: acts may begin for so long, and then what p says for after that;
 	// of a number at a time they have to be over takes later. It gives what was asked since the last time.
-	Part(of logic.Bound, partner string, p allowance.Part, left, takes time.Duration) allowance.Use
+	Part(of routing.Bound, partner string, p allowance.Part, left, takes time.Duration) allowance.Use
 }
 
 // Fellows is this process's part in its fleet.
--- a/internal/net/fellows/fellows_test.go
+++ b/internal/net/fellows/fellows_test.go
@@ -27,7 +27,7 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/lease"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 type figures map[string]int64
@@ -35,7 +35,7 @@
 func (f figures) Figures() map[string]int64               { return f }
 func (figures) Resting() map[string]string                { return nil }
 func (figures) Tried(string, string, bool, time.Duration) {}
-func (figures) Part(logic.Bound, string, allowance.Part, time.Duration, time.Duration) (u allowance.Use) {
+func (figures) Part(routing.Bound, string, allowance.Part, time.Duration, time.Duration) (u allowance.Use) {
 	return u
 }
 
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -19,7 +19,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // goneFor is beyond the 0.1 s after which no attempt may begin for a client that has gone.
@@ -324,7 +324,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		list = append(list, exchange.Box{ID: id, Address: id + ":1", Machine: "box"})
 	}
-	s.x.List(logic.Whole, list)
+	s.x.List(routing.Whole, list)
 	front := clients.New(s.x, clients.Bounds{Descriptors: 16, Beyond: 2, LongestLimit: d.LongestLimit, Body: bodyMost, Long: longMost}, zap.NewNop())
 	l := loopback(s.t)
 	return l.Addr().String(), func() { go func() { _ = front.Serve(l) }() }
--- a/internal/net/node/kinds_test.go
+++ b/internal/net/node/kinds_test.go
@@ -14,7 +14,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // yard is a few caches and an origin on loopback, and what they see of each lookup. A trace begins with its kind.
@@ -126,7 +126,7 @@
 	t.Cleanup(carrier.Close)
 	x := exchange.New(d, zap.NewNop())
 	x.Start(uint64(len(kind)+nodes), carrier, unasked{})
-	x.List(logic.Whole, y.list)
+	x.List(routing.Whole, y.list)
 	return x
 }
 
@@ -188,7 +188,7 @@
 	rate := float64(y.warm) / 1.5
 	y.cold, y.list[cold].StartedMs = nil, float64(time.Now().UnixMilli())
 	for _, x := range fleet {
-		x.List(logic.Changes, y.list[cold:cold+1])
+		x.List(routing.Changes, y.list[cold:cold+1])
 	}
 	play(1500*time.Millisecond, calm)
 	most := int(4 * 0.2 * rate * 0.5) // factor x cold share x what a warm one is seen to bear x window
--- a/internal/net/servers/failing_test.go
+++ b/internal/net/servers/failing_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // A read or a write that fails by this machine tells nothing of the server: one that lacked memory for a moment is made again, and the
@@ -22,13 +22,13 @@
 func TestFailingReadsAndWritesAreNotTheServers(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	const aMoment, forGood = 2, 1 << 30
-	answered, unsent := []logic.Code{logic.Answered}, []logic.Code{logic.Unsent}
-	either := []logic.Code{logic.Unsent, logic.CalledOff} // the connection's first read may fail before anything is written, or after it
+	answered, unsent := []routing.Code{routing.Answered}, []routing.Code{routing.Unsent}
+	either := []routing.Code{routing.Unsent, routing.CalledOff} // the connection's first read may fail before anything is written, or after it
 	for _, c := range []struct {
 		call  kernel.Call
 		err   syscall.Errno
 		times int64
-		want  []logic.Code
+		want  []routing.Code
 	}{
 		{kernel.Read, syscall.ENOMEM, aMoment, answered},
 		{kernel.Read, syscall.ENOBUFS, aMoment, answered},
@@ -83,7 +83,7 @@
 		kernel.FailTimes(kernel.Read, syscall.EIO, 1<<30)
 		fmt.Fprint(c, "ok")
 	})
-	if end, _ := s.send(shot(server, "GET", "")); end.Code() != logic.CalledOff || !end.MayHaveRun() {
+	if end, _ := s.send(shot(server, "GET", "")); end.Code() != routing.CalledOff || !end.MayHaveRun() {
 		t.Errorf("%v (%v), want one that tells nothing of the server and is in doubt", end, end.Code())
 	}
 }
--- a/internal/net/servers/servers_test.go
+++ b/internal/net/servers/servers_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 func side(t *testing.T) *Servers {
@@ -615,7 +615,7 @@
 		}
 		x, s := exchange.New(d, zap.NewNop()), side(t)
 		x.Start(1, s, nobody{})
-		x.List(logic.Whole, []exchange.Box{{ID: "a", Address: "127.0.0.1:1"}})
+		x.List(routing.Whole, []exchange.Box{{ID: "a", Address: "127.0.0.1:1"}})
 		whole := s.transport
 		spoil(s)
 		ticket, err := x.Take(exchange.Lookup{Namespace: "read"}, time.Now(), time.Second)
@@ -663,7 +663,7 @@
 			return dial(ctx, network, to)
 		}
 		x.Start(1, s, nobody{})
-		x.List(logic.Whole, []exchange.Box{{ID: "a", Address: address}})
+		x.List(routing.Whole, []exchange.Box{{ID: "a", Address: address}})
 		ticket, err := x.Take(exchange.Lookup{Namespace: "read", Method: "GET", Target: "/read/k", Trace: "t"}, time.Now(), time.Second)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -34,7 +34,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/rig"
 	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/lease"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // order is what a run tells a process of its own, one line each; reply is a line back.
@@ -292,7 +292,7 @@
 	at  time.Time
 }
 
-func (d *demanding) Part(of logic.Bound, partner string, p allowance.Part, left, takes time.Duration) allowance.Use {
+func (d *demanding) Part(of routing.Bound, partner string, p allowance.Part, left, takes time.Duration) allowance.Use {
 	u := d.Own.Part(of, partner, p, left, takes)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/terms/budgets.go
+++ b/internal/terms/budgets.go
@@ -7,13 +7,13 @@
 	"strings"
 
 	"github.com/thistlerudder/thistlerudder/lease"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Budget is what a node's papers say of one of its fleet's.
 type Budget struct {
 	Name    string
-	Bound   logic.Bound
+	Bound   routing.Bound
 	Partner string // whose lookups it bounds, if any's
 	lease.Terms
 }
@@ -24,12 +24,12 @@
 )
 
 // What can be bounded, and by which kinds of budget.
-var bounds = map[string]map[string]logic.Bound{
-	"origin":    {lease.RateKind: logic.OriginRate, lease.NumberKind: logic.OriginRoom},
-	"partner":   {lease.RateKind: logic.PartnerRate},
-	"discovery": {lease.RateKind: logic.ListRate},
-	"cold":      {lease.RateKind: logic.ColdRate},
-	"cache":     {lease.NumberKind: logic.CacheRoom},
+var bounds = map[string]map[string]routing.Bound{
+	"origin":    {lease.RateKind: routing.OriginRate, lease.NumberKind: routing.OriginRoom},
+	"partner":   {lease.RateKind: routing.PartnerRate},
+	"discovery": {lease.RateKind: routing.ListRate},
+	"cold":      {lease.RateKind: routing.ColdRate},
+	"cache":     {lease.NumberKind: routing.CacheRoom},
 }
 
 // budgets reads the section's budgets. nodes is how many there may ever be, 0: not told.
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Terms is what a deployment lays down for all its nodes.
@@ -31,7 +31,7 @@
 // Memory gives the span in which repeats of a tagged lookup are dropped; 0 for other namespaces.
 func (t *Terms) Memory(namespace string) time.Duration {
 	ns := t.Module["namespaces"].([]map[string]any)[t.Namespaces[namespace]]
-	if span, told := ns["memory span"].(logic.Time); told && ns["repeat"] == "tagged" {
+	if span, told := ns["memory span"].(routing.Time); told && ns["repeat"] == "tagged" {
 		return Duration(span)
 	}
 	return 0
@@ -63,7 +63,7 @@
 )
 
 // Tenths turns milliseconds into whole tenths, rounded down.
-func Tenths(ms float64) logic.Time { return logic.Time(math.Floor(ms * 10)) }
+func Tenths(ms float64) routing.Time { return routing.Time(math.Floor(ms * 10)) }
 
 // A form turns a JSON value into ours, or says what it expected instead.
 type form struct {
@@ -191,7 +191,7 @@
 	if advice, found := find(settings, "permissions.retry-after"); found && advice == false {
 		delete(t.Module, "longest retry-after")
 	}
-	if longest, given := t.Module["longest retry-after"].(logic.Time); given {
+	if longest, given := t.Module["longest retry-after"].(routing.Time); given {
 		t.Advice = Duration(longest)
 	}
 	list := func(key string, entries []entry, places map[string]int) (out []map[string]any) {
@@ -214,7 +214,7 @@
 		faults = append(faults, errors.New("settings.namespaces: expected a list of one namespace at least"))
 	}
 	for _, ns := range namespaces {
-		if limit, ok := ns["time limit"].(logic.Time); ok {
+		if limit, ok := ns["time limit"].(routing.Time); ok {
 			t.LongestLimit = max(t.LongestLimit, Duration(limit))
 		}
 	}
@@ -226,7 +226,7 @@
 		"permissions.conn-idle-ms": &t.IdleFor, "invariants.ask-within-ms": &t.AskWithin,
 		"invariants.stop-sending-within-ms": &t.Grace} {
 		if v, found := find(settings, key); found {
-			if s, ok := span.read(v).(logic.Time); ok && s > 0 {
+			if s, ok := span.read(v).(routing.Time); ok && s > 0 {
 				*d = Duration(s)
 			} else {
 				faults = append(faults, fmt.Errorf("settings.%s: expected %s", key, "a time in milliseconds above 0"))
@@ -236,14 +236,14 @@
 	// Lists that are asked for count as told when they are written. Of others, what discovery has counts at once, and a
 	// drain's grace runs from then: the module has to know of it. Where nothing is said, the stricter of the two holds.
 	if mode, _ := find(settings, "registry-mode"); mode != "ask" && t.Grace > 0 {
-		t.Module["pushed grace"] = logic.Time(t.Grace / (time.Millisecond / time.Duration(logic.Millisecond)))
+		t.Module["pushed grace"] = routing.Time(t.Grace / (time.Millisecond / time.Duration(routing.Millisecond)))
 	}
 	return t, errors.Join(faults...)
 }
 
 // Duration turns the module's time into the standard library's.
-func Duration(t logic.Time) time.Duration {
-	return time.Duration(t) * (time.Millisecond / time.Duration(logic.Millisecond))
+func Duration(t routing.Time) time.Duration {
+	return time.Duration(t) * (time.Millisecond / time.Duration(routing.Millisecond))
 }
 
 // find follows a dotted path; null counts as absent.
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/lease"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 const paper = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964","newer":{"a":[1]},
@@ -52,8 +52,8 @@
 		t.Errorf("%+v", s.Terms)
 	}
 	ns := s.Module["namespaces"].([]map[string]any)
-	if ns[0]["repeat"] != "replayable" || ns[0]["target time"] != logic.Time(2001) || ns[1]["repeat"] != "tagged" ||
-		s.Module["longest retry-after"] != 400*logic.Millisecond || s.Module["nodes"] != 3 || s.Module["mode"] != "aside" ||
+	if ns[0]["repeat"] != "replayable" || ns[0]["target time"] != routing.Time(2001) || ns[1]["repeat"] != "tagged" ||
+		s.Module["longest retry-after"] != 400*routing.Millisecond || s.Module["nodes"] != 3 || s.Module["mode"] != "aside" ||
 		!s.Replayable("read") || s.Replayable("log") {
 		t.Errorf("%v", s.Module)
 	}
@@ -238,9 +238,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Budget{{"fetches", logic.OriginRate, "", lease.Terms{Kind: "rate", Bounds: "origin", Units: 200, Each: 0.5, Apart: 2, Nodes: 10}},
-		{"room", logic.OriginRoom, "", lease.Terms{Kind: "number", Bounds: "origin", Units: 40, Each: 1, Apart: 2, Nodes: 10}},
-		{"acme", logic.PartnerRate, "acme", lease.Terms{Kind: "rate", Bounds: "partner", Units: 5, Each: 10, Nodes: 10}}}
+	want := []Budget{{"fetches", routing.OriginRate, "", lease.Terms{Kind: "rate", Bounds: "origin", Units: 200, Each: 0.5, Apart: 2, Nodes: 10}},
+		{"room", routing.OriginRoom, "", lease.Terms{Kind: "number", Bounds: "origin", Units: 40, Each: 1, Apart: 2, Nodes: 10}},
+		{"acme", routing.PartnerRate, "acme", lease.Terms{Kind: "rate", Bounds: "partner", Units: 5, Each: 10, Nodes: 10}}}
 	if !reflect.DeepEqual(s.Fleet.Budgets, want) || s.Fleet.Weight != 2.5 {
 		t.Errorf("%+v, weight %g", s.Fleet.Budgets, s.Fleet.Weight)
 	}
@@ -269,8 +269,8 @@
 // module is told of it, also where nothing is said of how lists come, and not where there is no grace.
 func TestThePushedListsGraceIsHandedOn(t *testing.T) {
 	for with, want := range map[string]any{
-		`"registry-mode":"push","invariants":{"stop-sending-within-ms":1500.0,`: 1500 * logic.Millisecond,
-		`"invariants":{"stop-sending-within-ms":1500.0,`:                        1500 * logic.Millisecond,
+		`"registry-mode":"push","invariants":{"stop-sending-within-ms":1500.0,`: 1500 * routing.Millisecond,
+		`"invariants":{"stop-sending-within-ms":1500.0,`:                        1500 * routing.Millisecond,
 		`"registry-mode":"ask","invariants":{"stop-sending-within-ms":1500.0,`:  nil,
 		`"registry-mode":"push","invariants":{`:                                 nil,
 	} {
--- a/internal/wire/node.go
+++ b/internal/wire/node.go
@@ -9,17 +9,17 @@
 	"github.com/mailru/easyjson/jwriter"
 
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // node is one instance: it maps the wire's ids to small indices, and is the module's Host.
 type node struct {
-	balancer *logic.Balancer
+	balancer *routing.Balancer
 	terms    *terms.Terms
 	out      *orders
 	servers  map[string]int
 	names    []string
-	boxes    []logic.Box
+	boxes    []routing.Box
 	index    map[string]int // tickets of lookups that are not yet forgotten
 	tickets  []ticket
 	free     []int
@@ -46,7 +46,7 @@
 	return &node{terms: t, servers: map[string]int{}, index: map[string]int{}}, nil
 }
 
-func (n *node) ingress(f *fields, now logic.Time) error {
+func (n *node) ingress(f *fields, now routing.Time) error {
 	if _, known := n.index[f.ticket]; known || f.ticket == "" {
 		return fmt.Errorf("ticket %q is missing or came before", f.ticket)
 	}
@@ -67,12 +67,12 @@
 	id := strings.Clone(f.ticket)
 	n.tickets[lkp] = ticket{id: id}
 	n.index[id] = lkp
-	n.balancer.Lookup(now, lkp, logic.Lookup{Namespace: ns, Partner: partner, Key: f.key,
+	n.balancer.Lookup(now, lkp, routing.Lookup{Namespace: ns, Partner: partner, Key: f.key,
 		Limit: terms.Tenths(f.expires), Work: f.hint, Write: f.write})
 	return nil
 }
 
-func (n *node) settled(f *fields, now logic.Time) error {
+func (n *node) settled(f *fields, now routing.Time) error {
 	lkp, ok := n.index[f.ticket]
 	if !ok {
 		return fmt.Errorf("lookup %q is unknown", f.ticket)
@@ -94,12 +94,12 @@
 	return nil
 }
 
-func (n *node) list(f *fields, now logic.Time) error {
+func (n *node) list(f *fields, now routing.Time) error {
 	how, ok := listKinds[f.how]
 	if !ok {
 		return fmt.Errorf("list kind %q is unknown", f.how)
 	}
-	n.asking = n.asking && how == logic.Persisted
+	n.asking = n.asking && how == routing.Persisted
 	n.boxes = n.boxes[:0]
 	for _, e := range f.boxes {
 		state, ok := states[e.state]
@@ -116,7 +116,7 @@
 		if !ok {
 			kind = -1
 		}
-		n.boxes = append(n.boxes, logic.Box{Server: i, ID: e.server, Kind: kind, State: state,
+		n.boxes = append(n.boxes, routing.Box{Server: i, ID: e.server, Kind: kind, State: state,
 			Since: terms.Tenths(e.since)})
 	}
 	n.balancer.List(now, how, n.boxes)
@@ -140,7 +140,7 @@
 }
 
 // Shoot is the module's; so are the other exported methods.
-func (n *node) Shoot(lkp, server int, timeout logic.Time) {
+func (n *node) Shoot(lkp, server int, timeout routing.Time) {
 	t := &n.tickets[lkp]
 	t.shots++
 	t.out++
@@ -152,7 +152,7 @@
 }
 
 // Defer turns a lookup away.
-func (n *node) Defer(lkp int, retryAfter logic.Time) {
+func (n *node) Defer(lkp int, retryAfter routing.Time) {
 	n.out.begin("overload-reply")
 	n.out.text("ticket", n.tickets[lkp].id)
 	n.out.millis("retry-after-ms", retryAfter)
@@ -191,7 +191,7 @@
 }
 
 // Wake asks for an alarm.
-func (n *node) Wake(at logic.Time, handle int) {
+func (n *node) Wake(at routing.Time, handle int) {
 	n.out.begin("remind")
 	n.out.millis("due-at-ms", at)
 	n.out.number("handle", handle)
@@ -239,7 +239,7 @@
 	o.w.Int(value)
 }
 
-func (o *orders) millis(name string, t logic.Time) {
+func (o *orders) millis(name string, t routing.Time) {
 	o.field(name)
 	o.w.Float64(float64(t) / 10)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,7 +14,7 @@
 	"github.com/mailru/easyjson/jwriter"
 
 	"github.com/thistlerudder/thistlerudder/internal/terms"
-	"github.com/thistlerudder/thistlerudder/logic"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Serve answers every batch read from in with one reply line on out, until the input ends.
@@ -254,17 +254,17 @@
 	return e
 }
 
-var codes = map[string]logic.Code{
-	"S": logic.Answered, "E": logic.Errored, "F": logic.Full, "T": logic.TimedOut, "C": logic.Unconnected,
-	"R": logic.Broken, "X": logic.CalledOff, "N": logic.Unsent, "M": logic.Missing,
+var codes = map[string]routing.Code{
+	"S": routing.Answered, "E": routing.Errored, "F": routing.Full, "T": routing.TimedOut, "C": routing.Unconnected,
+	"R": routing.Broken, "X": routing.CalledOff, "N": routing.Unsent, "M": routing.Missing,
 }
 
-var listKinds = map[string]logic.ListKind{
-	"Partial": logic.Changes, "Complete": logic.Whole, "Persisted": logic.Persisted, "Error": logic.Failed,
+var listKinds = map[string]routing.ListKind{
+	"Partial": routing.Changes, "Complete": routing.Whole, "Persisted": routing.Persisted, "Error": routing.Failed,
 }
 
-var states = map[string]logic.State{
-	"healthy": logic.Ready, "cordoned": logic.Draining, "deregistered": logic.Gone,
+var states = map[string]routing.State{
+	"healthy": routing.Ready, "cordoned": routing.Draining, "deregistered": routing.Gone,
 }
 
 // play turns the message at hand into a call. A panic below is told on the wire.
@@ -284,7 +284,7 @@
 		}
 		h.nodes[name] = n
 		n.out = out
-		n.balancer = logic.New(n, f.seed, now, n.terms.Module)
+		n.balancer = routing.New(n, f.seed, now, n.terms.Module)
 		return nil
 	}
 	n := h.nodes[name]
--- a/logic/balancer.go
+++ b/routing/balancer.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file makes a Balancer and takes what happens. New makes one per node from the terms (a plain map of names to values) and a Host to
 // act through; host.go has Host and the plain types. Then the caller reports each thing that happens by calling a method: Lookup, Sent,
--- a/logic/cold.go
+++ b/routing/cold.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file holds what a server in slow start may be sent.
 
--- a/logic/host.go
+++ b/routing/host.go
@@ -1,6 +1,6 @@
-// Package logic decides what a balancer node does with each lookup. The other files hold every decision;
+// Package routing decides what a balancer node does with each lookup. The other files hold every decision;
 // this file only names what the decisions are told, how they act, and what they keep in mind.
-package logic
+package routing
 
 import (
 	"encoding/binary"
--- a/logic/list.go
+++ b/routing/list.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file holds what the list of boxes changes: which servers there are, which of them are asked, and in which order.
 
--- a/logic/list_order_test.go
+++ b/routing/list_order_test.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 import (
 	"fmt"
--- a/logic/origin.go
+++ b/routing/origin.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file holds what the origin may be asked, and who waits for a fetch.
 
--- a/logic/outcomes.go
+++ b/routing/outcomes.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file holds what is learned from how shots ended.
 
--- a/logic/ranges.go
+++ b/routing/ranges.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file holds the line of bins, what is learned of the demand on it, and the ranges that it is cut into.
 
--- a/logic/rules.go
+++ b/routing/rules.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file holds what the rules allow and how a lookup ends.
 
--- a/logic/tuning.go
+++ b/routing/tuning.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file holds the figures that decisions go by, grouped by what they bound.
 
--- a/logic/walk.go
+++ b/routing/walk.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file holds which server a lookup is sent to: the walk along the ranges, and the next step of each lookup.
 
