--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -30,7 +30,7 @@
 }
 
 // founded starts three voters in this process, and founds their fleet by the command.
-func founded(t *testing.T) (config string, nodes []*fellows.Fellows) {
+func founded(t *testing.T) (path string, nodes []*fellows.Fellows) {
 	t.Helper()
 	var voters []map[string]string
 	for i := range 3 {
@@ -42,13 +42,13 @@
 		_ = l.Close()
 	}
 	for i, v := range voters {
-		config = filepath.Join(t.TempDir(), "node.json")
+		path = filepath.Join(t.TempDir(), "node.json")
 		text, _ := json.Marshal(map[string]any{"name": v["name"], "fleet": map[string]any{"name": "f", "address": v["address"],
 			"voters": voters, "folder": filepath.Join(t.TempDir(), "v"), "lease_ms": 2000, "delay_ms": 40}})
-		if err := os.WriteFile(config, text, 0o600); err != nil {
+		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, err := terms.ReadFleet(config)
+		f, err := terms.ReadFleet(path)
 		if err != nil {
 			t.Fatal(i, err)
 		}
@@ -56,8 +56,8 @@
 		t.Cleanup(nodes[i].Close)
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		if out, err := run("fleet", "found", "--config", config); err == nil {
-			return config, nodes
+		if out, err := run("fleet", "found", "--config", path); err == nil {
+			return path, nodes
 		} else if time.Now().After(end) {
 			t.Fatal(out)
 		}
@@ -67,9 +67,9 @@
 // A job under a lease: its token is in its environment, its status is handed on, another has to wait, and it is ended when
 // the lease can't be kept.
 func TestAJobUnderALease(t *testing.T) {
-	config, nodes := founded(t)
+	path, nodes := founded(t)
 	job := func(ctx context.Context, args ...string) *exec.Cmd {
-		c := exec.CommandContext(ctx, os.Args[0], append([]string{"lease", "run", "--config", config}, args...)...)
+		c := exec.CommandContext(ctx, os.Args[0], append([]string{"lease", "run", "--config", path}, args...)...)
 		c.Env = append(os.Environ(), asProgram+"=1", "GORACE=atexit_sleep_ms=0")
 		c.Stderr = os.Stderr
 		return c
@@ -94,17 +94,17 @@
 		t.Fatal(err)
 	}
 	_, _ = out.Read(make([]byte, 10))
-	if said, err := run("lease", "list", "--config", config); err != nil || !strings.Contains(said, "job ") {
+	if said, err := run("lease", "list", "--config", path); err != nil || !strings.Contains(said, "job ") {
 		t.Errorf("%v: %s", err, said)
 	}
-	if said, err := run("lease", "show", "job", "--config", config); err != nil || !strings.Contains(said, "job is held by n2") {
+	if said, err := run("lease", "show", "job", "--config", path); err != nil || !strings.Contains(said, "job is held by n2") {
 		t.Errorf("%v: %s", err, said)
 	}
 	late := job(ctx, "job", "--wait", "300ms", "--", "true")
 	if _ = late.Run(); late.ProcessState.ExitCode() != exitNotHad {
 		t.Errorf("status %d while another has it, want %d", late.ProcessState.ExitCode(), exitNotHad)
 	}
-	if said, err := run("lease", "release", "job", "--token", "1", "--config", config); err == nil {
+	if said, err := run("lease", "release", "job", "--token", "1", "--config", path); err == nil {
 		t.Errorf("released with an old token: %s", said)
 	}
 	nodes[0].Close()
--- a/internal/net/node/renew_test.go
+++ b/internal/net/node/renew_test.go
@@ -91,17 +91,17 @@
 // once it can be: the list goes over without another signal.
 func TestAConfigurationIsReadOnceItCanBe(t *testing.T) {
 	var asked atomic.Int64
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked.Add(1)
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 		}
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","kind":"box","state":"Ready"}]}`)
 	}))
-	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
-	text := func(discovery string) []byte {
+	t.Cleanup(func() { service.CloseClientConnections(); service.Close() })
+	text := func(address string) []byte {
 		return fmt.Appendf(nil, `{"listen":"127.0.0.1:7070","discovery":%q,"settings":{"namespaces":[{"name":"read","repeat":"safe",
-			"target-time-ms":200,"time-limit-ms":750}]}}`, discovery)
+			"target-time-ms":200,"time-limit-ms":750}]}}`, address)
 	}
 	path := filepath.Join(t.TempDir(), "node.json")
 	if err := os.WriteFile(path, text("127.0.0.1:1"), 0o600); err != nil {
@@ -126,7 +126,7 @@
 	if n := logs.FilterLevelExact(zap.ErrorLevel).Len(); n != 1 {
 		t.Errorf("a file that can't be read is told of %d times, want once", n)
 	}
-	if err := os.WriteFile(path+".new", text(discovery.Listener.Addr().String()), 0o600); err != nil {
+	if err := os.WriteFile(path+".new", text(service.Listener.Addr().String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
