--- a/cmd/thistlerudder/commands.go
+++ b/cmd/thistlerudder/commands.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 )
 
 // where a node's file is named when no flag does.
@@ -45,7 +45,7 @@
 		// Before anything else, and never undone: without a handler the signal ends the program.
 		signals := make(chan os.Signal, 1)
 		signal.Notify(signals, syscall.SIGHUP)
-		station, err := terms.Read(*file)
+		station, err := config.Read(*file)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
@@ -72,7 +72,7 @@
 			"address comes before the variable's.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := terms.Read(*file)
+			s, err := config.Read(*file)
 			if err != nil {
 				return fmt.Errorf("configuration: %w", err)
 			}
--- a/cmd/thistlerudder/fleet.go
+++ b/cmd/thistlerudder/fleet.go
@@ -10,13 +10,13 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 )
 
 // asked gives a client of the fleet that a configuration tells of.
-func asked(file string) (*fellows.Client, *terms.Fleet, error) {
-	f, err := terms.ReadFleet(file)
+func asked(file string) (*fellows.Client, *config.Fleet, error) {
+	f, err := config.ReadFleet(file)
 	if err != nil {
 		return nil, nil, fmt.Errorf("configuration: %w", err)
 	}
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -48,7 +48,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, err := terms.ReadFleet(path)
+		f, err := config.ReadFleet(path)
 		if err != nil {
 			t.Fatal(i, err)
 		}
--- a/internal/terms/fleet.go
+++ b/internal/config/fleet.go
@@ -1,4 +1,4 @@
-package terms
+package config
 
 import (
 	"errors"
--- a/internal/terms/terms.go
+++ b/internal/config/terms.go
@@ -1,7 +1,7 @@
-// Package terms reads what a node is told at start: the deployment's terms, the same for the simulator's
+// Package config reads what a node is told at start: the deployment's terms, the same for the simulator's
 // wire and for a node on sockets, and a real node's own papers (station.go). Here its keys are checked,
 // given defaults, and turned into our words; nothing else in the program knows the operators' names.
-package terms
+package config
 
 import (
 	"errors"
--- a/internal/net/boxlist/bench_test.go
+++ b/internal/net/boxlist/bench_test.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -50,7 +50,7 @@
 }
 
 func exchangeOf(b *testing.B) *exchange.Exchange {
-	t, err := terms.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
+	t, err := config.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 200., "time-limit-ms": 750.}}})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/net/boxlist/failing_test.go
+++ b/internal/net/boxlist/failing_test.go
@@ -16,9 +16,9 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 )
 
 // Each documented error of connecting, reading and writing, met in turn by many followers for a while: their lists stand meanwhile, the next
@@ -38,7 +38,7 @@
 		now := version.Load()
 		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"a","addr":"127.0.0.1:%d","kind":"box","state":"Ready"}]}`, now, r.URL.RawQuery == "", now)
 	}))
-	d, err := terms.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
+	d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/boxlist/return_test.go
+++ b/internal/net/boxlist/return_test.go
@@ -18,8 +18,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -35,7 +35,7 @@
 // The sums beside the constants, with what a busy machine takes: raising any of the constants, here or in the module, breaks one.
 // That the module's waits keep to AskSpread and AskMost is TestTheNextCallForTheListIsNeverFar.
 func TestTheListIsHadInTime(t *testing.T) {
-	spread, most := terms.Duration(routing.AskSpread), terms.Duration(routing.AskMost)
+	spread, most := config.Duration(routing.AskSpread), config.Duration(routing.AskMost)
 	for _, c := range []struct {
 		what string
 		sum  time.Duration
@@ -181,7 +181,7 @@
 // follower gives a follower and its exchange; told has the time of each whole list.
 func (o *outage) follower(settings map[string]any) (*Follower, chan time.Time) {
 	settings["namespaces"] = []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}
-	d, err := terms.Of(settings)
+	d, err := config.Of(settings)
 	if err != nil {
 		o.t.Fatal(err)
 	}
--- a/internal/net/exchange/exchange.go
+++ b/internal/net/exchange/exchange.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 
 	wall "github.com/thistlerudder/thistlerudder/internal/clock"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/figures"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -40,7 +40,7 @@
 // Exchange is one node's owner of decisions.
 type Exchange struct {
 	log     *zap.Logger
-	terms   *terms.Terms
+	terms   *config.Terms
 	clock   clock
 	wall    func() time.Time // reads the wall clock
 	carrier Carrier
@@ -69,7 +69,7 @@
 }
 
 // New makes the owner; nothing happens before Start.
-func New(t *terms.Terms, log *zap.Logger) *Exchange {
+func New(t *config.Terms, log *zap.Logger) *Exchange {
 	x := &Exchange{log: log, terms: t, clock: clock{time.Now()}, wall: wall.Wall, places: map[string]int{},
 		cuts: map[routing.Bound]time.Time{}, out: map[string]*Ticket{}, figures: figures.New(slices.Collect(maps.Keys(t.Namespaces)))}
 	x.timer = time.AfterFunc(time.Hour, x.ring)
@@ -292,7 +292,7 @@
 
 func (h host) Wake(at routing.Time, handle int) { h.wake(at, handle) }
 
-func spanOf(t routing.Time) time.Duration { return terms.Duration(t) }
+func spanOf(t routing.Time) time.Duration { return config.Duration(t) }
 
 // finish gives a lookup its one final answer. Called with the lock held.
 func (x *Exchange) finish(t *Ticket, a Answer) {
--- a/internal/net/exchange/parts.go
+++ b/internal/net/exchange/parts.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -21,7 +21,7 @@
 		return u
 	}
 	x.do("part", nil, func(now routing.Time) {
-		p.Until = int64(now + terms.Tenths(float64(left)/float64(time.Millisecond)))
+		p.Until = int64(now + config.Tenths(float64(left)/float64(time.Millisecond)))
 		u = x.balancer.Part(now, of, place, p)
 		x.parted = true
 		if p.Number {
--- a/internal/net/exchange/places.go
+++ b/internal/net/exchange/places.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -41,7 +41,7 @@
 		x.told++
 		if p.id != b.ID || p.since != b.StartedMs {
 			at := x.started(b.StartedMs)
-			if p.id == b.ID && at > 0 && x.live-at > terms.Tenths(float64(startToldIn/time.Millisecond)) {
+			if p.id == b.ID && at > 0 && x.live-at > config.Tenths(float64(startToldIn/time.Millisecond)) {
 				at = x.live // a list that was told since would have had it: its clock is off
 			}
 			p.startedAt = at
@@ -58,8 +58,8 @@
 		return 0
 	}
 	now := time.Now()
-	at := fromUnix(ms) - terms.Tenths(float64(x.clock.step(now, x.wall()))/float64(time.Millisecond))
-	if heard := x.clock.at(now); at > heard+terms.Tenths(float64(stepMost/time.Millisecond)) {
+	at := fromUnix(ms) - config.Tenths(float64(x.clock.step(now, x.wall()))/float64(time.Millisecond))
+	if heard := x.clock.at(now); at > heard+config.Tenths(float64(stepMost/time.Millisecond)) {
 		at = heard
 	}
 	return max(1, at)
--- a/internal/net/exchange/repeats_test.go
+++ b/internal/net/exchange/repeats_test.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -42,7 +42,7 @@
 		if grace > 0 {
 			settings["invariants"] = map[string]any{"stop-sending-within-ms": float64(grace) / 1e6}
 		}
-		d, err := terms.Of(settings)
+		d, err := config.Of(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/fellows/budgets.go
+++ b/internal/net/fellows/budgets.go
@@ -15,8 +15,8 @@
 
 	"github.com/thistlerudder/thistlerudder/budget"
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -41,7 +41,7 @@
 
 // part hands one budget to the module: so many units until a time, and so many after it.
 func (f *Fellows) part(name string, t lease.Terms, units, apart int, left, takes time.Duration) allowance.Use {
-	at := slices.IndexFunc(f.fleet.Budgets, func(b terms.Budget) bool { return b.Name == name })
+	at := slices.IndexFunc(f.fleet.Budgets, func(b config.Budget) bool { return b.Name == name })
 	if at < 0 {
 		return allowance.Use{}
 	}
@@ -77,7 +77,7 @@
 }
 
 // agreed gives a budget's terms, as the fleet last told them or else as our papers have them.
-func (f *Fellows) agreed(b terms.Budget) lease.Terms {
+func (f *Fellows) agreed(b config.Budget) lease.Terms {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t, told := f.wholes[b.Name]; told {
--- a/internal/net/fellows/budgets_test.go
+++ b/internal/net/fellows/budgets_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -47,7 +47,7 @@
 	var nodes []*Fellows
 	for i, f := range all {
 		f.Weight = 1
-		f.Budgets = []terms.Budget{{Name: "x", Bound: routing.OriginRate, Terms: lease.Terms{Kind: lease.RateKind, Units: 100, Each: 1, Apart: 2, Nodes: 5}}}
+		f.Budgets = []config.Budget{{Name: "x", Bound: routing.OriginRate, Terms: lease.Terms{Kind: lease.RateKind, Units: 100, Each: 1, Apart: 2, Nodes: 5}}}
 		w := &worker{asks: []float64{400, 0, 0, 40}[i]}
 		own, nodes = append(own, w), append(nodes, Start(f, w, time.Second, 256, zap.NewNop()))
 	}
--- a/internal/net/fellows/client.go
+++ b/internal/net/fellows/client.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -26,7 +26,7 @@
 
 // Client asks the fleet's leader, over one connection that it keeps.
 type Client struct {
-	fleet *terms.Fleet
+	fleet *config.Fleet
 	dialer
 	log *zap.Logger
 
@@ -41,7 +41,7 @@
 }
 
 // NewClient makes one; nothing is opened before it is asked something.
-func NewClient(f *terms.Fleet, log *zap.Logger) *Client {
+func NewClient(f *config.Fleet, log *zap.Logger) *Client {
 	return &Client{fleet: f, dialer: dialer{f.Name, f.Node, f.Routes}, log: log, places: make(chan struct{}, asksMost),
 		out: map[*rpc.Client]int{}}
 }
--- a/internal/net/fellows/fellows.go
+++ b/internal/net/fellows/fellows.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -34,7 +34,7 @@
 
 // Fellows is this process's part in its fleet.
 type Fellows struct {
-	fleet  *terms.Fleet
+	fleet  *config.Fleet
 	log    *zap.Logger
 	own    Own
 	client *Client
@@ -60,7 +60,7 @@
 // Start joins the fleet in the background, and goes on trying. One address is one node's: while another process has it,
 // as the one whose place we take, it is that one which takes part.
 // No lookup goes on for longer than longest; fellows may hold so many connections to us at once.
-func Start(f *terms.Fleet, own Own, longest time.Duration, lines int, log *zap.Logger) *Fellows {
+func Start(f *config.Fleet, own Own, longest time.Duration, lines int, log *zap.Logger) *Fellows {
 	x := &Fellows{fleet: f, log: log, own: own, client: NewClient(f, log), ended: make(chan struct{}), longest: longest, lines: lines,
 		wholes: map[string]lease.Terms{}, bursts: map[string]float64{}}
 	x.alone(false)
@@ -175,7 +175,7 @@
 
 // work claims the node's own name, and with it the tasks.
 func (f *Fellows) work(ctx context.Context) {
-	if slices.Contains(f.fleet.Tasks, terms.TaskProbe) {
+	if slices.Contains(f.fleet.Tasks, config.TaskProbe) {
 		f.tasks.Go(func() { f.hear(ctx) })
 	}
 	f.tasks.Go(func() {
--- a/internal/net/fellows/fellows_test.go
+++ b/internal/net/fellows/fellows_test.go
@@ -25,7 +25,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -40,20 +40,20 @@
 }
 
 // fleetOf gives the papers of three voters and more nodes.
-func fleetOf(t testing.TB, nodes int) (all []*terms.Fleet) {
+func fleetOf(t testing.TB, nodes int) (all []*config.Fleet) {
 	t.Helper()
-	var voters []terms.Voter
+	var voters []config.Voter
 	for i := range nodes {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &terms.Fleet{Name: "f", Node: fmt.Sprint("n", i), Address: l.Addr().String(), Lease: 2 * time.Second,
+		f := &config.Fleet{Name: "f", Node: fmt.Sprint("n", i), Address: l.Addr().String(), Lease: 2 * time.Second,
 			Drift: 0.01, Delay: 40 * time.Millisecond, RollUp: time.Second}
 		_ = l.Close()
 		if i < 3 {
 			f.Folder = filepath.Join(t.TempDir(), "v")
-			voters = append(voters, terms.Voter{Name: f.Node, Address: f.Address})
+			voters = append(voters, config.Voter{Name: f.Node, Address: f.Address})
 		}
 		all = append(all, f)
 	}
@@ -64,7 +64,7 @@
 }
 
 // founded starts them, and founds the fleet.
-func founded(t testing.TB, all []*terms.Fleet) (nodes []*Fellows) {
+func founded(t testing.TB, all []*config.Fleet) (nodes []*Fellows) {
 	t.Helper()
 	for _, f := range all {
 		n := Start(f, figures{"resolved": 1}, time.Second, 256, zap.NewNop())
@@ -290,7 +290,7 @@
 	var own []*sufferer
 	var nodes []*Fellows
 	for _, f := range all {
-		f.Tasks, f.Probe = []string{terms.TaskProbe}, "/up"
+		f.Tasks, f.Probe = []string{config.TaskProbe}, "/up"
 		s := &sufferer{address: server.Listener.Addr().String()}
 		own, nodes = append(own, s), append(nodes, Start(f, s, time.Second, 256, zap.NewNop()))
 	}
--- a/internal/net/fellows/porch_test.go
+++ b/internal/net/fellows/porch_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -289,8 +289,8 @@
 	leads, at := serve(&counter{})
 	v := &counter{at, make(chan struct{}), make(chan struct{})}
 	other, otherAt := serve(v)
-	c := NewClient(&terms.Fleet{Name: "f", Node: "n", Lease: 10 * time.Minute, Delay: 10 * time.Second,
-		Voters: []terms.Voter{{Name: "a", Address: otherAt}}}, zap.NewNop())
+	c := NewClient(&config.Fleet{Name: "f", Node: "n", Lease: 10 * time.Minute, Delay: 10 * time.Second,
+		Voters: []config.Voter{{Name: "a", Address: otherAt}}}, zap.NewNop())
 	defer c.Close()
 	over := make(chan string, 1)
 	go func() {
--- a/internal/net/fellows/rollup_test.go
+++ b/internal/net/fellows/rollup_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"github.com/thistlerudder/thistlerudder/internal/clock"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
 // The roll-up goes on after the wall clock was stepped back by an hour, and after it was stepped forward: one line a period, each with a number of
@@ -22,7 +22,7 @@
 	all := fleetOf(t, 3)
 	var nodes []*Fellows
 	for _, f := range all {
-		f.Tasks = []string{terms.TaskRollUp}
+		f.Tasks = []string{config.TaskRollUp}
 		nodes = append(nodes, Start(f, figures{"resolved": 1}, time.Second, 256, zap.New(core)))
 	}
 	t.Cleanup(func() {
--- a/internal/net/fellows/tasks.go
+++ b/internal/net/fellows/tasks.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/clock"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -22,11 +22,11 @@
 // task gives what a task does while its lease is held; nil: this build has no such task.
 func (f *Fellows) task(name string) func(context.Context, *Grip) bool {
 	switch name {
-	case terms.TaskRollUp:
+	case config.TaskRollUp:
 		return f.rollUp
-	case terms.TaskProbe:
+	case config.TaskProbe:
 		return f.probe
-	case terms.TaskTrial:
+	case config.TaskTrial:
 		return f.trial()
 	}
 	return nil
@@ -75,7 +75,7 @@
 			f.log.Warn("the fleet can't be asked for its nodes, the period may be a gap", zap.Error(err))
 			continue
 		}
-		last := s.Facts[terms.TaskRollUp].Number
+		last := s.Facts[config.TaskRollUp].Number
 		if next := followingPeriod(number, last); next != number {
 			f.log.Warn("the wall clock stands before the fleet's last period, the numbers go on from there", zap.Time("until", at),
 				zap.Uint64("last", last))
@@ -87,12 +87,12 @@
 			x.Missing = append(x.Missing[:missingMost], "and others")
 			text, _ = json.Marshal(x)
 		}
-		switch err := g.Do(terms.TaskRollUp, number, text); {
+		switch err := g.Do(config.TaskRollUp, number, text); {
 		case errors.Is(err, lease.ErrRepeated):
 			continue
 		case errors.Is(err, ErrUnknown):
-			if s, asked := f.client.Status(); asked != nil || s.Facts[terms.TaskRollUp].Token != g.Token() ||
-				s.Facts[terms.TaskRollUp].Number != number {
+			if s, asked := f.client.Status(); asked != nil || s.Facts[config.TaskRollUp].Token != g.Token() ||
+				s.Facts[config.TaskRollUp].Number != number {
 				f.log.Warn("a period was perhaps not kept, and is not written", zap.Time("until", at), zap.Error(err))
 				continue
 			}
--- a/internal/net/fellows/trial_on.go
+++ b/internal/net/fellows/trial_on.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -74,7 +74,7 @@
 	trace = func(a lease.Ask) func(lease.Answer, error) {
 		call := trueBoot()
 		return func(x lease.Answer, err error) {
-			if a.Name != terms.TaskTrial {
+			if a.Name != config.TaskTrial {
 				return
 			}
 			r.write(map[string]any{"what": "ask", "kind": a.Kind, "holder": a.Holder.String(), "asked": a.Token, "call": call,
@@ -92,7 +92,7 @@
 				case <-over:
 					return
 				case <-time.After(restSpan):
-					if g.Do(terms.TaskTrial, uint64(trueBoot()), nil) != nil {
+					if g.Do(config.TaskTrial, uint64(trueBoot()), nil) != nil {
 						time.Sleep(10 * restSpan)
 					}
 				}
--- a/internal/net/fellows/voter.go
+++ b/internal/net/fellows/voter.go
@@ -17,8 +17,8 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -34,7 +34,7 @@
 // Voter is this process's part in the agreement: the library, the state that it agrees on, and the leader's memory.
 type Voter struct {
 	log   *zap.Logger
-	fleet *terms.Fleet
+	fleet *config.Fleet
 	paper paper
 	raft  *raft.Raft
 	logs  *raftbolt.BoltStore
@@ -68,7 +68,7 @@
 }
 
 // startVoter opens the folder and takes part. Whatever is wrong with the folder is told, and nothing in it is changed.
-func startVoter(f *terms.Fleet, p paper, l layer, log *zap.Logger) (*Voter, error) {
+func startVoter(f *config.Fleet, p paper, l layer, log *zap.Logger) (*Voter, error) {
 	path := filepath.Join(f.Folder, logFile)
 	if err := look(path); err != nil {
 		return nil, err
--- a/internal/net/node/gone_stop_test.go
+++ b/internal/net/node/gone_stop_test.go
@@ -17,7 +17,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
 // standsStill is the name under which a process of this test's own hears where it is to serve.
@@ -32,7 +32,7 @@
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
 	}
-	d, err := terms.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
+	d, err := config.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3., "connect-timeout-ms": 4500.},
 		"namespaces":  []any{namespace("read", "safe"), namespace("once", "unsafe")}})
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	if err := Run(ctx, &terms.Station{Name: "n", Listen: at.Listen, Admin: at.Admin, Discovery: at.Discovery, Cores: 1, MemoryMB: 192,
+	if err := Run(ctx, &config.Station{Name: "n", Listen: at.Listen, Admin: at.Admin, Discovery: at.Discovery, Cores: 1, MemoryMB: 192,
 		Descriptors: 128, Terms: d}, nil, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -15,10 +15,10 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/clients"
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -309,7 +309,7 @@
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
 	}
-	d, err := terms.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
+	d, err := config.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3., "connect-timeout-ms": 4500.},
 		"namespaces":  []any{namespace("read", "safe"), namespace("once", "unsafe")}})
 	if err != nil {
--- a/internal/net/node/left_test.go
+++ b/internal/net/node/left_test.go
@@ -15,13 +15,13 @@
 	"testing"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
 // gated is a node among servers that wait for the test.
 type gated struct {
 	*world
-	station *terms.Station
+	station *config.Station
 	open    chan struct{}
 	mu      sync.Mutex
 	seen    map[string]int // shots of which anything came, by the lookup's id and the server's
@@ -101,7 +101,7 @@
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
 	}
-	d, err := terms.Of(map[string]any{"models": []any{"box", "origin"},
+	d, err := config.Of(map[string]any{"models": []any{"box", "origin"},
 		"domain":      map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3., "connect-timeout-ms": 4500.},
 		"namespaces":  []any{namespace("read", "safe"), namespace("once", "unsafe")}})
--- a/internal/net/node/limits.go
+++ b/internal/net/node/limits.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
 const (
@@ -78,7 +78,7 @@
 // split gives our part where several processes serve as one node, and shares that out. The system's limit holds for each
 // process; where it is lower than the configuration's, that one can't be had, and whoever found out last would run short:
 // accepting then pauses for up to a second, and neither the list nor a file can be read.
-func (p process) split(s *terms.Station, processes int) limits {
+func (p process) split(s *config.Station, processes int) limits {
 	descriptors := s.Descriptors / processes
 	if p.most > 0 {
 		descriptors = min(descriptors, p.most)
--- a/internal/net/node/limits_test.go
+++ b/internal/net/node/limits_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"testing/quick"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
 // Whatever the configuration and the system allow, the parts are no more than the lower of the two, the reserve holds what
@@ -22,7 +22,7 @@
 		"lower than one would name": {64, 32, 8, 1, 32},
 	} {
 		for _, admin := range []string{"", "127.0.0.1:1"} {
-			s := &terms.Station{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: admin, Terms: &terms.Terms{}}
+			s := &config.Station{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: admin, Terms: &config.Terms{}}
 			p := process{most: c.most, open: c.open}
 			l := p.split(s, c.processes)
 			taken := l.clients + l.beyond + l.servers
@@ -37,7 +37,7 @@
 		}
 	}
 	if err := quick.Check(func(sockets, most uint16, open, processes uint8) bool {
-		s := &terms.Station{Cores: 1, MemoryMB: 192, Descriptors: 64 + int(sockets), Admin: "127.0.0.1:1", Terms: &terms.Terms{}}
+		s := &config.Station{Cores: 1, MemoryMB: 192, Descriptors: 64 + int(sockets), Admin: "127.0.0.1:1", Terms: &config.Terms{}}
 		p, n := process{most: 64 + int(most), open: 3 + int(open)%30}, 1+int(processes)%2
 		l := p.split(s, n)
 		whole := min(s.Descriptors/n, p.most)
@@ -59,7 +59,7 @@
 
 // A fleet's connections and files have a part of their own, by its voters and nodes, and never over half of what is left.
 func TestAFleetHasItsPart(t *testing.T) {
-	voters := make([]terms.Voter, 3)
+	voters := make([]config.Voter, 3)
 	for name, c := range map[string]struct {
 		sockets, processes, nodes int // nodes: as the settings say; 0: they don't
 		least                     int // connections from fellows
@@ -75,8 +75,8 @@
 		if c.nodes > 0 {
 			module["nodes"] = c.nodes
 		}
-		s := &terms.Station{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Terms: &terms.Terms{Module: module},
-			Fleet: &terms.Fleet{Voters: voters}}
+		s := &config.Station{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Terms: &config.Terms{Module: module},
+			Fleet: &config.Fleet{Voters: voters}}
 		l := process{open: 10}.split(s, c.processes)
 		toFellows := fleetOwn + fleetVoter*len(voters)/2
 		left := c.sockets/c.processes - l.clients - l.beyond - l.servers - l.operators - 1 - l.fellows - toFellows
@@ -93,8 +93,8 @@
 // A voter of a fleet of any size holds a connection of each node and some more, where it may have twice that and what is set apart.
 func TestAVotersPartHoldsAllNodes(t *testing.T) {
 	for nodes := 1; nodes <= 4096; nodes++ {
-		s := &terms.Station{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Terms: &terms.Terms{Module: map[string]any{"nodes": nodes}},
-			Fleet: &terms.Fleet{Voters: make([]terms.Voter, 3)}}
+		s := &config.Station{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Terms: &config.Terms{Module: map[string]any{"nodes": nodes}},
+			Fleet: &config.Fleet{Voters: make([]config.Voter, 3)}}
 		if l := (process{most: 20_000, open: 10}).split(s, 1); l.fellows < nodes+12 {
 			t.Fatalf("%d nodes: %+v", nodes, l)
 		}
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -14,6 +14,7 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
 	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
 	"github.com/thistlerudder/thistlerudder/internal/net/clients"
@@ -21,7 +22,6 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/handover"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 )
 
 const seatEvery = 20 * time.Millisecond // until a newcomer's part of the limits is given up
@@ -52,7 +52,7 @@
 }
 
 // clientsSocket takes the one that was passed on, or opens one.
-func clientsSocket(ctx context.Context, s *terms.Station, log *zap.Logger) (net.Listener, error) {
+func clientsSocket(ctx context.Context, s *config.Station, log *zap.Logger) (net.Listener, error) {
 	if s.Passed != 0 {
 		return handover.Socket(s.Passed)
 	}
@@ -65,7 +65,7 @@
 
 // Run serves until the context ends, then answers what it has taken, and returns. At each signal it reads its
 // configuration anew.
-func Run(ctx context.Context, s *terms.Station, signals <-chan os.Signal, log *zap.Logger) error {
+func Run(ctx context.Context, s *config.Station, signals <-chan os.Signal, log *zap.Logger) error {
 	err := serve(ctx, s, signals, log)
 	if errors.Is(err, context.Canceled) { // told to end before it served
 		return nil
@@ -73,7 +73,7 @@
 	return err
 }
 
-func serve(ctx context.Context, s *terms.Station, signals <-chan os.Signal, log *zap.Logger) error {
+func serve(ctx context.Context, s *config.Station, signals <-chan os.Signal, log *zap.Logger) error {
 	log = log.With(zap.String("node", s.Name))
 	o := opened{process: thisProcess()}
 	if o.most > 0 && o.most < s.Descriptors {
@@ -101,7 +101,7 @@
 }
 
 // operate serves on what was opened. own gives what the fleet's tasks need of the node.
-func operate(ctx context.Context, s *terms.Station, signals <-chan os.Signal, log *zap.Logger, o opened,
+func operate(ctx context.Context, s *config.Station, signals <-chan os.Signal, log *zap.Logger, o opened,
 	own func(fellows.Own) fellows.Own,
 ) error {
 	folder, name := os.Getenv("TMPDIR"), fileName(s.Listen)
--- a/internal/net/node/renew.go
+++ b/internal/net/node/renew.go
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 )
 
 const (
@@ -23,7 +23,7 @@
 func renew(
 	ctx context.Context,
 	signals <-chan os.Signal,
-	s *terms.Station,
+	s *config.Station,
 	list *boxlist.Follower,
 	log *zap.Logger,
 ) {
@@ -54,7 +54,7 @@
 
 // reread reads the configuration, again where the file itself could not be read: that passes, and whoever signalled does not signal
 // twice. A further signal ends a wait between two tries.
-func reread(ctx context.Context, signals <-chan os.Signal, s *terms.Station, log *zap.Logger) (*terms.Station, error) {
+func reread(ctx context.Context, signals <-chan os.Signal, s *config.Station, log *zap.Logger) (*config.Station, error) {
 	for pause := rereadFirst; ; pause = min(2*pause, rereadMost) {
 		next, err := s.Again()
 		var unread *fs.PathError
--- a/internal/net/node/renew_test.go
+++ b/internal/net/node/renew_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 )
 
 // A signal may come while the file is being written, or while an earlier one waits to be taken up: what stands in the file when
@@ -44,7 +44,7 @@
 		}
 	}
 	write(0, 1)
-	s, err := terms.Read(path)
+	s, err := config.Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	if err := os.WriteFile(path, text("127.0.0.1:1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := terms.Read(path)
+	s, err := config.Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/node/world_test.go
+++ b/internal/net/node/world_test.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
 // world is what stands round a node in a test: caches, an origin and a discovery service on loopback.
@@ -99,12 +99,12 @@
 }
 
 // station gives a node's papers, with free addresses.
-func (w *world) station(descriptors int) *terms.Station {
+func (w *world) station(descriptors int) *config.Station {
 	w.t.Helper()
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 400., "time-limit-ms": 900.}
 	}
-	d, err := terms.Of(map[string]any{"models": []any{"box", "origin"},
+	d, err := config.Of(map[string]any{"models": []any{"box", "origin"},
 		"domain":      map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3.},
 		"invariants":  map[string]any{"stop-sending-within-ms": 200., "warm-up-ms": 2000.},
@@ -112,7 +112,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	return &terms.Station{Name: "n", Listen: free(w.t), Admin: free(w.t), Discovery: w.discovery.Listener.Addr().String(),
+	return &config.Station{Name: "n", Listen: free(w.t), Admin: free(w.t), Discovery: w.discovery.Listener.Addr().String(),
 		Cores: 1, MemoryMB: 192, Descriptors: descriptors, Terms: d}
 }
 
@@ -126,7 +126,7 @@
 }
 
 // run starts a node and waits until it serves; what it gives back ends it.
-func run(t *testing.T, s *terms.Station) func() {
+func run(t *testing.T, s *config.Station) func() {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/net/servers/servers_test.go
+++ b/internal/net/servers/servers_test.go
@@ -18,8 +18,8 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -608,7 +608,7 @@
 		exchange.NoRoom: func(s *Servers) { s.bounds.Shots = 0 },
 		exchange.Lost:   func(s *Servers) { s.transport = nil },
 	} {
-		d, err := terms.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
+		d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 200., "time-limit-ms": 750.}}})
 		if err != nil {
 			t.Fatal(err)
@@ -638,7 +638,7 @@
 		want exchange.End
 		came int64
 	}{{"while a connection comes up", exchange.Withheld, 0}, {"between two tries", exchange.Withheld, 0}, {"once it was written", exchange.Whole, 1}} {
-		d, err := terms.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
+		d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 700., "time-limit-ms": 750.}}})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -28,11 +28,11 @@
 
 	"github.com/thistlerudder/thistlerudder/budget"
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
 	"github.com/thistlerudder/thistlerudder/internal/rig"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -177,7 +177,7 @@
 // start starts a node as a process of its own would.
 func (h *host) start(n int) error {
 	h.mark(Mark{Node: n, What: markStart})
-	s, err := terms.Read(filepath.Join(h.folder, fileOf(n)))
+	s, err := config.Read(filepath.Join(h.folder, fileOf(n)))
 	if err != nil {
 		return err
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -19,9 +19,9 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/rig"
-	"github.com/thistlerudder/thistlerudder/internal/terms"
 )
 
 const (
@@ -390,7 +390,7 @@
 		if err = each(w.voters, func(p *process) error { return p.start(w.Program) }); err != nil {
 			return err
 		}
-		f, err := terms.ReadFleet(filepath.Join(w.folder, "v0.json"))
+		f, err := config.ReadFleet(filepath.Join(w.folder, "v0.json"))
 		if err != nil {
 			return err
 		}
--- a/internal/wire/node.go
+++ b/internal/wire/node.go
@@ -8,14 +8,14 @@
 
 	"github.com/mailru/easyjson/jwriter"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // node is one instance: it maps the wire's ids to small indices, and is the module's Host.
 type node struct {
 	balancer *routing.Balancer
-	terms    *terms.Terms
+	terms    *config.Terms
 	out      *orders
 	servers  map[string]int
 	names    []string
@@ -39,7 +39,7 @@
 	if err := json.Unmarshal(info, &settings); err != nil {
 		return nil, fmt.Errorf("its settings can't be read: %w", err)
 	}
-	t, err := terms.Of(settings)
+	t, err := config.Of(settings)
 	if err != nil {
 		log.Printf("the settings are taken without what is at fault: %v", err)
 	}
@@ -68,7 +68,7 @@
 	n.tickets[lkp] = ticket{id: id}
 	n.index[id] = lkp
 	n.balancer.Lookup(now, lkp, routing.Lookup{Namespace: ns, Partner: partner, Key: f.key,
-		Limit: terms.Tenths(f.expires), Work: f.hint, Write: f.write})
+		Limit: config.Tenths(f.expires), Work: f.hint, Write: f.write})
 	return nil
 }
 
@@ -117,7 +117,7 @@
 			kind = -1
 		}
 		n.boxes = append(n.boxes, routing.Box{Server: i, ID: e.server, Kind: kind, State: state,
-			Since: terms.Tenths(e.since)})
+			Since: config.Tenths(e.since)})
 	}
 	n.balancer.List(now, how, n.boxes)
 	return nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,7 +13,7 @@
 	"github.com/mailru/easyjson/jlexer"
 	"github.com/mailru/easyjson/jwriter"
 
-	"github.com/thistlerudder/thistlerudder/internal/terms"
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -276,7 +276,7 @@
 			out.end()
 		}
 	}()
-	f, now := &h.msg, terms.Tenths(h.now)
+	f, now := &h.msg, config.Tenths(h.now)
 	if f.what == "create" {
 		n, err := newNode(f.info)
 		if err != nil {
