--- a/internal/net/boxlist/bench_test.go
+++ b/internal/net/boxlist/bench_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -49,13 +49,13 @@
 	}
 }
 
-func exchangeOf(b *testing.B) *exchange.Exchange {
+func exchangeOf(b *testing.B) *dispatch.Exchange {
 	t, err := config.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 200., "time-limit-ms": 750.}}})
 	if err != nil {
 		b.Fatal(err)
 	}
-	x := exchange.New(t, zap.NewNop())
+	x := dispatch.New(t, zap.NewNop())
 	x.Start(1, nil, New(x, "127.0.0.1:1", time.Second, zap.NewNop()))
 	return x
 }
--- a/internal/net/boxlist/crowd_test.go
+++ b/internal/net/boxlist/crowd_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -169,7 +169,7 @@
 		for n := range nodes {
 			c := &caller{narrow: s, known: map[int]time.Duration{}}
 			callers = append(callers, c)
-			x := exchange.New(terms, zap.NewNop())
+			x := dispatch.New(terms, zap.NewNop())
 			f := New(x, "127.0.0.1:1", 10*time.Second, zap.NewNop())
 			f.transport.RegisterProtocol("http", c)
 			x.Start(seed*1000+uint64(n), nil, f)
@@ -285,7 +285,7 @@
 			for n := range nodes {
 				c := &caller{narrow: s, known: map[int]time.Duration{}}
 				callers = append(callers, c)
-				x := exchange.New(terms, zap.NewNop())
+				x := dispatch.New(terms, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 20*time.Second, zap.NewNop())
 				f.transport.RegisterProtocol("http", c)
 				x.Start(seed*1000+uint64(n), nil, f)
@@ -353,7 +353,7 @@
 			resumed := false
 			var wholes []time.Duration // when the whole list was asked for
 			var mu sync.Mutex
-			x := exchange.New(d, zap.NewNop())
+			x := dispatch.New(d, zap.NewNop())
 			core, logs := observer.New(zap.InfoLevel)
 			f := New(x, "127.0.0.1:1", 10*time.Second, zap.New(core))
 			o := &orders{Follower: f}
@@ -443,7 +443,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				var at []time.Time
 				var mu sync.Mutex
-				x := exchange.New(d, zap.NewNop())
+				x := dispatch.New(d, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 10*time.Second, zap.NewNop())
 				f.transport.RegisterProtocol("http", script(func(query string) (int, string, time.Duration) {
 					mu.Lock()
@@ -488,7 +488,7 @@
 				var mu sync.Mutex
 				had, failed := known, false
 				var asked []string
-				x := exchange.New(d, zap.NewNop())
+				x := dispatch.New(d, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 10*time.Second, zap.NewNop())
 				f.transport.RegisterProtocol("http", script(func(query string) (int, string, time.Duration) {
 					mu.Lock()
@@ -545,7 +545,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
 			var at []time.Time
-			f := New(exchange.New(d, zap.NewNop()), "127.0.0.1:1", 10*time.Second, zap.NewNop())
+			f := New(dispatch.New(d, zap.NewNop()), "127.0.0.1:1", 10*time.Second, zap.NewNop())
 			f.transport.RegisterProtocol("http", script(func(string) (int, string, time.Duration) {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/net/boxlist/failing_test.go
+++ b/internal/net/boxlist/failing_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // Each documented error of connecting, reading and writing, met in turn by many followers for a while: their lists stand meanwhile, the next
@@ -47,7 +47,7 @@
 	var all []*Follower
 	var running sync.WaitGroup
 	for range followers {
-		x := exchange.New(d, zap.NewNop())
+		x := dispatch.New(d, zap.NewNop())
 		f := New(x, service.Listener.Addr().String(), 10*time.Second, zap.NewNop())
 		x.Start(1, nil, f)
 		all = append(all, f)
--- a/internal/net/boxlist/hedge.go
+++ b/internal/net/boxlist/hedge.go
@@ -7,14 +7,14 @@
 	"slices"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // list is what a call gave.
 type list struct {
 	version int64
 	full    bool
-	boxes   []exchange.Box
+	boxes   []dispatch.Box
 }
 
 // hedge calls for the list, once more beside what is out with each word from again, and gives the first one that comes;
--- a/internal/net/boxlist/move.go
+++ b/internal/net/boxlist/move.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // Move goes over to another source without a gap: the old one is followed until the new one has given its whole
@@ -82,7 +82,7 @@
 }
 
 // arrive makes a source the one that counts, with its first list.
-func (f *Follower) arrive(ctx context.Context, at source, boxes []exchange.Box) bool {
+func (f *Follower) arrive(ctx context.Context, at source, boxes []dispatch.Box) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ctx.Err() != nil {
--- a/internal/net/boxlist/return_test.go
+++ b/internal/net/boxlist/return_test.go
@@ -19,7 +19,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -187,7 +187,7 @@
 	}
 	told := make(chan time.Time, 100)
 	log := zap.New(zapcore.NewNopCore()).WithOptions(zap.WrapCore(func(zapcore.Core) zapcore.Core { return &ear{told} }))
-	x := exchange.New(d, zap.NewNop())
+	x := dispatch.New(d, zap.NewNop())
 	f := New(x, o.address, 10*time.Second, log)
 	dial := f.transport.DialContext
 	f.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/net/boxlist/watch.go
+++ b/internal/net/boxlist/watch.go
@@ -17,7 +17,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -68,7 +68,7 @@
 // Follower watches the list.
 type Follower struct {
 	log       *zap.Logger
-	exchange  *exchange.Exchange
+	exchange  *dispatch.Exchange
 	hold      time.Duration
 	orders    chan struct{}
 	moved     chan struct{}
@@ -81,7 +81,7 @@
 }
 
 // New makes a follower. A watch holds no longer than askWithin: by then the node must have asked.
-func New(x *exchange.Exchange, address string, askWithin time.Duration, log *zap.Logger) *Follower {
+func New(x *dispatch.Exchange, address string, askWithin time.Duration, log *zap.Logger) *Follower {
 	return &Follower{
 		log:      log,
 		exchange: x,
@@ -202,7 +202,7 @@
 }
 
 // tell hands on what a source said, unless another one has taken its place since.
-func (f *Follower) tell(at source, full bool, boxes []exchange.Box) bool {
+func (f *Follower) tell(at source, full bool, boxes []dispatch.Box) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if at.nth != f.from.nth {
@@ -213,7 +213,7 @@
 }
 
 // note is called with the lock held, so that no list of an earlier source can come after one of a later.
-func (f *Follower) note(at source, full bool, boxes []exchange.Box) {
+func (f *Follower) note(at source, full bool, boxes []dispatch.Box) {
 	goes := f.from.had
 	if f.from = at; goes && !full && len(boxes) == 0 {
 		return
--- a/internal/net/boxlist/watch_test.go
+++ b/internal/net/boxlist/watch_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -54,7 +54,7 @@
 }
 
 // follow runs a follower against the pages until so many calls were made.
-func follow(t *testing.T, calls int, pages ...string) (*service, *exchange.Exchange, *observer.ObservedLogs) {
+func follow(t *testing.T, calls int, pages ...string) (*service, *dispatch.Exchange, *observer.ObservedLogs) {
 	t.Helper()
 	s := &service{pages: pages}
 	server := httptest.NewServer(s)
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := exchange.New(d, zap.NewNop())
+	x := dispatch.New(d, zap.NewNop())
 	f := New(x, server.Listener.Addr().String(), 10*time.Second, zap.New(core))
 	x.Start(1, nil, f) // the module gives the first order by itself
 	ctx, stop := context.WithCancel(context.Background())
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := exchange.New(d, zap.NewNop())
+	x := dispatch.New(d, zap.NewNop())
 	f := New(x, server.Listener.Addr().String(), hold, zap.New(core))
 	x.Start(1, nil, f)
 	ctx, stop := context.WithCancel(t.Context())
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := exchange.New(d, zap.NewNop())
+	x := dispatch.New(d, zap.NewNop())
 	f := New(x, server.Listener.Addr().String(), time.Second, zap.NewNop())
 	x.Start(1, nil, f)
 	ctx, stop := context.WithCancel(t.Context())
@@ -267,7 +267,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := exchange.New(d, zap.NewNop())
+	x := dispatch.New(d, zap.NewNop())
 	f := New(x, at[0], 10*time.Second, zap.New(core))
 	x.Start(1, nil, f)
 	go f.Run(t.Context())
--- a/internal/net/clients/call.go
+++ b/internal/net/clients/call.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // call is one lookup at its client's connection, from its head to the last byte of its answer.
@@ -24,9 +24,9 @@
 	conn    *placed // nil: not one of ours
 	sound   bool    // its head gives its body's end in one way
 
-	rest      *exchange.Rest // what of a long body had not come when the lookup was taken
+	rest      *dispatch.Rest // what of a long body had not come when the lookup was taken
 	namespace string
-	outcome   exchange.Outcome // as the client sees it
+	outcome   dispatch.Outcome // as the client sees it
 	open      bool             // counted as such
 	answered  bool
 	broken    bool // the answer has begun and can't be finished
@@ -37,7 +37,7 @@
 func (a *call) end() {
 	if p := recover(); p != nil {
 		a.log.Error("a lookup's handler panicked", zap.Any("panic", p), zap.Stack("stack"))
-		a.outcome = exchange.Abandoned
+		a.outcome = dispatch.Abandoned
 		if a.broken = a.answered; !a.answered {
 			plain(a.w, http.StatusInternalServerError, "internal error")
 		}
@@ -98,8 +98,8 @@
 	}
 	if full {
 		a.log.Debug("request refused for want of room", zap.String("trace", a.trace()))
-		a.outcome = exchange.Deferred
-		answer(a.w, exchange.Answer{Outcome: exchange.Deferred, RetryAfter: min(beyondAdvice, a.bounds.Advice)})
+		a.outcome = dispatch.Deferred
+		answer(a.w, dispatch.Answer{Outcome: dispatch.Deferred, RetryAfter: min(beyondAdvice, a.bounds.Advice)})
 		return
 	}
 	within, err := decode(a.r, &in)
@@ -109,7 +109,7 @@
 	}
 	in.Gone = a.conn.gone
 	t, err := a.exchange.Take(in, read, within)
-	if errors.Is(err, exchange.ErrOut) {
+	if errors.Is(err, dispatch.ErrOut) {
 		a.turnAway(http.StatusConflict, err)
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 // answer writes the final answer.
-func (a *call) answer(ans exchange.Answer) {
+func (a *call) answer(ans dispatch.Answer) {
 	a.answered = true
 	if a.leaving.Load() {
 		a.w.Header().Set("Connection", "close")
@@ -168,7 +168,7 @@
 	}
 	if err := a.pass(ans); err != nil {
 		a.log.Info("a long answer is not passed on whole", zap.Error(err), zap.String("trace", a.trace()))
-		a.outcome, a.broken = exchange.Abandoned, true
+		a.outcome, a.broken = dispatch.Abandoned, true
 	}
 }
 
@@ -176,7 +176,7 @@
 
 // pass passes a long answer on as it comes. Nothing is held back, and what can't be finished is left unfinished: neither
 // the last chunk nor the length told is ever made up.
-func (a *call) pass(ans exchange.Answer) error {
+func (a *call) pass(ans dispatch.Answer) error {
 	defer ans.Rest.Close()
 	// A client that leaves ends the server's connection too, rather than have the rest brought for nobody.
 	defer context.AfterFunc(a.r.Context(), func() { _ = ans.Rest.Close() })()
--- a/internal/net/clients/clients.go
+++ b/internal/net/clients/clients.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // Bounds is what the clients' side may take.
@@ -45,7 +45,7 @@
 // Clients is the client side of a node.
 type Clients struct {
 	log      *zap.Logger
-	exchange *exchange.Exchange
+	exchange *dispatch.Exchange
 	server   *http.Server
 	bounds   Bounds
 	room     *room
@@ -56,7 +56,7 @@
 }
 
 // New makes the client side.
-func New(x *exchange.Exchange, b Bounds, log *zap.Logger) *Clients {
+func New(x *dispatch.Exchange, b Bounds, log *zap.Logger) *Clients {
 	c := &Clients{log: log, exchange: x, bounds: b, room: newRoom(b.Descriptors)}
 	c.most.Store(int64(b.Descriptors))
 	c.server = &http.Server{Handler: c, MaxHeaderBytes: 2 * headersMost, ReadHeaderTimeout: headersIn, DisableGeneralOptionsHandler: true,
@@ -133,7 +133,7 @@
 
 // ServeHTTP answers one lookup.
 func (c *Clients) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a := &call{Clients: c, w: w, r: r, control: http.NewResponseController(w), outcome: exchange.Abandoned}
+	a := &call{Clients: c, w: w, r: r, control: http.NewResponseController(w), outcome: dispatch.Abandoned}
 	a.conn, _ = r.Context().Value(connection{}).(*placed)
 	a.sound = a.conn != nil && a.conn.framing.sound()
 	if c.room.crowded() || c.leaving.Load() {
--- a/internal/net/clients/clients_test.go
+++ b/internal/net/clients/clients_test.go
@@ -14,14 +14,14 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // fleet hands each shot to the test.
-type fleet chan *exchange.Shot
+type fleet chan *dispatch.Shot
 
-func (f fleet) Carry(s *exchange.Shot) { f <- s }
+func (f fleet) Carry(s *dispatch.Shot) { f <- s }
 func (f fleet) Subscribe()             {}
 func (f fleet) HangUp(uint64, int)     {}
 func (f fleet) Most(int)               {}
@@ -60,12 +60,12 @@
 		t.Fatal(err)
 	}
 	ships := make(fleet, 99)
-	x := exchange.New(d, zap.NewNop())
+	x := dispatch.New(d, zap.NewNop())
 	x.Start(1, ships, ships)
 	if told {
 		x.List(
 			routing.Whole,
-			[]exchange.Box{{ID: "a", Address: "a:1", Machine: "box"}, {ID: "z", Address: "z:1", Machine: "origin"}},
+			[]dispatch.Box{{ID: "a", Address: "a:1", Machine: "box"}, {ID: "z", Address: "z:1", Machine: "origin"}},
 		)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -135,7 +135,7 @@
 		s.Within > 280*time.Millisecond || s.Within < 150*time.Millisecond {
 		t.Errorf("%+v %+v", s, s.Lookup)
 	}
-	s.Settle(exchange.Whole, exchange.Answer{Body: []byte("v\x00w"), ContentType: "text/x"})
+	s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v\x00w"), ContentType: "text/x"})
 	if r, body := c.receive(t); r.StatusCode != 200 || body != "v\x00w" || r.Header.Get("Content-Type") != "text/x" {
 		t.Errorf("%d %q", r.StatusCode, body)
 	}
@@ -153,7 +153,7 @@
 		for range 3 {
 			select {
 			case s := <-ships:
-				s.Settle(exchange.Failing, exchange.Answer{})
+				s.Settle(dispatch.Failing, dispatch.Answer{})
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
@@ -219,7 +219,7 @@
 	if r, _ := second.receive(t); r.StatusCode != http.StatusConflict || len(ships) != 0 {
 		t.Errorf("the second: %d, %d shots", r.StatusCode, len(ships))
 	}
-	s.Settle(exchange.Whole, exchange.Answer{Body: []byte("v")})
+	s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
 	if r, body := first.receive(t); r.StatusCode != 200 || body != "v" {
 		t.Errorf("the first: %d %q", r.StatusCode, body)
 	}
@@ -238,7 +238,7 @@
 		for _, whole := range []string{"Content-Length: 1\r\n\r\nv", coded + "\r\n\r\n1\r\nv\r\n0\r\n\r\n"} {
 			fmt.Fprint(conn, head, whole)
 			s := <-ships
-			if s.Settle(exchange.Whole, exchange.Answer{}); string(s.Body) != "v" {
+			if s.Settle(dispatch.Whole, dispatch.Answer{}); string(s.Body) != "v" {
 				t.Errorf("%q came as %q", whole, s.Body)
 			}
 			conn.receive(t)
@@ -305,7 +305,7 @@
 	if c.exchange.Out() != 1 {
 		t.Error("forgotten with a shot out")
 	}
-	if s.Settle(exchange.Lacking, exchange.Answer{}); c.exchange.Out() != 0 || len(ships) != 0 {
+	if s.Settle(dispatch.Lacking, dispatch.Answer{}); c.exchange.Out() != 0 || len(ships) != 0 {
 		t.Errorf("%d known, %d more shots", c.exchange.Out(), len(ships))
 	}
 }
@@ -339,7 +339,7 @@
 		busy = append(busy, dial(t, address))
 		busy[i].send(fmt.Sprint("GET /read/k", i), fmt.Sprint("X-Trace-Id: ", i), "X-Expires-In: 5000m")
 	}
-	shots := []*exchange.Shot{<-ships, <-ships}
+	shots := []*dispatch.Shot{<-ships, <-ships}
 	for range 10 {
 		conn := dial(t, address)
 		conn.send("GET /read/k", id, within)
@@ -348,7 +348,7 @@
 		}
 	}
 	for _, s := range shots {
-		s.Settle(exchange.Whole, exchange.Answer{})
+		s.Settle(dispatch.Whole, dispatch.Answer{})
 	}
 	for _, c := range busy {
 		if r, _ := c.receive(t); r.StatusCode != 200 {
@@ -364,7 +364,7 @@
 	for i := range 20 {
 		conn := dial(t, address)
 		conn.send(fmt.Sprint("GET /read/k", i), id, within)
-		(<-ships).Settle(exchange.Whole, exchange.Answer{})
+		(<-ships).Settle(dispatch.Whole, dispatch.Answer{})
 		if r, _ := conn.receive(t); r.StatusCode != 200 {
 			t.Fatalf("lookup %d: %d", i, r.StatusCode)
 		}
@@ -393,7 +393,7 @@
 	}
 	conn, began := dial(t, address), time.Now()
 	conn.send("GET /read/k", id, "X-Expires-In: 9000m")
-	(<-ships).Settle(exchange.Whole, exchange.Answer{})
+	(<-ships).Settle(dispatch.Whole, dispatch.Answer{})
 	if r, _ := conn.receive(t); r.StatusCode != 200 || time.Since(began) > 3*time.Second {
 		t.Errorf("%d after %v", r.StatusCode, time.Since(began))
 	}
@@ -405,7 +405,7 @@
 	c, ships, address := serve(t, 4, true)
 	go func() {
 		for s := range ships {
-			s.Settle(exchange.Whole, exchange.Answer{Body: []byte("v")})
+			s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
 		}
 	}()
 	var users sync.WaitGroup
@@ -461,7 +461,7 @@
 			conn := dial(t, address)
 			conn.send(fmt.Sprint("GET /read/late", i), fmt.Sprint("X-Trace-Id: ", i), within)
 			s := <-ships
-			s.Settle(exchange.Whole, exchange.Answer{Body: []byte("v")})
+			s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
 			if r, _ := conn.receive(t); r.StatusCode != 200 || !r.Close {
 				t.Errorf("late lookup %d: %d, close %v", i, r.StatusCode, r.Close)
 			}
@@ -469,7 +469,7 @@
 	}
 	late.Wait()
 	time.Sleep(comingFor - time.Since(began) + 50*time.Millisecond)
-	out.Settle(exchange.Whole, exchange.Answer{Body: []byte("v")})
+	out.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
 	if r, _ := busy.receive(t); r.StatusCode != 200 || !r.Close {
 		t.Errorf("what was out: %d, close %v", r.StatusCode, r.Close)
 	}
@@ -487,10 +487,10 @@
 		conns = append(conns, dial(t, address))
 		conns[i].send("GET /read/k", fmt.Sprint("X-Trace-Id: ", i), within)
 		if i == 0 {
-			(<-ships).Settle(exchange.Lacking, exchange.Answer{})
+			(<-ships).Settle(dispatch.Lacking, dispatch.Answer{})
 			go func() { // the fetch, and what the second lookup still tries in its last moment
 				for hangs := range ships {
-					time.AfterFunc(hangs.Within, func() { hangs.Settle(exchange.Silent, exchange.Answer{}) })
+					time.AfterFunc(hangs.Within, func() { hangs.Settle(dispatch.Silent, dispatch.Answer{}) })
 				}
 			}()
 		}
@@ -521,7 +521,7 @@
 	if _, err := conn.in.ReadByte(); err != io.EOF {
 		t.Errorf("behind the answer: %v", err)
 	}
-	if s.Settle(exchange.Lacking, exchange.Answer{}); len(ships) > 0 || c.exchange.Out() != 0 {
+	if s.Settle(dispatch.Lacking, dispatch.Answer{}); len(ships) > 0 || c.exchange.Out() != 0 {
 		t.Errorf("%d more shots, %d out", len(ships), c.exchange.Out())
 	}
 }
--- a/internal/net/clients/closing_test.go
+++ b/internal/net/clients/closing_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // answerAll answers each shot at once with the value, and gives which ids were ever sent on.
@@ -32,7 +32,7 @@
 				mu.Lock()
 				seen[s.Trace] = true
 				mu.Unlock()
-				s.Settle(exchange.Whole, exchange.Answer{Body: value})
+				s.Settle(dispatch.Whole, dispatch.Answer{Body: value})
 			case <-stop:
 				return
 			}
--- a/internal/net/clients/failing_test.go
+++ b/internal/net/clients/failing_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // A request that meets a moment in which the machine lacks memory, as it is read, looked after or answered, is answered whole.
@@ -36,7 +36,7 @@
 				select {
 				case s := <-ships:
 					s.Wanted()
-					s.Settle(exchange.Whole, exchange.Answer{Body: []byte("value")})
+					s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("value")})
 				case <-time.After(time.Second):
 				}
 			}()
--- a/internal/net/clients/framing_test.go
+++ b/internal/net/clients/framing_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"testing/quick"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // Lookups of every framing one after another, cut anywhere: each head is judged by itself, whatever bodies hold.
@@ -72,7 +72,7 @@
 	_, ships, address := serve(t, 8, true)
 	go func() {
 		for s := range ships {
-			s.Settle(exchange.Whole, exchange.Answer{Body: []byte(s.Target + " " + string(s.Body))})
+			s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte(s.Target + " " + string(s.Body))})
 		}
 	}()
 	conn := dial(t, address)
--- a/internal/net/clients/message.go
+++ b/internal/net/clients/message.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 const anyBytes = "application/octet-stream"
@@ -35,7 +35,7 @@
 
 // body reads a lookup's body, or the beginning of a long one, or gives the status that it is turned away with. It must
 // not be trusted to end where it says if it gives its length in two ways, or in one that HTTP/1.0 did not know.
-func (a *call) body() (in exchange.Lookup, status int, err error) {
+func (a *call) body() (in dispatch.Lookup, status int, err error) {
 	r := a.r
 	switch {
 	case !r.ProtoAtLeast(1, 1):
@@ -50,7 +50,7 @@
 	from := a.steady()
 	if in.Length = r.ContentLength; r.ContentLength > a.bounds.Body {
 		_ = a.control.EnableFullDuplex() // an answer may come before its end
-		in.Rest = exchange.NewRest(from)
+		in.Rest = dispatch.NewRest(from)
 		return in, 0, nil
 	}
 	in.Body, err = io.ReadAll(io.LimitReader(from, a.bounds.Body+1))
@@ -64,7 +64,7 @@
 		return in, http.StatusBadRequest, errBody
 	case int64(len(in.Body)) > a.bounds.Body:
 		_ = a.control.EnableFullDuplex()
-		in.Rest = exchange.NewRest(from)
+		in.Rest = dispatch.NewRest(from)
 	default:
 		from.over()
 	}
@@ -107,7 +107,7 @@
 func (s *steady) over() { _ = s.control.SetReadDeadline(time.Now().Add(s.server.WriteTimeout)) }
 
 // decode takes out the few fields that decisions need, and keeps the rest as it came.
-func decode(r *http.Request, in *exchange.Lookup) (within time.Duration, err error) {
+func decode(r *http.Request, in *dispatch.Lookup) (within time.Duration, err error) {
 	in.Method, in.Target, in.Trace = r.Method, origin(r.RequestURI), r.Header.Get("X-Trace-Id")
 	in.Idempotency, in.Partner = r.Header.Get("Idempotency-Key"), r.Header.Get("X-Customer")
 	in.Write = r.Method == http.MethodPut
@@ -172,14 +172,14 @@
 }
 
 // answer writes a final answer.
-func answer(w http.ResponseWriter, a exchange.Answer) {
+func answer(w http.ResponseWriter, a dispatch.Answer) {
 	switch a.Outcome {
-	case exchange.Resolved:
+	case dispatch.Resolved:
 		if a.ContentType == "" {
 			a.ContentType = anyBytes
 		}
 		write(w, http.StatusOK, a.ContentType, a.Body)
-	case exchange.Deferred:
+	case dispatch.Deferred:
 		if a.RetryAfter > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 		}
--- a/internal/net/clients/room_test.go
+++ b/internal/net/clients/room_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // True clients that take two seconds to write their lookup are served in a crowd of many times the places that connects
@@ -18,7 +18,7 @@
 	c, ships, address := serve(t, 24, true)
 	go func() {
 		for s := range ships {
-			s.Settle(exchange.Whole, exchange.Answer{Body: []byte("v")})
+			s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
 		}
 	}()
 	stop := make(chan struct{})
@@ -132,7 +132,7 @@
 		conn.send("GET /read/k", id, "X-Expires-In: 1900m")
 		time.Sleep(time.Until(began.Add(comingFor + 60*time.Millisecond)))
 		close(h.until)
-		go func() { (<-ships).Settle(exchange.Whole, exchange.Answer{Body: []byte("v")}) }()
+		go func() { (<-ships).Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")}) }()
 		if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
 			t.Errorf("told to leave early %v: %d %q", early, r.StatusCode, body)
 		}
@@ -166,12 +166,12 @@
 	go func() { _ = c.Serve(l) }()
 	conn := dial(t, l.Addr().String())
 	conn.send("GET /read/1", id, within)
-	(<-ships).Settle(exchange.Whole, exchange.Answer{Body: []byte("v")})
+	(<-ships).Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
 	conn.receive(t)
 	conn.send("GET /read/2", id, within)
 	s := <-ships
 	time.Sleep(20 * time.Millisecond)
-	s.Settle(exchange.Whole, exchange.Answer{Body: []byte("v")})
+	s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
 	if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
 		t.Errorf("%d %q", r.StatusCode, body)
 	}
--- a/internal/net/exchange/account.go
+++ b/internal/net/dispatch/account.go
@@ -1,4 +1,4 @@
-package exchange
+package dispatch
 
 import (
 	"github.com/thistlerudder/thistlerudder/internal/net/figures"
--- a/internal/net/exchange/exchange.go
+++ b/internal/net/dispatch/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange is where the client side and the server side of a node meet. An Exchange owns the
+// Package dispatch is where the client side and the server side of a node meet. An Exchange owns the
 // decision module: under one lock it reports each thing that happens, keeps the alarms and the indices, and
 // carries out what the module orders, without ever blocking.
-package exchange
+package dispatch
 
 import (
 	"errors"
--- a/internal/net/exchange/grace_test.go
+++ b/internal/net/dispatch/grace_test.go
@@ -1,4 +1,4 @@
-package exchange
+package dispatch
 
 import (
 	"testing"
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/clients"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -30,10 +30,10 @@
 	*servers.Servers
 	mu    sync.Mutex
 	tries map[string]int
-	steer func(a *exchange.Shot, nth int) // may hold it up
+	steer func(a *dispatch.Shot, nth int) // may hold it up
 }
 
-func (s *steered) Carry(a *exchange.Shot) {
+func (s *steered) Carry(a *dispatch.Shot) {
 	s.mu.Lock()
 	s.tries[a.Trace]++
 	nth := s.tries[a.Trace]
@@ -104,7 +104,7 @@
 type standing struct {
 	waiting
 	t         *testing.T
-	x         *exchange.Exchange
+	x         *dispatch.Exchange
 	at, open  chan struct{} // the request is at its place; it may go on
 	there     func()
 	other     chan struct{} // the request of the same key is to come,
@@ -115,15 +115,15 @@
 	second    chan struct{} // and the second one has come
 	addresses map[string]string
 	behinds   *atomic.Int64
-	tally     exchange.Tally
+	tally     dispatch.Tally
 }
 
 // tallied waits for something in the exchange's counts.
-func (s *standing) tallied(f func(y exchange.Tally) bool) {
+func (s *standing) tallied(f func(y dispatch.Tally) bool) {
 	for by := time.Now().Add(4 * time.Second); ; time.Sleep(2 * time.Millisecond) {
 		y := s.x.Tally()
 		s.tally.Lookups += y.Lookups
-		s.tally.Ends[exchange.TurnedAway] += y.Ends[exchange.TurnedAway]
+		s.tally.Ends[dispatch.TurnedAway] += y.Ends[dispatch.TurnedAway]
 		if f(s.tally) {
 			return
 		} else if time.Now().After(by) {
@@ -231,7 +231,7 @@
 }
 
 // steer sends attempts to the stand-ins, and holds the one that is looked at.
-func (s *standing) steer(a *exchange.Shot, nth int) {
+func (s *standing) steer(a *dispatch.Shot, nth int) {
 	a.Place = uint64(100*nth + int(a.Trace[0])) // connections of its own
 	switch {
 	case a.Trace == "o" && nth == 1:
@@ -258,7 +258,7 @@
 	}
 }
 
-func (s *standing) hold(a *exchange.Shot) {
+func (s *standing) hold(a *dispatch.Shot) {
 	in := *a.Lookup
 	gone, looks := in.Gone, 0
 	switch s.place {
@@ -315,14 +315,14 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.x = exchange.New(d, zap.NewNop())
+	s.x = dispatch.New(d, zap.NewNop())
 	carrier := servers.New(servers.Bounds{Descriptors: 32, Shots: 32, ConnectWithin: d.ConnectWithin, IdleFor: d.IdleFor, Body: bodyMost,
 		Long: longMost}, zap.NewNop())
 	s.t.Cleanup(carrier.Close)
 	s.x.Start(1, &steered{Servers: carrier, tries: map[string]int{}, steer: s.steer}, unlisted{})
-	list := []exchange.Box{{ID: "z", Address: "z:1", Machine: "origin"}}
+	list := []dispatch.Box{{ID: "z", Address: "z:1", Machine: "origin"}}
 	for _, id := range []string{"a", "b", "c"} {
-		list = append(list, exchange.Box{ID: id, Address: id + ":1", Machine: "box"})
+		list = append(list, dispatch.Box{ID: id, Address: id + ":1", Machine: "box"})
 	}
 	s.x.List(routing.Whole, list)
 	front := clients.New(s.x, clients.Bounds{Descriptors: 16, Beyond: 2, LongestLimit: d.LongestLimit, Body: bodyMost, Long: longMost}, zap.NewNop())
@@ -379,9 +379,9 @@
 	case w.place == aFetch && w.attempt > 1:
 		s.await(s.other, "the attempt before")
 		fmt.Fprint(s.dial(address), lookup("GET /read/k", "o", ""))
-		s.tallied(func(y exchange.Tally) bool { return y.Ends[exchange.TurnedAway] == w.attempt-1 })
+		s.tallied(func(y dispatch.Tally) bool { return y.Ends[dispatch.TurnedAway] == w.attempt-1 })
 	case w.place == aFetch:
-		s.tallied(func(y exchange.Tally) bool { return y.Lookups == 2 })
+		s.tallied(func(y dispatch.Tally) bool { return y.Lookups == 2 })
 	default:
 		s.await(s.at, "the attempt")
 	}
--- a/internal/net/node/kinds_test.go
+++ b/internal/net/node/kinds_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -25,7 +25,7 @@
 	copies map[string]int // shots beside another of their lookup, by kind
 	cold   []time.Time    // shots at the cold cache
 	warm   int            // and at another one, since the start
-	list   []exchange.Box
+	list   []dispatch.Box
 	shots  int
 }
 
@@ -70,7 +70,7 @@
 			fmt.Fprint(w, "value")
 		}))
 		t.Cleanup(s.Close)
-		y.list = append(y.list, exchange.Box{ID: id, Address: s.Listener.Addr().String(), Machine: "box"})
+		y.list = append(y.list, dispatch.Box{ID: id, Address: s.Listener.Addr().String(), Machine: "box"})
 	}
 	y.list[4].Machine = "origin"
 	return y
@@ -103,7 +103,7 @@
 func (unasked) Subscribe() {}
 
 // kindOf starts a node's deciding half, of the old shape or of the new one. Both count the nodes of both.
-func kindOf(t *testing.T, kind string, nodes int, y *yard) *exchange.Exchange {
+func kindOf(t *testing.T, kind string, nodes int, y *yard) *dispatch.Exchange {
 	permissions, rules := map[string]any{"most-shots": 3., "parallel-tries": true}, map[string]any{"cold-from": 0.2, "warm-up-ms": 20000.,
 		"overload-factor": 4., "fall-ms": 500.}
 	target := 200.
@@ -124,7 +124,7 @@
 	carrier := servers.New(servers.Bounds{Descriptors: 64, Shots: 256, ConnectWithin: 75 * time.Millisecond,
 		IdleFor: 15 * time.Second, Body: 1 << 10, Long: 1 << 10}, zap.NewNop())
 	t.Cleanup(carrier.Close)
-	x := exchange.New(d, zap.NewNop())
+	x := dispatch.New(d, zap.NewNop())
 	x.Start(uint64(len(kind)+nodes), carrier, unasked{})
 	x.List(routing.Whole, y.list)
 	return x
@@ -136,7 +136,7 @@
 func TestBothKindsShareTheirCaches(t *testing.T) {
 	const nodes, calm, crowded = 6, 25 * time.Millisecond, 5 * time.Millisecond // between a node's lookups
 	y := newYard(t)
-	var fleet []*exchange.Exchange
+	var fleet []*dispatch.Exchange
 	for i := range nodes {
 		fleet = append(fleet, kindOf(t, []string{"old", "new"}[i%2], nodes, y))
 	}
@@ -150,7 +150,7 @@
 			for i, x := range fleet {
 				kind := []string{"old", "new"}[i%2]
 				number++
-				in := exchange.Lookup{Namespace: "read", Partner: "acme", Key: fmt.Sprint("k", number*7919%97),
+				in := dispatch.Lookup{Namespace: "read", Partner: "acme", Key: fmt.Sprint("k", number*7919%97),
 					Method: http.MethodGet, Trace: fmt.Sprint(kind, number)}
 				if number%15 == 0 {
 					in.Namespace, in.Method, in.Write = "once", http.MethodPut, true
@@ -166,7 +166,7 @@
 					case a := <-ticket.Answers():
 						mu.Lock()
 						defer mu.Unlock()
-						if a.Outcome == exchange.Resolved {
+						if a.Outcome == dispatch.Resolved {
 							resolved[kind]++
 						}
 					case <-time.After(2 * time.Second):
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -18,7 +18,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
 	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
 	"github.com/thistlerudder/thistlerudder/internal/net/clients"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/handover"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
@@ -115,7 +115,7 @@
 	if o.clients != nil {
 		l.apply()
 	}
-	x := exchange.New(s.Terms, log.Named("exchange"))
+	x := dispatch.New(s.Terms, log.Named("exchange"))
 	carrier := servers.New(
 		servers.Bounds{Descriptors: l.servers, Shots: l.servers + l.clients, ConnectWithin: s.ConnectWithin,
 			IdleFor: s.IdleFor, Body: bodyMost, Long: longMost},
--- a/internal/net/node/operated.go
+++ b/internal/net/node/operated.go
@@ -10,7 +10,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
 	"github.com/thistlerudder/thistlerudder/internal/net/bans"
 	"github.com/thistlerudder/thistlerudder/internal/net/clients"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 )
 
@@ -20,7 +20,7 @@
 )
 
 // census keeps the figures of the box list fresh.
-func census(ctx context.Context, x *exchange.Exchange) {
+func census(ctx context.Context, x *dispatch.Exchange) {
 	every := time.NewTicker(censusEvery)
 	defer every.Stop()
 	for {
@@ -35,7 +35,7 @@
 
 // operated is what operators' calls are about.
 type operated struct {
-	exchange *exchange.Exchange
+	exchange *dispatch.Exchange
 	front    *clients.Clients
 	bans     *bans.Book
 	fleet    *fellows.Fellows // nil: there is none
@@ -62,11 +62,11 @@
 }
 
 // bansOf opens the node's list of bans, for the exchange to follow.
-func bansOf(folder, name string, x *exchange.Exchange, log *zap.Logger) *bans.Book {
+func bansOf(folder, name string, x *dispatch.Exchange, log *zap.Logger) *bans.Book {
 	return bans.Open(folder, name, func(entries []bans.Entry) {
-		all := make([]exchange.Ban, 0, len(entries))
+		all := make([]dispatch.Ban, 0, len(entries))
 		for _, e := range entries {
-			all = append(all, exchange.Ban{ID: e.ID, Out: float64(e.Out), Back: float64(e.Back)})
+			all = append(all, dispatch.Ban{ID: e.ID, Out: float64(e.Out), Back: float64(e.Back)})
 		}
 		x.Bans(all)
 	}, log)
@@ -78,7 +78,7 @@
 }
 
 // fleetSide is what the fleet's tasks need of this node.
-type fleetSide struct{ *exchange.Exchange }
+type fleetSide struct{ *dispatch.Exchange }
 
 // Figures gives the totals of all namespaces.
 func (s fleetSide) Figures() map[string]int64 {
--- a/internal/net/node/renew_test.go
+++ b/internal/net/node/renew_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // A signal may come while the file is being written, or while an earlier one waits to be taken up: what stands in the file when
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := exchange.New(s.Terms, zap.NewNop())
+	x := dispatch.New(s.Terms, zap.NewNop())
 	list := boxlist.New(x, s.Discovery, time.Second, zap.NewNop())
 	x.Start(1, nil, list)
 	go list.Run(t.Context())
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := exchange.New(s.Terms, zap.NewNop())
+	x := dispatch.New(s.Terms, zap.NewNop())
 	list := boxlist.New(x, s.Discovery, time.Second, zap.NewNop())
 	x.Start(1, nil, list)
 	go list.Run(t.Context())
--- a/internal/net/node/report.go
+++ b/internal/net/node/report.go
@@ -8,13 +8,13 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/clients"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 const reportEvery = 5 * time.Second // on-call staff see a trouble grow; nothing is logged for each lookup
 
 // report logs what happened since the last line.
-func report(ctx context.Context, x *exchange.Exchange, front *clients.Clients, log *zap.Logger) {
+func report(ctx context.Context, x *dispatch.Exchange, front *clients.Clients, log *zap.Logger) {
 	every := time.NewTicker(reportEvery)
 	defer every.Stop()
 	for {
@@ -27,7 +27,7 @@
 		ends := make([]zap.Field, 0, len(y.Ends))
 		for end, n := range y.Ends {
 			if n > 0 {
-				ends = append(ends, zap.Int(exchange.End(end).String(), n))
+				ends = append(ends, zap.Int(dispatch.End(end).String(), n))
 			}
 		}
 		var m runtime.MemStats
--- a/internal/net/servers/answers_test.go
+++ b/internal/net/servers/answers_test.go
@@ -18,7 +18,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/permit"
 )
 
@@ -236,7 +236,7 @@
 							}
 						}
 					}
-					if end, a := s.send(sh); end != exchange.Whole || string(a.Body) != trace {
+					if end, a := s.send(sh); end != dispatch.Whole || string(a.Body) != trace {
 						t.Errorf("shot %d: %v %q", i, end, a.Body)
 					}
 				}
@@ -259,7 +259,7 @@
 		came.Add(1)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 	})
-	for left, want := range map[time.Duration]exchange.End{10 * time.Millisecond: exchange.Overtaken, 5 * time.Second: exchange.Whole} {
+	for left, want := range map[time.Duration]dispatch.End{10 * time.Millisecond: dispatch.Overtaken, 5 * time.Second: dispatch.Whole} {
 		sh := shot(address, "PUT", "v")
 		sh.BeginBy = time.Now().Add(left)
 		sh.Gone = func() bool {
@@ -293,7 +293,7 @@
 	}
 	sh := shot(address, "GET", "")
 	sh.Within = 2 * time.Second
-	if end, _ := s.send(sh); end != exchange.Whole {
+	if end, _ := s.send(sh); end != dispatch.Whole {
 		t.Fatal(end)
 	}
 	us, err := strconv.Atoi(strings.TrimSuffix(<-told, "u"))
@@ -329,7 +329,7 @@
 	began := time.Now()
 	sh := shot(address, "GET", "")
 	sh.Within = 200 * time.Millisecond
-	if end, _ := s.send(sh); end != exchange.Overtaken || time.Since(began) < sh.Within || time.Since(began) > 2*time.Second {
+	if end, _ := s.send(sh); end != dispatch.Overtaken || time.Since(began) < sh.Within || time.Since(began) > 2*time.Second {
 		t.Errorf("%v after %v", end, time.Since(began))
 	}
 	for range fill {
@@ -384,7 +384,7 @@
 		sh := shot(address, "GET", "")
 		sh.Within = 300 * time.Millisecond
 		end, a := s.send(sh)
-		if took := time.Since(began); end != exchange.Silent && end != exchange.Spoilt || took > 3*time.Second || len(a.Body) > 0 {
+		if took := time.Since(began); end != dispatch.Silent && end != dispatch.Spoilt || took > 3*time.Second || len(a.Body) > 0 {
 			t.Errorf("%q: %v after %v", text, end, took)
 		}
 		select {
--- a/internal/net/servers/failing_test.go
+++ b/internal/net/servers/failing_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -57,7 +57,7 @@
 		if !end.MayHaveRun() && reached.Load() > 0 {
 			t.Errorf("%s, %v, %d times: %v counts as not run, and has", c.call, c.err, c.times, end)
 		}
-		if end == exchange.Whole {
+		if end == dispatch.Whole {
 			continue
 		}
 		for by := time.Now().Add(time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/net/servers/local_test.go
+++ b/internal/net/servers/local_test.go
@@ -6,19 +6,19 @@
 	"syscall"
 	"testing"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // An error of this machine in making a connection tells nothing of the server. connect(2) and socket(2) document which there are; only
 // what the server's machine or the way to it answered counts against it.
 func TestTroubleOfThisMachineIsNotTheServers(t *testing.T) {
-	for err, want := range map[syscall.Errno]exchange.End{
-		syscall.EADDRNOTAVAIL: exchange.NoRoom, syscall.EADDRINUSE: exchange.NoRoom, syscall.EAGAIN: exchange.NoRoom, syscall.ENOBUFS: exchange.NoRoom,
-		syscall.ENOMEM: exchange.NoRoom, syscall.EMFILE: exchange.NoRoom, syscall.ENFILE: exchange.NoRoom, syscall.ENETUNREACH: exchange.NoRoom,
-		syscall.ENETDOWN: exchange.NoRoom, syscall.EPERM: exchange.NoRoom, syscall.EACCES: exchange.NoRoom, syscall.EAFNOSUPPORT: exchange.NoRoom,
-		syscall.EINTR: exchange.NoRoom, syscall.EINVAL: exchange.NoRoom,
-		syscall.ECONNREFUSED: exchange.Unreached, syscall.EHOSTUNREACH: exchange.Unreached, syscall.EHOSTDOWN: exchange.Unreached,
-		syscall.ETIMEDOUT: exchange.Unheard, syscall.ECONNRESET: exchange.Unwritten,
+	for err, want := range map[syscall.Errno]dispatch.End{
+		syscall.EADDRNOTAVAIL: dispatch.NoRoom, syscall.EADDRINUSE: dispatch.NoRoom, syscall.EAGAIN: dispatch.NoRoom, syscall.ENOBUFS: dispatch.NoRoom,
+		syscall.ENOMEM: dispatch.NoRoom, syscall.EMFILE: dispatch.NoRoom, syscall.ENFILE: dispatch.NoRoom, syscall.ENETUNREACH: dispatch.NoRoom,
+		syscall.ENETDOWN: dispatch.NoRoom, syscall.EPERM: dispatch.NoRoom, syscall.EACCES: dispatch.NoRoom, syscall.EAFNOSUPPORT: dispatch.NoRoom,
+		syscall.EINTR: dispatch.NoRoom, syscall.EINVAL: dispatch.NoRoom,
+		syscall.ECONNREFUSED: dispatch.Unreached, syscall.EHOSTUNREACH: dispatch.Unreached, syscall.EHOSTDOWN: dispatch.Unreached,
+		syscall.ETIMEDOUT: dispatch.Unheard, syscall.ECONNRESET: dispatch.Unwritten,
 	} {
 		s := side(t)
 		s.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", err) }
--- a/internal/net/servers/long.go
+++ b/internal/net/servers/long.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/clock"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 const (
@@ -52,8 +52,8 @@
 }
 
 // pass hands a long answer on, and waits until it is through.
-func (s *Servers) pass(ctx context.Context, shot *exchange.Shot, resp *http.Response, answer exchange.Answer,
-	end context.CancelCauseFunc) (exchange.End, exchange.Answer, error) {
+func (s *Servers) pass(ctx context.Context, shot *dispatch.Shot, resp *http.Response, answer dispatch.Answer,
+	end context.CancelCauseFunc) (dispatch.End, dispatch.Answer, error) {
 	f := &flow{from: resp.Body, end: end, left: s.bounds.Long - int64(len(answer.Body)), over: make(chan struct{}),
 		broke: func(err error) {
 			if !errors.Is(context.Cause(ctx), errLeft) {
@@ -64,11 +64,11 @@
 	f.silent = time.AfterFunc(time.Hour, f.look)
 	f.silent.Stop()
 	answer.Rest = f
-	if !shot.Settle(exchange.Whole, answer) {
-		return exchange.Whole, exchange.Answer{}, nil // somebody else's answer came first
+	if !shot.Settle(dispatch.Whole, answer) {
+		return dispatch.Whole, dispatch.Answer{}, nil // somebody else's answer came first
 	}
 	<-f.over
-	return exchange.Whole, exchange.Answer{}, nil
+	return dispatch.Whole, dispatch.Answer{}, nil
 }
 
 // flow is what is left of a long answer. A server that gives nothing is not waited for without end; a client that takes
@@ -152,7 +152,7 @@
 
 // watch looks after an answer from its first byte on: one that pauses for unusually long may be stuck, and is given up
 // when it goes on pausing.
-func (s *Servers) watch(shot *exchange.Shot, on *carried, halt func(error)) *time.Timer {
+func (s *Servers) watch(shot *dispatch.Shot, on *carried, halt func(error)) *time.Timer {
 	var t *time.Timer
 	told := false
 	t = time.AfterFunc(time.Hour, func() {
--- a/internal/net/servers/send.go
+++ b/internal/net/servers/send.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/permit"
 )
 
@@ -35,7 +35,7 @@
 func (onceOnly) Close() error { return nil }
 
 // request makes what goes on: the bytes that came, and the time that is left.
-func request(ctx context.Context, shot *exchange.Shot) *http.Request {
+func request(ctx context.Context, shot *dispatch.Shot) *http.Request {
 	r := &http.Request{Method: shot.Method, Host: shot.Address,
 		// The target as it came: not parsed, not escaped. The host is what connections are kept by: a new server
 		// at the address of one that has gone must get none that was made to the old one.
@@ -58,7 +58,7 @@
 func expiresIn(left time.Duration) string { return strconv.FormatInt(left.Microseconds(), 10) + "u" }
 
 // within is how long an answer is waited for, counted from the last byte of a body with a rest.
-func within(shot *exchange.Shot) time.Duration {
+func within(shot *dispatch.Shot) time.Duration {
 	if shot.Rest != nil {
 		return shot.Patience
 	}
@@ -107,7 +107,7 @@
 }
 
 // deadline gives the time that the server is told to have, from now on: its connection may have come up late.
-func (on *carried) deadline(shot *exchange.Shot, until time.Time) time.Duration {
+func (on *carried) deadline(shot *dispatch.Shot, until time.Time) time.Duration {
 	told, client := shot.Within, shot.ClientUntil()
 	if left := time.Until(until); told-left > tellAnew {
 		told = max(0, left)
@@ -145,7 +145,7 @@
 
 // send does one exchange with a server and tells how it ended. A connection that breaks before the shot was
 // written whole tells little of the server, and the shot has not run, so another one is tried.
-func (s *Servers) send(shot *exchange.Shot) (exchange.End, exchange.Answer) {
+func (s *Servers) send(shot *dispatch.Shot) (dispatch.End, dispatch.Answer) {
 	sent := time.Now()
 	until := shot.Until(sent)
 	for tried := 1; ; tried++ {
@@ -158,11 +158,11 @@
 		once := shot.Rest != nil && shot.Rest.Begun()
 		denied := on.withheld()
 		shot.Denied(denied)
-		again := end == exchange.Unwritten || denied == permit.NotQuiet || denied == permit.ConnectionEnding || denied == permit.DeadlineStale
+		again := end == dispatch.Unwritten || denied == permit.NotQuiet || denied == permit.ConnectionEnding || denied == permit.DeadlineStale
 		if again && tried < triesMost && s.context.Err() == nil && !late && !once {
 			continue
 		}
-		if end <= exchange.Unclear && (shot.Rest == nil || shot.Rest.Whole()) {
+		if end <= dispatch.Unclear && (shot.Rest == nil || shot.Rest.Whole()) {
 			shot.Written() // also where nothing was left in the transport's buffer
 		}
 		if err != nil {
@@ -174,7 +174,7 @@
 }
 
 // once tries one connection.
-func (s *Servers) once(shot *exchange.Shot, until time.Time, on *carried) (exchange.End, exchange.Answer, error) {
+func (s *Servers) once(shot *dispatch.Shot, until time.Time, on *carried) (dispatch.End, dispatch.Answer, error) {
 	ctx, end := context.WithCancelCause(s.context)
 	defer end(nil)
 	w := &wait{end: end}
@@ -214,22 +214,22 @@
 	}), shot)
 	resp, err := s.transport.RoundTrip(r)
 	if err != nil {
-		return s.broken(ctx, err, shot, on), exchange.Answer{}, err
+		return s.broken(ctx, err, shot, on), dispatch.Answer{}, err
 	}
 	defer resp.Body.Close()
 	how, answer, err := s.read(resp, until)
-	if how == exchange.TurnedAway && on.written == 0 && resp.Close {
-		how = exchange.Crowded // a full queue turns a shot away and keeps the connection
+	if how == dispatch.TurnedAway && on.written == 0 && resp.Close {
+		how = dispatch.Crowded // a full queue turns a shot away and keeps the connection
 	}
 	denied := on.withheld()
 	switch {
 	case denied != permit.Granted:
-		return endOf(denied), exchange.Answer{}, denial{denied}
+		return endOf(denied), dispatch.Answer{}, denial{denied}
 	case err != nil && ctx.Err() != nil:
-		return s.gaveUp(ctx), exchange.Answer{}, err
+		return s.gaveUp(ctx), dispatch.Answer{}, err
 	case err != nil && on.conn.failedHere.Load():
-		return exchange.Withdrawn, exchange.Answer{}, err
-	case err != nil || how != exchange.Whole:
+		return dispatch.Withdrawn, dispatch.Answer{}, err
+	case err != nil || how != dispatch.Whole:
 		return how, answer, err
 	}
 	s.pauses.seen(on.conn.paused())
@@ -237,7 +237,7 @@
 		limit.Stop() // it has come in time; how long it takes is the server's and the client's
 		watch.Stop()
 		if w.over(); ctx.Err() != nil {
-			return s.gaveUp(ctx), exchange.Answer{}, context.Cause(ctx)
+			return s.gaveUp(ctx), dispatch.Answer{}, context.Cause(ctx)
 		}
 		return s.pass(ctx, shot, resp, answer, end)
 	}
@@ -276,62 +276,62 @@
 
 // broken tells how an exchange without an answer ended. The transport returns only after its writing
 // is over, unless the wait for it was given up: then what was written is in doubt, and it may have run.
-func (s *Servers) broken(ctx context.Context, err error, shot *exchange.Shot, on *carried) exchange.End {
+func (s *Servers) broken(ctx context.Context, err error, shot *dispatch.Shot, on *carried) dispatch.End {
 	var dial *net.OpError // the dial's own word
 	denied := on.withheld()
 	switch {
 	case errors.Is(err, errNoRoom), on.conn == nil && local(err):
-		return exchange.NoRoom
+		return dispatch.NoRoom
 	case denied != permit.Granted && s.context.Err() == nil:
 		return endOf(denied)
 	case on.conn == nil && s.context.Err() != nil:
-		return exchange.Withdrawn
+		return dispatch.Withdrawn
 	case on.conn == nil && ctx.Err() != nil && !errors.As(err, &dial):
-		return exchange.Overtaken
+		return dispatch.Overtaken
 	case on.conn == nil && errors.Is(err, syscall.ECONNRESET):
-		return exchange.Unwritten // a new connection that is reset: a dead server would refuse it
+		return dispatch.Unwritten // a new connection that is reset: a dead server would refuse it
 	case on.conn == nil && errors.As(err, &dial) && dial.Timeout():
-		return exchange.Unheard
+		return dispatch.Unheard
 	case on.conn == nil:
-		return exchange.Unreached
+		return dispatch.Unreached
 	case shot.Rest != nil && !shot.Rest.Whole():
-		return exchange.Unwritten // its last byte never came to us
+		return dispatch.Unwritten // its last byte never came to us
 	case ctx.Err() != nil:
 		return s.gaveUp(ctx)
 	case on.unwritten() && on.conn.failedHere.Load():
-		return exchange.NoRoom
+		return dispatch.NoRoom
 	case on.unwritten():
-		return exchange.Unwritten
+		return dispatch.Unwritten
 	case on.conn.failedHere.Load():
-		return exchange.Withdrawn
+		return dispatch.Withdrawn
 	case on.answered() && !breaks(err):
-		return exchange.Spoilt
+		return dispatch.Spoilt
 	default:
-		return exchange.Lost
+		return dispatch.Lost
 	}
 }
 
 // endOf tells how an attempt ended that was not written. Only what its server did on the connection tells of that server.
-func endOf(denied permit.Reason) exchange.End {
+func endOf(denied permit.Reason) dispatch.End {
 	switch denied {
 	case permit.RequestOver, permit.ClientGone:
-		return exchange.Withheld
+		return dispatch.Withheld
 	case permit.UnsolicitedBytes:
-		return exchange.Unwritten
+		return dispatch.Unwritten
 	default:
-		return exchange.Overtaken
+		return dispatch.Overtaken
 	}
 }
 
 // gaveUp tells why the node stopped waiting.
-func (s *Servers) gaveUp(ctx context.Context) exchange.End {
+func (s *Servers) gaveUp(ctx context.Context) dispatch.End {
 	switch {
 	case s.context.Err() != nil:
-		return exchange.Withdrawn
+		return dispatch.Withdrawn
 	case errors.Is(context.Cause(ctx), errHalf):
-		return exchange.Spoilt
+		return dispatch.Spoilt
 	default:
-		return exchange.Silent
+		return dispatch.Silent
 	}
 }
 
@@ -345,36 +345,36 @@
 // read takes an answer whole before it counts, which also lets its connection be used again. Of a long one it takes the
 // first bytes; its Length is not 0 then. Where an answer says nothing of its length it is whole when the server ends the
 // connection; one that dies resets it.
-func (s *Servers) read(resp *http.Response, until time.Time) (exchange.End, exchange.Answer, error) {
+func (s *Servers) read(resp *http.Response, until time.Time) (dispatch.End, dispatch.Answer, error) {
 	good := resp.StatusCode == http.StatusOK
 	switch most := s.bounds.Long; {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
-		return exchange.Spoilt, exchange.Answer{}, errOther
+		return dispatch.Spoilt, dispatch.Answer{}, errOther
 	case resp.ContentLength > most, resp.ContentLength > s.bounds.Body && !good:
-		return exchange.Spoilt, exchange.Answer{}, errTooLong
+		return dispatch.Spoilt, dispatch.Answer{}, errTooLong
 	}
-	answer := exchange.Answer{ContentType: resp.Header.Get("Content-Type")}
+	answer := dispatch.Answer{ContentType: resp.Header.Get("Content-Type")}
 	long, err := false, error(nil)
 	if answer.Body, long, err = s.gather(resp, good, until); long {
 		answer.Length = resp.ContentLength
 	}
 	switch {
 	case err != nil && breaks(err):
-		return exchange.CutShort, exchange.Answer{}, err
+		return dispatch.CutShort, dispatch.Answer{}, err
 	case err != nil:
-		return exchange.Spoilt, exchange.Answer{}, err
+		return dispatch.Spoilt, dispatch.Answer{}, err
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return exchange.Whole, answer, nil
+		return dispatch.Whole, answer, nil
 	case http.StatusNotFound:
-		return exchange.Lacking, exchange.Answer{}, nil
+		return dispatch.Lacking, dispatch.Answer{}, nil
 	case http.StatusInternalServerError:
-		return exchange.Failing, exchange.Answer{}, nil
+		return dispatch.Failing, dispatch.Answer{}, nil
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get("X-Never-Ran") == "1" {
-			return exchange.TurnedAway, exchange.Answer{}, nil
+			return dispatch.TurnedAway, dispatch.Answer{}, nil
 		}
 	}
-	return exchange.Unclear, exchange.Answer{}, nil
+	return dispatch.Unclear, dispatch.Answer{}, nil
 }
--- a/internal/net/servers/servers.go
+++ b/internal/net/servers/servers.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // Bounds is what the servers' side may take.
@@ -82,21 +82,21 @@
 func (s *Servers) Most(n int) { s.dialer.bound(n) }
 
 // Carry sends a shot and settles it, without making its caller wait.
-func (s *Servers) Carry(shot *exchange.Shot) {
+func (s *Servers) Carry(shot *dispatch.Shot) {
 	go func() {
 		defer s.out.Add(-1)
-		end, answer := exchange.NoRoom, exchange.Answer{}
+		end, answer := dispatch.NoRoom, dispatch.Answer{}
 		// A panic must not take the node down, and a shot that settled nowhere would keep its lookup for ever.
 		defer func() {
 			if r := recover(); r != nil {
 				s.log.Error("a shot panicked", zap.Any("panic", r), zap.Stack("stack"))
-				end, answer = exchange.Lost, exchange.Answer{}
+				end, answer = dispatch.Lost, dispatch.Answer{}
 			}
 			shot.Settle(end, answer)
 			shot.Over()
 		}()
 		if faults.Without(faults.OneAttempt) {
-			time.AfterFunc(shot.Within/earlyPart, func() { shot.Settle(exchange.Silent, exchange.Answer{}) })
+			time.AfterFunc(shot.Within/earlyPart, func() { shot.Settle(dispatch.Silent, dispatch.Answer{}) })
 		}
 		if s.out.Add(1) <= int64(s.bounds.Shots) {
 			end, answer = s.send(shot)
--- a/internal/net/servers/servers_test.go
+++ b/internal/net/servers/servers_test.go
@@ -19,7 +19,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -30,8 +30,8 @@
 	return s
 }
 
-func shot(address, method string, body string) *exchange.Shot {
-	return &exchange.Shot{Lookup: &exchange.Lookup{Method: method, Target: "/read/k", Trace: "t", Body: []byte(body)},
+func shot(address, method string, body string) *dispatch.Shot {
+	return &dispatch.Shot{Lookup: &dispatch.Lookup{Method: method, Target: "/read/k", Trace: "t", Body: []byte(body)},
 		Address: address, Within: 500 * time.Millisecond}
 }
 
@@ -92,8 +92,8 @@
 	})
 	for i, c := range []struct {
 		left time.Duration
-		want exchange.End
-	}{{-time.Millisecond, exchange.Overtaken}, {time.Second, exchange.Whole}, {-time.Millisecond, exchange.Overtaken}} {
+		want dispatch.End
+	}{{-time.Millisecond, dispatch.Overtaken}, {time.Second, dispatch.Whole}, {-time.Millisecond, dispatch.Overtaken}} {
 		late := shot(server, "GET", "")
 		late.BeginBy = time.Now().Add(c.left)
 		if end, _ := s.send(late); end != c.want {
@@ -151,7 +151,7 @@
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	send := func(target string) exchange.End {
+	send := func(target string) dispatch.End {
 		sent := shot(server, "GET", "")
 		sent.Target = target
 		end, _ := s.send(sent)
@@ -170,7 +170,7 @@
 			}
 		}
 	}
-	slow := make(chan exchange.End)
+	slow := make(chan dispatch.End)
 	go func() { slow <- send("/slow") }()
 	<-begun // a connection that no request was written to yet carries nothing, and may be closed
 	open(1)
@@ -182,13 +182,13 @@
 	open(2)
 	s.HangUp(0, 0)
 	open(1)
-	if close(hold); <-slow != exchange.Whole {
+	if close(hold); <-slow != dispatch.Whole {
 		t.Error("a connection in use was closed")
 	}
 	before := served.Load()
 	for range 200 {
 		s.HangUp(0, 0)
-		if end := send("/quick"); end != exchange.Whole {
+		if end := send("/quick"); end != dispatch.Whole {
 			t.Fatalf("a shot ended %v", end)
 		}
 	}
@@ -207,7 +207,7 @@
 		fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		c.Close()
 	})
-	for _, want := range []exchange.End{exchange.Whole, exchange.TurnedAway} {
+	for _, want := range []dispatch.End{dispatch.Whole, dispatch.TurnedAway} {
 		if end, _ := s.send(shot(server, "GET", "")); end != want {
 			t.Errorf("the shot ended %v, want %v", end, want)
 		}
@@ -293,7 +293,7 @@
 		began := time.Now()
 		address := raw(t, func(c net.Conn, _ *http.Request, _ int) { _, _ = io.WriteString(c, text) })
 		end, _ := side(t).send(shot(address, "GET", ""))
-		if took := time.Since(began); end != exchange.Spoilt || took < stuckFactor*pauseLeast || took > 2*stuckFactor*pauseLeast {
+		if took := time.Since(began); end != dispatch.Spoilt || took < stuckFactor*pauseLeast || took > 2*stuckFactor*pauseLeast {
 			t.Errorf("%q: %v after %v", text, end, took)
 		}
 	}
@@ -316,7 +316,7 @@
 				open++
 			}
 			c.mu.Unlock()
-			if end != exchange.Spoilt {
+			if end != dispatch.Spoilt {
 				t.Errorf("%q: %v", text, end)
 			}
 		}
@@ -351,7 +351,7 @@
 			for i := range 30 {
 				sh := shot(address, "GET", "")
 				sh.Trace = string(rune('a' + i%26))
-				if end, a := s.send(sh); end != exchange.Whole || string(a.Body) != sh.Trace {
+				if end, a := s.send(sh); end != dispatch.Whole || string(a.Body) != sh.Trace {
 					t.Fatalf("%q after %v, shot %d: %v %q", behind, later, i, end, a.Body)
 				}
 				got <- true
@@ -433,7 +433,7 @@
 	for i, want := range []string{"0", "1", "0", "2", "1"} { // requests before it on its connection
 		sh := shot(address, "GET", "")
 		sh.Place = []uint64{1, 1, 2, 1, 2}[i]
-		if end, a := s.send(sh); end != exchange.Whole || string(a.Body) != want {
+		if end, a := s.send(sh); end != dispatch.Whole || string(a.Body) != want {
 			t.Errorf("shot %d: %v %q, want %s", i, end, a.Body, want)
 		}
 	}
@@ -457,7 +457,7 @@
 		return c, err
 	}
 	for i := range 5 {
-		if end, _ := s.send(shot(address, "GET", "")); end != exchange.Whole {
+		if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Whole {
 			t.Fatalf("shot %d: %v", i, end)
 		}
 	}
@@ -496,7 +496,7 @@
 		sh.Idempotency = c.key
 		first, _ := s.send(sh)
 		second, _ := s.send(sh)
-		if first != exchange.Lacking || second != exchange.Lost || seen.Load() != 2 {
+		if first != dispatch.Lacking || second != dispatch.Lost || seen.Load() != 2 {
 			t.Errorf("%v: %v, then %v; the server saw %d requests", c, first, second, seen.Load())
 		}
 	}
@@ -516,7 +516,7 @@
 	for _, c := range []struct{ method, body string }{{"PUT", "a\x00b"}, {"PUT", ""}, {"GET", ""}} {
 		sh := shot(server.Listener.Addr().String(), c.method, c.body)
 		sh.Target, sh.Trace, sh.Idempotency = "/read/a%2Fb;x//c%20?q=%41&&z", "tRaCe", "Key 1"
-		if end, _ := side(t).send(sh); end != exchange.Whole {
+		if end, _ := side(t).send(sh); end != dispatch.Whole {
 			t.Fatal(end)
 		}
 		h := seen.Header
@@ -548,16 +548,16 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if end, _ := side(t).send(shot(l.Addr().String(), "GET", "")); end != exchange.Unreached {
+	if end, _ := side(t).send(shot(l.Addr().String(), "GET", "")); end != dispatch.Unreached {
 		t.Errorf("refused: %v", end)
 	}
 	// The peer takes a few bytes, or none, and breaks: the last byte was never written. Once it has all, it may run.
 	for _, c := range []struct {
 		method, body string
 		taken        int
-		want         exchange.End
-	}{{"PUT", "value", 10, exchange.Unwritten}, {"GET", "", 10, exchange.Unwritten}, {"GET", "", 0, exchange.Unwritten},
-		{"PUT", "value", 1 << 10, exchange.Lost}, {"GET", "", 1 << 10, exchange.Lost}} {
+		want         dispatch.End
+	}{{"PUT", "value", 10, dispatch.Unwritten}, {"GET", "", 10, dispatch.Unwritten}, {"GET", "", 0, dispatch.Unwritten},
+		{"PUT", "value", 1 << 10, dispatch.Lost}, {"GET", "", 1 << 10, dispatch.Lost}} {
 		s := side(t)
 		s.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 			near, far := tcp(t)
@@ -586,13 +586,13 @@
 	for _, method := range []string{"GET", "PUT"} {
 		s, sh, began := side(t), shot(address, method, ""), time.Now()
 		sh.Within = pauseLeast / 2
-		if end, _ := s.send(sh); end != exchange.Silent || time.Since(began) > time.Second {
+		if end, _ := s.send(sh); end != dispatch.Silent || time.Since(began) > time.Second {
 			t.Errorf("%s: %v after %v", method, end, time.Since(began))
 		}
 	}
 	s := side(t)
 	time.AfterFunc(20*time.Millisecond, s.Close)
-	if end, _ := s.send(shot(address, "GET", "")); end != exchange.Withdrawn {
+	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Withdrawn {
 		t.Errorf("at the node's own end: %v", end)
 	}
 }
@@ -604,26 +604,26 @@
 
 // A shot beyond the bound, and one whose carrying panics, are settled all the same.
 func TestEveryShotIsSettled(t *testing.T) {
-	for want, spoil := range map[exchange.End]func(*Servers){
-		exchange.NoRoom: func(s *Servers) { s.bounds.Shots = 0 },
-		exchange.Lost:   func(s *Servers) { s.transport = nil },
+	for want, spoil := range map[dispatch.End]func(*Servers){
+		dispatch.NoRoom: func(s *Servers) { s.bounds.Shots = 0 },
+		dispatch.Lost:   func(s *Servers) { s.transport = nil },
 	} {
 		d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 200., "time-limit-ms": 750.}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, s := exchange.New(d, zap.NewNop()), side(t)
+		x, s := dispatch.New(d, zap.NewNop()), side(t)
 		x.Start(1, s, nobody{})
-		x.List(routing.Whole, []exchange.Box{{ID: "a", Address: "127.0.0.1:1"}})
+		x.List(routing.Whole, []dispatch.Box{{ID: "a", Address: "127.0.0.1:1"}})
 		whole := s.transport
 		spoil(s)
-		ticket, err := x.Take(exchange.Lookup{Namespace: "read"}, time.Now(), time.Second)
+		ticket, err := x.Take(dispatch.Lookup{Namespace: "read"}, time.Now(), time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		a := <-ticket.Answers()
-		if y := x.Tally(); a.Outcome != exchange.Deferred || y.Ends[want] != 1 || x.Out() != 0 {
+		if y := x.Tally(); a.Outcome != dispatch.Deferred || y.Ends[want] != 1 || x.Out() != 0 {
 			t.Errorf("%v: %+v, ends %v", want, a, y.Ends)
 		}
 		s.transport = whole
@@ -635,9 +635,9 @@
 func TestAShotIsNotBegunAfterItsLookupsEnd(t *testing.T) {
 	for _, c := range []struct {
 		when string // the client leaves
-		want exchange.End
+		want dispatch.End
 		came int64
-	}{{"while a connection comes up", exchange.Withheld, 0}, {"between two tries", exchange.Withheld, 0}, {"once it was written", exchange.Whole, 1}} {
+	}{{"while a connection comes up", dispatch.Withheld, 0}, {"between two tries", dispatch.Withheld, 0}, {"once it was written", dispatch.Whole, 1}} {
 		d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 700., "time-limit-ms": 750.}}})
 		if err != nil {
@@ -650,7 +650,7 @@
 			leave()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 		})
-		x, s, dials := exchange.New(d, zap.NewNop()), side(t), 0
+		x, s, dials := dispatch.New(d, zap.NewNop()), side(t), 0
 		dial := s.transport.DialContext
 		s.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 			<-taken
@@ -663,8 +663,8 @@
 			return dial(ctx, network, to)
 		}
 		x.Start(1, s, nobody{})
-		x.List(routing.Whole, []exchange.Box{{ID: "a", Address: address}})
-		ticket, err := x.Take(exchange.Lookup{Namespace: "read", Method: "GET", Target: "/read/k", Trace: "t"}, time.Now(), time.Second)
+		x.List(routing.Whole, []dispatch.Box{{ID: "a", Address: address}})
+		ticket, err := x.Take(dispatch.Lookup{Namespace: "read", Method: "GET", Target: "/read/k", Trace: "t"}, time.Now(), time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -709,21 +709,21 @@
 	d.most, d.each, d.to = 8, 1, map[string]int{}
 	d.Timeout = 100 * time.Millisecond
 	s.transport.DialContext = d.dial
-	began, first := time.Now(), make(chan exchange.End)
+	began, first := time.Now(), make(chan dispatch.End)
 	go func() {
 		end, _ := s.send(shot(address, "GET", ""))
 		first <- end
 	}()
 	time.Sleep(30 * time.Millisecond)
-	if end, _ := s.send(shot(address, "GET", "")); end != exchange.NoRoom {
+	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.NoRoom {
 		t.Errorf("a second dial to one server: %v", end)
 	}
-	if end := <-first; end != exchange.Unheard || time.Since(began) > 450*time.Millisecond {
+	if end := <-first; end != dispatch.Unheard || time.Since(began) > 450*time.Millisecond {
 		t.Errorf("%v after %v", end, time.Since(began))
 	}
 	hurried := shot(address, "GET", "")
 	hurried.Within = 20 * time.Millisecond
-	if end, _ := s.send(hurried); end != exchange.Overtaken {
+	if end, _ := s.send(hurried); end != dispatch.Overtaken {
 		t.Errorf("with less time than a dial has: %v", end)
 	}
 	time.Sleep(150 * time.Millisecond) // that dial lives on for its own time
@@ -784,7 +784,7 @@
 	}
 	server.Start()
 	defer server.Close()
-	if end, _ := side(t).send(shot(server.Listener.Addr().String(), "GET", "")); end != exchange.Whole {
+	if end, _ := side(t).send(shot(server.Listener.Addr().String(), "GET", "")); end != dispatch.Whole {
 		t.Fatal(end)
 	}
 	select {
--- a/internal/net/servers/unsolicited_test.go
+++ b/internal/net/servers/unsolicited_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/exchange"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
 // A server that answers twice sends its second answer some milliseconds after the first, when the next request may be out on
@@ -42,7 +42,7 @@
 				sh := shot(address, "GET", "")
 				sh.Trace = fmt.Sprintf("trace-%d", i)
 				end, answer := s.send(sh)
-				if end != exchange.Whole {
+				if end != dispatch.Whole {
 					continue
 				}
 				if _, excused := late.Load(string(answer.Body)); excused {
@@ -69,7 +69,7 @@
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	for i := range 20 {
-		if end, _ := s.send(shot(address, "GET", "")); end != exchange.Whole {
+		if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Whole {
 			t.Fatalf("request %d ended %v", i, end)
 		}
 	}
@@ -87,12 +87,12 @@
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	if end, _ := s.send(shot(address, "GET", "")); end != exchange.Whole {
+	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Whole {
 		t.Fatal(end)
 	}
 	hurried := shot(address, "GET", "")
 	hurried.Within = 2 * quietLeast
-	if end, _ := s.send(hurried); end != exchange.Whole {
+	if end, _ := s.send(hurried); end != dispatch.Whole {
 		t.Errorf("ended %v", end)
 	}
 	if n := opened.Load(); n != 2 {
