--- a/internal/net/clients/ahead.go
+++ b/internal/net/frontend/ahead.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"errors"
--- a/internal/net/clients/clients.go
+++ b/internal/net/frontend/clients.go
@@ -1,5 +1,5 @@
-// Package clients is the side of a node that clients talk to, on net/http's server.
-package clients
+// Package frontend is the side of a node that clients talk to, on net/http's server.
+package frontend
 
 import (
 	"context"
--- a/internal/net/clients/failing_test.go
+++ b/internal/net/frontend/failing_test.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package clients
+package frontend
 
 import (
 	"bufio"
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -16,8 +16,8 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/clients"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
+	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -325,7 +325,7 @@
 		list = append(list, dispatch.Box{ID: id, Address: id + ":1", Machine: "box"})
 	}
 	s.x.List(routing.Whole, list)
-	front := clients.New(s.x, clients.Bounds{Descriptors: 16, Beyond: 2, LongestLimit: d.LongestLimit, Body: bodyMost, Long: longMost}, zap.NewNop())
+	front := frontend.New(s.x, frontend.Bounds{Descriptors: 16, Beyond: 2, LongestLimit: d.LongestLimit, Body: bodyMost, Long: longMost}, zap.NewNop())
 	l := loopback(s.t)
 	return l.Addr().String(), func() { go func() { _ = front.Serve(l) }() }
 }
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -17,9 +17,9 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
 	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
-	"github.com/thistlerudder/thistlerudder/internal/net/clients"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
+	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 	"github.com/thistlerudder/thistlerudder/internal/net/handover"
 	"github.com/thistlerudder/thistlerudder/internal/net/servers"
 )
@@ -123,9 +123,9 @@
 	)
 	defer carrier.Close()
 	list := boxlist.New(x, s.Discovery, s.AskWithin, log.Named("boxlist"))
-	front := clients.New(
+	front := frontend.New(
 		x,
-		clients.Bounds{
+		frontend.Bounds{
 			Descriptors:  l.clients,
 			Beyond:       l.beyond,
 			LongestLimit: s.LongestLimit,
--- a/internal/net/node/operated.go
+++ b/internal/net/node/operated.go
@@ -9,9 +9,9 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
 	"github.com/thistlerudder/thistlerudder/internal/net/bans"
-	"github.com/thistlerudder/thistlerudder/internal/net/clients"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
+	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 )
 
 const (
@@ -36,7 +36,7 @@
 // operated is what operators' calls are about.
 type operated struct {
 	exchange *dispatch.Exchange
-	front    *clients.Clients
+	front    *frontend.Clients
 	bans     *bans.Book
 	fleet    *fellows.Fellows // nil: there is none
 }
--- a/internal/net/node/report.go
+++ b/internal/net/node/report.go
@@ -7,14 +7,14 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/clients"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
+	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 )
 
 const reportEvery = 5 * time.Second // on-call staff see a trouble grow; nothing is logged for each lookup
 
 // report logs what happened since the last line.
-func report(ctx context.Context, x *dispatch.Exchange, front *clients.Clients, log *zap.Logger) {
+func report(ctx context.Context, x *dispatch.Exchange, front *frontend.Clients, log *zap.Logger) {
 	every := time.NewTicker(reportEvery)
 	defer every.Stop()
 	for {
