--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -18,7 +18,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
-	"github.com/thistlerudder/thistlerudder/internal/net/servers"
+	"github.com/thistlerudder/thistlerudder/internal/net/upstream"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -27,7 +27,7 @@
 
 // steered is the server side of a node, whose attempts go where the test says.
 type steered struct {
-	*servers.Servers
+	*upstream.Servers
 	mu    sync.Mutex
 	tries map[string]int
 	steer func(a *dispatch.Shot, nth int) // may hold it up
@@ -316,7 +316,7 @@
 		s.t.Fatal(err)
 	}
 	s.x = dispatch.New(d, zap.NewNop())
-	carrier := servers.New(servers.Bounds{Descriptors: 32, Shots: 32, ConnectWithin: d.ConnectWithin, IdleFor: d.IdleFor, Body: bodyMost,
+	carrier := upstream.New(upstream.Bounds{Descriptors: 32, Shots: 32, ConnectWithin: d.ConnectWithin, IdleFor: d.IdleFor, Body: bodyMost,
 		Long: longMost}, zap.NewNop())
 	s.t.Cleanup(carrier.Close)
 	s.x.Start(1, &steered{Servers: carrier, tries: map[string]int{}, steer: s.steer}, unlisted{})
--- a/internal/net/node/kinds_test.go
+++ b/internal/net/node/kinds_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
-	"github.com/thistlerudder/thistlerudder/internal/net/servers"
+	"github.com/thistlerudder/thistlerudder/internal/net/upstream"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -121,7 +121,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	carrier := servers.New(servers.Bounds{Descriptors: 64, Shots: 256, ConnectWithin: 75 * time.Millisecond,
+	carrier := upstream.New(upstream.Bounds{Descriptors: 64, Shots: 256, ConnectWithin: 75 * time.Millisecond,
 		IdleFor: 15 * time.Second, Body: 1 << 10, Long: 1 << 10}, zap.NewNop())
 	t.Cleanup(carrier.Close)
 	x := dispatch.New(d, zap.NewNop())
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -21,7 +21,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 	"github.com/thistlerudder/thistlerudder/internal/net/handover"
-	"github.com/thistlerudder/thistlerudder/internal/net/servers"
+	"github.com/thistlerudder/thistlerudder/internal/net/upstream"
 )
 
 const seatEvery = 20 * time.Millisecond // until a newcomer's part of the limits is given up
@@ -116,8 +116,8 @@
 		l.apply()
 	}
 	x := dispatch.New(s.Terms, log.Named("exchange"))
-	carrier := servers.New(
-		servers.Bounds{Descriptors: l.servers, Shots: l.servers + l.clients, ConnectWithin: s.ConnectWithin,
+	carrier := upstream.New(
+		upstream.Bounds{Descriptors: l.servers, Shots: l.servers + l.clients, ConnectWithin: s.ConnectWithin,
 			IdleFor: s.IdleFor, Body: bodyMost, Long: longMost},
 		log.Named("servers"),
 	)
--- a/internal/net/servers/failing_test.go
+++ b/internal/net/upstream/failing_test.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package servers
+package upstream
 
 import (
 	"fmt"
--- a/internal/net/servers/local.go
+++ b/internal/net/upstream/local.go
@@ -1,4 +1,4 @@
-package servers
+package upstream
 
 import (
 	"errors"
--- a/internal/net/servers/servers.go
+++ b/internal/net/upstream/servers.go
@@ -1,6 +1,6 @@
-// Package servers carries shots to the cache servers and the origin over http.Transport, and finds out how
+// Package upstream carries shots to the cache servers and the origin over http.Transport, and finds out how
 // each one ended.
-package servers
+package upstream
 
 import (
 	"context"
