--- a/internal/net/boxlist/entry.go
+++ b/internal/net/discovery/entry.go
@@ -1,4 +1,4 @@
-package boxlist
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/net/boxlist/failing_test.go
+++ b/internal/net/discovery/failing_test.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package boxlist
+package discovery
 
 import (
 	"context"
--- a/internal/net/boxlist/hedge.go
+++ b/internal/net/discovery/hedge.go
@@ -1,4 +1,4 @@
-package boxlist
+package discovery
 
 // This file holds calls for the list beside ones that may never be answered.
 
--- a/internal/net/boxlist/move.go
+++ b/internal/net/discovery/move.go
@@ -1,4 +1,4 @@
-package boxlist
+package discovery
 
 // This file holds the way to another discovery service, and the check on one that may count anew.
 
--- a/internal/net/boxlist/source.go
+++ b/internal/net/discovery/source.go
@@ -1,4 +1,4 @@
-package boxlist
+package discovery
 
 // This file holds what is known of a discovery service, and with what a call for the list begins.
 
--- a/internal/net/boxlist/watch.go
+++ b/internal/net/discovery/watch.go
@@ -1,5 +1,5 @@
-// Package boxlist follows the discovery service's list of boxes, on the module's order.
-package boxlist
+// Package discovery follows the discovery service's list of boxes, on the module's order.
+package discovery
 
 import (
 	"context"
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -16,7 +16,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
-	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
+	"github.com/thistlerudder/thistlerudder/internal/net/discovery"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
@@ -122,7 +122,7 @@
 		log.Named("servers"),
 	)
 	defer carrier.Close()
-	list := boxlist.New(x, s.Discovery, s.AskWithin, log.Named("boxlist"))
+	list := discovery.New(x, s.Discovery, s.AskWithin, log.Named("boxlist"))
 	front := frontend.New(
 		x,
 		frontend.Bounds{
--- a/internal/net/node/renew.go
+++ b/internal/net/node/renew.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
+	"github.com/thistlerudder/thistlerudder/internal/net/discovery"
 )
 
 const (
@@ -24,7 +24,7 @@
 	ctx context.Context,
 	signals <-chan os.Signal,
 	s *config.Station,
-	list *boxlist.Follower,
+	list *discovery.Follower,
 	log *zap.Logger,
 ) {
 	for address := s.Discovery; ; {
--- a/internal/net/node/renew_test.go
+++ b/internal/net/node/renew_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/boxlist"
+	"github.com/thistlerudder/thistlerudder/internal/net/discovery"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
@@ -50,7 +50,7 @@
 	}
 	core, logs := observer.New(zap.InfoLevel)
 	x := dispatch.New(s.Terms, zap.NewNop())
-	list := boxlist.New(x, s.Discovery, time.Second, zap.NewNop())
+	list := discovery.New(x, s.Discovery, time.Second, zap.NewNop())
 	x.Start(1, nil, list)
 	go list.Run(t.Context())
 	signals := make(chan os.Signal, 1)
@@ -113,7 +113,7 @@
 	}
 	core, logs := observer.New(zap.InfoLevel)
 	x := dispatch.New(s.Terms, zap.NewNop())
-	list := boxlist.New(x, s.Discovery, time.Second, zap.NewNop())
+	list := discovery.New(x, s.Discovery, time.Second, zap.NewNop())
 	x.Start(1, nil, list)
 	go list.Run(t.Context())
 	signals := make(chan os.Signal, 1)
