--- a/internal/net/admin/accept_test.go
+++ b/internal/net/admin/accept_test.go
@@ -12,8 +12,8 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/internal/net/figures"
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
 )
 
 // failing is a listener whose accept fails for a number of calls in a row.
@@ -49,8 +49,8 @@
 // What came up of withheld attempts and broken rules is on the page, by reason, and nothing else of them.
 func TestReasonsThatCameUpAreOnThePage(t *testing.T) {
 	f := figures.New(nil)
-	f.Denied[permit.ClientGone].Add(2)
-	f.Violations[permit.MayHaveRun].Add(1)
+	f.Denied[admission.ClientGone].Add(2)
+	f.Violations[admission.MayHaveRun].Add(1)
 	page := New(&stub{}, f, 2, zap.NewNop()).page()
 	for _, line := range []string{"attempts.withheld.client_gone=2\n", "rules.violated.may_have_run=1\n"} {
 		if !strings.Contains(page, line) {
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -18,8 +18,8 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/acceptor"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/internal/net/figures"
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
 )
 
 const (
@@ -175,7 +175,7 @@
 
 // reasons writes why attempts were withheld and which rules the module's orders would have broken, a line for each reason that came up.
 func (a *Admin) reasons(to *strings.Builder) {
-	for reason := permit.Granted + 1; reason < permit.Reasons; reason++ {
+	for reason := admission.Granted + 1; reason < admission.Reasons; reason++ {
 		if n := a.figures.Denied[reason].Load(); n > 0 {
 			fmt.Fprintf(to, "attempts.withheld.%v=%d\n", reason, n)
 		}
--- a/internal/net/permit/permit.go
+++ b/internal/net/admission/permit.go
@@ -1,6 +1,6 @@
-// Package permit decides from plain facts whether an attempt may be started, whether its first byte may be written, and whether a
+// Package admission decides from plain facts whether an attempt may be started, whether its first byte may be written, and whether a
 // request may be refused. It does no I/O and reads no clock, so that each rule stands in one place and can be tested by itself.
-package permit
+package admission
 
 import "time"
 
--- a/internal/net/permit/permit_test.go
+++ b/internal/net/admission/permit_test.go
@@ -1,4 +1,4 @@
-package permit
+package admission
 
 import (
 	"testing"
--- a/internal/net/dispatch/checks.go
+++ b/internal/net/dispatch/checks.go
@@ -5,12 +5,12 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
 // history gives what is known of a request's attempts. Called with the lock held.
-func (t *Ticket) history() permit.History {
-	h := permit.History{Out: t.out, MayHaveRun: t.mayHaveRun, Safe: t.x.terms.Replayable(t.Namespace),
+func (t *Ticket) history() admission.History {
+	h := admission.History{Out: t.out, MayHaveRun: t.mayHaveRun, Safe: t.x.terms.Replayable(t.Namespace),
 		KeyedForAll: t.x.terms.KeyedForAll(t.Namespace)}
 	if window := t.x.terms.Memory(t.Namespace); window > 0 && t.mayHaveRun {
 		h.KeyedUntil = t.firstMayHaveRun.Add(window)
@@ -28,14 +28,14 @@
 
 // mayStart checks an attempt that the module has ordered against the rules. Called with the lock held.
 func (h host) mayStart(t *Ticket, s *Shot) bool {
-	attempt := permit.Attempt{History: t.history(), Over: t.over.Load(), Now: h.decided,
+	attempt := admission.Attempt{History: t.history(), Over: t.over.Load(), Now: h.decided,
 		Hedging:  h.terms.SecondCopies() && !h.alone(s),
 		BodySent: t.Rest != nil && t.Rest.Begun()}
 	why := attempt.Decide()
 	switch why {
-	case permit.Granted:
+	case admission.Granted:
 		return true
-	case permit.BodySent:
+	case admission.BodySent:
 		h.figures.Denied[why].Add(1) // the module doesn't know how much of a body was read
 	default:
 		h.violated("attempt", t, why)
@@ -46,23 +46,23 @@
 // mayRefuse checks a refusal that the module has ordered.
 func (h host) mayRefuse(t *Ticket) bool {
 	why := t.history().Refuse()
-	if why != permit.Granted {
+	if why != admission.Granted {
 		h.violated("refusal", t, why)
 	}
-	return why == permit.Granted
+	return why == admission.Granted
 }
 
 // mayAnswer checks that a final answer that the module has ordered is the only one.
 func (h host) mayAnswer(t *Ticket) bool {
 	over := t.over.Load()
 	if over {
-		h.violated("answer", t, permit.RequestOver)
+		h.violated("answer", t, admission.RequestOver)
 	}
 	return !over
 }
 
 // violated counts and logs what the module ordered against the rules. It is never carried out.
-func (x *Exchange) violated(action string, t *Ticket, why permit.Reason) {
+func (x *Exchange) violated(action string, t *Ticket, why admission.Reason) {
 	x.figures.Violations[why].Add(1)
 	x.log.Error("the module ordered what a rule forbids", zap.String("action", action), zap.Stringer("reason", why),
 		zap.String("trace", t.Trace), zap.Int("attempts", t.shots), zap.Int("out", t.out))
--- a/internal/net/dispatch/checks_test.go
+++ b/internal/net/dispatch/checks_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -17,17 +17,17 @@
 		in      Lookup
 		before  End // how the first attempt ends; endCount: it is out still
 		order   func(h host, ticket int)
-		want    permit.Reason
+		want    admission.Reason
 		outcome Outcome
 	}{
 		{"a second attempt beside an unsafe one", Lookup{Namespace: "once", Key: "k"}, endCount,
-			func(h host, i int) { h.Shoot(i, server, 100) }, permit.MayHaveRun, -1},
+			func(h host, i int) { h.Shoot(i, server, 100) }, admission.MayHaveRun, -1},
 		{"a retry of an unsafe one that may have run", Lookup{Namespace: "once", Key: "k"}, Lost,
-			func(h host, i int) { h.Shoot(i, server, 100) }, permit.MayHaveRun, -1},
+			func(h host, i int) { h.Shoot(i, server, 100) }, admission.MayHaveRun, -1},
 		{"a refusal of an unsafe one that may have run", Lookup{Namespace: "once", Key: "k"}, Lost,
-			func(h host, i int) { h.Defer(i, 0) }, permit.MayHaveRun, Abandoned},
+			func(h host, i int) { h.Defer(i, 0) }, admission.MayHaveRun, Abandoned},
 		{"a refusal of an unsafe one that is out", Lookup{Namespace: "once", Key: "k"}, endCount,
-			func(h host, i int) { h.Defer(i, 0) }, permit.MayHaveRun, Abandoned},
+			func(h host, i int) { h.Defer(i, 0) }, admission.MayHaveRun, Abandoned},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ships := &fleet{}
@@ -70,7 +70,7 @@
 		h.Defer(ticket.index, 0)
 		h.Shoot(ticket.index, 0, 100)
 	})
-	if n := x.figures.Violations[permit.RequestOver].Load(); n != 3 {
+	if n := x.figures.Violations[admission.RequestOver].Load(); n != 3 {
 		t.Errorf("%d violations, want three", n)
 	}
 	if a, answered := got(ticket); !answered || a.Outcome != Abandoned {
@@ -95,12 +95,12 @@
 	defer x.mu.Unlock()
 	ticket.out--
 	ticket.ran(first.sent)
-	attempt := permit.Attempt{History: ticket.history(), Now: first.sent.Add(300 * time.Millisecond)}
-	if why := attempt.Decide(); why != permit.Granted {
+	attempt := admission.Attempt{History: ticket.history(), Now: first.sent.Add(300 * time.Millisecond)}
+	if why := attempt.Decide(); why != admission.Granted {
 		t.Errorf("inside: %v", why)
 	}
 	attempt.Now = first.sent.Add(500 * time.Millisecond)
-	if why := attempt.Decide(); why != permit.WindowOver {
+	if why := attempt.Decide(); why != admission.WindowOver {
 		t.Errorf("after it: %v", why)
 	}
 }
--- a/internal/net/dispatch/exchange_test.go
+++ b/internal/net/dispatch/exchange_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -296,7 +296,7 @@
 	if a, _ := got(ticket); string(a.Body) != "slow" {
 		t.Errorf("the slow answer did not count: %v", a)
 	}
-	if other.Wanted() == permit.Granted { // its connection may come up only now
+	if other.Wanted() == admission.Granted { // its connection may come up only now
 		t.Error("a shot may begin after the final answer")
 	}
 	var crossed *Ticket
@@ -304,7 +304,7 @@
 		crossed.Leave() // the lookup ends while the kernel is asked for its client
 		return false
 	}})
-	if shot.Wanted() == permit.Granted {
+	if shot.Wanted() == admission.Granted {
 		t.Error("a shot may begin when its lookup ended meanwhile")
 	}
 	shot.Settle(Withheld, Answer{})
@@ -315,7 +315,7 @@
 	for _, in := range []Lookup{{Namespace: "read", Write: true}, {Namespace: "once", Key: "k"}} {
 		_, first := send(in)
 		_, second := send(in)
-		if first.Wanted() != permit.Granted {
+		if first.Wanted() != admission.Granted {
 			t.Error("a lookup that has no answer yet is not wanted")
 		}
 		second.Settle(Whole, Answer{})
--- a/internal/net/dispatch/ticket.go
+++ b/internal/net/dispatch/ticket.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -147,14 +147,14 @@
 // Wanted says whether the shot's client still waits for it: Granted, RequestOver or ClientGone. Whoever writes its first byte asks
 // just before; what has begun goes on. It takes no lock of the exchange, and looks at the client's connection itself, since
 // net/http sees a client's end only where no bytes lie before it and some time has passed.
-func (s *Shot) Wanted() permit.Reason {
+func (s *Shot) Wanted() admission.Reason {
 	if s.Gone != nil && !faults.Without(faults.ClientLook) && s.Gone() {
-		return permit.ClientGone
+		return admission.ClientGone
 	}
 	if s.ticket != nil && s.ticket.over.Load() { // last: the final answer may come while the kernel is asked
-		return permit.RequestOver
+		return admission.RequestOver
 	}
-	return permit.Granted
+	return admission.Granted
 }
 
 // Until gives when the node stops waiting for an answer. It counts from the decision, not from when the shot is carried out.
@@ -174,8 +174,8 @@
 }
 
 // Denied counts that an attempt was not written, and why.
-func (s *Shot) Denied(why permit.Reason) {
-	if s.ticket != nil && why != permit.Granted {
+func (s *Shot) Denied(why admission.Reason) {
+	if s.ticket != nil && why != admission.Granted {
 		s.ticket.x.figures.Denied[why].Add(1)
 	}
 }
--- a/internal/net/figures/figures.go
+++ b/internal/net/figures/figures.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync/atomic"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
 // Ends is how lookups of one namespace have ended.
@@ -21,7 +21,7 @@
 
 	// Denied counts attempts whose first byte was not written, Violations what the module ordered against the rules and the
 	// exchange did not carry out. Both by reason.
-	Denied, Violations [permit.Reasons]atomic.Int64
+	Denied, Violations [admission.Reasons]atomic.Int64
 
 	names  []string
 	counts map[string]*Ends
--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -18,8 +18,8 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
 )
 
 // reset ends a connection by one, whatever the kernel still holds.
@@ -230,7 +230,7 @@
 								if !met {
 									met = true
 									line()
-									time.Sleep(permit.FactsFor + 5*time.Millisecond)
+									time.Sleep(admission.FactsFor + 5*time.Millisecond)
 								}
 								return false
 							}
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -12,7 +12,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
 // conn gives its descriptor back once, and knows what was written to it: httptrace's WroteRequest comes before the
@@ -62,18 +62,18 @@
 // outgoing is a request on a connection, and what has to hold when its first byte is written. It is the request's own: the transport hands a
 // connection on before who used it last has asked what became of its request.
 type outgoing struct {
-	begun   bool                 // its first byte is about to be written, or was
-	early   bool                 // bytes came before that, so that it must not be written
-	denied  permit.Reason        // why it was not written; Granted where nothing spoke against it
-	refused permit.Reason        // by an earlier step, or Granted
-	client  func() permit.Reason // whether its client still waits, asked just before; nil: it does
-	beginBy time.Time            // when its first byte must have been written; zero: any time
-	until   time.Time            // when its client's time is over; zero: no deadline is told that could be wrong
-	told    time.Duration        // the time that it tells its server to have
+	begun   bool                    // its first byte is about to be written, or was
+	early   bool                    // bytes came before that, so that it must not be written
+	denied  admission.Reason        // why it was not written; Granted where nothing spoke against it
+	refused admission.Reason        // by an earlier step, or Granted
+	client  func() admission.Reason // whether its client still waits, asked just before; nil: it does
+	beginBy time.Time               // when its first byte must have been written; zero: any time
+	until   time.Time               // when its client's time is over; zero: no deadline is told that could be wrong
+	told    time.Duration           // the time that it tells its server to have
 }
 
 // denial is the error of a request that was not written.
-type denial struct{ reason permit.Reason }
+type denial struct{ reason admission.Reason }
 
 func (d denial) Error() string { return "the request was not written: " + d.reason.String() }
 
@@ -86,9 +86,9 @@
 	}
 	request.begun = true
 	denied := request.denied
-	c.writing = denied == permit.Granted
+	c.writing = denied == admission.Granted
 	c.mu.Unlock()
-	if denied != permit.Granted {
+	if denied != admission.Granted {
 		return 0, denial{denied}
 	}
 	n, err := kernel.WriteAll(c.Conn.Write, b)
@@ -115,19 +115,19 @@
 // look gathers what is known of the present request, and decides whether its first byte may be written now. A process that has no
 // core for a while between a look and the write would act on what was true before, so a look that took long is made anew. Called
 // with the lock held.
-func (c *conn) look(request *outgoing) (denied permit.Reason) {
+func (c *conn) look(request *outgoing) (denied admission.Reason) {
 	for range looksMost {
 		began := time.Now()
 		waiting, unknown := c.waiting()
 		request.early = request.early || waiting
-		client := permit.Granted
+		client := admission.Granted
 		if request.client != nil {
 			client = request.client()
 		}
 		now := time.Now() // last, and no call of the kernel
-		denied = permit.Send{Refused: request.refused, ConnectionEnding: c.retired || c.failedHere.Load(), Unsolicited: request.early || c.gone, Unknown: unknown, Client: client,
+		denied = admission.Send{Refused: request.refused, ConnectionEnding: c.retired || c.failedHere.Load(), Unsolicited: request.early || c.gone, Unknown: unknown, Client: client,
 			Gathered: now.Sub(began), Now: now, BeginBy: request.beginBy, Until: request.until, Told: request.told}.Decide()
-		if denied != permit.FactsStale {
+		if denied != admission.FactsStale {
 			break
 		}
 	}
@@ -227,7 +227,7 @@
 }
 
 // refuse says that a request must not be written, and why.
-func (c *conn) refuse(request *outgoing, why permit.Reason) {
+func (c *conn) refuse(request *outgoing, why admission.Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	request.refused = why
@@ -241,11 +241,11 @@
 }
 
 // withheld says that a request was not written, and why.
-func (c *conn) withheld(request *outgoing) permit.Reason {
+func (c *conn) withheld(request *outgoing) admission.Reason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if request.denied == permit.Granted && request.early {
-		return permit.UnsolicitedBytes // bytes came before it; then it is not written either
+	if request.denied == admission.Granted && request.early {
+		return admission.UnsolicitedBytes // bytes came before it; then it is not written either
 	}
 	return request.denied
 }
--- a/internal/net/upstream/denial_test.go
+++ b/internal/net/upstream/denial_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
 // The transport hands a connection on when an answer's last byte was read, before who sent that request has asked what became of it. What the next
@@ -12,20 +12,20 @@
 func TestADenialIsOfItsOwnRequest(t *testing.T) {
 	near, _ := tcp(t)
 	c := newConn(near, func() {})
-	first, second := &outgoing{}, &outgoing{refused: permit.NotQuiet}
+	first, second := &outgoing{}, &outgoing{refused: admission.NotQuiet}
 	c.take(false, first)
 	if _, err := c.Write([]byte("first")); err != nil {
 		t.Fatal(err)
 	}
 	c.take(false, second)
-	if why := c.withheld(first); why != permit.Granted {
+	if why := c.withheld(first); why != admission.Granted {
 		t.Errorf("the first request, which was written, was withheld: %v", why)
 	}
 	_, err := c.Write([]byte("second"))
-	if why := (denial{}); !errors.As(err, &why) || why.reason != permit.NotQuiet || c.withheld(second) != permit.NotQuiet {
+	if why := (denial{}); !errors.As(err, &why) || why.reason != admission.NotQuiet || c.withheld(second) != admission.NotQuiet {
 		t.Errorf("the second request: %v", err)
 	}
-	if why := c.withheld(first); why != permit.Granted {
+	if why := c.withheld(first); why != admission.Granted {
 		t.Errorf("the first request counts as withheld when the second was: %v", why)
 	}
 }
--- a/internal/net/upstream/quiet.go
+++ b/internal/net/upstream/quiet.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
 const (
@@ -82,7 +82,7 @@
 		return // quiet, or too late in any case
 	}
 	if wait > left/quietPart {
-		c.refuse(request, permit.NotQuiet)
+		c.refuse(request, admission.NotQuiet)
 		return
 	}
 	timer := time.NewTimer(wait)
@@ -90,6 +90,6 @@
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		c.refuse(request, permit.NodeLeaving) // or the time is over: the transport says which
+		c.refuse(request, admission.NodeLeaving) // or the time is over: the transport says which
 	}
 }
--- a/internal/net/upstream/send.go
+++ b/internal/net/upstream/send.go
@@ -17,8 +17,8 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
-	"github.com/thistlerudder/thistlerudder/internal/net/permit"
 )
 
 const (
@@ -113,7 +113,7 @@
 		told = max(0, left)
 	}
 	if !client.IsZero() {
-		told = permit.Deadline(told, time.Until(client))
+		told = admission.Deadline(told, time.Until(client))
 	}
 	on.conn.tells(on.request, told, client)
 	if faults.Without(faults.ToldDeadline) {
@@ -123,9 +123,9 @@
 }
 
 // withheld says why the request was not written, and won't be; Granted where it was, or where it got no connection.
-func (on *carried) withheld() permit.Reason {
+func (on *carried) withheld() admission.Reason {
 	if on.conn == nil {
-		return permit.Granted
+		return admission.Granted
 	}
 	return on.conn.withheld(on.request)
 }
@@ -158,7 +158,7 @@
 		once := shot.Rest != nil && shot.Rest.Begun()
 		denied := on.withheld()
 		shot.Denied(denied)
-		again := end == dispatch.Unwritten || denied == permit.NotQuiet || denied == permit.ConnectionEnding || denied == permit.DeadlineStale
+		again := end == dispatch.Unwritten || denied == admission.NotQuiet || denied == admission.ConnectionEnding || denied == admission.DeadlineStale
 		if again && tried < triesMost && s.context.Err() == nil && !late && !once {
 			continue
 		}
@@ -223,7 +223,7 @@
 	}
 	denied := on.withheld()
 	switch {
-	case denied != permit.Granted:
+	case denied != admission.Granted:
 		return endOf(denied), dispatch.Answer{}, denial{denied}
 	case err != nil && ctx.Err() != nil:
 		return s.gaveUp(ctx), dispatch.Answer{}, err
@@ -282,7 +282,7 @@
 	switch {
 	case errors.Is(err, errNoRoom), on.conn == nil && local(err):
 		return dispatch.NoRoom
-	case denied != permit.Granted && s.context.Err() == nil:
+	case denied != admission.Granted && s.context.Err() == nil:
 		return endOf(denied)
 	case on.conn == nil && s.context.Err() != nil:
 		return dispatch.Withdrawn
@@ -312,11 +312,11 @@
 }
 
 // endOf tells how an attempt ended that was not written. Only what its server did on the connection tells of that server.
-func endOf(denied permit.Reason) dispatch.End {
+func endOf(denied admission.Reason) dispatch.End {
 	switch denied {
-	case permit.RequestOver, permit.ClientGone:
+	case admission.RequestOver, admission.ClientGone:
 		return dispatch.Withheld
-	case permit.UnsolicitedBytes:
+	case admission.UnsolicitedBytes:
 		return dispatch.Unwritten
 	default:
 		return dispatch.Overtaken
