--- a/internal/net/admin/accept_test.go
+++ b/internal/net/admin/accept_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
-	"github.com/thistlerudder/thistlerudder/internal/net/figures"
+	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 )
 
 // failing is a listener whose accept fails for a number of calls in a row.
@@ -37,7 +37,7 @@
 	}
 	broken := &failing{Listener: l}
 	broken.times.Store(3)
-	a := New(&stub{}, figures.New(nil), 2, zap.NewNop())
+	a := New(&stub{}, metrics.New(nil), 2, zap.NewNop())
 	t.Cleanup(a.Close)
 	go a.Serve(broken)
 	client := http.Client{Timeout: time.Second}
@@ -48,7 +48,7 @@
 
 // What came up of withheld attempts and broken rules is on the page, by reason, and nothing else of them.
 func TestReasonsThatCameUpAreOnThePage(t *testing.T) {
-	f := figures.New(nil)
+	f := metrics.New(nil)
 	f.Denied[admission.ClientGone].Add(2)
 	f.Violations[admission.MayHaveRun].Add(1)
 	page := New(&stub{}, f, 2, zap.NewNop()).page()
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -19,7 +19,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/net/acceptor"
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
-	"github.com/thistlerudder/thistlerudder/internal/net/figures"
+	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 )
 
 const (
@@ -49,13 +49,13 @@
 type Admin struct {
 	log     *zap.Logger
 	node    Node
-	figures *figures.Figures
+	figures *metrics.Figures
 	server  *http.Server
 	places  *places
 }
 
 // New makes the address; most is how many connections it may hold.
-func New(n Node, f *figures.Figures, most int, log *zap.Logger) *Admin {
+func New(n Node, f *metrics.Figures, most int, log *zap.Logger) *Admin {
 	a := &Admin{log: log, node: n, figures: f, places: newPlaces(most)}
 	a.server = &http.Server{Handler: a, MaxHeaderBytes: headersMost, ReadHeaderTimeout: headersIn,
 		ReadTimeout: headersIn, WriteTimeout: headersIn + answerIn, ErrorLog: zap.NewStdLog(log),
--- a/internal/net/admin/admin_test.go
+++ b/internal/net/admin/admin_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/figures"
+	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 )
 
 // stub is a node that knows one server.
@@ -47,7 +47,7 @@
 func (s *stub) TakeOut(id string) error { return s.order("out", id) }
 func (s *stub) PutBack(id string) error { return s.order("back", id) }
 
-func desk(t *testing.T, n Node, f *figures.Figures, most int) string {
+func desk(t *testing.T, n Node, f *metrics.Figures, most int) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +84,7 @@
 
 func TestCalls(t *testing.T) {
 	n := &stub{up: true}
-	address := desk(t, n, figures.New(nil), 8)
+	address := desk(t, n, metrics.New(nil), 8)
 	for _, c := range []struct {
 		bytes       string
 		status      int
@@ -126,7 +126,7 @@
 }
 
 func TestThePageHasAllNamesFromTheStart(t *testing.T) {
-	f := figures.New([]string{"write", "read"})
+	f := metrics.New([]string{"write", "read"})
 	address := desk(t, &stub{}, f, 8)
 	page := func() string {
 		_, _, text := call(t, address, line("GET /status/metrics"))
@@ -160,7 +160,7 @@
 // no more places than there are.
 func TestHoldersGiveWay(t *testing.T) {
 	const most = 8
-	address := desk(t, &stub{up: true}, figures.New(nil), most)
+	address := desk(t, &stub{up: true}, metrics.New(nil), most)
 	var held []net.Conn
 	for i := range 5 * most {
 		c, err := net.Dial("tcp", address)
--- a/internal/net/admin/places_test.go
+++ b/internal/net/admin/places_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/figures"
+	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 	"go.uber.org/zap"
 )
 
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := New(&stub{up: true}, figures.New([]string{"read"}), most, zap.NewNop())
+	a := New(&stub{up: true}, metrics.New([]string{"read"}), most, zap.NewNop())
 	go a.Serve(l)
 	t.Cleanup(a.Close)
 	for range callers {
--- a/internal/net/dispatch/account.go
+++ b/internal/net/dispatch/account.go
@@ -1,12 +1,12 @@
 package dispatch
 
 import (
-	"github.com/thistlerudder/thistlerudder/internal/net/figures"
+	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Figures gives the totals since the start.
-func (x *Exchange) Figures() *figures.Figures { return x.figures }
+func (x *Exchange) Figures() *metrics.Figures { return x.figures }
 
 // Open counts lookups that came, or, with a negative number, that have been answered whole.
 func (x *Exchange) Open(by int64) { x.figures.Open.Add(by) }
--- a/internal/net/dispatch/exchange.go
+++ b/internal/net/dispatch/exchange.go
@@ -14,7 +14,7 @@
 
 	wall "github.com/thistlerudder/thistlerudder/internal/clock"
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/figures"
+	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -61,7 +61,7 @@
 	alarms   alarms
 	timer    *time.Timer
 	tally    Tally
-	figures  *figures.Figures
+	figures  *metrics.Figures
 	bans     map[string]Ban
 	heard    heard
 	parted   bool                        // parts of the fleet's budgets bound what is done
@@ -71,7 +71,7 @@
 // New makes the owner; nothing happens before Start.
 func New(t *config.Terms, log *zap.Logger) *Exchange {
 	x := &Exchange{log: log, terms: t, clock: clock{time.Now()}, wall: wall.Wall, places: map[string]int{},
-		cuts: map[routing.Bound]time.Time{}, out: map[string]*Ticket{}, figures: figures.New(slices.Collect(maps.Keys(t.Namespaces)))}
+		cuts: map[routing.Bound]time.Time{}, out: map[string]*Ticket{}, figures: metrics.New(slices.Collect(maps.Keys(t.Namespaces)))}
 	x.timer = time.AfterFunc(time.Hour, x.ring)
 	x.timer.Stop()
 	return x
--- a/internal/net/figures/figures.go
+++ b/internal/net/metrics/figures.go
@@ -1,6 +1,6 @@
-// Package figures keeps totals since the start of the process. They are counted where things happen and read by
+// Package metrics keeps totals since the start of the process. They are counted where things happen and read by
 // whoever asks, without a lock, so that a node under full load can still be looked at.
-package figures
+package metrics
 
 import (
 	"slices"
