--- a/internal/net/bans/bans.go
+++ b/internal/net/ejection/bans.go
@@ -1,6 +1,6 @@
-// Package bans keeps which servers operators have taken out, by id. The list lies in one file, so that the process that
+// Package ejection keeps which servers operators have taken out, by id. The list lies in one file, so that the process that
 // takes this one's place finds it, and what one of two processes is told holds for both.
-package bans
+package ejection
 
 import (
 	"context"
--- a/internal/net/bans/bans_test.go
+++ b/internal/net/ejection/bans_test.go
@@ -1,4 +1,4 @@
-package bans
+package ejection
 
 import (
 	"bytes"
--- a/internal/net/bans/trouble_test.go
+++ b/internal/net/ejection/trouble_test.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package bans
+package ejection
 
 import (
 	"math"
--- a/internal/net/node/operated.go
+++ b/internal/net/node/operated.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
-	"github.com/thistlerudder/thistlerudder/internal/net/bans"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
+	"github.com/thistlerudder/thistlerudder/internal/net/ejection"
 	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 )
@@ -37,7 +37,7 @@
 type operated struct {
 	exchange *dispatch.Exchange
 	front    *frontend.Clients
-	bans     *bans.Book
+	bans     *ejection.Book
 	fleet    *fellows.Fellows // nil: there is none
 }
 
@@ -62,8 +62,8 @@
 }
 
 // bansOf opens the node's list of bans, for the exchange to follow.
-func bansOf(folder, name string, x *dispatch.Exchange, log *zap.Logger) *bans.Book {
-	return bans.Open(folder, name, func(entries []bans.Entry) {
+func bansOf(folder, name string, x *dispatch.Exchange, log *zap.Logger) *ejection.Book {
+	return ejection.Open(folder, name, func(entries []ejection.Entry) {
 		all := make([]dispatch.Ban, 0, len(entries))
 		for _, e := range entries {
 			all = append(all, dispatch.Ban{ID: e.ID, Out: float64(e.Out), Back: float64(e.Back)})
