--- a/cmd/thistlerudder/budgets.go
+++ b/cmd/thistlerudder/budgets.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
+	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -19,7 +19,7 @@
 	c := &cobra.Command{Use: "budget", Short: "See what the fleet may do together and how it is divided, and change it: docs/budgets.md"}
 	list := &cobra.Command{Use: "list", Short: "Say how each budget stands", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return told(cmd, *file, false, func(s fellows.Status) error {
+			return told(cmd, *file, false, func(s cluster.Status) error {
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "budget\tbounds\twhole\tgiven\tfree\treserve\tapart for each\twanted\tnodes\trevision")
 				for _, name := range slices.Sorted(maps.Keys(s.Budgets)) {
@@ -33,7 +33,7 @@
 		}}
 	show := &cobra.Command{Use: "show NAME", Short: "Say who has which part of one, and until when", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return told(cmd, *file, false, func(s fellows.Status) error {
+			return told(cmd, *file, false, func(s cluster.Status) error {
 				b, known := s.Budgets[args[0]]
 				if !known {
 					return fmt.Errorf("no budget %q: expected one of %v", args[0], slices.Sorted(maps.Keys(s.Budgets)))
--- a/cmd/thistlerudder/fleet.go
+++ b/cmd/thistlerudder/fleet.go
@@ -10,17 +10,17 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 )
 
 // asked gives a client of the fleet that a configuration tells of.
-func asked(file string) (*fellows.Client, *config.Fleet, error) {
+func asked(file string) (*cluster.Client, *config.Fleet, error) {
 	f, err := config.ReadFleet(file)
 	if err != nil {
 		return nil, nil, fmt.Errorf("configuration: %w", err)
 	}
-	return fellows.NewClient(f, zap.NewNop()), f, nil
+	return cluster.NewClient(f, zap.NewNop()), f, nil
 }
 
 // fleetCommand is what operators do with a fleet.
@@ -59,7 +59,7 @@
 			return nil
 		}}
 	voter := &cobra.Command{Use: "voter", Short: "Change who votes, one at a time"}
-	change := func(use, short string, args int, of func(args []string) fellows.Change, done string) *cobra.Command {
+	change := func(use, short string, args int, of func(args []string) cluster.Change, done string) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 			client, _, err := asked(*file)
 			if err != nil {
@@ -76,9 +76,9 @@
 	}
 	voter.AddCommand(
 		change("add NAME ADDRESS", "Let a node vote that has a folder and doesn't yet", 2,
-			func(a []string) fellows.Change { return fellows.Change{Add: a[0], Address: a[1]} }, "votes"),
+			func(a []string) cluster.Change { return cluster.Change{Add: a[0], Address: a[1]} }, "votes"),
 		change("remove NAME", "Let a node vote no more, by its name or by its voter's id", 1,
-			func(a []string) fellows.Change { return fellows.Change{Remove: a[0]} }, "votes no more"))
+			func(a []string) cluster.Change { return cluster.Change{Remove: a[0]} }, "votes no more"))
 	c.AddCommand(found, status, voter)
 	return c
 }
@@ -88,7 +88,7 @@
 	c := &cobra.Command{Use: "lease", Short: "See and release leases, and run a job on one machine of the fleet at a time"}
 	list := &cobra.Command{Use: "list", Short: "Say who holds what", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return told(cmd, *file, false, func(s fellows.Status) error {
+			return told(cmd, *file, false, func(s cluster.Status) error {
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "lease\tholder\ttoken\tleft\twaiting")
 				for _, l := range s.Leases {
@@ -101,8 +101,8 @@
 	watch := show.Flags().Bool("watch", false, "go on, and say it again whenever the holder has changed")
 	show.RunE = func(cmd *cobra.Command, args []string) error {
 		line := ""
-		return told(cmd, *file, *watch, func(s fellows.Status) error {
-			at := slices.IndexFunc(s.Leases, func(l fellows.Held) bool { return l.Name == args[0] })
+		return told(cmd, *file, *watch, func(s cluster.Status) error {
+			at := slices.IndexFunc(s.Leases, func(l cluster.Held) bool { return l.Name == args[0] })
 			before := line
 			if line = args[0] + " is free"; at >= 0 {
 				line = fmt.Sprintf("%s is held by %s with token %d", args[0], s.Leases[at].Holder, s.Leases[at].Token)
@@ -147,7 +147,7 @@
 }
 
 // told gives f the fleet's state, and with watch again after each change.
-func told(cmd *cobra.Command, file string, watch bool, f func(fellows.Status) error) error {
+func told(cmd *cobra.Command, file string, watch bool, f func(cluster.Status) error) error {
 	client, _, err := asked(file)
 	if err != nil {
 		return err
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -30,7 +30,7 @@
 }
 
 // founded starts three voters in this process, and founds their fleet by the command.
-func founded(t *testing.T) (path string, nodes []*fellows.Fellows) {
+func founded(t *testing.T) (path string, nodes []*cluster.Fellows) {
 	t.Helper()
 	var voters []map[string]string
 	for i := range 3 {
@@ -52,7 +52,7 @@
 		if err != nil {
 			t.Fatal(i, err)
 		}
-		nodes = append(nodes, fellows.Start(f, noFigures{}, time.Second, 256, zap.NewNop()))
+		nodes = append(nodes, cluster.Start(f, noFigures{}, time.Second, 256, zap.NewNop()))
 		t.Cleanup(nodes[i].Close)
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
--- a/internal/net/fellows/fellows.go
+++ b/internal/cluster/fellows.go
@@ -1,6 +1,6 @@
-// Package fellows joins a node to the others of its fleet: the voters' agreement, by a library, on the state of package
+// Package cluster joins a node to the others of its fleet: the voters' agreement, by a library, on the state of package
 // lease; the service that its leader gives; and the claims of this process. No lookup waits for any of it.
-package fellows
+package cluster
 
 import (
 	"context"
--- a/internal/net/fellows/rollup_test.go
+++ b/internal/cluster/rollup_test.go
@@ -1,4 +1,4 @@
-package fellows
+package cluster
 
 import (
 	"sync"
--- a/internal/net/fellows/trial_off.go
+++ b/internal/cluster/trial_off.go
@@ -1,6 +1,6 @@
 //go:build !faults
 
-package fellows
+package cluster
 
 import "context"
 
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -14,11 +14,11 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
 	"github.com/thistlerudder/thistlerudder/internal/net/discovery"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
-	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 	"github.com/thistlerudder/thistlerudder/internal/net/handover"
 	"github.com/thistlerudder/thistlerudder/internal/net/upstream"
@@ -90,7 +90,7 @@
 	if o.clients, err = clientsSocket(ctx, s, log); err != nil {
 		return err
 	}
-	return operate(ctx, s, signals, log, o, func(own fellows.Own) fellows.Own { return own })
+	return operate(ctx, s, signals, log, o, func(own cluster.Own) cluster.Own { return own })
 }
 
 // opened is what a process was started with, and the sockets that it listens on. Without the clients', which only the rig's build
@@ -102,7 +102,7 @@
 
 // operate serves on what was opened. own gives what the fleet's tasks need of the node.
 func operate(ctx context.Context, s *config.Station, signals <-chan os.Signal, log *zap.Logger, o opened,
-	own func(fellows.Own) fellows.Own,
+	own func(cluster.Own) cluster.Own,
 ) error {
 	folder, name := os.Getenv("TMPDIR"), fileName(s.Listen)
 	seat, err := handover.Sit(folder, name)
@@ -147,10 +147,10 @@
 	go list.Run(following)
 	go renew(following, signals, s, list, log.Named("renew"))
 	go report(following, x, front, log.Named("report"))
-	var fleet *fellows.Fellows
+	var fleet *cluster.Fellows
 	leave := func() {}
 	if s.Fleet != nil {
-		fleet = fellows.Start(s.Fleet, own(fleetSide{x}), s.LongestLimit, l.fellows, log.Named("fleet"))
+		fleet = cluster.Start(s.Fleet, own(fleetSide{x}), s.LongestLimit, l.fellows, log.Named("fleet"))
 		leave = sync.OnceFunc(fleet.Close)
 	}
 	defer leave() // once, however often it is called; the later call waits for the first
--- a/internal/net/node/operated.go
+++ b/internal/net/node/operated.go
@@ -7,10 +7,10 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/ejection"
-	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 )
 
@@ -38,7 +38,7 @@
 	exchange *dispatch.Exchange
 	front    *frontend.Clients
 	bans     *ejection.Book
-	fleet    *fellows.Fellows // nil: there is none
+	fleet    *cluster.Fellows // nil: there is none
 }
 
 func (o operated) Fleet() map[string]any {
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -28,9 +28,9 @@
 
 	"github.com/thistlerudder/thistlerudder/budget"
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
 	"github.com/thistlerudder/thistlerudder/internal/rig"
 	"github.com/thistlerudder/thistlerudder/lease"
@@ -114,7 +114,7 @@
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
 	h := &host{folder: folder, quiet: quiet, seed: seed, nodes: map[int]*hollow{},
 		log: zapcore.NewCore(zapcore.NewJSONEncoder(encoding), zapcore.Lock(file), zapcore.InfoLevel)}
-	fellows.Trace(h.asked, h.parts)
+	cluster.Trace(h.asked, h.parts)
 	over := make(chan error, 1)
 	go func() { over <- obey(in, out, h.do) }()
 	select {
@@ -189,7 +189,7 @@
 	log := zap.New(zapcore.NewTee(zapcore.NewSamplerWithOptions(h.log, time.Second, 10, 100), &heard{h, n}))
 	go func() {
 		defer close(x.ended)
-		_ = node.Hollow(ctx, s, x.signals, log, func(own fellows.Own) fellows.Own {
+		_ = node.Hollow(ctx, s, x.signals, log, func(own cluster.Own) cluster.Own {
 			return &demanding{Own: own, h: h, n: n, rnd: rand.New(rand.NewPCG(h.seed, uint64(n))), at: time.Now()}
 		})
 	}()
@@ -284,7 +284,7 @@
 
 // demanding stands in for the lookups that a hollow node doesn't take: it wants as much of the budget as lookups would.
 type demanding struct {
-	fellows.Own
+	cluster.Own
 	h   *host
 	n   int
 	mu  sync.Mutex
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -19,8 +19,8 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/net/fellows"
 	"github.com/thistlerudder/thistlerudder/internal/rig"
 )
 
@@ -52,7 +52,7 @@
 	reals     []*process
 	relays    []*rig.Relay // of the region that is cut off
 	caches    []*http.Server
-	client    *fellows.Client
+	client    *cluster.Client
 	lookups   rig.Lookups
 	asking    sync.WaitGroup
 	done      chan struct{}
@@ -394,7 +394,7 @@
 		if err != nil {
 			return err
 		}
-		w.client = fellows.NewClient(f, zap.NewNop())
+		w.client = cluster.NewClient(f, zap.NewNop())
 		for end := time.Now().Add(endWithin); ; w.sleep(50 * time.Millisecond) {
 			if err = w.client.Found(0); err == nil {
 				break
