--- a/changes/explore_test.go
+++ b/changelog/explore_test.go
@@ -1,4 +1,4 @@
-package changes
+package changelog
 
 import (
 	"fmt"
--- a/changes/log.go
+++ b/changelog/log.go
@@ -1,7 +1,7 @@
-// Package changes decides how changes of the whole fleet reach every node: Log is what a relay or the leader keeps and answers
+// Package changelog decides how changes of the whole fleet reach every node: Log is what a relay or the leader keeps and answers
 // from, Follower a child's side. Neither does any I/O or knows a clock of its own. Nothing calls them yet: it is the model of
 // docs/design-changes.md.
-package changes
+package changelog
 
 import (
 	"cmp"
