--- a/cmd/thistlerudder/trial_on.go
+++ b/cmd/thistlerudder/trial_on.go
@@ -20,7 +20,7 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/rig"
+	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
 // ofTheRig gives the rig's commands.
@@ -42,7 +42,7 @@
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		m, err := rig.Measure(ctx, rig.Plan{Program: program, Processes: max(4, *processes), Seed: 1}, *span)
+		m, err := faulttest.Measure(ctx, faulttest.Plan{Program: program, Processes: max(4, *processes), Seed: 1}, *span)
 		if err != nil {
 			return err
 		}
@@ -63,15 +63,15 @@
 	name, short string
 	kinds       func() [][2]string
 	safeguards  []string
-	play        func(context.Context, rig.Plan) (rig.Run, error)
+	play        func(context.Context, faulttest.Plan) (faulttest.Run, error)
 	coresEach   int // for a run of five processes; more at once make them late
 }
 
 var (
-	leaseTrial = played{"leases", "Play leases under faults; exit 0 only if every run kept the rules", rig.FaultKinds, faults.Safeguards,
-		rig.Play, 2}
-	budgetTrial = played{"budgets", "Play budgets under faults; exit 0 only if no window of any run passed a whole", rig.BudgetKinds,
-		faults.BudgetSafeguards, rig.PlayBudgets, 3}
+	leaseTrial = played{"leases", "Play leases under faults; exit 0 only if every run kept the rules", faulttest.FaultKinds, faults.Safeguards,
+		faulttest.Play, 2}
+	budgetTrial = played{"budgets", "Play budgets under faults; exit 0 only if no window of any run passed a whole", faulttest.BudgetKinds,
+		faults.BudgetSafeguards, faulttest.PlayBudgets, 3}
 )
 
 func trialOf(of *played) *cobra.Command {
@@ -113,7 +113,7 @@
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		return trial(ctx, cmd, of, rig.Plan{Program: program, Processes: *processes, Without: *without, Only: *only, Keep: *keep},
+		return trial(ctx, cmd, of, faulttest.Plan{Program: program, Processes: *processes, Without: *without, Only: *only, Keep: *keep},
 			from, to, *jobs, *first)
 	}
 	return c
@@ -132,7 +132,7 @@
 	return from, to, nil
 }
 
-func trial(ctx context.Context, cmd *cobra.Command, of *played, plan rig.Plan, from, to uint64, jobs int, first bool) error {
+func trial(ctx context.Context, cmd *cobra.Command, of *played, plan faulttest.Plan, from, to uint64, jobs int, first bool) error {
 	ctx, enough := context.WithCancel(ctx)
 	defer enough()
 	if jobs <= 0 {
@@ -159,7 +159,7 @@
 			defer func() { places <- slot }()
 			p := plan
 			p.Seed, p.Slot = seed, slot
-			var r rig.Run
+			var r faulttest.Run
 			var err error
 			for range triesMost {
 				if r, err = of.play(ctx, p); err != nil || r.Void == "" {
--- a/internal/rig/lent.go
+++ b/internal/faulttest/lent.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 // What runs at scale borrow from this package.
 
--- a/internal/rig/relay.go
+++ b/internal/faulttest/relay.go
@@ -1,7 +1,7 @@
-// Package rig starts several real processes of the program on loopback, lets all talk between them go through relays of
+// Package faulttest starts several real processes of the program on loopback, lets all talk between them go through relays of
 // its own, strikes them with faults by a seeded script, and judges what they did by their records. The judge shares no
 // code with the program.
-package rig
+package faulttest
 
 import (
 	"net"
--- a/internal/rig/stands.go
+++ b/internal/faulttest/stands.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 import (
 	"encoding/json"
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -31,8 +31,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
+	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
-	"github.com/thistlerudder/thistlerudder/internal/rig"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -126,7 +126,7 @@
 }
 
 func (h *host) do(o order) (r reply) {
-	r.At = rig.Boot()
+	r.At = faulttest.Boot()
 	switch o.Do {
 	case "start":
 		for _, n := range o.Nodes {
@@ -214,7 +214,7 @@
 }
 
 func (h *host) mark(m Mark) {
-	m.At = rig.Boot()
+	m.At = faulttest.Boot()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.marks = append(h.marks, m)
@@ -256,9 +256,9 @@
 	if err != nil || a.Kind != lease.Acquire && a.Kind != lease.Renew {
 		return func(lease.Answer, error) {}
 	}
-	from := rig.Boot()
+	from := faulttest.Boot()
 	return func(x lease.Answer, err error) {
-		m := Mark{Node: n, N: rig.Boot() - from}
+		m := Mark{Node: n, N: faulttest.Boot() - from}
 		switch {
 		case errors.Is(x.Err, lease.ErrWait):
 			return
@@ -339,12 +339,12 @@
 				d = NewDirectory(o.Entries)
 				err = open()
 			case "change":
-				r.At = rig.Boot()
+				r.At = faulttest.Boot()
 				r.Version = d.Change(o.Entries)
 			case "close":
 				err = server.Close()
 			case "open again":
-				r.At = rig.Boot()
+				r.At = faulttest.Boot()
 				err = open()
 			case "use":
 				u, c := faults.Used(), d.Calls()
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/rig"
+	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
 const (
@@ -152,7 +152,7 @@
 
 // used gives what it has used, from itself and from the kernel.
 func (p *process) used() (u used, err error) {
-	u.at = rig.Boot()
+	u.at = faulttest.Boot()
 	if p.orders {
 		r, err := p.tell(order{Do: "use"})
 		if err != nil {
@@ -205,7 +205,7 @@
 // logged gives the marks of a real node, from its log.
 func (p *process) logged(n int) (all []Mark) {
 	b, _ := os.ReadFile(filepath.Join(p.folder, p.name+".log"))
-	offset := time.Now().UnixNano() - rig.Boot()
+	offset := time.Now().UnixNano() - faulttest.Boot()
 	for line := range bytes.SplitSeq(b, []byte{'\n'}) {
 		var l struct {
 			TS      string `json:"ts"`
@@ -232,9 +232,9 @@
 
 func (l *late) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		was := rig.Boot()
+		was := faulttest.Boot()
 		time.Sleep(lateLook)
-		if x := rig.Boot() - was - int64(lateLook); x > l.worst.Load() {
+		if x := faulttest.Boot() - was - int64(lateLook); x > l.worst.Load() {
 			l.worst.Store(x)
 		}
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -21,7 +21,7 @@
 
 	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
-	"github.com/thistlerudder/thistlerudder/internal/rig"
+	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
 const (
@@ -50,10 +50,10 @@
 	voters    []*process
 	hosts     []*process // by rack
 	reals     []*process
-	relays    []*rig.Relay // of the region that is cut off
+	relays    []*faulttest.Relay // of the region that is cut off
 	caches    []*http.Server
 	client    *cluster.Client
-	lookups   rig.Lookups
+	lookups   faulttest.Lookups
 	asking    sync.WaitGroup
 	done      chan struct{}
 	file      int             // changes of configuration so far,
@@ -379,7 +379,7 @@
 			if i == voters {
 				target = fmt.Sprintf("%s:%d", ip(discoveryAt), discoveryPort)
 			}
-			r, err := rig.NewRelay(fmt.Sprintf("%s:%d", ip(relaysAt), relayPort+i), target)
+			r, err := faulttest.NewRelay(fmt.Sprintf("%s:%d", ip(relaysAt), relayPort+i), target)
 			if err != nil {
 				return err
 			}
@@ -412,7 +412,7 @@
 		return err
 	}
 	w.base = u.Heap
-	from := rig.Boot()
+	from := faulttest.Boot()
 	if err = each(w.hosts, func(p *process) error { _, err := p.tell(order{Do: "start", Nodes: p.nodes}); return err }); err != nil {
 		return err
 	}
@@ -593,7 +593,7 @@
 	if err := w.write(); err != nil {
 		return Change{}, err
 	}
-	at := rig.Boot()
+	at := faulttest.Boot()
 	err := each(w.hosts, func(p *process) error { _, err := p.tell(order{Do: "reload"}); return err })
 	for _, p := range w.reals {
 		_ = p.cmd.Process.Signal(syscall.SIGHUP)
@@ -612,7 +612,7 @@
 		return err
 	}
 	w.marks = nil
-	began, start := time.Now(), rig.Boot()
+	began, start := time.Now(), faulttest.Boot()
 	changes, unset := map[string][]Change{}, 0
 	var mu, reloads sync.Mutex
 	var errs []error
@@ -650,7 +650,7 @@
 			}
 			whole := math.Round(w.whole)
 			slow.Go(func() {
-				c := Change{At: rig.Boot()}
+				c := Change{At: faulttest.Boot()}
 				x, err := w.client.SetWhole(budgetName, whole)
 				if err != nil { // nobody led just now: the other changes go on
 					mu.Lock()
--- a/internal/scale/strains.go
+++ b/internal/scale/strains.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/internal/rig"
+	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
@@ -64,7 +64,7 @@
 		w.told(what, "list in force at who is left", inForce([]Change{c}, byNode(w.marks), left, markList, lateMost))
 		w.line("%s: %d nodes and %d cache servers lost at once", what, w.Nodes-len(left), len(gone))
 	}
-	from := rig.Boot()
+	from := faulttest.Boot()
 	if err := each(hosts, func(p *process) error {
 		if err := p.start(w.Program); err != nil {
 			return err
@@ -154,7 +154,7 @@
 		return err
 	}
 	w.sleep(w.CutFor / 2)
-	from := rig.Boot()
+	from := faulttest.Boot()
 	for _, r := range w.relays {
 		r.Cut(false)
 	}
@@ -236,7 +236,7 @@
 	if err != nil {
 		return err
 	}
-	from := rig.Boot()
+	from := faulttest.Boot()
 	w.voters[leads].end(syscall.SIGKILL)
 	var lease Times
 	for end := time.Now().Add(recoverMost); ; w.sleep(200 * time.Millisecond) {
