--- a/cmd/thistlerudder/scale_on.go
+++ b/cmd/thistlerudder/scale_on.go
@@ -14,13 +14,13 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/thistlerudder/thistlerudder/internal/scale"
+	"github.com/thistlerudder/thistlerudder/internal/scaletest"
 )
 
 // trialScale plays the control work of a large fleet.
 func trialScale() *cobra.Command {
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs, Short: "Play the control work of a large fleet, and say what it costs: docs/scale.md"}
-	p := scale.Plan{}
+	p := scaletest.Plan{}
 	f := c.Flags()
 	f.IntVar(&p.Nodes, "nodes", 100, "hollow nodes")
 	f.IntVar(&p.Real, "real", 2, "real nodes beside them, which serve lookups")
@@ -31,7 +31,7 @@
 	f.DurationVar(&p.CutFor, "cut", time.Minute, "for which a region is cut off")
 	f.IntVar(&p.FileKB, "file", 4, "KB of each node's configuration")
 	f.BoolVar(&p.Quiet, "quiet", false, "no lookups and no demand: hollow and real nodes then do the same")
-	what := f.String("what", "list,lease,budget,configuration", "some of "+strings.Join(scale.All, ","))
+	what := f.String("what", "list,lease,budget,configuration", "some of "+strings.Join(scaletest.All, ","))
 	out := f.String("out", "", "a file to add the points to, CSV")
 	fit := f.String("fit", "", "play nothing: fit the points of this file by least squares")
 	by := f.String("by", "nodes", "what the fit goes over: nodes or servers")
@@ -41,7 +41,7 @@
 		if *fit != "" {
 			return fitted(cmd, *fit, *by, *phase, *at)
 		}
-		if p.What, err = scale.Parse(*what); err != nil {
+		if p.What, err = scaletest.Parse(*what); err != nil {
 			return err
 		}
 		if p.Program, err = os.Executable(); err != nil {
@@ -49,7 +49,7 @@
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 		defer stop()
-		r, err := scale.Play(ctx, p, func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format+"\n", args...) })
+		r, err := scaletest.Play(ctx, p, func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format+"\n", args...) })
 		if *out != "" && len(r.Points) > 0 {
 			err = errors.Join(err, added(*out, r.Points))
 		}
@@ -68,14 +68,14 @@
 }
 
 // added writes points behind those of a file.
-func added(path string, points []scale.Point) error {
+func added(path string, points []scaletest.Point) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	at, err := f.Stat()
 	if err == nil {
-		err = scale.Write(f, points, at.Size() == 0)
+		err = scaletest.Write(f, points, at.Size() == 0)
 	}
 	return errors.Join(err, f.Close())
 }
@@ -90,12 +90,12 @@
 		return err
 	}
 	defer f.Close()
-	points, err := scale.ReadPoints(f)
+	points, err := scaletest.ReadPoints(f)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	fmt.Fprintf(cmd.OutOrStdout(), "| phase | role | what | measured at %s | base | slope | R² | residuals | at %g |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", by, at)
-	for _, l := range scale.Lines(points, by == "servers") {
+	for _, l := range scaletest.Lines(points, by == "servers") {
 		if phase != "" && l.Phase != phase {
 			continue
 		}
@@ -118,7 +118,7 @@
 	quiet, seed := f.Bool("quiet", false, "without demand"), f.Uint64("seed", 1, "of chance")
 	c.RunE = func(*cobra.Command, []string) error {
 		return child(func(ctx context.Context) error {
-			return scale.Host(ctx, os.Stdin, os.Stdout, *folder, *name, *quiet, *seed)
+			return scaletest.Host(ctx, os.Stdin, os.Stdout, *folder, *name, *quiet, *seed)
 		})
 	}
 	return c
@@ -129,7 +129,7 @@
 	c := &cobra.Command{Use: "directory", Args: cobra.NoArgs, Hidden: true, Short: "Stand in for discovery by orders from standard input"}
 	address := c.Flags().String("address", "", "where to listen")
 	c.RunE = func(*cobra.Command, []string) error {
-		return child(func(ctx context.Context) error { return scale.Serve(ctx, os.Stdin, os.Stdout, *address) })
+		return child(func(ctx context.Context) error { return scaletest.Serve(ctx, os.Stdin, os.Stdout, *address) })
 	}
 	return c
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bytes"
--- a/internal/scale/size.go
+++ b/internal/scaletest/size.go
@@ -1,6 +1,6 @@
-// Package scale plays the control work of a large fleet on one machine: hollow nodes, many to a process, which do it all by a
+// Package scaletest plays the control work of a large fleet on one machine: hollow nodes, many to a process, which do it all by a
 // node's own code and carry no lookups, beside real nodes, real voters and stand-ins of the rest. docs/scale.md has the page.
-package scale
+package scaletest
 
 import (
 	"fmt"
--- a/internal/scale/strains.go
+++ b/internal/scaletest/strains.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package scale
+package scaletest
 
 import (
 	"fmt"
