--- a/cmd/thistlerudder/soak_on.go
+++ b/cmd/thistlerudder/soak_on.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/thistlerudder/thistlerudder/internal/faults"
-	"github.com/thistlerudder/thistlerudder/internal/soak"
+	"github.com/thistlerudder/thistlerudder/internal/soaktest"
 )
 
 // trialSoak plays dozens of nodes under overlapping troubles, one run a seed.
@@ -47,7 +47,7 @@
 		defer stop()
 		failed := 0
 		for seed := from; seed <= to; seed++ {
-			run, err := soak.Play(ctx, soak.Plan{Program: program, Nodes: *nodes, For: *span, Seed: seed, Without: *without, Keep: *keep})
+			run, err := soaktest.Play(ctx, soaktest.Plan{Program: program, Nodes: *nodes, For: *span, Seed: seed, Without: *without, Keep: *keep})
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
--- a/internal/soak/ledger.go
+++ b/internal/soaktest/ledger.go
@@ -1,7 +1,7 @@
-// Package soak plays dozens of real node processes on loopback between stand-ins of clients, cache servers, an origin and a discovery
+// Package soaktest plays dozens of real node processes on loopback between stand-ins of clients, cache servers, an origin and a discovery
 // service, under troubles that overlap in time, and judges each request's life by the rules. The stand-ins, the clients and the judge
 // share one process and one clock, and no code with the nodes.
-package soak
+package soaktest
 
 import (
 	"sync"
--- a/internal/soak/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"context"
