--- a/cmd/thistlerudder/emulate.go
+++ b/cmd/thistlerudder/emulate.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/thistlerudder/thistlerudder/internal/emulator"
+	"github.com/thistlerudder/thistlerudder/internal/simulation"
 )
 
 // emulate plays described experiments in simulated time.
@@ -35,9 +35,9 @@
 		if *seeds < 1 {
 			return fmt.Errorf("seeds: expected 1 or more, not %d", *seeds)
 		}
-		var all []*emulator.Experiment
+		var all []*simulation.Experiment
 		for _, file := range files {
-			read, err := emulator.Read(file)
+			read, err := simulation.Read(file)
 			if err != nil {
 				return err
 			}
@@ -49,8 +49,8 @@
 			all = append(all, read...)
 		}
 		for _, p := range *only {
-			if !slices.Contains(emulator.Policies(), p) {
-				return fmt.Errorf("policy %q: expected one of %v", p, emulator.Policies())
+			if !slices.Contains(simulation.Policies(), p) {
+				return fmt.Errorf("policy %q: expected one of %v", p, simulation.Policies())
 			}
 		}
 		if *checkOnly {
@@ -62,7 +62,7 @@
 	return c
 }
 
-func play(cmd *cobra.Command, all []*emulator.Experiment, seeds int, out, parts string, after, span int) error {
+func play(cmd *cobra.Command, all []*simulation.Experiment, seeds int, out, parts string, after, span int) error {
 	table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 	head := "experiment\tpolicy\tseed\trequests\tin time\tworst 10 s\tp50 ms\tp99 ms\tfetches/s\tbusiest\tbroken"
 	if after > 0 {
@@ -72,20 +72,20 @@
 	var broken []string
 	var points strings.Builder
 	w := csv.NewWriter(&points)
-	_ = w.Write(emulator.Header) // into memory
+	_ = w.Write(simulation.Header) // into memory
 	w.Flush()
 	var use strings.Builder
 	uses := csv.NewWriter(&use)
-	_ = uses.Write(emulator.UseHeader) // into memory
+	_ = uses.Write(simulation.UseHeader) // into memory
 	for _, e := range all {
-		runs := make([]*emulator.Series, len(e.Policies)*seeds)
+		runs := make([]*simulation.Series, len(e.Policies)*seeds)
 		var played sync.WaitGroup
 		errs, places := make([]error, len(runs)), make(chan struct{}, e.AtOnce())
 		for i := range runs {
 			played.Go(func() {
 				places <- struct{}{}
 				defer func() { <-places }()
-				runs[i], errs[i] = emulator.Run(e, e.Policies[i/seeds], e.Seed+uint64(i%seeds))
+				runs[i], errs[i] = simulation.Run(e, e.Policies[i/seeds], e.Seed+uint64(i%seeds))
 			})
 		}
 		played.Wait()
--- a/internal/emulator/experiment.go
+++ b/internal/simulation/experiment.go
@@ -1,7 +1,7 @@
-// Package emulator plays a fleet in simulated time: clients, nodes, caches, an origin and a discovery service. The nodes
+// Package simulation plays a fleet in simulated time: clients, nodes, caches, an origin and a discovery service. The nodes
 // decide by the same logic.Balancer as the real ones, or by plain baselines. A run is told by its description and its
 // seed alone, so that designs can be tried at sizes that sockets do not reach.
-package emulator
+package simulation
 
 import (
 	"bytes"
--- a/internal/emulator/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package emulator
+package simulation
 
 import (
 	"fmt"
