--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -7,7 +7,7 @@
 	"os"
 	"runtime/debug"
 
-	"github.com/thistlerudder/thistlerudder/internal/wire"
+	"github.com/thistlerudder/thistlerudder/internal/simwire"
 )
 
 // gcPercent trades memory, of which a node has plenty, for CPU, which is charged.
@@ -17,7 +17,7 @@
 	log.SetFlags(0)
 	log.SetPrefix("wirehost: ")
 	debug.SetGCPercent(gcPercent)
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
 		log.Fatal(err)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's wire, lagoon-8246: it decodes events into calls of the decision
+// Package simwire speaks the simulator's wire, lagoon-8246: it decodes events into calls of the decision
 // module and encodes the module's Host calls into orders. The wire's own names end here.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
