--- a/cmd/wirehost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost runs balancer instances on the simulator's wire: batches on standard input, one
+// Command simhost runs balancer instances on the simulator's wire: batches on standard input, one
 // reply a line on standard output, plain messages on standard error.
 package main
 
@@ -15,7 +15,7 @@
 
 func main() {
 	log.SetFlags(0)
-	log.SetPrefix("wirehost: ")
+	log.SetPrefix("simhost: ")
 	debug.SetGCPercent(gcPercent)
 	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
 		log.Fatal(err)
