--- a/internal/config/station.go
+++ b/internal/config/station.go
@@ -138,9 +138,9 @@
 		}
 	}
 	limit := func(key string) any { v, _ := find(all, "limits."+key); return v }
-	s.Cores, _ = number.read(limit("cores")).(float64)
-	s.MemoryMB, _ = whole.read(limit("memory_mb")).(int)
-	s.Descriptors, _ = whole.read(limit("sockets")).(int)
+	s.Cores, _ = number.parse(limit("cores"))
+	s.MemoryMB, _ = whole.parse(limit("memory_mb"))
+	s.Descriptors, _ = whole.parse(limit("sockets"))
 	if s.Cores <= 0 {
 		fault("limits.cores", "a number above 0")
 	}
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -15,45 +15,48 @@
 
 // Terms is what a deployment lays down for all its nodes.
 type Terms struct {
-	Module                            map[string]any // names in our words to values, for logic.New
-	Namespaces, Partners, Machines    map[string]int // names to places in the module's lists
-	LongestLimit                      time.Duration  // of all namespaces
-	Advice                            time.Duration  // the longest retry-after that clients heed; 0: give none
-	ConnectWithin, IdleFor, AskWithin time.Duration  // towards the servers and the box list
-	Grace                             time.Duration  // from a drain's telling to the last shot's first byte; 0: not told
+	Module                         routing.Config
+	Namespaces, Partners, Machines map[string]int // names to places in the module's lists
+
+	LongestLimit  time.Duration // the longest deadline of all classes
+	Advice        time.Duration // longest Retry-After that clients heed; 0: give none
+	ConnectWithin time.Duration // for a connection to a cache server or the origin
+	IdleFor       time.Duration // after which a server closes an idle connection
+	AskWithin     time.Duration // between two polls of the endpoint list
+	Grace         time.Duration // from a drain's notice to the first byte of the last attempt; 0: no bound
+
+	originKindSet bool // the settings name the origin's kind
 }
 
-// Replayable says whether lookups of a namespace, one that the terms name, may run any number of times.
+// class gives a class that the settings name.
+func (t *Terms) class(name string) routing.Class { return t.Module.Classes[t.Namespaces[name]] }
+
+// Replayable says whether requests of a class may run any number of times.
 func (t *Terms) Replayable(namespace string) bool {
-	return t.Module["namespaces"].([]map[string]any)[t.Namespaces[namespace]]["repeat"] == "replayable"
+	return t.class(namespace).Idempotence == routing.Safe
 }
 
-// Memory gives the span in which repeats of a tagged lookup are dropped; 0 for other namespaces.
+// Memory gives the span in which servers drop repeats of a request with an idempotency key; 0 for other classes.
 func (t *Terms) Memory(namespace string) time.Duration {
-	ns := t.Module["namespaces"].([]map[string]any)[t.Namespaces[namespace]]
-	if span, told := ns["memory span"].(routing.Time); told && ns["repeat"] == "tagged" {
-		return Duration(span)
+	if c := t.class(namespace); c.Idempotence == routing.IdempotentByKey {
+		return Duration(c.DedupWindow)
 	}
 	return 0
 }
 
-// KeyedForAll says whether all servers of the deployment drop repeats of a keyed request of this namespace.
+// KeyedForAll says whether all servers together drop repeats of a request of this class by its idempotency key.
 func (t *Terms) KeyedForAll(namespace string) bool {
-	ns := t.Module["namespaces"].([]map[string]any)[t.Namespaces[namespace]]
-	return ns["repeat"] == "tagged" && ns["group"] == "all"
+	c := t.class(namespace)
+	return c.Idempotence == routing.IdempotentByKey && c.SharedDedup
 }
 
 // Origin says whether a kind of machine is the origin's.
 func (t *Terms) Origin(kind int) bool {
-	origin, given := t.Module["origin kind"].(int)
-	return given && t.Module["mode"] == "aside" && kind == origin
+	return t.originKindSet && t.Module.CacheAside && kind == t.Module.OriginKind
 }
 
-// SecondCopies says whether two shots of a lookup may be out at once: only where the settings say so.
-func (t *Terms) SecondCopies() bool {
-	allowed, _ := t.Module["second copies"].(bool)
-	return allowed
-}
+// SecondCopies says whether two attempts of a request may be in flight at once: only where the settings say so.
+func (t *Terms) SecondCopies() bool { return t.Module.Hedging }
 
 // What holds where the settings are silent; each is on the cautious side of what deployments name.
 const (
@@ -65,185 +68,232 @@
 // Tenths turns milliseconds into whole tenths, rounded down.
 func Tenths(ms float64) routing.Time { return routing.Time(math.Floor(ms * 10)) }
 
-// A form turns a JSON value into ours, or says what it expected instead.
-type form struct {
+// A form parses a JSON value.
+type form[T any] struct {
 	expected string
-	read     func(any) any // nil: not of this form
+	parse    func(any) (value T, ok bool)
 }
 
-var (
-	whole = form{"a whole number", func(v any) any {
-		if x, ok := v.(float64); ok && x == math.Trunc(x) && math.Abs(x) < 1e15 {
-			return int(x)
-		}
-		return nil
-	}}
-	count = form{"a whole number, 1 or more", func(v any) any {
-		if x, ok := whole.read(v).(int); ok && x > 0 {
-			return x
-		}
-		return nil
-	}}
-	amount = form{"a number, 0 or more", func(v any) any {
-		if x, ok := v.(float64); ok && x >= 0 {
-			return x
-		}
-		return nil
+// numberForm gives a form of numbers that fulfil a condition.
+func numberForm(expected string, valid func(float64) bool) form[float64] {
+	return form[float64]{expected, func(v any) (float64, bool) {
+		x, ok := v.(float64)
+		return x, ok && valid(x)
 	}}
-	share = form{"a number from 0 to 1", func(v any) any {
-		if x, ok := v.(float64); ok && x >= 0 && x <= 1 {
-			return x
+}
+
+const (
+	integerMost      = 1e15 // far below the largest integer that a JSON number holds exactly
+	millisecondsMost = 1e12 // some thirty years
+)
+
+var (
+	number = numberForm("a number", func(float64) bool { return true })
+	amount = numberForm("a number, 0 or more", func(x float64) bool { return x >= 0 })
+	share  = numberForm("a number from 0 to 1", func(x float64) bool { return x >= 0 && x <= 1 })
+	whole  = form[int]{"a whole number", func(v any) (int, bool) {
+		x, ok := v.(float64)
+		if !ok || x != math.Trunc(x) || math.Abs(x) >= integerMost {
+			return 0, false
 		}
-		return nil
+		return int(x), true
 	}}
-	number = form{"a number", func(v any) any {
-		if x, ok := v.(float64); ok {
-			return x
-		}
-		return nil
+	count = form[int]{"a whole number, 1 or more", func(v any) (int, bool) {
+		x, ok := whole.parse(v)
+		return x, ok && x > 0
 	}}
-	span = form{"a time in milliseconds, 0 or more", func(v any) any {
-		if x, ok := v.(float64); ok && x >= 0 && x < 1e12 {
-			return Tenths(x)
+	span = form[routing.Time]{"a time in milliseconds, 0 or more", func(v any) (routing.Time, bool) {
+		x, ok := v.(float64)
+		if !ok || !(x >= 0 && x < millisecondsMost) {
+			return 0, false
 		}
-		return nil
+		return Tenths(x), true
 	}}
-	text = form{"a text", func(v any) any {
-		if x, ok := v.(string); ok {
-			return x
-		}
-		return nil
+	text = form[string]{"a text", func(v any) (string, bool) {
+		x, ok := v.(string)
+		return x, ok
 	}}
-	yesNo = form{"true or false", func(v any) any {
-		if x, ok := v.(bool); ok {
-			return x
-		}
-		return nil
+	yesNo = form[bool]{"true or false", func(v any) (bool, bool) {
+		x, ok := v.(bool)
+		return x, ok
 	}}
-	repeat = form{"safe, keyed or unsafe", func(v any) any {
+	idempotence = form[routing.Idempotence]{"safe, keyed or unsafe", func(v any) (routing.Idempotence, bool) {
 		switch v {
 		case "safe":
-			return "replayable"
+			return routing.Safe, true
 		case "keyed":
-			return "tagged"
+			return routing.IdempotentByKey, true
 		case "unsafe":
-			return "single-use"
+			return routing.Unsafe, true
 		}
-		return nil
+		return routing.Unsafe, false
 	}}
 )
 
-// entry says under which of our names the value of a key goes on, and in what form.
-type entry struct {
-	key, name string
-	form      form
-	needed    bool // a node on sockets can't do without it
+// object is a JSON object of the settings, with where it stands in them. Reading it collects the keys at fault.
+type object struct {
+	values map[string]any // JSON as decoded: truly free in form, and unknown keys are passed over
+	path   string
+	faults *[]error
 }
 
-var general = []entry{
-	{"balancers", "nodes", count, false},
-	{"domain.mode", "mode", text, false},
-	{"domain.origin-kind", "origin kind", whole, false},
-	{"permissions.most-shots", "most shots", count, false},
-	{"permissions.parallel-tries", "second copies", yesNo, false},
-	{"permissions.max-retry-after-ms", "longest retry-after", span, false},
-	{"invariants.cold-from", "cold share", share, false},
-	{"invariants.warm-up-ms", "warm-up", span, false},
-	{"invariants.overload-factor", "overload factor", amount, false},
-	{"invariants.fall-ms", "fall window", span, false},
-	{"invariants.ask-within-ms", "ask within", span, false},
-	{"tick-ms", "tick", span, false},
+func (o object) fault(key, expected string) {
+	*o.faults = append(*o.faults, fmt.Errorf("%s%s: expected %s", o.path, key, expected))
 }
 
-var ofNamespace = []entry{
-	{"repeat", "repeat", repeat, true},
-	{"group", "group", text, false},
-	{"target-time-ms", "target time", span, true},
-	{"time-limit-ms", "time limit", span, true},
-	{"memory-span-ms", "memory span", span, false},
-	{"late-utility", "late utility", share, false},
-	{"utility", "utility", amount, false},
+// optional reads a key into a field, which keeps its value where the key is absent or at fault.
+func optional[T any](o object, key string, f form[T], into *T) {
+	if v, found := find(o.values, key); found {
+		parseInto(o, key, f, v, into)
+	}
 }
 
-var ofPartner = []entry{{"quota-rps", "lookups a second", amount, false}}
+// required reads a key that a node can't do without.
+func required[T any](o object, key string, f form[T], into *T) {
+	v, _ := find(o.values, key)
+	parseInto(o, key, f, v, into)
+}
 
-// Of gives a deployment's settings our names. What is missing or of another form is left out, so that the
-// module falls back to its cautious default; the error names each key that is malformed, or missing though
-// a node on sockets needs it. Keys that are unknown are passed over: operators may be newer.
+func parseInto[T any](o object, key string, f form[T], v any, into *T) {
+	x, ok := f.parse(v)
+	if !ok {
+		o.fault(key, f.expected)
+		return
+	}
+	*into = x
+}
+
+// optionalTimeout reads a key that is a time above 0.
+func optionalTimeout(o object, key string, into *time.Duration) {
+	v, found := find(o.values, key)
+	if !found {
+		return
+	}
+	t, ok := span.parse(v)
+	if !ok || t <= 0 {
+		o.fault(key, "a time in milliseconds above 0")
+		return
+	}
+	*into = Duration(t)
+}
+
+const (
+	modeAside  = "aside" // domain.mode: caches are filled from an origin
+	groupAll   = "all"   // namespaces[].group: all servers drop repeats of a key together
+	modePolled = "ask"   // registry-mode: nodes poll the endpoint list
+)
+
+// Of reads a deployment's settings. What is missing or malformed keeps its cautious default; the error names each key that
+// is malformed, or missing though a node needs it. Keys that are unknown are passed over: operators may be newer.
 func Of(settings map[string]any) (*Terms, error) {
-	t := &Terms{Module: map[string]any{}, Namespaces: map[string]int{}, Partners: map[string]int{},
-		Machines: map[string]int{}, ConnectWithin: defaultConnect, IdleFor: defaultIdle, AskWithin: defaultAsk}
 	var faults []error
-	take := func(from map[string]any, at string, entries []entry, into map[string]any) {
-		for _, e := range entries {
-			v, found := find(from, e.key)
-			if !found && !e.needed {
-				continue
-			}
-			if v = e.form.read(v); v != nil {
-				into[e.name] = v
-			} else {
-				faults = append(faults, fmt.Errorf("%s%s: expected %s", at, e.key, e.form.expected))
-			}
-		}
+	o := object{settings, "settings.", &faults}
+	t := &Terms{Module: routing.DefaultConfig(), ConnectWithin: defaultConnect, IdleFor: defaultIdle, AskWithin: defaultAsk}
+	t.readGeneral(o)
+	t.readClasses(o)
+	t.readTenants(o)
+	t.Machines = map[string]int{}
+	for i, m := range items(settings["models"]) {
+		t.Machines[fmt.Sprint(m)] = i
 	}
-	take(settings, "settings.", general, t.Module)
-	if advice, found := find(settings, "permissions.retry-after"); found && advice == false {
-		delete(t.Module, "longest retry-after")
+	t.readTimeouts(o)
+	return t, errors.Join(faults...)
+}
+
+// readGeneral reads what holds for all classes and tenants.
+func (t *Terms) readGeneral(o object) {
+	c := &t.Module
+	optional(o, "balancers", count, &c.Nodes)
+	var mode string
+	optional(o, "domain.mode", text, &mode)
+	c.CacheAside = mode == modeAside
+	if v, found := find(o.values, "domain.origin-kind"); found {
+		_, t.originKindSet = whole.parse(v)
 	}
-	if longest, given := t.Module["longest retry-after"].(routing.Time); given {
-		t.Advice = Duration(longest)
+	optional(o, "domain.origin-kind", whole, &c.OriginKind)
+	optional(o, "permissions.most-shots", count, &c.MaxAttempts)
+	optional(o, "permissions.parallel-tries", yesNo, &c.Hedging)
+	optional(o, "permissions.max-retry-after-ms", span, &c.MaxRetryAfter)
+	optional(o, "invariants.cold-from", share, &c.SlowStartShare)
+	optional(o, "invariants.warm-up-ms", span, &c.SlowStartWindow)
+	optional(o, "invariants.overload-factor", amount, &c.OverloadFactor)
+	optional(o, "invariants.fall-ms", span, &c.OverloadWindow)
+	optional(o, "invariants.ask-within-ms", span, &c.MaxPollInterval)
+	optional(o, "tick-ms", span, &c.Tick)
+	if advice, found := find(o.values, "permissions.retry-after"); found && advice == false {
+		c.MaxRetryAfter = 0
 	}
-	list := func(key string, entries []entry, places map[string]int) (out []map[string]any) {
-		for i, v := range items(settings[key]) {
-			m, _ := v.(map[string]any)
-			at := fmt.Sprintf("settings.%s[%d].", key, i)
-			name, ok := m["name"].(string)
-			if !ok {
-				faults = append(faults, fmt.Errorf("%sname: expected a text", at))
-			}
-			places[name] = i
-			x := map[string]any{}
-			take(m, at, entries, x)
-			out = append(out, x)
+	t.Advice = Duration(c.MaxRetryAfter)
+}
+
+// objects gives the named objects of a list, with their places by name.
+func objects(o object, key string) (all []object, places map[string]int) {
+	places = map[string]int{}
+	for i, v := range items(o.values[key]) {
+		values, _ := v.(map[string]any)
+		x := object{values, fmt.Sprintf("%s%s[%d].", o.path, key, i), o.faults}
+		name, ok := values["name"].(string)
+		if !ok {
+			x.fault("name", text.expected)
 		}
-		return out
+		places[name] = i
+		all = append(all, x)
 	}
-	namespaces := list("namespaces", ofNamespace, t.Namespaces)
-	if len(namespaces) == 0 {
-		faults = append(faults, errors.New("settings.namespaces: expected a list of one namespace at least"))
+	return all, places
+}
+
+func (t *Terms) readClasses(o object) {
+	classes, places := objects(o, "namespaces")
+	t.Namespaces = places
+	for _, x := range classes {
+		c := routing.DefaultClass()
+		var group string
+		var deadline routing.Time
+		var utility float64 // checked alone: no decision reads it
+		required(x, "repeat", idempotence, &c.Idempotence)
+		optional(x, "group", text, &group)
+		required(x, "target-time-ms", span, &c.LatencyTarget)
+		required(x, "time-limit-ms", span, &deadline)
+		optional(x, "memory-span-ms", span, &c.DedupWindow)
+		optional(x, "late-utility", share, &c.LateUtility)
+		optional(x, "utility", amount, &utility)
+		c.SharedDedup = group == groupAll
+		t.LongestLimit = max(t.LongestLimit, Duration(deadline))
+		t.Module.Classes = append(t.Module.Classes, c)
 	}
-	for _, ns := range namespaces {
-		if limit, ok := ns["time limit"].(routing.Time); ok {
-			t.LongestLimit = max(t.LongestLimit, Duration(limit))
-		}
+	if len(classes) == 0 {
+		o.fault("namespaces", "a list of one namespace at least")
 	}
-	t.Module["namespaces"], t.Module["partners"] = namespaces, list("tenants", ofPartner, t.Partners)
-	for i, m := range items(settings["models"]) {
-		t.Machines[fmt.Sprint(m)] = i
-	}
-	for key, d := range map[string]*time.Duration{"permissions.connect-timeout-ms": &t.ConnectWithin,
-		"permissions.conn-idle-ms": &t.IdleFor, "invariants.ask-within-ms": &t.AskWithin,
-		"invariants.stop-sending-within-ms": &t.Grace} {
-		if v, found := find(settings, key); found {
-			if s, ok := span.read(v).(routing.Time); ok && s > 0 {
-				*d = Duration(s)
-			} else {
-				faults = append(faults, fmt.Errorf("settings.%s: expected %s", key, "a time in milliseconds above 0"))
-			}
-		}
+}
+
+func (t *Terms) readTenants(o object) {
+	tenants, places := objects(o, "tenants")
+	t.Partners = places
+	for _, x := range tenants {
+		c := routing.DefaultTenant()
+		optional(x, "quota-rps", amount, &c.Quota)
+		t.Module.Tenants = append(t.Module.Tenants, c)
 	}
-	// Lists that are asked for count as told when they are written. Of others, what discovery has counts at once, and a
-	// drain's grace runs from then: the module has to know of it. Where nothing is said, the stricter of the two holds.
-	if mode, _ := find(settings, "registry-mode"); mode != "ask" && t.Grace > 0 {
-		t.Module["pushed grace"] = routing.Time(t.Grace / (time.Millisecond / time.Duration(routing.Millisecond)))
+}
+
+func (t *Terms) readTimeouts(o object) {
+	optionalTimeout(o, "permissions.connect-timeout-ms", &t.ConnectWithin)
+	optionalTimeout(o, "permissions.conn-idle-ms", &t.IdleFor)
+	optionalTimeout(o, "invariants.ask-within-ms", &t.AskWithin)
+	optionalTimeout(o, "invariants.stop-sending-within-ms", &t.Grace)
+	// A polled list counts as notified when it is written. A pushed one counts as soon as discovery has it, and a drain's
+	// grace runs from then, so the decisions have to know of it. Where the settings are silent, the stricter of the two holds.
+	if mode, _ := find(o.values, "registry-mode"); mode != modePolled && t.Grace > 0 {
+		t.Module.PushedGrace = routing.Time(t.Grace / tick)
 	}
-	return t, errors.Join(faults...)
 }
 
+// tick is one unit of routing.Time.
+const tick = time.Millisecond / time.Duration(routing.Millisecond)
+
 // Duration turns the module's time into the standard library's.
 func Duration(t routing.Time) time.Duration {
-	return time.Duration(t) * (time.Millisecond / time.Duration(routing.Millisecond))
+	return time.Duration(t) * tick
 }
 
 // find follows a dotted path; null counts as absent.
--- a/internal/config/terms_test.go
+++ b/internal/config/terms_test.go
@@ -51,11 +51,11 @@
 		s.Machines["origin"] != 1 {
 		t.Errorf("%+v", s.Terms)
 	}
-	ns := s.Module["namespaces"].([]map[string]any)
-	if ns[0]["repeat"] != "replayable" || ns[0]["target time"] != routing.Time(2001) || ns[1]["repeat"] != "tagged" ||
-		s.Module["longest retry-after"] != 400*routing.Millisecond || s.Module["nodes"] != 3 || s.Module["mode"] != "aside" ||
+	classes := s.Module.Classes
+	if classes[0].Idempotence != routing.Safe || classes[0].LatencyTarget != routing.Time(2001) || classes[1].Idempotence != routing.IdempotentByKey ||
+		s.Module.MaxRetryAfter != 400*routing.Millisecond || s.Module.Nodes != 3 || !s.Module.CacheAside ||
 		!s.Replayable("read") || s.Replayable("log") {
-		t.Errorf("%v", s.Module)
+		t.Errorf("%+v", s.Module)
 	}
 }
 
@@ -140,7 +140,7 @@
 	if s, err := read(t, `"cold-from":0.17`, `"stop-sending-within-ms":100.0`); err != nil || s.Grace != 100*time.Millisecond {
 		t.Errorf("grace %v, %v", s.Grace, err)
 	}
-	if _, advice := s.Module["longest retry-after"]; advice || s.Advice != 0 {
+	if s.Module.MaxRetryAfter != 0 || s.Advice != 0 {
 		t.Error("advice though the deployment gives none")
 	}
 }
@@ -268,17 +268,18 @@
 // Only lists that are asked for count as told when they come. Of others a drain's grace runs from what discovery has: the
 // module is told of it, also where nothing is said of how lists come, and not where there is no grace.
 func TestThePushedListsGraceIsHandedOn(t *testing.T) {
-	for with, want := range map[string]any{
+	unknown := routing.DefaultConfig().PushedGrace
+	for with, want := range map[string]routing.Time{
 		`"registry-mode":"push","invariants":{"stop-sending-within-ms":1500.0,`: 1500 * routing.Millisecond,
 		`"invariants":{"stop-sending-within-ms":1500.0,`:                        1500 * routing.Millisecond,
-		`"registry-mode":"ask","invariants":{"stop-sending-within-ms":1500.0,`:  nil,
-		`"registry-mode":"push","invariants":{`:                                 nil,
+		`"registry-mode":"ask","invariants":{"stop-sending-within-ms":1500.0,`:  unknown,
+		`"registry-mode":"push","invariants":{`:                                 unknown,
 	} {
 		s, err := read(t, `"invariants":{`, with)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Module["pushed grace"]; got != want {
+		if got := s.Module.PushedGrace; got != want {
 			t.Errorf("%s: %v, want %v", with, got, want)
 		}
 	}
--- a/internal/net/dispatch/exchange_test.go
+++ b/internal/net/dispatch/exchange_test.go
@@ -338,7 +338,7 @@
 	for _, allowed := range []bool{true, false} {
 		ships := &fleet{}
 		x := start(t, ships)
-		x.terms.Module["second copies"] = allowed
+		x.terms.Module.Hedging = allowed
 		for i := range x.boxes {
 			x.boxes[i].mean = 2 * time.Millisecond
 		}
--- a/internal/net/node/limits.go
+++ b/internal/net/node/limits.go
@@ -91,9 +91,8 @@
 	}
 	fellows := 0
 	if s.Fleet != nil {
-		nodes, _ := s.Terms.Module["nodes"].(int)
 		voters := fleetVoter * len(s.Fleet.Voters)
-		part := min(fleetOwn+voters+max(nodes, fleetNodes), rest/fleetPart)
+		part := min(fleetOwn+voters+max(s.Terms.Module.Nodes, fleetNodes), rest/fleetPart)
 		fellows = max(fleetLeast, part-fleetOwn-voters/2) // the other half leads from here
 		rest -= part
 	}
--- a/internal/net/node/limits_test.go
+++ b/internal/net/node/limits_test.go
@@ -5,6 +5,7 @@
 	"testing/quick"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/routing"
 )
 
 // Whatever the configuration and the system allow, the parts are no more than the lower of the two, the reserve holds what
@@ -71,11 +72,7 @@
 		"by halves":        {512, 2, 300, 64},
 		"very few":         {128, 1, 300, 12},
 	} {
-		module := map[string]any{}
-		if c.nodes > 0 {
-			module["nodes"] = c.nodes
-		}
-		s := &config.Station{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Terms: &config.Terms{Module: module},
+		s := &config.Station{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Terms: &config.Terms{Module: routing.Config{Nodes: c.nodes}},
 			Fleet: &config.Fleet{Voters: voters}}
 		l := process{open: 10}.split(s, c.processes)
 		toFellows := fleetOwn + fleetVoter*len(voters)/2
@@ -93,7 +90,7 @@
 // A voter of a fleet of any size holds a connection of each node and some more, where it may have twice that and what is set apart.
 func TestAVotersPartHoldsAllNodes(t *testing.T) {
 	for nodes := 1; nodes <= 4096; nodes++ {
-		s := &config.Station{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Terms: &config.Terms{Module: map[string]any{"nodes": nodes}},
+		s := &config.Station{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Terms: &config.Terms{Module: routing.Config{Nodes: nodes}},
 			Fleet: &config.Fleet{Voters: make([]config.Voter, 3)}}
 		if l := (process{most: 20_000, open: 10}).split(s, 1); l.fellows < nodes+12 {
 			t.Fatalf("%d nodes: %+v", nodes, l)
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -23,6 +23,11 @@
 // maker starts a policy for one node.
 type maker func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy
 
+const (
+	lateUtility = 0.25 // share of the utility of an answer after the latency target
+	originKind  = 1    // routing.Endpoint.Kind of the origin; 0 is a cache
+)
+
 // policies are the project's own, by its ranges, and the plain ones that it is compared with.
 var policies = map[string]maker{
 	"ranges":  ranges,
@@ -32,13 +37,18 @@
 }
 
 func ranges(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
-	namespace := func(repeat string) map[string]any {
-		return map[string]any{"repeat": repeat, "target time": e.Demand.Target.ticks(), "late utility": 0.25}
+	class := func(i routing.Idempotence) routing.Class {
+		return routing.Class{Idempotence: i, LatencyTarget: e.Demand.Target.ticks(), LateUtility: lateUtility}
 	}
-	return routing.New(host, seed, now, map[string]any{"nodes": e.Fleet.Nodes, "mode": "aside", "origin kind": 1,
-		"most shots": e.Rules.Shots, "longest retry-after": e.Demand.Target.ticks() * 2, "cold share": e.Fleet.ColdShare,
-		"warm-up": e.Fleet.WarmUp.ticks(), "overload factor": e.Rules.Overload, "fall window": e.Rules.Window.ticks(),
-		"namespaces": []map[string]any{namespace("replayable"), namespace("single-use")}})
+	c := routing.DefaultConfig()
+	c.Nodes = e.Fleet.Nodes
+	c.CacheAside, c.OriginKind = true, originKind
+	c.MaxAttempts = e.Rules.Shots
+	c.MaxRetryAfter = e.Demand.Target.ticks() * 2
+	c.SlowStartShare, c.SlowStartWindow = e.Fleet.ColdShare, e.Fleet.WarmUp.ticks()
+	c.OverloadFactor, c.OverloadWindow = e.Rules.Overload, e.Rules.Window.ticks()
+	c.Classes = []routing.Class{class(routing.Safe), class(routing.Unsafe)}
+	return routing.New(host, seed, now, c)
 }
 
 // hashing takes the cache that hashes highest with the key: consistent, as only a lost cache's keys move.
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -1,7 +1,7 @@
 package routing
 
-// This file makes a Balancer and takes what happens. New makes one per node from the terms (a plain map of names to values) and a Host to
-// act through; host.go has Host and the plain types. Then the caller reports each thing that happens by calling a method: Lookup, Sent,
+// This file makes a Balancer and takes what happens. New makes one per node from its Config and a Host to act through;
+// host.go has Host and the plain types. Then the caller reports each thing that happens by calling a method: Lookup, Sent,
 // Settled, Tried, Left, List, Part or Alarm, with the clock. Methods act by calling the Host before they return. docs/design.md says where
 // all this comes from.
 
@@ -13,15 +13,14 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// New starts a node. The terms it reads are listed in docs/design.md.
-func New(host Host, seed uint64, now Time, terms map[string]any) *Balancer {
-	b := &Balancer{host: host, terms: terms, seed: seed, now: now, fade: 1,
-		nodes: float64(max(1, term(terms, "nodes", 1))), halved: now, ease: 1,
+// New starts a node.
+func New(host Host, seed uint64, now Time, config Config) *Balancer {
+	b := &Balancer{host: host, config: config, seed: seed, now: now, fade: 1,
+		nodes: float64(max(1, config.Nodes)), halved: now, ease: 1,
 		klDue: now + klSpan, fetches: map[uint64][]int{}, keep: keepMost,
 		weight: slices.Repeat([]float64{1.0 / bins}, bins), late: make([]float64, klGroups)}
 	b.least = max(1, min(busyLeast, roomLeast/b.nodes))
-	b.askWait = max(AskSpread, min(AskMost, term(terms, "ask within", 2*AskMost)/2,
-		term(terms, "pushed grace", askPart*AskMost)/askPart))
+	b.askWait = max(AskSpread, min(AskMost, config.MaxPollInterval/2, config.PushedGrace/askPart))
 	b.read()
 	host.Wake(now+Time(b.draw()*float64(AskSpread)), listHandle)
 	return b
@@ -35,9 +34,9 @@
 	}
 	l, ns := &b.lookups[lkp], &b.spaces[in.Namespace]
 	*l = lookup{Lookup: in, live: true, arrived: now, giveUp: in.Limit, work: 1, shots: l.shots[:0]}
-	if ns.late == 0 && ns.kind == replayable {
+	if ns.LateUtility == 0 && ns.Idempotence == Safe {
 		// Two ticks early, so that a deferral is still inside the target time.
-		l.giveUp = min(in.Limit, now+ns.target-2*term(b.terms, "tick", Time(0)))
+		l.giveUp = min(in.Limit, now+ns.LatencyTarget-2*b.config.Tick)
 	}
 	if l.point = b.draw() * bins; in.Key != "" {
 		l.key = xxhash.Sum64String(in.Key) | 1
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -73,8 +73,10 @@
 func newQuiet(caches, nodes int) *quiet {
 	rnd := rand.New(rand.NewSource(1))
 	q := &quiet{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
-	q.b = New(q, 1, q.now, map[string]any{"nodes": nodes, "mode": "aside", "origin kind": 1, "most shots": 3,
-		"namespaces": []map[string]any{{"repeat": "replayable", "target time": 200 * Millisecond}}})
+	q.b = New(q, 1, q.now, configOf(func(c *Config) {
+		c.Nodes, c.CacheAside, c.OriginKind, c.MaxAttempts = nodes, true, 1, 3
+		c.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
+	}))
 	var boxes []Box
 	for i := range caches {
 		boxes = append(boxes, Box{Server: i, ID: fmt.Sprintf("c-%08x", rnd.Uint32())})
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -6,7 +6,7 @@
 
 // coldShare is the least share of its capacity that a server has by now.
 func (b *Balancer) coldShare(s *server) float64 {
-	cold, warmUp := term(b.terms, "cold share", 0.1), term(b.terms, "warm-up", 30000*Millisecond)
+	cold, warmUp := b.config.SlowStartShare, b.config.SlowStartWindow
 	age := b.now - s.Since
 	if s.Since == 0 || age >= warmUp {
 		return 1
@@ -19,9 +19,9 @@
 // least. What is less than a shot is rounded by chance: were it saved up, many nodes would send a whole one at
 // once. So the sum of all has the mean that has filled, whenever their lookups come.
 func (b *Balancer) coldBudget(l *lookup, s *server) float64 {
-	share := coldMargin * term(b.terms, "overload factor", 2.0) * b.coldShare(s)
+	share := coldMargin * b.config.OverloadFactor * b.coldShare(s)
 	rate := share * max(b.perCache, 1/(b.nodes*seconds(max(1, b.soonest))))
-	most := max(share, rate*seconds(term(b.terms, "fall window", 1000*Millisecond))/2)
+	most := max(share, rate*seconds(b.config.OverloadWindow)/2)
 	s.budget, s.budgetAt = min(most, s.budget+rate*seconds(b.now-s.budgetAt)), b.now
 	if s.budget < l.work && l.work <= max(coldWork, most) {
 		s.budget = l.work * math.Floor(s.budget/l.work+b.draw())
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -79,9 +79,11 @@
 	begin := func(i int) {
 		n := &coldNode{told: true}
 		begun++
-		n.b = New(n, uint64(begun), now, map[string]any{"nodes": c.nodes, "most shots": 3, "cold share": c.from,
-			"warm-up": c.warmUp, "overload factor": c.overload, "fall window": coldWindow,
-			"namespaces": []map[string]any{{"repeat": "replayable", "target time": 200 * Millisecond}}})
+		n.b = New(n, uint64(begun), now, configOf(func(to *Config) {
+			to.Nodes, to.MaxAttempts, to.SlowStartShare = c.nodes, 3, c.from
+			to.SlowStartWindow, to.OverloadFactor, to.OverloadWindow = c.warmUp, c.overload, coldWindow
+			to.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
+		}))
 		if fleet[i] = n; c.budget > 0 {
 			part(i)
 		}
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -24,7 +24,7 @@
 
 // client is one lookup as its client and the servers see it.
 type client struct {
-	kind     string
+	kind     Idempotence
 	limit    Time
 	ended    bool
 	deferred Time // the retry-after, if it was deferred
@@ -59,8 +59,8 @@
 	}
 	for i := range c.shots {
 		s := &c.shots[i]
-		late := c.kind == "tagged" && f.now-s.sent >= memorySpan
-		if s.mayHaveRun() && (c.kind == "single-use" || late) {
+		late := c.kind == IdempotentByKey && f.now-s.sent >= memorySpan
+		if s.mayHaveRun() && (c.kind == Unsafe || late) {
 			f.fault("a %s lookup may run twice", c.kind)
 		}
 	}
@@ -70,7 +70,7 @@
 
 func (f *fake) Defer(lkp int, retryAfter Time) {
 	c := f.lkps[lkp]
-	if c.kind == "single-use" && slices.ContainsFunc(c.shots, fakeShot.mayHaveRun) {
+	if c.kind == Unsafe && slices.ContainsFunc(c.shots, fakeShot.mayHaveRun) {
 		f.fault("a single-use lookup was deferred though it may have run")
 	}
 	c.deferred = retryAfter
@@ -108,20 +108,27 @@
 
 const memorySpan = 400 * Millisecond
 
-var kinds = []string{"replayable", "tagged", "single-use"}
+var kinds = []Idempotence{Safe, IdempotentByKey, Unsafe}
+
+// configOf gives the default configuration, changed.
+func configOf(change func(*Config)) Config {
+	c := DefaultConfig()
+	change(&c)
+	return c
+}
 
 // newFake starts a node with three namespaces, two partners, n warm caches and an origin.
 func newFake(seed int64, n int) *fake {
 	f := &fake{rnd: rand.New(rand.NewSource(seed)), now: 1000, wakes: map[int][]Time{}}
-	var spaces []map[string]any
+	var classes []Class
 	for _, k := range kinds {
-		spaces = append(spaces, map[string]any{"repeat": k, "group": "all", "target time": 200 * Millisecond,
-			"memory span": memorySpan, "time limit": 800 * Millisecond})
+		classes = append(classes, Class{Idempotence: k, SharedDedup: true, LatencyTarget: 200 * Millisecond, DedupWindow: memorySpan})
 	}
-	f.b = New(f, uint64(seed), f.now, map[string]any{"nodes": 2, "mode": "aside", "origin kind": 1,
-		"most shots": 4, "longest retry-after": 400 * Millisecond, "cold share": 0.2, "tick": 2 * Millisecond,
-		"warm-up": 20000 * Millisecond, "overload factor": 4.0, "fall window": 1500 * Millisecond,
-		"namespaces": spaces, "partners": []map[string]any{{"lookups a second": 50.0}, {}}})
+	f.b = New(f, uint64(seed), f.now, Config{Nodes: 2, CacheAside: true, OriginKind: 1,
+		MaxAttempts: 4, MaxRetryAfter: 400 * Millisecond, SlowStartShare: 0.2, Tick: 2 * Millisecond,
+		SlowStartWindow: 20000 * Millisecond, OverloadFactor: 4.0, OverloadWindow: 1500 * Millisecond,
+		MaxPollInterval: DefaultConfig().MaxPollInterval, PushedGrace: DefaultConfig().PushedGrace,
+		Classes: classes, Tenants: []Tenant{{Quota: 50}, DefaultTenant()}})
 	for i := range n {
 		f.boxes = append(f.boxes, Box{Server: i, ID: fmt.Sprintf("10.0.0.%02d", i)})
 	}
--- a/routing/host.go
+++ b/routing/host.go
@@ -114,7 +114,7 @@
 // Balancer decides for one node. It is not safe for concurrent use.
 type Balancer struct {
 	host     Host
-	terms    map[string]any
+	config   Config
 	seed     uint64
 	nodes    float64
 	least    float64 // our part of roomLeast
@@ -149,22 +149,8 @@
 	askDue        Time // and when that next one is due
 }
 
-type kind int // what a repeat of a lookup would do
-
-const (
-	singleUse kind = iota // also what is unknown
-	tagged
-	replayable
-)
-
-var kindOf = map[string]kind{"tagged": tagged, "replayable": replayable}
-
 type namespace struct {
-	kind        kind
-	target      Time
-	memory      Time // span in which repeats of a tagged lookup are dropped
-	groupAll    bool // all servers drop them
-	late        float64
+	Class
 	work, asked float64 // work hinted so far, and by how many
 }
 
@@ -229,14 +215,6 @@
 	return 0, false
 }
 
-// term reads one of the terms, or the default where it is missing.
-func term[T any](terms map[string]any, name string, otherwise T) T {
-	if v, ok := terms[name].(T); ok {
-		return v
-	}
-	return otherwise
-}
-
 // count books shots that begin or end at a server.
 func (b *Balancer) count(s *server, n int) {
 	if s.inFlight += n; s.State == Ready && !s.origin {
@@ -260,18 +238,16 @@
 
 func seconds(t Time) float64 { return float64(t) / float64(1000*Millisecond) }
 
-// read takes over what the terms say of namespaces and partners.
+// read takes over what the settings say of classes and tenants.
 func (b *Balancer) read() {
-	for _, t := range term(b.terms, "namespaces", []map[string]any(nil)) {
-		ns := namespace{kind: kindOf[term(t, "repeat", "")], target: term(t, "target time", 1000*Millisecond),
-			memory: term(t, "memory span", Time(0)), groupAll: term(t, "group", "") == "all",
-			late: term(t, "late utility", 0.0)}
-		if b.spaces = append(b.spaces, ns); b.soonest == 0 || ns.target < b.soonest {
-			b.soonest = ns.target
+	for _, class := range b.config.Classes {
+		b.spaces = append(b.spaces, namespace{Class: class})
+		if b.soonest == 0 || class.LatencyTarget < b.soonest {
+			b.soonest = class.LatencyTarget
 		}
 	}
-	for _, t := range term(b.terms, "partners", []map[string]any(nil)) {
-		rate := term(t, "lookups a second", math.Inf(1)) / b.nodes
+	for _, tenant := range b.config.Tenants {
+		rate := tenant.Quota / b.nodes
 		b.partners = append(b.partners, partner{rate: rate, room: rate + shareLeast, most: rate + shareLeast, at: b.now})
 	}
 }
--- a/routing/list.go
+++ b/routing/list.go
@@ -56,7 +56,7 @@
 		b.servers[x.Server] = s
 	}
 	s.Box = x
-	if s.origin = term(b.terms, "mode", "") == "aside" && x.Kind == term(b.terms, "origin kind", -1); s.origin {
+	if s.origin = b.config.CacheAside && x.Kind == b.config.OriginKind; s.origin {
 		s.cold, s.links = nil, nil // these budgets are of caches
 	}
 }
--- a/routing/list_test.go
+++ b/routing/list_test.go
@@ -20,9 +20,9 @@
 
 func (a *asker) Wake(at Time, handle int) { a.wakes[handle] = append(a.wakes[handle], at) }
 
-func newAsker(seed uint64, terms map[string]any) *asker {
+func newAsker(seed uint64, config Config) *asker {
 	a := &asker{fake: fake{now: Time(seed % 5000), wakes: map[int][]Time{}}}
-	a.b = New(a, seed, a.now, terms)
+	a.b = New(a, seed, a.now, config)
 	return a
 }
 
@@ -43,16 +43,16 @@
 	}
 }
 
-// asks gives the terms of a deployment: any limit for asking, any grace, or none.
-func asks(rnd *rand.Rand) map[string]any {
-	terms := map[string]any{}
+// asks gives the configuration of a deployment: any limit for asking, any grace, or none.
+func asks(rnd *rand.Rand) Config {
+	config := DefaultConfig()
 	if rnd.Intn(3) > 0 {
-		terms["ask within"] = Time(rnd.Intn(400)) * 100 * Millisecond
+		config.MaxPollInterval = Time(rnd.Intn(400)) * 100 * Millisecond
 	}
 	if rnd.Intn(2) > 0 {
-		terms["pushed grace"] = Time(rnd.Intn(80)) * 50 * Millisecond
+		config.PushedGrace = Time(rnd.Intn(80)) * 50 * Millisecond
 	}
-	return terms
+	return config
 }
 
 // Without a list the next call begins within AskMost of the last one's begin, whatever becomes of calls: some are never
@@ -62,16 +62,9 @@
 func TestTheNextCallForTheListIsNeverFar(t *testing.T) {
 	run := func(seed uint64) bool {
 		rnd := rand.New(rand.NewSource(int64(seed)))
-		terms := asks(rnd)
-		wait := AskMost
-		if within, given := terms["ask within"]; given {
-			wait = min(wait, within.(Time)/2)
-		}
-		if grace, given := terms["pushed grace"]; given {
-			wait = min(wait, grace.(Time)/3)
-		}
-		wait = max(wait, AskSpread)
-		a := newAsker(seed, terms)
+		config := asks(rnd)
+		wait := max(AskSpread, min(AskMost, config.MaxPollInterval/2, config.PushedGrace/3))
+		a := newAsker(seed, config)
 		since, most, had, calls := a.now, AskSpread, false, 0 // without a call, and the longest that this may last
 		a.until(a.now+60000*Millisecond, func() {
 			if n := len(a.at); n > calls {
@@ -98,7 +91,7 @@
 			}
 		})
 		if len(a.faults) > 0 {
-			t.Logf("seed %d, terms %v, wait %d: %v", seed, terms, wait, a.faults[0])
+			t.Logf("seed %d, configuration %+v, wait %d: %v", seed, config, wait, a.faults[0])
 		}
 		return len(a.faults) == 0 && calls > 5
 	}
@@ -127,7 +120,7 @@
 // Where the fleet's calls are budgeted, the wait for a part is one between calls, and every call takes from it, those
 // beside a silent one too.
 func TestAWaitForAPartIsOneBetweenCalls(t *testing.T) {
-	a := newAsker(3, nil)
+	a := newAsker(3, DefaultConfig())
 	a.b.Part(a.now, ListRate, 0, allowance.Part{Rate: 0.0001, Most: 1, Until: int64(a.now + 90000*Millisecond)})
 	a.until(a.now+20000*Millisecond, func() {})
 	if len(a.at) > 0 {
@@ -145,17 +138,17 @@
 // at once and ask for 3 to 13 s, while no call is answered.
 func TestAReturningServiceIsNotMetByAllAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		terms         map[string]any
+		config        Config
 		rate, atFirst float64 // calls a second of the whole fleet, and nodes that ask in the first half second
 	}{
-		{map[string]any{"ask within": 10000 * Millisecond}, 240, 150},
-		{map[string]any{"ask within": 10000 * Millisecond, "pushed grace": 3000 * Millisecond}, 440, 240}, // each has an agent of its own
+		{configOf(func(c *Config) { c.MaxPollInterval = 10000 * Millisecond }), 240, 150},
+		{configOf(func(c *Config) { c.MaxPollInterval, c.PushedGrace = 10000*Millisecond, 3000*Millisecond }), 440, 240}, // each has an agent of its own
 	} {
-		t.Run(fmt.Sprint(c.terms), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.config.PushedGrace), func(t *testing.T) {
 			const nodes = 300
 			calls, first, span := 0, map[Time]int{}, Time(0)
 			for n := range nodes {
-				a := newAsker(uint64(n), c.terms)
+				a := newAsker(uint64(n), c.config)
 				start := a.now
 				a.until(start+1000*Millisecond, func() {})
 				a.b.List(a.now, Whole, nil)
--- a/routing/logic_test.go
+++ b/routing/logic_test.go
@@ -283,8 +283,8 @@
 // The yards: of three hundred nodes each has a part of a lookup a second, which never made a whole one.
 func TestASmallPartIsSavedUp(t *testing.T) {
 	f := newFake(1, 4)
-	f.b.terms["nodes"] = 300
-	f.b = New(f, 1, f.now, f.b.terms)
+	f.b.config.Nodes = 300
+	f.b = New(f, 1, f.now, f.b.config)
 	f.b.List(f.now, Whole, f.boxes)
 	f.b.ease = 0
 	for i := range 20 {
@@ -581,7 +581,7 @@
 // rough-1 of the videos: segments, which may take 2.5 s, filled the origin and held up playlists, which may take 0.15.
 func TestPatientReadsDontHoldUpTheOrigin(t *testing.T) {
 	f := newFake(1, 1)
-	f.b.spaces[0].target = 2500 * Millisecond // the others have 200 ms
+	f.b.spaces[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
 	o := f.b.servers[1]
 	o.answers, f.b.halved, o.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
 	lkp, c := f.ask(0, "k", false, f.now+50000)
@@ -658,7 +658,7 @@
 // overload: told to stay away for long, a client deferred early came back too late to be answered in time.
 func TestRetryAfter(t *testing.T) {
 	f := newFake(1, 1)
-	f.b = New(f, 1, f.now, f.b.terms) // no list has come yet, and none may spoil the histogram
+	f.b = New(f, 1, f.now, f.b.config) // no list has come yet, and none may spoil the histogram
 	if _, c := f.ask(0, "a", false, f.now+5000); c.deferred < 20*Millisecond || c.deferred > 40*Millisecond ||
 		math.IsInf(f.b.weight[0], 0) || f.b.fade == 0 {
 		t.Errorf("retry after %d, want a tenth to a fifth of the target time", c.deferred)
@@ -692,7 +692,7 @@
 func TestALongBodyCountsFromItsLastByte(t *testing.T) {
 	f := newFake(1, 3)
 	origin := f.b.servers[3]
-	f.lkps = append(f.lkps, &client{kind: "tagged", long: true})
+	f.lkps = append(f.lkps, &client{kind: IdempotentByKey, long: true})
 	f.b.Lookup(f.now, 0, Lookup{Namespace: 1, Partner: 1, Write: true, Long: true, Limit: f.now + 90000})
 	f.lkps[0].limit = f.now + 90000
 	if len(f.lkps[0].shots) != 1 || origin.inFlight != 0 {
@@ -720,7 +720,7 @@
 		shots int
 	}{{memorySpan / 4, 2}, {memorySpan/2 + 10, 1}, {memorySpan + 10, 1}} {
 		f := newFake(1, 3)
-		f.lkps = append(f.lkps, &client{kind: "tagged", long: true, limit: f.now + 90000})
+		f.lkps = append(f.lkps, &client{kind: IdempotentByKey, long: true, limit: f.now + 90000})
 		f.b.Lookup(f.now, 0, Lookup{Namespace: 1, Partner: 1, Write: true, Long: true, Limit: f.now + 90000})
 		f.now += c.body
 		f.sent(0, 0)
@@ -738,7 +738,7 @@
 	}
 	begin()
 	f.now += 1500 * Millisecond
-	f.lkps = append(f.lkps, &client{kind: "replayable", long: true, limit: f.now + 90000})
+	f.lkps = append(f.lkps, &client{kind: Safe, long: true, limit: f.now + 90000})
 	f.b.Lookup(f.now, 0, Lookup{Partner: -1, Key: "k", Long: true, Limit: f.now + 90000})
 	if len(f.lkps[0].shots) != 1 || f.lkps[0].shots[0].server != 0 {
 		t.Fatalf("shots %v, want one at the cold cache", f.lkps[0].shots)
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -19,7 +19,7 @@
 	})
 	s, target := b.servers[best], b.soonest // what may be patient must not keep waiting what may not
 	if l.Write {
-		target = b.spaces[l.Namespace].target
+		target = b.spaces[l.Namespace].LatencyTarget
 	}
 	room := max(originLeast/b.nodes, min(s.calm, originOwn), b.rate(s.answers)*originPart*seconds(target))
 	if l.Write {
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -18,7 +18,7 @@
 		b.parts[OriginRoom].Ended(int64(s.took))
 	}
 	// Crowded caches slow down, so the room shrinks until their answers are quick again.
-	slow := code != Withheld && now-t.sent > Time(calmPart*float64(b.spaces[l.Namespace].target))
+	slow := code != Withheld && now-t.sent > Time(calmPart*float64(b.spaces[l.Namespace].LatencyTarget))
 	if code == TimedOut && !slow {
 		code = CalledOff // the lookup had little time left, which says nothing of the server
 	}
@@ -56,7 +56,7 @@
 	switch {
 	case !l.live:
 	case ended:
-		b.feel(l, now-l.arrived <= b.spaces[l.Namespace].target)
+		b.feel(l, now-l.arrived <= b.spaces[l.Namespace].LatencyTarget)
 		b.end(lkp)
 	default:
 		b.release(lkp)
--- a/routing/rules.go
+++ b/routing/rules.go
@@ -8,18 +8,18 @@
 func (b *Balancer) mayDefer(l *lookup) bool {
 	ns := &b.spaces[l.Namespace]
 	_, ran := l.firstRun()
-	return !ran || ns.kind == replayable || ns.kind == tagged && ns.groupAll
+	return !ran || ns.Idempotence == Safe || ns.Idempotence == IdempotentByKey && ns.SharedDedup
 }
 
 // mayShoot: no effect happens twice, nothing follows the end, and the host's bound on shots holds.
 func (b *Balancer) mayShoot(l *lookup) bool {
-	if !l.live || b.now >= l.giveUp || len(l.shots) >= term(b.terms, "most shots", 1) {
+	if !l.live || b.now >= l.giveUp || len(l.shots) >= b.config.MaxAttempts {
 		return false
 	}
 	ns := &b.spaces[l.Namespace]
 	first, ran := l.firstRun()
 	// Half the memory span is kept for the way to the server: it counts from the send.
-	return !ran || ns.kind == replayable || ns.kind == tagged && ns.groupAll && b.now-first < ns.memory/2
+	return !ran || ns.Idempotence == Safe || ns.Idempotence == IdempotentByKey && ns.SharedDedup && b.now-first < ns.DedupWindow/2
 }
 
 // finish gives the final answer at once.
@@ -36,8 +36,8 @@
 
 // retryAfter asks a client back while an answer can still be in time, else to stay away for long.
 func (b *Balancer) retryAfter(l *lookup) Time {
-	most := term(b.terms, "longest retry-after", Time(0))
-	target := float64(b.spaces[l.Namespace].target)
+	most := b.config.MaxRetryAfter
+	target := float64(b.spaces[l.Namespace].LatencyTarget)
 	if float64(b.now-l.arrived) < earlyPart*target {
 		return min(most, Time(returnPart*target*(1+b.draw())))
 	} else if l.lacks != nil {
--- a/routing/walk.go
+++ b/routing/walk.go
@@ -47,7 +47,7 @@
 		return true // it had its try
 	}
 	// After a suspect's rest one replayable lookup tries it out.
-	if s.rest > 0 && (b.now < s.restEnd || s.trial || b.spaces[l.Namespace].kind != replayable) {
+	if s.rest > 0 && (b.now < s.restEnd || s.trial || b.spaces[l.Namespace].Idempotence != Safe) {
 		return true
 	}
 	if len(l.shots) > 0 && !l.missed && s.credit < 1 {
@@ -63,7 +63,7 @@
 // room bounds what is in flight at a cache: by rate times time, as measured, with its root for chance, and
 // by what keeps it calm.
 func (b *Balancer) room(l *lookup, s *server) float64 {
-	filled := b.rate(s.answers) * roomPart * seconds(b.spaces[l.Namespace].target)
+	filled := b.rate(s.answers) * roomPart * seconds(b.spaces[l.Namespace].LatencyTarget)
 	return min(s.calm, max(busyLeast, filled+math.Sqrt(filled)))
 }
 
