--- a/cmd/thistlerudder/budgets.go
+++ b/cmd/thistlerudder/budgets.go
@@ -72,7 +72,7 @@
 		}
 		cmd.Printf("%s is %s now, revision %d\n", args[0], amount(b.Terms, b.Units), b.Revision)
 		if over := b.Out() - b.Lendable(); over > 0 {
-			by := time.Now().Add(f.Lease + time.Duration(f.Drift*float64(f.Lease)))
+			by := time.Now().Add(f.Lease + time.Duration(f.MaxDrift*float64(f.Lease)))
 			cmd.Printf("%s of what is out have to come back until this holds: by %s at the latest\n", amount(b.Terms, over), by.Format(time.TimeOnly))
 		}
 		return nil
--- a/cmd/thistlerudder/fleet.go
+++ b/cmd/thistlerudder/fleet.go
@@ -15,8 +15,8 @@
 )
 
 // asked gives a client of the fleet that a configuration tells of.
-func asked(file string) (*cluster.Client, *config.Fleet, error) {
-	f, err := config.ReadFleet(file)
+func asked(file string) (*cluster.Client, *config.Cluster, error) {
+	f, err := config.ReadCluster(file)
 	if err != nil {
 		return nil, nil, fmt.Errorf("configuration: %w", err)
 	}
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -48,7 +48,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, err := config.ReadFleet(path)
+		f, err := config.ReadCluster(path)
 		if err != nil {
 			t.Fatal(i, err)
 		}
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -252,7 +252,7 @@
 		relays = append(relays, n)
 	}
 	for _, f := range all {
-		f.Lease, f.Delay, f.Routes = 3*time.Second, 50*time.Millisecond, routes
+		f.Lease, f.MaxDelay, f.Routes = 3*time.Second, 50*time.Millisecond, routes
 	}
 	nodes := founded(b, all)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
@@ -279,7 +279,7 @@
 func keepers(b *testing.B, holders int) (lost *atomic.Int64) {
 	all := fleetOf(b, 3)
 	for _, f := range all {
-		f.Lease, f.Delay = 3*time.Second, 50*time.Millisecond
+		f.Lease, f.MaxDelay = 3*time.Second, 50*time.Millisecond
 	}
 	nodes := founded(b, all)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
--- a/internal/cluster/budgets.go
+++ b/internal/cluster/budgets.go
@@ -47,7 +47,7 @@
 	}
 	rate := 0.0
 	if t.Kind == lease.RateKind {
-		rate = t.Each * (1 - f.fleet.Drift) // our clock may be as much too fast
+		rate = t.Each * (1 - f.fleet.MaxDrift) // our clock may be as much too fast
 	}
 	p := allowance.Part{Number: t.Kind == lease.NumberKind, Rate: rate * float64(units), Most: float64(units),
 		ThenRate: rate * float64(apart), ThenMost: float64(apart)}
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -26,7 +26,7 @@
 
 // Client asks the fleet's leader, over one connection that it keeps.
 type Client struct {
-	fleet *config.Fleet
+	fleet *config.Cluster
 	dialer
 	log *zap.Logger
 
@@ -41,7 +41,7 @@
 }
 
 // NewClient makes one; nothing is opened before it is asked something.
-func NewClient(f *config.Fleet, log *zap.Logger) *Client {
+func NewClient(f *config.Cluster, log *zap.Logger) *Client {
 	return &Client{fleet: f, dialer: dialer{f.Name, f.Node, f.Routes}, log: log, places: make(chan struct{}, asksMost),
 		out: map[*rpc.Client]int{}}
 }
@@ -109,7 +109,7 @@
 	return c.conn, c.at, nil
 }
 
-func (c *Client) within() time.Duration { return slowTimes * c.fleet.Delay }
+func (c *Client) within() time.Duration { return slowTimes * c.fleet.MaxDelay }
 
 // call makes one call on a connection; who doesn't answer in time loses it, since the connection may lead nowhere.
 func call(conn *rpc.Client, method string, args, reply any, within time.Duration) error {
@@ -260,7 +260,7 @@
 			return err
 		}
 	}
-	for end := time.Now().Add(20*c.within() + 4*c.fleet.Lease); ; time.Sleep(c.fleet.Delay) {
+	for end := time.Now().Add(20*c.within() + 4*c.fleet.Lease); ; time.Sleep(c.fleet.MaxDelay) {
 		err := c.Leader("Fleet.Found", &Founding{After: after}, &struct{}{}, c.within())
 		if err == nil || strings.Contains(err.Error(), lease.ErrBegun.Error()) {
 			return nil
--- a/internal/cluster/fellows.go
+++ b/internal/cluster/fellows.go
@@ -34,7 +34,7 @@
 
 // Fellows is this process's part in its fleet.
 type Fellows struct {
-	fleet  *config.Fleet
+	fleet  *config.Cluster
 	log    *zap.Logger
 	own    Own
 	client *Client
@@ -60,7 +60,7 @@
 // Start joins the fleet in the background, and goes on trying. One address is one node's: while another process has it,
 // as the one whose place we take, it is that one which takes part.
 // No lookup goes on for longer than longest; fellows may hold so many connections to us at once.
-func Start(f *config.Fleet, own Own, longest time.Duration, lines int, log *zap.Logger) *Fellows {
+func Start(f *config.Cluster, own Own, longest time.Duration, lines int, log *zap.Logger) *Fellows {
 	x := &Fellows{fleet: f, log: log, own: own, client: NewClient(f, log), ended: make(chan struct{}), longest: longest, lines: lines,
 		wholes: map[string]lease.Terms{}, bursts: map[string]float64{}}
 	x.alone(false)
--- a/internal/cluster/fellows_test.go
+++ b/internal/cluster/fellows_test.go
@@ -40,7 +40,7 @@
 }
 
 // fleetOf gives the papers of three voters and more nodes.
-func fleetOf(t testing.TB, nodes int) (all []*config.Fleet) {
+func fleetOf(t testing.TB, nodes int) (all []*config.Cluster) {
 	t.Helper()
 	var voters []config.Voter
 	for i := range nodes {
@@ -48,8 +48,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &config.Fleet{Name: "f", Node: fmt.Sprint("n", i), Address: l.Addr().String(), Lease: 2 * time.Second,
-			Drift: 0.01, Delay: 40 * time.Millisecond, RollUp: time.Second}
+		f := &config.Cluster{Name: "f", Node: fmt.Sprint("n", i), Address: l.Addr().String(), Lease: 2 * time.Second,
+			MaxDrift: 0.01, MaxDelay: 40 * time.Millisecond, RollUp: time.Second}
 		_ = l.Close()
 		if i < 3 {
 			f.Folder = filepath.Join(t.TempDir(), "v")
@@ -64,7 +64,7 @@
 }
 
 // founded starts them, and founds the fleet.
-func founded(t testing.TB, all []*config.Fleet) (nodes []*Fellows) {
+func founded(t testing.TB, all []*config.Cluster) (nodes []*Fellows) {
 	t.Helper()
 	for _, f := range all {
 		n := Start(f, figures{"resolved": 1}, time.Second, 256, zap.NewNop())
@@ -290,7 +290,7 @@
 	var own []*sufferer
 	var nodes []*Fellows
 	for _, f := range all {
-		f.Tasks, f.Probe = []string{config.TaskProbe}, "/up"
+		f.Tasks, f.ProbePath = []string{config.TaskProbe}, "/up"
 		s := &sufferer{address: server.Listener.Addr().String()}
 		own, nodes = append(own, s), append(nodes, Start(f, s, time.Second, 256, zap.NewNop()))
 	}
--- a/internal/cluster/keep.go
+++ b/internal/cluster/keep.go
@@ -41,7 +41,7 @@
 		holder: lease.Holder{Name: c.fleet.Node, Process: os.Getpid(), Start: c.start()}}
 	g.ctx, g.lost = context.WithCancel(ctx)
 	g.alarm = newAlarm(g.ring)
-	short := lease.Short(tenths(c.fleet.Lease), c.fleet.Drift)
+	short := lease.Short(tenths(c.fleet.Lease), c.fleet.MaxDrift)
 	if faults.Without(faults.DriftMargin) {
 		short = tenths(c.fleet.Lease)
 	}
--- a/internal/cluster/porch_test.go
+++ b/internal/cluster/porch_test.go
@@ -289,7 +289,7 @@
 	leads, at := serve(&counter{})
 	v := &counter{at, make(chan struct{}), make(chan struct{})}
 	other, otherAt := serve(v)
-	c := NewClient(&config.Fleet{Name: "f", Node: "n", Lease: 10 * time.Minute, Delay: 10 * time.Second,
+	c := NewClient(&config.Cluster{Name: "f", Node: "n", Lease: 10 * time.Minute, MaxDelay: 10 * time.Second,
 		Voters: []config.Voter{{Name: "a", Address: otherAt}}}, zap.NewNop())
 	defer c.Close()
 	over := make(chan string, 1)
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -165,7 +165,7 @@
 
 // try asks one server. Any answer but an error of its own says that it is well.
 func (f *Fellows) try(ctx context.Context, h *http.Client, t lease.Trial) bool {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address+f.fleet.Probe, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address+f.fleet.ProbePath, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/cluster/tasks.go
+++ b/internal/cluster/tasks.go
@@ -26,7 +26,7 @@
 		return f.rollUp
 	case config.TaskProbe:
 		return f.probe
-	case config.TaskTrial:
+	case config.TaskFaultTest:
 		return f.trial()
 	}
 	return nil
--- a/internal/cluster/trial_on.go
+++ b/internal/cluster/trial_on.go
@@ -74,7 +74,7 @@
 	trace = func(a lease.Ask) func(lease.Answer, error) {
 		call := trueBoot()
 		return func(x lease.Answer, err error) {
-			if a.Name != config.TaskTrial {
+			if a.Name != config.TaskFaultTest {
 				return
 			}
 			r.write(map[string]any{"what": "ask", "kind": a.Kind, "holder": a.Holder.String(), "asked": a.Token, "call": call,
@@ -92,7 +92,7 @@
 				case <-over:
 					return
 				case <-time.After(restSpan):
-					if g.Do(config.TaskTrial, uint64(trueBoot()), nil) != nil {
+					if g.Do(config.TaskFaultTest, uint64(trueBoot()), nil) != nil {
 						time.Sleep(10 * restSpan)
 					}
 				}
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -34,7 +34,7 @@
 // Voter is this process's part in the agreement: the library, the state that it agrees on, and the leader's memory.
 type Voter struct {
 	log   *zap.Logger
-	fleet *config.Fleet
+	fleet *config.Cluster
 	paper paper
 	raft  *raft.Raft
 	logs  *raftbolt.BoltStore
@@ -68,18 +68,18 @@
 }
 
 // startVoter opens the folder and takes part. Whatever is wrong with the folder is told, and nothing in it is changed.
-func startVoter(f *config.Fleet, p paper, l layer, log *zap.Logger) (*Voter, error) {
+func startVoter(f *config.Cluster, p paper, l layer, log *zap.Logger) (*Voter, error) {
 	path := filepath.Join(f.Folder, logFile)
 	if err := look(path); err != nil {
 		return nil, err
 	}
 	v := &Voter{log: log, fleet: f, paper: p, state: lease.NewState(), board: lease.NewBoard(), waits: map[uint64]chan lease.Answer{},
-		changed: make(chan struct{}), stop: make(chan struct{}), built: make(chan struct{}), down: make(chan struct{}), dialer: l.dialer, within: slowTimes * f.Delay,
+		changed: make(chan struct{}), stop: make(chan struct{}), built: make(chan struct{}), down: make(chan struct{}), dialer: l.dialer, within: slowTimes * f.MaxDelay,
 		peers: peers{conns: map[raft.ServerID]*rpc.Client{}}}
 	v.alarm, v.divides, v.parts = newAlarm(v.ring), newAlarm(v.deal), map[uint64]chan budget.Answer{}
 	v.divider = budget.NewDivider(dividing{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
 	v.once.end = v.end
-	long := lease.Long(tenths(f.Lease), f.Drift)
+	long := lease.Long(tenths(f.Lease), f.MaxDrift)
 	if faults.Without(faults.DriftMargin) {
 		long = tenths(f.Lease)
 	}
@@ -95,9 +95,9 @@
 		_ = logs.Close()
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
-	silence := max(f.Lease/silencePart, 2*f.Delay)
+	silence := max(f.Lease/silencePart, 2*f.MaxDelay)
 	v.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: l, MaxPool: 2,
-		Timeout: silence + 4*f.Delay, Logger: quiet})
+		Timeout: silence + 4*f.MaxDelay, Logger: quiet})
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(p.ID)
 	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = silence, silence, silence*3/4
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -38,11 +38,11 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				next, err := s.Again()
+				next, err := s.Reload()
 				if err != nil {
 					b.Fatal(err)
 				}
-				if keys := s.Fixed(next); len(keys) > 0 {
+				if keys := s.ImmutableChanges(next); len(keys) > 0 {
 					b.Fatal(keys)
 				}
 			}
--- a/internal/config/fleet.go
+++ b/internal/config/cluster.go
@@ -12,22 +12,22 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// Fleet is what a node is told of its fellows. Without it a node has none.
-type Fleet struct {
-	Name    string            // of the fleet
-	Node    string            // ours in it
-	Address string            // where our fellows reach us
-	Voters  []Voter           // whom to ask
-	Folder  string            // what must last if we are to vote; empty: we only ask
-	Lease   time.Duration     // the length of each
-	Drift   float64           // how far the rate of a machine's clock may be from true
-	Delay   time.Duration     // the longest way of a message that is usual
-	Routes  map[string]string // where another address is to be dialled in place of a fellow's own
-	Tasks   []string          // done here, if it is our turn
-	RollUp  time.Duration     // a period of that task
-	Probe   string            // the path at which that task asks a server
-	Budgets []Budget          // what the fleet may do together
-	Weight  float64           // our demand beside other nodes', where there is not enough for all
+// Cluster is what a node is told of its fellows. Without it a node has none.
+type Cluster struct {
+	Name      string            // of the fleet
+	Node      string            // ours in it
+	Address   string            // where our fellows reach us
+	Voters    []Voter           // whom to ask
+	Folder    string            // what must last if we are to vote; empty: we only ask
+	Lease     time.Duration     // the length of each
+	MaxDrift  float64           // how far the rate of a machine's clock may be from true
+	MaxDelay  time.Duration     // the longest way of a message that is usual
+	Routes    map[string]string // where another address is to be dialled in place of a fellow's own
+	Tasks     []string          // done here, if it is our turn
+	RollUp    time.Duration     // a period of that task
+	ProbePath string            // the path at which that task asks a server
+	Budgets   []Budget          // what the fleet may do together
+	Weight    float64           // our demand beside other nodes', where there is not enough for all
 }
 
 // Voter is one of those who agree.
@@ -35,9 +35,9 @@
 
 // The tasks of a fleet.
 const (
-	TaskProbe  = "probe"
-	TaskRollUp = "roll-up"
-	TaskTrial  = "trial" // for the rig's build alone
+	TaskProbe     = "probe"
+	TaskRollUp    = "roll-up"
+	TaskFaultTest = "trial" // for the rig's build alone
 )
 
 const (
@@ -52,7 +52,7 @@
 )
 
 // fleet reads the section, if there is one.
-func fleet(all map[string]any, node string, fault func(key, expected string)) *Fleet {
+func fleet(all map[string]any, node string, fault func(key, expected string)) *Cluster {
 	v, found := find(all, "fleet")
 	if !found {
 		return nil
@@ -62,7 +62,7 @@
 		fault("fleet", "a JSON object")
 		return nil
 	}
-	f := &Fleet{Node: node, Lease: defaultLease, Drift: defaultDrift, Delay: defaultDelay, RollUp: defaultRollUp, Probe: "/up",
+	f := &Cluster{Node: node, Lease: defaultLease, MaxDrift: defaultDrift, MaxDelay: defaultDelay, RollUp: defaultRollUp, ProbePath: "/up",
 		Routes: map[string]string{}}
 	words := func(key string, into *string, needed bool, sound func(string) bool, expected string) {
 		v, found := find(m, key)
@@ -79,7 +79,7 @@
 	words("name", &f.Name, true, lease.Sound, "a name of letters, digits and -_./:@")
 	words("address", &f.Address, true, address, "an address as 10.0.0.4:7100")
 	words("folder", &f.Folder, false, func(s string) bool { return s != "" }, "a folder that lasts")
-	words("probe_path", &f.Probe, false, func(s string) bool { return s[:min(1, len(s))] == "/" }, "a path as /up")
+	words("probe_path", &f.ProbePath, false, func(s string) bool { return s[:min(1, len(s))] == "/" }, "a path as /up")
 	if !lease.Sound(node) {
 		fault("name", "a name of letters, digits and -_./:@, since the fleet knows the node by it")
 	}
@@ -94,15 +94,15 @@
 			*into = d
 		}
 	}
-	spans("delay_ms", &f.Delay, time.Millisecond, 10*time.Second)
+	spans("delay_ms", &f.MaxDelay, time.Millisecond, 10*time.Second)
 	spans("lease_ms", &f.Lease, leastLease, mostLease)
 	spans("roll_up_ms", &f.RollUp, time.Second, 24*time.Hour)
-	if f.Lease < leastDelays*f.Delay {
+	if f.Lease < leastDelays*f.MaxDelay {
 		fault("fleet.lease_ms", fmt.Sprintf("%d delays at least (fleet.delay_ms is %d), so %d or more", leastDelays,
-			f.Delay.Milliseconds(), (leastDelays*f.Delay).Milliseconds()))
+			f.MaxDelay.Milliseconds(), (leastDelays*f.MaxDelay).Milliseconds()))
 	}
 	if v, found := find(m, "drift"); found {
-		if f.Drift, ok = v.(float64); !ok || f.Drift < 0 || f.Drift > mostDrift {
+		if f.MaxDrift, ok = v.(float64); !ok || f.MaxDrift < 0 || f.MaxDrift > mostDrift {
 			fault("fleet.drift", fmt.Sprintf("a share from 0 to %g", mostDrift))
 		}
 	}
@@ -167,7 +167,7 @@
 		tasks, ok := v.([]any)
 		for _, t := range tasks {
 			name, _ := t.(string)
-			ok = ok && (slices.Contains([]string{TaskProbe, TaskRollUp}, name) || faults.On && name == TaskTrial)
+			ok = ok && (slices.Contains([]string{TaskProbe, TaskRollUp}, name) || faults.On && name == TaskFaultTest)
 			f.Tasks = append(f.Tasks, name)
 		}
 		if !ok {
@@ -188,8 +188,8 @@
 	return ok && sound(x)
 }
 
-// ReadFleet reads only what a file says of the fleet, for commands that ask it and run no node.
-func ReadFleet(path string) (*Fleet, error) {
+// ReadCluster reads only what a file says of the fleet, for commands that ask it and run no node.
+func ReadCluster(path string) (*Cluster, error) {
 	all, err := load(path, "name")
 	if err != nil {
 		return nil, err
--- a/internal/config/station.go
+++ b/internal/config/node.go
@@ -18,17 +18,17 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// Station is what one real node is told about itself, beside the terms of its deployment.
-type Station struct {
+// Node is what one real node is told about itself, beside the terms of its deployment.
+type Node struct {
 	Name, Listen, Discovery string
 	Admin                   string // the operators' address; empty: none
-	Passed                  int    // descriptor of the clients' socket, where the platform holds it; 0: it doesn't
+	PassedSocket            int    // descriptor of the clients' socket, where the platform holds it; 0: it doesn't
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Descriptors   int
-	Known                   []byte // the box list as last had, in the discovery service's form
-	Fleet                   *Fleet // nil: the node has no fellows
-	*Terms
+	CachedEndpoints         []byte   // the box list as last had, in the discovery service's form
+	Fleet                   *Cluster // nil: the node has no fellows
+	*Settings
 
 	path string
 	all  map[string]any
@@ -48,13 +48,13 @@
 
 // Read reads the file that a node is started with; BALANCER_NAME, BALANCER_LISTEN, BALANCER_DISCOVERY and
 // BALANCER_ADMIN_ADDR come before what it says. The error names every key that is at fault, and what was expected there.
-func Read(path string) (*Station, error) {
+func Read(path string) (*Node, error) {
 	return readUnder(path, "name", "listen", "discovery", adminKey)
 }
 
-// Again reads the file anew. What it says of the discovery service comes before BALANCER_DISCOVERY now, which
+// Reload reads the file anew. What it says of the discovery service comes before BALANCER_DISCOVERY now, which
 // still has the address of the start.
-func (s *Station) Again() (*Station, error) {
+func (s *Node) Reload() (*Node, error) {
 	k := koanf.New(".")
 	if err := k.Load(file.Provider(s.path), koanfjson.Parser()); err != nil {
 		return nil, fmt.Errorf("%s: expected a JSON object: %w", s.path, err)
@@ -65,8 +65,8 @@
 	return Read(s.path)
 }
 
-// Fixed names the keys whose values differ between two readings and can't change while the node runs.
-func (s *Station) Fixed(other *Station) (keys []string) {
+// ImmutableChanges names the keys whose values differ between two readings and can't change while the node runs.
+func (s *Node) ImmutableChanges(other *Node) (keys []string) {
 	for _, key := range []string{"listen", adminKey, "limits", "settings", "fleet"} {
 		if !reflect.DeepEqual(s.all[key], other.all[key]) {
 			keys = append(keys, key)
@@ -101,14 +101,14 @@
 }
 
 // readUnder lets the variables for these keys come before the file.
-func readUnder(path string, variables ...string) (*Station, error) {
+func readUnder(path string, variables ...string) (*Node, error) {
 	all, err := load(path, variables...)
 	if err != nil {
 		return nil, err
 	}
 	var faults []error
 	fault := func(key, expected string) { faults = append(faults, fmt.Errorf("%s: expected %s", key, expected)) }
-	s := &Station{path: path, all: all}
+	s := &Node{path: path, all: all}
 	for key, into := range map[string]*string{"name": &s.Name, "listen": &s.Listen, "discovery": &s.Discovery} {
 		v, _ := find(all, key)
 		*into, _ = v.(string)
@@ -126,7 +126,7 @@
 	}
 	if v, given := os.LookupEnv(passedVariable); given && v != "" {
 		var err error
-		if s.Passed, err = strconv.Atoi(v); err != nil || s.Passed <= 0 {
+		if s.PassedSocket, err = strconv.Atoi(v); err != nil || s.PassedSocket <= 0 {
 			fault("$"+passedVariable, "the number of a descriptor")
 		}
 	}
@@ -152,7 +152,7 @@
 	}
 	if v, found := find(all, "known"); found {
 		var err error
-		if s.Known, err = json.Marshal(v); err != nil {
+		if s.CachedEndpoints, err = json.Marshal(v); err != nil {
 			fault("known", "a box list")
 		}
 	}
@@ -162,8 +162,8 @@
 		fault("settings", "the deployment's settings, a JSON object")
 		return nil, errors.Join(faults...)
 	}
-	t, err := Of(settings)
-	if s.Terms = t; err != nil {
+	t, err := ParseSettings(settings)
+	if s.Settings = t; err != nil {
 		faults = append(faults, err)
 	}
 	return s, errors.Join(faults...)
--- a/internal/config/terms.go
+++ b/internal/config/settings.go
@@ -1,5 +1,5 @@
 // Package config reads what a node is told at start: the deployment's terms, the same for the simulator's
-// wire and for a node on sockets, and a real node's own papers (station.go). Here its keys are checked,
+// wire and for a node on sockets, and a real node's own papers (node.go). Here its keys are checked,
 // given defaults, and turned into our words; nothing else in the program knows the operators' names.
 package config
 
@@ -13,50 +13,50 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Terms is what a deployment lays down for all its nodes.
-type Terms struct {
-	Module                         routing.Config
-	Namespaces, Partners, Machines map[string]int // names to places in the module's lists
+// Settings is what a deployment lays down for all its nodes.
+type Settings struct {
+	Routing                  routing.Config
+	Classes, Tenants, Models map[string]int // names to places in the module's lists
 
-	LongestLimit  time.Duration // the longest deadline of all classes
-	Advice        time.Duration // longest Retry-After that clients heed; 0: give none
-	ConnectWithin time.Duration // for a connection to a cache server or the origin
-	IdleFor       time.Duration // after which a server closes an idle connection
-	AskWithin     time.Duration // between two polls of the endpoint list
-	Grace         time.Duration // from a drain's notice to the first byte of the last attempt; 0: no bound
+	MaxDeadline    time.Duration // the longest deadline of all classes
+	MaxRetryAfter  time.Duration // longest Retry-After that clients heed; 0: give none
+	ConnectTimeout time.Duration // for a connection to a cache server or the origin
+	IdleTimeout    time.Duration // after which a server closes an idle connection
+	PollInterval   time.Duration // between two polls of the endpoint list
+	DrainGrace     time.Duration // from a drain's notice to the first byte of the last attempt; 0: no bound
 
 	originKindSet bool // the settings name the origin's kind
 }
 
 // class gives a class that the settings name.
-func (t *Terms) class(name string) routing.Class { return t.Module.Classes[t.Namespaces[name]] }
+func (t *Settings) class(name string) routing.Class { return t.Routing.Classes[t.Classes[name]] }
 
-// Replayable says whether requests of a class may run any number of times.
-func (t *Terms) Replayable(namespace string) bool {
+// IsSafe says whether requests of a class may run any number of times.
+func (t *Settings) IsSafe(namespace string) bool {
 	return t.class(namespace).Idempotence == routing.Safe
 }
 
-// Memory gives the span in which servers drop repeats of a request with an idempotency key; 0 for other classes.
-func (t *Terms) Memory(namespace string) time.Duration {
+// DedupWindow gives the span in which servers drop repeats of a request with an idempotency key; 0 for other classes.
+func (t *Settings) DedupWindow(namespace string) time.Duration {
 	if c := t.class(namespace); c.Idempotence == routing.IdempotentByKey {
 		return Duration(c.DedupWindow)
 	}
 	return 0
 }
 
-// KeyedForAll says whether all servers together drop repeats of a request of this class by its idempotency key.
-func (t *Terms) KeyedForAll(namespace string) bool {
+// SharedDedup says whether all servers together drop repeats of a request of this class by its idempotency key.
+func (t *Settings) SharedDedup(namespace string) bool {
 	c := t.class(namespace)
 	return c.Idempotence == routing.IdempotentByKey && c.SharedDedup
 }
 
-// Origin says whether a kind of machine is the origin's.
-func (t *Terms) Origin(kind int) bool {
-	return t.originKindSet && t.Module.CacheAside && kind == t.Module.OriginKind
+// IsOrigin says whether a kind of machine is the origin's.
+func (t *Settings) IsOrigin(kind int) bool {
+	return t.originKindSet && t.Routing.CacheAside && kind == t.Routing.OriginKind
 }
 
-// SecondCopies says whether two attempts of a request may be in flight at once: only where the settings say so.
-func (t *Terms) SecondCopies() bool { return t.Module.Hedging }
+// HedgingAllowed says whether two attempts of a request may be in flight at once: only where the settings say so.
+func (t *Settings) HedgingAllowed() bool { return t.Routing.Hedging }
 
 // What holds where the settings are silent; each is on the cautious side of what deployments name.
 const (
@@ -65,8 +65,8 @@
 	defaultAsk     = 10 * time.Second
 )
 
-// Tenths turns milliseconds into whole tenths, rounded down.
-func Tenths(ms float64) routing.Time { return routing.Time(math.Floor(ms * 10)) }
+// Ticks turns milliseconds into whole tenths, rounded down.
+func Ticks(ms float64) routing.Time { return routing.Time(math.Floor(ms * 10)) }
 
 // A form parses a JSON value.
 type form[T any] struct {
@@ -107,7 +107,7 @@
 		if !ok || !(x >= 0 && x < millisecondsMost) {
 			return 0, false
 		}
-		return Tenths(x), true
+		return Ticks(x), true
 	}}
 	text = form[string]{"a text", func(v any) (string, bool) {
 		x, ok := v.(string)
@@ -183,26 +183,26 @@
 	modePolled = "ask"   // registry-mode: nodes poll the endpoint list
 )
 
-// Of reads a deployment's settings. What is missing or malformed keeps its cautious default; the error names each key that
+// ParseSettings reads a deployment's settings. What is missing or malformed keeps its cautious default; the error names each key that
 // is malformed, or missing though a node needs it. Keys that are unknown are passed over: operators may be newer.
-func Of(settings map[string]any) (*Terms, error) {
+func ParseSettings(settings map[string]any) (*Settings, error) {
 	var faults []error
 	o := object{settings, "settings.", &faults}
-	t := &Terms{Module: routing.DefaultConfig(), ConnectWithin: defaultConnect, IdleFor: defaultIdle, AskWithin: defaultAsk}
+	t := &Settings{Routing: routing.DefaultConfig(), ConnectTimeout: defaultConnect, IdleTimeout: defaultIdle, PollInterval: defaultAsk}
 	t.readGeneral(o)
 	t.readClasses(o)
 	t.readTenants(o)
-	t.Machines = map[string]int{}
+	t.Models = map[string]int{}
 	for i, m := range items(settings["models"]) {
-		t.Machines[fmt.Sprint(m)] = i
+		t.Models[fmt.Sprint(m)] = i
 	}
 	t.readTimeouts(o)
 	return t, errors.Join(faults...)
 }
 
 // readGeneral reads what holds for all classes and tenants.
-func (t *Terms) readGeneral(o object) {
-	c := &t.Module
+func (t *Settings) readGeneral(o object) {
+	c := &t.Routing
 	optional(o, "balancers", count, &c.Nodes)
 	var mode string
 	optional(o, "domain.mode", text, &mode)
@@ -223,7 +223,7 @@
 	if advice, found := find(o.values, "permissions.retry-after"); found && advice == false {
 		c.MaxRetryAfter = 0
 	}
-	t.Advice = Duration(c.MaxRetryAfter)
+	t.MaxRetryAfter = Duration(c.MaxRetryAfter)
 }
 
 // objects gives the named objects of a list, with their places by name.
@@ -242,9 +242,9 @@
 	return all, places
 }
 
-func (t *Terms) readClasses(o object) {
+func (t *Settings) readClasses(o object) {
 	classes, places := objects(o, "namespaces")
-	t.Namespaces = places
+	t.Classes = places
 	for _, x := range classes {
 		c := routing.DefaultClass()
 		var group string
@@ -258,33 +258,33 @@
 		optional(x, "late-utility", share, &c.LateUtility)
 		optional(x, "utility", amount, &utility)
 		c.SharedDedup = group == groupAll
-		t.LongestLimit = max(t.LongestLimit, Duration(deadline))
-		t.Module.Classes = append(t.Module.Classes, c)
+		t.MaxDeadline = max(t.MaxDeadline, Duration(deadline))
+		t.Routing.Classes = append(t.Routing.Classes, c)
 	}
 	if len(classes) == 0 {
 		o.fault("namespaces", "a list of one namespace at least")
 	}
 }
 
-func (t *Terms) readTenants(o object) {
+func (t *Settings) readTenants(o object) {
 	tenants, places := objects(o, "tenants")
-	t.Partners = places
+	t.Tenants = places
 	for _, x := range tenants {
 		c := routing.DefaultTenant()
 		optional(x, "quota-rps", amount, &c.Quota)
-		t.Module.Tenants = append(t.Module.Tenants, c)
+		t.Routing.Tenants = append(t.Routing.Tenants, c)
 	}
 }
 
-func (t *Terms) readTimeouts(o object) {
-	optionalTimeout(o, "permissions.connect-timeout-ms", &t.ConnectWithin)
-	optionalTimeout(o, "permissions.conn-idle-ms", &t.IdleFor)
-	optionalTimeout(o, "invariants.ask-within-ms", &t.AskWithin)
-	optionalTimeout(o, "invariants.stop-sending-within-ms", &t.Grace)
+func (t *Settings) readTimeouts(o object) {
+	optionalTimeout(o, "permissions.connect-timeout-ms", &t.ConnectTimeout)
+	optionalTimeout(o, "permissions.conn-idle-ms", &t.IdleTimeout)
+	optionalTimeout(o, "invariants.ask-within-ms", &t.PollInterval)
+	optionalTimeout(o, "invariants.stop-sending-within-ms", &t.DrainGrace)
 	// A polled list counts as notified when it is written. A pushed one counts as soon as discovery has it, and a drain's
 	// grace runs from then, so the decisions have to know of it. Where the settings are silent, the stricter of the two holds.
-	if mode, _ := find(o.values, "registry-mode"); mode != modePolled && t.Grace > 0 {
-		t.Module.PushedGrace = routing.Time(t.Grace / tick)
+	if mode, _ := find(o.values, "registry-mode"); mode != modePolled && t.DrainGrace > 0 {
+		t.Routing.PushedGrace = routing.Time(t.DrainGrace / tick)
 	}
 }
 
--- a/internal/config/terms_test.go
+++ b/internal/config/settings_test.go
@@ -23,7 +23,7 @@
 {"name":"log","repeat":"keyed","group":"all","memory-span-ms":2000.0,"target-time-ms":400.0,"time-limit-ms":800.0}]}}`
 
 // read reads the paper with one text in it replaced.
-func read(t *testing.T, old, new string) (*Station, error) {
+func read(t *testing.T, old, new string) (*Node, error) {
 	t.Helper()
 	if !strings.Contains(paper, old) {
 		t.Fatalf("no %s in the paper", old)
@@ -43,19 +43,19 @@
 		t.Fatal(err)
 	}
 	if s.Name != "n4" || s.Listen != "127.0.0.1:7070" || s.Discovery != "127.0.0.2:8500" || s.Seed != 0x8c1f30d27a5be964 ||
-		s.Cores != 1.5 || s.MemoryMB != 256 || s.Descriptors != 512 || !json.Valid(s.Known) {
+		s.Cores != 1.5 || s.MemoryMB != 256 || s.Descriptors != 512 || !json.Valid(s.CachedEndpoints) {
 		t.Errorf("%+v", s)
 	}
-	if s.ConnectWithin != 75*time.Millisecond || s.IdleFor != 15*time.Second || s.LongestLimit != 800*time.Millisecond || s.Advice != 400*time.Millisecond ||
-		s.Namespaces["log"] != 1 || s.Partners["acme"] != 0 ||
-		s.Machines["origin"] != 1 {
-		t.Errorf("%+v", s.Terms)
+	if s.ConnectTimeout != 75*time.Millisecond || s.IdleTimeout != 15*time.Second || s.MaxDeadline != 800*time.Millisecond || s.MaxRetryAfter != 400*time.Millisecond ||
+		s.Classes["log"] != 1 || s.Tenants["acme"] != 0 ||
+		s.Models["origin"] != 1 {
+		t.Errorf("%+v", s.Settings)
 	}
-	classes := s.Module.Classes
+	classes := s.Routing.Classes
 	if classes[0].Idempotence != routing.Safe || classes[0].LatencyTarget != routing.Time(2001) || classes[1].Idempotence != routing.IdempotentByKey ||
-		s.Module.MaxRetryAfter != 400*routing.Millisecond || s.Module.Nodes != 3 || !s.Module.CacheAside ||
-		!s.Replayable("read") || s.Replayable("log") {
-		t.Errorf("%+v", s.Module)
+		s.Routing.MaxRetryAfter != 400*routing.Millisecond || s.Routing.Nodes != 3 || !s.Routing.CacheAside ||
+		!s.IsSafe("read") || s.IsSafe("log") {
+		t.Errorf("%+v", s.Routing)
 	}
 }
 
@@ -76,12 +76,12 @@
 		if err := os.WriteFile(s.path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		again, err := s.Again()
+		again, err := s.Reload()
 		switch {
 		case c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)):
 			t.Errorf("%v, want %q", err, c.fault)
-		case c.fault == "" && (err != nil || again.Discovery != c.discovery || fmt.Sprint(s.Fixed(again)) != c.fixed):
-			t.Errorf("%v, %+v, fixed %v", err, again, s.Fixed(again))
+		case c.fault == "" && (err != nil || again.Discovery != c.discovery || fmt.Sprint(s.ImmutableChanges(again)) != c.fixed):
+			t.Errorf("%v, %+v, fixed %v", err, again, s.ImmutableChanges(again))
 		}
 	}
 }
@@ -126,21 +126,21 @@
 		t.Errorf("%+v, %v", s, err)
 	}
 	s, err = read(t, `"connect-timeout-ms":75.0,"conn-idle-ms":15000.0,"retry-after":true`, `"retry-after":false`)
-	if err != nil || s.ConnectWithin != defaultConnect || s.IdleFor != defaultIdle {
+	if err != nil || s.ConnectTimeout != defaultConnect || s.IdleTimeout != defaultIdle {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if s.Grace != 0 || s.SecondCopies() {
+	if s.DrainGrace != 0 || s.HedgingAllowed() {
 		t.Error("a silent paper gives no grace, and allows no second copies")
 	}
 	for value, want := range map[string]bool{"true": true, "false": false, "null": false} {
-		if s, err := read(t, `"most-shots":3`, `"parallel-tries":`+value); err != nil || s.SecondCopies() != want {
-			t.Errorf("%s: second copies %v, %v", value, s.SecondCopies(), err)
+		if s, err := read(t, `"most-shots":3`, `"parallel-tries":`+value); err != nil || s.HedgingAllowed() != want {
+			t.Errorf("%s: second copies %v, %v", value, s.HedgingAllowed(), err)
 		}
 	}
-	if s, err := read(t, `"cold-from":0.17`, `"stop-sending-within-ms":100.0`); err != nil || s.Grace != 100*time.Millisecond {
-		t.Errorf("grace %v, %v", s.Grace, err)
+	if s, err := read(t, `"cold-from":0.17`, `"stop-sending-within-ms":100.0`); err != nil || s.DrainGrace != 100*time.Millisecond {
+		t.Errorf("grace %v, %v", s.DrainGrace, err)
 	}
-	if s.Module.MaxRetryAfter != 0 || s.Advice != 0 {
+	if s.Routing.MaxRetryAfter != 0 || s.MaxRetryAfter != 0 {
 		t.Error("advice though the deployment gives none")
 	}
 }
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if keys := s.Fixed(other); len(keys) != 1 || keys[0] != "admin_addr" {
+	if keys := s.ImmutableChanges(other); len(keys) != 1 || keys[0] != "admin_addr" {
 		t.Errorf("what holds from the next start: %v", keys)
 	}
 	t.Setenv("BALANCER_ADMIN_ADDR", "127.0.0.1:9602")
@@ -188,7 +188,7 @@
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","folder":"/x","lease_ms":2000.0,"drift":0.02,"delay_ms":40.0,
 "voters":[{"name":"n3","address":"127.0.0.1:7100"},{"name":"n4","address":"127.0.0.2:7100"},{"name":"n5","address":"127.0.0.3:7100"}],
 "tasks":["probe","roll-up"],"routes":{"127.0.0.2:7100":"127.0.0.9:1"}},"settings"`
-	with := func(old, new string) (*Station, error) {
+	with := func(old, new string) (*Node, error) {
 		if !strings.Contains(section, old) {
 			t.Fatalf("no %s in the section", old)
 		}
@@ -198,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := s.Fleet; f.Name != "f" || f.Node != "n3" || f.Lease != 2*time.Second || f.Drift != 0.02 || f.Delay != 40*time.Millisecond ||
+	if f := s.Fleet; f.Name != "f" || f.Node != "n3" || f.Lease != 2*time.Second || f.MaxDrift != 0.02 || f.MaxDelay != 40*time.Millisecond ||
 		len(f.Voters) != 3 || f.Voters[2] != (Voter{"n5", "127.0.0.3:7100"}) || len(f.Tasks) != 2 || f.Routes["127.0.0.2:7100"] == "" {
 		t.Errorf("%+v", f)
 	}
@@ -228,7 +228,7 @@
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","voters":[{"name":"a","address":"127.0.0.7:7100"},{"name":"b","address":"127.0.0.2:7100"},
 {"name":"c","address":"127.0.0.3:7100"}],"nodes":10,"weight":2.5,"budgets":[{"name":"fetches","kind":"rate","bounds":"origin","whole":100,"burst":200},
 {"name":"room","kind":"number","bounds":"origin","whole":40,"apart":0.5},{"name":"acme","kind":"rate","bounds":"partner","partner":"acme","whole":50,"burst":5}]},"settings"`
-	with := func(old, new string) (*Station, error) {
+	with := func(old, new string) (*Node, error) {
 		if !strings.Contains(section, old) {
 			t.Fatalf("no %s in the section", old)
 		}
@@ -279,7 +279,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Module.PushedGrace; got != want {
+		if got := s.Routing.PushedGrace; got != want {
 			t.Errorf("%s: %v, want %v", with, got, want)
 		}
 	}
--- a/internal/net/discovery/bench_test.go
+++ b/internal/net/discovery/bench_test.go
@@ -50,7 +50,7 @@
 }
 
 func exchangeOf(b *testing.B) *dispatch.Exchange {
-	t, err := config.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
+	t, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 200., "time-limit-ms": 750.}}})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/net/discovery/crowd_test.go
+++ b/internal/net/discovery/crowd_test.go
@@ -153,7 +153,7 @@
 
 func playCrowd(t *testing.T, all time.Duration, seed uint64, knows bool) (d crowded) {
 	const nodes, lasts, told = 32, 26 * time.Second, 6 * time.Second
-	terms, err := config.Of(map[string]any{"registry-mode": "ask", "invariants": map[string]any{"ask-within-ms": 20000.},
+	terms, err := config.ParseSettings(map[string]any{"registry-mode": "ask", "invariants": map[string]any{"ask-within-ms": 20000.},
 		"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
@@ -269,7 +269,7 @@
 func TestSilentWatchesDoNotEndTogether(t *testing.T) {
 	t.Parallel()
 	const nodes, cost, silent, lasts, most = 6, 400 * time.Millisecond, 13 * time.Second, 40 * time.Second, 2 * time.Second
-	terms, err := config.Of(map[string]any{"registry-mode": "ask", "invariants": map[string]any{"ask-within-ms": 20000.},
+	terms, err := config.ParseSettings(map[string]any{"registry-mode": "ask", "invariants": map[string]any{"ask-within-ms": 20000.},
 		"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
@@ -342,7 +342,7 @@
 // away: so the whole list is had once beside the watch, later, and again later where it is of another version or turned away.
 func TestAResumedWatchIsChecked(t *testing.T) {
 	t.Parallel()
-	d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
+	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -435,7 +435,7 @@
 			500 * time.Millisecond, time.Second, 1500 * time.Millisecond},
 	} {
 		c.settings["namespaces"] = []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}
-		d, err := config.Of(c.settings)
+		d, err := config.ParseSettings(c.settings)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -477,7 +477,7 @@
 // one that the node was started with.
 func TestOnlyCallsThatWereTurnedAwayAreResumed(t *testing.T) {
 	t.Parallel()
-	d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
+	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -537,7 +537,7 @@
 // A move has 4 s: the call beside a silent one isn't put off there, though one before it was turned away.
 func TestAMovePutsNoCallOff(t *testing.T) {
 	t.Parallel()
-	d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
+	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/discovery/failing_test.go
+++ b/internal/net/discovery/failing_test.go
@@ -38,7 +38,7 @@
 		now := version.Load()
 		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"a","addr":"127.0.0.1:%d","kind":"box","state":"Ready"}]}`, now, r.URL.RawQuery == "", now)
 	}))
-	d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
+	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/discovery/return_test.go
+++ b/internal/net/discovery/return_test.go
@@ -181,7 +181,7 @@
 // follower gives a follower and its exchange; told has the time of each whole list.
 func (o *outage) follower(settings map[string]any) (*Follower, chan time.Time) {
 	settings["namespaces"] = []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}
-	d, err := config.Of(settings)
+	d, err := config.ParseSettings(settings)
 	if err != nil {
 		o.t.Fatal(err)
 	}
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	s := &service{pages: pages}
 	server := httptest.NewServer(s)
-	d, err := config.Of(
+	d, err := config.ParseSettings(
 		map[string]any{
 			"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}},
 		},
@@ -135,7 +135,7 @@
 		}
 	}))
 	defer server.Close()
-	d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
+	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, box, `]}`)
 	}))
 	defer server.Close()
-	d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
+	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 		})
 		at[i] = server.Listener.Addr().String()
 	}
-	d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
+	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 		"target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/dispatch/checks.go
+++ b/internal/net/dispatch/checks.go
@@ -10,9 +10,9 @@
 
 // history gives what is known of a request's attempts. Called with the lock held.
 func (t *Ticket) history() admission.History {
-	h := admission.History{Out: t.out, MayHaveRun: t.mayHaveRun, Safe: t.x.terms.Replayable(t.Namespace),
-		KeyedForAll: t.x.terms.KeyedForAll(t.Namespace)}
-	if window := t.x.terms.Memory(t.Namespace); window > 0 && t.mayHaveRun {
+	h := admission.History{Out: t.out, MayHaveRun: t.mayHaveRun, Safe: t.x.terms.IsSafe(t.Namespace),
+		KeyedForAll: t.x.terms.SharedDedup(t.Namespace)}
+	if window := t.x.terms.DedupWindow(t.Namespace); window > 0 && t.mayHaveRun {
 		h.KeyedUntil = t.firstMayHaveRun.Add(window)
 	}
 	return h
@@ -29,7 +29,7 @@
 // mayStart checks an attempt that the module has ordered against the rules. Called with the lock held.
 func (h host) mayStart(t *Ticket, s *Shot) bool {
 	attempt := admission.Attempt{History: t.history(), Over: t.over.Load(), Now: h.decided,
-		Hedging:  h.terms.SecondCopies() && !h.alone(s),
+		Hedging:  h.terms.HedgingAllowed() && !h.alone(s),
 		BodySent: t.Rest != nil && t.Rest.Begun()}
 	why := attempt.Decide()
 	switch why {
--- a/internal/net/dispatch/exchange.go
+++ b/internal/net/dispatch/exchange.go
@@ -40,7 +40,7 @@
 // Exchange is one node's owner of decisions.
 type Exchange struct {
 	log     *zap.Logger
-	terms   *config.Terms
+	terms   *config.Settings
 	clock   clock
 	wall    func() time.Time // reads the wall clock
 	carrier Carrier
@@ -69,9 +69,9 @@
 }
 
 // New makes the owner; nothing happens before Start.
-func New(t *config.Terms, log *zap.Logger) *Exchange {
+func New(t *config.Settings, log *zap.Logger) *Exchange {
 	x := &Exchange{log: log, terms: t, clock: clock{time.Now()}, wall: wall.Wall, places: map[string]int{},
-		cuts: map[routing.Bound]time.Time{}, out: map[string]*Ticket{}, figures: metrics.New(slices.Collect(maps.Keys(t.Namespaces)))}
+		cuts: map[routing.Bound]time.Time{}, out: map[string]*Ticket{}, figures: metrics.New(slices.Collect(maps.Keys(t.Classes)))}
 	x.timer = time.AfterFunc(time.Hour, x.ring)
 	x.timer.Stop()
 	return x
@@ -81,7 +81,7 @@
 func (x *Exchange) Start(seed uint64, carrier Carrier, lister Lister) {
 	x.carrier, x.lister = carrier, lister
 	x.do("start", nil, func(now routing.Time) {
-		x.balancer = routing.New(host{x}, seed, now, x.terms.Module)
+		x.balancer = routing.New(host{x}, seed, now, x.terms.Routing)
 	})
 }
 
@@ -123,11 +123,11 @@
 // client then still gave it. A client may claim any time; beyond the longest time limit of the terms a lookup
 // would only hold what others need.
 func (x *Exchange) Take(in Lookup, read time.Time, within time.Duration) (*Ticket, error) {
-	ns, known := x.terms.Namespaces[in.Namespace]
+	ns, known := x.terms.Classes[in.Namespace]
 	if !known {
 		return nil, ErrNamespace
 	}
-	partner, known := x.terms.Partners[in.Partner]
+	partner, known := x.terms.Tenants[in.Partner]
 	if !known {
 		partner = -1
 	}
@@ -146,7 +146,7 @@
 			x.tickets = append(x.tickets, t)
 		}
 		x.tally.Lookups++
-		limit := read.Add(min(within, x.terms.LongestLimit))
+		limit := read.Add(min(within, x.terms.MaxDeadline))
 		if in.Rest != nil {
 			limit = limit.Add(bodyTakes) // its time counts from its last byte; the carrier keeps to that
 		} else {
@@ -186,11 +186,11 @@
 			if ban, known := x.bans[b.ID]; known {
 				x.banned(p, ban)
 			}
-			kind, known := x.terms.Machines[b.Machine]
+			kind, known := x.terms.Models[b.Machine]
 			if !known {
 				kind = -1
 			}
-			p.kind, p.origin = kind, x.terms.Origin(kind)
+			p.kind, p.origin = kind, x.terms.IsOrigin(kind)
 			list = append(list, x.shown(i))
 		}
 		if how == routing.Whole || how == routing.Changes {
@@ -243,11 +243,11 @@
 		ticket:  t,
 		number:  t.shots,
 	}
-	if h.terms.Grace > 0 {
+	if h.terms.DrainGrace > 0 {
 		// A dial may take longer than a drain's grace; what was decided before the drain must not go out after it.
-		s.BeginBy = s.sent.Add(beginWithin(h.terms.Grace))
+		s.BeginBy = s.sent.Add(beginWithin(h.terms.DrainGrace))
 	}
-	if by := s.sent.Add(h.terms.Memory(t.Namespace) / memoryPart); t.shots > 0 && by.After(s.sent) && (s.BeginBy.IsZero() || by.Before(s.BeginBy)) {
+	if by := s.sent.Add(h.terms.DedupWindow(t.Namespace) / memoryPart); t.shots > 0 && by.After(s.sent) && (s.BeginBy.IsZero() || by.Before(s.BeginBy)) {
 		s.BeginBy = by // a dial may also outlast the span in which the servers know the first shot
 	}
 	if s.Origin = h.boxes[server].origin; h.parted {
--- a/internal/net/dispatch/exchange_test.go
+++ b/internal/net/dispatch/exchange_test.go
@@ -338,7 +338,7 @@
 	for _, allowed := range []bool{true, false} {
 		ships := &fleet{}
 		x := start(t, ships)
-		x.terms.Module.Hedging = allowed
+		x.terms.Routing.Hedging = allowed
 		for i := range x.boxes {
 			x.boxes[i].mean = 2 * time.Millisecond
 		}
@@ -368,7 +368,7 @@
 		}{{"marked", 100 * time.Millisecond}, {"read", 0}} {
 			ships := &fleet{}
 			x := start(t, ships)
-			x.terms.Grace = grace
+			x.terms.DrainGrace = grace
 			take(t, x, Lookup{Namespace: c.namespace, Key: "k"}, time.Second)
 			for n, bound := range []time.Duration{0, c.repeat} {
 				if s := ships.take(0); s == nil {
--- a/internal/net/dispatch/grace_test.go
+++ b/internal/net/dispatch/grace_test.go
@@ -19,7 +19,7 @@
 	)
 	for _, grace := range []time.Duration{200, 220, 250, 300, 400, 500, 1000, 2000} {
 		grace *= time.Millisecond
-		d, err := config.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
+		d, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 			"invariants": map[string]any{"stop-sending-within-ms": float64(grace / time.Millisecond)},
 			"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 200., "time-limit-ms": 750.}}})
 		if err != nil {
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -61,7 +61,7 @@
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 200., "time-limit-ms": 750.}
 	}
 	t.Helper()
-	d, err := config.Of(map[string]any{"balancers": 1., "models": []any{"box", "origin"},
+	d, err := config.ParseSettings(map[string]any{"balancers": 1., "models": []any{"box", "origin"},
 		"domain":      map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3., "max-retry-after-ms": 400., "parallel-tries": true},
 		"namespaces": []any{namespace("read", "safe"), namespace("once", "unsafe"),
--- a/internal/net/dispatch/parts.go
+++ b/internal/net/dispatch/parts.go
@@ -16,12 +16,12 @@
 // after that. What began has to be over takes later, if it is of a number at a time. It gives what was asked of its bound
 // since the last time.
 func (x *Exchange) Part(of routing.Bound, partner string, p allowance.Part, left, takes time.Duration) (u allowance.Use) {
-	place, known := x.terms.Partners[partner]
+	place, known := x.terms.Tenants[partner]
 	if of == routing.PartnerRate && !known {
 		return u
 	}
 	x.do("part", nil, func(now routing.Time) {
-		p.Until = int64(now + config.Tenths(float64(left)/float64(time.Millisecond)))
+		p.Until = int64(now + config.Ticks(float64(left)/float64(time.Millisecond)))
 		u = x.balancer.Part(now, of, place, p)
 		x.parted = true
 		if p.Number {
--- a/internal/net/dispatch/places.go
+++ b/internal/net/dispatch/places.go
@@ -41,7 +41,7 @@
 		x.told++
 		if p.id != b.ID || p.since != b.StartedMs {
 			at := x.started(b.StartedMs)
-			if p.id == b.ID && at > 0 && x.live-at > config.Tenths(float64(startToldIn/time.Millisecond)) {
+			if p.id == b.ID && at > 0 && x.live-at > config.Ticks(float64(startToldIn/time.Millisecond)) {
 				at = x.live // a list that was told since would have had it: its clock is off
 			}
 			p.startedAt = at
@@ -58,8 +58,8 @@
 		return 0
 	}
 	now := time.Now()
-	at := fromUnix(ms) - config.Tenths(float64(x.clock.step(now, x.wall()))/float64(time.Millisecond))
-	if heard := x.clock.at(now); at > heard+config.Tenths(float64(stepMost/time.Millisecond)) {
+	at := fromUnix(ms) - config.Ticks(float64(x.clock.step(now, x.wall()))/float64(time.Millisecond))
+	if heard := x.clock.at(now); at > heard+config.Ticks(float64(stepMost/time.Millisecond)) {
 		at = heard
 	}
 	return max(1, at)
@@ -89,7 +89,7 @@
 func (x *Exchange) sent(s *Shot) {
 	p := &x.boxes[s.server]
 	p.out = append(p.out, s)
-	if !s.Write && x.terms.SecondCopies() && x.terms.Replayable(s.Namespace) && p.mean > 0 && !x.alone(s) {
+	if !s.Write && x.terms.HedgingAllowed() && x.terms.IsSafe(s.Namespace) && p.mean > 0 && !x.alone(s) {
 		s.watch = time.AfterFunc(passedTimes*p.mean, s.look)
 	}
 }
--- a/internal/net/dispatch/repeats_test.go
+++ b/internal/net/dispatch/repeats_test.go
@@ -42,7 +42,7 @@
 		if grace > 0 {
 			settings["invariants"] = map[string]any{"stop-sending-within-ms": float64(grace) / 1e6}
 		}
-		d, err := config.Of(settings)
+		d, err := config.ParseSettings(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/dispatch/ticket.go
+++ b/internal/net/dispatch/ticket.go
@@ -247,7 +247,7 @@
 	}
 	x := s.ticket.x
 	x.do("stall", s.ticket, func(routing.Time) {
-		if !s.settled && !s.Write && x.terms.SecondCopies() && x.terms.Replayable(s.Namespace) && !x.alone(s) {
+		if !s.settled && !s.Write && x.terms.HedgingAllowed() && x.terms.IsSafe(s.Namespace) && !x.alone(s) {
 			s.tell(Passed)
 		}
 	})
--- a/internal/net/dispatch/tried.go
+++ b/internal/net/dispatch/tried.go
@@ -24,7 +24,7 @@
 func (x *Exchange) Tried(id, address string, well bool, next time.Duration) {
 	x.do("tried", nil, func(now routing.Time) {
 		if i, known := x.places[id]; known && !x.boxes[i].gone && x.boxes[i].address == address {
-			x.balancer.Tried(now, i, well, now+config.Tenths(float64(next)/float64(time.Millisecond)))
+			x.balancer.Tried(now, i, well, now+config.Ticks(float64(next)/float64(time.Millisecond)))
 		}
 	})
 }
--- a/internal/net/frontend/clients_test.go
+++ b/internal/net/frontend/clients_test.go
@@ -39,7 +39,7 @@
 // front makes a client side that doesn't serve yet, and a socket for it.
 func front(t *testing.T, descriptors int, told bool) (*Clients, fleet, *net.TCPListener) {
 	t.Helper()
-	d, err := config.Of(
+	d, err := config.ParseSettings(
 		map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 			"permissions": map[string]any{
 				"most-shots":         3.,
--- a/internal/net/node/gone_stop_test.go
+++ b/internal/net/node/gone_stop_test.go
@@ -32,7 +32,7 @@
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
 	}
-	d, err := config.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
+	d, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3., "connect-timeout-ms": 4500.},
 		"namespaces":  []any{namespace("read", "safe"), namespace("once", "unsafe")}})
 	if err != nil {
@@ -40,8 +40,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	if err := Run(ctx, &config.Station{Name: "n", Listen: at.Listen, Admin: at.Admin, Discovery: at.Discovery, Cores: 1, MemoryMB: 192,
-		Descriptors: 128, Terms: d}, nil, zap.NewNop()); err != nil {
+	if err := Run(ctx, &config.Node{Name: "n", Listen: at.Listen, Admin: at.Admin, Discovery: at.Discovery, Cores: 1, MemoryMB: 192,
+		Descriptors: 128, Settings: d}, nil, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -309,14 +309,14 @@
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
 	}
-	d, err := config.Of(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
+	d, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3., "connect-timeout-ms": 4500.},
 		"namespaces":  []any{namespace("read", "safe"), namespace("once", "unsafe")}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.x = dispatch.New(d, zap.NewNop())
-	carrier := upstream.New(upstream.Bounds{Descriptors: 32, Shots: 32, ConnectWithin: d.ConnectWithin, IdleFor: d.IdleFor, Body: bodyMost,
+	carrier := upstream.New(upstream.Bounds{Descriptors: 32, Shots: 32, ConnectWithin: d.ConnectTimeout, IdleFor: d.IdleTimeout, Body: bodyMost,
 		Long: longMost}, zap.NewNop())
 	s.t.Cleanup(carrier.Close)
 	s.x.Start(1, &steered{Servers: carrier, tries: map[string]int{}, steer: s.steer}, unlisted{})
@@ -325,7 +325,7 @@
 		list = append(list, dispatch.Box{ID: id, Address: id + ":1", Machine: "box"})
 	}
 	s.x.List(routing.Whole, list)
-	front := frontend.New(s.x, frontend.Bounds{Descriptors: 16, Beyond: 2, LongestLimit: d.LongestLimit, Body: bodyMost, Long: longMost}, zap.NewNop())
+	front := frontend.New(s.x, frontend.Bounds{Descriptors: 16, Beyond: 2, LongestLimit: d.MaxDeadline, Body: bodyMost, Long: longMost}, zap.NewNop())
 	l := loopback(s.t)
 	return l.Addr().String(), func() { go func() { _ = front.Serve(l) }() }
 }
--- a/internal/net/node/kinds_test.go
+++ b/internal/net/node/kinds_test.go
@@ -111,7 +111,7 @@
 		permissions = map[string]any{"most-shots": 4., "parallel-tries": false, "retry-after": false}
 		rules["stop-sending-within-ms"], target = 100., 500.
 	}
-	d, err := config.Of(map[string]any{"balancers": float64(nodes), "models": []any{"box", "origin"},
+	d, err := config.ParseSettings(map[string]any{"balancers": float64(nodes), "models": []any{"box", "origin"},
 		"domain": map[string]any{"mode": "aside", "origin-kind": 1.}, "permissions": permissions, "invariants": rules,
 		"tenants": []any{map[string]any{"name": "acme", "quota-rps": 500.}},
 		"namespaces": []any{
--- a/internal/net/node/left_test.go
+++ b/internal/net/node/left_test.go
@@ -21,7 +21,7 @@
 // gated is a node among servers that wait for the test.
 type gated struct {
 	*world
-	station *config.Station
+	station *config.Node
 	open    chan struct{}
 	mu      sync.Mutex
 	seen    map[string]int // shots of which anything came, by the lookup's id and the server's
@@ -101,14 +101,14 @@
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
 	}
-	d, err := config.Of(map[string]any{"models": []any{"box", "origin"},
+	d, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"},
 		"domain":      map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3., "connect-timeout-ms": 4500.},
 		"namespaces":  []any{namespace("read", "safe"), namespace("once", "unsafe")}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.station.Terms = d
+	g.station.Settings = d
 	return g
 }
 
@@ -223,11 +223,11 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					if g.station.Passed, err = syscall.Dup(int(f.Fd())); err != nil { // it is closed by whoever takes it over
+					if g.station.PassedSocket, err = syscall.Dup(int(f.Fd())); err != nil { // it is closed by whoever takes it over
 						t.Fatal(err)
 					}
 					f.Close()
-					g.station.Known = fmt.Appendf(nil, `{"version":1,"full":true,"servers":[{"id":"a","addr":%q,"kind":"box","state":"Ready"}]}`,
+					g.station.CachedEndpoints = fmt.Appendf(nil, `{"version":1,"full":true,"servers":[{"id":"a","addr":%q,"kind":"box","state":"Ready"}]}`,
 						g.entries[0].Address)
 					run(t, g.station)
 				}
--- a/internal/net/node/limits.go
+++ b/internal/net/node/limits.go
@@ -78,7 +78,7 @@
 // split gives our part where several processes serve as one node, and shares that out. The system's limit holds for each
 // process; where it is lower than the configuration's, that one can't be had, and whoever found out last would run short:
 // accepting then pauses for up to a second, and neither the list nor a file can be read.
-func (p process) split(s *config.Station, processes int) limits {
+func (p process) split(s *config.Node, processes int) limits {
 	descriptors := s.Descriptors / processes
 	if p.most > 0 {
 		descriptors = min(descriptors, p.most)
@@ -92,7 +92,7 @@
 	fellows := 0
 	if s.Fleet != nil {
 		voters := fleetVoter * len(s.Fleet.Voters)
-		part := min(fleetOwn+voters+max(s.Terms.Module.Nodes, fleetNodes), rest/fleetPart)
+		part := min(fleetOwn+voters+max(s.Settings.Routing.Nodes, fleetNodes), rest/fleetPart)
 		fellows = max(fleetLeast, part-fleetOwn-voters/2) // the other half leads from here
 		rest -= part
 	}
--- a/internal/net/node/limits_test.go
+++ b/internal/net/node/limits_test.go
@@ -23,7 +23,7 @@
 		"lower than one would name": {64, 32, 8, 1, 32},
 	} {
 		for _, admin := range []string{"", "127.0.0.1:1"} {
-			s := &config.Station{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: admin, Terms: &config.Terms{}}
+			s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: admin, Settings: &config.Settings{}}
 			p := process{most: c.most, open: c.open}
 			l := p.split(s, c.processes)
 			taken := l.clients + l.beyond + l.servers
@@ -38,7 +38,7 @@
 		}
 	}
 	if err := quick.Check(func(sockets, most uint16, open, processes uint8) bool {
-		s := &config.Station{Cores: 1, MemoryMB: 192, Descriptors: 64 + int(sockets), Admin: "127.0.0.1:1", Terms: &config.Terms{}}
+		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: 64 + int(sockets), Admin: "127.0.0.1:1", Settings: &config.Settings{}}
 		p, n := process{most: 64 + int(most), open: 3 + int(open)%30}, 1+int(processes)%2
 		l := p.split(s, n)
 		whole := min(s.Descriptors/n, p.most)
@@ -72,8 +72,8 @@
 		"by halves":        {512, 2, 300, 64},
 		"very few":         {128, 1, 300, 12},
 	} {
-		s := &config.Station{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Terms: &config.Terms{Module: routing.Config{Nodes: c.nodes}},
-			Fleet: &config.Fleet{Voters: voters}}
+		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Settings: &config.Settings{Routing: routing.Config{Nodes: c.nodes}},
+			Fleet: &config.Cluster{Voters: voters}}
 		l := process{open: 10}.split(s, c.processes)
 		toFellows := fleetOwn + fleetVoter*len(voters)/2
 		left := c.sockets/c.processes - l.clients - l.beyond - l.servers - l.operators - 1 - l.fellows - toFellows
@@ -90,8 +90,8 @@
 // A voter of a fleet of any size holds a connection of each node and some more, where it may have twice that and what is set apart.
 func TestAVotersPartHoldsAllNodes(t *testing.T) {
 	for nodes := 1; nodes <= 4096; nodes++ {
-		s := &config.Station{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Terms: &config.Terms{Module: routing.Config{Nodes: nodes}},
-			Fleet: &config.Fleet{Voters: make([]config.Voter, 3)}}
+		s := &config.Node{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Settings: &config.Settings{Routing: routing.Config{Nodes: nodes}},
+			Fleet: &config.Cluster{Voters: make([]config.Voter, 3)}}
 		if l := (process{most: 20_000, open: 10}).split(s, 1); l.fellows < nodes+12 {
 			t.Fatalf("%d nodes: %+v", nodes, l)
 		}
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -52,11 +52,11 @@
 }
 
 // clientsSocket takes the one that was passed on, or opens one.
-func clientsSocket(ctx context.Context, s *config.Station, log *zap.Logger) (net.Listener, error) {
-	if s.Passed != 0 {
-		return handover.Socket(s.Passed)
+func clientsSocket(ctx context.Context, s *config.Node, log *zap.Logger) (net.Listener, error) {
+	if s.PassedSocket != 0 {
+		return handover.Socket(s.PassedSocket)
 	}
-	l, err := listen(ctx, s.Listen, s.LongestLimit, log)
+	l, err := listen(ctx, s.Listen, s.MaxDeadline, log)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -65,7 +65,7 @@
 
 // Run serves until the context ends, then answers what it has taken, and returns. At each signal it reads its
 // configuration anew.
-func Run(ctx context.Context, s *config.Station, signals <-chan os.Signal, log *zap.Logger) error {
+func Run(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger) error {
 	err := serve(ctx, s, signals, log)
 	if errors.Is(err, context.Canceled) { // told to end before it served
 		return nil
@@ -73,7 +73,7 @@
 	return err
 }
 
-func serve(ctx context.Context, s *config.Station, signals <-chan os.Signal, log *zap.Logger) error {
+func serve(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger) error {
 	log = log.With(zap.String("node", s.Name))
 	o := opened{process: thisProcess()}
 	if o.most > 0 && o.most < s.Descriptors {
@@ -82,7 +82,7 @@
 	}
 	var err error
 	if s.Admin != "" { // first: once the clients' socket is open nobody in its queue may wait for another's end
-		if o.operators, err = listen(ctx, s.Admin, s.LongestLimit, log); err != nil {
+		if o.operators, err = listen(ctx, s.Admin, s.MaxDeadline, log); err != nil {
 			return fmt.Errorf("admin_addr: expected an address to listen on: %w", err)
 		}
 		defer o.operators.Close()
@@ -101,7 +101,7 @@
 }
 
 // operate serves on what was opened. own gives what the fleet's tasks need of the node.
-func operate(ctx context.Context, s *config.Station, signals <-chan os.Signal, log *zap.Logger, o opened,
+func operate(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger, o opened,
 	own func(cluster.Own) cluster.Own,
 ) error {
 	folder, name := os.Getenv("TMPDIR"), fileName(s.Listen)
@@ -115,21 +115,21 @@
 	if o.clients != nil {
 		l.apply()
 	}
-	x := dispatch.New(s.Terms, log.Named("exchange"))
+	x := dispatch.New(s.Settings, log.Named("exchange"))
 	carrier := upstream.New(
-		upstream.Bounds{Descriptors: l.servers, Shots: l.servers + l.clients, ConnectWithin: s.ConnectWithin,
-			IdleFor: s.IdleFor, Body: bodyMost, Long: longMost},
+		upstream.Bounds{Descriptors: l.servers, Shots: l.servers + l.clients, ConnectWithin: s.ConnectTimeout,
+			IdleFor: s.IdleTimeout, Body: bodyMost, Long: longMost},
 		log.Named("servers"),
 	)
 	defer carrier.Close()
-	list := discovery.New(x, s.Discovery, s.AskWithin, log.Named("boxlist"))
+	list := discovery.New(x, s.Discovery, s.PollInterval, log.Named("boxlist"))
 	front := frontend.New(
 		x,
 		frontend.Bounds{
 			Descriptors:  l.clients,
 			Beyond:       l.beyond,
-			LongestLimit: s.LongestLimit,
-			Advice:       s.Advice,
+			LongestLimit: s.MaxDeadline,
+			Advice:       s.MaxRetryAfter,
 			Body:         bodyMost,
 			Long:         longMost,
 		},
@@ -138,7 +138,7 @@
 
 	x.Start(s.Seed, carrier, list)
 	book := bansOf(folder, name, x, log.Named("bans")) // before any list
-	if err := list.Known(s.Known); err != nil {
+	if err := list.Known(s.CachedEndpoints); err != nil {
 		log.Warn("the list in the configuration can't be read, not up until the first one comes",
 			zap.Error(err))
 	}
@@ -150,7 +150,7 @@
 	var fleet *cluster.Fellows
 	leave := func() {}
 	if s.Fleet != nil {
-		fleet = cluster.Start(s.Fleet, own(fleetSide{x}), s.LongestLimit, l.fellows, log.Named("fleet"))
+		fleet = cluster.Start(s.Fleet, own(fleetSide{x}), s.MaxDeadline, l.fellows, log.Named("fleet"))
 		leave = sync.OnceFunc(fleet.Close)
 	}
 	defer leave() // once, however often it is called; the later call waits for the first
@@ -189,7 +189,7 @@
 	}
 	go leave() // side by side: the next process waits for the fleet's address, and clients for neither
 	log.Info("leaving: connections still come for a while, each ends with its next answer")
-	if err := front.Leave(s.Passed != 0); err != nil {
+	if err := front.Leave(s.PassedSocket != 0); err != nil {
 		log.Warn("left with lookups unanswered", zap.Error(err), zap.Int("out", x.Out()))
 	}
 	log.Info("left")
--- a/internal/net/node/node_test.go
+++ b/internal/net/node/node_test.go
@@ -38,7 +38,7 @@
 		fmt.Fprint(w, list)
 	}))
 	defer discovery.Close()
-	d, err := config.Of(
+	d, err := config.ParseSettings(
 		map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 			"permissions": map[string]any{"most-shots": 3.},
 			"namespaces": []any{
@@ -60,8 +60,8 @@
 	ended := make(chan error)
 	go func() {
 		// The list of the configuration can't be read: that is told, and the first one that comes is waited for.
-		ended <- Run(ctx, &config.Station{Name: "n", Listen: address, Discovery: discovery.Listener.Addr().String(), Cores: 1, MemoryMB: 192,
-			Descriptors: 128, Known: []byte("no list"), Terms: d}, nil, zap.New(core))
+		ended <- Run(ctx, &config.Node{Name: "n", Listen: address, Discovery: discovery.Listener.Addr().String(), Cores: 1, MemoryMB: 192,
+			Descriptors: 128, CachedEndpoints: []byte("no list"), Settings: d}, nil, zap.New(core))
 	}()
 	client := &http.Client{Timeout: 2 * time.Second}
 	ask := func(path string) (int, string) {
@@ -102,7 +102,7 @@
 
 func TestLimitsAreSplitWithAReserve(t *testing.T) {
 	for _, sockets := range []int{64, 128, 1024, 4096, 100000} {
-		l := process{}.split(&config.Station{Cores: 0.5, MemoryMB: 192, Descriptors: sockets, Terms: &config.Terms{}}, 1)
+		l := process{}.split(&config.Node{Cores: 0.5, MemoryMB: 192, Descriptors: sockets, Settings: &config.Settings{}}, 1)
 		if reserve := sockets - l.clients - l.beyond - l.servers; reserve < 16 || l.clients < 16 || l.beyond < 2 ||
 			l.servers < 16 {
 			t.Errorf("%d: %+v leaves %d", sockets, l, reserve)
--- a/internal/net/node/renew.go
+++ b/internal/net/node/renew.go
@@ -23,7 +23,7 @@
 func renew(
 	ctx context.Context,
 	signals <-chan os.Signal,
-	s *config.Station,
+	s *config.Node,
 	list *discovery.Follower,
 	log *zap.Logger,
 ) {
@@ -41,7 +41,7 @@
 			log.Error("the new configuration is faulty, the old one stands", zap.Error(err))
 			continue
 		}
-		if keys := s.Fixed(next); len(keys) > 0 {
+		if keys := s.ImmutableChanges(next); len(keys) > 0 {
 			log.Warn("what changed under these keys holds from the next start", zap.Strings("keys", keys))
 		}
 		log.Info("configuration read anew", zap.Bool("another discovery service", next.Discovery != address))
@@ -54,9 +54,9 @@
 
 // reread reads the configuration, again where the file itself could not be read: that passes, and whoever signalled does not signal
 // twice. A further signal ends a wait between two tries.
-func reread(ctx context.Context, signals <-chan os.Signal, s *config.Station, log *zap.Logger) (*config.Station, error) {
+func reread(ctx context.Context, signals <-chan os.Signal, s *config.Node, log *zap.Logger) (*config.Node, error) {
 	for pause := rereadFirst; ; pause = min(2*pause, rereadMost) {
-		next, err := s.Again()
+		next, err := s.Reload()
 		var unread *fs.PathError
 		if !errors.As(err, &unread) {
 			return next, err
--- a/internal/net/node/renew_test.go
+++ b/internal/net/node/renew_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := dispatch.New(s.Terms, zap.NewNop())
+	x := dispatch.New(s.Settings, zap.NewNop())
 	list := discovery.New(x, s.Discovery, time.Second, zap.NewNop())
 	x.Start(1, nil, list)
 	go list.Run(t.Context())
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := dispatch.New(s.Terms, zap.NewNop())
+	x := dispatch.New(s.Settings, zap.NewNop())
 	list := discovery.New(x, s.Discovery, time.Second, zap.NewNop())
 	x.Start(1, nil, list)
 	go list.Run(t.Context())
--- a/internal/net/node/world_test.go
+++ b/internal/net/node/world_test.go
@@ -99,12 +99,12 @@
 }
 
 // station gives a node's papers, with free addresses.
-func (w *world) station(descriptors int) *config.Station {
+func (w *world) station(descriptors int) *config.Node {
 	w.t.Helper()
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 400., "time-limit-ms": 900.}
 	}
-	d, err := config.Of(map[string]any{"models": []any{"box", "origin"},
+	d, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"},
 		"domain":      map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3.},
 		"invariants":  map[string]any{"stop-sending-within-ms": 200., "warm-up-ms": 2000.},
@@ -112,8 +112,8 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	return &config.Station{Name: "n", Listen: free(w.t), Admin: free(w.t), Discovery: w.discovery.Listener.Addr().String(),
-		Cores: 1, MemoryMB: 192, Descriptors: descriptors, Terms: d}
+	return &config.Node{Name: "n", Listen: free(w.t), Admin: free(w.t), Discovery: w.discovery.Listener.Addr().String(),
+		Cores: 1, MemoryMB: 192, Descriptors: descriptors, Settings: d}
 }
 
 func free(t *testing.T) string {
@@ -126,7 +126,7 @@
 }
 
 // run starts a node and waits until it serves; what it gives back ends it.
-func run(t *testing.T, s *config.Station) func() {
+func run(t *testing.T, s *config.Node) func() {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/net/upstream/servers_test.go
+++ b/internal/net/upstream/servers_test.go
@@ -608,7 +608,7 @@
 		dispatch.NoRoom: func(s *Servers) { s.bounds.Shots = 0 },
 		dispatch.Lost:   func(s *Servers) { s.transport = nil },
 	} {
-		d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
+		d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 200., "time-limit-ms": 750.}}})
 		if err != nil {
 			t.Fatal(err)
@@ -638,7 +638,7 @@
 		want dispatch.End
 		came int64
 	}{{"while a connection comes up", dispatch.Withheld, 0}, {"between two tries", dispatch.Withheld, 0}, {"once it was written", dispatch.Whole, 1}} {
-		d, err := config.Of(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
+		d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 700., "time-limit-ms": 750.}}})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -390,7 +390,7 @@
 		if err = each(w.voters, func(p *process) error { return p.start(w.Program) }); err != nil {
 			return err
 		}
-		f, err := config.ReadFleet(filepath.Join(w.folder, "v0.json"))
+		f, err := config.ReadCluster(filepath.Join(w.folder, "v0.json"))
 		if err != nil {
 			return err
 		}
--- a/internal/simwire/node.go
+++ b/internal/simwire/node.go
@@ -15,7 +15,7 @@
 // node is one instance: it maps the wire's ids to small indices, and is the module's Host.
 type node struct {
 	balancer *routing.Balancer
-	terms    *config.Terms
+	terms    *config.Settings
 	out      *orders
 	servers  map[string]int
 	names    []string
@@ -39,7 +39,7 @@
 	if err := json.Unmarshal(info, &settings); err != nil {
 		return nil, fmt.Errorf("its settings can't be read: %w", err)
 	}
-	t, err := config.Of(settings)
+	t, err := config.ParseSettings(settings)
 	if err != nil {
 		log.Printf("the settings are taken without what is at fault: %v", err)
 	}
@@ -50,11 +50,11 @@
 	if _, known := n.index[f.ticket]; known || f.ticket == "" {
 		return fmt.Errorf("ticket %q is missing or came before", f.ticket)
 	}
-	ns, ok := n.terms.Namespaces[f.namespace]
+	ns, ok := n.terms.Classes[f.namespace]
 	if !ok {
 		return fmt.Errorf("namespace %q is unknown", f.namespace)
 	}
-	partner, ok := n.terms.Partners[f.account]
+	partner, ok := n.terms.Tenants[f.account]
 	if !ok {
 		partner = -1
 	}
@@ -68,7 +68,7 @@
 	n.tickets[lkp] = ticket{id: id}
 	n.index[id] = lkp
 	n.balancer.Lookup(now, lkp, routing.Lookup{Namespace: ns, Partner: partner, Key: f.key,
-		Limit: config.Tenths(f.expires), Work: f.hint, Write: f.write})
+		Limit: config.Ticks(f.expires), Work: f.hint, Write: f.write})
 	return nil
 }
 
@@ -112,12 +112,12 @@
 			n.servers[e.server] = i
 			n.names = append(n.names, e.server)
 		}
-		kind, ok := n.terms.Machines[e.machine]
+		kind, ok := n.terms.Models[e.machine]
 		if !ok {
 			kind = -1
 		}
 		n.boxes = append(n.boxes, routing.Box{Server: i, ID: e.server, Kind: kind, State: state,
-			Since: config.Tenths(e.since)})
+			Since: config.Ticks(e.since)})
 	}
 	n.balancer.List(now, how, n.boxes)
 	return nil
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -276,7 +276,7 @@
 			out.end()
 		}
 	}()
-	f, now := &h.msg, config.Tenths(h.now)
+	f, now := &h.msg, config.Ticks(h.now)
 	if f.what == "create" {
 		n, err := newNode(f.info)
 		if err != nil {
@@ -284,7 +284,7 @@
 		}
 		h.nodes[name] = n
 		n.out = out
-		n.balancer = routing.New(n, f.seed, now, n.terms.Module)
+		n.balancer = routing.New(n, f.seed, now, n.terms.Routing)
 		return nil
 	}
 	n := h.nodes[name]
