--- a/budget/allowance/allowance_test.go
+++ b/budget/allowance/allowance_test.go
@@ -13,7 +13,7 @@
 		passed := false
 		check := func(t *rapid.T) {
 			const nodes, units = 4, 12.0
-			var all [nodes]*Allowance
+			var all [nodes]*Limiter
 			var has [nodes]float64
 			now, excess, last := int64(0), 0.0, int64(0)
 			has[0] = units
@@ -22,7 +22,7 @@
 				if kept {
 					most = units // what was saved up stays
 				}
-				Set(&all[i], now, Part{Rate: has[i], Most: most, Until: 1 << 60})
+				Set(&all[i], now, Quota{Rate: has[i], Burst: most, Until: 1 << 60})
 			}
 			for i := range all {
 				set(i)
@@ -40,7 +40,7 @@
 					continue
 				}
 				for _, a := range all {
-					for a.Left(now) >= 1 {
+					for a.Available(now) >= 1 {
 						a.Spend()
 						excess = max(0, excess-units*float64(now-last)/second) + 1
 						if last = now; excess > units+1e-6 {
@@ -61,34 +61,34 @@
 
 // A part's end, acts at a time, and what is told of them.
 func TestEndsAndUse(t *testing.T) {
-	var a *Allowance
-	if a.Left(5) < 1e300 || a.Like(5) != nil {
+	var a *Limiter
+	if a.Available(5) < 1e300 || a.Clone(5) != nil {
 		t.Error("no part bounds something")
 	}
 	a.Spend()
-	Set(&a, 0, Part{Number: true, Most: 3, Until: 100, ThenMost: 1})
+	Set(&a, 0, Quota{Concurrency: true, Burst: 3, Until: 100, ThenBurst: 1})
 	a.Spend()
 	a.Spend()
-	a.Lacked()
+	a.Denied()
 	for now, want := range map[int64]float64{99: 1, 100: -1} {
 		b := *a
-		if got := b.Left(now); got != want {
+		if got := b.Available(now); got != want {
 			t.Errorf("at %d: %g left, want %g", now, got, want)
 		}
 	}
 	a.Ended(2500)
-	if u := Set(&a, 50, Part{Number: true, Most: 3, Until: 100}); u != (Use{Asked: 3, Done: 2, Out: 1, Took: 0.25}) {
+	if u := Set(&a, 50, Quota{Concurrency: true, Burst: 3, Until: 100}); u != (Usage{Wanted: 3, Done: 2, InFlight: 1, MeanSeconds: 0.25}) {
 		t.Errorf("%+v", u)
 	}
-	if u := Set(&a, 60, Part{Number: true}); u.Out != 1 || u.Asked != 0 {
+	if u := Set(&a, 60, Quota{Concurrency: true}); u.InFlight != 1 || u.Wanted != 0 {
 		t.Errorf("what goes on counts on: %+v", u)
 	}
-	if l := a.Like(70); l.Left(70) != 0 {
-		t.Errorf("%g left of a new one of no part", l.Left(70))
+	if l := a.Clone(70); l.Available(70) != 0 {
+		t.Errorf("%g left of a new one of no part", l.Available(70))
 	}
-	var r *Allowance
-	Set(&r, 0, Part{Rate: 2, Most: 4, Until: 10000, ThenRate: 1, ThenMost: 1})
-	if r.Left(5000) != 1 || r.Left(20000) != 1 {
+	var r *Limiter
+	Set(&r, 0, Quota{Rate: 2, Burst: 4, Until: 10000, ThenRate: 1, ThenBurst: 1})
+	if r.Available(5000) != 1 || r.Available(20000) != 1 {
 		t.Error("a rate fills with time, and what is saved up ends with its part")
 	}
 }
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -14,17 +14,17 @@
 type crowd struct {
 	now   Time
 	state *lease.State
-	d     *Divider
+	d     *Allocator
 	refs  []uint64
-	told  map[uint64]Answer
-	asks  []Ask // by node
+	told  map[uint64]Response
+	asks  []Request // by node
 	lasts []uint64
 	ids   uint64
 }
 
-func (c *crowd) Wake(Time)                         {}
+func (c *crowd) SetAlarm(Time)                     {}
 func (c *crowd) Propose(ref uint64, _ lease.Entry) { c.refs = append(c.refs, ref) }
-func (c *crowd) Answer(id uint64, a Answer)        { c.told[id] = a }
+func (c *crowd) Respond(id uint64, a Response)     { c.told[id] = a }
 
 func (c *crowd) apply() (entries int) {
 	for ; len(c.refs) > 0; entries++ {
@@ -39,7 +39,7 @@
 func (c *crowd) ask(n int) {
 	c.ids++
 	c.lasts[n] = c.ids
-	c.d.Ask(c.now, c.ids, c.asks[n])
+	c.d.Handle(c.now, c.ids, c.asks[n])
 }
 
 // heed lets a node take its answer, and ask again if there was news.
@@ -49,38 +49,38 @@
 		return
 	}
 	delete(c.told, c.lasts[n])
-	for _, x := range a.News {
-		for i := range c.asks[n].Holds {
-			if h := &c.asks[n].Holds[i]; h.Budget == x.Budget {
-				h.Token, h.Units, h.Keep, h.Revision = x.Part.Token, x.Part.Units, x.Keep, x.Terms.Revision
-				if x.Keep >= 0 {
-					h.Units = min(h.Units, x.Keep)
+	for _, x := range a.Updates {
+		for i := range c.asks[n].Held {
+			if h := &c.asks[n].Held[i]; h.Budget == x.Budget {
+				h.Token, h.Units, h.ShrinkTo, h.Revision = x.Quota.Token, x.Quota.Units, x.ShrinkTo, x.Config.Revision
+				if x.ShrinkTo >= 0 {
+					h.Units = min(h.Units, x.ShrinkTo)
 				}
 			}
 		}
 	}
-	if len(a.News) > 0 {
+	if len(a.Updates) > 0 {
 		c.ask(n)
 	}
 }
 
 // newCrowd has so many nodes share so many budgets of a unit and a half each, in steady demand.
 func newCrowd(nodes, budgets int) *crowd {
-	c := &crowd{now: 1, state: lease.NewState(), told: map[uint64]Answer{}, asks: make([]Ask, nodes), lasts: make([]uint64, nodes)}
-	c.state.Apply(lease.Entry{Version: 1, Kind: lease.Found, Name: "f"})
-	c.d = NewDivider(c, c.state, Unsafe{})
-	c.d.Led(c.now, c.state.Apply(lease.Entry{Version: 1, Kind: lease.Lead, Name: "l"}).Reign)
-	declares := map[string]lease.Terms{}
-	var holds []Hold
+	c := &crowd{now: 1, state: lease.NewState(), told: map[uint64]Response{}, asks: make([]Request, nodes), lasts: make([]uint64, nodes)}
+	c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
+	c.d = NewAllocator(c, c.state, Unsafe{})
+	c.d.Promote(c.now, c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"}).Term)
+	declares := map[string]lease.BudgetConfig{}
+	var holds []Holding
 	for i := range budgets {
 		name := fmt.Sprint("budget-", i)
-		declares[name] = lease.Terms{Kind: lease.RateKind, Units: 2 * nodes, Each: 1, Nodes: nodes}
-		holds = append(holds, Hold{Budget: name, Want: 1, Keep: -1})
+		declares[name] = lease.BudgetConfig{Kind: lease.RateKind, Units: 2 * nodes, RatePerUnit: 1, MaxNodes: nodes}
+		holds = append(holds, Holding{Budget: name, Demand: 1, ShrinkTo: -1})
 	}
 	for n := range nodes {
 		name := fmt.Sprintf("node/%05d", n)
-		r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.Grant, Name: name, Holder: lease.Holder{Name: name, Process: n}})
-		c.asks[n] = Ask{Lease: name, Token: r.Token, Weight: 1, Wait: askWait, Declares: declares, Holds: append([]Hold(nil), holds...)}
+		r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: name, Holder: lease.Holder{Name: name, Process: n}})
+		c.asks[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: askWait, Declared: declares, Held: append([]Holding(nil), holds...)}
 		c.ask(n)
 	}
 	for range 8 {
@@ -89,7 +89,7 @@
 		c.d.Alarm(c.now)
 		c.apply()
 		for n := range nodes {
-			c.asks[n].Declares = nil
+			c.asks[n].Declared = nil
 			c.heed(n)
 		}
 	}
@@ -157,7 +157,7 @@
 			for b.Loop() {
 				n := i * 7 % nodes
 				i++
-				c.asks[n].Holds[0].Want = 3 - c.asks[n].Holds[0].Want // one or two units
+				c.asks[n].Held[0].Demand = 3 - c.asks[n].Held[0].Demand // one or two units
 				c.ask(n)
 				c.d.members[c.asks[n].Lease].until = 1 << 60
 				for range 2 { // what is asked back is given in the second
--- a/budget/divider.go
+++ b/budget/divider.go
@@ -29,51 +29,51 @@
 	waitMost     = 10000 * lease.Millisecond
 )
 
-// Hold is what a node says of one budget.
-type Hold struct {
+// Holding is what a node says of one budget.
+type Holding struct {
 	Budget   string `json:"Budget"`
 	Token    uint64 `json:"Token"`    // of the part that it knows, 0: none
 	Units    int    `json:"Units"`    // of it that it acts on at the most, from before this was sent on
-	Want     int    `json:"Want"`     // all that it could use now
-	Keep     int    `json:"Keep"`     // what it was last asked to come down to, -1: nothing
+	Demand   int    `json:"Want"`     // all that it could use now
+	ShrinkTo int    `json:"Keep"`     // what it was last asked to come down to, -1: nothing
 	Revision uint64 `json:"Revision"` // of the terms that it knows
 }
 
-// Ask is a node's word: what it holds and wants, under the lease of its name. It is answered once there is news.
-type Ask struct {
-	Lease    string                 `json:"Lease"`
-	Token    uint64                 `json:"Token"`
-	Weight   float64                `json:"Weight"` // beside the others', 0: 1
-	Wait     Time                   `json:"Wait"`
-	Holds    []Hold                 `json:"Holds"`
-	Declares map[string]lease.Terms `json:"Declares"` // as its own papers have them, where the fleet has none yet
+// Request is a node's word: what it holds and wants, under the lease of its name. It is answered once there is news.
+type Request struct {
+	Lease    string                        `json:"Lease"`
+	Token    uint64                        `json:"Token"`
+	Weight   float64                       `json:"Weight"` // beside the others', 0: 1
+	Wait     Time                          `json:"Wait"`
+	Held     []Holding                     `json:"Holds"`
+	Declared map[string]lease.BudgetConfig `json:"Declares"` // as its own papers have them, where the fleet has none yet
 }
 
-// News is what a node is told of one budget.
-type News struct {
-	Budget string      `json:"Budget"`
-	Terms  lease.Terms `json:"Terms"`
-	Part   lease.Part  `json:"Part"`
-	Keep   int         `json:"Keep"` // what it is to come down to, as soon as it can; -1: nothing
+// QuotaUpdate is what a node is told of one budget.
+type QuotaUpdate struct {
+	Budget   string             `json:"Budget"`
+	Config   lease.BudgetConfig `json:"Terms"`
+	Quota    lease.Quota        `json:"Part"`
+	ShrinkTo int                `json:"Keep"` // what it is to come down to, as soon as it can; -1: nothing
 
-	Given   int `json:"Given"` // of the whole: what is out as parts, and what waits for newcomers
-	Reserve int `json:"Reserve"`
+	Allocated int `json:"Given"` // of the whole: what is out as parts, and what waits for newcomers
+	Reserve   int `json:"Reserve"`
 }
 
-// Answer is what an asking comes to.
-type Answer struct {
-	News []News
-	Err  error
+// Response is what an asking comes to.
+type Response struct {
+	Updates []QuotaUpdate
+	Err     error
 }
 
 // Host is all that a Divider can do. None of the methods may block or call back.
 type Host interface {
 	// Propose brings an entry to the log; Applied tells how it went.
 	Propose(ref uint64, e lease.Entry)
-	// Answer ends an asking.
-	Answer(id uint64, a Answer)
-	// Wake asks for Alarm at that time or soon after.
-	Wake(at Time)
+	// Respond ends an asking.
+	Respond(id uint64, a Response)
+	// SetAlarm asks for Alarm at that time or soon after.
+	SetAlarm(at Time)
 }
 
 // Unsafe takes a safeguard out, to show that the checks would see it.
@@ -87,7 +87,7 @@
 type member struct {
 	token  uint64
 	weight float64
-	holds  map[string]Hold
+	holds  map[string]Holding
 	keep   map[string]int // what it is to come down to
 	ask    uint64         // its asking, 0: none is out
 	until  Time
@@ -99,9 +99,9 @@
 	has       bool
 }
 
-// Divider is the leader's memory of what the nodes want. A new leader begins with the parts alone, which are in the State:
+// Allocator is the leader's memory of what the nodes want. A new leader begins with the parts alone, which are in the State:
 // who hasn't spoken yet keeps what it has. It is not safe for concurrent use.
-type Divider struct {
+type Allocator struct {
 	host   Host
 	state  *lease.State
 	unsafe Unsafe
@@ -123,104 +123,104 @@
 	savedAt  Time
 }
 
-// NewDivider makes one that doesn't lead.
-func NewDivider(host Host, state *lease.State, u Unsafe) *Divider {
-	d := &Divider{host: host, state: state, unsafe: u}
-	d.Deposed()
+// NewAllocator makes one that doesn't lead.
+func NewAllocator(host Host, state *lease.State, u Unsafe) *Allocator {
+	d := &Allocator{host: host, state: state, unsafe: u}
+	d.Demote()
 	return d
 }
 
-// Led tells that this process leads, from an entry of this reign on that is applied.
-func (d *Divider) Led(now Time, reign uint64) {
-	d.Deposed()
+// Promote tells that this process leads, from an entry of this reign on that is applied.
+func (d *Allocator) Promote(now Time, reign uint64) {
+	d.Demote()
 	d.leads, d.reign, d.saved, d.savedAt, d.entryAt = true, reign, entriesSaved, now, now-entryEvery
 	if d.unsafe.Forget {
-		var all []lease.Move
+		var all []lease.QuotaMove
 		for name, b := range d.state.Budgets {
-			for l, p := range b.Parts {
-				all = append(all, lease.Move{Budget: name, Lease: l, Token: d.state.Leases[l].Token, Under: p.Token})
+			for l, p := range b.Quotas {
+				all = append(all, lease.QuotaMove{Budget: name, Lease: l, Token: d.state.Leases[l].Token, FromToken: p.Token})
 			}
 		}
-		d.propose(lease.Entry{Kind: lease.Parts, Moves: all})
+		d.propose(lease.Entry{Kind: lease.KindMoveQuotas, Moves: all})
 	}
-	d.Changed(now)
+	d.StateChanged(now)
 }
 
-// Deposed tells that it leads no more, or may not: all that was kept in mind is void.
-func (d *Divider) Deposed() {
+// Demote tells that it leads no more, or may not: all that was kept in mind is void.
+func (d *Allocator) Demote() {
 	for _, name := range slices.Sorted(maps.Keys(d.members)) {
-		d.reply(d.members[name], Answer{Err: lease.ErrNotLeader})
+		d.reply(d.members[name], Response{Err: lease.ErrNotLeader})
 	}
 	d.leads, d.moving, d.stale = false, false, false
 	d.members, d.turns, d.out, d.reserves = map[string]*member{}, map[string]map[string]turn{}, map[uint64]lease.Entry{}, map[string]int{}
 }
 
-// Leads says whether it leads, as far as it knows.
-func (d *Divider) Leads() bool { return d.leads }
+// IsLeader says whether it leads, as far as it knows.
+func (d *Allocator) IsLeader() bool { return d.leads }
 
-// Wants gives what all nodes in touch want of a budget, and what is being held back for those who have none.
-func (d *Divider) Wants(name string) (want, reserve int) {
+// Demand gives what all nodes in touch want of a budget, and what is being held back for those who have none.
+func (d *Allocator) Demand(name string) (want, reserve int) {
 	for _, m := range d.members {
-		want += m.holds[name].Want
+		want += m.holds[name].Demand
 	}
 	return want, d.reserves[name]
 }
 
-// Ask takes an asking, under a number above 0 that is not out.
-func (d *Divider) Ask(now Time, id uint64, a Ask) {
+// Handle takes an asking, under a number above 0 that is not out.
+func (d *Allocator) Handle(now Time, id uint64, a Request) {
 	held, is := d.state.Leases[a.Lease]
 	switch {
 	case !d.leads:
-		d.host.Answer(id, Answer{Err: lease.ErrNotLeader})
+		d.host.Respond(id, Response{Err: lease.ErrNotLeader})
 		return
 	case !is || held.Token != a.Token:
-		d.host.Answer(id, Answer{Err: lease.ErrLapsed})
+		d.host.Respond(id, Response{Err: lease.ErrLeaseExpired})
 		return
 	case len(d.members) >= asksMost && d.members[a.Lease] == nil:
-		d.host.Answer(id, Answer{Err: lease.ErrFull})
+		d.host.Respond(id, Response{Err: lease.ErrLimitExceeded})
 		return
-	case a.Weight < 0 || a.Weight > weightMost || len(a.Holds) > holdsMost || len(a.Declares) > holdsMost:
-		d.host.Answer(id, Answer{Err: lease.ErrForm})
+	case a.Weight < 0 || a.Weight > weightMost || len(a.Held) > holdsMost || len(a.Declared) > holdsMost:
+		d.host.Respond(id, Response{Err: lease.ErrMalformed})
 		return
 	}
 	m := d.members[a.Lease]
 	if m == nil || m.token != a.Token {
 		if m != nil {
-			d.reply(m, Answer{Err: lease.ErrWithdrawn})
+			d.reply(m, Response{Err: lease.ErrWithdrawn})
 		}
-		m = &member{token: a.Token, holds: map[string]Hold{}, keep: map[string]int{}}
+		m = &member{token: a.Token, holds: map[string]Holding{}, keep: map[string]int{}}
 		d.members[a.Lease] = m
 		d.stale = true
 	}
-	d.reply(m, Answer{Err: lease.ErrWithdrawn}) // the same node asks anew
+	d.reply(m, Response{Err: lease.ErrWithdrawn}) // the same node asks anew
 	m.ask, m.until, m.weight = id, now+min(max(a.Wait, 0), waitMost), cmp.Or(a.Weight, 1)
-	for _, h := range a.Holds {
+	for _, h := range a.Held {
 		was, known := m.holds[h.Budget]
 		b := d.state.Budgets[h.Budget]
-		d.stale = d.stale || !known || was.Want != h.Want || b != nil && b.Parts[a.Lease].Units > h.Units
+		d.stale = d.stale || !known || was.Demand != h.Demand || b != nil && b.Quotas[a.Lease].Units > h.Units
 		m.holds[h.Budget] = h
 	}
-	for _, name := range slices.Sorted(maps.Keys(a.Declares)) {
-		t := a.Declares[name]
+	for _, name := range slices.Sorted(maps.Keys(a.Declared)) {
+		t := a.Declared[name]
 		if t.Revision = 0; d.state.Budgets[name] == nil && !d.declares(name) {
-			d.propose(lease.Entry{Kind: lease.Whole, Name: name, Budget: &t})
+			d.propose(lease.Entry{Kind: lease.KindSetBudget, Name: name, Budget: &t})
 		}
 	}
 	d.tell(a.Lease)
 	d.wake(now)
 }
 
-func (d *Divider) declares(name string) bool {
+func (d *Allocator) declares(name string) bool {
 	for _, e := range d.out {
-		if e.Kind == lease.Whole && e.Name == name {
+		if e.Kind == lease.KindSetBudget && e.Name == name {
 			return true
 		}
 	}
 	return false
 }
 
-// Gone tells that the caller of an asking has gone; its node may be there yet.
-func (d *Divider) Gone(id uint64) {
+// CallerGone tells that the caller of an asking has gone; its node may be there yet.
+func (d *Allocator) CallerGone(id uint64) {
 	for _, m := range d.members {
 		if m.ask == id {
 			m.ask = 0
@@ -228,8 +228,8 @@
 	}
 }
 
-// Changed tells that the State has changed, by whatever entry.
-func (d *Divider) Changed(now Time) {
+// StateChanged tells that the State has changed, by whatever entry.
+func (d *Allocator) StateChanged(now Time) {
 	if d.leads {
 		d.stale = true
 		d.wake(now)
@@ -237,13 +237,13 @@
 }
 
 // Applied tells what one of our proposals came to. lost says that it may yet be applied or not.
-func (d *Divider) Applied(now Time, ref uint64, lost bool) {
+func (d *Allocator) Applied(now Time, ref uint64, lost bool) {
 	e, ours := d.out[ref]
 	if !ours {
 		return
 	}
 	delete(d.out, ref)
-	if e.Kind == lease.Parts {
+	if e.Kind == lease.KindMoveQuotas {
 		d.moving = false
 		if lost {
 			d.due = now + divideEvery // whatever became of it, the State tells
@@ -256,8 +256,8 @@
 	d.wake(now)
 }
 
-func (d *Divider) propose(e lease.Entry) {
-	if e.Reign = d.reign; e.Kind == lease.Parts {
+func (d *Allocator) propose(e lease.Entry) {
+	if e.Term = d.reign; e.Kind == lease.KindMoveQuotas {
 		e.Name, d.moving = "parts", true
 	}
 	e.Version = 2
@@ -266,52 +266,52 @@
 	d.host.Propose(d.refs, e)
 }
 
-func (d *Divider) reply(m *member, a Answer) {
+func (d *Allocator) reply(m *member, a Response) {
 	if m.ask != 0 {
 		id := m.ask
 		m.ask = 0
-		d.host.Answer(id, a)
+		d.host.Respond(id, a)
 	}
 }
 
 // tell answers a node's asking, if there is news for it.
-func (d *Divider) tell(name string) {
+func (d *Allocator) tell(name string) {
 	m := d.members[name]
 	if m == nil || m.ask == 0 {
 		return
 	}
 	news := false
-	var all []News
+	var all []QuotaUpdate
 	for _, budget := range slices.Sorted(maps.Keys(m.holds)) {
 		b, h := d.state.Budgets[budget], m.holds[budget]
 		if b == nil {
 			continue
 		}
-		n := News{Budget: budget, Terms: b.Terms, Part: b.Parts[name], Keep: -1, Given: b.Out(), Reserve: d.reserves[budget]}
-		if keep, asked := m.keep[budget]; asked && keep < n.Part.Units {
-			n.Keep = keep
+		n := QuotaUpdate{Budget: budget, Config: b.BudgetConfig, Quota: b.Quotas[name], ShrinkTo: -1, Allocated: b.Allocated(), Reserve: d.reserves[budget]}
+		if keep, asked := m.keep[budget]; asked && keep < n.Quota.Units {
+			n.ShrinkTo = keep
 		}
-		news = news || n.Part.Token > h.Token || n.Keep != h.Keep && n.Part.Token == h.Token || b.Revision != h.Revision
+		news = news || n.Quota.Token > h.Token || n.ShrinkTo != h.ShrinkTo && n.Quota.Token == h.Token || b.Revision != h.Revision
 		all = append(all, n)
 	}
 	if news {
-		d.reply(m, Answer{News: all})
+		d.reply(m, Response{Updates: all})
 	}
 }
 
 // Alarm comes at or after a time asked for with Wake.
-func (d *Divider) Alarm(now Time) {
+func (d *Allocator) Alarm(now Time) {
 	if !d.leads {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.members)) {
 		m := d.members[name]
 		if held, is := d.state.Leases[name]; !is || held.Token != m.token {
-			d.reply(m, Answer{Err: lease.ErrLapsed})
+			d.reply(m, Response{Err: lease.ErrLeaseExpired})
 			delete(d.members, name)
 			d.stale = true
 		} else if m.ask != 0 && now >= m.until {
-			d.reply(m, Answer{Err: lease.ErrWait})
+			d.reply(m, Response{Err: lease.ErrStillHeld})
 		}
 	}
 	if !d.moving && (d.stale && now >= d.due || d.again > 0 && now >= d.again) {
@@ -321,7 +321,7 @@
 }
 
 // may says whether another entry may be made: in steady demand there are few, and what moves finds some saved up.
-func (d *Divider) may(now Time, what haste) bool {
+func (d *Allocator) may(now Time, what haste) bool {
 	span := float64(now-d.savedAt) / float64(1000*lease.Millisecond)
 	each := max(entriesLeast, entriesEach*float64(len(d.members)))
 	d.small, d.saved, d.savedAt = min(1, d.small+each*span), min(entriesSaved, d.saved+entriesMoved*span), now
@@ -350,7 +350,7 @@
 	much
 )
 
-func (d *Divider) wake(now Time) {
+func (d *Allocator) wake(now Time) {
 	at := Time(math.MaxInt64)
 	if d.stale && !d.moving {
 		at = d.due
@@ -364,14 +364,14 @@
 		}
 	}
 	if at < math.MaxInt64 {
-		d.host.Wake(max(at, now))
+		d.host.SetAlarm(max(at, now))
 	}
 }
 
 // leasesOf gives the leases of all who have or may have a part of a budget, in order.
-func (d *Divider) leasesOf(b *lease.Budget) []string {
+func (d *Allocator) leasesOf(b *lease.Budget) []string {
 	all := map[string]bool{}
-	for name := range b.Parts {
+	for name := range b.Quotas {
 		all[name] = true
 	}
 	for name := range d.members {
@@ -381,16 +381,16 @@
 }
 
 func reserveOf(b *lease.Budget, nodes int) int {
-	if lendable := b.Lendable(); lendable >= reserveEach*nodes+reservePart {
+	if lendable := b.Allocatable(); lendable >= reserveEach*nodes+reservePart {
 		return lendable / reservePart
 	}
 	return 0
 }
 
 // divide looks at all budgets, and brings one entry for what has to move.
-func (d *Divider) divide(now Time) {
+func (d *Allocator) divide(now Time) {
 	d.stale, d.due, d.again = false, now+divideEvery, 0
-	var moves []lease.Move
+	var moves []lease.QuotaMove
 	what := none
 	names := slices.Sorted(maps.Keys(d.state.Budgets))
 	deals := make([]deal, len(names))
@@ -401,7 +401,7 @@
 	may := d.may(now, what)
 	for i, name := range names {
 		b := d.state.Budgets[name]
-		if may || b.Out() > b.Lendable() { // a whole that was lowered doesn't wait: nodes come down when they are told
+		if may || b.Allocated() > b.Allocatable() { // a whole that was lowered doesn't wait: nodes come down when they are told
 			moves = append(moves, deals[i].moves...)
 			for _, m := range d.members {
 				delete(m.keep, name)
@@ -417,7 +417,7 @@
 		} else {
 			d.small--
 		}
-		d.propose(lease.Entry{Kind: lease.Parts, Moves: moves})
+		d.propose(lease.Entry{Kind: lease.KindMoveQuotas, Moves: moves})
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.members)) {
 		d.tell(name)
@@ -426,35 +426,35 @@
 
 // deal is what is to be done about one budget.
 type deal struct {
-	moves []lease.Move
+	moves []lease.QuotaMove
 	keep  map[string]int // who is to come down, and to what
 	haste haste
 }
 
 // of divides one budget: what its nodes have given back is taken off them, what is free is given to who should have
 // more, and who has too much is asked to come down.
-func (d *Divider) of(now Time, name string, b *lease.Budget) (x deal) {
-	var moves []lease.Move
+func (d *Allocator) of(now Time, name string, b *lease.Budget) (x deal) {
+	var moves []lease.QuotaMove
 	x.keep = map[string]int{}
 	leases := d.leasesOf(b)
 	claims := make([]claim, len(leases))
 	reserve := reserveOf(b, len(leases))
 	d.reserves[name] = reserve
-	units := b.Lendable() - reserve
+	units := b.Allocatable() - reserve
 	least := 0
-	if b.Apart == 0 && units >= len(leases) {
+	if b.ReservedPerNode == 0 && units >= len(leases) {
 		least = 1
 	}
 	wanting := 0
 	for i, l := range leases {
-		p, m := b.Parts[l], d.members[l]
+		p, m := b.Quotas[l], d.members[l]
 		claims[i] = claim{want: p.Units, weight: 1, has: p.Units}
 		if m != nil {
 			h := m.holds[name]
-			claims[i].want, claims[i].weight = max(h.Want-b.Apart, least), m.weight
+			claims[i].want, claims[i].weight = max(h.Demand-b.ReservedPerNode, least), m.weight
 			if p.Token != 0 && (h.Token == p.Token || d.unsafe.Words) && h.Units < p.Units {
 				claims[i].has = max(0, h.Units)
-				moves = append(moves, lease.Move{Budget: name, Lease: l, Token: m.token, Under: p.Token, Units: claims[i].has})
+				moves = append(moves, lease.QuotaMove{Budget: name, Lease: l, Token: m.token, FromToken: p.Token, Units: claims[i].has})
 			}
 		}
 		if claims[i].want > 0 {
@@ -462,7 +462,7 @@
 		}
 	}
 	target := d.targets(now, name, units, wanting, leases, claims)
-	free := b.Lendable()
+	free := b.Allocatable()
 	for _, c := range claims {
 		free -= c.has
 	}
@@ -472,7 +472,7 @@
 				x.keep[l] = target[i]
 				if d.unsafe.Reuse {
 					free += claims[i].has - target[i]
-					moves = append(moves, lease.Move{Budget: name, Lease: l, Token: m.token, Under: b.Parts[l].Token, Units: target[i]})
+					moves = append(moves, lease.QuotaMove{Budget: name, Lease: l, Token: m.token, FromToken: b.Quotas[l].Token, Units: target[i]})
 				}
 			}
 		}
@@ -491,12 +491,12 @@
 			may -= reserve
 		}
 		more := min(target[i]-c.has, may)
-		down := slices.ContainsFunc(moves, func(x lease.Move) bool { return x.Lease == leases[i] })
+		down := slices.ContainsFunc(moves, func(x lease.QuotaMove) bool { return x.Lease == leases[i] })
 		if m == nil || more <= 0 || down { // who has just come down may have more at the next division
 			continue
 		}
 		free -= more
-		moves = append(moves, lease.Move{Budget: name, Lease: leases[i], Token: m.token, Under: b.Parts[leases[i]].Token, Units: c.has + more})
+		moves = append(moves, lease.QuotaMove{Budget: name, Lease: leases[i], Token: m.token, FromToken: b.Quotas[leases[i]].Token, Units: c.has + more})
 	}
 	off, new := 0, false
 	for i, c := range claims {
@@ -504,7 +504,7 @@
 		new = new || c.has == 0 && target[i] > 0
 	}
 	switch {
-	case new || off > 2*(b.Lendable()/smallPart) || b.Out() > b.Lendable():
+	case new || off > 2*(b.Allocatable()/smallPart) || b.Allocated() > b.Allocatable():
 		x.haste = much
 	case len(moves) > 0 || len(x.keep) > 0:
 		x.haste = little
@@ -515,7 +515,7 @@
 
 // targets says how many units each should have. Where there are fewer than nodes that want one, they go round in turns:
 // who has waited longest comes first, and who has had its turn last.
-func (d *Divider) targets(now Time, name string, units, wanting int, leases []string, claims []claim) []int {
+func (d *Allocator) targets(now Time, name string, units, wanting int, leases []string, claims []claim) []int {
 	turns := d.turns[name]
 	if turns == nil {
 		turns = map[string]turn{}
--- a/budget/divider_test.go
+++ b/budget/divider_test.go
@@ -35,7 +35,7 @@
 	t       *testing.T
 	now     Time
 	state   *lease.State
-	d       *Divider
+	d       *Allocator
 	wake    Time
 	nodes   []*node
 	out     []uint64
@@ -46,46 +46,48 @@
 type node struct {
 	f            *fleet
 	n            int
-	p            *Purse
+	p            *QuotaClient
 	asks         float64 // acts a second
 	units        int
 	looked       Time
 	had, longest Time // when it last had units, and for how long it had none
-	ask          *Ask
-	told         []Answer
+	ask          *Request
+	told         []Response
 	wake         Time
 }
 
-func newFleet(t *testing.T, terms lease.Terms, nodes int) *fleet {
+func newFleet(t *testing.T, terms lease.BudgetConfig, nodes int) *fleet {
 	f := &fleet{t: t, now: 1, state: lease.NewState()}
-	f.state.Apply(lease.Entry{Version: 1, Kind: lease.Found, Name: "f"})
-	f.d = NewDivider(f, f.state, Unsafe{})
-	f.d.Led(f.now, f.state.Apply(lease.Entry{Version: 1, Kind: lease.Lead, Name: "l"}).Reign)
+	f.state.Apply(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
+	f.d = NewAllocator(f, f.state, Unsafe{})
+	f.d.Promote(f.now, f.state.Apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"}).Term)
 	for range nodes {
 		f.join(terms)
 	}
 	return f
 }
 
-func (f *fleet) join(terms lease.Terms) *node {
+func (f *fleet) join(terms lease.BudgetConfig) *node {
 	n := &node{f: f, n: len(f.nodes), had: f.now}
 	f.nodes = append(f.nodes, n)
-	r := f.state.Apply(lease.Entry{Version: 1, Kind: lease.Grant, Name: nameOf(n.n), Holder: lease.Holder{Name: fmt.Sprint(n.n)}})
-	n.p = NewPurse(n, f.now, nameOf(n.n), r.Token, 1, map[string]lease.Terms{limit: terms}, 1<<60, 0)
+	r := f.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: nameOf(n.n), Holder: lease.Holder{Name: fmt.Sprint(n.n)}})
+	n.p = NewQuotaClient(n, f.now, nameOf(n.n), r.Token, 1, map[string]lease.BudgetConfig{limit: terms}, 1<<60, 0)
 	return n
 }
 
-func (f *fleet) Wake(at Time)                      { f.wake = at }
+func (f *fleet) SetAlarm(at Time)                  { f.wake = at }
 func (f *fleet) Propose(ref uint64, _ lease.Entry) { f.out = append(f.out, ref) }
-func (f *fleet) Answer(id uint64, a Answer)        { f.nodes[id%1000].told = append(f.nodes[id%1000].told, a) }
-func (n *node) Ask(a Ask)                          { n.ask = &a }
-func (n *node) Wake(at Time)                       { n.wake = at }
-func (n *node) Set(_ string, _ lease.Terms, units, _ int, _ Time) allowance.Use {
+func (f *fleet) Respond(id uint64, a Response) {
+	f.nodes[id%1000].told = append(f.nodes[id%1000].told, a)
+}
+func (n *node) Send(a Request)   { n.ask = &a }
+func (n *node) SetAlarm(at Time) { n.wake = at }
+func (n *node) SetQuota(_ string, _ lease.BudgetConfig, units, _ int, _ Time) allowance.Usage {
 	if n.units > 0 {
 		n.had = n.f.now
 	}
 	n.longest = max(n.longest, n.f.now-n.had)
-	u := allowance.Use{Asked: n.asks * seconds(n.f.now-n.looked), Took: 0.1}
+	u := allowance.Usage{Wanted: n.asks * seconds(n.f.now-n.looked), MeanSeconds: 0.1}
 	n.units, n.looked = units, n.f.now
 	return u
 }
@@ -110,22 +112,22 @@
 			told := n.told
 			n.told = nil
 			for _, a := range told {
-				n.p.Answered(f.now, a)
+				n.p.HandleResponse(f.now, a)
 			}
 			if a := n.ask; a != nil {
 				n.ask = nil
-				f.d.Ask(f.now, uint64(f.now)*1000+uint64(n.n), *a)
+				f.d.Handle(f.now, uint64(f.now)*1000+uint64(n.n), *a)
 			}
 		}
-		if b := f.state.Budgets[limit]; b != nil && b.Out() > b.Lendable() && !f.lowered {
-			f.t.Fatalf("%d units are out, %d may be", b.Out(), b.Lendable())
+		if b := f.state.Budgets[limit]; b != nil && b.Allocated() > b.Allocatable() && !f.lowered {
+			f.t.Fatalf("%d units are out, %d may be", b.Allocated(), b.Allocatable())
 		}
 	}
 }
 
 // Twenty at a time for sixty nodes that all want some: units go round, and nobody waits for longer than its turns take.
 func TestFewUnitsGoRound(t *testing.T) {
-	f := newFleet(t, lease.Terms{Kind: lease.NumberKind, Units: 20, Nodes: 60}, 60)
+	f := newFleet(t, lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 20, MaxNodes: 60}, 60)
 	for _, n := range f.nodes {
 		n.asks = 20
 	}
@@ -147,7 +149,7 @@
 // Demand that moves is followed within a second, a newcomer has some at once, weights count, a lowered whole comes back, and
 // in steady demand there is next to nothing to agree on.
 func TestPartsFollowDemand(t *testing.T) {
-	terms := lease.Terms{Kind: lease.RateKind, Units: 100, Each: 1, Nodes: 20}
+	terms := lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, MaxNodes: 20}
 	f := newFleet(t, terms, 10)
 	for _, n := range f.nodes {
 		n.asks = 4
@@ -175,15 +177,15 @@
 		t.Errorf("%d entries in 20 s of steady demand", f.entries)
 	}
 	b := f.state.Budgets[limit]
-	f.state.Apply(lease.Entry{Version: 2, Kind: lease.Whole, Name: limit, Budget: &lease.Terms{Units: 60, Revision: b.Revision}})
-	f.d.Changed(f.now)
+	f.state.Apply(lease.Entry{Version: 2, Kind: lease.KindSetBudget, Name: limit, Budget: &lease.BudgetConfig{Units: 60, Revision: b.Revision}})
+	f.d.StateChanged(f.now)
 	out := 0
 	f.lowered = true // more is out than there is, for a while
 	f.pass(1000 * lease.Millisecond)
 	for _, n := range f.nodes {
 		out += n.units
 	}
-	if out > 60 || b.Out() > 60 {
-		t.Errorf("a second after the whole was lowered to 60, %d are acted on, %d are out", out, b.Out())
+	if out > 60 || b.Allocated() > 60 {
+		t.Errorf("a second after the whole was lowered to 60, %d are acted on, %d are out", out, b.Allocated())
 	}
 }
--- a/budget/explore_test.go
+++ b/budget/explore_test.go
@@ -12,10 +12,10 @@
 )
 
 var (
-	rates   = lease.Terms{Kind: lease.RateKind, Units: 4, Each: 10, Nodes: 3}
-	numbers = lease.Terms{Kind: lease.NumberKind, Units: 4, Nodes: 3}
-	few     = lease.Terms{Kind: lease.NumberKind, Units: 1, Nodes: 3}
-	aparts  = lease.Terms{Kind: lease.RateKind, Units: 7, Each: 10, Apart: 1, Nodes: 3}
+	rates   = lease.BudgetConfig{Kind: lease.RateKind, Units: 4, RatePerUnit: 10, MaxNodes: 3}
+	numbers = lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 4, MaxNodes: 3}
+	few     = lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 1, MaxNodes: 3}
+	aparts  = lease.BudgetConfig{Kind: lease.RateKind, Units: 7, RatePerUnit: 10, ReservedPerNode: 1, MaxNodes: 3}
 )
 
 type bounds struct {
@@ -26,7 +26,7 @@
 const statesMost = 150_000 // far beyond what the bounds below reach
 
 // explore plays all that can happen within the bounds, and gives the first history that passes the whole.
-func explore(without string, t lease.Terms, nodes int, b bounds) (states int, history []move, fault string) {
+func explore(without string, t lease.BudgetConfig, nodes int, b bounds) (states int, history []move, fault string) {
 	type node struct {
 		w    *world
 		from int
@@ -65,7 +65,7 @@
 // and end with their lease within them.
 func TestAllSmallHistories(t *testing.T) {
 	for _, c := range []struct {
-		terms lease.Terms
+		terms lease.BudgetConfig
 		bounds
 	}{
 		{rates, bounds{steps: 3, demands: 1}},
@@ -76,7 +76,7 @@
 		{rates, bounds{steps: 4, regrants: 1, both: true}},
 		{rates, bounds{steps: 3, leads: 1, both: true}},
 	} {
-		t.Run(fmt.Sprintf("%s %d/%d %+v", c.terms.Kind, c.terms.Units, c.terms.Apart, c.bounds), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s %d/%d %+v", c.terms.Kind, c.terms.Units, c.terms.ReservedPerNode, c.bounds), func(t *testing.T) {
 			if testing.Short() {
 				t.Skip("too many for the race detector")
 			}
@@ -108,7 +108,7 @@
 // walk plays a history of chance, with more of everything than can be explored.
 func walk(without string, seed uint64, moves int) (w *world, history []move) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	w = newWorld(without, []lease.Terms{rates, numbers, few, aparts}[rnd.IntN(4)], 2+rnd.IntN(2))
+	w = newWorld(without, []lease.BudgetConfig{rates, numbers, few, aparts}[rnd.IntN(4)], 2+rnd.IntN(2))
 	w.demands, w.regrants, w.renews, w.acts, w.old = 10, 5, 1<<20, 80, 2
 	if rnd.IntN(2) == 0 { // else nothing fails
 		w.leads, w.lost = 6, 20
@@ -135,7 +135,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w, history := walk("", rapid.Uint64().Draw(t, "seed"), 300)
 		runs++
-		if parts += w.truth.Tokens; w.fault != "" {
+		if parts += w.truth.LastToken; w.fault != "" {
 			t.Fatalf("%s after %v", w.fault, history)
 		}
 	})
--- a/budget/purse.go
+++ b/budget/purse.go
@@ -28,21 +28,21 @@
 	lendSpan   = 300 * lease.Millisecond  // for which the next process of a node has its half: it asks thrice in that
 )
 
-// Acts is what a Purse acts through. None of the methods may call back.
-type Acts interface {
-	// Set tells how many units may be acted on until a time, and how many after it. It gives what was asked since the last
+// ClientHost is what a Purse acts through. None of the methods may call back.
+type ClientHost interface {
+	// SetQuota tells how many units may be acted on until a time, and how many after it. It gives what was asked since the last
 	// time. Acts of a number at a time that go on count until they end.
-	Set(name string, t lease.Terms, units, apart int, until Time) allowance.Use
-	// Ask sends an asking; Answered or Unanswered tells how it went, if no other was sent since.
-	Ask(a Ask)
-	// Wake asks for Alarm at that time or soon after.
-	Wake(at Time)
+	SetQuota(name string, t lease.BudgetConfig, units, apart int, until Time) allowance.Usage
+	// Send sends an asking; Answered or Unanswered tells how it went, if no other was sent since.
+	Send(a Request)
+	// SetAlarm asks for Alarm at that time or soon after.
+	SetAlarm(at Time)
 }
 
 // share is a node's side of one budget.
 type share struct {
 	name     string
-	terms    lease.Terms
+	terms    lease.BudgetConfig
 	told     bool   // by the fleet, not by our own papers alone
 	token    uint64 // of the part
 	units    int    // that we may begin to act on,
@@ -65,10 +65,10 @@
 	reserve  int
 }
 
-// Purse is a node's side, as long as it holds the lease of its name: what it may act on, what it wants, what it gives back.
+// QuotaClient is a node's side, as long as it holds the lease of its name: what it may act on, what it wants, what it gives back.
 // It is not safe for concurrent use.
-type Purse struct {
-	acts   Acts
+type QuotaClient struct {
+	acts   ClientHost
 	lease  string
 	token  uint64
 	weight float64
@@ -85,10 +85,10 @@
 	closed  bool
 }
 
-// NewPurse makes one that holds nothing yet, under a lease held until end. Its terms are those of the node's own papers, by
+// NewQuotaClient makes one that holds nothing yet, under a lease held until end. Its terms are those of the node's own papers, by
 // name; an act of a number at a time goes on for so long at the most.
-func NewPurse(acts Acts, now Time, lease string, token uint64, weight float64, terms map[string]lease.Terms, end, takes Time) *Purse {
-	p := &Purse{acts: acts, lease: lease, token: token, weight: weight, end: end, takes: takes, looked: now, news: true, next: now}
+func NewQuotaClient(acts ClientHost, now Time, lease string, token uint64, weight float64, terms map[string]lease.BudgetConfig, end, takes Time) *QuotaClient {
+	p := &QuotaClient{acts: acts, lease: lease, token: token, weight: weight, end: end, takes: takes, looked: now, news: true, next: now}
 	for _, name := range slices.Sorted(maps.Keys(terms)) {
 		p.shares = append(p.shares, &share{name: name, terms: terms[name], keep: -1, seen: now})
 	}
@@ -97,54 +97,54 @@
 	return p
 }
 
-// Extend tells until when the lease is held now, as its holder counts it.
-func (p *Purse) Extend(end Time) { p.end = max(p.end, end) }
+// ExtendLease tells until when the lease is held now, as its holder counts it.
+func (p *QuotaClient) ExtendLease(end Time) { p.end = max(p.end, end) }
 
 // set tells the module what holds, and learns what was asked of it.
-func (p *Purse) set(now Time) {
+func (p *QuotaClient) set(now Time) {
 	p.looked = now
 	for _, s := range p.shares {
 		if now >= p.lentEnd {
 			s.lent, s.lentOf = 0, 0
 		}
-		part, units, apart := s.held, s.units, s.terms.Apart
+		part, units, apart := s.held, s.units, s.terms.ReservedPerNode
 		if p.closed {
 			units, apart = 0, 0
 		}
 		own := max(0, units-s.lent)
 		apart = max(0, apart-s.lentOf)
 		until := p.end
-		if s.terms.Kind == lease.NumberKind {
+		if s.terms.Kind == lease.ConcurrencyKind {
 			until -= p.takes
 		}
-		u := p.acts.Set(s.name, s.terms, own+apart, apart, until)
-		s.out, s.used = u.Out, u.Done
-		if s.held = max(units, s.lent); s.terms.Kind == lease.NumberKind { // it comes down only as what goes on ends
-			s.held = max(s.held, min(part, s.lent+max(0, u.Out-apart)))
+		u := p.acts.SetQuota(s.name, s.terms, own+apart, apart, until)
+		s.out, s.used = u.InFlight, u.Done
+		if s.held = max(units, s.lent); s.terms.Kind == lease.ConcurrencyKind { // it comes down only as what goes on ends
+			s.held = max(s.held, min(part, s.lent+max(0, u.InFlight-apart)))
 		}
-		if u.Took > 0 {
-			s.took = u.Took
+		if u.MeanSeconds > 0 {
+			s.took = u.MeanSeconds
 		}
 		if part := seconds(now - s.seen); part > 0 {
 			s.seen = now
-			moved := s.heed((u.Asked+s.left)/part, part)
+			moved := s.heed((u.Wanted+s.left)/part, part)
 			s.left = 0
 			p.wish(now, s, moved)
 		} else {
-			s.left += u.Asked
+			s.left += u.Wanted
 		}
 	}
 }
 
-// Lent is what the next process of this node may act on for a while.
-type Lent struct {
-	Name  string      `json:"Name"`
-	Units int         `json:"Units"`
-	Terms lease.Terms `json:"Terms"`
+// LentQuota is what the next process of this node may act on for a while.
+type LentQuota struct {
+	Name   string             `json:"Name"`
+	Units  int                `json:"Units"`
+	Config lease.BudgetConfig `json:"Terms"`
 }
 
 // Lend lets the next process of this node have half of all that isn't in use, for a short time that each call begins anew.
-func (p *Purse) Lend(now Time) (all []Lent, span Time) {
+func (p *QuotaClient) Lend(now Time) (all []LentQuota, span Time) {
 	if p.closed && now >= p.lentEnd {
 		return nil, 0
 	}
@@ -153,14 +153,14 @@
 	}
 	for _, s := range p.shares {
 		if !p.closed {
-			idle := s.units + s.terms.Apart
-			if s.terms.Kind == lease.NumberKind {
+			idle := s.units + s.terms.ReservedPerNode
+			if s.terms.Kind == lease.ConcurrencyKind {
 				idle -= min(idle, s.out)
 			}
-			s.lentOf = max(s.lentOf, min(s.terms.Apart/2, idle))
+			s.lentOf = max(s.lentOf, min(s.terms.ReservedPerNode/2, idle))
 			s.lent = max(s.lent, min(s.units/2, idle-s.lentOf)) // never less while it may be acted on there
 		}
-		all = append(all, Lent{s.name, s.lent + s.lentOf, s.terms})
+		all = append(all, LentQuota{s.name, s.lent + s.lentOf, s.terms})
 	}
 	p.set(now)
 	return all, max(0, p.lentEnd-now)
@@ -184,10 +184,10 @@
 }
 
 // wish says how much of a budget could be used.
-func (p *Purse) wish(now Time, s *share, moved bool) {
+func (p *QuotaClient) wish(now Time, s *share, moved bool) {
 	mean := 0.0
 	if s.terms.Kind == lease.RateKind {
-		mean = s.mean / s.terms.Each
+		mean = s.mean / s.terms.RatePerUnit
 	} else {
 		mean = s.mean * s.took
 		mean += headChance * math.Sqrt(mean)
@@ -214,9 +214,9 @@
 const idle = 0.02 // acts a second: less than one in meanSpan many times over
 
 // Holds gives what is held now, for who has to say so.
-func (p *Purse) holds() (all []Hold) {
+func (p *QuotaClient) holds() (all []Holding) {
 	for _, s := range p.shares {
-		all = append(all, Hold{s.name, s.token, s.held, s.want, s.keep, s.revision()})
+		all = append(all, Holding{s.name, s.token, s.held, s.want, s.keep, s.revision()})
 	}
 	return all
 }
@@ -228,51 +228,51 @@
 	return s.terms.Revision
 }
 
-func (p *Purse) ask(now Time) {
-	declares := map[string]lease.Terms{}
+func (p *QuotaClient) ask(now Time) {
+	declares := map[string]lease.BudgetConfig{}
 	for _, s := range p.shares {
 		if !s.told {
 			declares[s.name] = s.terms
 		}
 	}
 	p.out, p.news, p.asked, p.next = true, false, now, now+askLeast
-	p.acts.Ask(Ask{Lease: p.lease, Token: p.token, Weight: p.weight, Wait: askWait, Holds: p.holds(), Declares: declares})
-	p.acts.Wake(p.looked + lookEvery)
+	p.acts.Send(Request{Lease: p.lease, Token: p.token, Weight: p.weight, Wait: askWait, Held: p.holds(), Declared: declares})
+	p.acts.SetAlarm(p.looked + lookEvery)
 }
 
-// Told gives the names of budgets whose whole the fleet has otherwise than our papers say, as it comes to be known.
-type Told struct {
-	Name        string
-	Ours, Fleet lease.Terms
+// ConfigMismatch gives the names of budgets whose whole the fleet has otherwise than our papers say, as it comes to be known.
+type ConfigMismatch struct {
+	Name          string
+	Local, Agreed lease.BudgetConfig
 }
 
-// Answered tells what came of the asking that was sent last.
-func (p *Purse) Answered(now Time, a Answer) (differ []Told) {
+// HandleResponse tells what came of the asking that was sent last.
+func (p *QuotaClient) HandleResponse(now Time, a Response) (differ []ConfigMismatch) {
 	p.out = false
-	if a.Err != nil && !errors.Is(a.Err, lease.ErrWait) {
+	if a.Err != nil && !errors.Is(a.Err, lease.ErrStillHeld) {
 		p.next = now + askAgain
 	}
 	p.news = true // the next asking waits for what comes after this
-	for _, n := range a.News {
+	for _, n := range a.Updates {
 		at := slices.IndexFunc(p.shares, func(s *share) bool { return s.name == n.Budget })
 		if at < 0 {
 			continue
 		}
 		s := p.shares[at]
 		if !s.told {
-			ours, fleets := s.terms, n.Terms
+			ours, fleets := s.terms, n.Config
 			if ours.Revision, fleets.Revision = 0, 0; ours != fleets {
-				differ = append(differ, Told{n.Budget, s.terms, n.Terms})
+				differ = append(differ, ConfigMismatch{n.Budget, s.terms, n.Config})
 			}
 		}
-		s.terms, s.told, s.given, s.reserve = n.Terms, true, n.Given, n.Reserve
-		if n.Part.Token > s.token { // an earlier one, or the one known, never raises what we came down to
-			s.token, s.units, s.keep = n.Part.Token, n.Part.Units, -1
+		s.terms, s.told, s.given, s.reserve = n.Config, true, n.Allocated, n.Reserve
+		if n.Quota.Token > s.token { // an earlier one, or the one known, never raises what we came down to
+			s.token, s.units, s.keep = n.Quota.Token, n.Quota.Units, -1
 		}
-		if s.keep = -1; n.Part.Token == s.token && n.Keep >= 0 && n.Keep < s.units {
-			s.keep, s.units = n.Keep, n.Keep
-		} else if n.Part.Token == s.token && n.Keep >= 0 {
-			s.keep = n.Keep
+		if s.keep = -1; n.Quota.Token == s.token && n.ShrinkTo >= 0 && n.ShrinkTo < s.units {
+			s.keep, s.units = n.ShrinkTo, n.ShrinkTo
+		} else if n.Quota.Token == s.token && n.ShrinkTo >= 0 {
+			s.keep = n.ShrinkTo
 		}
 	}
 	p.set(now)
@@ -280,14 +280,14 @@
 	return differ
 }
 
-// Unanswered tells that the asking that was sent last came to nothing: nobody knows whether it was heard.
-func (p *Purse) Unanswered(now Time) {
+// HandleTimeout tells that the asking that was sent last came to nothing: nobody knows whether it was heard.
+func (p *QuotaClient) HandleTimeout(now Time) {
 	p.out, p.news, p.next = false, true, now+askAgain
-	p.acts.Wake(p.next)
+	p.acts.SetAlarm(p.next)
 }
 
 // Alarm comes at or after a time asked for with Wake.
-func (p *Purse) Alarm(now Time) {
+func (p *QuotaClient) Alarm(now Time) {
 	if now >= p.looked+lookEvery {
 		was := p.holds()
 		p.set(now)
@@ -303,37 +303,37 @@
 	if p.news {
 		at = min(at, p.next)
 	}
-	p.acts.Wake(max(at, now+1))
+	p.acts.SetAlarm(max(at, now+1))
 }
 
-// Standing is how a budget stands at this node, for who wants to see it.
-type Standing struct {
-	Name           string
-	Terms          lease.Terms
-	Told           bool // the fleet has told of it; else it is from our papers
-	Units, Want    int  // of the part
-	Out            int
-	Used           float64 // acts in the last tenth of a second
-	Given, Reserve int     // of the whole, as last told
-	End            Time
+// QuotaStatus is how a budget stands at this node, for who wants to see it.
+type QuotaStatus struct {
+	Name               string
+	Config             lease.BudgetConfig
+	Confirmed          bool // the fleet has told of it; else it is from our papers
+	Units, Demand      int  // of the part
+	InFlight           int
+	Used               float64 // acts in the last tenth of a second
+	Allocated, Reserve int     // of the whole, as last told
+	End                Time
 }
 
-// Standings gives all.
-func (p *Purse) Standings() (all []Standing) {
+// Status gives all.
+func (p *QuotaClient) Status() (all []QuotaStatus) {
 	for _, s := range p.shares {
-		all = append(all, Standing{s.name, s.terms, s.told, s.units, s.want, s.out, s.used, s.given, s.reserve, p.end})
+		all = append(all, QuotaStatus{s.name, s.terms, s.told, s.units, s.want, s.out, s.used, s.given, s.reserve, p.end})
 	}
 	return all
 }
 
 // Close lets nothing more begin. The parts end with the lease; it may be given back once Idle.
-func (p *Purse) Close(now Time) {
+func (p *QuotaClient) Close(now Time) {
 	p.closed = true
 	p.set(now)
 }
 
 // Idle says whether nothing goes on any more, here or at the process that half of it was lent to.
-func (p *Purse) Idle(now Time) bool {
+func (p *QuotaClient) Idle(now Time) bool {
 	p.set(now)
 	return now >= p.lentEnd && !slices.ContainsFunc(p.shares, func(s *share) bool { return s.out > 0 || s.held > 0 })
 }
--- a/budget/world_test.go
+++ b/budget/world_test.go
@@ -40,8 +40,8 @@
 type letter struct {
 	from   int // process
 	id     uint64
-	ask    *Ask
-	answer *Answer
+	ask    *Request
+	answer *Response
 	renews bool // of the lease
 	sent   Time
 	heard  bool
@@ -51,7 +51,7 @@
 type process struct {
 	w            *world
 	n, node      int
-	purse        *Purse
+	purse        *QuotaClient
 	token        uint64
 	end          Time
 	units, apart int
@@ -69,7 +69,7 @@
 	n       int
 	state   *lease.State
 	applied int
-	d       *Divider
+	d       *Allocator
 	term    int // 0: it doesn't believe to lead
 	out     []uint64
 	wakeAt  Time
@@ -78,7 +78,7 @@
 
 type world struct {
 	without string
-	terms   lease.Terms
+	terms   lease.BudgetConfig
 	step    int
 	from    int // the step that an exploration begins at
 	log     []lease.Entry
@@ -97,14 +97,14 @@
 
 func nameOf(node int) string { return fmt.Sprint("node/n", node) }
 
-func newWorld(without string, t lease.Terms, nodes int) *world {
+func newWorld(without string, t lease.BudgetConfig, nodes int) *world {
 	w := &world{without: without, terms: t, truth: lease.NewState(), ends: map[string]Time{}}
 	for i := range w.leaders {
 		l := &leader{w: w, n: i, state: lease.NewState()}
 		l.d = w.divider(l)
 		w.leaders[i] = l
 	}
-	w.append(lease.Entry{Version: 1, Kind: lease.Found, Name: "f"})
+	w.append(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
 	w.elect(0)
 	for i := range nodes {
 		w.grant(i)
@@ -112,8 +112,8 @@
 	return w
 }
 
-func (w *world) divider(l *leader) *Divider {
-	return NewDivider(l, l.state, Unsafe{Reuse: w.without == reuse, Forget: w.without == forget, Words: w.without == lateWord})
+func (w *world) divider(l *leader) *Allocator {
+	return NewAllocator(l, l.state, Unsafe{Reuse: w.without == reuse, Forget: w.without == forget, Words: w.without == lateWord})
 }
 
 func (w *world) append(e lease.Entry) lease.Result {
@@ -132,10 +132,10 @@
 	l := w.leaders[i]
 	l.term = w.term
 	l.catchUp()
-	w.append(lease.Entry{Version: 1, Kind: lease.Lead, Name: fmt.Sprint(i)})
+	w.append(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: fmt.Sprint(i)})
 	l.catchUp()
 	l.out = nil
-	l.d.Led(l.now(), l.state.Reign)
+	l.d.Promote(l.now(), l.state.Term)
 	for name := range w.ends {
 		w.ends[name] = l.now() + w.long()
 	}
@@ -145,25 +145,25 @@
 	if w.without == noMargin {
 		return length
 	}
-	return lease.Long(length, drift)
+	return lease.GranterDuration(length, drift)
 }
 
 func (w *world) short() Time {
 	if w.without == noMargin {
 		return length
 	}
-	return lease.Short(length, drift)
+	return lease.HolderDuration(length, drift)
 }
 
 // grant gives a node's lease to a new process of it.
 func (w *world) grant(node int) {
-	r := w.append(lease.Entry{Version: 1, Kind: lease.Grant, Name: nameOf(node), Holder: lease.Holder{Name: fmt.Sprint("n", node), Process: len(w.procs)}})
+	r := w.append(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: nameOf(node), Holder: lease.Holder{Name: fmt.Sprint("n", node), Process: len(w.procs)}})
 	w.ends[nameOf(node)] = w.granter() + w.long()
 	p := &process{w: w, n: len(w.procs), node: node, token: r.Token, asks: node == 0}
 	p.end = p.now() + w.short()
 	w.procs = append(w.procs, p)
 	w.current().catchUp()
-	p.purse = NewPurse(p, p.now(), nameOf(node), r.Token, 1, map[string]lease.Terms{limit: w.terms}, p.end, 0)
+	p.purse = NewQuotaClient(p, p.now(), nameOf(node), r.Token, 1, map[string]lease.BudgetConfig{limit: w.terms}, p.end, 0)
 }
 
 func (w *world) current() *leader {
@@ -175,15 +175,15 @@
 	return nil
 }
 
-func (w *world) granter() Time  { return Time(w.step * fastRate) }
-func (l *leader) now() Time     { return l.w.granter() }
-func (p *process) now() Time    { return Time(p.w.step * slowRate) }
-func (l *leader) Wake(at Time)  { l.wakeAt, l.awake = at, true }
-func (p *process) Wake(at Time) { p.wakeAt = at }
+func (w *world) granter() Time      { return Time(w.step * fastRate) }
+func (l *leader) now() Time         { return l.w.granter() }
+func (p *process) now() Time        { return Time(p.w.step * slowRate) }
+func (l *leader) SetAlarm(at Time)  { l.wakeAt, l.awake = at, true }
+func (p *process) SetAlarm(at Time) { p.wakeAt = at }
 
 func (l *leader) Propose(ref uint64, e lease.Entry) { l.out = append(l.out, ref) }
 
-func (l *leader) Answer(id uint64, a Answer) {
+func (l *leader) Respond(id uint64, a Response) {
 	for i := range l.w.flying {
 		if m := &l.w.flying[i]; m.id == id {
 			m.answer = &a
@@ -191,7 +191,7 @@
 	}
 }
 
-func (p *process) Ask(a Ask) {
+func (p *process) Send(a Request) {
 	n := 0
 	for i := len(p.w.flying) - 1; i >= 0; i-- { // the oldest are lost
 		if f := p.w.flying[i]; f.from == p.n && !f.renews {
@@ -205,17 +205,17 @@
 	p.w.flying = append(p.w.flying, letter{from: p.n, id: p.last, ask: &a, sent: p.now()})
 }
 
-func (p *process) Set(_ string, t lease.Terms, units, apart int, until Time) allowance.Use {
+func (p *process) SetQuota(_ string, t lease.BudgetConfig, units, apart int, until Time) allowance.Usage {
 	p.units, p.apart, p.until = units, apart, until
 	if p.cut(); p.w.without != burstKept {
 		p.saved = min(p.saved, p.allowed())
 	}
-	u := allowance.Use{Out: p.out, Took: 0.1}
+	u := allowance.Usage{InFlight: p.out, MeanSeconds: 0.1}
 	if p.w.without == outKept {
-		u.Out = 0
+		u.InFlight = 0
 	}
 	if p.asks {
-		u.Asked = 100
+		u.Wanted = 100
 	}
 	return u
 }
@@ -279,7 +279,7 @@
 		if w.renews > 0 && !p.renewing && w.truth.Leases[nameOf(p.node)].Token == p.token {
 			all = append(all, move{what: "extend", a: i})
 		}
-		if w.terms.Kind == lease.NumberKind {
+		if w.terms.Kind == lease.ConcurrencyKind {
 			if p.out < p.allowed() && w.acts > 0 {
 				all = append(all, move{what: "begin", a: i})
 			}
@@ -305,9 +305,9 @@
 		w.step++
 		for _, name := range slices.Sorted(maps.Keys(w.ends)) {
 			if l, held := w.truth.Leases[name]; held && w.granter() >= w.ends[name] {
-				w.append(lease.Entry{Version: 1, Kind: lease.End, Name: name, Token: l.Token})
+				w.append(lease.Entry{Version: 1, Kind: lease.KindRevoke, Name: name, Token: l.Token})
 				w.current().catchUp()
-				w.current().d.Changed(w.granter())
+				w.current().d.StateChanged(w.granter())
 			}
 		}
 		for _, p := range w.procs {
@@ -324,7 +324,7 @@
 		f := &w.flying[m.a]
 		f.heard = true
 		id, a := f.id, *f.ask
-		w.leaders[m.b].d.Ask(w.granter(), id, a)
+		w.leaders[m.b].d.Handle(w.granter(), id, a)
 	case "extend":
 		w.renews--
 		w.procs[m.a].renewing = true
@@ -352,9 +352,9 @@
 			}
 			p.renewing = false
 			p.end = max(p.end, from+w.short())
-			p.purse.Extend(p.end)
+			p.purse.ExtendLease(p.end)
 		case f.id == p.last:
-			p.purse.Answered(p.now(), *f.answer)
+			p.purse.HandleResponse(p.now(), *f.answer)
 		}
 	case "lose":
 		w.lost--
@@ -365,10 +365,10 @@
 			p.renewing = false
 		} else {
 			for _, l := range w.leaders {
-				l.d.Gone(f.id)
+				l.d.CallerGone(f.id)
 			}
 			if f.id == p.last {
-				p.purse.Unanswered(p.now())
+				p.purse.HandleTimeout(p.now())
 			}
 		}
 	case "commit":
@@ -387,7 +387,7 @@
 	case "depose":
 		l := w.leaders[m.a]
 		l.term, l.out, l.awake = 0, nil, false
-		l.d.Deposed()
+		l.d.Demote()
 	case "demand":
 		w.demands--
 		w.procs[m.a].asks = !w.procs[m.a].asks
@@ -519,7 +519,7 @@
 	for _, m := range w.flying {
 		as := fmt.Sprint(m.from, m.sent, m.heard, m.renews, m.id == w.procs[m.from].last)
 		if m.ask != nil {
-			as += fmt.Sprint(m.ask.Holds)
+			as += fmt.Sprint(m.ask.Held)
 		}
 		if m.answer != nil {
 			as += fmt.Sprint(*m.answer)
--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -23,7 +23,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	l := sourceOf(b, 7, ring*size(event(1, hashed(0))))
-	var at Place
+	var at Position
 	for i := range ring {
 		if i == ring-behind {
 			at = l.Place()
@@ -34,14 +34,14 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	a := Ask{Place: at, Most: 64 << 10}
+	a := Request{Position: at, Most: 64 << 10}
 	b.ReportAllocs()
 	for b.Loop() {
-		if x := l.Answer(a, 0); len(x.Changes) != behind {
+		if x := l.Respond(a, 0); len(x.Changes) != behind {
 			b.Fatal(len(x.Changes))
 		}
 	}
-	text, _ := json.Marshal(Pack(l.Answer(a, 0).Changes))
+	text, _ := json.Marshal(Pack(l.Respond(a, 0).Changes))
 	b.ReportMetric(float64(len(text))/behind, "wire-B/change")
 	b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/ring, "heap-B/change")
 }
@@ -61,12 +61,12 @@
 			}
 		}
 		now := d.next(f)
-		x := l.Answer(d.ask, 0)
+		x := l.Respond(d.ask, 0)
 		var err error
 		if x.Changes, err = Unpack(Pack(x.Changes)); err != nil {
 			b.Fatal(err)
 		}
-		if err := f.Answered(now, d.ask.ID, x); err != nil {
+		if err := f.HandleResponse(now, d.ask.ID, x); err != nil {
 			b.Fatal(err)
 		}
 		d.applied = d.applied[:0]
--- a/changelog/changes_test.go
+++ b/changelog/changes_test.go
@@ -16,17 +16,17 @@
 // desk is a follower's host: it keeps what it was told.
 type desk struct {
 	parents []int
-	ask     Ask
+	ask     Request
 	applied []Change
 	missed  [][3]uint64
 	wakeAt  Time
 }
 
-func (d *desk) Ask(parent int, a Ask)        { d.parents, d.ask = append(d.parents, parent), a }
+func (d *desk) Send(parent int, a Request)   { d.parents, d.ask = append(d.parents, parent), a }
 func (d *desk) Apply(c Change)               { d.applied = append(d.applied, c) }
 func (d *desk) Replace()                     {}
 func (d *desk) Missed(e, after, upTo uint64) { d.missed = append(d.missed, [3]uint64{e, after, upTo}) }
-func (d *desk) Wake(at Time)                 { d.wakeAt = at }
+func (d *desk) SetAlarm(at Time)             { d.wakeAt = at }
 func (d *desk) next(f *Follower) (now Time)  { f.Alarm(d.wakeAt); return d.wakeAt }
 func (d *desk) last() int                    { return d.parents[len(d.parents)-1] }
 func event(revision uint64, key string) Change {
@@ -36,7 +36,7 @@
 	return Change{Revision: revision, Topic: "configuration", Key: key, Value: []byte(v)}
 }
 
-var usualTerms = Terms{Parents: 5, Home: 2, Every: 250 * lease.Millisecond, Again: 100 * lease.Millisecond, Stale: 4700 * lease.Millisecond, Most: 7700}
+var usualTerms = Config{Parents: 5, Home: 2, Every: 250 * lease.Millisecond, Again: 100 * lease.Millisecond, Stale: 4700 * lease.Millisecond, Most: 7700}
 
 // sourceOf has these changes, in an epoch.
 func sourceOf(t testing.TB, epoch uint64, ring int, all ...Change) *Log {
@@ -59,14 +59,14 @@
 		now := d.next(f)
 		asked++
 		was, staged := f.Place(), f.staged != nil
-		x, taken := l.Answer(d.ask, 0), 0
+		x, taken := l.Respond(d.ask, 0), 0
 		for _, c := range x.Changes {
 			taken += size(c)
 		}
 		if len(x.Changes) > 1 && taken > d.ask.Most {
 			t.Fatalf("%d bytes of changes at once, %d at the most", taken, d.ask.Most)
 		}
-		if err := f.Answered(now, d.ask.ID, x); err != nil {
+		if err := f.HandleResponse(now, d.ask.ID, x); err != nil {
 			t.Fatal(err)
 		}
 		if f.Place() == was && !staged && f.staged == nil || asked > 1000 {
@@ -103,25 +103,25 @@
 // What can't be is refused by name; place, state and what others would be told stay as they were, and the next parent is asked.
 func TestGarbageChangesNothing(t *testing.T) {
 	l := sourceOf(t, 7, 1<<10, value(0, "a", "1"), value(0, "b", "2"), event(0, "x"))
-	for what, spoil := range map[string]func(x *Answer){
-		"the first change is missing":  func(x *Answer) { x.Changes = x.Changes[1:] },
-		"the last change is missing":   func(x *Answer) { x.Changes = x.Changes[:1] },
-		"a change differs":             func(x *Answer) { x.Changes[1].Key = "other" },
-		"a change comes twice":         func(x *Answer) { x.Changes = append(x.Changes, x.Changes[1]) },
-		"of another place":             func(x *Answer) { x.From-- },
-		"of another epoch":             func(x *Answer) { x.Epoch++ },
-		"another chain":                func(x *Answer) { x.Chain++ },
-		"no topic":                     func(x *Answer) { x.Changes[0].Topic = "" },
-		"a value over its bound":       func(x *Answer) { x.Changes[0].Value = make([]byte, valueMost+1) },
-		"an age below nothing":         func(x *Answer) { x.Age = -1 },
-		"state of an earlier epoch":    func(x *Answer) { x.Buckets, x.Epoch, x.Settled = map[int][]Change{}, 6, true },
-		"state of an earlier revision": func(x *Answer) { x.Buckets, x.Revision, x.Settled = map[int][]Change{}, 2, true },
-		"a key in another's bucket": func(x *Answer) {
+	for what, spoil := range map[string]func(x *Response){
+		"the first change is missing":  func(x *Response) { x.Changes = x.Changes[1:] },
+		"the last change is missing":   func(x *Response) { x.Changes = x.Changes[:1] },
+		"a change differs":             func(x *Response) { x.Changes[1].Key = "other" },
+		"a change comes twice":         func(x *Response) { x.Changes = append(x.Changes, x.Changes[1]) },
+		"of another place":             func(x *Response) { x.From-- },
+		"of another epoch":             func(x *Response) { x.Epoch++ },
+		"another chain":                func(x *Response) { x.Chain++ },
+		"no topic":                     func(x *Response) { x.Changes[0].Topic = "" },
+		"a value over its bound":       func(x *Response) { x.Changes[0].Value = make([]byte, valueMost+1) },
+		"an age below nothing":         func(x *Response) { x.Age = -1 },
+		"state of an earlier epoch":    func(x *Response) { x.Buckets, x.Epoch, x.Settled = map[int][]Change{}, 6, true },
+		"state of an earlier revision": func(x *Response) { x.Buckets, x.Revision, x.Settled = map[int][]Change{}, 2, true },
+		"a key in another's bucket": func(x *Response) {
 			x.Buckets = map[int][]Change{bucketOf(keyOf(value(0, "a", ""))) ^ 1: {value(1, "a", "1")}}
 		},
-		"an event as state":                func(x *Answer) { x.Buckets = map[int][]Change{bucketOf(keyOf(event(0, "x"))): {event(1, "x")}} },
-		"a ring that doesn't lead there":   func(x *Answer) { x.Buckets, x.Ring = map[int][]Change{}, []Change{event(1, "x")} },
-		"below the floor, and yet changes": func(x *Answer) { x.Below = true },
+		"an event as state":                func(x *Response) { x.Buckets = map[int][]Change{bucketOf(keyOf(event(0, "x"))): {event(1, "x")}} },
+		"a ring that doesn't lead there":   func(x *Response) { x.Buckets, x.Ring = map[int][]Change{}, []Change{event(1, "x")} },
+		"below the floor, and yet changes": func(x *Response) { x.Below = true },
 	} {
 		d := &desk{}
 		f := NewFollower(d, 0, usualTerms, nil, Unsafe{})
@@ -134,15 +134,15 @@
 			}
 		}
 		now := d.next(f)
-		x := more.Answer(d.ask, 0)
+		x := more.Respond(d.ask, 0)
 		if x.Changes = append([]Change(nil), x.Changes...); len(x.Changes) != 2 {
 			t.Fatal(x)
 		}
 		spoil(&x)
 		place, state, told, parent := f.Place(), maps.Clone(f.State()), len(d.applied), d.last()
 		age, _ := f.Age(now)
-		err := f.Answered(now, d.ask.ID, x)
-		if !errors.Is(err, ErrForm) && !errors.Is(err, ErrEpoch) {
+		err := f.HandleResponse(now, d.ask.ID, x)
+		if !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrEpoch) {
 			t.Errorf("%s: %v", what, err)
 		}
 		after, _ := f.Age(now)
@@ -213,16 +213,16 @@
 	d := &desk{}
 	f := NewFollower(d, 0, usualTerms, &saved, Unsafe{})
 	now := d.next(f)
-	x := l.Answer(d.ask, 0)
+	x := l.Respond(d.ask, 0)
 	if !x.Below {
 		t.Fatalf("%+v", x)
 	}
-	_ = f.Answered(now, d.ask.ID, x)
+	_ = f.HandleResponse(now, d.ask.ID, x)
 	now = d.next(f)
-	if x = l.Answer(d.ask, 0); !x.Settled || len(x.Buckets) != 2 {
+	if x = l.Respond(d.ask, 0); !x.Settled || len(x.Buckets) != 2 {
 		t.Errorf("%d buckets, want the two that differ", len(x.Buckets))
 	}
-	_ = f.Answered(now, d.ask.ID, x)
+	_ = f.HandleResponse(now, d.ask.ID, x)
 	if want := [][3]uint64{{7, 400, 702}}; f.Place() != l.Place() || !reflect.DeepEqual(f.State(), l.State()) || !reflect.DeepEqual(d.missed, want) {
 		t.Errorf("at %+v, missed %v; want %+v, %v", f.Place(), d.missed, l.Place(), want)
 	}
@@ -243,9 +243,9 @@
 			if began == 0 {
 				began = now
 			}
-			_ = f.Answered(now, d.ask.ID, l.Answer(d.ask, 0))
+			_ = f.HandleResponse(now, d.ask.ID, l.Respond(d.ask, 0))
 		} else {
-			f.Unanswered(now, d.ask.ID)
+			f.HandleTimeout(now, d.ask.ID)
 		}
 	}
 	if fmt.Sprint(d.parents[:4]) != "[0 1 2 3]" || began > 2000*lease.Millisecond {
@@ -262,7 +262,7 @@
 	}
 	all := len(d.parents)
 	for now := d.next(f); now < 60_000*lease.Millisecond; now = d.next(f) {
-		f.Unanswered(now, d.ask.ID)
+		f.HandleTimeout(now, d.ask.ID)
 	}
 	if asked := len(d.parents) - all; asked > 40 {
 		t.Errorf("%d askings in 30 s where nobody answers", asked)
@@ -297,12 +297,12 @@
 			t.Fatalf("%x, want %x", again, b)
 		}
 		cut := rapid.IntRange(0, len(b)).Draw(t, "cut")
-		if got, err := Unpack(b[:cut]); err == nil && len(got) > len(all) || err != nil && !errors.Is(err, ErrForm) {
+		if got, err := Unpack(b[:cut]); err == nil && len(got) > len(all) || err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatalf("cut at %d: %d changes, %v", cut, len(got), err)
 		}
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "by"))
-		if _, err := Unpack(b); err != nil && !errors.Is(err, ErrForm) {
+		if _, err := Unpack(b); err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
 		}
 	})
--- a/changelog/fleet_test.go
+++ b/changelog/fleet_test.go
@@ -49,7 +49,7 @@
 // poll is an asking that waits at a parent.
 type poll struct {
 	from  *member
-	ask   Ask
+	ask   Request
 	until Time
 }
 
@@ -120,7 +120,7 @@
 	return base/2 + Time(hashOf(a.name, b.name, s.n)%uint64(base)), true
 }
 
-func (m *member) Wake(at Time) {
+func (m *member) SetAlarm(at Time) {
 	m.wake = max(at, m.s.now)
 	m.s.at(m.wake, func() {
 		if m.s.now == m.wake && !m.down {
@@ -129,7 +129,7 @@
 	})
 }
 
-func (m *member) Ask(parent int, a Ask) {
+func (m *member) Send(parent int, a Request) {
 	s, f := m.s, m.f
 	s.asked++
 	to := m.parents[parent]
@@ -138,12 +138,12 @@
 	}
 	s.at(s.now+callMost, func() {
 		if m.f == f && !m.down {
-			f.Unanswered(s.now, a.ID)
+			f.HandleTimeout(s.now, a.ID)
 		}
 	})
 }
 
-func (m *member) hear(from *member, a Ask) {
+func (m *member) hear(from *member, a Request) {
 	if m.down {
 		return
 	}
@@ -154,11 +154,11 @@
 }
 
 // tell answers an asking, if there is news or it has waited long enough.
-func (m *member) tell(from *member, a Ask, late bool) bool {
+func (m *member) tell(from *member, a Request, late bool) bool {
 	s := m.s
-	var x Answer
+	var x Response
 	if m.log != nil {
-		x = m.log.Answer(a, 0)
+		x = m.log.Respond(a, 0)
 	} else {
 		x = m.f.Serve(s.now, a)
 	}
@@ -169,7 +169,7 @@
 	if way, there := s.way(m, from); there {
 		s.at(s.now+way, func() {
 			if from.f == f && !from.down {
-				_ = f.Answered(s.now, a.ID, x)
+				_ = f.HandleResponse(s.now, a.ID, x)
 				from.news()
 			}
 		})
@@ -207,7 +207,7 @@
 }
 
 func (m *member) start() {
-	t := Terms{Parents: len(m.parents), Home: min(2, len(m.parents)), Every: 250 * ms, Again: 100 * ms, Stale: 2350 * ms, Most: usualTerms.Most, Drift: 0.01,
+	t := Config{Parents: len(m.parents), Home: min(2, len(m.parents)), Every: 250 * ms, Again: 100 * ms, Stale: 2350 * ms, Most: usualTerms.Most, Drift: 0.01,
 		Seed: hashOf(m.name)}
 	if m.log == nil && m.parents[0] == m.s.leader {
 		t.Every, t.Again, t.Ring, t.Most = 50*ms, 25*ms, 10<<20, 1<<20
--- a/changelog/follower.go
+++ b/changelog/follower.go
@@ -15,20 +15,20 @@
 
 // Host is all that a Follower can do. None of the methods may block or call back.
 type Host interface {
-	// Ask sends an asking to a parent, by its place in the child's order; Answered or Unanswered tells how it went.
-	Ask(parent int, a Ask)
+	// Send sends an asking to a parent, by its place in the child's order; Answered or Unanswered tells how it went.
+	Send(parent int, a Request)
 	// Apply tells of the next change.
 	Apply(c Change)
 	// Replace tells that the state is another one as a whole: State has it.
 	Replace()
 	// Missed tells that events of an epoch after one revision up to another may not have been told, and won't be.
 	Missed(epoch, after, upTo uint64)
-	// Wake asks for Alarm at that time or soon after.
-	Wake(at Time)
+	// SetAlarm asks for Alarm at that time or soon after.
+	SetAlarm(at Time)
 }
 
-// Terms is how a child goes about it.
-type Terms struct {
+// Config is how a child goes about it.
+type Config struct {
 	Parents int     // how many there are,
 	Home    int     // and how many of them are its own region's, the first ones
 	Every   Time    // least between two askings
@@ -45,7 +45,7 @@
 type Follower struct {
 	*Log
 	host  Host
-	terms Terms
+	terms Config
 
 	parent int
 	away   Time // since when it is on a parent that isn't its own region's
@@ -65,18 +65,18 @@
 
 // Saved is a state and a place as they were written down once: a node's, which keeps no ring for others.
 type Saved struct {
-	Place
+	Position
 	State map[string]Change
 }
 
 // NewFollower makes one that knows what was saved, or nothing, and asks at the first alarm.
-func NewFollower(host Host, now Time, t Terms, saved *Saved, u Unsafe) *Follower {
+func NewFollower(host Host, now Time, t Config, saved *Saved, u Unsafe) *Follower {
 	f := &Follower{Log: NewLog(t.Ring), host: host, terms: t, next: now}
 	f.unsafe = u
 	if saved != nil && (t.Ring == 0 || u.Ring) {
-		f.settle(maps.Clone(saved.State), Answer{Place: saved.Place})
+		f.settle(maps.Clone(saved.State), Response{Position: saved.Position})
 	}
-	host.Wake(now)
+	host.SetAlarm(now)
 	return f
 }
 
@@ -113,14 +113,14 @@
 	}
 	f.id++
 	f.out, f.sent, f.next = true, now, now+f.terms.Every
-	a := Ask{ID: f.id, Place: f.place, Most: f.terms.Most, Ring: f.terms.Ring > 0}
+	a := Request{ID: f.id, Position: f.place, Most: f.terms.Most, Ring: f.terms.Ring > 0}
 	if f.place.Epoch == 0 && f.staged == nil {
 		f.staged = map[string]Change{}
 	}
 	if f.staged != nil {
 		a.Digests = digestsOf(f.staged)
 	}
-	f.host.Ask(f.parent, a)
+	f.host.Send(f.parent, a)
 }
 
 // another goes on with the next parent.
@@ -134,7 +134,7 @@
 	f.wake()
 }
 
-func (f *Follower) wake() { f.host.Wake(f.next) }
+func (f *Follower) wake() { f.host.SetAlarm(f.next) }
 
 // Alarm comes at or after a time asked for with Wake.
 func (f *Follower) Alarm(now Time) {
@@ -145,8 +145,8 @@
 	}
 }
 
-// Unanswered tells that an asking came to nothing, or that its parent was silent for too long.
-func (f *Follower) Unanswered(now Time, id uint64) {
+// HandleTimeout tells that an asking came to nothing, or that its parent was silent for too long.
+func (f *Follower) HandleTimeout(now Time, id uint64) {
 	if !f.out || id != f.id {
 		return
 	}
@@ -154,8 +154,8 @@
 	f.another(now)
 }
 
-// Answered tells what came of an asking. What can't be is refused, whole; the error says so, and the connection is to be closed.
-func (f *Follower) Answered(now Time, id uint64, x Answer) error {
+// HandleResponse tells what came of an asking. What can't be is refused, whole; the error says so, and the connection is to be closed.
+func (f *Follower) HandleResponse(now Time, id uint64, x Response) error {
 	if !f.unsafe.Late && (!f.out || id != f.id) {
 		return nil // an earlier one's: it says nothing of what was agreed before this one was sent
 	}
@@ -185,7 +185,7 @@
 			f.host.Apply(c)
 		}
 		if f.unsafe.Garbled {
-			f.place = x.Place
+			f.place = x.Position
 		}
 	}
 	f.failed = 0
@@ -215,7 +215,7 @@
 }
 
 // stage takes whole buckets, and once there are all makes them the state in one step.
-func (f *Follower) stage(x Answer) {
+func (f *Follower) stage(x Response) {
 	if f.staged == nil || f.unsafe.Torn {
 		f.staged = maps.Clone(f.state)
 	}
@@ -245,10 +245,10 @@
 }
 
 // Serve answers a child of ours: with what a parent has told us, and how old that is.
-func (f *Follower) Serve(now Time, a Ask) Answer {
+func (f *Follower) Serve(now Time, a Request) Response {
 	age, known := f.Age(now)
 	if !known {
-		return Answer{Err: ErrNotReady}
+		return Response{Err: ErrNotReady}
 	}
-	return f.Answer(a, age)
+	return f.Respond(a, age)
 }
--- a/changelog/log.go
+++ b/changelog/log.go
@@ -29,10 +29,10 @@
 
 // Refusals of a parent.
 var (
-	ErrEpoch    = errors.New("of an earlier epoch than the child knows")
-	ErrBehind   = errors.New("behind the child")
-	ErrNotReady = errors.New("has no ring yet")
-	ErrForm     = errors.New("malformed")
+	ErrEpoch     = errors.New("of an earlier epoch than the child knows")
+	ErrBehind    = errors.New("behind the child")
+	ErrNotReady  = errors.New("has no ring yet")
+	ErrMalformed = errors.New("malformed")
 )
 
 // Change is one that was agreed.
@@ -44,30 +44,30 @@
 	Gone       bool // the key is no more
 }
 
-// Place is how far a log goes. The chain is a hash over all changes up to it.
-type Place struct{ Epoch, Revision, Chain uint64 }
+// Position is how far a log goes. The chain is a hash over all changes up to it.
+type Position struct{ Epoch, Revision, Chain uint64 }
 
-// Ask is a child's: what comes after its place.
-type Ask struct {
+// Request is a child's: what comes after its place.
+type Request struct {
 	ID uint64 // the child's own
-	Place
+	Position
 	Most    int      // bytes that it takes, about
 	Digests []uint64 // of its state by bucket, where no ring may help
 	Ring    bool     // it serves others, and needs the ring as well where the state is given
 }
 
-// Answer is what comes of it: changes from the child's place on, or, where the ring doesn't reach back to it, state.
-type Answer struct {
-	Place          // after it
-	From    uint64 // the revision that the changes follow on; of state, up to which the child's events were ours
-	Changes []Change
-	More    bool // something is left out yet
+// Response is what comes of it: changes from the child's place on, or, where the ring doesn't reach back to it, state.
+type Response struct {
+	Position        // after it
+	From     uint64 // the revision that the changes follow on; of state, up to which the child's events were ours
+	Changes  []Change
+	More     bool // something is left out yet
 
 	Below   bool             // the ring doesn't reach back: the state is needed
 	Buckets map[int][]Change // of state, each whole, at Place
 	Settled bool             // with these buckets the state is that at Place
 	Ring    []Change         // up to Place, where it was asked for,
-	Floor   Place            // and where that begins
+	Floor   Position         // and where that begins
 
 	Age Time // all that was agreed longer ago is in what the parent has
 	Err error
@@ -75,8 +75,8 @@
 
 // Log keeps the state at a place and the latest changes up to it. It is not safe for concurrent use.
 type Log struct {
-	place Place
-	floor Place             // before the first of the ring
+	place Position
+	floor Position          // before the first of the ring
 	ring  []Change          // the latest,
 	chain []uint64          // the chain after each,
 	most  int               // bytes of them at the most
@@ -108,11 +108,11 @@
 
 // Found begins an epoch at its source.
 func (l *Log) Found(epoch uint64) {
-	*l = Log{place: Place{Epoch: epoch}, floor: Place{Epoch: epoch}, most: l.most, state: map[string]Change{}, ready: true, unsafe: l.unsafe}
+	*l = Log{place: Position{Epoch: epoch}, floor: Position{Epoch: epoch}, most: l.most, state: map[string]Change{}, ready: true, unsafe: l.unsafe}
 }
 
 // Place tells how far it goes.
-func (l *Log) Place() Place { return l.place }
+func (l *Log) Place() Position { return l.place }
 
 // State gives the state, by topic and key.
 func (l *Log) State() map[string]Change { return l.state }
@@ -127,9 +127,9 @@
 func (c Change) Check() error {
 	switch {
 	case c.Topic == "" || len(c.Topic) > nameMost || len(c.Key) > nameMost:
-		return fmt.Errorf("%w: topic %.50q, key %.50q", ErrForm, c.Topic, c.Key)
+		return fmt.Errorf("%w: topic %.50q, key %.50q", ErrMalformed, c.Topic, c.Key)
 	case len(c.Value) > valueMost || c.Gone && len(c.Value) > 0 || c.Event && c.Gone:
-		return fmt.Errorf("%w: %d bytes of a value, %d at the most and none of what is gone", ErrForm, len(c.Value), valueMost)
+		return fmt.Errorf("%w: %d bytes of a value, %d at the most and none of what is gone", ErrMalformed, len(c.Value), valueMost)
 	}
 	return nil
 }
@@ -153,10 +153,10 @@
 }
 
 // after gives the place after one more change.
-func (p Place) after(c Change) Place {
+func (p Position) after(c Change) Position {
 	h := xxhash.NewWithSeed(p.Chain)
 	write(h, c)
-	return Place{p.Epoch, c.Revision, h.Sum64()}
+	return Position{p.Epoch, c.Revision, h.Sum64()}
 }
 
 // Add takes the next change.
@@ -165,9 +165,9 @@
 	case err != nil:
 		return err
 	case c.Revision != l.place.Revision+1:
-		return fmt.Errorf("%w: revision %d after %d", ErrForm, c.Revision, l.place.Revision)
+		return fmt.Errorf("%w: revision %d after %d", ErrMalformed, c.Revision, l.place.Revision)
 	case !c.Event && l.held+size(c) > stateMost:
-		return fmt.Errorf("%w: over %d bytes of state", ErrForm, stateMost)
+		return fmt.Errorf("%w: over %d bytes of state", ErrMalformed, stateMost)
 	}
 	l.place = l.place.after(c)
 	l.keep(c)
@@ -192,7 +192,7 @@
 
 func (l *Log) trim() {
 	for l.bytes > l.most && len(l.ring) > 0 {
-		l.floor = Place{l.floor.Epoch, l.ring[0].Revision, l.chain[0]}
+		l.floor = Position{l.floor.Epoch, l.ring[0].Revision, l.chain[0]}
 		l.bytes -= size(l.ring[0])
 		l.ring[0] = Change{}
 		l.ring, l.chain = l.ring[1:], l.chain[1:]
@@ -223,9 +223,9 @@
 	return all
 }
 
-// Answer says what a child is to be told; age is that of what the log holds.
-func (l *Log) Answer(a Ask, age Time) Answer {
-	x := Answer{Place: a.Place, From: a.Revision, Age: age}
+// Respond says what a child is to be told; age is that of what the log holds.
+func (l *Log) Respond(a Request, age Time) Response {
+	x := Response{Position: a.Position, From: a.Revision, Age: age}
 	same := a.Epoch == l.place.Epoch
 	switch {
 	case !l.ready || l.place.Epoch == 0:
@@ -239,7 +239,7 @@
 	case a.Digests == nil:
 		x.Below = true
 	case len(a.Digests) != buckets:
-		x.Err = ErrForm
+		x.Err = ErrMalformed
 	default:
 		l.whole(a, &x)
 	}
@@ -247,7 +247,7 @@
 }
 
 // since gives the changes after a place within the ring, as many as the child takes, one at least.
-func (l *Log) since(a Ask, x *Answer) {
+func (l *Log) since(a Request, x *Response) {
 	left := a.Most
 	for _, c := range l.ring[a.Revision-l.floor.Revision:] {
 		if left -= size(c); left < 0 && len(x.Changes) > 0 {
@@ -261,8 +261,8 @@
 }
 
 // whole gives the buckets of state that differ, as many as the child takes, one at least.
-func (l *Log) whole(a Ask, x *Answer) {
-	if x.Place, x.Buckets, x.Settled = l.place, map[int][]Change{}, true; a.Epoch != l.place.Epoch || a.Revision >= l.floor.Revision {
+func (l *Log) whole(a Request, x *Response) {
+	if x.Position, x.Buckets, x.Settled = l.place, map[int][]Change{}, true; a.Epoch != l.place.Epoch || a.Revision >= l.floor.Revision {
 		x.From = 0 // what the child has isn't ours from some revision on, and nobody knows from which
 	}
 	ours, left := digestsOf(l.state), a.Most
@@ -290,12 +290,12 @@
 }
 
 // settle takes over a state and a place in one step, and a parent's ring.
-func (l *Log) settle(state map[string]Change, x Answer) {
+func (l *Log) settle(state map[string]Change, x Response) {
 	l.state, l.held = state, 0
 	for _, c := range state {
 		l.held += size(c)
 	}
-	l.place, l.floor, l.ring, l.chain, l.bytes = x.Place, x.Place, nil, nil, 0
+	l.place, l.floor, l.ring, l.chain, l.bytes = x.Position, x.Position, nil, nil, 0
 	if len(x.Ring) > 0 {
 		l.place, l.floor = x.Floor, x.Floor
 		for _, c := range x.Ring {
@@ -308,12 +308,12 @@
 }
 
 // sound says whether an answer's parts belong together: it counts whole or not at all.
-func (x Answer) sound(at Place, u Unsafe) error {
+func (x Response) sound(at Position, u Unsafe) error {
 	switch {
 	case x.Age < 0:
-		return fmt.Errorf("%w: an age of %d", ErrForm, x.Age)
+		return fmt.Errorf("%w: an age of %d", ErrMalformed, x.Age)
 	case x.Below && (len(x.Changes) > 0 || x.Buckets != nil):
-		return fmt.Errorf("%w: below the floor, and yet changes", ErrForm)
+		return fmt.Errorf("%w: below the floor, and yet changes", ErrMalformed)
 	case x.Buckets != nil:
 		return x.soundState(at, u)
 	}
@@ -323,22 +323,22 @@
 			return err
 		}
 		if c.Revision != p.Revision+1 {
-			return fmt.Errorf("%w: revision %d after %d", ErrForm, c.Revision, p.Revision)
+			return fmt.Errorf("%w: revision %d after %d", ErrMalformed, c.Revision, p.Revision)
 		}
 		p = p.after(c)
 	}
 	if u.Chain {
 		p.Chain = x.Chain
 	}
-	if !x.Below && (x.From != at.Revision || p != x.Place) {
-		return fmt.Errorf("%w: from %d to %+v, expected from %d to %+v", ErrForm, x.From, x.Place, at.Revision, p)
+	if !x.Below && (x.From != at.Revision || p != x.Position) {
+		return fmt.Errorf("%w: from %d to %+v, expected from %d to %+v", ErrMalformed, x.From, x.Position, at.Revision, p)
 	}
 	return nil
 }
 
-func (x Answer) soundState(at Place, u Unsafe) error {
+func (x Response) soundState(at Position, u Unsafe) error {
 	if x.Epoch < at.Epoch && !u.Epoch || x.Epoch == at.Epoch && x.Revision < at.Revision {
-		return fmt.Errorf("%w: state at %+v, which lies before %+v", ErrEpoch, x.Place, at)
+		return fmt.Errorf("%w: state at %+v, which lies before %+v", ErrEpoch, x.Position, at)
 	}
 	held := 0
 	for b, all := range x.Buckets {
@@ -347,7 +347,7 @@
 				return err
 			}
 			if held += size(c); b != bucketOf(keyOf(c)) || c.Event || c.Gone || c.Revision > x.Revision || held > stateMost {
-				return fmt.Errorf("%w: %.50q in bucket %d of the state at %d", ErrForm, c.Key, b, x.Revision)
+				return fmt.Errorf("%w: %.50q in bucket %d of the state at %d", ErrMalformed, c.Key, b, x.Revision)
 			}
 		}
 	}
@@ -358,15 +358,15 @@
 		}
 		p = p.after(c)
 	}
-	if len(x.Ring) > 0 && p != x.Place {
-		return fmt.Errorf("%w: a ring to %+v, expected to %+v", ErrForm, p, x.Place)
+	if len(x.Ring) > 0 && p != x.Position {
+		return fmt.Errorf("%w: a ring to %+v, expected to %+v", ErrMalformed, p, x.Position)
 	}
 	return nil
 }
 
-func nextOf(p Place, c Change) error {
+func nextOf(p Position, c Change) error {
 	if c.Revision != p.Revision+1 {
-		return fmt.Errorf("%w: revision %d after %d", ErrForm, c.Revision, p.Revision)
+		return fmt.Errorf("%w: revision %d after %d", ErrMalformed, c.Revision, p.Revision)
 	}
 	return nil
 }
--- a/changelog/pack.go
+++ b/changelog/pack.go
@@ -51,11 +51,11 @@
 // Unpack reads them.
 func Unpack(b []byte) (all []Change, err error) {
 	if len(b) == 0 || b[0] != packed || len(b) > packMost {
-		return nil, fmt.Errorf("%w: %d packed bytes, expected version %d and %d at the most", ErrForm, len(b), packed, packMost)
+		return nil, fmt.Errorf("%w: %d packed bytes, expected version %d and %d at the most", ErrMalformed, len(b), packed, packMost)
 	}
 	whole := len(b)
 	cut := func(what string) error {
-		return fmt.Errorf("%w: %s of change %d ends at byte %d", ErrForm, what, len(all), whole-len(b))
+		return fmt.Errorf("%w: %s of change %d ends at byte %d", ErrMalformed, what, len(all), whole-len(b))
 	}
 	number := func() (uint64, bool) {
 		n, size := binary.Uvarint(b)
--- a/changelog/world_test.go
+++ b/changelog/world_test.go
@@ -37,8 +37,8 @@
 // flight is an asking on its way, and then its answer.
 type flight struct {
 	from, parent int
-	ask          Ask
-	answer       *Answer
+	ask          Request
+	answer       *Response
 }
 
 // child is a relay or a node, with what it was told.
@@ -47,7 +47,7 @@
 	n      int
 	f      *Follower
 	wakeAt Time
-	last   Place
+	last   Position
 	told   []uint64    // revisions of events in its epoch,
 	missed [][2]uint64 // and what it was told that it missed
 	epoch  uint64      // of both
@@ -96,7 +96,7 @@
 }
 
 func (c *child) start(file *Follower) {
-	t := Terms{Parents: 2, Home: 2, Every: every, Again: every, Stale: 4 * step, Most: oneMost, Drift: drift, Seed: uint64(c.n)}
+	t := Config{Parents: 2, Home: 2, Every: every, Again: every, Stale: 4 * step, Most: oneMost, Drift: drift, Seed: uint64(c.n)}
 	if c.n < relays {
 		t.Ring = c.w.ring
 	}
@@ -112,11 +112,11 @@
 
 // A child is its follower's host.
 
-func (c *child) Ask(parent int, a Ask) {
+func (c *child) Send(parent int, a Request) {
 	c.w.flying = append(c.w.flying, flight{from: c.n, parent: parent, ask: a})
 }
-func (c *child) Wake(at Time) { c.wakeAt = at }
-func (c *child) Replace()     {}
+func (c *child) SetAlarm(at Time) { c.wakeAt = at }
+func (c *child) Replace()         {}
 
 func (c *child) began(epoch uint64) {
 	if c.epoch != epoch {
@@ -163,7 +163,7 @@
 }
 
 // stateAt gives the truth at a place.
-func (w *world) stateAt(p Place) map[string]Change {
+func (w *world) stateAt(p Position) map[string]Change {
 	state := map[string]Change{}
 	for _, a := range w.truths[p.Epoch][:min(int(p.Revision), len(w.truths[p.Epoch]))] {
 		if a.Event {
@@ -263,7 +263,7 @@
 		w.sources[1-w.leader] = source{was, w.now}
 	case "hear":
 		x := &w.flying[m.n]
-		var a Answer
+		var a Response
 		if x.from >= relays {
 			p := w.children[x.parent].f
 			a = p.Serve(w.children[x.parent].local(), x.ask)
@@ -273,7 +273,7 @@
 			if x.parent != w.leader && !w.unsafe.Parent {
 				age = w.now - s.confirmed
 			}
-			a = s.Answer(x.ask, age)
+			a = s.Respond(x.ask, age)
 		}
 		x.answer = &a
 	case "garble":
@@ -284,17 +284,17 @@
 	case "tell":
 		x := take()
 		c := w.children[x.from]
-		_ = c.f.Answered(c.local(), x.ask.ID, *x.answer)
+		_ = c.f.HandleResponse(c.local(), x.ask.ID, *x.answer)
 	case "lose":
 		w.left.lost--
 		x := take()
 		c := w.children[x.from]
-		c.f.Unanswered(c.local(), x.ask.ID)
+		c.f.HandleTimeout(c.local(), x.ask.ID)
 	case "late":
 		w.left.late--
 		x := w.flying[m.n]
 		c := w.children[x.from]
-		c.f.Unanswered(c.local(), x.ask.ID)
+		c.f.HandleTimeout(c.local(), x.ask.ID)
 	case "restart", "resume":
 		w.left.restarts--
 		c := w.children[m.n]
@@ -409,7 +409,7 @@
 			f.known, f.asOf, f.age)
 	}
 	for _, m := range w.flying {
-		p(m.from, m.parent, w.children[m.from].f.id-m.ask.ID, m.ask.Place, m.ask.Digests)
+		p(m.from, m.parent, w.children[m.from].f.id-m.ask.ID, m.ask.Position, m.ask.Digests)
 		if m.answer != nil {
 			p(*m.answer)
 		}
--- a/cmd/thistlerudder/budgets.go
+++ b/cmd/thistlerudder/budgets.go
@@ -24,9 +24,9 @@
 				fmt.Fprintln(w, "budget\tbounds\twhole\tgiven\tfree\treserve\tapart for each\twanted\tnodes\trevision")
 				for _, name := range slices.Sorted(maps.Keys(s.Budgets)) {
 					b := s.Budgets[name]
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", name, b.Bounds, amount(b.Terms, b.Units), amount(b.Terms, b.Out()),
-						amount(b.Terms, max(0, b.Lendable()-b.Out())), amount(b.Terms, b.Reserve), amount(b.Terms, b.Apart), amount(b.Terms, b.Want),
-						len(b.Parts), b.Revision)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", name, b.Resource, amount(b.BudgetConfig, b.Units), amount(b.BudgetConfig, b.Allocated()),
+						amount(b.BudgetConfig, max(0, b.Allocatable()-b.Allocated())), amount(b.BudgetConfig, b.Reserve), amount(b.BudgetConfig, b.ReservedPerNode), amount(b.BudgetConfig, b.Demand),
+						len(b.Quotas), b.Revision)
 				}
 				return w.Flush()
 			})
@@ -40,14 +40,14 @@
 				}
 				ends := map[string]time.Duration{}
 				for _, l := range s.Leases {
-					ends[l.Name] = time.Duration(l.LeftMs) * time.Millisecond
+					ends[l.Name] = time.Duration(l.RemainingMs) * time.Millisecond
 				}
-				cmd.Printf("%s bounds %s: %s in %d units, %d given, %d apart for each of %d nodes\n", args[0], b.Bounds, amount(b.Terms, b.Units),
-					b.Units, b.Out(), b.Apart, b.Nodes)
+				cmd.Printf("%s bounds %s: %s in %d units, %d given, %d apart for each of %d nodes\n", args[0], b.Resource, amount(b.BudgetConfig, b.Units),
+					b.Units, b.Allocated(), b.ReservedPerNode, b.MaxNodes)
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "lease\tpart\ttoken\tends within")
-				for _, name := range slices.Sorted(maps.Keys(b.Parts)) {
-					fmt.Fprintf(w, "%s\t%s\t%d\t%v\n", name, amount(b.Terms, b.Parts[name].Units), b.Parts[name].Token, ends[name])
+				for _, name := range slices.Sorted(maps.Keys(b.Quotas)) {
+					fmt.Fprintf(w, "%s\t%s\t%d\t%v\n", name, amount(b.BudgetConfig, b.Quotas[name].Units), b.Quotas[name].Token, ends[name])
 				}
 				return w.Flush()
 			})
@@ -66,14 +66,14 @@
 			return err
 		}
 		defer client.Close()
-		b, err := client.SetWhole(args[0], whole)
+		b, err := client.SetLimit(args[0], whole)
 		if err != nil {
 			return err
 		}
-		cmd.Printf("%s is %s now, revision %d\n", args[0], amount(b.Terms, b.Units), b.Revision)
-		if over := b.Out() - b.Lendable(); over > 0 {
+		cmd.Printf("%s is %s now, revision %d\n", args[0], amount(b.BudgetConfig, b.Units), b.Revision)
+		if over := b.Allocated() - b.Allocatable(); over > 0 {
 			by := time.Now().Add(f.Lease + time.Duration(f.MaxDrift*float64(f.Lease)))
-			cmd.Printf("%s of what is out have to come back until this holds: by %s at the latest\n", amount(b.Terms, over), by.Format(time.TimeOnly))
+			cmd.Printf("%s of what is out have to come back until this holds: by %s at the latest\n", amount(b.BudgetConfig, over), by.Format(time.TimeOnly))
 		}
 		return nil
 	}
@@ -82,9 +82,9 @@
 }
 
 // amount tells so many units as operators count them.
-func amount(t lease.Terms, units int) string {
-	if t.Kind == lease.NumberKind {
+func amount(t lease.BudgetConfig, units int) string {
+	if t.Kind == lease.ConcurrencyKind {
 		return strconv.Itoa(units)
 	}
-	return fmt.Sprintf("%.4g/s", t.Each*float64(units))
+	return fmt.Sprintf("%.4g/s", t.RatePerUnit*float64(units))
 }
--- a/cmd/thistlerudder/fleet.go
+++ b/cmd/thistlerudder/fleet.go
@@ -34,7 +34,7 @@
 			return err
 		}
 		defer client.Close()
-		if err := client.Found(*after); err != nil {
+		if err := client.FoundCluster(*after); err != nil {
 			return fmt.Errorf("fleet %s is not founded: %w", f.Name, err)
 		}
 		cmd.Printf("fleet %s is founded, with %d voters\n", f.Name, len(f.Voters))
@@ -51,15 +51,15 @@
 			if err != nil {
 				return err
 			}
-			cmd.Printf("fleet %s, led by %s at %s, reign %d, last token %d, %d leases\n", s.Fleet, s.Leader, s.At, s.Reign,
-				s.Tokens, len(s.Leases))
+			cmd.Printf("fleet %s, led by %s at %s, reign %d, last token %d, %d leases\n", s.Cluster, s.Leader, s.LeaderAddress, s.Term,
+				s.LastToken, len(s.Leases))
 			for _, m := range s.Voters {
 				cmd.Printf("voter %s at %s\n", m.ID, m.Address)
 			}
 			return nil
 		}}
 	voter := &cobra.Command{Use: "voter", Short: "Change who votes, one at a time"}
-	change := func(use, short string, args int, of func(args []string) cluster.Change, done string) *cobra.Command {
+	change := func(use, short string, args int, of func(args []string) cluster.MembershipChange, done string) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 			client, _, err := asked(*file)
 			if err != nil {
@@ -76,9 +76,9 @@
 	}
 	voter.AddCommand(
 		change("add NAME ADDRESS", "Let a node vote that has a folder and doesn't yet", 2,
-			func(a []string) cluster.Change { return cluster.Change{Add: a[0], Address: a[1]} }, "votes"),
+			func(a []string) cluster.MembershipChange { return cluster.MembershipChange{Add: a[0], Address: a[1]} }, "votes"),
 		change("remove NAME", "Let a node vote no more, by its name or by its voter's id", 1,
-			func(a []string) cluster.Change { return cluster.Change{Remove: a[0]} }, "votes no more"))
+			func(a []string) cluster.MembershipChange { return cluster.MembershipChange{Remove: a[0]} }, "votes no more"))
 	c.AddCommand(found, status, voter)
 	return c
 }
@@ -92,7 +92,7 @@
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "lease\tholder\ttoken\tleft\twaiting")
 				for _, l := range s.Leases {
-					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%d\n", l.Name, l.Holder, l.Token, time.Duration(l.LeftMs)*time.Millisecond, l.Waiting)
+					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%d\n", l.Name, l.Holder, l.Token, time.Duration(l.RemainingMs)*time.Millisecond, l.Waiting)
 				}
 				return w.Flush()
 			})
@@ -102,7 +102,7 @@
 	show.RunE = func(cmd *cobra.Command, args []string) error {
 		line := ""
 		return told(cmd, *file, *watch, func(s cluster.Status) error {
-			at := slices.IndexFunc(s.Leases, func(l cluster.Held) bool { return l.Name == args[0] })
+			at := slices.IndexFunc(s.Leases, func(l cluster.LeaseStatus) bool { return l.Name == args[0] })
 			before := line
 			if line = args[0] + " is free"; at >= 0 {
 				line = fmt.Sprintf("%s is held by %s with token %d", args[0], s.Leases[at].Holder, s.Leases[at].Token)
@@ -110,13 +110,13 @@
 			if line == before {
 				return nil
 			}
-			if at >= 0 && s.Leases[at].LeftMs >= 0 {
-				cmd.Printf("%s, for %v yet; %d wait\n", line, time.Duration(s.Leases[at].LeftMs)*time.Millisecond, s.Leases[at].Waiting)
+			if at >= 0 && s.Leases[at].RemainingMs >= 0 {
+				cmd.Printf("%s, for %v yet; %d wait\n", line, time.Duration(s.Leases[at].RemainingMs)*time.Millisecond, s.Leases[at].Waiting)
 			} else {
 				cmd.Println(line)
 			}
-			for _, name := range slices.Sorted(maps.Keys(s.Facts)) {
-				if f := s.Facts[name]; name == args[0] || len(name) > len(args[0]) && name[:len(args[0])+1] == args[0]+"/" {
+			for _, name := range slices.Sorted(maps.Keys(s.Effects)) {
+				if f := s.Effects[name]; name == args[0] || len(name) > len(args[0]) && name[:len(args[0])+1] == args[0]+"/" {
 					cmd.Printf("fact %s: number %d, by token %d, %d bytes\n", name, f.Number, f.Token, len(f.Value))
 				}
 			}
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -22,15 +22,15 @@
 
 type noFigures struct{}
 
-func (noFigures) Figures() map[string]int64                 { return nil }
-func (noFigures) Resting() map[string]string                { return nil }
-func (noFigures) Tried(string, string, bool, time.Duration) {}
-func (noFigures) Part(routing.Bound, string, allowance.Part, time.Duration, time.Duration) (u allowance.Use) {
+func (noFigures) Metrics() map[string]int64                       { return nil }
+func (noFigures) EjectedEndpoints() map[string]string             { return nil }
+func (noFigures) ProbeResult(string, string, bool, time.Duration) {}
+func (noFigures) SetQuota(routing.Limit, string, allowance.Quota, time.Duration, time.Duration) (u allowance.Usage) {
 	return u
 }
 
 // founded starts three voters in this process, and founds their fleet by the command.
-func founded(t *testing.T) (path string, nodes []*cluster.Fellows) {
+func founded(t *testing.T) (path string, nodes []*cluster.Member) {
 	t.Helper()
 	var voters []map[string]string
 	for i := range 3 {
--- a/cmd/thistlerudder/leaserun.go
+++ b/cmd/thistlerudder/leaserun.go
@@ -64,7 +64,7 @@
 			defer late.Stop()
 		}
 		result := error(exitStatus(exitNotHad))
-		client.Keep(waiting, args[0], func(_ context.Context, g *cluster.Grip) bool {
+		client.Hold(waiting, args[0], func(_ context.Context, g *cluster.HeldLease) bool {
 			result = underLease(ctx, cmd, g, f.Lease, args[0], args[1:])
 			return false
 		})
@@ -74,7 +74,7 @@
 }
 
 // underLease runs the command, and ends it while the lease is still held for sure.
-func underLease(ctx context.Context, cmd *cobra.Command, g *cluster.Grip, length time.Duration, name string, args []string) error {
+func underLease(ctx context.Context, cmd *cobra.Command, g *cluster.HeldLease, length time.Duration, name string, args []string) error {
 	runtime.LockOSThread() // the child's end with ours hangs on the thread that starts it
 	defer runtime.UnlockOSThread()
 	c := exec.Command(args[0], args[1:]...)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -36,16 +36,16 @@
 // wallFiles may use them, each for what it says.
 var wallFiles = map[string]string{
 	"internal/clock/clock.go":        "the one place that reads the wall clock",
-	"internal/net/exchange/clock.go": "start times on the list are Unix times",
-	"internal/net/bans/bans.go":      "bans are kept beside start times on the list, as Unix times",
-	"internal/net/fellows/client.go": "tells processes apart, by no order",
-	"internal/net/fellows/tasks.go":  "periods of the roll-up are the wall clock's",
+	"internal/net/dispatch/clock.go": "start times on the list are Unix times",
+	"internal/net/ejection/bans.go":      "bans are kept beside start times on the list, as Unix times",
+	"internal/cluster/client.go": "tells processes apart, by no order",
+	"internal/cluster/tasks.go":  "periods of the roll-up are the wall clock's",
 }
 
 // The wall clock may be stepped, so that no span is measured by it: only the files above may take a time apart.
 func TestTheWallClockMeasuresNoSpan(t *testing.T) {
 	const root = "../.."
-	for _, folder := range []string{"internal/net", "internal/clock", "internal/terms", "logic", "lease", "budget", "changes", "cmd"} {
+	for _, folder := range []string{"internal/net", "internal/cluster", "internal/clock", "internal/config", "routing", "lease", "budget", "changelog", "cmd"} {
 		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -44,7 +44,7 @@
 }
 
 // claimant is one node's connection to the leader of a fleet of three voters, and the lease of its name.
-func claimant(b *testing.B) (c *Client, conn net.Conn, a lease.Ask) {
+func claimant(b *testing.B) (c *Client, conn net.Conn, a lease.Request) {
 	all := fleetOf(b, 3)
 	nodes := founded(b, all)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
@@ -53,17 +53,17 @@
 		b.Fatal(err)
 	}
 	c = NewClient(all[0], zap.NewNop())
-	if conn, err = c.dial(s.At, forAsks, "", time.Second); err != nil {
+	if conn, err = c.dial(s.LeaderAddress, forAsks, "", time.Second); err != nil {
 		b.Fatal(err)
 	}
-	c.conn, c.at = jsonrpc.NewClient(conn), s.At
+	c.conn, c.at = jsonrpc.NewClient(conn), s.LeaderAddress
 	b.Cleanup(c.Close)
 	h := lease.Holder{Name: "edge-r07-z21-00042", Process: 4242, Start: begun.UnixMilli()*1000 + 1}
-	x, err := c.ask(lease.Ask{Kind: lease.Acquire, Name: session(h.Name), Holder: h})
+	x, err := c.ask(lease.Request{Operation: lease.OpAcquire, Name: session(h.Name), Holder: h})
 	if err != nil || x.Err != nil {
 		b.Fatal(err, x.Err)
 	}
-	return c, conn, lease.Ask{Kind: lease.Renew, Name: session(h.Name), Holder: h, Token: x.Token}
+	return c, conn, lease.Request{Operation: lease.OpRenew, Name: session(h.Name), Holder: h, Token: x.Token}
 }
 
 // weigh repeats a call, and tells its bytes on the wire, headers included.
@@ -98,12 +98,12 @@
 // BenchmarkAWait is one asking for a task that another holds: answered in vain.
 func BenchmarkAWait(b *testing.B) {
 	c, conn, a := claimant(b)
-	if x, err := c.ask(lease.Ask{Kind: lease.Acquire, Name: "probe", Holder: a.Holder}); err != nil || x.Err != nil {
+	if x, err := c.ask(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: a.Holder}); err != nil || x.Err != nil {
 		b.Fatal(err, x.Err)
 	}
 	other := lease.Holder{Name: "edge-r07-z21-00043", Process: 4243, Start: a.Holder.Start}
 	weigh(b, conn, func() error {
-		_, err := c.ask(lease.Ask{Kind: lease.Acquire, Name: "probe", Holder: other})
+		_, err := c.ask(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: other})
 		return err
 	})
 }
@@ -113,25 +113,25 @@
 	for _, resting := range []int{1, 10, 70, 248, 1000} {
 		b.Run(fmt.Sprint("resting=", resting), func(b *testing.B) {
 			c, conn, _ := claimant(b)
-			r := &Resting{map[string]string{}}
+			r := &EjectionReport{map[string]string{}}
 			for i := range resting {
 				r.Servers[fmt.Sprintf("cache-07-21-%05d", i)] = fmt.Sprintf("10.0.%d.%d:8080", i>>8, i&255)
 			}
-			var due []lease.Trial
+			var due []lease.Probe
 			token := uint64(1 << 40)
-			if err := c.plainly("Fleet.Rest", r, &[]lease.News{}); err != nil {
+			if err := c.plainly("Fleet.Rest", r, &[]lease.ProbeStatus{}); err != nil {
 				b.Fatal(err)
 			}
 			if err := c.plainly("Fleet.Due", &token, &due); err != nil {
 				b.Fatal(err)
 			}
 			for _, t := range due {
-				if err := c.plainly("Fleet.Result", &Outcome{token, t.ID, false}, &struct{}{}); err != nil {
+				if err := c.plainly("Fleet.Result", &ProbeReport{token, t.ID, false}, &struct{}{}); err != nil {
 					b.Fatal(err)
 				}
 			}
 			weigh(b, conn, func() error {
-				var news []lease.News
+				var news []lease.ProbeStatus
 				err := c.plainly("Fleet.Rest", r, &news)
 				if err == nil && len(news) != resting {
 					err = fmt.Errorf("news of %d of %d", len(news), resting)
@@ -148,41 +148,41 @@
 		for _, budgets := range []int{1, 2, 4, 8} {
 			b.Run(fmt.Sprintf("news=%v/budgets=%d", news, budgets), func(b *testing.B) {
 				c, conn, a := claimant(b)
-				ask := budget.Ask{Lease: a.Name, Token: a.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), Declares: map[string]lease.Terms{}}
+				ask := budget.Request{Lease: a.Name, Token: a.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), Declared: map[string]lease.BudgetConfig{}}
 				for i := range budgets {
 					name := fmt.Sprint("origin-rate-", i)
-					ask.Declares[name] = lease.Terms{Kind: lease.RateKind, Bounds: "origin", Units: 4000, Each: 2.5, Apart: 1, Nodes: 300}
-					ask.Holds = append(ask.Holds, budget.Hold{Budget: name, Want: 3, Keep: -1})
+					ask.Declared[name] = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
+					ask.Held = append(ask.Held, budget.Holding{Budget: name, Demand: 3, ShrinkTo: -1})
 				}
-				var x Parted
+				var x QuotaResponse
 				eventually(b, "no parts", func() bool {
-					x = Parted{}
+					x = QuotaResponse{}
 					if err := c.plainlyWithin("Fleet.Part", &ask, &x, time.Second); err != nil {
 						b.Fatal(err)
 					}
-					for _, n := range x.News {
-						for i := range ask.Holds {
-							if h := &ask.Holds[i]; h.Budget == n.Budget {
-								h.Token, h.Units, h.Keep, h.Revision = n.Part.Token, n.Part.Units, n.Keep, n.Terms.Revision
+					for _, n := range x.Updates {
+						for i := range ask.Held {
+							if h := &ask.Held[i]; h.Budget == n.Budget {
+								h.Token, h.Units, h.ShrinkTo, h.Revision = n.Quota.Token, n.Quota.Units, n.ShrinkTo, n.Config.Revision
 							}
 						}
 					}
-					done := len(x.News) == 0
-					for _, h := range ask.Holds {
+					done := len(x.Updates) == 0
+					for _, h := range ask.Held {
 						done = done && h.Token > 0
 					}
 					return done
 				})
-				if ask.Declares, ask.Wait = nil, 0; news {
-					for i := range ask.Holds {
-						ask.Holds[i].Token = 1 // an earlier one
+				if ask.Declared, ask.Wait = nil, 0; news {
+					for i := range ask.Held {
+						ask.Held[i].Token = 1 // an earlier one
 					}
 				}
 				weigh(b, conn, func() error {
-					x = Parted{}
+					x = QuotaResponse{}
 					err := c.plainlyWithin("Fleet.Part", &ask, &x, time.Second)
-					if err == nil && news != (len(x.News) == budgets) {
-						err = fmt.Errorf("%d news", len(x.News))
+					if err == nil && news != (len(x.Updates) == budgets) {
+						err = fmt.Errorf("%d news", len(x.Updates))
 					}
 					return err
 				})
@@ -295,7 +295,7 @@
 		first := sync.OnceFunc(held.Done)
 		keeping.Go(func() {
 			defer c.Close()
-			c.Keep(ctx, session(f.Node), func(holds context.Context, _ *Grip) bool {
+			c.Hold(ctx, session(f.Node), func(holds context.Context, _ *HeldLease) bool {
 				first()
 				<-holds.Done()
 				if ctx.Err() == nil {
--- a/internal/cluster/budgets.go
+++ b/internal/cluster/budgets.go
@@ -28,80 +28,80 @@
 
 // purse is this node's side of the fleet's budgets, while it holds its own name.
 type purse struct {
-	f     *Fellows
-	grip  *Grip
+	f     *Member
+	grip  *HeldLease
 	name  string
 	ctx   context.Context
 	mu    sync.Mutex
-	purse *budget.Purse
+	purse *budget.QuotaClient
 	alarm alarm
 	asked uint64 // the latest asking
 	over  bool
 }
 
 // part hands one budget to the module: so many units until a time, and so many after it.
-func (f *Fellows) part(name string, t lease.Terms, units, apart int, left, takes time.Duration) allowance.Use {
+func (f *Member) part(name string, t lease.BudgetConfig, units, apart int, left, takes time.Duration) allowance.Usage {
 	at := slices.IndexFunc(f.fleet.Budgets, func(b config.Budget) bool { return b.Name == name })
 	if at < 0 {
-		return allowance.Use{}
+		return allowance.Usage{}
 	}
 	rate := 0.0
 	if t.Kind == lease.RateKind {
-		rate = t.Each * (1 - f.fleet.MaxDrift) // our clock may be as much too fast
+		rate = t.RatePerUnit * (1 - f.fleet.MaxDrift) // our clock may be as much too fast
 	}
-	p := allowance.Part{Number: t.Kind == lease.NumberKind, Rate: rate * float64(units), Most: float64(units),
-		ThenRate: rate * float64(apart), ThenMost: float64(apart)}
-	if faults.Without(faults.BurstKept) && !p.Number {
+	p := allowance.Quota{Concurrency: t.Kind == lease.ConcurrencyKind, Rate: rate * float64(units), Burst: float64(units),
+		ThenRate: rate * float64(apart), ThenBurst: float64(apart)}
+	if faults.Without(faults.BurstKept) && !p.Concurrency {
 		f.mu.Lock()
-		f.bursts[name] = max(f.bursts[name], p.Most)
-		p.Most, p.ThenMost = f.bursts[name], f.bursts[name]
+		f.bursts[name] = max(f.bursts[name], p.Burst)
+		p.Burst, p.ThenBurst = f.bursts[name], f.bursts[name]
 		f.mu.Unlock()
 	}
 	b := f.fleet.Budgets[at]
-	return f.own.Part(b.Bound, b.Partner, p, left, takes)
+	return f.own.SetQuota(b.Bound, b.Partner, p, left, takes)
 }
 
 // takes is how long before a part's end acts of a number at a time begin no more: what goes on then is cut off.
-func (f *Fellows) takes() time.Duration { return min(f.longest, f.fleet.Lease/takesPart) }
+func (f *Member) takes() time.Duration { return min(f.longest, f.fleet.Lease/takesPart) }
 
 // alone sets all budgets to what is ours without the fleet: what is apart, once the fleet's address is ours, else nothing.
-func (f *Fellows) alone(ours bool) (out int) {
+func (f *Member) alone(ours bool) (out int) {
 	for _, b := range f.fleet.Budgets {
 		t, apart := f.agreed(b), 0
 		if ours {
-			apart = t.Apart
+			apart = t.ReservedPerNode
 		}
-		out += f.part(b.Name, t, apart, apart, 0, 0).Out
+		out += f.part(b.Name, t, apart, apart, 0, 0).InFlight
 	}
 	return out
 }
 
 // agreed gives a budget's terms, as the fleet last told them or else as our papers have them.
-func (f *Fellows) agreed(b config.Budget) lease.Terms {
+func (f *Member) agreed(b config.Budget) lease.BudgetConfig {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t, told := f.wholes[b.Name]; told {
 		return t
 	}
-	return b.Terms
+	return b.BudgetConfig
 }
 
 // divide takes part in the division while our name is held.
-func (f *Fellows) divide(ctx context.Context, g *Grip) {
-	all := map[string]lease.Terms{}
+func (f *Member) divide(ctx context.Context, g *HeldLease) {
+	all := map[string]lease.BudgetConfig{}
 	for _, b := range f.fleet.Budgets {
 		all[b.Name] = f.agreed(b) // which a fleet that has forgotten it, as one founded anew, is told of
 	}
 	p := &purse{f: f, grip: g, name: session(f.fleet.Node), ctx: ctx}
 	p.alarm = newAlarm(p.ring)
 	p.mu.Lock()
-	p.purse = budget.NewPurse(p, now(), p.name, g.Token(), f.fleet.Weight, all, g.End(), tenths(f.takes()))
+	p.purse = budget.NewQuotaClient(p, now(), p.name, g.Token(), f.fleet.Weight, all, g.End(), tenths(f.takes()))
 	p.mu.Unlock()
 	f.mu.Lock()
 	f.purse = p
 	f.mu.Unlock()
 	<-ctx.Done()
-	if g.Left() > 0 { // we leave, and the parts are ours yet: nothing more begins, and what goes on ends before they are given back
+	if g.Remaining() > 0 { // we leave, and the parts are ours yet: nothing more begins, and what goes on ends before they are given back
 		p.mu.Lock()
 		p.purse.Close(now())
 		p.mu.Unlock()
@@ -128,80 +128,80 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.over {
-		p.purse.Extend(p.grip.End())
+		p.purse.ExtendLease(p.grip.End())
 		p.purse.Alarm(now())
 	}
 }
 
 // What the purse acts through. These run with the lock held.
 
-func (p *purse) Wake(at lease.Time) { p.alarm.set(at) }
+func (p *purse) SetAlarm(at lease.Time) { p.alarm.set(at) }
 
-func (p *purse) Set(name string, t lease.Terms, units, apart int, until lease.Time) allowance.Use {
+func (p *purse) SetQuota(name string, t lease.BudgetConfig, units, apart int, until lease.Time) allowance.Usage {
 	return p.f.part(name, t, units, apart, span(until-now()), p.f.takes())
 }
 
-func (p *purse) Ask(a budget.Ask) {
+func (p *purse) Send(a budget.Request) {
 	p.asked++
 	nth := p.asked
 	go func() {
-		var x Parted
+		var x QuotaResponse
 		err := p.f.client.plainlyWithin("Fleet.Part", &a, &x, span(a.Wait)+p.f.client.within())
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.over || p.asked != nth {
 			return
 		}
-		p.purse.Extend(p.grip.End())
+		p.purse.ExtendLease(p.grip.End())
 		if err != nil {
 			p.f.log.Debug("an asking for parts came to nothing", zap.Error(err))
-			p.purse.Unanswered(now())
+			p.purse.HandleTimeout(now())
 			return
 		}
 		if traceParts != nil {
-			traceParts(p.f.fleet.Node, x.News)
+			traceParts(p.f.fleet.Node, x.Updates)
 		}
-		for _, d := range p.purse.Answered(now(), budget.Answer{News: x.News, Err: x.Refusal.err()}) {
+		for _, d := range p.purse.HandleResponse(now(), budget.Response{Updates: x.Updates, Err: x.Error.err()}) {
 			p.f.log.Warn("a budget differs from the configuration's: the fleet's holds", zap.String("budget", d.Name),
-				zap.Float64("configuration", d.Ours.Whole()), zap.Float64("fleet", d.Fleet.Whole()),
-				zap.Any("configuration's terms", d.Ours), zap.Any("fleet's terms", d.Fleet))
+				zap.Float64("configuration", d.Local.Limit()), zap.Float64("fleet", d.Agreed.Limit()),
+				zap.Any("configuration's terms", d.Local), zap.Any("fleet's terms", d.Agreed))
 		}
 		p.f.mu.Lock()
-		for _, n := range x.News {
-			p.f.wholes[n.Budget] = n.Terms
+		for _, n := range x.Updates {
+			p.f.wholes[n.Budget] = n.Config
 		}
 		p.f.mu.Unlock()
 	}()
 }
 
-// Parted is the answer to an asking for parts.
-type Parted struct {
-	News    []budget.News `json:"News"`
-	Refusal refusal       `json:"Refusal"`
+// QuotaResponse is the answer to an asking for parts.
+type QuotaResponse struct {
+	Updates []budget.QuotaUpdate `json:"News"`
+	Error   wireError            `json:"Refusal"`
 }
 
 // Part is a node's call: what it holds and wants. It is answered once there is news.
-func (l *line) Part(a *budget.Ask, x *Parted) error {
+func (l *line) Part(a *budget.Request, x *QuotaResponse) error {
 	v := l.f.voter()
-	got := budget.Answer{Err: lease.ErrNotLeader}
+	got := budget.Response{Err: lease.ErrNotLeader}
 	if v != nil {
 		got = v.askPart(*a, l.gone)
 	}
 	if errors.Is(got.Err, lease.ErrNotLeader) {
 		return lease.ErrNotLeader
 	}
-	*x = Parted{got.News, refusalOf(got.Err)}
+	*x = QuotaResponse{got.Updates, toWireError(got.Err)}
 	return nil
 }
 
-// Lent is what the present process of a node lets the next one have for a while.
-type Lent struct {
-	All []budget.Lent `json:"All"`
-	For int64         `json:"For"` // in tenths of a millisecond
+// LentQuotas is what the present process of a node lets the next one have for a while.
+type LentQuotas struct {
+	Quotas   []budget.LentQuota `json:"All"`
+	Duration int64              `json:"For"` // in tenths of a millisecond
 }
 
 // Lend is the call of our own node's next process, which waits for our address.
-func (l *line) Lend(_ *struct{}, x *Lent) error {
+func (l *line) Lend(_ *struct{}, x *LentQuotas) error {
 	l.f.mu.Lock()
 	p := l.f.purse
 	l.f.mu.Unlock()
@@ -212,13 +212,13 @@
 	defer p.mu.Unlock()
 	if !p.over {
 		all, span := p.purse.Lend(now())
-		x.All, x.For = all, int64(span)
+		x.Quotas, x.Duration = all, int64(span)
 	}
 	return nil
 }
 
 // borrow asks the process whose place we take for half of its parts, until the context ends. Both read the same clock.
-func (f *Fellows) borrow(ctx context.Context) {
+func (f *Member) borrow(ctx context.Context) {
 	if len(f.fleet.Budgets) == 0 {
 		return
 	}
@@ -230,7 +230,7 @@
 	}()
 	for ctx.Err() == nil {
 		sent := boot()
-		var x Lent
+		var x LentQuotas
 		if conn == nil {
 			if n, err := f.client.dial(f.fleet.Address, forAsks, "", lendEvery); err == nil {
 				conn = jsonrpc.NewClient(n)
@@ -242,13 +242,13 @@
 				conn = nil
 			}
 		}
-		for _, b := range x.All {
+		for _, b := range x.Quotas {
 			if ctx.Err() == nil {
-				left, takes := sent+span(lease.Time(x.For))-boot(), time.Duration(0)
-				if b.Terms.Kind == lease.NumberKind {
+				left, takes := sent+span(lease.Time(x.Duration))-boot(), time.Duration(0)
+				if b.Config.Kind == lease.ConcurrencyKind {
 					takes = min(f.takes(), lendEvery)
 				}
-				f.part(b.Name, b.Terms, b.Units, 0, left-takes, takes)
+				f.part(b.Name, b.Config, b.Units, 0, left-takes, takes)
 			}
 		}
 		select {
@@ -259,17 +259,17 @@
 }
 
 // askPart brings an asking to the divider, and waits for its answer or until the caller has gone.
-func (v *Voter) askPart(a budget.Ask, gone <-chan struct{}) budget.Answer {
-	c := make(chan budget.Answer, 1)
+func (v *Voter) askPart(a budget.Request, gone <-chan struct{}) budget.Response {
+	c := make(chan budget.Response, 1)
 	v.mu.Lock()
 	if v.ended != nil {
 		v.mu.Unlock()
-		return budget.Answer{Err: lease.ErrNotLeader}
+		return budget.Response{Err: lease.ErrNotLeader}
 	}
 	v.ids++
 	id := v.ids
 	v.parts[id] = c
-	v.divider.Ask(now(), id, a)
+	v.divider.Handle(now(), id, a)
 	v.mu.Unlock()
 	select {
 	case x := <-c:
@@ -280,16 +280,16 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.parts, id)
-	v.divider.Gone(id)
-	return budget.Answer{Err: lease.ErrNotLeader}
+	v.divider.CallerGone(id)
+	return budget.Response{Err: lease.ErrNotLeader}
 }
 
 // dividing is what the divider acts through. Its methods run with the lock held.
 type dividing struct{ *Voter }
 
-func (h dividing) Wake(at lease.Time) { h.divides.set(at) }
+func (h dividing) SetAlarm(at lease.Time) { h.divides.set(at) }
 
-func (h dividing) Answer(id uint64, a budget.Answer) {
+func (h dividing) Respond(id uint64, a budget.Response) {
 	if c, waits := h.parts[id]; waits {
 		delete(h.parts, id)
 		c <- a // it has room for this one
@@ -318,29 +318,29 @@
 // BudgetState is a budget as a voter has it; Want and Reserve are the leader's to know.
 type BudgetState struct {
 	lease.Budget
-	Want    int `json:"Want"`
+	Demand  int `json:"Want"`
 	Reserve int `json:"Reserve"`
 }
 
-// NewWhole is an operator's word.
-type NewWhole struct {
+// LimitChange is an operator's word.
+type LimitChange struct {
 	Name  string  `json:"Name"`
-	Whole float64 `json:"Whole"`
+	Limit float64 `json:"Whole"`
 }
 
 // SetWhole changes a whole, at the leader.
-func (l *line) SetWhole(w *NewWhole, x *BudgetState) error {
+func (l *line) SetWhole(w *LimitChange, x *BudgetState) error {
 	v := l.f.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
 	b, known := v.state.Budgets[w.Name]
-	leads := v.divider.Leads()
+	leads := v.divider.IsLeader()
 	names := slices.Sorted(maps.Keys(v.state.Budgets))
-	var t lease.Terms
+	var t lease.BudgetConfig
 	if known {
-		t = b.Terms
+		t = b.BudgetConfig
 	}
 	v.mu.Unlock()
 	switch {
@@ -349,12 +349,12 @@
 	case !known:
 		return fmt.Errorf("no budget %q: expected one of %v", w.Name, names)
 	}
-	each := t.Each
-	if t.Kind == lease.NumberKind {
+	each := t.RatePerUnit
+	if t.Kind == lease.ConcurrencyKind {
 		each = 1
 	}
-	t.Units = int(w.Whole/each + 1e-9)
-	if r, err := v.apply(lease.Entry{Kind: lease.Whole, Name: w.Name, Budget: &t}); err != nil || r.Err != nil {
+	t.Units = int(w.Limit/each + 1e-9)
+	if r, err := v.apply(lease.Entry{Kind: lease.KindSetBudget, Name: w.Name, Budget: &t}); err != nil || r.Err != nil {
 		return errors.Join(err, r.Err)
 	}
 	v.mu.Lock()
@@ -363,36 +363,36 @@
 	return nil
 }
 
-// SetWhole changes a whole, and tells how the budget stands then.
-func (c *Client) SetWhole(name string, whole float64) (x BudgetState, err error) {
-	return x, c.Leader("Fleet.SetWhole", &NewWhole{name, whole}, &x, changeMost+c.within())
+// SetLimit changes a whole, and tells how the budget stands then.
+func (c *Client) SetLimit(name string, whole float64) (x BudgetState, err error) {
+	return x, c.CallLeader("Fleet.SetWhole", &LimitChange{name, whole}, &x, changeMost+c.within())
 }
 
 // standings adds what operators see of the budgets from here.
-func (f *Fellows) standings(all map[string]any) {
+func (f *Member) standings(all map[string]any) {
 	f.mu.Lock()
 	p := f.purse
 	f.mu.Unlock()
 	if p == nil {
 		for _, b := range f.fleet.Budgets {
 			t := f.agreed(b)
-			all["budget."+b.Name+".whole"], all["budget."+b.Name+".part"], all["budget."+b.Name+".end_ms"] = t.Whole(), 0, 0
+			all["budget."+b.Name+".whole"], all["budget."+b.Name+".part"], all["budget."+b.Name+".end_ms"] = t.Limit(), 0, 0
 		}
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.purse.Standings() {
+	for _, s := range p.purse.Status() {
 		unit := func(n int) float64 {
-			if s.Terms.Kind == lease.NumberKind {
+			if s.Config.Kind == lease.ConcurrencyKind {
 				return float64(n)
 			}
-			return s.Terms.Each * float64(n)
+			return s.Config.RatePerUnit * float64(n)
 		}
-		for key, v := range map[string]any{"whole": s.Terms.Whole(), "given": unit(s.Given), "reserve": unit(s.Reserve),
-			"free": unit(max(0, s.Terms.Lendable()-s.Given)), "apart": unit(s.Terms.Apart), "part": unit(s.Units),
-			"wanted": unit(s.Want), "out": s.Out, "used": s.Used, "end_ms": max(0, span(s.End-now()).Milliseconds()),
-			"revision": s.Terms.Revision} {
+		for key, v := range map[string]any{"whole": s.Config.Limit(), "given": unit(s.Allocated), "reserve": unit(s.Reserve),
+			"free": unit(max(0, s.Config.Allocatable()-s.Allocated)), "apart": unit(s.Config.ReservedPerNode), "part": unit(s.Units),
+			"wanted": unit(s.Demand), "out": s.InFlight, "used": s.Used, "end_ms": max(0, span(s.End-now()).Milliseconds()),
+			"revision": s.Config.Revision} {
 			all["budget."+s.Name+"."+key] = v
 		}
 	}
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -152,28 +152,28 @@
 }
 
 // ask brings one asking to the leader, wherever that is. An error says that nobody knows whether it was heard.
-func (c *Client) ask(a lease.Ask) (lease.Answer, error) {
+func (c *Client) ask(a lease.Request) (lease.Response, error) {
 	select {
 	case c.places <- struct{}{}:
 		defer func() { <-c.places }()
 	default:
-		return lease.Answer{}, errBusy
+		return lease.Response{}, errBusy
 	}
-	args := &Asked{Kind: a.Kind, Name: a.Name, Fact: a.Fact, Holder: a.Holder, Token: a.Token, Number: a.Number,
+	args := &LeaseRequest{Kind: a.Operation, Name: a.Name, Effect: a.Effect, Holder: a.Holder, Token: a.Token, Number: a.Number,
 		Wait: uint64(a.Wait), Value: a.Value}
 	for range hopsMost {
 		conn, at, err := c.line()
 		if err != nil {
-			return lease.Answer{}, err
+			return lease.Response{}, err
 		}
-		var x Answered
+		var x LeaseResponse
 		err = call(conn, "Fleet.Ask", args, &x, span(a.Wait)+c.within())
 		c.over(conn)
 		if err != nil {
 			c.drop(conn, "")
-			return lease.Answer{}, err
+			return lease.Response{}, err
 		}
-		got := lease.Answer{Token: x.Token, Holder: x.Holder, Length: lease.Time(x.Length), Err: x.Refusal.err()}
+		got := lease.Response{Token: x.Token, Holder: x.Holder, Duration: lease.Time(x.Duration), Err: x.Error.err()}
 		if !errors.Is(got.Err, lease.ErrNotLeader) {
 			c.mu.Lock()
 			c.told = boot()
@@ -186,11 +186,11 @@
 		}
 		c.drop(conn, x.Leader)
 	}
-	return lease.Answer{Err: lease.ErrNotLeader}, nil
+	return lease.Response{Err: lease.ErrNotLeader}, nil
 }
 
-// Leader makes one call to the leader, found by asking the voters; for operators.
-func (c *Client) Leader(method string, args, reply any, within time.Duration) error {
+// CallLeader makes one call to the leader, found by asking the voters; for operators.
+func (c *Client) CallLeader(method string, args, reply any, within time.Duration) error {
 	var faults []error
 	var asked []string
 	next := c.addresses()
@@ -209,8 +209,8 @@
 		if s.Voter && s.Leader == s.ID && s.ID != "" {
 			return c.atOnce(at, method, args, reply, within)
 		}
-		if s.At != "" {
-			next = append([]string{s.At}, next...)
+		if s.LeaderAddress != "" {
+			next = append([]string{s.LeaderAddress}, next...)
 		}
 	}
 	return errors.Join(append(faults, errors.New("no voter leads, or none that leads can be reached"))...)
@@ -225,18 +225,18 @@
 
 // Status asks the leader how the fleet is.
 func (c *Client) Status() (s Status, err error) {
-	return s, c.Leader("Fleet.Status", &struct{}{}, &s, c.within())
+	return s, c.CallLeader("Fleet.Status", &struct{}{}, &s, c.within())
 }
 
 // Watch waits for a change after a revision of the log, half a minute at most, and tells how the fleet is then.
 func (c *Client) Watch(after uint64) (s Status, err error) {
-	return s, c.Leader("Fleet.Watch", &after, &s, watchMost+c.within())
+	return s, c.CallLeader("Fleet.Watch", &after, &s, watchMost+c.within())
 }
 
-// Found begins a fleet with the voters of the configuration. It changes nothing where one of them can't be reached, or has
+// FoundCluster begins a fleet with the voters of the configuration. It changes nothing where one of them can't be reached, or has
 // been in a fleet.
-func (c *Client) Found(after uint64) error {
-	var all []Member
+func (c *Client) FoundCluster(after uint64) error {
+	var all []VoterInfo
 	begun := 0 // of them, by a founding that was not brought to its end
 	for _, v := range c.fleet.Voters {
 		var s Status
@@ -247,22 +247,22 @@
 		case s.Node != v.Name:
 			return fmt.Errorf("fleet.voters: %s is node %q, not %q", v.Address, s.Node, v.Name)
 		case s.ID == "":
-			return fmt.Errorf("fleet.voters: %s can't vote: %s", v.Name, s.Broken)
-		case !s.New && s.Fleet == "" && len(s.Voters) == len(c.fleet.Voters):
+			return fmt.Errorf("fleet.voters: %s can't vote: %s", v.Name, s.VoterError)
+		case !s.New && s.Cluster == "" && len(s.Voters) == len(c.fleet.Voters):
 			begun++
 		case !s.New:
-			return fmt.Errorf("fleet.voters: %s has voted before: %w", v.Name, lease.ErrBegun)
+			return fmt.Errorf("fleet.voters: %s has voted before: %w", v.Name, lease.ErrAlreadyFounded)
 		}
-		all = append(all, Member{s.ID, v.Address})
+		all = append(all, VoterInfo{s.ID, v.Address})
 	}
 	if begun == 0 {
-		if err := c.once(all[0].Address, "Fleet.Bootstrap", &Founding{Voters: all}, &struct{}{}); err != nil {
+		if err := c.once(all[0].Address, "Fleet.Bootstrap", &BootstrapRequest{Voters: all}, &struct{}{}); err != nil {
 			return err
 		}
 	}
 	for end := time.Now().Add(20*c.within() + 4*c.fleet.Lease); ; time.Sleep(c.fleet.MaxDelay) {
-		err := c.Leader("Fleet.Found", &Founding{After: after}, &struct{}{}, c.within())
-		if err == nil || strings.Contains(err.Error(), lease.ErrBegun.Error()) {
+		err := c.CallLeader("Fleet.Found", &BootstrapRequest{LastToken: after}, &struct{}{}, c.within())
+		if err == nil || strings.Contains(err.Error(), lease.ErrAlreadyFounded.Error()) {
 			return nil
 		}
 		if time.Now().After(end) {
@@ -279,16 +279,16 @@
 	}
 	for _, l := range s.Leases {
 		if l.Name == name && l.Token == token {
-			x, err := c.ask(lease.Ask{Kind: lease.Release, Name: name, Holder: l.Holder, Token: token})
+			x, err := c.ask(lease.Request{Operation: lease.OpRelease, Name: name, Holder: l.Holder, Token: token})
 			return errors.Join(err, x.Err)
 		}
 	}
-	return lease.ErrLapsed
+	return lease.ErrLeaseExpired
 }
 
 // Change adds or removes a voter.
-func (c *Client) Change(x Change) (id string, err error) {
-	return id, c.Leader("Fleet.Change", &x, &id, changeMost+c.within())
+func (c *Client) Change(x MembershipChange) (id string, err error) {
+	return id, c.CallLeader("Fleet.Change", &x, &id, changeMost+c.within())
 }
 
 // start tells this process from all others, and each of its claims from the others.
--- a/internal/cluster/fellows.go
+++ b/internal/cluster/fellows.go
@@ -19,33 +19,33 @@
 
 const addressAgain = 50 * time.Millisecond // until the process whose place we take has let the address go
 
-// Own is what the fleet's tasks need of their node.
-type Own interface {
-	// Figures gives totals by name.
-	Figures() map[string]int64
-	// Resting gives the addresses of servers that rest after failures, by id.
-	Resting() map[string]string
-	// Tried tells how the fleet's trial of one went, and within which time of the next one.
-	Tried(id, address string, well bool, next time.Duration)
-	// Part tells how much of a budget of the fleet is ours: acts may begin for so long, and then what p says for after that;
+// LocalNode is what the fleet's tasks need of their node.
+type LocalNode interface {
+	// Metrics gives totals by name.
+	Metrics() map[string]int64
+	// EjectedEndpoints gives the addresses of servers that rest after failures, by id.
+	EjectedEndpoints() map[string]string
+	// ProbeResult tells how the fleet's trial of one went, and within which time of the next one.
+	ProbeResult(id, address string, well bool, next time.Duration)
+	// SetQuota tells how much of a budget of the fleet is ours: acts may begin for so long, and then what p says for after that;
 	// of a number at a time they have to be over takes later. It gives what was asked since the last time.
-	Part(of routing.Bound, partner string, p allowance.Part, left, takes time.Duration) allowance.Use
+	SetQuota(of routing.Limit, partner string, p allowance.Quota, left, takes time.Duration) allowance.Usage
 }
 
-// Fellows is this process's part in its fleet.
-type Fellows struct {
+// Member is this process's part in its fleet.
+type Member struct {
 	fleet  *config.Cluster
 	log    *zap.Logger
-	own    Own
+	own    LocalNode
 	client *Client
 	paper  paper
 
 	mu      sync.Mutex
 	votes   *Voter
 	broken  error
-	purse   *purse                 // nil: our name is not held, or there are no budgets
-	wholes  map[string]lease.Terms // of budgets, as last told
-	bursts  map[string]float64     // for the rig, where a safeguard is out
+	purse   *purse                        // nil: our name is not held, or there are no budgets
+	wholes  map[string]lease.BudgetConfig // of budgets, as last told
+	bursts  map[string]float64            // for the rig, where a safeguard is out
 	leaving bool
 
 	longest time.Duration // that a lookup goes on
@@ -60,9 +60,9 @@
 // Start joins the fleet in the background, and goes on trying. One address is one node's: while another process has it,
 // as the one whose place we take, it is that one which takes part.
 // No lookup goes on for longer than longest; fellows may hold so many connections to us at once.
-func Start(f *config.Cluster, own Own, longest time.Duration, lines int, log *zap.Logger) *Fellows {
-	x := &Fellows{fleet: f, log: log, own: own, client: NewClient(f, log), ended: make(chan struct{}), longest: longest, lines: lines,
-		wholes: map[string]lease.Terms{}, bursts: map[string]float64{}}
+func Start(f *config.Cluster, own LocalNode, longest time.Duration, lines int, log *zap.Logger) *Member {
+	x := &Member{fleet: f, log: log, own: own, client: NewClient(f, log), ended: make(chan struct{}), longest: longest, lines: lines,
+		wholes: map[string]lease.BudgetConfig{}, bursts: map[string]float64{}}
 	x.alone(false)
 	ctx, stop := context.WithCancel(context.Background())
 	x.stop = stop
@@ -71,7 +71,7 @@
 }
 
 // Close leaves the fleet: what is held is given back, a vote's place as leader too.
-func (f *Fellows) Close() {
+func (f *Member) Close() {
 	f.mu.Lock()
 	f.leaving = true
 	f.mu.Unlock()
@@ -79,7 +79,7 @@
 	<-f.ended
 }
 
-func (f *Fellows) run(ctx context.Context) {
+func (f *Member) run(ctx context.Context) {
 	defer close(f.ended)
 	l := f.listen(ctx)
 	if l == nil {
@@ -107,14 +107,14 @@
 }
 
 // letGo gives up what is apart before the address, which it goes with: what goes on has to end first.
-func (f *Fellows) letGo() {
+func (f *Member) letGo() {
 	for end := time.Now().Add(f.longest + f.client.within()); f.alone(false) > 0 && time.Now().Before(end); {
 		time.Sleep(idleEvery)
 	}
 }
 
 // listen takes the address, as soon as it is free.
-func (f *Fellows) listen(ctx context.Context) net.Listener {
+func (f *Member) listen(ctx context.Context) net.Listener {
 	waits, come := context.WithCancel(ctx)
 	var borrowing sync.WaitGroup
 	defer borrowing.Wait()
@@ -138,7 +138,7 @@
 }
 
 // open takes part in the agreement, if the folder lets us. A node whose folder can't be used goes on asking.
-func (f *Fellows) open() {
+func (f *Member) open() {
 	p, err := openPaper(f.fleet.Folder, f.fleet.Name, f.fleet.Node)
 	var v *Voter
 	if err == nil {
@@ -158,13 +158,13 @@
 }
 
 // id tells our vote's, empty: none.
-func (f *Fellows) id() string {
+func (f *Member) id() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.paper.ID
 }
 
-func (f *Fellows) voter() *Voter {
+func (f *Member) voter() *Voter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.votes
@@ -174,12 +174,12 @@
 func session(node string) string { return "node/" + node }
 
 // work claims the node's own name, and with it the tasks.
-func (f *Fellows) work(ctx context.Context) {
+func (f *Member) work(ctx context.Context) {
 	if slices.Contains(f.fleet.Tasks, config.TaskProbe) {
 		f.tasks.Go(func() { f.hear(ctx) })
 	}
 	f.tasks.Go(func() {
-		f.client.Keep(ctx, session(f.fleet.Node), func(ctx context.Context, g *Grip) bool {
+		f.client.Hold(ctx, session(f.fleet.Node), func(ctx context.Context, g *HeldLease) bool {
 			if err := g.Do(session(f.fleet.Node), g.Token(), []byte(f.fleet.Address)); err != nil {
 				f.log.Warn("the fleet was not told of our address", zap.Error(err))
 			}
@@ -189,7 +189,7 @@
 			}
 			for _, name := range f.fleet.Tasks {
 				if run := f.task(name); run != nil {
-					tasks.Go(func() { f.client.Keep(ctx, name, run) })
+					tasks.Go(func() { f.client.Hold(ctx, name, run) })
 				}
 			}
 			<-ctx.Done()
--- a/internal/cluster/fellows_test.go
+++ b/internal/cluster/fellows_test.go
@@ -32,10 +32,10 @@
 
 type figures map[string]int64
 
-func (f figures) Figures() map[string]int64               { return f }
-func (figures) Resting() map[string]string                { return nil }
-func (figures) Tried(string, string, bool, time.Duration) {}
-func (figures) Part(routing.Bound, string, allowance.Part, time.Duration, time.Duration) (u allowance.Use) {
+func (f figures) Metrics() map[string]int64                     { return f }
+func (figures) EjectedEndpoints() map[string]string             { return nil }
+func (figures) ProbeResult(string, string, bool, time.Duration) {}
+func (figures) SetQuota(routing.Limit, string, allowance.Quota, time.Duration, time.Duration) (u allowance.Usage) {
 	return u
 }
 
@@ -64,7 +64,7 @@
 }
 
 // founded starts them, and founds the fleet.
-func founded(t testing.TB, all []*config.Cluster) (nodes []*Fellows) {
+func founded(t testing.TB, all []*config.Cluster) (nodes []*Member) {
 	t.Helper()
 	for _, f := range all {
 		n := Start(f, figures{"resolved": 1}, time.Second, 256, zap.NewNop())
@@ -74,7 +74,7 @@
 	c := NewClient(all[0], zap.NewNop())
 	t.Cleanup(c.Close)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if err := c.Found(0); err == nil {
+		if err := c.FoundCluster(0); err == nil {
 			return nodes
 		} else if time.Now().After(end) {
 			t.Fatal(err)
@@ -102,7 +102,7 @@
 	var all sync.WaitGroup
 	for _, n := range nodes {
 		all.Go(func() {
-			n.client.Keep(ctx, "count", func(_ context.Context, g *Grip) bool {
+			n.client.Hold(ctx, "count", func(_ context.Context, g *HeldLease) bool {
 				if in.Add(1) != 1 {
 					t.Error("two at once")
 				}
@@ -159,7 +159,7 @@
 		}
 		before, _ := os.ReadFile(filepath.Join(f.Folder, paperFile))
 		n := Start(f, figures{}, time.Second, 256, zap.NewNop())
-		eventually(t, want, func() bool { return strings.Contains(n.status().Broken, want) || n.id() != "" })
+		eventually(t, want, func() bool { return strings.Contains(n.status().VoterError, want) || n.id() != "" })
 		s := n.status()
 		n.Close()
 		if after, _ := os.ReadFile(filepath.Join(f.Folder, paperFile)); s.Voter || string(after) != string(before) {
@@ -210,10 +210,10 @@
 		}
 	}
 	c := NewClient(all[0], zap.NewNop())
-	if err := c.Found(0); !errors.Is(err, lease.ErrBegun) {
+	if err := c.FoundCluster(0); !errors.Is(err, lease.ErrAlreadyFounded) {
 		t.Errorf("founded again: %v", err)
 	}
-	for want, x := range map[string]Change{"is no voter": {Remove: "n9"}, "is a voter already": {Add: "n1", Address: all[1].Address}} {
+	for want, x := range map[string]MembershipChange{"is no voter": {Remove: "n9"}, "is a voter already": {Add: "n1", Address: all[1].Address}} {
 		if _, err := c.Change(x); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %s", x, err, want)
 		}
@@ -250,10 +250,10 @@
 	nodes := founded(t, fleetOf(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	nodes[0].voter().once.broken(syscall.EFBIG)
-	eventually(t, "it votes on", func() bool { return strings.Contains(nodes[0].status().Broken, "file too large") })
+	eventually(t, "it votes on", func() bool { return strings.Contains(nodes[0].status().VoterError, "file too large") })
 	eventually(t, "the others don't agree", func() bool {
 		s, err := nodes[1].client.Status()
-		return err == nil && s.Leads && s.Node != nodes[0].fleet.Node
+		return err == nil && s.IsLeader && s.Node != nodes[0].fleet.Node
 	})
 }
 
@@ -265,8 +265,8 @@
 	well    atomic.Bool
 }
 
-func (s *sufferer) Resting() map[string]string { return map[string]string{"c": s.address} }
-func (s *sufferer) Tried(id, address string, well bool, next time.Duration) {
+func (s *sufferer) EjectedEndpoints() map[string]string { return map[string]string{"c": s.address} }
+func (s *sufferer) ProbeResult(id, address string, well bool, next time.Duration) {
 	if id == "c" && address == s.address && next > 0 {
 		if well {
 			s.well.Store(true)
@@ -288,7 +288,7 @@
 	defer server.Close()
 	all := fleetOf(t, 5)
 	var own []*sufferer
-	var nodes []*Fellows
+	var nodes []*Member
 	for _, f := range all {
 		f.Tasks, f.ProbePath = []string{config.TaskProbe}, "/up"
 		s := &sufferer{address: server.Listener.Addr().String()}
@@ -301,7 +301,7 @@
 	}()
 	c := NewClient(all[0], zap.NewNop())
 	defer c.Close()
-	eventually(t, "not founded", func() bool { return c.Found(0) == nil })
+	eventually(t, "not founded", func() bool { return c.FoundCluster(0) == nil })
 	heard := func(of func(s *sufferer) bool) func() bool {
 		return func() bool { return !slices.ContainsFunc(own, func(s *sufferer) bool { return !of(s) }) }
 	}
@@ -315,9 +315,9 @@
 }
 
 // termed is a voter that tells a word of the test's own.
-type termed struct{ word Word }
+type termed struct{ word TermVote }
 
-func (x *termed) Term(_ *struct{}, w *Word) error {
+func (x *termed) Term(_ *struct{}, w *TermVote) error {
 	*w = x.word
 	return nil
 }
@@ -350,7 +350,7 @@
 			if string(s.ID) == v.paper.ID {
 				continue
 			}
-			w := termed{Word{string(s.ID), v.raft.CurrentTerm() + c.later[i]}}
+			w := termed{TermVote{string(s.ID), v.raft.CurrentTerm() + c.later[i]}}
 			if c.otherID {
 				w.word.ID += "x"
 			}
@@ -380,16 +380,16 @@
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	before, _ := nodes[0].client.Status()
 	const holders = 300
-	var asks [holders]lease.Ask
+	var asks [holders]lease.Request
 	var clients [holders]*Client
 	for i := range asks {
 		clients[i] = NewClient(all[0], zap.NewNop())
 		h := lease.Holder{Name: fmt.Sprint("h", i), Process: i}
-		x, err := clients[i].ask(lease.Ask{Kind: lease.Acquire, Name: h.Name, Holder: h})
+		x, err := clients[i].ask(lease.Request{Operation: lease.OpAcquire, Name: h.Name, Holder: h})
 		if err != nil || x.Err != nil {
 			b.Fatal(err, x.Err)
 		}
-		asks[i] = lease.Ask{Kind: lease.Renew, Name: h.Name, Holder: h, Token: x.Token}
+		asks[i] = lease.Request{Operation: lease.OpRenew, Name: h.Name, Holder: h, Token: x.Token}
 	}
 	var used [2]syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used[0])
@@ -442,16 +442,16 @@
 		b.Fatal(err)
 	}
 	eventually(b, "no leader", func() bool { return v.raft.State() == raft.Leader })
-	_, _ = v.apply(lease.Entry{Kind: lease.Found, Name: "f"})
-	_, _ = v.apply(lease.Entry{Kind: lease.Grant, Name: "big"})
+	_, _ = v.apply(lease.Entry{Kind: lease.KindFoundCluster, Name: "f"})
+	_, _ = v.apply(lease.Entry{Kind: lease.KindGrant, Name: "big"})
 	for i := range 4000 {
-		_, _ = v.apply(lease.Entry{Kind: lease.Act, Name: "big", Token: 1, Fact: "big", Number: uint64(i + 1), Value: make([]byte, 3<<10)})
+		_, _ = v.apply(lease.Entry{Kind: lease.KindEffect, Name: "big", Token: 1, Effect: "big", Number: uint64(i + 1), Value: make([]byte, 3<<10)})
 	}
 	for b.Loop() {
 		v.end(nil)
 		porch.close()
 		v, porch = start()
-		for !func() bool { v.mu.Lock(); defer v.mu.Unlock(); return v.keeper.Leads() }() {
+		for !func() bool { v.mu.Lock(); defer v.mu.Unlock(); return v.keeper.IsLeader() }() {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -470,7 +470,7 @@
 		for _, n := range nodes[:3] {
 			v := n.voter()
 			v.mu.Lock()
-			leads := v.keeper.Leads()
+			leads := v.keeper.IsLeader()
 			v.mu.Unlock()
 			if leads {
 				leader = v
@@ -489,7 +489,7 @@
 	reign := func() uint64 {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
-		return leader.state.Reign
+		return leader.state.Term
 	}
 	was := reign()
 	db := *(**bbolt.DB)(reflect.ValueOf(leader.logs).Elem().FieldByName("conn").Addr().UnsafePointer())
@@ -503,7 +503,7 @@
 	var all sync.WaitGroup
 	for i := range 8 {
 		all.Go(func() {
-			nodes[3].client.Keep(ctx, fmt.Sprint("busy", i), func(ctx context.Context, _ *Grip) bool {
+			nodes[3].client.Hold(ctx, fmt.Sprint("busy", i), func(ctx context.Context, _ *HeldLease) bool {
 				had.Add(1)
 				<-ctx.Done()
 				return false
--- a/internal/cluster/full_test.go
+++ b/internal/cluster/full_test.go
@@ -26,7 +26,7 @@
 	t.Cleanup(func() { folderFault.Store(nil) })
 	again := Start(all[2], figures{}, time.Second, 256, zap.NewNop())
 	t.Cleanup(sync.OnceFunc(again.Close))
-	eventually(t, "it doesn't say why it is no voter", func() bool { s := again.status(); return !s.Voter && strings.Contains(s.Broken, "no space left") })
+	eventually(t, "it doesn't say why it is no voter", func() bool { s := again.status(); return !s.Voter && strings.Contains(s.VoterError, "no space left") })
 	folderFault.Store(nil)
 	eventually(t, "it doesn't vote again", func() bool { return again.status().Voter })
 }
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -86,36 +86,36 @@
 
 var (
 	goldenHolder = lease.Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
-	goldenTerms  = lease.Terms{Kind: lease.RateKind, Bounds: "origin", Units: 40, Each: 2.5, Apart: 1, Nodes: 4, Revision: 3}
-	goldenBudget = lease.Budget{Terms: goldenTerms, Parts: map[string]lease.Part{"node/n1": {Token: 19, Units: 7}}}
+	goldenTerms  = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
+	goldenBudget = lease.Budget{BudgetConfig: goldenTerms, Quotas: map[string]lease.Quota{"node/n1": {Token: 19, Units: 7}}}
 )
 
 // goldenCalls has each call with its argument and its answer.
 func goldenCalls() map[string][2]any {
 	return map[string][2]any{
-		"Ask": {Asked{Kind: lease.Do, Name: "roll-up", Fact: "roll-up/x", Holder: goldenHolder, Token: 19, Number: 5, Wait: 7500, Value: []byte("v")},
-			Answered{Token: 19, Holder: goldenHolder, Length: 30000, Refusal: refusalOf(lease.ErrHeld), Leader: "10.0.0.2:7100"}},
-		"Status": {struct{}{}, Status{Node: "n1", ID: "n1.0badcafe", Voter: true, Broken: "b", Leader: "n2.feedface", At: "10.0.0.2:7100", Leads: true,
-			Reign: 3, ViewMs: -1, Fleet: "f", Tokens: 21, Voters: []Member{{ID: "n1.0badcafe", Address: "10.0.0.1:7100"}},
-			Leases: []Held{{Name: "roll-up", Holder: goldenHolder, Token: 19, LeftMs: 2900, Waiting: 2}},
-			Facts:  map[string]lease.Fact{"roll-up": {Token: 19, Number: 5, Value: []byte("v")}}, Entries: 9, Rounds: 4, New: true, Revision: 11,
+		"Ask": {LeaseRequest{Kind: lease.OpEffect, Name: "roll-up", Effect: "roll-up/x", Holder: goldenHolder, Token: 19, Number: 5, Wait: 7500, Value: []byte("v")},
+			LeaseResponse{Token: 19, Holder: goldenHolder, Duration: 30000, Error: toWireError(lease.ErrHeld), Leader: "10.0.0.2:7100"}},
+		"Status": {struct{}{}, Status{Node: "n1", ID: "n1.0badcafe", Voter: true, VoterError: "b", Leader: "n2.feedface", LeaderAddress: "10.0.0.2:7100", IsLeader: true,
+			Term: 3, LastContactMs: -1, Cluster: "f", LastToken: 21, Voters: []VoterInfo{{ID: "n1.0badcafe", Address: "10.0.0.1:7100"}},
+			Leases:  []LeaseStatus{{Name: "roll-up", Holder: goldenHolder, Token: 19, RemainingMs: 2900, Waiting: 2}},
+			Effects: map[string]lease.Effect{"roll-up": {Token: 19, Number: 5, Value: []byte("v")}}, Entries: 9, QuorumRounds: 4, New: true, Revision: 11,
 			Budgets: map[string]BudgetState{"origin-rate": {goldenBudget, 9, 2}}}},
 		"Watch":     {uint64(11), Status{}},
 		"Figures":   {struct{}{}, map[string]int64{"served": 7}},
-		"Bootstrap": {Founding{Voters: []Member{{ID: "n1.0badcafe", Address: "10.0.0.1:7100"}}}, struct{}{}},
-		"Found":     {Founding{After: 17}, struct{}{}},
-		"Change":    {Change{Add: "n4", Remove: "n3", Address: "10.0.0.4:7100"}, "n4.0badcafe"},
-		"Term":      {struct{}{}, Word{ID: "n1.0badcafe", Term: 3}},
-		"Rest":      {Resting{Servers: map[string]string{"c-1": "10.0.1.1:80"}}, []lease.News{{ID: "c-1", Well: true, Next: 12500}}},
-		"Due":       {uint64(19), []lease.Trial{{ID: "c-1", Address: "10.0.1.1:80"}}},
-		"Result":    {Outcome{Token: 19, ID: "c-1", Well: true}, struct{}{}},
-		"Part": {budget.Ask{Lease: "node/n1", Token: 18, Weight: 2, Wait: 7500,
-			Holds:    []budget.Hold{{Budget: "origin-rate", Token: 19, Units: 7, Want: 9, Keep: -1, Revision: 3}},
-			Declares: map[string]lease.Terms{"origin-rate": goldenTerms}},
-			Parted{News: []budget.News{{Budget: "origin-rate", Terms: goldenTerms, Part: lease.Part{Token: 19, Units: 7}, Keep: 5, Given: 30, Reserve: 2}},
-				Refusal: refusalOf(fmt.Errorf("%w: name", lease.ErrForm))}},
-		"Lend":     {struct{}{}, Lent{All: []budget.Lent{{Name: "origin-rate", Units: 3, Terms: goldenTerms}}, For: 1000}},
-		"SetWhole": {NewWhole{Name: "origin-rate", Whole: 120.5}, BudgetState{goldenBudget, 9, 2}},
+		"Bootstrap": {BootstrapRequest{Voters: []VoterInfo{{ID: "n1.0badcafe", Address: "10.0.0.1:7100"}}}, struct{}{}},
+		"Found":     {BootstrapRequest{LastToken: 17}, struct{}{}},
+		"Change":    {MembershipChange{Add: "n4", Remove: "n3", Address: "10.0.0.4:7100"}, "n4.0badcafe"},
+		"Term":      {struct{}{}, TermVote{ID: "n1.0badcafe", Term: 3}},
+		"Rest":      {EjectionReport{Servers: map[string]string{"c-1": "10.0.1.1:80"}}, []lease.ProbeStatus{{ID: "c-1", Healthy: true, NextProbe: 12500}}},
+		"Due":       {uint64(19), []lease.Probe{{ID: "c-1", Address: "10.0.1.1:80"}}},
+		"Result":    {ProbeReport{Token: 19, ID: "c-1", Healthy: true}, struct{}{}},
+		"Part": {budget.Request{Lease: "node/n1", Token: 18, Weight: 2, Wait: 7500,
+			Held:     []budget.Holding{{Budget: "origin-rate", Token: 19, Units: 7, Demand: 9, ShrinkTo: -1, Revision: 3}},
+			Declared: map[string]lease.BudgetConfig{"origin-rate": goldenTerms}},
+			QuotaResponse{Updates: []budget.QuotaUpdate{{Budget: "origin-rate", Config: goldenTerms, Quota: lease.Quota{Token: 19, Units: 7}, ShrinkTo: 5, Allocated: 30, Reserve: 2}},
+				Error: toWireError(fmt.Errorf("%w: name", lease.ErrMalformed))}},
+		"Lend":     {struct{}{}, LentQuotas{Quotas: []budget.LentQuota{{Name: "origin-rate", Units: 3, Config: goldenTerms}}, Duration: 1000}},
+		"SetWhole": {LimitChange{Name: "origin-rate", Limit: 120.5}, BudgetState{goldenBudget, 9, 2}},
 	}
 }
 
@@ -162,17 +162,17 @@
 // Peers know refusals by these names. The text is for people: one that a peer of another version writes otherwise still comes
 // back as the same error.
 func TestRefusalsKeepTheirNames(t *testing.T) {
-	all := []error{lease.ErrHeld, lease.ErrLapsed, lease.ErrRepeated, lease.ErrReign, lease.ErrFull, lease.ErrForm, lease.ErrUnbegun,
-		lease.ErrBegun, lease.ErrNotLeader, lease.ErrWait, lease.ErrWithdrawn}
+	all := []error{lease.ErrHeld, lease.ErrLeaseExpired, lease.ErrDuplicate, lease.ErrStaleTerm, lease.ErrLimitExceeded, lease.ErrMalformed, lease.ErrNotFounded,
+		lease.ErrAlreadyFounded, lease.ErrNotLeader, lease.ErrStillHeld, lease.ErrWithdrawn}
 	if len(all) != len(refusals) {
 		t.Errorf("%d refusals have names, %d have golden ones", len(refusals), len(all))
 	}
 	for _, err := range all {
-		if got := refusalOf(err).err(); got != err {
+		if got := toWireError(err).err(); got != err {
 			t.Errorf("%v comes back as %v", err, got)
 		}
 		further := fmt.Errorf("%w: further", err)
-		if got := refusalOf(further).err(); !errors.Is(got, err) {
+		if got := toWireError(further).err(); !errors.Is(got, err) {
 			t.Errorf("%v comes back as %v", further, got)
 		}
 	}
@@ -185,7 +185,7 @@
 		t.Fatalf("%d golden refusals, want %d, another and none", len(lines), len(all))
 	}
 	for i, line := range lines {
-		var r refusal
+		var r wireError
 		if err := json.Unmarshal(line, &r); err != nil {
 			t.Fatal(err)
 		}
@@ -193,11 +193,11 @@
 			t.Errorf("%s is written again as %s, %v", line, again, err)
 		}
 		switch got := r.err(); {
-		case i < len(all) && (!errors.Is(got, all[i]) || refusalOf(got).Name != r.Name || refusalOf(all[i]).Name != r.Name):
+		case i < len(all) && (!errors.Is(got, all[i]) || toWireError(got).Name != r.Name || toWireError(all[i]).Name != r.Name):
 			t.Errorf("%s is read as %v, want %v", line, got, all[i])
-		case i == len(all) && (got == nil || got.Error() != "another" || refusalOf(got) != r):
+		case i == len(all) && (got == nil || got.Error() != "another" || toWireError(got) != r):
 			t.Errorf("%s is read as %v", line, got)
-		case i > len(all) && (got != nil || refusalOf(nil) != r):
+		case i > len(all) && (got != nil || toWireError(nil) != r):
 			t.Errorf("%s is read as %v, want none", line, got)
 		}
 	}
@@ -206,8 +206,8 @@
 // A peer of another version recognises these texts, which net/rpc carries as they are.
 func TestErrorsOfCallsKeepTheirTexts(t *testing.T) {
 	for err, want := range map[error]string{
-		lease.ErrNotLeader: "not the leader",
-		lease.ErrBegun:     "the fleet is founded already",
+		lease.ErrNotLeader:      "not the leader",
+		lease.ErrAlreadyFounded: "the fleet is founded already",
 	} {
 		c, server := net.Pipe()
 		s := rpc.NewServer()
@@ -217,7 +217,7 @@
 		go s.ServeCodec(jsonrpc.NewServerCodec(server))
 		client := jsonrpc.NewClient(c)
 		var reply struct{}
-		if got := call(client, "Fleet.Found", &Founding{}, &reply, time.Second); got == nil || got.Error() != want {
+		if got := call(client, "Fleet.Found", &BootstrapRequest{}, &reply, time.Second); got == nil || got.Error() != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 		_ = client.Close()
@@ -226,4 +226,4 @@
 
 type failing struct{ err error }
 
-func (f *failing) Found(*Founding, *struct{}) error { return f.err }
+func (f *failing) Found(*BootstrapRequest, *struct{}) error { return f.err }
--- a/internal/cluster/keep.go
+++ b/internal/cluster/keep.go
@@ -14,18 +14,18 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// ErrUnknown says that nobody knows whether an act was done.
-var ErrUnknown = errors.New("no answer: the act may have been done")
+// ErrOutcomeUnknown says that nobody knows whether an act was done.
+var ErrOutcomeUnknown = errors.New("no answer: the act may have been done")
 
-// Grip is a lease that is held, or was.
-type Grip struct {
+// HeldLease is a lease that is held, or was.
+type HeldLease struct {
 	c      *Client
 	name   string
 	holder lease.Holder
 	ctx    context.Context // ends when it is lost
 
 	mu    sync.Mutex
-	claim *lease.Claim
+	claim *lease.Claimant
 	alarm alarm
 	token uint64
 	held  chan struct{} // closed when it is held first
@@ -36,22 +36,22 @@
 }
 
 // claim asks for a name until it is dropped.
-func (c *Client) claim(ctx context.Context, name string) *Grip {
-	g := &Grip{c: c, name: name, held: make(chan struct{}), freed: make(chan struct{}),
+func (c *Client) claim(ctx context.Context, name string) *HeldLease {
+	g := &HeldLease{c: c, name: name, held: make(chan struct{}), freed: make(chan struct{}),
 		holder: lease.Holder{Name: c.fleet.Node, Process: os.Getpid(), Start: c.start()}}
 	g.ctx, g.lost = context.WithCancel(ctx)
 	g.alarm = newAlarm(g.ring)
-	short := lease.Short(tenths(c.fleet.Lease), c.fleet.MaxDrift)
+	short := lease.HolderDuration(tenths(c.fleet.Lease), c.fleet.MaxDrift)
 	if faults.Without(faults.DriftMargin) {
 		short = tenths(c.fleet.Lease)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.claim = lease.NewClaim((*claims)(g), now(), name, g.holder, tenths(c.fleet.Lease), short, uint64(g.holder.Start))
+	g.claim = lease.NewClaimant((*claims)(g), now(), name, g.holder, tenths(c.fleet.Lease), short, uint64(g.holder.Start))
 	return g
 }
 
-func (g *Grip) ring() {
+func (g *HeldLease) ring() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.over {
@@ -60,11 +60,11 @@
 }
 
 // claims is what the claim acts through. Its methods run with the lock held.
-type claims Grip
+type claims HeldLease
 
-func (g *claims) Wake(at lease.Time) { g.alarm.set(at) }
+func (g *claims) SetAlarm(at lease.Time) { g.alarm.set(at) }
 
-func (g *claims) Held(token uint64) {
+func (g *claims) Granted(token uint64) {
 	if g.token == 0 {
 		g.token = token
 		close(g.held)
@@ -78,7 +78,7 @@
 	}
 }
 
-func (g *claims) Ask(a lease.Ask) {
+func (g *claims) Send(a lease.Request) {
 	sent := now()
 	go func() {
 		x, err := g.c.traced(a)
@@ -87,21 +87,21 @@
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if a.Kind == lease.Release || a.Kind == lease.Withdraw {
+		if a.Operation == lease.OpRelease || a.Operation == lease.OpWithdraw {
 			close(g.freed)
 			g.freed = make(chan struct{})
 		}
 		if err != nil {
 			g.c.log.Debug("an asking came to nothing", zap.String("lease", g.name), zap.Error(err))
 			if g.claim != nil {
-				g.claim.Unanswered(now())
+				g.claim.HandleTimeout(now())
 			}
 			return
 		}
 		if g.claim != nil {
-			g.claim.Answered(now(), sent, x)
+			g.claim.HandleResponse(now(), sent, x)
 		}
-		if errors.Is(x.Err, lease.ErrWait) && g.name == session(g.c.fleet.Node) && !g.told {
+		if errors.Is(x.Err, lease.ErrStillHeld) && g.name == session(g.c.fleet.Node) && !g.told {
 			g.told = true
 			g.c.log.Warn("name: another process has our name in the fleet; until its lease ends this one takes no part",
 				zap.Stringer("who", x.Holder))
@@ -111,12 +111,12 @@
 
 // trace is told of each asking of this process before it is sent, and what it gives back of its answer; only the rig's
 // build sets it.
-var trace func(a lease.Ask) func(x lease.Answer, err error)
+var trace func(a lease.Request) func(x lease.Response, err error)
 
 // traceParts is told of each answer about budgets; only the rig's build sets it.
-var traceParts func(node string, news []budget.News)
+var traceParts func(node string, news []budget.QuotaUpdate)
 
-func (c *Client) traced(a lease.Ask) (x lease.Answer, err error) {
+func (c *Client) traced(a lease.Request) (x lease.Response, err error) {
 	if trace != nil {
 		told := trace(a)
 		defer func() { told(x, err) }()
@@ -125,11 +125,11 @@
 }
 
 // drop gives it up, and waits until that was heard or a call's time is over.
-func (g *Grip) drop() {
+func (g *HeldLease) drop() {
 	g.mu.Lock()
 	freed := g.freed
 	g.over = true
-	g.claim.Drop(now())
+	g.claim.Release(now())
 	g.mu.Unlock()
 	select {
 	case <-freed:
@@ -140,51 +140,51 @@
 
 // May says whether an act that takes so long may begin now. What it says is old at once: the process may stand still
 // before the act, so the act carries the token to a door that refuses what is old, or is bounded by the time told here.
-func (g *Grip) May(takes time.Duration) bool {
+func (g *HeldLease) May(takes time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, may := g.claim.May(now(), tenths(takes))
+	_, may := g.claim.MayAct(now(), tenths(takes))
 	return may && g.ctx.Err() == nil // once lost it stays so, whatever the claim comes to
 }
 
-// Left gives how long it is held for sure.
-func (g *Grip) Left() time.Duration {
+// Remaining gives how long it is held for sure.
+func (g *HeldLease) Remaining() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return max(0, span(g.claim.End()-now()))
+	return max(0, span(g.claim.Expiry()-now()))
 }
 
 // End gives until when it is held, by our clock.
-func (g *Grip) End() lease.Time {
+func (g *HeldLease) End() lease.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.claim.End()
+	return g.claim.Expiry()
 }
 
 // Token is of this holding; tokens only grow.
-func (g *Grip) Token() uint64 {
+func (g *HeldLease) Token() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.token
 }
 
 // Do acts on a fact of the fleet, which refuses an old token, and a number that isn't above the fact's last.
-func (g *Grip) Do(fact string, number uint64, value []byte) error {
+func (g *HeldLease) Do(fact string, number uint64, value []byte) error {
 	if !g.May(0) {
-		return lease.ErrLapsed
+		return lease.ErrLeaseExpired
 	}
 	faults.Point(faults.BeforeAct)
-	a := lease.Ask{Kind: lease.Do, Name: g.name, Holder: g.holder, Token: g.Token(), Fact: fact, Number: number, Value: value}
+	a := lease.Request{Operation: lease.OpEffect, Name: g.name, Holder: g.holder, Token: g.Token(), Effect: fact, Number: number, Value: value}
 	x, err := g.c.traced(a)
 	if err != nil || errors.Is(x.Err, lease.ErrNotLeader) {
-		return errors.Join(ErrUnknown, err)
+		return errors.Join(ErrOutcomeUnknown, err)
 	}
 	return x.Err
 }
 
-// Keep claims a name until the context ends, and runs f each time it is held; f's context ends with the holding. What f
+// Hold claims a name until the context ends, and runs f each time it is held; f's context ends with the holding. What f
 // leaves is given back, and claimed again if f says so.
-func (c *Client) Keep(ctx context.Context, name string, f func(context.Context, *Grip) (again bool)) {
+func (c *Client) Hold(ctx context.Context, name string, f func(context.Context, *HeldLease) (again bool)) {
 	for ctx.Err() == nil {
 		g := c.claim(ctx, name)
 		again := true
--- a/internal/cluster/porch_test.go
+++ b/internal/cluster/porch_test.go
@@ -80,20 +80,20 @@
 	told  chan struct{}
 }
 
-func (s slow) Figures() map[string]int64 {
+func (s slow) Metrics() map[string]int64 {
 	s.asked <- struct{}{}
 	<-s.told
 	return s.figures
 }
 
 // answering is a porch that answers calls about figures.
-func answering(t *testing.T, most int, rest time.Duration, own Own) (p *porch, d dialer, at string) {
+func answering(t *testing.T, most int, rest time.Duration, own LocalNode) (p *porch, d dialer, at string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = newPorch(l, most, rest, "f", 5*time.Second, func() string { return "v" }, (&Fellows{own: own}).answer)
+	p = newPorch(l, most, rest, "f", 5*time.Second, func() string { return "v" }, (&Member{own: own}).answer)
 	go p.serve()
 	t.Cleanup(p.close)
 	return p, dialer{fleet: "f", node: "n"}, l.Addr().String()
@@ -256,14 +256,14 @@
 	asked, told chan struct{}
 }
 
-func (v *counter) Ask(a *Asked, x *Answered) error {
+func (v *counter) Ask(a *LeaseRequest, x *LeaseResponse) error {
 	switch {
 	case a.Name == "slow":
 		v.asked <- struct{}{}
 		<-v.told
 		x.Token = 2
 	case v.leader != "":
-		*x = Answered{Refusal: refusalOf(lease.ErrNotLeader), Leader: v.leader}
+		*x = LeaseResponse{Error: toWireError(lease.ErrNotLeader), Leader: v.leader}
 	default:
 		x.Token = 1
 	}
@@ -294,12 +294,12 @@
 	defer c.Close()
 	over := make(chan string, 1)
 	go func() {
-		x, err := c.ask(lease.Ask{Name: "slow"})
+		x, err := c.ask(lease.Request{Name: "slow"})
 		over <- fmt.Sprint(x.Token, err, x.Err)
 	}()
 	<-v.asked
 	for range 3 {
-		if x, err := c.ask(lease.Ask{Name: "n"}); err != nil || x.Err != nil || x.Token != 1 {
+		if x, err := c.ask(lease.Request{Name: "n"}); err != nil || x.Err != nil || x.Token != 1 {
 			t.Fatalf("%+v, %v", x, err)
 		}
 	}
@@ -314,7 +314,7 @@
 		t.Errorf("the call on what was dropped: %s", got)
 	}
 	eventually(t, "the other's connection stays", func() bool { there, _ := other.held(); return there == 0 })
-	if x, err := c.ask(lease.Ask{Name: "n"}); err != nil || x.Token != 1 {
+	if x, err := c.ask(lease.Request{Name: "n"}); err != nil || x.Token != 1 {
 		t.Errorf("%+v, %v", x, err)
 	}
 	if here, _ := leads.held(); here != 1 || len(c.out) != 0 {
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -22,31 +22,31 @@
 	restsMost  = 4096                   // servers that one node may tell of in one call
 )
 
-// Resting is a node's word about its resting servers, addresses by id.
-type Resting struct {
+// EjectionReport is a node's word about its resting servers, addresses by id.
+type EjectionReport struct {
 	Servers map[string]string `json:"Servers"`
 }
 
-// Outcome is how a trial went, told under the token of the task.
-type Outcome struct {
-	Token uint64 `json:"Token"`
-	ID    string `json:"ID"`
-	Well  bool   `json:"Well"`
+// ProbeReport is how a trial went, told under the token of the task.
+type ProbeReport struct {
+	Token   uint64 `json:"Token"`
+	ID      string `json:"ID"`
+	Healthy bool   `json:"Well"`
 }
 
 // Rest tells the leader of resting servers, and gives what trials came to.
-func (l *line) Rest(r *Resting, news *[]lease.News) error {
+func (l *line) Rest(r *EjectionReport, news *[]lease.ProbeStatus) error {
 	v := l.f.voter()
 	if v == nil || len(r.Servers) > restsMost {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.keeper.Leads() {
+	if !v.keeper.IsLeader() {
 		return lease.ErrNotLeader
 	}
 	for id, address := range r.Servers {
-		if n, known := v.board.Rest(now(), id, address); known {
+		if n, known := v.board.ReportEjected(now(), id, address); known {
 			*news = append(*news, n)
 		}
 	}
@@ -54,29 +54,29 @@
 }
 
 // Due gives the trials that are to be made now.
-func (l *line) Due(token *uint64, trials *[]lease.Trial) error {
+func (l *line) Due(token *uint64, trials *[]lease.Probe) error {
 	v := l.f.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.keeper.Leads() {
+	if !v.keeper.IsLeader() {
 		return lease.ErrNotLeader
 	}
-	*trials = append(*trials, v.board.Due(now(), *token)...) // never null, which the other end takes for a broken connection
+	*trials = append(*trials, v.board.DueProbes(now(), *token)...) // never null, which the other end takes for a broken connection
 	return nil
 }
 
 // Result takes what one came to.
-func (l *line) Result(o *Outcome, _ *struct{}) error {
+func (l *line) Result(o *ProbeReport, _ *struct{}) error {
 	v := l.f.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.board.Result(now(), o.Token, o.ID, o.Well)
+	v.board.ReportResult(now(), o.Token, o.ID, o.Healthy)
 	return nil
 }
 
@@ -102,7 +102,7 @@
 }
 
 // hear tells the fleet of our resting servers, and our module of how their trials went. In silence it tries by itself.
-func (f *Fellows) hear(ctx context.Context) {
+func (f *Member) hear(ctx context.Context) {
 	for every := time.NewTicker(tellEvery); ; {
 		select {
 		case <-ctx.Done():
@@ -110,23 +110,23 @@
 			return
 		case <-every.C:
 		}
-		resting := f.own.Resting()
+		resting := f.own.EjectedEndpoints()
 		if len(resting) == 0 {
 			continue
 		}
-		var news []lease.News
-		if err := f.client.plainly("Fleet.Rest", &Resting{resting}, &news); err != nil {
+		var news []lease.ProbeStatus
+		if err := f.client.plainly("Fleet.Rest", &EjectionReport{resting}, &news); err != nil {
 			f.log.Debug("the fleet is silent about resting servers", zap.Error(err))
 			continue
 		}
 		for _, n := range news {
-			f.own.Tried(n.ID, resting[n.ID], n.Well, span(n.Next))
+			f.own.ProbeResult(n.ID, resting[n.ID], n.Healthy, span(n.NextProbe))
 		}
 	}
 }
 
 // probe tries resting servers for all nodes.
-func (f *Fellows) probe(ctx context.Context, g *Grip) bool {
+func (f *Member) probe(ctx context.Context, g *HeldLease) bool {
 	h := &http.Client{Timeout: trialIn, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: trialIn}).DialContext},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
@@ -140,7 +140,7 @@
 			return true
 		case <-every.C:
 		}
-		var due []lease.Trial
+		var due []lease.Probe
 		token := g.Token()
 		if f.client.plainly("Fleet.Due", &token, &due) != nil {
 			continue
@@ -157,14 +157,14 @@
 			trying.Go(func() {
 				defer func() { <-places }()
 				well := f.try(ctx, h, t)
-				_ = f.client.plainly("Fleet.Result", &Outcome{token, t.ID, well}, &struct{}{})
+				_ = f.client.plainly("Fleet.Result", &ProbeReport{token, t.ID, well}, &struct{}{})
 			})
 		}
 	}
 }
 
 // try asks one server. Any answer but an error of its own says that it is well.
-func (f *Fellows) try(ctx context.Context, h *http.Client, t lease.Trial) bool {
+func (f *Member) try(ctx context.Context, h *http.Client, t lease.Probe) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address+f.fleet.ProbePath, nil)
 	if err != nil {
 		return false
--- a/internal/cluster/rejoin.go
+++ b/internal/cluster/rejoin.go
@@ -34,7 +34,7 @@
 }
 
 // rejoin starts the voter anew when it has ended by an error of its folder that may have gone by, until the context ends.
-func (f *Fellows) rejoin(ctx context.Context) {
+func (f *Member) rejoin(ctx context.Context) {
 	for wait := rejoinFirst; ; wait = min(2*wait, rejoinMost) {
 		v := f.voter()
 		if v != nil {
@@ -65,7 +65,7 @@
 }
 
 // out says why this node doesn't vote, though it has a folder; nil: it does, or it leaves.
-func (f *Fellows) out() error {
+func (f *Member) out() error {
 	f.mu.Lock()
 	v, err := f.votes, f.broken
 	f.mu.Unlock()
--- a/internal/cluster/rejoin_test.go
+++ b/internal/cluster/rejoin_test.go
@@ -38,18 +38,18 @@
 			done := make(chan uint64, 1)
 			ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 			defer stop()
-			go client.Keep(ctx, "again", func(_ context.Context, g *Grip) bool { // asks all the while
+			go client.Hold(ctx, "again", func(_ context.Context, g *HeldLease) bool { // asks all the while
 				done <- g.Token()
 				return true
 			})
-			eventually(t, "both vote on", func() bool { return nodes[1].status().Broken != "" && nodes[2].status().Broken != "" })
+			eventually(t, "both vote on", func() bool { return nodes[1].status().VoterError != "" && nodes[2].status().VoterError != "" })
 			time.Sleep(500 * time.Millisecond)
 			failing.Store(false)
 			eventually(t, "they don't come back", func() bool { return nodes[1].status().Voter && nodes[2].status().Voter })
 			select {
 			case token := <-done:
-				if token <= before.Tokens {
-					t.Errorf("token %d after %d: what was promised is forgotten", token, before.Tokens)
+				if token <= before.LastToken {
+					t.Errorf("token %d after %d: what was promised is forgotten", token, before.LastToken)
 				}
 			case <-ctx.Done():
 				t.Fatal("no lease is given out")
--- a/internal/cluster/rollup_test.go
+++ b/internal/cluster/rollup_test.go
@@ -20,7 +20,7 @@
 	wallClock = func() time.Time { return clock.Wall().Add(time.Duration(offset.Load())) }
 	core, logs := observer.New(zap.InfoLevel)
 	all := fleetOf(t, 3)
-	var nodes []*Fellows
+	var nodes []*Member
 	for _, f := range all {
 		f.Tasks = []string{config.TaskRollUp}
 		nodes = append(nodes, Start(f, figures{"resolved": 1}, time.Second, 256, zap.New(core)))
@@ -35,7 +35,7 @@
 	})
 	c := NewClient(all[0], zap.NewNop())
 	t.Cleanup(c.Close)
-	eventually(t, "the fleet is not founded", func() bool { return c.Found(0) == nil })
+	eventually(t, "the fleet is not founded", func() bool { return c.FoundCluster(0) == nil })
 	lines := func() int { return logs.FilterMessage("roll-up").Len() }
 	eventually(t, "no period is written", func() bool { return lines() > 0 })
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour, -2 * time.Second} {
--- a/internal/cluster/round.go
+++ b/internal/cluster/round.go
@@ -16,14 +16,14 @@
 // on its way already (replication.go, heartbeat: notifyAll after AppendEntries returns), and a leader that was stopped and
 // wakes finds such answers in its queues beside askings that came in between.
 
-// Word is what a voter tells in a round.
-type Word struct {
+// TermVote is what a voter tells in a round.
+type TermVote struct {
 	ID   string `json:"ID"`
 	Term uint64 `json:"Term"`
 }
 
 // Term tells the latest term in which this voter has voted, or may have.
-func (l *line) Term(_ *struct{}, w *Word) error {
+func (l *line) Term(_ *struct{}, w *TermVote) error {
 	v := l.f.voter()
 	if v == nil {
 		return lease.ErrNotLeader
@@ -34,7 +34,7 @@
 	if ended {
 		return lease.ErrNotLeader
 	}
-	*w = Word{v.paper.ID, v.raft.CurrentTerm()}
+	*w = TermVote{v.paper.ID, v.raft.CurrentTerm()}
 	return nil
 }
 
@@ -111,7 +111,7 @@
 				words <- false
 				return
 			}
-			var w Word
+			var w TermVote
 			if err := call(c, "Fleet.Term", &struct{}{}, &w, v.within); err != nil {
 				v.part(s.ID, c)
 				words <- false
--- a/internal/cluster/service.go
+++ b/internal/cluster/service.go
@@ -25,11 +25,11 @@
 
 // The calls' arguments and answers, as they stand on the wire.
 
-// Asked is an asking of a lease.
-type Asked struct {
+// LeaseRequest is an asking of a lease.
+type LeaseRequest struct {
 	Kind   string       `json:"Kind"`
 	Name   string       `json:"Name"`
-	Fact   string       `json:"Fact"`
+	Effect string       `json:"Fact"`
 	Holder lease.Holder `json:"Holder"`
 	Token  uint64       `json:"Token"`
 	Number uint64       `json:"Number"`
@@ -37,69 +37,69 @@
 	Value  []byte       `json:"Value"`
 }
 
-// Answered is what came of it. Leader is where to ask instead.
-type Answered struct {
-	Token   uint64       `json:"Token"`
-	Holder  lease.Holder `json:"Holder"`
-	Length  int64        `json:"Length"`
-	Refusal refusal      `json:"Refusal"`
-	Leader  string       `json:"Leader"`
+// LeaseResponse is what came of it. Leader is where to ask instead.
+type LeaseResponse struct {
+	Token    uint64       `json:"Token"`
+	Holder   lease.Holder `json:"Holder"`
+	Duration int64        `json:"Length"`
+	Error    wireError    `json:"Refusal"`
+	Leader   string       `json:"Leader"`
 }
 
 // Status is how the fleet looks from one of its nodes.
 type Status struct {
-	Node     string                 `json:"Node"`
-	ID       string                 `json:"ID"`
-	Voter    bool                   `json:"Voter"`
-	Broken   string                 `json:"Broken"` // why it is no voter, though it has a folder
-	Leader   string                 `json:"Leader"` // name or id, empty: none is known
-	At       string                 `json:"At"`     // the leader's address
-	Leads    bool                   `json:"Leads"`
-	Reign    uint64                 `json:"Reign"`
-	ViewMs   int64                  `json:"ViewMs"` // since the last entry or word of the leader, -1: never
-	Fleet    string                 `json:"Fleet"`
-	Tokens   uint64                 `json:"Tokens"`
-	Voters   []Member               `json:"Voters"`
-	Leases   []Held                 `json:"Leases"`
-	Facts    map[string]lease.Fact  `json:"Facts"`
-	Entries  int                    `json:"Entries"` // applied, since the start
-	Rounds   int                    `json:"Rounds"`  // to a majority, since the start
-	New      bool                   `json:"New"`
-	Revision uint64                 `json:"Revision"` // of the log
-	Budgets  map[string]BudgetState `json:"Budgets"`
+	Node          string                  `json:"Node"`
+	ID            string                  `json:"ID"`
+	Voter         bool                    `json:"Voter"`
+	VoterError    string                  `json:"Broken"` // why it is no voter, though it has a folder
+	Leader        string                  `json:"Leader"` // name or id, empty: none is known
+	LeaderAddress string                  `json:"At"`     // the leader's address
+	IsLeader      bool                    `json:"Leads"`
+	Term          uint64                  `json:"Reign"`
+	LastContactMs int64                   `json:"ViewMs"` // since the last entry or word of the leader, -1: never
+	Cluster       string                  `json:"Fleet"`
+	LastToken     uint64                  `json:"Tokens"`
+	Voters        []VoterInfo             `json:"Voters"`
+	Leases        []LeaseStatus           `json:"Leases"`
+	Effects       map[string]lease.Effect `json:"Facts"`
+	Entries       int                     `json:"Entries"` // applied, since the start
+	QuorumRounds  int                     `json:"Rounds"`  // to a majority, since the start
+	New           bool                    `json:"New"`
+	Revision      uint64                  `json:"Revision"` // of the log
+	Budgets       map[string]BudgetState  `json:"Budgets"`
 }
 
-// Member is a voter, as the members know it.
-type Member struct {
+// VoterInfo is a voter, as the members know it.
+type VoterInfo struct {
 	ID      string `json:"ID"`
 	Address string `json:"Address"`
 }
 
-// Held is a lease. LeftMs is told by the leader alone.
-type Held struct {
-	Name    string       `json:"Name"`
-	Holder  lease.Holder `json:"Holder"`
-	Token   uint64       `json:"Token"`
-	LeftMs  int64        `json:"LeftMs"`
-	Waiting int          `json:"Waiting"`
+// LeaseStatus is a lease. LeftMs is told by the leader alone.
+type LeaseStatus struct {
+	Name        string       `json:"Name"`
+	Holder      lease.Holder `json:"Holder"`
+	Token       uint64       `json:"Token"`
+	RemainingMs int64        `json:"LeftMs"`
+	Waiting     int          `json:"Waiting"`
 }
 
-// Change is an operator's word about voters.
-type Change struct {
+// MembershipChange is an operator's word about voters.
+type MembershipChange struct {
 	Add     string `json:"Add"` // names
 	Remove  string `json:"Remove"`
 	Address string `json:"Address"`
 }
 
-// Founding begins a fleet.
-type Founding struct {
-	Voters []Member `json:"Voters"`
-	After  uint64   `json:"After"` // the token before the first
+// BootstrapRequest begins a fleet.
+type BootstrapRequest struct {
+	Voters    []VoterInfo `json:"Voters"`
+	LastToken uint64      `json:"After"` // the token before the first
 }
 
 // line is one fellow's connection.
 type line struct {
-	f    *Fellows
+	f    *Member
 	gone chan struct{}
 }
 
@@ -131,7 +131,7 @@
 }
 
 // answer serves a connection until its end.
-func (f *Fellows) answer(c *inbound) {
+func (f *Member) answer(c *inbound) {
 	l := &line{f: f, gone: make(chan struct{})}
 	s := rpc.NewServer()
 	if err := s.RegisterName("Fleet", l); err != nil {
@@ -147,14 +147,14 @@
 }
 
 // Ask is a claimant's call.
-func (l *line) Ask(a *Asked, x *Answered) error {
+func (l *line) Ask(a *LeaseRequest, x *LeaseResponse) error {
 	v := l.f.voter()
-	got := lease.Answer{Err: lease.ErrNotLeader}
+	got := lease.Response{Err: lease.ErrNotLeader}
 	if v != nil {
-		got = v.ask(lease.Ask{Kind: a.Kind, Name: a.Name, Holder: a.Holder, Token: a.Token, Wait: lease.Time(a.Wait),
-			Fact: a.Fact, Number: a.Number, Value: a.Value}, l.gone)
+		got = v.ask(lease.Request{Operation: a.Kind, Name: a.Name, Holder: a.Holder, Token: a.Token, Wait: lease.Time(a.Wait),
+			Effect: a.Effect, Number: a.Number, Value: a.Value}, l.gone)
 	}
-	*x = Answered{Token: got.Token, Holder: got.Holder, Length: int64(got.Length), Refusal: refusalOf(got.Err)}
+	*x = LeaseResponse{Token: got.Token, Holder: got.Holder, Duration: int64(got.Duration), Error: toWireError(got.Err)}
 	if v != nil && errors.Is(got.Err, lease.ErrNotLeader) {
 		_, x.Leader = v.leader()
 	}
@@ -197,12 +197,12 @@
 
 // Figures tells a node's totals.
 func (l *line) Figures(_ *struct{}, out *map[string]int64) error {
-	*out = l.f.own.Figures()
+	*out = l.f.own.Metrics()
 	return nil
 }
 
 // Bootstrap makes this voter know the first voters of a fleet.
-func (l *line) Bootstrap(c *Founding, _ *struct{}) error {
+func (l *line) Bootstrap(c *BootstrapRequest, _ *struct{}) error {
 	v := l.f.voter()
 	if v == nil {
 		return errors.New("no voter: fleet.folder is not told or can't be used")
@@ -215,12 +215,12 @@
 }
 
 // Found brings the first entry to the log, at the leader.
-func (l *line) Found(c *Founding, _ *struct{}) error {
+func (l *line) Found(c *BootstrapRequest, _ *struct{}) error {
 	v := l.f.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
-	r, err := v.apply(lease.Entry{Kind: lease.Found, Name: v.fleet.Name, Number: c.After})
+	r, err := v.apply(lease.Entry{Kind: lease.KindFoundCluster, Name: v.fleet.Name, Number: c.LastToken})
 	if err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 }
 
 // Change adds or removes one voter, at the leader.
-func (l *line) Change(c *Change, id *string) error {
+func (l *line) Change(c *MembershipChange, id *string) error {
 	v := l.f.voter()
 	if v == nil || v.raft.State() != raft.Leader {
 		return lease.ErrNotLeader
@@ -260,7 +260,7 @@
 	case s.Node != c.Add:
 		return fmt.Errorf("%s is node %q, not %q", c.Address, s.Node, c.Add)
 	case s.ID == "":
-		return fmt.Errorf("%s can't vote: %s", c.Add, s.Broken)
+		return fmt.Errorf("%s can't vote: %s", c.Add, s.VoterError)
 	}
 	*id = s.ID
 	return v.raft.AddVoter(raft.ServerID(s.ID), addressOf(s.ID, c.Address), config.Index(), changeMost).Error()
@@ -275,61 +275,61 @@
 }
 
 // status tells how the fleet looks from here.
-func (f *Fellows) status() Status {
-	s := Status{Node: f.fleet.Node, ViewMs: -1}
+func (f *Member) status() Status {
+	s := Status{Node: f.fleet.Node, LastContactMs: -1}
 	v := f.voter()
 	f.mu.Lock()
 	if f.broken != nil {
-		s.Broken = f.broken.Error()
+		s.VoterError = f.broken.Error()
 	}
 	f.mu.Unlock()
 	if v == nil {
-		if s.Broken == "" {
-			s.Broken = "fleet.folder is not told, so this node only asks"
+		if s.VoterError == "" {
+			s.VoterError = "fleet.folder is not told, so this node only asks"
 		}
-		s.At, s.ViewMs = f.client.heard()
+		s.LeaderAddress, s.LastContactMs = f.client.heard()
 		return s
 	}
 	s.Voter, s.ID = true, v.paper.ID
-	s.Leader, s.At = v.leader()
+	s.Leader, s.LeaderAddress = v.leader()
 	s.Revision = v.raft.AppliedIndex()
 	s.New = v.raft.LastIndex() == 0
 	for _, m := range v.raft.GetConfiguration().Configuration().Servers {
 		at, _ := partsOf(m.Address)
-		s.Voters = append(s.Voters, Member{string(m.ID), at})
+		s.Voters = append(s.Voters, VoterInfo{string(m.ID), at})
 	}
 	if v.raft.State() == raft.Leader {
-		s.ViewMs = 0
+		s.LastContactMs = 0
 	} else if last := v.raft.LastContact(); !last.IsZero() {
-		s.ViewMs = time.Since(last).Milliseconds()
+		s.LastContactMs = time.Since(last).Milliseconds()
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.ended != nil {
-		s.Voter, s.ID, s.Broken = false, "", v.ended.Error()
+		s.Voter, s.ID, s.VoterError = false, "", v.ended.Error()
 	}
-	s.Leads, s.Reign, s.Fleet, s.Tokens = v.keeper.Leads(), v.state.Reign, v.state.Fleet, v.state.Tokens
-	s.Entries, s.Rounds = v.entries, v.rounds
-	s.Facts = maps.Clone(v.state.Facts)
+	s.IsLeader, s.Term, s.Cluster, s.LastToken = v.keeper.IsLeader(), v.state.Term, v.state.Cluster, v.state.LastToken
+	s.Entries, s.QuorumRounds = v.entries, v.rounds
+	s.Effects = maps.Clone(v.state.Effects)
 	s.Budgets = map[string]BudgetState{}
 	for name, b := range v.state.Budgets {
-		want, reserve := v.divider.Wants(name)
+		want, reserve := v.divider.Demand(name)
 		s.Budgets[name] = BudgetState{*b.Clone(), want, reserve}
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.state.Leases)) {
 		l := v.state.Leases[name]
-		h := Held{Name: name, Holder: l.Holder, Token: l.Token, LeftMs: -1}
-		if s.Leads {
-			end, waiting := v.keeper.Left(name)
-			h.LeftMs, h.Waiting = max(0, span(end-now()).Milliseconds()), waiting
+		h := LeaseStatus{Name: name, Holder: l.Holder, Token: l.Token, RemainingMs: -1}
+		if s.IsLeader {
+			end, waiting := v.keeper.Expiry(name)
+			h.RemainingMs, h.Waiting = max(0, span(end-now()).Milliseconds()), waiting
 		}
 		s.Leases = append(s.Leases, h)
 	}
 	return s
 }
 
-// Figures gives what operators see of the fleet from here.
-func (f *Fellows) Figures() map[string]any {
+// Metrics gives what operators see of the fleet from here.
+func (f *Member) Metrics() map[string]any {
 	s := f.status()
 	mine := 0
 	for _, l := range s.Leases {
@@ -338,10 +338,10 @@
 		}
 	}
 	flag := map[bool]int{true: 1}
-	all := map[string]any{"voter": flag[s.Voter], "view_ms": s.ViewMs, "leader": s.At}
+	all := map[string]any{"voter": flag[s.Voter], "view_ms": s.LastContactMs, "leader": s.LeaderAddress}
 	if s.Voter {
-		all["entries"], all["rounds"] = s.Entries, s.Rounds
-		all["leads"], all["reign"], all["tokens"], all["leases"], all["held"] = flag[s.Leads], s.Reign, s.Tokens, len(s.Leases), mine
+		all["entries"], all["rounds"] = s.Entries, s.QuorumRounds
+		all["leads"], all["reign"], all["tokens"], all["leases"], all["held"] = flag[s.IsLeader], s.Term, s.LastToken, len(s.Leases), mine
 	}
 	f.standings(all)
 	return all
--- a/internal/cluster/tasks.go
+++ b/internal/cluster/tasks.go
@@ -20,7 +20,7 @@
 const askedAtOnce = 16 // nodes that a task asks side by side
 
 // task gives what a task does while its lease is held; nil: this build has no such task.
-func (f *Fellows) task(name string) func(context.Context, *Grip) bool {
+func (f *Member) task(name string) func(context.Context, *HeldLease) bool {
 	switch name {
 	case config.TaskRollUp:
 		return f.rollUp
@@ -37,7 +37,7 @@
 	all := map[string]string{}
 	for _, l := range s.Leases {
 		if node, is := strings.CutPrefix(l.Name, session("")); is {
-			if fact, told := s.Facts[l.Name]; told && fact.Token == l.Token {
+			if fact, told := s.Effects[l.Name]; told && fact.Token == l.Token {
 				all[node] = string(fact.Value)
 			}
 		}
@@ -59,7 +59,7 @@
 
 // rollUp writes one line a period for the whole fleet. The fleet itself keeps which period was the last, so none is written
 // twice; one that nobody wrote is told as a gap by who writes next.
-func (f *Fellows) rollUp(ctx context.Context, g *Grip) bool {
+func (f *Member) rollUp(ctx context.Context, g *HeldLease) bool {
 	period := f.fleet.RollUp
 	for {
 		now := wallClock()
@@ -75,7 +75,7 @@
 			f.log.Warn("the fleet can't be asked for its nodes, the period may be a gap", zap.Error(err))
 			continue
 		}
-		last := s.Facts[config.TaskRollUp].Number
+		last := s.Effects[config.TaskRollUp].Number
 		if next := followingPeriod(number, last); next != number {
 			f.log.Warn("the wall clock stands before the fleet's last period, the numbers go on from there", zap.Time("until", at),
 				zap.Uint64("last", last))
@@ -88,11 +88,11 @@
 			text, _ = json.Marshal(x)
 		}
 		switch err := g.Do(config.TaskRollUp, number, text); {
-		case errors.Is(err, lease.ErrRepeated):
+		case errors.Is(err, lease.ErrDuplicate):
 			continue
-		case errors.Is(err, ErrUnknown):
-			if s, asked := f.client.Status(); asked != nil || s.Facts[config.TaskRollUp].Token != g.Token() ||
-				s.Facts[config.TaskRollUp].Number != number {
+		case errors.Is(err, ErrOutcomeUnknown):
+			if s, asked := f.client.Status(); asked != nil || s.Effects[config.TaskRollUp].Token != g.Token() ||
+				s.Effects[config.TaskRollUp].Number != number {
 				f.log.Warn("a period was perhaps not kept, and is not written", zap.Time("until", at), zap.Error(err))
 				continue
 			}
@@ -119,7 +119,7 @@
 }
 
 // gather asks all nodes for their figures.
-func (f *Fellows) gather(nodes map[string]string) (x sheet) {
+func (f *Member) gather(nodes map[string]string) (x sheet) {
 	x.Sums = map[string]int64{}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
--- a/internal/cluster/trial_off.go
+++ b/internal/cluster/trial_off.go
@@ -5,4 +5,4 @@
 import "context"
 
 // trial is the rig's task, which no release has.
-func (f *Fellows) trial() func(context.Context, *Grip) bool { return nil }
+func (f *Member) trial() func(context.Context, *HeldLease) bool { return nil }
--- a/internal/cluster/trial_on.go
+++ b/internal/cluster/trial_on.go
@@ -38,7 +38,7 @@
 
 // Trace lets each asking of this process be told before it is sent, and its answer to what asked gives back; and each
 // answer about budgets. It is called before the first node of the process starts.
-func Trace(asked func(lease.Ask) func(lease.Answer, error), parts func(node string, news []budget.News)) {
+func Trace(asked func(lease.Request) func(lease.Response, error), parts func(node string, news []budget.QuotaUpdate)) {
 	trace, traceParts = asked, parts
 }
 
@@ -64,25 +64,25 @@
 }
 
 // trial acts while it holds the lease: at the door inside the fleet, at one outside, and where no door is.
-func (f *Fellows) trial() func(context.Context, *Grip) bool {
+func (f *Member) trial() func(context.Context, *HeldLease) bool {
 	file, err := os.OpenFile(os.Getenv(RecordVariable), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		f.log.Sugar().Error(err)
 		return nil
 	}
 	r := &record{file: file, who: f.fleet.Node}
-	trace = func(a lease.Ask) func(lease.Answer, error) {
+	trace = func(a lease.Request) func(lease.Response, error) {
 		call := trueBoot()
-		return func(x lease.Answer, err error) {
+		return func(x lease.Response, err error) {
 			if a.Name != config.TaskFaultTest {
 				return
 			}
-			r.write(map[string]any{"what": "ask", "kind": a.Kind, "holder": a.Holder.String(), "asked": a.Token, "call": call,
-				"return": trueBoot(), "token": x.Token, "refusal": refusalOf(x.Err).Name, "unknown": err != nil})
+			r.write(map[string]any{"what": "ask", "kind": a.Operation, "holder": a.Holder.String(), "asked": a.Token, "call": call,
+				"return": trueBoot(), "token": x.Token, "refusal": toWireError(x.Err).Name, "unknown": err != nil})
 		}
 	}
 	go r.lateness()
-	return func(ctx context.Context, g *Grip) bool {
+	return func(ctx context.Context, g *HeldLease) bool {
 		r.write(map[string]any{"what": "held", "at": trueBoot(), "token": g.Token()})
 		over := make(chan struct{})
 		var inside sync.WaitGroup
@@ -127,7 +127,7 @@
 	}
 }
 
-func (f *Fellows) act(r *record, g *Grip, i int) {
+func (f *Member) act(r *record, g *HeldLease, i int) {
 	takes := actLeast + time.Duration(rand.Int64N(int64(actSpread)))
 	if !g.May(takes + actSlack) {
 		return
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -45,13 +45,13 @@
 
 	mu      sync.Mutex
 	state   *lease.State
-	keeper  *lease.Keeper
-	board   *lease.Board
-	divider *budget.Divider
+	keeper  *lease.Manager
+	board   *lease.ProbeScheduler
+	divider *budget.Allocator
 	alarm   alarm
 	divides alarm // the divider's
-	parts   map[uint64]chan budget.Answer
-	waits   map[uint64]chan lease.Answer
+	parts   map[uint64]chan budget.Response
+	waits   map[uint64]chan lease.Response
 	ids     uint64
 	leads   uint64 // changes of leadership so far
 	applied time.Duration
@@ -73,17 +73,17 @@
 	if err := look(path); err != nil {
 		return nil, err
 	}
-	v := &Voter{log: log, fleet: f, paper: p, state: lease.NewState(), board: lease.NewBoard(), waits: map[uint64]chan lease.Answer{},
+	v := &Voter{log: log, fleet: f, paper: p, state: lease.NewState(), board: lease.NewProbeScheduler(), waits: map[uint64]chan lease.Response{},
 		changed: make(chan struct{}), stop: make(chan struct{}), built: make(chan struct{}), down: make(chan struct{}), dialer: l.dialer, within: slowTimes * f.MaxDelay,
 		peers: peers{conns: map[raft.ServerID]*rpc.Client{}}}
-	v.alarm, v.divides, v.parts = newAlarm(v.ring), newAlarm(v.deal), map[uint64]chan budget.Answer{}
-	v.divider = budget.NewDivider(dividing{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
+	v.alarm, v.divides, v.parts = newAlarm(v.ring), newAlarm(v.deal), map[uint64]chan budget.Response{}
+	v.divider = budget.NewAllocator(dividing{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
 	v.once.end = v.end
-	long := lease.Long(tenths(f.Lease), f.MaxDrift)
+	long := lease.GranterDuration(tenths(f.Lease), f.MaxDrift)
 	if faults.Without(faults.DriftMargin) {
 		long = tenths(f.Lease)
 	}
-	v.keeper = lease.NewKeeper(host{v}, v.state, tenths(f.Lease), long)
+	v.keeper = lease.NewManager(host{v}, v.state, tenths(f.Lease), long)
 	logs, err := raftbolt.New(raftbolt.Options{Path: path, BoltOptions: nil})
 	if err != nil {
 		return nil, fmt.Errorf("fleet.folder: %s: %w", path, err)
@@ -153,8 +153,8 @@
 	} else {
 		v.log.Error("this voter ends, its node serves on", zap.Error(err))
 	}
-	v.keeper.Deposed()
-	v.divider.Deposed()
+	v.keeper.Demote()
+	v.divider.Demote()
 	close(v.stop)
 	v.mu.Unlock()
 	// The library waits for each of its goroutines, and one that has filled its way to a voter that is cut off waits for
@@ -203,8 +203,8 @@
 				continue // it hasn't noticed
 			}
 			v.leads++
-			v.keeper.Deposed()
-			v.divider.Deposed()
+			v.keeper.Demote()
+			v.divider.Demote()
 			if is {
 				go v.begin(v.leads)
 			}
@@ -216,17 +216,17 @@
 // begin brings the entry that begins a reign. Once it is applied, all that earlier leaders did is known here.
 func (v *Voter) begin(nth uint64) {
 	for {
-		r, err := v.apply(lease.Entry{Kind: lease.Lead, Name: v.fleet.Node})
+		r, err := v.apply(lease.Entry{Kind: lease.KindNewTerm, Name: v.fleet.Node})
 		v.mu.Lock()
 		if v.leads != nth || v.ended != nil {
 			v.mu.Unlock()
 			return
 		}
 		if err == nil && r.Err == nil {
-			v.keeper.Led(now(), r.Reign)
-			v.divider.Led(now(), r.Reign)
-			v.board = lease.NewBoard()
-			v.log.Info("leads the fleet", zap.Uint64("reign", r.Reign))
+			v.keeper.Promote(now(), r.Term)
+			v.divider.Promote(now(), r.Term)
+			v.board = lease.NewProbeScheduler()
+			v.log.Info("leads the fleet", zap.Uint64("reign", r.Term))
 			v.mu.Unlock()
 			return
 		}
@@ -268,15 +268,15 @@
 	e, err := lease.Decode(l.Data)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if faults.Without(faults.Door) && e.Kind == lease.Act {
+	if faults.Without(faults.Door) && e.Kind == lease.KindEffect {
 		e.Token = m.state.Leases[e.Name].Token
 	}
 	r := lease.Result{Err: err}
 	if err == nil {
 		r = m.state.Apply(e)
 	}
-	if e.Kind == lease.End || e.Kind == lease.Whole {
-		m.divider.Changed(now())
+	if e.Kind == lease.KindRevoke || e.Kind == lease.KindSetBudget {
+		m.divider.StateChanged(now())
 	}
 	m.applied = boot()
 	m.entries++
@@ -328,9 +328,9 @@
 // host is what the keeper acts through. Its methods run with the lock held.
 type host struct{ *Voter }
 
-func (h host) Wake(at lease.Time) { h.alarm.set(at) }
+func (h host) SetAlarm(at lease.Time) { h.alarm.set(at) }
 
-func (h host) Answer(id uint64, a lease.Answer) {
+func (h host) Respond(id uint64, a lease.Response) {
 	if c, waits := h.waits[id]; waits {
 		delete(h.waits, id)
 		c <- a // it has room for this one
@@ -349,7 +349,7 @@
 	}()
 }
 
-func (h host) Confirm(round uint64) {
+func (h host) ConfirmLeadership(round uint64) {
 	nth := h.leads
 	go func() {
 		faults.Point(faults.OnRenewal)
@@ -358,23 +358,23 @@
 		defer h.mu.Unlock()
 		h.rounds++
 		if h.leads == nth {
-			h.keeper.Confirmed(now(), round, led)
+			h.keeper.LeadershipConfirmed(now(), round, led)
 		}
 	}()
 }
 
 // ask brings an asking to the keeper, and waits for its answer or until the caller has gone.
-func (v *Voter) ask(a lease.Ask, gone <-chan struct{}) lease.Answer {
-	c := make(chan lease.Answer, 1)
+func (v *Voter) ask(a lease.Request, gone <-chan struct{}) lease.Response {
+	c := make(chan lease.Response, 1)
 	v.mu.Lock()
 	if v.ended != nil {
 		v.mu.Unlock()
-		return lease.Answer{Err: lease.ErrNotLeader}
+		return lease.Response{Err: lease.ErrNotLeader}
 	}
 	v.ids++
 	id := v.ids
 	v.waits[id] = c
-	v.keeper.Ask(now(), id, a)
+	v.keeper.Handle(now(), id, a)
 	v.mu.Unlock()
 	select {
 	case x := <-c:
@@ -385,8 +385,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.waits, id)
-	v.keeper.Gone(now(), id)
-	return lease.Answer{Err: lease.ErrNotLeader}
+	v.keeper.CallerGone(now(), id)
+	return lease.Response{Err: lease.ErrNotLeader}
 }
 
 // leader tells who leads, as far as is known here.
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -378,29 +378,29 @@
 }
 
 // refusals are those that are told by name.
-var refusals = map[string]error{"held": lease.ErrHeld, "lapsed": lease.ErrLapsed, "repeated": lease.ErrRepeated,
-	"reign": lease.ErrReign, "full": lease.ErrFull, "form": lease.ErrForm, "unfounded": lease.ErrUnbegun,
-	"founded": lease.ErrBegun, "leader": lease.ErrNotLeader, "wait": lease.ErrWait, "withdrawn": lease.ErrWithdrawn}
+var refusals = map[string]error{"held": lease.ErrHeld, "lapsed": lease.ErrLeaseExpired, "repeated": lease.ErrDuplicate,
+	"reign": lease.ErrStaleTerm, "full": lease.ErrLimitExceeded, "form": lease.ErrMalformed, "unfounded": lease.ErrNotFounded,
+	"founded": lease.ErrAlreadyFounded, "leader": lease.ErrNotLeader, "wait": lease.ErrStillHeld, "withdrawn": lease.ErrWithdrawn}
 
-// refusal gives the name and the text of an error, and back.
-type refusal struct {
+// wireError gives the name and the text of an error, and back.
+type wireError struct {
 	Name string `json:"name,omitempty"`
 	Text string `json:"text,omitempty"`
 }
 
-func refusalOf(err error) refusal {
+func toWireError(err error) wireError {
 	if err == nil {
-		return refusal{}
+		return wireError{}
 	}
 	for name, known := range refusals {
 		if errors.Is(err, known) {
-			return refusal{name, err.Error()}
+			return wireError{name, err.Error()}
 		}
 	}
-	return refusal{"other", err.Error()}
+	return wireError{"other", err.Error()}
 }
 
-func (r refusal) err() error {
+func (r wireError) err() error {
 	known, is := refusals[r.Name]
 	switch {
 	case r.Name == "":
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -13,9 +13,9 @@
 // Budget is what a node's papers say of one of its fleet's.
 type Budget struct {
 	Name    string
-	Bound   routing.Bound
+	Bound   routing.Limit
 	Partner string // whose lookups it bounds, if any's
-	lease.Terms
+	lease.BudgetConfig
 }
 
 const (
@@ -24,12 +24,12 @@
 )
 
 // What can be bounded, and by which kinds of budget.
-var bounds = map[string]map[string]routing.Bound{
-	"origin":    {lease.RateKind: routing.OriginRate, lease.NumberKind: routing.OriginRoom},
-	"partner":   {lease.RateKind: routing.PartnerRate},
-	"discovery": {lease.RateKind: routing.ListRate},
-	"cold":      {lease.RateKind: routing.ColdRate},
-	"cache":     {lease.NumberKind: routing.CacheRoom},
+var bounds = map[string]map[string]routing.Limit{
+	"origin":    {lease.RateKind: routing.OriginRate, lease.ConcurrencyKind: routing.OriginConcurrency},
+	"partner":   {lease.RateKind: routing.TenantRate},
+	"discovery": {lease.RateKind: routing.DiscoveryRate},
+	"cold":      {lease.RateKind: routing.SlowStartRate},
+	"cache":     {lease.ConcurrencyKind: routing.CacheConcurrency},
 }
 
 // budgets reads the section's budgets. nodes is how many there may ever be, 0: not told.
@@ -37,24 +37,24 @@
 	for i, v := range list {
 		m, _ := v.(map[string]any)
 		key := fmt.Sprintf("fleet.budgets[%d].", i)
-		b := Budget{Terms: lease.Terms{Nodes: max(1, nodes), Each: 1}}
+		b := Budget{BudgetConfig: lease.BudgetConfig{MaxNodes: max(1, nodes), RatePerUnit: 1}}
 		b.Name, _ = m["name"].(string)
 		b.Kind, _ = m["kind"].(string)
-		b.Bounds, _ = m["bounds"].(string)
+		b.Resource, _ = m["bounds"].(string)
 		whole, _ := m["whole"].(float64)
-		bound, known := bounds[b.Bounds][b.Kind]
+		bound, known := bounds[b.Resource][b.Kind]
 		b.Bound = bound
 		switch {
-		case !lease.Sound(b.Name) || strings.ContainsAny(b.Name, "./:"):
+		case !lease.ValidName(b.Name) || strings.ContainsAny(b.Name, "./:"):
 			fault(key+"name", "a name of letters, digits and -_@")
 		case slices.ContainsFunc(all, func(o Budget) bool { return o.Name == b.Name }):
 			fault(key+"name", fmt.Sprintf("another name than %q, which a budget before it has", b.Name))
-		case bounds[b.Bounds] == nil:
+		case bounds[b.Resource] == nil:
 			fault(key+"bounds", "one of origin, partner, discovery, cold, cache")
 		case !known:
-			fault(key+"kind", "for "+b.Bounds+" "+strings.Join(sortedKeys(bounds[b.Bounds]), " or "))
+			fault(key+"kind", "for "+b.Resource+" "+strings.Join(sortedKeys(bounds[b.Resource]), " or "))
 		}
-		if b.Bounds == "partner" {
+		if b.Resource == "partner" {
 			if b.Partner, _ = m["partner"].(string); !slices.Contains(partners, b.Partner) {
 				fault(key+"partner", "the name of one of settings.tenants")
 			}
@@ -68,10 +68,10 @@
 				fault(key+"burst", "a whole number, 1 or more: how much of the rate may be saved up, and in how many units it is divided")
 				units = 1
 			}
-			b.Each = whole / units
+			b.RatePerUnit = whole / units
 		}
-		if !(whole > 0) || b.Kind == lease.NumberKind && whole != math.Trunc(whole) || whole > 1<<20 {
-			fault(key+"whole", map[bool]string{true: "a whole number above 0", false: "a number above 0"}[b.Kind == lease.NumberKind])
+		if !(whole > 0) || b.Kind == lease.ConcurrencyKind && whole != math.Trunc(whole) || whole > 1<<20 {
+			fault(key+"whole", map[bool]string{true: "a whole number above 0", false: "a number above 0"}[b.Kind == lease.ConcurrencyKind])
 			units = 1
 		}
 		apart := defaultApart
@@ -83,8 +83,8 @@
 			}
 		}
 		b.Units = int(units)
-		b.Apart = int(apart*units/float64(b.Nodes) + 1e-9)
-		if b.Bounds == "discovery" && b.Apart < 1 {
+		b.ReservedPerNode = int(apart*units/float64(b.MaxNodes) + 1e-9)
+		if b.Resource == "discovery" && b.ReservedPerNode < 1 {
 			fault(key+"apart", "a share that leaves each of fleet.nodes a whole unit of burst: a node without the list serves nothing")
 		}
 		all = append(all, b)
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -76,11 +76,11 @@
 		}
 	}
 	address := func(s string) bool { _, _, err := net.SplitHostPort(s); return err == nil }
-	words("name", &f.Name, true, lease.Sound, "a name of letters, digits and -_./:@")
+	words("name", &f.Name, true, lease.ValidName, "a name of letters, digits and -_./:@")
 	words("address", &f.Address, true, address, "an address as 10.0.0.4:7100")
 	words("folder", &f.Folder, false, func(s string) bool { return s != "" }, "a folder that lasts")
 	words("probe_path", &f.ProbePath, false, func(s string) bool { return s[:min(1, len(s))] == "/" }, "a path as /up")
-	if !lease.Sound(node) {
+	if !lease.ValidName(node) {
 		fault("name", "a name of letters, digits and -_./:@, since the fleet knows the node by it")
 	}
 	spans := func(key string, into *time.Duration, least, most time.Duration) {
@@ -113,7 +113,7 @@
 		name, _ := x["name"].(string)
 		at, _ := x["address"].(string)
 		switch key := fmt.Sprintf("fleet.voters[%d].", i); {
-		case !lease.Sound(name):
+		case !lease.ValidName(name):
 			fault(key+"name", "a name of letters, digits and -_./:@")
 		case names[name]:
 			fault(key+"name", fmt.Sprintf("another name than %q, which a voter before it has", name))
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -238,9 +238,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Budget{{"fetches", routing.OriginRate, "", lease.Terms{Kind: "rate", Bounds: "origin", Units: 200, Each: 0.5, Apart: 2, Nodes: 10}},
-		{"room", routing.OriginRoom, "", lease.Terms{Kind: "number", Bounds: "origin", Units: 40, Each: 1, Apart: 2, Nodes: 10}},
-		{"acme", routing.PartnerRate, "acme", lease.Terms{Kind: "rate", Bounds: "partner", Units: 5, Each: 10, Nodes: 10}}}
+	want := []Budget{{"fetches", routing.OriginRate, "", lease.BudgetConfig{Kind: "rate", Resource: "origin", Units: 200, RatePerUnit: 0.5, ReservedPerNode: 2, MaxNodes: 10}},
+		{"room", routing.OriginConcurrency, "", lease.BudgetConfig{Kind: "number", Resource: "origin", Units: 40, RatePerUnit: 1, ReservedPerNode: 2, MaxNodes: 10}},
+		{"acme", routing.TenantRate, "acme", lease.BudgetConfig{Kind: "rate", Resource: "partner", Units: 5, RatePerUnit: 10, MaxNodes: 10}}}
 	if !reflect.DeepEqual(s.Fleet.Budgets, want) || s.Fleet.Weight != 2.5 {
 		t.Errorf("%+v, weight %g", s.Fleet.Budgets, s.Fleet.Weight)
 	}
