--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -31,16 +31,16 @@
 	idMost      = 256                    // bytes of an id; those on the list are far shorter
 )
 
-// ErrUnlisted says that the list never told of a server.
-var ErrUnlisted = errors.New("no such server was ever listed")
+// ErrUnknownServer says that the list never told of a server.
+var ErrUnknownServer = errors.New("no such server was ever listed")
 
 // Node is what calls are about.
 type Node interface {
-	// Serves says whether clients are taken.
-	Serves() bool
-	// TakeOut takes a server out, and PutBack uses it again. Both have happened when they return nil.
-	TakeOut(id string) error
-	PutBack(id string) error
+	// Serving says whether clients are taken.
+	Serving() bool
+	// Eject takes a server out, and PutBack uses it again. Both have happened when they return nil.
+	Eject(id string) error
+	Restore(id string) error
 	// Fleet gives figures of the node's fleet by name; none where it has none.
 	Fleet() map[string]any
 }
@@ -49,13 +49,13 @@
 type Admin struct {
 	log     *zap.Logger
 	node    Node
-	figures *metrics.Figures
+	figures *metrics.Metrics
 	server  *http.Server
 	places  *places
 }
 
 // New makes the address; most is how many connections it may hold.
-func New(n Node, f *metrics.Figures, most int, log *zap.Logger) *Admin {
+func New(n Node, f *metrics.Metrics, most int, log *zap.Logger) *Admin {
 	a := &Admin{log: log, node: n, figures: f, places: newPlaces(most)}
 	a.server = &http.Server{Handler: a, MaxHeaderBytes: headersMost, ReadHeaderTimeout: headersIn,
 		ReadTimeout: headersIn, WriteTimeout: headersIn + answerIn, ErrorLog: zap.NewStdLog(log),
@@ -118,9 +118,9 @@
 	case path == figuresPath:
 		act = func() (int, string) { return http.StatusOK, a.page() }
 	case strings.HasPrefix(path, outPath):
-		wanted, act = http.MethodPost, func() (int, string) { return a.order(path[len(outPath):], "out", a.node.TakeOut) }
+		wanted, act = http.MethodPost, func() (int, string) { return a.order(path[len(outPath):], "out", a.node.Eject) }
 	case strings.HasPrefix(path, backPath):
-		wanted, act = http.MethodPost, func() (int, string) { return a.order(path[len(backPath):], "in use", a.node.PutBack) }
+		wanted, act = http.MethodPost, func() (int, string) { return a.order(path[len(backPath):], "in use", a.node.Restore) }
 	default:
 		return http.StatusNotFound, "no such path\n"
 	}
@@ -132,7 +132,7 @@
 }
 
 func (a *Admin) status() (int, string) {
-	if a.node.Serves() {
+	if a.node.Serving() {
 		return http.StatusOK, "clients are served\n"
 	}
 	return http.StatusServiceUnavailable, "no clients are served\n"
@@ -145,7 +145,7 @@
 		return http.StatusNotFound, "no such server\n"
 	}
 	switch err := do(id); {
-	case errors.Is(err, ErrUnlisted):
+	case errors.Is(err, ErrUnknownServer):
 		return http.StatusNotFound, err.Error() + "\n"
 	case err != nil:
 		a.log.Error("an operator's call was not carried out", zap.String("box", id), zap.Error(err))
@@ -158,10 +158,10 @@
 // page gives the figures, a line each.
 func (a *Admin) page() string {
 	var b strings.Builder
-	for _, name := range a.figures.Namespaces() {
+	for _, name := range a.figures.Classes() {
 		ends := a.figures.Of(name)
 		fmt.Fprintf(&b, "operations.%s.fulfilled=%d\noperations.%s.throttled=%d\noperations.%s.faulted=%d\n",
-			name, ends.Resolved.Load(), name, ends.Deferred.Load(), name, ends.Abandoned.Load())
+			name, ends.Served.Load(), name, ends.Rejected.Load(), name, ends.Failed.Load())
 	}
 	fmt.Fprintf(&b, "relayed=%d\nopen_requests=%d\nregistry_entries=%d\nout_of_rotation=%d\n", a.figures.Written.Load(),
 		a.figures.Open.Load(), a.figures.Listed.Load(), a.figures.Avoided.Load())
--- a/internal/net/admin/admin_test.go
+++ b/internal/net/admin/admin_test.go
@@ -24,7 +24,7 @@
 	calls []string
 }
 
-func (s *stub) Serves() bool {
+func (s *stub) Serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.up
@@ -40,14 +40,14 @@
 	case "full":
 		return errors.New("no space left")
 	}
-	return ErrUnlisted
+	return ErrUnknownServer
 }
 
 func (s *stub) Fleet() map[string]any   { return nil }
-func (s *stub) TakeOut(id string) error { return s.order("out", id) }
-func (s *stub) PutBack(id string) error { return s.order("back", id) }
+func (s *stub) Eject(id string) error   { return s.order("out", id) }
+func (s *stub) Restore(id string) error { return s.order("back", id) }
 
-func desk(t *testing.T, n Node, f *metrics.Figures, most int) string {
+func desk(t *testing.T, n Node, f *metrics.Metrics, most int) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,9 +141,9 @@
 	if f.Of("made up") != nil {
 		t.Error("a namespace that the terms don't name must not be counted")
 	}
-	f.Of("read").Resolved.Add(1)
-	f.Of("read").Deferred.Add(2)
-	f.Of("write").Abandoned.Add(3)
+	f.Of("read").Served.Add(1)
+	f.Of("read").Rejected.Add(2)
+	f.Of("write").Failed.Add(3)
 	f.Written.Add(4)
 	f.Open.Add(5)
 	f.Listed.Store(6)
--- a/internal/net/admission/permit.go
+++ b/internal/net/admission/permit.go
@@ -20,9 +20,9 @@
 	FactsStale                     // what is known was gathered too long ago to be acted on
 	FactsUnknown                   // the connection could not be looked at
 	NodeLeaving                    // the node takes its attempts back
-	AttemptOut                     // an earlier attempt is out, and one may be out at a time
+	AttemptInFlight                // an earlier attempt is out, and one may be out at a time
 	MayHaveRun                     // an earlier attempt may have run, and nothing makes a repeat harmless
-	WindowOver                     // an earlier attempt may have run, and its key may be forgotten by now
+	DedupWindowOver                // an earlier attempt may have run, and its key may be forgotten by now
 	BodySent                       // a part of the body went to another server and can't be read again
 	Reasons                        // how many there are
 )
@@ -34,14 +34,14 @@
 func (r Reason) String() string { return names[r] }
 
 const (
-	// FactsFor is how old what is known may be when it is acted on. An attempt may begin up to 0.1 s after its client has gone.
-	FactsFor = 25 * time.Millisecond
+	// MaxFactAge is how old what is known may be when it is acted on. An attempt may begin up to 0.1 s after its client has gone.
+	MaxFactAge = 25 * time.Millisecond
 	// deadlineSlack is by how much the deadline that a request tells may exceed what is left when it is written. The operators
 	// allow 0.15 s, which a process that has no core just then takes up.
 	deadlineSlack = 5 * time.Millisecond
 	// toldMargin is by how much the deadline that a request tells stays under what is left, where there is enough, so that the
 	// usual way to the first byte doesn't use the slack up; toldPart is the part that it leaves elsewhere.
-	toldMargin = FactsFor
+	toldMargin = MaxFactAge
 	toldPart   = 4
 )
 
@@ -54,8 +54,8 @@
 	Client           Reason        // Granted, RequestOver or ClientGone
 	Gathered         time.Duration // how long it took to learn this
 	Now              time.Time     // read last
-	BeginBy          time.Time     // when the first byte must have been written; zero: any time
-	Until            time.Time     // when the client's time is over; zero: nothing is told of it
+	SendBy           time.Time     // when the first byte must have been written; zero: any time
+	Deadline         time.Time     // when the client's time is over; zero: nothing is told of it
 	Told             time.Duration // the time that the request tells its server to have
 }
 
@@ -72,11 +72,11 @@
 		return FactsUnknown
 	case s.Client != Granted:
 		return s.Client
-	case !s.BeginBy.IsZero() && s.Now.After(s.BeginBy):
+	case !s.SendBy.IsZero() && s.Now.After(s.SendBy):
 		return TooLate
-	case !s.Until.IsZero() && s.Told > s.Until.Sub(s.Now)+deadlineSlack:
+	case !s.Deadline.IsZero() && s.Told > s.Deadline.Sub(s.Now)+deadlineSlack:
 		return DeadlineStale
-	case s.Gathered >= FactsFor:
+	case s.Gathered >= MaxFactAge:
 		return FactsStale
 	}
 	return Granted
@@ -89,11 +89,11 @@
 
 // History is what is known of a request's earlier attempts, and of what a repeat would do.
 type History struct {
-	Out         int       // attempts without an end
+	InFlight    int       // attempts without an end
 	MayHaveRun  bool      // an attempt that has ended may have run
 	Safe        bool      // the request may run any number of times
-	KeyedForAll bool      // all servers that it may go to drop repeats of its key,
-	KeyedUntil  time.Time // up to then; zero: no earlier attempt may have run
+	SharedDedup bool      // all servers that it may go to drop repeats of its key,
+	DedupUntil  time.Time // up to then; zero: no earlier attempt may have run
 }
 
 // Attempt is what is known when an attempt is about to be started.
@@ -107,27 +107,27 @@
 
 // Decide says whether the attempt may be started.
 func (a Attempt) Decide() Reason {
-	ran := a.MayHaveRun || a.Out > 0
+	ran := a.MayHaveRun || a.InFlight > 0
 	switch {
 	case a.Over:
 		return RequestOver
 	case a.BodySent:
 		return BodySent
-	case a.Out > 0 && !a.Hedging:
-		return AttemptOut
+	case a.InFlight > 0 && !a.Hedging:
+		return AttemptInFlight
 	case !ran || a.Safe:
 		return Granted
-	case !a.KeyedForAll:
+	case !a.SharedDedup:
 		return MayHaveRun
-	case !a.KeyedUntil.IsZero() && a.Now.After(a.KeyedUntil):
-		return WindowOver
+	case !a.DedupUntil.IsZero() && a.Now.After(a.DedupUntil):
+		return DedupWindowOver
 	}
 	return Granted
 }
 
-// Refuse says whether a request with this history may be refused: a refusal promises that a retry is harmless.
-func (h History) Refuse() Reason {
-	if (h.MayHaveRun || h.Out > 0) && !h.Safe && !h.KeyedForAll {
+// MayReject says whether a request with this history may be refused: a refusal promises that a retry is harmless.
+func (h History) MayReject() Reason {
+	if (h.MayHaveRun || h.InFlight > 0) && !h.Safe && !h.SharedDedup {
 		return MayHaveRun
 	}
 	return Granted
--- a/internal/net/admission/permit_test.go
+++ b/internal/net/admission/permit_test.go
@@ -8,7 +8,7 @@
 // Each fact that speaks against a first byte is a reason by itself, and none is one without it.
 func TestSend(t *testing.T) {
 	now := time.Now()
-	sound := Send{Now: now, Gathered: time.Millisecond, BeginBy: now.Add(time.Millisecond), Until: now.Add(time.Second), Told: time.Second}
+	sound := Send{Now: now, Gathered: time.Millisecond, SendBy: now.Add(time.Millisecond), Deadline: now.Add(time.Second), Told: time.Second}
 	for want, change := range map[Reason]func(*Send){
 		Granted:          func(*Send) {},
 		NotQuiet:         func(s *Send) { s.Refused = NotQuiet },
@@ -16,9 +16,9 @@
 		UnsolicitedBytes: func(s *Send) { s.Unsolicited = true },
 		ClientGone:       func(s *Send) { s.Client = ClientGone },
 		RequestOver:      func(s *Send) { s.Client = RequestOver },
-		TooLate:          func(s *Send) { s.BeginBy = now.Add(-1) },
+		TooLate:          func(s *Send) { s.SendBy = now.Add(-1) },
 		DeadlineStale:    func(s *Send) { s.Told += 2 * deadlineSlack },
-		FactsStale:       func(s *Send) { s.Gathered = FactsFor },
+		FactsStale:       func(s *Send) { s.Gathered = MaxFactAge },
 		FactsUnknown:     func(s *Send) { s.Unknown = true },
 	} {
 		s := sound
@@ -42,21 +42,21 @@
 		{"the first", Attempt{}, Granted, Granted},
 		{"after the final answer", Attempt{Over: true}, RequestOver, Granted},
 		{"a body that was sent in part", Attempt{BodySent: true}, BodySent, Granted},
-		{"beside another", Attempt{History: History{Out: 1, Safe: true}}, AttemptOut, Granted},
-		{"a hedge", Attempt{History: History{Out: 1, Safe: true}, Hedging: true}, Granted, Granted},
-		{"a hedge of an unsafe one", Attempt{History: History{Out: 1}, Hedging: true}, MayHaveRun, MayHaveRun},
+		{"beside another", Attempt{History: History{InFlight: 1, Safe: true}}, AttemptInFlight, Granted},
+		{"a hedge", Attempt{History: History{InFlight: 1, Safe: true}, Hedging: true}, Granted, Granted},
+		{"a hedge of an unsafe one", Attempt{History: History{InFlight: 1}, Hedging: true}, MayHaveRun, MayHaveRun},
 		{"a retry after a proof", Attempt{History: History{}}, Granted, Granted},
 		{"a retry without a proof", Attempt{History: History{MayHaveRun: true}}, MayHaveRun, MayHaveRun},
 		{"a safe one", Attempt{History: History{MayHaveRun: true, Safe: true}}, Granted, Granted},
-		{"a keyed one in its window", Attempt{History: History{MayHaveRun: true, KeyedForAll: true, KeyedUntil: future}}, Granted, Granted},
-		{"a keyed one after it", Attempt{History: History{MayHaveRun: true, KeyedForAll: true, KeyedUntil: past}}, WindowOver, Granted},
-		{"a keyed one of a smaller group", Attempt{History: History{MayHaveRun: true, KeyedUntil: future}}, MayHaveRun, MayHaveRun},
+		{"a keyed one in its window", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: future}}, Granted, Granted},
+		{"a keyed one after it", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: past}}, DedupWindowOver, Granted},
+		{"a keyed one of a smaller group", Attempt{History: History{MayHaveRun: true, DedupUntil: future}}, MayHaveRun, MayHaveRun},
 	} {
 		c.is.Now = now
 		if got := c.is.Decide(); got != c.attempt {
 			t.Errorf("%s: attempt %v, want %v", c.name, got, c.attempt)
 		}
-		if got := c.is.Refuse(); got != c.refuse {
+		if got := c.is.MayReject(); got != c.refuse {
 			t.Errorf("%s: refusal %v, want %v", c.name, got, c.refuse)
 		}
 	}
--- a/internal/net/discovery/bench_test.go
+++ b/internal/net/discovery/bench_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func exchangeOf(b *testing.B) *dispatch.Exchange {
+func exchangeOf(b *testing.B) *dispatch.Dispatcher {
 	t, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 200., "time-limit-ms": 750.}}})
 	if err != nil {
@@ -71,7 +71,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				x.List(routing.Whole, boxes)
+				x.UpdateEndpoints(routing.Full, boxes)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			x.List(routing.Whole, boxes)
+			x.UpdateEndpoints(routing.Full, boxes)
 			var pages [64][]byte
 			for i := range pages {
 				pages[i] = pageOf(1, false, i*caches/len(pages), 1764640000124+int64(i))
@@ -99,7 +99,7 @@
 					b.Fatal(err)
 				}
 				changed[0].StartedMs += float64(i) // another start each time
-				x.List(routing.Changes, changed)
+				x.UpdateEndpoints(routing.Incremental, changed)
 				i++
 			}
 		})
--- a/internal/net/discovery/crowd_test.go
+++ b/internal/net/discovery/crowd_test.go
@@ -174,7 +174,7 @@
 			f.transport.RegisterProtocol("http", c)
 			x.Start(seed*1000+uint64(n), nil, f)
 			if knows {
-				if err := f.Known([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, box))); err != nil {
+				if err := f.LoadCached([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, box))); err != nil {
 					t.Error(err)
 				}
 			}
@@ -289,7 +289,7 @@
 				f := New(x, "127.0.0.1:1", 20*time.Second, zap.NewNop())
 				f.transport.RegisterProtocol("http", c)
 				x.Start(seed*1000+uint64(n), nil, f)
-				if err := f.Known([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, box))); err != nil {
+				if err := f.LoadCached([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, box))); err != nil {
 					t.Error(err)
 				}
 				wg.Go(func() { f.Run(ctx) })
@@ -329,13 +329,13 @@
 
 // orders is a follower that counts the module's orders.
 type orders struct {
-	*Follower
+	*Client
 	n atomic.Int64
 }
 
 func (o *orders) Subscribe() {
 	o.n.Add(1)
-	o.Follower.Subscribe()
+	o.Client.Subscribe()
 }
 
 // A resumed watch ends the module's orders, also where nothing changed. The service may have counted anew while it turned calls
@@ -356,7 +356,7 @@
 			x := dispatch.New(d, zap.NewNop())
 			core, logs := observer.New(zap.InfoLevel)
 			f := New(x, "127.0.0.1:1", 10*time.Second, zap.New(core))
-			o := &orders{Follower: f}
+			o := &orders{Client: f}
 			f.transport.RegisterProtocol("http", script(func(query string) (int, string, time.Duration) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -428,9 +428,9 @@
 		soonest, last time.Duration // the next call's begin, after that one's
 		second        time.Duration // and the begin of one more, at most
 	}{
-		{map[string]any{"registry-mode": "ask"}, false, time.Hour, config.Duration(routing.AskMost) / 2, config.Duration(routing.AskMost), 2 * config.Duration(routing.AskMost)},
-		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.Duration(routing.AskMost), lineIn, 2 * config.Duration(routing.AskMost)},
-		{map[string]any{"registry-mode": "ask"}, true, 1900 * time.Millisecond, config.Duration(routing.AskMost), 1900 * time.Millisecond, 2 * 1900 * time.Millisecond},
+		{map[string]any{"registry-mode": "ask"}, false, time.Hour, config.Duration(routing.MaxPollWait) / 2, config.Duration(routing.MaxPollWait), 2 * config.Duration(routing.MaxPollWait)},
+		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.Duration(routing.MaxPollWait), lineIn, 2 * config.Duration(routing.MaxPollWait)},
+		{map[string]any{"registry-mode": "ask"}, true, 1900 * time.Millisecond, config.Duration(routing.MaxPollWait), 1900 * time.Millisecond, 2 * 1900 * time.Millisecond},
 		{map[string]any{"registry-mode": "push", "invariants": map[string]any{"stop-sending-within-ms": 1500.}}, true, time.Hour,
 			500 * time.Millisecond, time.Second, 1500 * time.Millisecond},
 	} {
@@ -517,7 +517,7 @@
 				}))
 				x.Start(3, nil, f)
 				if known {
-					if err := f.Known([]byte(whole)); err != nil {
+					if err := f.LoadCached([]byte(whole)); err != nil {
 						t.Error(err)
 					}
 				}
@@ -555,7 +555,7 @@
 				return http.StatusOK, "", time.Hour
 			}))
 			ctx, stop := context.WithCancel(t.Context())
-			f.Move(ctx, "127.0.0.1:2")
+			f.SwitchTo(ctx, "127.0.0.1:2")
 			time.Sleep(4 * time.Second)
 			stop()
 			synctest.Wait()
--- a/internal/net/discovery/entry.go
+++ b/internal/net/discovery/entry.go
@@ -26,7 +26,7 @@
 var states = map[string]routing.State{"Ready": routing.Ready, "Terminating": routing.Draining, "Gone": routing.Gone}
 
 // parse reads a page whole or not at all: half a list would look like servers gone.
-func parse(body []byte) (version int64, full bool, boxes []dispatch.Box, err error) {
+func parse(body []byte) (version int64, full bool, boxes []dispatch.Endpoint, err error) {
 	var p page
 	if err := json.Unmarshal(body, &p); err != nil {
 		return 0, false, nil, err
@@ -40,7 +40,7 @@
 			return 0, false, nil, fmt.Errorf("server %q: expected an id, an address and a known state, not %q",
 				e.ID, e.State)
 		}
-		boxes = append(boxes, dispatch.Box{ID: e.ID, Address: e.Address, Machine: e.Machine, State: state,
+		boxes = append(boxes, dispatch.Endpoint{ID: e.ID, Address: e.Address, Model: e.Machine, State: state,
 			StartedMs: e.Started})
 	}
 	return *p.Version, p.Full, boxes, nil
--- a/internal/net/discovery/failing_test.go
+++ b/internal/net/discovery/failing_test.go
@@ -44,7 +44,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	var all []*Follower
+	var all []*Client
 	var running sync.WaitGroup
 	for range followers {
 		x := dispatch.New(d, zap.NewNop())
--- a/internal/net/discovery/hedge.go
+++ b/internal/net/discovery/hedge.go
@@ -14,7 +14,7 @@
 type list struct {
 	version int64
 	full    bool
-	boxes   []dispatch.Box
+	boxes   []dispatch.Endpoint
 }
 
 // hedge calls for the list, once more beside what is out with each word from again, and gives the first one that comes;
@@ -23,7 +23,7 @@
 // whole list is asked for: a service may count anew after one. Where calls were turned away lately one that is out is more likely in
 // the service's line, and a second would take a place that another node lacks: the first word beside it is put off for as long as
 // a line lasts.
-func hedge[T any](ctx context.Context, f *Follower, at *source, again <-chan T) (list, error) {
+func hedge[T any](ctx context.Context, f *Client, at *source, again <-chan T) (list, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type call struct{ leave context.CancelFunc }
--- a/internal/net/discovery/move.go
+++ b/internal/net/discovery/move.go
@@ -12,10 +12,10 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Move goes over to another source without a gap: the old one is followed until the new one has given its whole
+// SwitchTo goes over to another source without a gap: the old one is followed until the new one has given its whole
 // list, however long that takes, and has no say from then on. The new one may count versions anew. A move that is
 // still under way leads to an address of the past and ends.
-func (f *Follower) Move(ctx context.Context, address string) {
+func (f *Client) SwitchTo(ctx context.Context, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stay()
@@ -23,7 +23,7 @@
 	go f.move(ctx, address)
 }
 
-func (f *Follower) move(ctx context.Context, address string) {
+func (f *Client) move(ctx context.Context, address string) {
 	ctx, arrived := context.WithCancel(ctx)
 	defer arrived()
 	again := make(chan struct{})
@@ -62,7 +62,7 @@
 
 // check has the whole list once beside a watch that was resumed. It guards against a service that turned calls away all through a
 // restart and counts anew: its versions may look like those before it, and what changed in between was never told.
-func (f *Follower) check(ctx context.Context, of source) {
+func (f *Client) check(ctx context.Context, of source) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -82,7 +82,7 @@
 }
 
 // arrive makes a source the one that counts, with its first list.
-func (f *Follower) arrive(ctx context.Context, at source, boxes []dispatch.Box) bool {
+func (f *Client) arrive(ctx context.Context, at source, boxes []dispatch.Endpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ctx.Err() != nil {
--- a/internal/net/discovery/return_test.go
+++ b/internal/net/discovery/return_test.go
@@ -35,7 +35,7 @@
 // The sums beside the constants, with what a busy machine takes: raising any of the constants, here or in the module, breaks one.
 // That the module's waits keep to AskSpread and AskMost is TestTheNextCallForTheListIsNeverFar.
 func TestTheListIsHadInTime(t *testing.T) {
-	spread, most := config.Duration(routing.AskSpread), config.Duration(routing.AskMost)
+	spread, most := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollWait)
 	for _, c := range []struct {
 		what string
 		sum  time.Duration
@@ -179,7 +179,7 @@
 	"a connect that hangs", "503, then silent"}
 
 // follower gives a follower and its exchange; told has the time of each whole list.
-func (o *outage) follower(settings map[string]any) (*Follower, chan time.Time) {
+func (o *outage) follower(settings map[string]any) (*Client, chan time.Time) {
 	settings["namespaces"] = []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}
 	d, err := config.ParseSettings(settings)
 	if err != nil {
@@ -274,7 +274,7 @@
 							}
 						}
 						if time.Sleep(time.Duration(n*37) * time.Millisecond); when == "move" {
-							f.Move(t.Context(), o.address)
+							f.SwitchTo(t.Context(), o.address)
 						} else if when != "start" {
 							o.begin()
 						}
@@ -360,7 +360,7 @@
 func TestAnOrderThatCrossesItsListIsForgotten(t *testing.T) {
 	t.Parallel()
 	var wholes atomic.Int64
-	var f *Follower
+	var f *Client
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			f.Subscribe()
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -65,10 +65,10 @@
 	errTooMany  = errors.New("the discovery service answered 503")
 )
 
-// Follower watches the list.
-type Follower struct {
+// Client watches the list.
+type Client struct {
 	log       *zap.Logger
-	exchange  *dispatch.Exchange
+	exchange  *dispatch.Dispatcher
 	hold      time.Duration
 	orders    chan struct{}
 	moved     chan struct{}
@@ -81,8 +81,8 @@
 }
 
 // New makes a follower. A watch holds no longer than askWithin: by then the node must have asked.
-func New(x *dispatch.Exchange, address string, askWithin time.Duration, log *zap.Logger) *Follower {
-	return &Follower{
+func New(x *dispatch.Dispatcher, address string, askWithin time.Duration, log *zap.Logger) *Client {
+	return &Client{
 		log:      log,
 		exchange: x,
 		from:     source{address: address},
@@ -102,9 +102,9 @@
 	}
 }
 
-// Known tells the module the list as it was last had, and goes on from its version: in a crowd that takes one place in the service's
+// LoadCached tells the module the list as it was last had, and goes on from its version: in a crowd that takes one place in the service's
 // line, where the whole list and then a watch take two. check guards against a service that counts anew since.
-func (f *Follower) Known(body []byte) error {
+func (f *Client) LoadCached(body []byte) error {
 	if len(body) == 0 {
 		return nil
 	}
@@ -117,13 +117,13 @@
 		f.from.version, f.from.resumes, f.from.heard = version, true, time.Now()
 		f.mu.Unlock()
 	}
-	f.exchange.List(routing.Persisted, boxes)
+	f.exchange.UpdateEndpoints(routing.Cached, boxes)
 	return nil
 }
 
 // Subscribe orders the list and its changes. Two orders before the first is followed are one; one that comes while calls for
 // the whole list are out is for one more.
-func (f *Follower) Subscribe() {
+func (f *Client) Subscribe() {
 	select {
 	case f.orders <- struct{}{}:
 	default:
@@ -132,7 +132,7 @@
 
 // Run follows the list until the context ends: on each order the whole list, or what changed since where calls were only
 // turned away, then watches until one fails. After a move it goes on with a watch at the new source.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Client) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -151,13 +151,13 @@
 		}
 		if f.mu.Unlock(); !stale && ctx.Err() == nil {
 			f.log.Warn("box list lost, the old one stands", zap.Error(err))
-			f.exchange.List(routing.Failed, nil)
+			f.exchange.UpdateEndpoints(routing.Failed, nil)
 		}
 	}
 }
 
 // follow asks one source, in turn, until a call fails or the source is another.
-func (f *Follower) follow(ctx context.Context) (source, error) {
+func (f *Client) follow(ctx context.Context) (source, error) {
 	ctx, leave := context.WithCancel(ctx)
 	defer leave()
 	f.mu.Lock()
@@ -202,7 +202,7 @@
 }
 
 // tell hands on what a source said, unless another one has taken its place since.
-func (f *Follower) tell(at source, full bool, boxes []dispatch.Box) bool {
+func (f *Client) tell(at source, full bool, boxes []dispatch.Endpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if at.nth != f.from.nth {
@@ -213,21 +213,21 @@
 }
 
 // note is called with the lock held, so that no list of an earlier source can come after one of a later.
-func (f *Follower) note(at source, full bool, boxes []dispatch.Box) {
+func (f *Client) note(at source, full bool, boxes []dispatch.Endpoint) {
 	goes := f.from.had
 	if f.from = at; goes && !full && len(boxes) == 0 {
 		return
 	}
-	how := routing.Changes
+	how := routing.Incremental
 	if full {
-		how = routing.Whole
+		how = routing.Full
 	}
-	f.exchange.List(how, boxes)
+	f.exchange.UpdateEndpoints(how, boxes)
 	f.log.Info("box list", zap.Int64("version", at.version), zap.Bool("whole", full), zap.Int("boxes", len(boxes)))
 }
 
 // watch waits for what changed since the last answer.
-func (f *Follower) watch(ctx context.Context, at source) (list, error) {
+func (f *Client) watch(ctx context.Context, at source) (list, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// The transport makes a call once more whose kept connection ends under it. A watch that it makes anew as its service
@@ -246,7 +246,7 @@
 	return got, err
 }
 
-func (f *Follower) ask(ctx context.Context, address, query string, within time.Duration) (list, error) {
+func (f *Client) ask(ctx context.Context, address, query string, within time.Duration) (list, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path+query, nil)
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -54,7 +54,7 @@
 }
 
 // follow runs a follower against the pages until so many calls were made.
-func follow(t *testing.T, calls int, pages ...string) (*service, *dispatch.Exchange, *observer.ObservedLogs) {
+func follow(t *testing.T, calls int, pages ...string) (*service, *dispatch.Dispatcher, *observer.ObservedLogs) {
 	t.Helper()
 	s := &service{pages: pages}
 	server := httptest.NewServer(s)
@@ -279,8 +279,8 @@
 	f.mu.Lock()
 	before := f.from
 	f.mu.Unlock()
-	f.Move(t.Context(), "127.0.0.1:1") // refused; the next move takes its place
-	f.Move(t.Context(), at[1])
+	f.SwitchTo(t.Context(), "127.0.0.1:1") // refused; the next move takes its place
+	f.SwitchTo(t.Context(), at[1])
 	for end := time.Now().Add(5 * time.Second); len(next.calls()) < 5; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no watch at the new address: ", next.calls())
@@ -313,10 +313,10 @@
 	}
 	_, x, _ := follow(t, 1)
 	f := New(x, "127.0.0.1:1", time.Second, zap.NewNop())
-	if err := f.Known([]byte("no list")); err == nil || x.Ready() {
+	if err := f.LoadCached([]byte("no list")); err == nil || x.Ready() {
 		t.Errorf("no list: %v, ready %v", err, x.Ready())
 	}
-	if err := f.Known([]byte(`{"version":1,"full":true,"servers":[` + box + `]}`)); err != nil || !x.Ready() {
+	if err := f.LoadCached([]byte(`{"version":1,"full":true,"servers":[` + box + `]}`)); err != nil || !x.Ready() {
 		t.Errorf("a list: %v, ready %v", err, x.Ready())
 	}
 }
--- a/internal/net/dispatch/account.go
+++ b/internal/net/dispatch/account.go
@@ -5,45 +5,45 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Figures gives the totals since the start.
-func (x *Exchange) Figures() *metrics.Figures { return x.figures }
+// Metrics gives the totals since the start.
+func (x *Dispatcher) Metrics() *metrics.Metrics { return x.figures }
 
-// Open counts lookups that came, or, with a negative number, that have been answered whole.
-func (x *Exchange) Open(by int64) { x.figures.Open.Add(by) }
+// AddOpen counts lookups that came, or, with a negative number, that have been answered whole.
+func (x *Dispatcher) AddOpen(by int64) { x.figures.Open.Add(by) }
 
-// Ended counts how a client's lookup ended, also of one that was turned away before it was taken. What names no
+// CountEnd counts how a client's lookup ended, also of one that was turned away before it was taken. What names no
 // namespace of the terms is not counted.
-func (x *Exchange) Ended(namespace string, o Outcome) {
+func (x *Dispatcher) CountEnd(namespace string, o Outcome) {
 	ends := x.figures.Of(namespace)
 	if ends == nil {
 		return
 	}
 	switch o {
-	case Resolved:
-		ends.Resolved.Add(1)
-	case Deferred:
-		ends.Deferred.Add(1)
-	case Abandoned:
-		ends.Abandoned.Add(1)
+	case Served:
+		ends.Served.Add(1)
+	case Rejected:
+		ends.Rejected.Add(1)
+	case Failed:
+		ends.Failed.Add(1)
 	}
 }
 
 // Written says that the shot's last byte went out; it counts once.
-func (s *Shot) Written() {
+func (s *Attempt) Written() {
 	if s.ticket != nil && !s.written.Swap(true) {
 		s.ticket.x.figures.Written.Add(1)
 	}
 }
 
-// Census counts the box list for the figures: suspects come and go between two lists.
-func (x *Exchange) Census() {
+// CountEndpoints counts the box list for the figures: suspects come and go between two lists.
+func (x *Dispatcher) CountEndpoints() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.census()
 }
 
 // census is called with the lock held.
-func (x *Exchange) census() {
+func (x *Dispatcher) census() {
 	listed, avoided := 0, 0
 	for i := range x.boxes {
 		p := &x.boxes[i]
@@ -51,7 +51,7 @@
 			continue
 		}
 		listed++
-		if p.state != routing.Ready || x.balancer.Rests(i) {
+		if p.state != routing.Ready || x.balancer.IsEjected(i) {
 			avoided++
 		}
 	}
--- a/internal/net/dispatch/alarms.go
+++ b/internal/net/dispatch/alarms.go
@@ -30,12 +30,12 @@
 }
 
 // wake books an alarm and sets the one timer to the earliest. Called with the lock held.
-func (x *Exchange) wake(at routing.Time, handle int) {
+func (x *Dispatcher) wake(at routing.Time, handle int) {
 	heap.Push(&x.alarms, alarm{at, handle})
 	x.windUp()
 }
 
-func (x *Exchange) windUp() {
+func (x *Dispatcher) windUp() {
 	if len(x.alarms) > 0 {
 		// The clock rounds down, so this is at most one tick late and never early.
 		x.timer.Reset(max(0, spanOf(x.alarms[0].at-x.clock.now())))
@@ -43,7 +43,7 @@
 }
 
 // ring tells the module of every alarm that is due.
-func (x *Exchange) ring() {
+func (x *Dispatcher) ring() {
 	x.do("alarm", nil, func(now routing.Time) {
 		defer x.windUp()
 		for len(x.alarms) > 0 && x.alarms[0].at <= now {
--- a/internal/net/dispatch/bans.go
+++ b/internal/net/dispatch/bans.go
@@ -5,11 +5,11 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Ban is a server that operators took out, by its id: places are used anew, and addresses change.
-type Ban struct {
-	ID   string
-	Out  float64 // Unix time in milliseconds, as the list's start times
-	Back float64 // when it was put back; 0: it is out
+// Ejection is a server that operators took out, by its id: places are used anew, and addresses change.
+type Ejection struct {
+	ID         string
+	EjectedAt  float64 // Unix time in milliseconds, as the list's start times
+	RestoredAt float64 // when it was put back; 0: it is out
 }
 
 // heardMost bounds the ids that are remembered after they have left the list: boxes come under new ones all day.
@@ -39,19 +39,19 @@
 	h.ids[id] = true
 }
 
-// Heard says whether an id was ever listed.
-func (x *Exchange) Heard(id string) bool {
+// WasListed says whether an id was ever listed.
+func (x *Dispatcher) WasListed(id string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	_, listed := x.places[id]
 	return listed || x.heard.ids[id]
 }
 
-// Bans takes over the whole list of bans and late returns. A server that is not on it stays as it is.
-func (x *Exchange) Bans(all []Ban) {
+// SetEjections takes over the whole list of bans and late returns. A server that is not on it stays as it is.
+func (x *Dispatcher) SetEjections(all []Ejection) {
 	x.do("bans", nil, func(now routing.Time) {
-		x.bans = make(map[string]Ban, len(all))
-		var list []routing.Box
+		x.bans = make(map[string]Ejection, len(all))
+		var list []routing.Endpoint
 		for _, b := range all {
 			x.bans[b.ID] = b
 			i, known := x.places[b.ID]
@@ -62,7 +62,7 @@
 			x.banned(p, b)
 			// What was kept to it is of no further use: it is restarted meanwhile. This holds for both ways, lest a
 			// shot goes on a connection from before.
-			x.carrier.HangUp(p.nth, 0)
+			x.carrier.CloseIdle(p.nth, 0)
 			x.told++
 			p.nth = x.told
 			if !p.gone {
@@ -70,7 +70,7 @@
 			}
 		}
 		if len(list) > 0 {
-			x.balancer.List(now, routing.Changes, list)
+			x.balancer.UpdateEndpoints(now, routing.Incremental, list)
 			x.census()
 		}
 	})
@@ -78,30 +78,30 @@
 
 // shown gives a place as the module is to see it. What is banned drains, whatever the list says. What is back is cold:
 // if the list has not told of a start since the ban, the return itself is the start.
-func (x *Exchange) shown(i int) routing.Box {
+func (x *Dispatcher) shown(i int) routing.Endpoint {
 	p := &x.boxes[i]
 	p.state = p.listed
 	since := p.startedAt
 	switch {
-	case p.ban.Out == 0:
-	case p.ban.Back == 0 && p.listed == routing.Ready:
+	case p.ban.EjectedAt == 0:
+	case p.ban.RestoredAt == 0 && p.listed == routing.Ready:
 		p.state = routing.Draining
-	case p.ban.Back > 0 && p.startedAt < p.outAt:
+	case p.ban.RestoredAt > 0 && p.startedAt < p.outAt:
 		since = p.backAt
 	}
 	if p.state == routing.Draining && faults.Without(faults.DrainNews) {
 		p.state = routing.Ready
 	}
-	return routing.Box{Server: i, ID: p.id, Kind: p.kind, State: p.state, Since: since}
+	return routing.Endpoint{Server: i, ID: p.id, Model: p.kind, State: p.state, StartedAt: since}
 }
 
 // banned takes over a ban or a return.
-func (x *Exchange) banned(p *place, ban Ban) {
-	if ban.Out != p.ban.Out {
-		p.outAt = x.started(ban.Out)
+func (x *Dispatcher) banned(p *place, ban Ejection) {
+	if ban.EjectedAt != p.ban.EjectedAt {
+		p.outAt = x.started(ban.EjectedAt)
 	}
-	if ban.Back != p.ban.Back {
-		p.backAt = x.started(ban.Back)
+	if ban.RestoredAt != p.ban.RestoredAt {
+		p.backAt = x.started(ban.RestoredAt)
 	}
 	p.ban = ban
 }
--- a/internal/net/dispatch/bans_test.go
+++ b/internal/net/dispatch/bans_test.go
@@ -20,70 +20,70 @@
 		f := &fleet{}
 		x := start(t, f)
 		ids := []string{"a", "b", "c", "d"}
-		listed := map[string]Box{}
+		listed := map[string]Endpoint{}
 		for _, b := range boxes {
 			listed[b.ID] = b
 		}
-		banned := map[string]Ban{}
+		banned := map[string]Ejection{}
 		clock := x.clock.start.UnixMilli() - 100000 // what happened then is warm by now
 		for step := range 300 {
 			clock++
 			id := ids[r.Intn(len(ids))]
 			b, there := listed[id]
 			if !there {
-				b = Box{ID: id, Address: id + ":1", Machine: "box"}
+				b = Endpoint{ID: id, Address: id + ":1", Model: "box"}
 			}
 			switch r.Intn(9) {
 			case 0: // banned, perhaps again
-				if banned[id].Out == 0 || banned[id].Back > 0 {
-					banned[id] = Ban{ID: id, Out: float64(clock)}
+				if banned[id].EjectedAt == 0 || banned[id].RestoredAt > 0 {
+					banned[id] = Ejection{ID: id, EjectedAt: float64(clock)}
 				}
 			case 1:
-				if ban := banned[id]; ban.Out > 0 && ban.Back == 0 {
-					ban.Back = float64(clock)
+				if ban := banned[id]; ban.EjectedAt > 0 && ban.RestoredAt == 0 {
+					ban.RestoredAt = float64(clock)
 					banned[id] = ban
 				}
 			case 2, 3:
 				b.State = []routing.State{routing.Ready, routing.Ready, routing.Draining}[r.Intn(3)]
 				listed[id] = b
-				x.List(routing.Changes, []Box{b})
+				x.UpdateEndpoints(routing.Incremental, []Endpoint{b})
 			case 4: // restarted, perhaps at another address
 				b.StartedMs, b.State, b.Address = float64(clock), routing.Ready, fmt.Sprint(id, ":", r.Intn(3))
 				listed[id] = b
-				x.List(routing.Changes, []Box{b})
+				x.UpdateEndpoints(routing.Incremental, []Endpoint{b})
 			case 5:
 				if delete(listed, id); there {
 					b.State = routing.Gone
-					x.List(routing.Changes, []Box{b})
+					x.UpdateEndpoints(routing.Incremental, []Endpoint{b})
 				}
 			case 6:
-				whole := []Box{}
+				whole := []Endpoint{}
 				for _, b := range listed {
 					whole = append(whole, b)
 				}
-				x.List(routing.Whole, whole)
+				x.UpdateEndpoints(routing.Full, whole)
 			default:
-				in := Lookup{Namespace: "read", Key: fmt.Sprint("k", r.Intn(50)), Trace: fmt.Sprint(seed, step)}
-				if _, err := x.Take(in, x.clock.start, 1e9); err != nil {
+				in := Request{Class: "read", Key: fmt.Sprint("k", r.Intn(50)), TraceID: fmt.Sprint(seed, step)}
+				if _, err := x.Submit(in, x.clock.start, 1e9); err != nil {
 					t.Error(err)
 				}
 			}
-			list := []Ban{}
+			list := []Ejection{}
 			for _, ban := range banned {
 				list = append(list, ban)
 			}
-			x.Bans(list)
+			x.SetEjections(list)
 			for s := f.take(0); s != nil; s = f.take(0) {
 				id, _, _ := strings.Cut(s.Address, ":")
 				ban := banned[id]
-				if at := listed[id]; at.Address != s.Address || at.State != routing.Ready || ban.Out > 0 && ban.Back == 0 {
+				if at := listed[id]; at.Address != s.Address || at.State != routing.Ready || ban.EjectedAt > 0 && ban.RestoredAt == 0 {
 					t.Errorf("seed %d, step %d: a shot to %s, listed %+v, ban %+v", seed, step, s.Address, at, ban)
 					return false
 				}
-				if all[id]++; ban.Back > 0 {
+				if all[id]++; ban.RestoredAt > 0 {
 					all["back"]++
 				}
-				s.Settle(Whole, Answer{})
+				s.Finish(Complete, Answer{})
 			}
 			for id, ban := range banned {
 				i, known := x.places[id]
@@ -91,7 +91,7 @@
 					continue
 				}
 				box := x.shown(i)
-				if ban.Back == 0 && box.State == routing.Ready || ban.Back > 0 && box.Since < fromUnix(ban.Out) {
+				if ban.RestoredAt == 0 && box.State == routing.Ready || ban.RestoredAt > 0 && box.StartedAt < fromUnix(ban.EjectedAt) {
 					t.Errorf("seed %d, step %d: %s is shown as %+v, ban %+v", seed, step, id, box, ban)
 					return false
 				}
@@ -113,23 +113,23 @@
 func TestWhatIsBackStartsCold(t *testing.T) {
 	x := start(t, &fleet{})
 	out := float64(x.clock.start.UnixMilli())
-	since := func() routing.Time { return x.shown(x.places["a"]).Since }
-	x.Bans([]Ban{{ID: "a", Out: out}})
+	since := func() routing.Time { return x.shown(x.places["a"]).StartedAt }
+	x.SetEjections([]Ejection{{ID: "a", EjectedAt: out}})
 	if since() != 0 {
 		t.Error("a ban alone is no start")
 	}
-	x.Bans([]Ban{{ID: "a", Out: out, Back: out + 100}})
-	x.List(routing.Whole, boxes) // which knows nothing yet
+	x.SetEjections([]Ejection{{ID: "a", EjectedAt: out, RestoredAt: out + 100}})
+	x.UpdateEndpoints(routing.Full, boxes) // which knows nothing yet
 	if got := since(); got != fromUnix(out+100) {
 		t.Errorf("since %v, want the return", got)
 	}
-	x.Bans(nil) // what is forgotten after its return changes nothing
+	x.SetEjections(nil) // what is forgotten after its return changes nothing
 	if got := since(); got != fromUnix(out+100) {
 		t.Errorf("since %v, want the return", got)
 	}
 	later := boxes[0]
 	later.StartedMs = out + 50
-	x.List(routing.Changes, []Box{later})
+	x.UpdateEndpoints(routing.Incremental, []Endpoint{later})
 	if got := since(); got != fromUnix(out+50) {
 		t.Errorf("since %v, want the start that the list told of", got)
 	}
--- a/internal/net/dispatch/checks.go
+++ b/internal/net/dispatch/checks.go
@@ -10,10 +10,10 @@
 
 // history gives what is known of a request's attempts. Called with the lock held.
 func (t *Ticket) history() admission.History {
-	h := admission.History{Out: t.out, MayHaveRun: t.mayHaveRun, Safe: t.x.terms.IsSafe(t.Namespace),
-		KeyedForAll: t.x.terms.SharedDedup(t.Namespace)}
-	if window := t.x.terms.DedupWindow(t.Namespace); window > 0 && t.mayHaveRun {
-		h.KeyedUntil = t.firstMayHaveRun.Add(window)
+	h := admission.History{InFlight: t.out, MayHaveRun: t.mayHaveRun, Safe: t.x.terms.IsSafe(t.Class),
+		SharedDedup: t.x.terms.SharedDedup(t.Class)}
+	if window := t.x.terms.DedupWindow(t.Class); window > 0 && t.mayHaveRun {
+		h.DedupUntil = t.firstMayHaveRun.Add(window)
 	}
 	return h
 }
@@ -27,7 +27,7 @@
 }
 
 // mayStart checks an attempt that the module has ordered against the rules. Called with the lock held.
-func (h host) mayStart(t *Ticket, s *Shot) bool {
+func (h host) mayStart(t *Ticket, s *Attempt) bool {
 	attempt := admission.Attempt{History: t.history(), Over: t.over.Load(), Now: h.decided,
 		Hedging:  h.terms.HedgingAllowed() && !h.alone(s),
 		BodySent: t.Rest != nil && t.Rest.Begun()}
@@ -45,7 +45,7 @@
 
 // mayRefuse checks a refusal that the module has ordered.
 func (h host) mayRefuse(t *Ticket) bool {
-	why := t.history().Refuse()
+	why := t.history().MayReject()
 	if why != admission.Granted {
 		h.violated("refusal", t, why)
 	}
@@ -62,8 +62,8 @@
 }
 
 // violated counts and logs what the module ordered against the rules. It is never carried out.
-func (x *Exchange) violated(action string, t *Ticket, why admission.Reason) {
+func (x *Dispatcher) violated(action string, t *Ticket, why admission.Reason) {
 	x.figures.Violations[why].Add(1)
 	x.log.Error("the module ordered what a rule forbids", zap.String("action", action), zap.Stringer("reason", why),
-		zap.String("trace", t.Trace), zap.Int("attempts", t.shots), zap.Int("out", t.out))
+		zap.String("trace", t.TraceID), zap.Int("attempts", t.shots), zap.Int("out", t.out))
 }
--- a/internal/net/dispatch/checks_test.go
+++ b/internal/net/dispatch/checks_test.go
@@ -14,20 +14,20 @@
 	const server = 0
 	for _, c := range []struct {
 		name    string
-		in      Lookup
-		before  End // how the first attempt ends; endCount: it is out still
+		in      Request
+		before  AttemptResult // how the first attempt ends; endCount: it is out still
 		order   func(h host, ticket int)
 		want    admission.Reason
 		outcome Outcome
 	}{
-		{"a second attempt beside an unsafe one", Lookup{Namespace: "once", Key: "k"}, endCount,
-			func(h host, i int) { h.Shoot(i, server, 100) }, admission.MayHaveRun, -1},
-		{"a retry of an unsafe one that may have run", Lookup{Namespace: "once", Key: "k"}, Lost,
-			func(h host, i int) { h.Shoot(i, server, 100) }, admission.MayHaveRun, -1},
-		{"a refusal of an unsafe one that may have run", Lookup{Namespace: "once", Key: "k"}, Lost,
-			func(h host, i int) { h.Defer(i, 0) }, admission.MayHaveRun, Abandoned},
-		{"a refusal of an unsafe one that is out", Lookup{Namespace: "once", Key: "k"}, endCount,
-			func(h host, i int) { h.Defer(i, 0) }, admission.MayHaveRun, Abandoned},
+		{"a second attempt beside an unsafe one", Request{Class: "once", Key: "k"}, endCount,
+			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
+		{"a retry of an unsafe one that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
+			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
+		{"a refusal of an unsafe one that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
+			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
+		{"a refusal of an unsafe one that is out", Request{Class: "once", Key: "k"}, endCount,
+			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ships := &fleet{}
@@ -61,19 +61,19 @@
 func TestNothingFollowsTheFinalAnswer(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	ticket := take(t, x, Lookup{Namespace: "read", Key: "k"}, time.Second)
+	ticket := take(t, x, Request{Class: "read", Key: "k"}, time.Second)
 	out := ships.take(0) // stays out, so that the index is not used again
 	x.do("test", nil, func(routing.Time) {
 		h := host{x}
-		h.Abandon(ticket.index)
-		h.Abandon(ticket.index)
-		h.Defer(ticket.index, 0)
-		h.Shoot(ticket.index, 0, 100)
+		h.Fail(ticket.index)
+		h.Fail(ticket.index)
+		h.Reject(ticket.index, 0)
+		h.Send(ticket.index, 0, 100)
 	})
 	if n := x.figures.Violations[admission.RequestOver].Load(); n != 3 {
 		t.Errorf("%d violations, want three", n)
 	}
-	if a, answered := got(ticket); !answered || a.Outcome != Abandoned {
+	if a, answered := got(ticket); !answered || a.Outcome != Failed {
 		t.Errorf("answered: %v, %v", answered, a.Outcome)
 	}
 	if _, again := got(ticket); again {
@@ -82,14 +82,14 @@
 	if ships.take(0) != nil {
 		t.Error("an attempt after the final answer")
 	}
-	out.Settle(Whole, Answer{})
+	out.Finish(Complete, Answer{})
 }
 
 // A keyed request is repeated while its servers remember its key, and not later.
 func TestAKeyedRepeatKeepsToItsWindow(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	ticket := take(t, x, Lookup{Namespace: "marked", Key: "k"}, time.Second)
+	ticket := take(t, x, Request{Class: "marked", Key: "k"}, time.Second)
 	first := ships.take(0)
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -100,7 +100,7 @@
 		t.Errorf("inside: %v", why)
 	}
 	attempt.Now = first.sent.Add(500 * time.Millisecond)
-	if why := attempt.Decide(); why != admission.WindowOver {
+	if why := attempt.Decide(); why != admission.DedupWindowOver {
 		t.Errorf("after it: %v", why)
 	}
 }
--- a/internal/net/dispatch/exchange.go
+++ b/internal/net/dispatch/exchange.go
@@ -18,33 +18,33 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Carrier brings shots to the servers; none of its methods may block. Each shot is settled once, by Settle.
-type Carrier interface {
-	Carry(*Shot)
-	// HangUp closes the connections to a place that carry no shot, but for so many.
-	HangUp(place uint64, but int)
-	// Most bounds the connections to each cache, those being made included; before it is called nothing does.
-	Most(n int)
+// Transport brings shots to the servers; none of its methods may block. Each shot is settled once, by Settle.
+type Transport interface {
+	Send(*Attempt)
+	// CloseIdle closes the connections to a place that carry no shot, but for so many.
+	CloseIdle(place uint64, but int)
+	// SetMaxConns bounds the connections to each cache, those being made included; before it is called nothing does.
+	SetMaxConns(n int)
 }
 
-// Lister follows the box list once it is told to, and reports by List. Subscribe must not block.
-type Lister interface{ Subscribe() }
+// EndpointSource follows the box list once it is told to, and reports by List. Subscribe must not block.
+type EndpointSource interface{ Subscribe() }
 
-// Box is an entry of the box list.
-type Box struct {
-	ID, Address, Machine string
-	State                routing.State
-	StartedMs            float64 // Unix time, 0: long ago
+// Endpoint is an entry of the box list.
+type Endpoint struct {
+	ID, Address, Model string
+	State              routing.State
+	StartedMs          float64 // Unix time, 0: long ago
 }
 
-// Exchange is one node's owner of decisions.
-type Exchange struct {
+// Dispatcher is one node's owner of decisions.
+type Dispatcher struct {
 	log     *zap.Logger
 	terms   *config.Settings
 	clock   clock
 	wall    func() time.Time // reads the wall clock
-	carrier Carrier
-	lister  Lister
+	carrier Transport
+	lister  EndpointSource
 
 	mu       sync.Mutex
 	balancer *routing.Balancer
@@ -60,25 +60,25 @@
 	live     routing.Time // when the list was last told by its service; 0: not yet
 	alarms   alarms
 	timer    *time.Timer
-	tally    Tally
-	figures  *metrics.Figures
-	bans     map[string]Ban
+	tally    Stats
+	figures  *metrics.Metrics
+	bans     map[string]Ejection
 	heard    heard
 	parted   bool                        // parts of the fleet's budgets bound what is done
-	cuts     map[routing.Bound]time.Time // when what a part of a number at a time allowed has to be over
+	cuts     map[routing.Limit]time.Time // when what a part of a number at a time allowed has to be over
 }
 
 // New makes the owner; nothing happens before Start.
-func New(t *config.Settings, log *zap.Logger) *Exchange {
-	x := &Exchange{log: log, terms: t, clock: clock{time.Now()}, wall: wall.Wall, places: map[string]int{},
-		cuts: map[routing.Bound]time.Time{}, out: map[string]*Ticket{}, figures: metrics.New(slices.Collect(maps.Keys(t.Classes)))}
+func New(t *config.Settings, log *zap.Logger) *Dispatcher {
+	x := &Dispatcher{log: log, terms: t, clock: clock{time.Now()}, wall: wall.Wall, places: map[string]int{},
+		cuts: map[routing.Limit]time.Time{}, out: map[string]*Ticket{}, figures: metrics.New(slices.Collect(maps.Keys(t.Classes)))}
 	x.timer = time.AfterFunc(time.Hour, x.ring)
 	x.timer.Stop()
 	return x
 }
 
 // Start hands over those who act, and makes the module.
-func (x *Exchange) Start(seed uint64, carrier Carrier, lister Lister) {
+func (x *Dispatcher) Start(seed uint64, carrier Transport, lister EndpointSource) {
 	x.carrier, x.lister = carrier, lister
 	x.do("start", nil, func(now routing.Time) {
 		x.balancer = routing.New(host{x}, seed, now, x.terms.Routing)
@@ -87,7 +87,7 @@
 
 // do runs f as the only owner. A panic in it must not take the node down with all its lookups: it is
 // logged, and the lookup at hand is answered with no promise.
-func (x *Exchange) do(what string, t *Ticket, f func(now routing.Time)) {
+func (x *Dispatcher) do(what string, t *Ticket, f func(now routing.Time)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	defer func() {
@@ -97,7 +97,7 @@
 				zap.Stack("stack"))
 			if t != nil {
 				t.spoiled = true
-				x.finish(t, Answer{Outcome: Abandoned})
+				x.finish(t, Answer{Outcome: Failed})
 			}
 		}
 	}()
@@ -105,39 +105,39 @@
 }
 
 // now gives the time of what is told to the module, and keeps it as that of the decisions that follow.
-func (x *Exchange) now() routing.Time {
+func (x *Dispatcher) now() routing.Time {
 	x.decided = time.Now()
 	return x.clock.at(x.decided)
 }
 
-// ErrNamespace says that a lookup names no namespace of the terms.
-var ErrNamespace = errors.New("unknown namespace")
+// ErrUnknownClass says that a lookup names no namespace of the terms.
+var ErrUnknownClass = errors.New("unknown namespace")
 
-// ErrOut says that a lookup has the id of another one that is out: a server could not tell them apart.
-var ErrOut = errors.New("a lookup with this id is out already")
+// ErrDuplicateID says that a lookup has the id of another one that is out: a server could not tell them apart.
+var ErrDuplicateID = errors.New("a lookup with this id is out already")
 
 // bodyTakes is more than the longest body takes from the slowest client.
 const bodyTakes = 15 * time.Minute
 
-// Take hands a client's lookup to the module. read is when its last byte had come; within is what the
+// Submit hands a client's lookup to the module. read is when its last byte had come; within is what the
 // client then still gave it. A client may claim any time; beyond the longest time limit of the terms a lookup
 // would only hold what others need.
-func (x *Exchange) Take(in Lookup, read time.Time, within time.Duration) (*Ticket, error) {
-	ns, known := x.terms.Classes[in.Namespace]
+func (x *Dispatcher) Submit(in Request, read time.Time, within time.Duration) (*Ticket, error) {
+	ns, known := x.terms.Classes[in.Class]
 	if !known {
-		return nil, ErrNamespace
+		return nil, ErrUnknownClass
 	}
-	partner, known := x.terms.Tenants[in.Partner]
+	partner, known := x.terms.Tenants[in.Tenant]
 	if !known {
 		partner = -1
 	}
-	t := &Ticket{Lookup: in, x: x, read: read, answers: make(chan Answer, 1)}
+	t := &Ticket{Request: in, x: x, read: read, answers: make(chan Answer, 1)}
 	twice := false
 	x.do("lookup", t, func(now routing.Time) {
-		if _, twice = x.out[in.Trace]; twice {
+		if _, twice = x.out[in.TraceID]; twice {
 			return
 		}
-		x.out[in.Trace] = t
+		x.out[in.TraceID] = t
 		t.index = len(x.tickets)
 		if last := len(x.free) - 1; last >= 0 {
 			t.index, x.free = x.free[last], x.free[:last]
@@ -145,32 +145,32 @@
 		} else {
 			x.tickets = append(x.tickets, t)
 		}
-		x.tally.Lookups++
+		x.tally.Requests++
 		limit := read.Add(min(within, x.terms.MaxDeadline))
 		if in.Rest != nil {
 			limit = limit.Add(bodyTakes) // its time counts from its last byte; the carrier keeps to that
 		} else {
 			t.limit = read.Add(within)
 		}
-		x.balancer.Lookup(now, t.index, routing.Lookup{Namespace: ns, Partner: partner, Key: in.Key,
-			Limit: x.clock.at(limit), Work: in.Work, Write: in.Write,
-			Long: in.Rest != nil})
+		x.balancer.Request(now, t.index, routing.Request{Class: ns, Tenant: partner, Key: in.Key,
+			Deadline: x.clock.at(limit), Work: in.Work, Write: in.Write,
+			Streaming: in.Rest != nil})
 	})
 	if twice {
-		return nil, ErrOut
+		return nil, ErrDuplicateID
 	}
 	return t, nil
 }
 
-// List tells the module what the box list says.
-func (x *Exchange) List(how routing.ListKind, boxes []Box) {
+// UpdateEndpoints tells the module what the box list says.
+func (x *Dispatcher) UpdateEndpoints(how routing.UpdateKind, boxes []Endpoint) {
 	x.do("list", nil, func(now routing.Time) {
-		if how == routing.Whole || how == routing.Persisted {
+		if how == routing.Full || how == routing.Cached {
 			for i := range x.boxes {
 				x.boxes[i].gone = true // unless the list names it
 			}
 		}
-		list := make([]routing.Box, 0, len(boxes))
+		list := make([]routing.Endpoint, 0, len(boxes))
 		for _, b := range boxes {
 			i, known := x.places[b.ID]
 			if !known && b.State == routing.Gone {
@@ -186,17 +186,17 @@
 			if ban, known := x.bans[b.ID]; known {
 				x.banned(p, ban)
 			}
-			kind, known := x.terms.Models[b.Machine]
+			kind, known := x.terms.Models[b.Model]
 			if !known {
 				kind = -1
 			}
 			p.kind, p.origin = kind, x.terms.IsOrigin(kind)
 			list = append(list, x.shown(i))
 		}
-		if how == routing.Whole || how == routing.Changes {
+		if how == routing.Full || how == routing.Incremental {
 			x.live = now
 		}
-		x.balancer.List(now, how, list)
+		x.balancer.UpdateEndpoints(now, how, list)
 		for i := range x.boxes {
 			x.giveBack(i)
 		}
@@ -208,7 +208,7 @@
 }
 
 // Ready says whether lookups can be decided: the module has been told of a list.
-func (x *Exchange) Ready() bool {
+func (x *Dispatcher) Ready() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.listed
@@ -229,31 +229,31 @@
 }
 
 // host is what the module acts through. Its methods run with the lock held.
-type host struct{ *Exchange }
+type host struct{ *Dispatcher }
 
-func (h host) Shoot(lkp, server int, timeout routing.Time) {
+func (h host) Send(lkp, server int, timeout routing.Time) {
 	t := h.tickets[lkp]
-	s := &Shot{
-		Lookup:  &t.Lookup,
-		Address: h.boxes[server].address,
-		Place:   h.boxes[server].nth,
-		server:  server,
-		sent:    h.decided, // not when this line runs: a process that had no core meanwhile would count spans from too late
-		Within:  spanOf(timeout),
-		ticket:  t,
-		number:  t.shots,
+	s := &Attempt{
+		Request:  &t.Request,
+		Address:  h.boxes[server].address,
+		Endpoint: h.boxes[server].nth,
+		server:   server,
+		sent:     h.decided, // not when this line runs: a process that had no core meanwhile would count spans from too late
+		Timeout:  spanOf(timeout),
+		ticket:   t,
+		number:   t.shots,
 	}
 	if h.terms.DrainGrace > 0 {
 		// A dial may take longer than a drain's grace; what was decided before the drain must not go out after it.
-		s.BeginBy = s.sent.Add(beginWithin(h.terms.DrainGrace))
+		s.SendBy = s.sent.Add(beginWithin(h.terms.DrainGrace))
 	}
-	if by := s.sent.Add(h.terms.DedupWindow(t.Namespace) / memoryPart); t.shots > 0 && by.After(s.sent) && (s.BeginBy.IsZero() || by.Before(s.BeginBy)) {
-		s.BeginBy = by // a dial may also outlast the span in which the servers know the first shot
+	if by := s.sent.Add(h.terms.DedupWindow(t.Class) / memoryPart); t.shots > 0 && by.After(s.sent) && (s.SendBy.IsZero() || by.Before(s.SendBy)) {
+		s.SendBy = by // a dial may also outlast the span in which the servers know the first shot
 	}
 	if s.Origin = h.boxes[server].origin; h.parted {
 		h.bounded(s)
 	}
-	s.until = s.sent.Add(s.Within)
+	s.until = s.sent.Add(s.Timeout)
 	permitted := h.mayStart(t, s)
 	if t.over.Load() {
 		return // only a module that panicked can order this
@@ -261,41 +261,41 @@
 	t.shots++
 	t.out++
 	h.sent(s)
-	h.tally.Shots++
+	h.tally.Attempts++
 	if !permitted {
-		go s.Settle(NoRoom, Answer{})
+		go s.Finish(NoResources, Answer{})
 		return
 	}
-	h.carrier.Carry(s)
+	h.carrier.Send(s)
 }
 
-func (h host) Defer(lkp int, retryAfter routing.Time) {
-	t, answer := h.tickets[lkp], Answer{Outcome: Deferred, RetryAfter: spanOf(retryAfter)}
+func (h host) Reject(lkp int, retryAfter routing.Time) {
+	t, answer := h.tickets[lkp], Answer{Outcome: Rejected, RetryAfter: spanOf(retryAfter)}
 	if !h.mayRefuse(t) {
-		answer = Answer{Outcome: Abandoned}
+		answer = Answer{Outcome: Failed}
 	}
 	if h.mayAnswer(t) {
 		h.finish(t, answer)
 	}
 }
 
-func (h host) Abandon(lkp int) {
+func (h host) Fail(lkp int) {
 	if t := h.tickets[lkp]; h.mayAnswer(t) {
-		h.finish(t, Answer{Outcome: Abandoned})
+		h.finish(t, Answer{Outcome: Failed})
 	}
 }
 
 func (h host) Subscribe() { h.lister.Subscribe() }
 
-// HangUp is carried out by the side that holds the connections.
-func (h host) HangUp(server, but int) { h.carrier.HangUp(h.boxes[server].nth, but) }
+// CloseIdle is carried out by the side that holds the connections.
+func (h host) CloseIdle(server, but int) { h.carrier.CloseIdle(h.boxes[server].nth, but) }
 
-func (h host) Wake(at routing.Time, handle int) { h.wake(at, handle) }
+func (h host) SetAlarm(at routing.Time, handle int) { h.wake(at, handle) }
 
 func spanOf(t routing.Time) time.Duration { return config.Duration(t) }
 
 // finish gives a lookup its one final answer. Called with the lock held.
-func (x *Exchange) finish(t *Ticket, a Answer) {
+func (x *Dispatcher) finish(t *Ticket, a Answer) {
 	if t.over.Load() {
 		return
 	}
@@ -303,22 +303,22 @@
 	t.answers <- a // it has room for this one, and there is no other
 	took := time.Since(t.read)
 	x.tally.count(a, took)
-	x.log.Debug("request ended", zap.String("trace", t.Trace), zap.Stringer("outcome", a.Outcome), zap.Int("attempts", t.shots),
+	x.log.Debug("request ended", zap.String("trace", t.TraceID), zap.Stringer("outcome", a.Outcome), zap.Int("attempts", t.shots),
 		zap.Int("out", t.out), zap.Bool("may have run", t.mayHaveRun), zap.Duration("after", took))
 }
 
-func (x *Exchange) end(t *Ticket) {
+func (x *Dispatcher) end(t *Ticket) {
 	t.over.Store(true)
 	x.forget(t)
 }
 
 // forget frees a lookup's index once it is over and all its shots have settled.
-func (x *Exchange) forget(t *Ticket) {
+func (x *Dispatcher) forget(t *Ticket) {
 	if !t.over.Load() || t.out > 0 || t.forgotten {
 		return
 	}
 	t.forgotten = true
-	delete(x.out, t.Trace)
+	delete(x.out, t.TraceID)
 	if t.spoiled {
 		// The module may still hold the lookup to be live, so its index rests for good, but none of its bytes.
 		x.tickets[t.index] = &Ticket{x: x, forgotten: true}
--- a/internal/net/dispatch/exchange_test.go
+++ b/internal/net/dispatch/exchange_test.go
@@ -32,11 +32,11 @@
 	switch {
 	case came && (f.answered || f.left):
 		return "an answer after the end"
-	case came && a.Outcome == Deferred && f.mayHaveRun && f.Namespace == "once":
+	case came && a.Outcome == Rejected && f.mayHaveRun && f.Class == "once":
 		return "a deferral though it may have run"
 	case f.Ticket.shots > f.shots && (f.answered || f.left):
 		return "a shot after the end"
-	case f.Ticket.shots > f.shots && f.mayHaveRun && f.Namespace == "once":
+	case f.Ticket.shots > f.shots && f.mayHaveRun && f.Class == "once":
 		return "a second shot though the first may have run"
 	}
 	f.answered, f.shots = f.answered || came, f.Ticket.shots
@@ -58,14 +58,14 @@
 			if broken := of[s.ticket].check(); broken != "" { // up to here, before more becomes known
 				t.Error(broken)
 			}
-			end := End(r.Intn(int(endCount)))
+			end := AttemptResult(r.Intn(int(endCount)))
 			switch end.Code() {
-			case routing.Full, routing.Unconnected, routing.Unsent, routing.Missing, routing.Crowded, routing.Unheard, routing.Withheld:
+			case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.Withheld:
 			default:
 				of[s.ticket].mayHaveRun = true
 			}
-			s.Settle(end, Answer{Body: []byte("v")})
-			s.Settle(End(r.Intn(int(endCount))), Answer{})
+			s.Finish(end, Answer{Body: []byte("v")})
+			s.Finish(AttemptResult(r.Intn(int(endCount))), Answer{})
 			return true
 		}
 		for step := 0; step < 300; step++ {
@@ -74,7 +74,7 @@
 				ns := []string{"read", "once"}[r.Intn(2)]
 				f := &followed{}
 				// The shot may be carried before Take returns, but nobody settles it before that.
-				f.Ticket = take(t, x, Lookup{Namespace: ns, Key: strconv.Itoa(r.Intn(20)), Write: r.Intn(4) == 0}, time.Minute)
+				f.Ticket = take(t, x, Request{Class: ns, Key: strconv.Itoa(r.Intn(20)), Write: r.Intn(4) == 0}, time.Minute)
 				of[f.Ticket] = f
 				all = append(all, f)
 			case 2, 3:
@@ -86,7 +86,7 @@
 						t.Error(broken)
 						return false
 					}
-					f.Leave()
+					f.Abandon()
 					f.left = true
 				}
 			}
@@ -114,7 +114,7 @@
 				return false
 			}
 		}
-		return x.Out() == 0
+		return x.InFlight() == 0
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
@@ -127,9 +127,9 @@
 	wg sync.WaitGroup
 }
 
-func (h *hasty) Carry(s *Shot) {
-	for _, end := range []End{Whole, Silent} {
-		h.wg.Go(func() { s.Settle(end, Answer{}) })
+func (h *hasty) Send(s *Attempt) {
+	for _, end := range []AttemptResult{Complete, TimedOut} {
+		h.wg.Go(func() { s.Finish(end, Answer{}) })
 	}
 }
 
@@ -140,9 +140,9 @@
 	var clients sync.WaitGroup
 	for i := range 300 {
 		clients.Go(func() {
-			ticket := take(t, x, Lookup{Namespace: "read", Key: strconv.Itoa(i % 7)}, time.Second)
+			ticket := take(t, x, Request{Class: "read", Key: strconv.Itoa(i % 7)}, time.Second)
 			if i%3 == 0 {
-				ticket.Leave()
+				ticket.Abandon()
 				return
 			}
 			select {
@@ -154,9 +154,9 @@
 	}
 	clients.Wait()
 	h.wg.Wait()
-	y := x.Tally()
-	if ends := y.Resolved + y.Deferred + y.Abandoned + y.Left; ends != 300 || x.Out() != 0 || y.Panics != 0 {
-		t.Errorf("%d ends of 300, %d still known, %d panics", ends, x.Out(), y.Panics)
+	y := x.Stats()
+	if ends := y.Served + y.Rejected + y.Failed + y.ClientGone; ends != 300 || x.InFlight() != 0 || y.Panics != 0 {
+		t.Errorf("%d ends of 300, %d still known, %d panics", ends, x.InFlight(), y.Panics)
 	}
 }
 
@@ -164,18 +164,18 @@
 func TestAlarmsComeInTimeAndNotEarly(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	first := take(t, x, Lookup{Namespace: "late", Key: "k"}, time.Minute)
-	ships.take(0).Settle(Lacking, Answer{})
+	first := take(t, x, Request{Class: "late", Key: "k"}, time.Minute)
+	ships.take(0).Finish(NotFound, Answer{})
 	began := time.Now()
-	second := take(t, x, Lookup{Namespace: "late", Key: "k"}, 80*time.Millisecond)
-	if a := <-second.Answers(); a.Outcome != Deferred {
+	second := take(t, x, Request{Class: "late", Key: "k"}, 80*time.Millisecond)
+	if a := <-second.Answers(); a.Outcome != Rejected {
 		t.Errorf("got %+v", a)
 	}
 	if took := time.Since(began); took < 79*time.Millisecond || took > 300*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
-	if ships.take(0).Settle(Whole, Answer{}); x.Out() != 0 {
-		t.Errorf("%d lookups are still known", x.Out())
+	if ships.take(0).Finish(Complete, Answer{}); x.InFlight() != 0 {
+		t.Errorf("%d lookups are still known", x.InFlight())
 	}
 	<-first.Answers()
 }
@@ -184,11 +184,11 @@
 	ships := &fleet{}
 	x := start(t, ships)
 	for _, within := range []time.Duration{0, -time.Second} {
-		if a, came := got(take(t, x, Lookup{Namespace: "once", Write: true}, within)); !came || a.Outcome != Deferred {
+		if a, came := got(take(t, x, Request{Class: "once", Write: true}, within)); !came || a.Outcome != Rejected {
 			t.Errorf("%v: %+v, %v", within, a, came)
 		}
 	}
-	if ships.take(0) != nil || x.Out() != 0 {
+	if ships.take(0) != nil || x.InFlight() != 0 {
 		t.Error("a shot was sent, or a lookup is still known")
 	}
 }
@@ -197,20 +197,20 @@
 func TestAnIdThatIsOutIsTurnedAway(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	first := take(t, x, Lookup{Namespace: "read", Key: "k"}, time.Second)
+	first := take(t, x, Request{Class: "read", Key: "k"}, time.Second)
 	again := func() error {
-		_, err := x.Take(Lookup{Namespace: "read", Key: "l", Trace: first.Trace}, time.Now(), time.Second)
+		_, err := x.Submit(Request{Class: "read", Key: "l", TraceID: first.TraceID}, time.Now(), time.Second)
 		return err
 	}
 	shot := ships.take(0)
-	if err := again(); !errors.Is(err, ErrOut) || ships.take(0) != nil {
+	if err := again(); !errors.Is(err, ErrDuplicateID) || ships.take(0) != nil {
 		t.Errorf("while it is out: %v", err)
 	}
-	first.Leave()
-	if err := again(); !errors.Is(err, ErrOut) || ships.take(0) != nil {
+	first.Abandon()
+	if err := again(); !errors.Is(err, ErrDuplicateID) || ships.take(0) != nil {
 		t.Errorf("while its shot is out: %v", err)
 	}
-	shot.Settle(Whole, Answer{})
+	shot.Finish(Complete, Answer{})
 	if err := again(); err != nil || len(x.out) != 1 {
 		t.Errorf("afterwards: %v, %d ids are kept", err, len(x.out))
 	}
@@ -219,9 +219,9 @@
 func TestALimitBeyondTheTermsIsCut(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	take(t, x, Lookup{Namespace: "late", Key: "k"}, time.Hour)
-	if s := ships.take(0); s.Within > 750*time.Millisecond || s.Within < 700*time.Millisecond {
-		t.Errorf("the shot has %v", s.Within)
+	take(t, x, Request{Class: "late", Key: "k"}, time.Hour)
+	if s := ships.take(0); s.Timeout > 750*time.Millisecond || s.Timeout < 700*time.Millisecond {
+		t.Errorf("the shot has %v", s.Timeout)
 	}
 }
 
@@ -231,16 +231,16 @@
 	x := start(t, ships)
 	whole := x.balancer
 	x.balancer = nil
-	ticket := take(t, x, Lookup{Namespace: "read"}, time.Second)
-	if a, came := got(ticket); !came || a.Outcome != Abandoned {
+	ticket := take(t, x, Request{Class: "read"}, time.Second)
+	if a, came := got(ticket); !came || a.Outcome != Failed {
 		t.Errorf("%+v, %v", a, came)
 	}
 	x.balancer = whole
-	host{x}.Shoot(ticket.index, 0, routing.Millisecond)
+	host{x}.Send(ticket.index, 0, routing.Millisecond)
 	if ships.take(0) != nil || len(x.out) != 0 {
 		t.Errorf("a shot after the final answer, or %d ids are kept", len(x.out))
 	}
-	if next := take(t, x, Lookup{Namespace: "read"}, time.Second); next.index == ticket.index || ships.take(0) == nil {
+	if next := take(t, x, Request{Class: "read"}, time.Second); next.index == ticket.index || ships.take(0) == nil {
 		t.Errorf("the next lookup has index %d after %d", next.index, ticket.index)
 	}
 }
@@ -250,8 +250,8 @@
 	x := start(t, ships)
 	moved := boxes[3]
 	moved.Address = "elsewhere:1"
-	x.List(routing.Changes, []Box{moved})
-	take(t, x, Lookup{Namespace: "read", Write: true}, time.Second)
+	x.UpdateEndpoints(routing.Incremental, []Endpoint{moved})
+	take(t, x, Request{Class: "read", Write: true}, time.Second)
 	if s := ships.take(0); s.Address != "elsewhere:1" || len(x.boxes) != len(boxes) {
 		t.Errorf("sent to %s; %d indices for %d boxes", s.Address, len(x.boxes), len(boxes))
 	}
@@ -263,11 +263,11 @@
 func TestAReadThatOthersPassGoesElsewhereToo(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	x.List(routing.Whole, []Box{boxes[0], boxes[1], boxes[3]})
+	x.UpdateEndpoints(routing.Full, []Endpoint{boxes[0], boxes[1], boxes[3]})
 	for i := range x.boxes {
 		x.boxes[i].mean = 5 * time.Millisecond
 	}
-	send := func(in Lookup) (*Ticket, *Shot) {
+	send := func(in Request) (*Ticket, *Attempt) {
 		return take(t, x, in, time.Second), ships.take(0)
 	}
 	quiet := func() {
@@ -277,52 +277,52 @@
 			t.Fatalf("a shot to %s", s.Address)
 		}
 	}
-	read := Lookup{Namespace: "read", Key: "k"}
+	read := Request{Class: "read", Key: "k"}
 	ticket, slow := send(read)
 	quiet() // nothing says that the server works
 	_, later := send(read)
 	if later.Address != slow.Address {
 		t.Fatalf("the second went to %s, the first to %s", later.Address, slow.Address)
 	}
-	later.Settle(Whole, Answer{})
-	var other *Shot
+	later.Finish(Complete, Answer{})
+	var other *Attempt
 	for end := time.Now().Add(time.Second); other == nil && time.Now().Before(end); other = ships.take(0) {
 		time.Sleep(time.Millisecond)
 	}
-	if other == nil || other.Trace != slow.Trace || other.Address == slow.Address {
+	if other == nil || other.TraceID != slow.TraceID || other.Address == slow.Address {
 		t.Fatalf("passed, and then %v", other)
 	}
-	slow.Settle(Whole, Answer{Body: []byte("slow")})
+	slow.Finish(Complete, Answer{Body: []byte("slow")})
 	if a, _ := got(ticket); string(a.Body) != "slow" {
 		t.Errorf("the slow answer did not count: %v", a)
 	}
-	if other.Wanted() == admission.Granted { // its connection may come up only now
+	if other.ClientState() == admission.Granted { // its connection may come up only now
 		t.Error("a shot may begin after the final answer")
 	}
 	var crossed *Ticket
-	crossed, shot := send(Lookup{Namespace: "read", Key: "k", Gone: func() bool {
-		crossed.Leave() // the lookup ends while the kernel is asked for its client
+	crossed, shot := send(Request{Class: "read", Key: "k", ClientGone: func() bool {
+		crossed.Abandon() // the lookup ends while the kernel is asked for its client
 		return false
 	}})
-	if shot.Wanted() == admission.Granted {
+	if shot.ClientState() == admission.Granted {
 		t.Error("a shot may begin when its lookup ended meanwhile")
 	}
-	shot.Settle(Withheld, Answer{})
-	other.Settle(Whole, Answer{Body: []byte("other")})
+	shot.Finish(Withheld, Answer{})
+	other.Finish(Complete, Answer{Body: []byte("other")})
 	if a, more := got(ticket); more {
 		t.Errorf("another final answer: %v", a)
 	}
-	for _, in := range []Lookup{{Namespace: "read", Write: true}, {Namespace: "once", Key: "k"}} {
+	for _, in := range []Request{{Class: "read", Write: true}, {Class: "once", Key: "k"}} {
 		_, first := send(in)
 		_, second := send(in)
-		if first.Wanted() != admission.Granted {
+		if first.ClientState() != admission.Granted {
 			t.Error("a lookup that has no answer yet is not wanted")
 		}
-		second.Settle(Whole, Answer{})
+		second.Finish(Complete, Answer{})
 		quiet() // another shot of what isn't replayable might be an effect twice
-		first.Settle(Whole, Answer{})
+		first.Finish(Complete, Answer{})
 	}
-	if y := x.Tally(); y.Ends[Passed] != 1 || y.Panics > 0 || len(x.out) > 0 {
+	if y := x.Stats(); y.Ends[Bypassed] != 1 || y.Panics > 0 || len(x.out) > 0 {
 		t.Errorf("tally %+v, %d ids out", y, len(x.out))
 	}
 	for _, p := range x.boxes {
@@ -342,16 +342,16 @@
 		for i := range x.boxes {
 			x.boxes[i].mean = 2 * time.Millisecond
 		}
-		read := Lookup{Namespace: "read", Key: "k"}
+		read := Request{Class: "read", Key: "k"}
 		take(t, x, read, time.Second)
 		slow := ships.take(0)
 		take(t, x, read, time.Second)
-		ships.take(0).Settle(Whole, Answer{})
+		ships.take(0).Finish(Complete, Answer{})
 		time.Sleep(50 * time.Millisecond)
 		if other := ships.take(0); (other != nil) != allowed {
 			t.Errorf("second copies %v: %v beside the first shot", allowed, other)
 		}
-		slow.Settle(Failing, Answer{})
+		slow.Finish(ServerError, Answer{})
 		if next := ships.take(0); !allowed && next == nil {
 			t.Error("no further shot once the first was over")
 		}
@@ -369,7 +369,7 @@
 			ships := &fleet{}
 			x := start(t, ships)
 			x.terms.DrainGrace = grace
-			take(t, x, Lookup{Namespace: c.namespace, Key: "k"}, time.Second)
+			take(t, x, Request{Class: c.namespace, Key: "k"}, time.Second)
 			for n, bound := range []time.Duration{0, c.repeat} {
 				if s := ships.take(0); s == nil {
 					t.Fatalf("%s: no shot %d", c.namespace, n)
@@ -377,10 +377,10 @@
 					if of := beginWithin(grace); of > 0 && (bound == 0 || of < bound) {
 						bound = of
 					}
-					if bound == 0 != s.BeginBy.IsZero() || bound > 0 && s.BeginBy.Sub(s.sent) != bound {
-						t.Errorf("%s, grace %v, shot %d: begins by %v after it was ordered, want %v", c.namespace, grace, n, s.BeginBy.Sub(s.sent), bound)
+					if bound == 0 != s.SendBy.IsZero() || bound > 0 && s.SendBy.Sub(s.sent) != bound {
+						t.Errorf("%s, grace %v, shot %d: begins by %v after it was ordered, want %v", c.namespace, grace, n, s.SendBy.Sub(s.sent), bound)
 					}
-					s.Settle(Lost, Answer{})
+					s.Finish(ConnectionLost, Answer{})
 				}
 			}
 		}
@@ -391,8 +391,8 @@
 func TestConnectionsAreGivenBack(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	x.do("test", nil, func(routing.Time) { host{x}.HangUp(1, 0) })
-	if len(ships.hungUp) != 1 || ships.hungUp[0] != x.boxes[1].nth || x.Tally().Panics != 0 {
+	x.do("test", nil, func(routing.Time) { host{x}.CloseIdle(1, 0) })
+	if len(ships.hungUp) != 1 || ships.hungUp[0] != x.boxes[1].nth || x.Stats().Panics != 0 {
 		t.Errorf("hung up on %v", ships.hungUp)
 	}
 }
@@ -402,36 +402,36 @@
 func TestPlacesOfBoxesThatWentAreGivenBack(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	take(t, x, Lookup{Namespace: "late", Write: true}, time.Second) // at the origin while that is replaced
+	take(t, x, Request{Class: "late", Write: true}, time.Second) // at the origin while that is replaced
 	out := ships.take(0)
-	seen := map[uint64]bool{out.Place: true}
+	seen := map[uint64]bool{out.Endpoint: true}
 	const rounds = 768
 	for n := range rounds {
-		fresh := []Box{{ID: fmt.Sprint("c", n), Address: "same:1", Machine: "box"}, {ID: fmt.Sprint("z", n), Address: "z:1", Machine: "origin"}}
+		fresh := []Endpoint{{ID: fmt.Sprint("c", n), Address: "same:1", Model: "box"}, {ID: fmt.Sprint("z", n), Address: "z:1", Model: "origin"}}
 		if n%2 == 0 {
-			x.List(routing.Whole, fresh)
+			x.UpdateEndpoints(routing.Full, fresh)
 		} else {
-			x.List(routing.Changes, append(fresh, Box{ID: fmt.Sprint("c", n-1), State: routing.Gone},
-				Box{ID: fmt.Sprint("z", n-1), State: routing.Gone}, Box{ID: "never seen", State: routing.Gone}))
+			x.UpdateEndpoints(routing.Incremental, append(fresh, Endpoint{ID: fmt.Sprint("c", n-1), State: routing.Gone},
+				Endpoint{ID: fmt.Sprint("z", n-1), State: routing.Gone}, Endpoint{ID: "never seen", State: routing.Gone}))
 		}
 		for _, write := range []bool{false, true} {
-			take(t, x, Lookup{Namespace: "late", Write: write}, time.Second)
+			take(t, x, Request{Class: "late", Write: write}, time.Second)
 			s := ships.take(0)
-			if s == nil || seen[s.Place] || s.server == out.server || s.Address != fresh[map[bool]int{true: 1}[write]].Address {
+			if s == nil || seen[s.Endpoint] || s.server == out.server || s.Address != fresh[map[bool]int{true: 1}[write]].Address {
 				t.Fatalf("list %d, write %v: %+v", n, write, s)
 			}
-			seen[s.Place] = true
-			s.Settle(Whole, Answer{})
+			seen[s.Endpoint] = true
+			s.Finish(Complete, Answer{})
 		}
 	}
-	out.Settle(Whole, Answer{})
+	out.Finish(Complete, Answer{})
 	if len(x.places) != 2 || len(x.boxes) > 12 {
 		t.Errorf("%d ids and %d indices are kept", len(x.places), len(x.boxes))
 	}
 	same, again := boxes[0], boxes[0]
 	again.StartedMs = 5
-	for _, b := range []Box{same, same, again} {
-		x.List(routing.Whole, []Box{b})
+	for _, b := range []Endpoint{same, same, again} {
+		x.UpdateEndpoints(routing.Full, []Endpoint{b})
 	}
 	if p := x.boxes[x.places["a"]]; p.nth != x.told || x.told != uint64(len(boxes)+2*rounds+2) {
 		t.Errorf("a restart is another place, the same list isn't: %+v of %d", p, x.told)
@@ -441,13 +441,13 @@
 func TestReadyOnceAListIsKnown(t *testing.T) {
 	x := New(start(t, &fleet{}).terms, nil)
 	x.Start(1, &fleet{}, nobody{})
-	x.List(routing.Persisted, nil)
+	x.UpdateEndpoints(routing.Cached, nil)
 	before := x.Ready()
-	x.List(routing.Persisted, boxes)
+	x.UpdateEndpoints(routing.Cached, boxes)
 	if before || !x.Ready() {
 		t.Errorf("ready %v before, %v after", before, x.Ready())
 	}
-	if _, err := x.Take(Lookup{Namespace: "none"}, time.Now(), time.Second); !errors.Is(err, ErrNamespace) {
+	if _, err := x.Submit(Request{Class: "none"}, time.Now(), time.Second); !errors.Is(err, ErrUnknownClass) {
 		t.Error(err)
 	}
 }
@@ -462,15 +462,15 @@
 }
 
 func TestOnlyProofsCountAsNotRun(t *testing.T) {
-	proofs := map[End]bool{Lacking: true, TurnedAway: true, Crowded: true, Unreached: true, Unheard: true, Unwritten: true, NoRoom: true, Overtaken: true,
+	proofs := map[AttemptResult]bool{NotFound: true, Shed: true, ConnectionLimit: true, ConnectRefused: true, ConnectTimeout: true, WriteFailed: true, NoResources: true, NotConnected: true,
 		Withheld: true}
 	for end := range endCount {
 		code := end.Code()
-		notRun := code == routing.Full || code == routing.Unconnected || code == routing.Unsent || code >= routing.Missing
-		if code == routing.Broken {
+		notRun := code == routing.Rejected || code == routing.ConnectFailed || code == routing.NotSent || code >= routing.NotFound
+		if code == routing.ConnectionBroken {
 			t.Errorf("%v: one connection's end is taken for its server's", end)
 		}
-		if notRun != proofs[end] || end.String() == "" || (code == routing.Answered) != (end == Whole) {
+		if notRun != proofs[end] || end.String() == "" || (code == routing.Served) != (end == Complete) {
 			t.Errorf("%v: code %v", end, code)
 		}
 	}
@@ -481,27 +481,27 @@
 	for begun, want := range map[bool]int{false: 2, true: 1} {
 		f := &fleet{}
 		x := start(t, f)
-		in := Lookup{Namespace: "read", Write: true, Rest: NewRest(strings.NewReader("rest")), Length: 4, Patience: 1e9}
+		in := Request{Class: "read", Write: true, Rest: NewBodyStream(strings.NewReader("rest")), Length: 4, Timeout: 1e9}
 		ticket := take(t, x, in, time.Second)
 		s := f.take(0)
 		if begun {
 			_, _ = s.Rest.Read(make([]byte, 1))
 		}
-		s.Settle(Unwritten, Answer{})
+		s.Finish(WriteFailed, Answer{})
 		shots := 1
 		for end := time.Now().Add(200 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			if s = f.take(0); s != nil {
 				shots++
 				_, _ = io.Copy(io.Discard, s.Rest)
 				s.Sent()
-				s.Settle(Whole, Answer{Body: []byte("v")})
+				s.Finish(Complete, Answer{Body: []byte("v")})
 			}
 		}
 		a, ended := got(ticket)
-		if shots != want || !ended || (a.Outcome == Resolved) == begun {
+		if shots != want || !ended || (a.Outcome == Served) == begun {
 			t.Errorf("begun %v: %d shots, ended %v %v", begun, shots, ended, a.Outcome)
 		}
-		if x.Out() != 0 {
+		if x.InFlight() != 0 {
 			t.Error("a lookup is left over")
 		}
 	}
@@ -511,36 +511,36 @@
 func TestALongAnswerIsTheOnlyOne(t *testing.T) {
 	f := &fleet{}
 	x := start(t, f)
-	ticket := take(t, x, Lookup{Namespace: "read", Key: "k"}, time.Second)
+	ticket := take(t, x, Request{Class: "read", Key: "k"}, time.Second)
 	s := f.take(0)
-	s.Stalls() // it goes elsewhere too
+	s.Stalled() // it goes elsewhere too
 	other := f.take(0)
 	if other == nil {
 		t.Fatal("no second shot")
 	}
 	rest := io.NopCloser(strings.NewReader("long"))
-	if !s.Settle(Whole, Answer{Rest: rest, Length: 4}) || other.Settle(Whole, Answer{Rest: rest, Length: 4}) {
+	if !s.Finish(Complete, Answer{Rest: rest, Length: 4}) || other.Finish(Complete, Answer{Rest: rest, Length: 4}) {
 		t.Error("want the first answer, and only that")
 	}
 	if a, ended := got(ticket); !ended || a.Rest == nil {
 		t.Errorf("%v %+v", ended, a)
 	}
-	if _, err := x.Take(ticket.Lookup, time.Now(), time.Second); !errors.Is(err, ErrOut) {
+	if _, err := x.Submit(ticket.Request, time.Now(), time.Second); !errors.Is(err, ErrDuplicateID) {
 		t.Errorf("its id is out: %v", err)
 	}
-	other.Over()
-	s.Over()
-	s.Over()
-	if x.Out() != 0 {
-		t.Errorf("%d lookups are left", x.Out())
+	other.Release()
+	s.Release()
+	s.Release()
+	if x.InFlight() != 0 {
+		t.Errorf("%d lookups are left", x.InFlight())
 	}
-	again := take(t, x, Lookup{Namespace: "once", Write: true}, time.Second)
+	again := take(t, x, Request{Class: "once", Write: true}, time.Second)
 	s = f.take(0)
-	if s.Stalls(); f.take(0) != nil {
+	if s.Stalled(); f.take(0) != nil {
 		t.Error("what isn't replayable must not go elsewhere")
 	}
-	again.Leave()
-	if s.Settle(Whole, Answer{Rest: rest, Length: 4}) {
+	again.Abandon()
+	if s.Finish(Complete, Answer{Rest: rest, Length: 4}) {
 		t.Error("nobody is there to take it")
 	}
 }
@@ -550,30 +550,30 @@
 	f := &fleet{}
 	x := start(t, f)
 	for range 40 { // each range's cache breaks a connection
-		take(t, x, Lookup{Namespace: "read", Key: fmt.Sprint(traces.Load())}, time.Second)
+		take(t, x, Request{Class: "read", Key: fmt.Sprint(traces.Load())}, time.Second)
 		if s := f.take(0); s != nil {
-			s.Settle(Unreached, Answer{})
+			s.Finish(ConnectRefused, Answer{})
 		}
 	}
-	resting := x.Resting()
+	resting := x.EjectedEndpoints()
 	if len(resting) == 0 || resting["a"] != "" && resting["a"] != "a:1" {
 		t.Fatalf("%v rest", resting)
 	}
 	for id, address := range resting {
-		x.Tried(id, "elsewhere:1", true, 0)
-		x.Tried("unknown", address, true, 0)
-		x.Tried(id, address, true, 0)
+		x.ProbeResult(id, "elsewhere:1", true, 0)
+		x.ProbeResult("unknown", address, true, 0)
+		x.ProbeResult(id, address, true, 0)
 	}
-	if len(x.Resting()) != len(resting) {
+	if len(x.EjectedEndpoints()) != len(resting) {
 		t.Error("news alone ends no rest: a lookup of our own has to")
 	}
-	for n := 0; len(x.Resting()) > 0; n++ {
+	for n := 0; len(x.EjectedEndpoints()) > 0; n++ {
 		if n > 200 {
-			t.Fatalf("%v rest after good news and %d lookups", x.Resting(), n)
+			t.Fatalf("%v rest after good news and %d lookups", x.EjectedEndpoints(), n)
 		}
-		take(t, x, Lookup{Namespace: "read", Key: fmt.Sprint(traces.Load())}, time.Second)
+		take(t, x, Request{Class: "read", Key: fmt.Sprint(traces.Load())}, time.Second)
 		if s := f.take(0); s != nil {
-			s.Settle(Whole, Answer{Outcome: Resolved})
+			s.Finish(Complete, Answer{Outcome: Served})
 		}
 	}
 }
@@ -583,38 +583,38 @@
 func TestShotsUnderAPart(t *testing.T) {
 	f := &fleet{}
 	x := start(t, f)
-	write := func() (*Ticket, *Shot) {
-		ticket := take(t, x, Lookup{Namespace: "once", Key: "k", Write: true, Method: "PUT"}, 700*time.Millisecond)
+	write := func() (*Ticket, *Attempt) {
+		ticket := take(t, x, Request{Class: "once", Key: "k", Write: true, Method: "PUT"}, 700*time.Millisecond)
 		return ticket, f.take(0)
 	}
-	if _, s := write(); s == nil || !s.BeginBy.IsZero() || s.Within < 600*time.Millisecond {
+	if _, s := write(); s == nil || !s.SendBy.IsZero() || s.Timeout < 600*time.Millisecond {
 		t.Fatalf("without a part: %+v", s)
 	}
-	part := allowance.Part{Number: true, Most: 2, ThenMost: 1}
-	x.Part(routing.OriginRoom, "", part, 200*time.Millisecond, 100*time.Millisecond)
+	part := allowance.Quota{Concurrency: true, Burst: 2, ThenBurst: 1}
+	x.SetQuota(routing.OriginConcurrency, "", part, 200*time.Millisecond, 100*time.Millisecond)
 	_, one := write()
 	_, two := write()
-	if one == nil || two == nil || one.BeginBy.After(time.Now().Add(partWithin)) || one.Within > 300*time.Millisecond || one.Within < 200*time.Millisecond {
+	if one == nil || two == nil || one.SendBy.After(time.Now().Add(partWithin)) || one.Timeout > 300*time.Millisecond || one.Timeout < 200*time.Millisecond {
 		t.Fatalf("under a part of two: %+v, %+v", one, two)
 	}
 	if ticket, s := write(); s != nil {
 		t.Error("a third shot while two go on")
-	} else if a, answered := got(ticket); !answered || a.Outcome != Deferred || a.RetryAfter == 0 {
+	} else if a, answered := got(ticket); !answered || a.Outcome != Rejected || a.RetryAfter == 0 {
 		t.Errorf("what has no part is deferred at once: %+v, %v", a, answered)
 	}
 	if !x.alone(one) {
 		t.Error("another may take its place while it goes on")
 	}
-	one.Settle(Whole, Answer{})
-	two.Settle(Whole, Answer{})
-	if u := x.Part(routing.OriginRoom, "", part, 0, 0); u.Asked != 3 || u.Done != 2 || u.Out != 0 {
+	one.Finish(Complete, Answer{})
+	two.Finish(Complete, Answer{})
+	if u := x.SetQuota(routing.OriginConcurrency, "", part, 0, 0); u.Wanted != 3 || u.Done != 2 || u.InFlight != 0 {
 		t.Errorf("told of %+v", u)
 	}
 	_, one = write()
-	if _, two = write(); one == nil || two != nil || one.Within < 600*time.Millisecond {
+	if _, two = write(); one == nil || two != nil || one.Timeout < 600*time.Millisecond {
 		t.Errorf("after its end what is apart holds: %+v, %+v", one, two)
 	}
-	if u := x.Part(routing.PartnerRate, "nobody", part, 0, 0); u != (allowance.Use{}) {
+	if u := x.SetQuota(routing.TenantRate, "nobody", part, 0, 0); u != (allowance.Usage{}) {
 		t.Error("a partner of no name is bounded")
 	}
 }
--- a/internal/net/dispatch/grace_test.go
+++ b/internal/net/dispatch/grace_test.go
@@ -28,10 +28,10 @@
 		ships := &fleet{}
 		x := New(d, zap.NewNop())
 		x.Start(1, ships, nobody{})
-		x.List(routing.Whole, boxes)
-		take(t, x, Lookup{Namespace: "read", Key: "k"}, time.Second)
+		x.UpdateEndpoints(routing.Full, boxes)
+		take(t, x, Request{Class: "read", Key: "k"}, time.Second)
 		s := ships.take(0)
-		if within := s.BeginBy.Sub(s.sent); within <= 0 || news+within+stall > grace {
+		if within := s.SendBy.Sub(s.sent); within <= 0 || news+within+stall > grace {
 			t.Errorf("grace %v: a first byte may be decided for up to %v, written up to %v later", grace, within, stall)
 		}
 	}
--- a/internal/net/dispatch/heard_test.go
+++ b/internal/net/dispatch/heard_test.go
@@ -13,21 +13,21 @@
 func TestEachListedServerWasHeardOf(t *testing.T) {
 	x := start(t, &fleet{})
 	x.log = zap.NewNop()
-	var all []Box
+	var all []Endpoint
 	for i := range heardMost + 1600 {
-		all = append(all, Box{ID: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("a:%d", i), Machine: "box"})
+		all = append(all, Endpoint{ID: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("a:%d", i), Model: "box"})
 	}
-	x.List(routing.Whole, all)
+	x.UpdateEndpoints(routing.Full, all)
 	unknown := 0
 	for _, b := range all {
-		if !x.Heard(b.ID) {
+		if !x.WasListed(b.ID) {
 			unknown++
 		}
 	}
 	if unknown > 0 {
 		t.Errorf("%d of %d listed servers are not known", unknown, len(all))
 	}
-	if x.Heard("never") {
+	if x.WasListed("never") {
 		t.Error("one that was never listed is known")
 	}
 }
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -16,27 +16,27 @@
 // fleet keeps the shots for the test to settle.
 type fleet struct {
 	mu    sync.Mutex
-	shots []*Shot
+	shots []*Attempt
 
 	hungUp []uint64
 }
 
-func (f *fleet) Carry(s *Shot) {
+func (f *fleet) Send(s *Attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.shots = append(f.shots, s)
 }
 
-func (f *fleet) HangUp(place uint64, _ int) {
+func (f *fleet) CloseIdle(place uint64, _ int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hungUp = append(f.hungUp, place)
 }
 
-func (f *fleet) Most(int) {}
+func (f *fleet) SetMaxConns(int) {}
 
 // take gives a shot that is out, by a number that may be any.
-func (f *fleet) take(n int) *Shot {
+func (f *fleet) take(n int) *Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.shots) == 0 {
@@ -52,11 +52,11 @@
 
 func (nobody) Subscribe() {}
 
-var boxes = []Box{{ID: "a", Address: "a:1", Machine: "box"}, {ID: "b", Address: "b:1", Machine: "box"},
-	{ID: "c", Address: "c:1", Machine: "box"}, {ID: "z", Address: "z:1", Machine: "origin"}}
+var boxes = []Endpoint{{ID: "a", Address: "a:1", Model: "box"}, {ID: "b", Address: "b:1", Model: "box"},
+	{ID: "c", Address: "c:1", Model: "box"}, {ID: "z", Address: "z:1", Model: "origin"}}
 
 // start gives an exchange that knows three caches and the origin.
-func start(t *testing.T, carrier Carrier) *Exchange {
+func start(t *testing.T, carrier Transport) *Dispatcher {
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 200., "time-limit-ms": 750.}
 	}
@@ -78,7 +78,7 @@
 	}
 	x := New(d, zap.NewNop())
 	x.Start(7, carrier, nobody{})
-	x.List(routing.Whole, boxes)
+	x.UpdateEndpoints(routing.Full, boxes)
 	return x
 }
 
@@ -94,10 +94,10 @@
 
 var traces atomic.Int64
 
-func take(t *testing.T, x *Exchange, in Lookup, within time.Duration) *Ticket {
+func take(t *testing.T, x *Dispatcher, in Request, within time.Duration) *Ticket {
 	t.Helper()
-	in.Trace = fmt.Sprint("t", traces.Add(1)) // new with every lookup
-	ticket, err := x.Take(in, time.Now(), within)
+	in.TraceID = fmt.Sprint("t", traces.Add(1)) // new with every lookup
+	ticket, err := x.Submit(in, time.Now(), within)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/dispatch/parts.go
+++ b/internal/net/dispatch/parts.go
@@ -12,48 +12,48 @@
 // that stood still must not send then what it decided before: by now its part may be another's.
 const partWithin = 50 * time.Millisecond
 
-// Part tells the module how much of a budget of the fleet is ours: acts may begin for so long, and then what p says for
+// SetQuota tells the module how much of a budget of the fleet is ours: acts may begin for so long, and then what p says for
 // after that. What began has to be over takes later, if it is of a number at a time. It gives what was asked of its bound
 // since the last time.
-func (x *Exchange) Part(of routing.Bound, partner string, p allowance.Part, left, takes time.Duration) (u allowance.Use) {
+func (x *Dispatcher) SetQuota(of routing.Limit, partner string, p allowance.Quota, left, takes time.Duration) (u allowance.Usage) {
 	place, known := x.terms.Tenants[partner]
-	if of == routing.PartnerRate && !known {
+	if of == routing.TenantRate && !known {
 		return u
 	}
 	x.do("part", nil, func(now routing.Time) {
 		p.Until = int64(now + config.Ticks(float64(left)/float64(time.Millisecond)))
-		u = x.balancer.Part(now, of, place, p)
+		u = x.balancer.SetQuota(now, of, place, p)
 		x.parted = true
-		if p.Number {
+		if p.Concurrency {
 			x.cuts[of] = time.Now().Add(left + takes)
 		}
-		if of == routing.CacheRoom {
-			x.carrier.Most(max(0, int(p.Most)))
+		if of == routing.CacheConcurrency {
+			x.carrier.SetMaxConns(max(0, int(p.Burst)))
 		}
 	})
 	return u
 }
 
 // bounded holds a shot that a part may have allowed to the time of that part.
-func (x *Exchange) bounded(s *Shot) {
-	if by := s.sent.Add(partWithin); s.BeginBy.IsZero() || by.Before(s.BeginBy) {
-		s.BeginBy = by
+func (x *Dispatcher) bounded(s *Attempt) {
+	if by := s.sent.Add(partWithin); s.SendBy.IsZero() || by.Before(s.SendBy) {
+		s.SendBy = by
 	}
 	if left := x.cuts[roomOf(s)].Sub(s.sent); left > 0 { // else nothing bounds it, or what is apart allowed it
-		s.Within = min(s.Within, left)
+		s.Timeout = min(s.Timeout, left)
 	}
 }
 
-func roomOf(s *Shot) routing.Bound {
+func roomOf(s *Attempt) routing.Limit {
 	if s.Origin {
-		return routing.OriginRoom
+		return routing.OriginConcurrency
 	}
-	return routing.CacheRoom
+	return routing.CacheConcurrency
 }
 
 // alone says whether a shot has to be over before another one may take its place: where the fleet may do so many at a time,
 // one that is slow goes on at its server and counts, whatever others do.
-func (x *Exchange) alone(s *Shot) bool {
+func (x *Dispatcher) alone(s *Attempt) bool {
 	_, bounded := x.cuts[roomOf(s)]
 	return bounded
 }
--- a/internal/net/dispatch/places.go
+++ b/internal/net/dispatch/places.go
@@ -24,7 +24,7 @@
 	outAt       routing.Time // when it was taken out, likewise; 0: never
 	backAt      routing.Time // when it was put back after that, likewise
 	nth         uint64       // another number for each box, start and address: what was kept to an earlier one isn't for it
-	out         []*Shot
+	out         []*Attempt
 	mean        time.Duration // of the latest whole answers
 	answered    time.Time     // when the latest shot that was answered was sent
 	gone        bool
@@ -32,11 +32,11 @@
 	kind        int
 	listed      routing.State // what the list says,
 	state       routing.State // and what the module is shown
-	ban         Ban           // the latest
+	ban         Ejection      // the latest
 }
 
 // renew takes over what the list says. A box that starts again or moves keeps its index.
-func (x *Exchange) renew(p *place, b Box) {
+func (x *Dispatcher) renew(p *place, b Endpoint) {
 	if b.State != routing.Gone && (p.id != b.ID || p.address != b.Address || p.since != b.StartedMs) {
 		x.told++
 		if p.id != b.ID || p.since != b.StartedMs {
@@ -53,7 +53,7 @@
 
 // started converts a start time of the list, whose clock agrees with ours as it is now. One in the future is an error of a clock: it is not
 // later than the moment at which it is heard of. 0 stays 0, which means long ago.
-func (x *Exchange) started(ms float64) routing.Time {
+func (x *Dispatcher) started(ms float64) routing.Time {
 	if ms == 0 {
 		return 0
 	}
@@ -66,7 +66,7 @@
 }
 
 // index gives one for a new box: boxes come under new ids all day, so those of boxes that went are used anew.
-func (x *Exchange) index() int {
+func (x *Dispatcher) index() int {
 	if last := len(x.resting) - 1; last >= 0 {
 		i := x.resting[last]
 		x.resting = x.resting[:last]
@@ -77,7 +77,7 @@
 }
 
 // giveBack lets an index rest once its box is gone and all shots to it have settled.
-func (x *Exchange) giveBack(i int) {
+func (x *Dispatcher) giveBack(i int) {
 	if p := &x.boxes[i]; p.gone && len(p.out) == 0 && p.id != "" {
 		delete(x.places, p.id)
 		*p = place{}
@@ -86,46 +86,46 @@
 }
 
 // sent puts a shot down at its place. Only where second copies are allowed may another follow while it is out.
-func (x *Exchange) sent(s *Shot) {
+func (x *Dispatcher) sent(s *Attempt) {
 	p := &x.boxes[s.server]
 	p.out = append(p.out, s)
-	if !s.Write && x.terms.HedgingAllowed() && x.terms.IsSafe(s.Namespace) && p.mean > 0 && !x.alone(s) {
+	if !s.Write && x.terms.HedgingAllowed() && x.terms.IsSafe(s.Class) && p.mean > 0 && !x.alone(s) {
 		s.watch = time.AfterFunc(passedTimes*p.mean, s.look)
 	}
 }
 
 // passed says whether a shot has waited for several of its server's mean times, while one sent later was answered. An
 // overloaded server takes longer for all, so that it passes few.
-func (p *place) passed(s *Shot) bool {
+func (p *place) passed(s *Attempt) bool {
 	return s.sent.Before(p.answered) && time.Since(s.sent) >= passedTimes*p.mean
 }
 
 // look guards against connections that fall silent, as single ones do while their servers work: the module is told
 // that a replayable read that others have passed was called off. It may just be slow, so it stays out, and its answer
 // resolves the lookup if it comes first.
-func (s *Shot) look() {
+func (s *Attempt) look() {
 	x := s.ticket.x
 	x.do("watch", s.ticket, func(routing.Time) {
 		if p := &x.boxes[s.server]; !s.told && p.passed(s) {
-			s.tell(Passed)
+			s.tell(Bypassed)
 		}
 	})
 }
 
 // drop takes a shot off its place.
-func (p *place) drop(s *Shot) {
-	p.out = slices.DeleteFunc(p.out, func(o *Shot) bool { return o == s })
+func (p *place) drop(s *Attempt) {
+	p.out = slices.DeleteFunc(p.out, func(o *Attempt) bool { return o == s })
 	if s.watch != nil {
 		s.watch.Stop()
 	}
 }
 
 // settled notes what an answer tells of its server.
-func (p *place) settled(s *Shot, end End) {
-	if p.nth != s.Place || end != Whole && end != Lacking {
+func (p *place) settled(s *Attempt, end AttemptResult) {
+	if p.nth != s.Endpoint || end != Complete && end != NotFound {
 		return
 	}
-	if end == Whole {
+	if end == Complete {
 		p.mean += (time.Since(s.sent) - p.mean) / meanPart
 	}
 	if s.sent.After(p.answered) {
--- a/internal/net/dispatch/repeats_test.go
+++ b/internal/net/dispatch/repeats_test.go
@@ -18,7 +18,7 @@
 	began time.Time // of the latest stall
 }
 
-func (s *still) HangUp(uint64, int) {
+func (s *still) CloseIdle(uint64, int) {
 	s.began = time.Now()
 	time.Sleep(s.stall)
 }
@@ -49,8 +49,8 @@
 		carrier := &still{fleet: &fleet{}}
 		x := New(d, zap.NewNop())
 		x.Start(uint64(r.Int63()), carrier, nobody{})
-		x.List(routing.Whole, boxes)
-		take(t, x, Lookup{Namespace: "marked", Key: "k", Write: true}, 3*time.Second)
+		x.UpdateEndpoints(routing.Full, boxes)
+		take(t, x, Request{Class: "marked", Key: "k", Write: true}, 3*time.Second)
 		var first time.Time // the earliest that the first attempt that may have run can have begun
 		for n := 0; ; n++ {
 			s := carrier.take(0)
@@ -59,15 +59,15 @@
 			}
 			if !first.IsZero() {
 				repeats++
-				if by := s.BeginBy.Sub(first); s.BeginBy.IsZero() || by >= span {
-					t.Errorf("span %v, stalled for %v, attempt %d may begin by %v after the first, %v", span, carrier.stall, n, by, s.BeginBy)
+				if by := s.SendBy.Sub(first); s.SendBy.IsZero() || by >= span {
+					t.Errorf("span %v, stalled for %v, attempt %d may begin by %v after the first, %v", span, carrier.stall, n, by, s.SendBy)
 				}
 			}
-			if grace > 0 && n > 0 && s.BeginBy.After(carrier.began.Add(beginWithin(grace))) {
-				t.Errorf("grace %v, stalled for %v: attempt %d may begin %v after the decision", grace, carrier.stall, n, s.BeginBy.Sub(carrier.began))
+			if grace > 0 && n > 0 && s.SendBy.After(carrier.began.Add(beginWithin(grace))) {
+				t.Errorf("grace %v, stalled for %v: attempt %d may begin %v after the decision", grace, carrier.stall, n, s.SendBy.Sub(carrier.began))
 			}
-			end := []End{Lost, Lost, Lost, CutShort, Failing, Silent, Unwritten, Overtaken}[r.Intn(8)]
-			if first.IsZero() && end != Unwritten && end != Overtaken {
+			end := []AttemptResult{ConnectionLost, ConnectionLost, ConnectionLost, Truncated, ServerError, TimedOut, WriteFailed, NotConnected}[r.Intn(8)]
+			if first.IsZero() && end != WriteFailed && end != NotConnected {
 				first = s.sent
 			}
 			carrier.stall = 0
@@ -76,9 +76,9 @@
 				stood++
 			}
 			time.Sleep(time.Duration(r.Int63n(int64(span)/3 + 1))) // its dial, its way to the server
-			s.Settle(end, Answer{})
+			s.Finish(end, Answer{})
 		}
-		if x.Tally().Panics > 0 || x.Out() > 0 {
+		if x.Stats().Panics > 0 || x.InFlight() > 0 {
 			t.Fatal("a panic, or a lookup left over")
 		}
 	}
--- a/internal/net/dispatch/tally.go
+++ b/internal/net/dispatch/tally.go
@@ -6,12 +6,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Tally counts what happened since the last one was taken.
-type Tally struct {
-	Lookups, Resolved, Deferred, Abandoned, Left, Shots, Panics int
-	Ends                                                        [endCount]int
+// Stats counts what happened since the last one was taken.
+type Stats struct {
+	Requests, Served, Rejected, Failed, ClientGone, Attempts, Panics int
+	Ends                                                             [endCount]int
 	// Took has the resolved lookups' times, in tenths of a millisecond.
-	Took *hdrhistogram.Histogram
+	Latency *hdrhistogram.Histogram
 }
 
 // The histogram covers all time limits up to a minute; two digits tell a good second from a bad one.
@@ -20,39 +20,39 @@
 	tookDigits  = 2
 )
 
-func (y *Tally) count(a Answer, took time.Duration) {
+func (y *Stats) count(a Answer, took time.Duration) {
 	switch a.Outcome {
-	case Resolved:
-		if y.Resolved++; y.Took == nil {
-			y.Took = hdrhistogram.New(1, longestTook, tookDigits)
+	case Served:
+		if y.Served++; y.Latency == nil {
+			y.Latency = hdrhistogram.New(1, longestTook, tookDigits)
 		}
-		_ = y.Took.RecordValue(min(int64(took/tick), longestTook)) // within its range
-	case Deferred:
-		y.Deferred++
-	case Abandoned:
-		y.Abandoned++
+		_ = y.Latency.RecordValue(min(int64(took/tick), longestTook)) // within its range
+	case Rejected:
+		y.Rejected++
+	case Failed:
+		y.Failed++
 	}
 }
 
 // Millis gives a quantile of the resolved lookups' times in milliseconds.
-func (y *Tally) Millis(percent float64) float64 {
-	if y.Took == nil {
+func (y *Stats) Millis(percent float64) float64 {
+	if y.Latency == nil {
 		return 0
 	}
-	return float64(y.Took.ValueAtPercentile(percent)) / float64(time.Millisecond/tick)
+	return float64(y.Latency.ValueAtPercentile(percent)) / float64(time.Millisecond/tick)
 }
 
-// Tally takes the counts and starts anew.
-func (x *Exchange) Tally() Tally {
+// Stats takes the counts and starts anew.
+func (x *Dispatcher) Stats() Stats {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	y := x.tally
-	x.tally = Tally{}
+	x.tally = Stats{}
 	return y
 }
 
-// Out gives how many lookups are not forgotten yet.
-func (x *Exchange) Out() int {
+// InFlight gives how many lookups are not forgotten yet.
+func (x *Dispatcher) InFlight() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.tickets) - len(x.free)
--- a/internal/net/dispatch/ticket.go
+++ b/internal/net/dispatch/ticket.go
@@ -12,33 +12,33 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Lookup is what a client sent: the few fields that decisions need, and the bytes that go on as they came.
-type Lookup struct {
-	Namespace, Partner, Key string
-	Work                    float64 // hinted, in milliseconds; 0 where there is no hint
-	Write                   bool
-
-	Method, Target     string // the target is the raw path and query
-	Trace, Idempotency string
-	Body               []byte        // whole, or what comes before the rest
-	Rest               *Rest         // nil: there is none
-	Length             int64         // of a body with a rest; -1: not told
-	Patience           time.Duration // of a lookup with a rest, from its last byte on
-	Gone               func() bool   // looks whether the client has ended its connection; nil: nobody can tell
+// Request is what a client sent: the few fields that decisions need, and the bytes that go on as they came.
+type Request struct {
+	Class, Tenant, Key string
+	Work               float64 // hinted, in milliseconds; 0 where there is no hint
+	Write              bool
+
+	Method, Target          string // the target is the raw path and query
+	TraceID, IdempotencyKey string
+	Body                    []byte        // whole, or what comes before the rest
+	Rest                    *BodyStream   // nil: there is none
+	Length                  int64         // of a body with a rest; -1: not told
+	Timeout                 time.Duration // of a lookup with a rest, from its last byte on
+	ClientGone              func() bool   // looks whether the client has ended its connection; nil: nobody can tell
 }
 
-// Rest is what of a long body is passed on as it comes, to one server only: it can't be read twice.
-type Rest struct {
+// BodyStream is what of a long body is passed on as it comes, to one server only: it can't be read twice.
+type BodyStream struct {
 	begun, whole atomic.Bool
 
 	mu   sync.Mutex // who carries it and who takes back what is left may read at once
 	from io.Reader  // nil: closed
 }
 
-// NewRest makes one of what is still to be read.
-func NewRest(from io.Reader) *Rest { return &Rest{from: from} }
+// NewBodyStream makes one of what is still to be read.
+func NewBodyStream(from io.Reader) *BodyStream { return &BodyStream{from: from} }
 
-func (r *Rest) Read(b []byte) (int, error) {
+func (r *BodyStream) Read(b []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.from == nil {
@@ -53,29 +53,29 @@
 }
 
 // Close ends reading: nothing of the client's connection is touched from then on.
-func (r *Rest) Close() {
+func (r *BodyStream) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.from = nil
 }
 
 // Begun says that some of it was read, or tried to be.
-func (r *Rest) Begun() bool { return r.begun.Load() }
+func (r *BodyStream) Begun() bool { return r.begun.Load() }
 
 // Whole says that it was read to its end.
-func (r *Rest) Whole() bool { return r.whole.Load() }
+func (r *BodyStream) Whole() bool { return r.whole.Load() }
 
 // Outcome is how a lookup ended for its client.
 type Outcome int
 
 // The outcomes.
 const (
-	Resolved Outcome = iota
-	Deferred
-	Abandoned
+	Served Outcome = iota
+	Rejected
+	Failed
 )
 
-var outcomeNames = [...]string{Resolved: "served", Deferred: "refused", Abandoned: "failed"}
+var outcomeNames = [...]string{Served: "served", Rejected: "refused", Failed: "failed"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
@@ -91,8 +91,8 @@
 
 // Ticket stands for a lookup that was taken. Its fields below the first belong to the exchange's owner.
 type Ticket struct {
-	Lookup
-	x       *Exchange
+	Request
+	x       *Dispatcher
 	read    time.Time
 	limit   time.Time // when the client's time is over; zero: its body still comes
 	answers chan Answer
@@ -107,8 +107,8 @@
 // Answers gives the final answer, once.
 func (t *Ticket) Answers() <-chan Answer { return t.answers }
 
-// Leave says that the client is gone; shots that are out still settle.
-func (t *Ticket) Leave() {
+// Abandon says that the client is gone; shots that are out still settle.
+func (t *Ticket) Abandon() {
 	t.x.do("leave", t, t.left)
 }
 
@@ -117,19 +117,19 @@
 	if t.over.Load() {
 		return
 	}
-	t.x.tally.Left++
-	t.x.balancer.Left(now, t.index)
+	t.x.tally.ClientGone++
+	t.x.balancer.ClientGone(now, t.index)
 	t.x.end(t)
 }
 
-// Shot is one sending of a lookup to one server.
-type Shot struct {
-	*Lookup
-	Address string
-	Place   uint64        // which box at this address, and since which start: another number for each
-	Within  time.Duration // how long the node waits for it
-	Origin  bool          // it goes to the origin
-	BeginBy time.Time     // when its first byte must have been written; zero: any time
+// Attempt is one sending of a lookup to one server.
+type Attempt struct {
+	*Request
+	Address  string
+	Endpoint uint64        // which box at this address, and since which start: another number for each
+	Timeout  time.Duration // how long the node waits for it
+	Origin   bool          // it goes to the origin
+	SendBy   time.Time     // when its first byte must have been written; zero: any time
 
 	ticket  *Ticket
 	server  int
@@ -144,11 +144,11 @@
 	written atomic.Bool // its last byte has been counted
 }
 
-// Wanted says whether the shot's client still waits for it: Granted, RequestOver or ClientGone. Whoever writes its first byte asks
+// ClientState says whether the shot's client still waits for it: Granted, RequestOver or ClientGone. Whoever writes its first byte asks
 // just before; what has begun goes on. It takes no lock of the exchange, and looks at the client's connection itself, since
 // net/http sees a client's end only where no bytes lie before it and some time has passed.
-func (s *Shot) Wanted() admission.Reason {
-	if s.Gone != nil && !faults.Without(faults.ClientLook) && s.Gone() {
+func (s *Attempt) ClientState() admission.Reason {
+	if s.ClientGone != nil && !faults.Without(faults.ClientLook) && s.ClientGone() {
 		return admission.ClientGone
 	}
 	if s.ticket != nil && s.ticket.over.Load() { // last: the final answer may come while the kernel is asked
@@ -157,55 +157,55 @@
 	return admission.Granted
 }
 
-// Until gives when the node stops waiting for an answer. It counts from the decision, not from when the shot is carried out.
-func (s *Shot) Until(carried time.Time) time.Time {
+// AttemptDeadline gives when the node stops waiting for an answer. It counts from the decision, not from when the shot is carried out.
+func (s *Attempt) AttemptDeadline(carried time.Time) time.Time {
 	if s.until.IsZero() {
-		return carried.Add(s.Within)
+		return carried.Add(s.Timeout)
 	}
 	return s.until
 }
 
-// ClientUntil gives when the client's time is over; zero where that is not known.
-func (s *Shot) ClientUntil() time.Time {
+// ClientDeadline gives when the client's time is over; zero where that is not known.
+func (s *Attempt) ClientDeadline() time.Time {
 	if s.ticket == nil {
 		return time.Time{}
 	}
 	return s.ticket.limit
 }
 
-// Denied counts that an attempt was not written, and why.
-func (s *Shot) Denied(why admission.Reason) {
+// Deny counts that an attempt was not written, and why.
+func (s *Attempt) Deny(why admission.Reason) {
 	if s.ticket != nil && why != admission.Granted {
 		s.ticket.x.figures.Denied[why].Add(1)
 	}
 }
 
-// Settle tells how the shot ended; only the first word counts. The first whole answer goes to the client, and so does
+// Finish tells how the shot ended; only the first word counts. The first whole answer goes to the client, and so does
 // the first one with a rest: true says that this is it. The rest may take long, until Over, but nothing is decided
 // about it any more; the server has given its answer.
-func (s *Shot) Settle(end End, answer Answer) (first bool) {
+func (s *Attempt) Finish(end AttemptResult, answer Answer) (first bool) {
 	t := s.ticket
 	t.x.do("settle", t, func(now routing.Time) {
 		if s.settled {
 			return
 		}
 		s.settled = true
-		first = end == Whole && !t.over.Load()
+		first = end == Complete && !t.over.Load()
 		if s.flows = first && answer.Rest != nil; !s.flows {
 			t.out--
 			defer t.x.forget(t)
 		}
-		rescued := end == Whole && s.told && !t.over.Load()
-		if end == Whole {
+		rescued := end == Complete && s.told && !t.over.Load()
+		if end == Complete {
 			// Answered before the module is told, which holds the lookup to be over from here on.
 			t.x.finish(t, answer)
 		}
 		if rescued {
-			t.x.balancer.Left(now, t.index)
+			t.x.balancer.ClientGone(now, t.index)
 		}
 		if end == Withheld && !t.over.Load() {
 			t.left(now)
-			t.answers <- Answer{Outcome: Abandoned} // its handler waits still: the shot noticed first
+			t.answers <- Answer{Outcome: Failed} // its handler waits still: the shot noticed first
 		}
 		s.tell(end)
 		t.x.boxes[s.server].settled(s, end)
@@ -214,8 +214,8 @@
 	return first
 }
 
-// Over says that the rest of an answer is through, or broke: until then the lookup's id is out.
-func (s *Shot) Over() {
+// Release says that the rest of an answer is through, or broke: until then the lookup's id is out.
+func (s *Attempt) Release() {
 	t := s.ticket
 	t.x.do("over", t, func(routing.Time) {
 		if s.flows {
@@ -227,34 +227,34 @@
 }
 
 // Sent says that the last byte of a long body has gone out.
-func (s *Shot) Sent() {
+func (s *Attempt) Sent() {
 	s.ticket.x.do("sent", s.ticket, func(routing.Time) { s.begins() })
 }
 
 // begins tells the module, once, that the shot of a long lookup counts from now on. Called with the lock held.
-func (s *Shot) begins() {
+func (s *Attempt) begins() {
 	if s.Rest != nil && !s.began && !s.told {
 		s.began, s.sent = true, time.Now()
-		s.ticket.x.balancer.Sent(s.ticket.x.now(), s.ticket.index, s.number)
+		s.ticket.x.balancer.BodySent(s.ticket.x.now(), s.ticket.index, s.number)
 	}
 }
 
-// Stalls says that the answer has begun and pauses for long: it may be stuck. As with one that others have passed, a
+// Stalled says that the answer has begun and pauses for long: it may be stuck. As with one that others have passed, a
 // replayable read goes elsewhere too, and whichever answer is whole first counts.
-func (s *Shot) Stalls() {
+func (s *Attempt) Stalled() {
 	if s.ticket == nil {
 		return
 	}
 	x := s.ticket.x
 	x.do("stall", s.ticket, func(routing.Time) {
-		if !s.settled && !s.Write && x.terms.HedgingAllowed() && x.terms.IsSafe(s.Namespace) && !x.alone(s) {
-			s.tell(Passed)
+		if !s.settled && !s.Write && x.terms.HedgingAllowed() && x.terms.IsSafe(s.Class) && !x.alone(s) {
+			s.tell(Bypassed)
 		}
 	})
 }
 
 // tell tells the module how the shot ended, once. Called with the lock held.
-func (s *Shot) tell(end End) {
+func (s *Attempt) tell(end AttemptResult) {
 	if s.told {
 		return
 	}
@@ -266,5 +266,5 @@
 	}
 	t.x.tally.Ends[end]++
 	t.x.boxes[s.server].drop(s)
-	t.x.balancer.Settled(t.x.now(), t.index, s.number, end.Code(), end == Whole || t.over.Load())
+	t.x.balancer.AttemptDone(t.x.now(), t.index, s.number, end.Code(), end == Complete || t.over.Load())
 }
--- a/internal/net/dispatch/wall_test.go
+++ b/internal/net/dispatch/wall_test.go
@@ -14,32 +14,32 @@
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		x := start(t, &fleet{})
 		x.wall = func() time.Time { return time.Now().Round(0).Add(step) }
-		since := func() time.Duration { return spanOf(x.clock.now() - x.shown(x.places["a"]).Since) }
+		since := func() time.Duration { return spanOf(x.clock.now() - x.shown(x.places["a"]).StartedAt) }
 		started := boxes[0]
 		started.StartedMs = float64(x.wall().UnixMilli()) - 500
-		x.List(routing.Changes, []Box{started})
+		x.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+close {
 			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, age)
 		}
-		at := x.shown(x.places["a"]).Since
+		at := x.shown(x.places["a"]).StartedAt
 		x.wall = func() time.Time { return time.Now().Round(0) } // stepped back
-		x.List(routing.Whole, []Box{started, boxes[1], boxes[2], boxes[3]})
-		if again := x.shown(x.places["a"]).Since; again != at {
+		x.UpdateEndpoints(routing.Full, []Endpoint{started, boxes[1], boxes[2], boxes[3]})
+		if again := x.shown(x.places["a"]).StartedAt; again != at {
 			t.Errorf("stepped by %v: one start is two, at %v and %v", step, at, again)
 		}
 	}
 	x := start(t, &fleet{})
 	future := boxes[0]
 	future.StartedMs = float64(time.Now().Add(time.Hour).UnixMilli())
-	x.List(routing.Changes, []Box{future})
-	if age := spanOf(x.clock.now() - x.shown(x.places["a"]).Since); age < -close || age > close {
+	x.UpdateEndpoints(routing.Incremental, []Endpoint{future})
+	if age := spanOf(x.clock.now() - x.shown(x.places["a"]).StartedAt); age < -close || age > close {
 		t.Errorf("a start an hour ahead counts as %v ago", age)
 	}
-	x.List(routing.Changes, []Box{boxes[1]}) // the list is live
+	x.UpdateEndpoints(routing.Incremental, []Endpoint{boxes[1]}) // the list is live
 	past := boxes[0]
 	past.StartedMs = float64(time.Now().Add(-time.Hour).UnixMilli())
-	x.List(routing.Changes, []Box{past})
-	if age := spanOf(x.clock.now() - x.shown(x.places["a"]).Since); age > close {
+	x.UpdateEndpoints(routing.Incremental, []Endpoint{past})
+	if age := spanOf(x.clock.now() - x.shown(x.places["a"]).StartedAt); age > close {
 		t.Errorf("a cache that has started since the list was last told counts as %v old", age)
 	}
 }
@@ -50,26 +50,26 @@
 	const close = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		x := start(t, &fleet{})
-		since := func() time.Duration { return spanOf(x.clock.now() - x.shown(x.places["new"]).Since) }
+		since := func() time.Duration { return spanOf(x.clock.now() - x.shown(x.places["new"]).StartedAt) }
 		wall := func() float64 { return float64(x.wall().UnixMilli()) }
 		started := boxes[0]
 		started.ID, started.Address = "new", "new:1"
 		started.StartedMs = wall() - 600_000
-		x.List(routing.Changes, []Box{started})
+		x.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		x.wall = func() time.Time { return time.Now().Round(0).Add(step) }
-		ban := Ban{ID: "new", Out: wall()}
-		x.Bans([]Ban{ban})
-		ban.Back = wall() + 1
-		x.Bans([]Ban{ban})
+		ban := Ejection{ID: "new", EjectedAt: wall()}
+		x.SetEjections([]Ejection{ban})
+		ban.RestoredAt = wall() + 1
+		x.SetEjections([]Ejection{ban})
 		if age := since(); age < -close || age > close {
 			t.Errorf("stepped by %v: what was just put back counts as %v old", step, age)
 		}
-		ban = Ban{ID: "new", Out: wall() - 9_000}
-		x.Bans([]Ban{ban})
+		ban = Ejection{ID: "new", EjectedAt: wall() - 9_000}
+		x.SetEjections([]Ejection{ban})
 		started.StartedMs = wall() - 5_000
-		x.List(routing.Changes, []Box{started})
-		ban.Back = wall()
-		x.Bans([]Ban{ban})
+		x.UpdateEndpoints(routing.Incremental, []Endpoint{started})
+		ban.RestoredAt = wall()
+		x.SetEjections([]Ejection{ban})
 		if age := since(); age < 5*time.Second-close || age > 5*time.Second+close {
 			t.Errorf("stepped by %v: what has started 5 s ago, after it was taken out, counts as %v old", step, age)
 		}
--- a/internal/net/ejection/bans.go
+++ b/internal/net/ejection/bans.go
@@ -32,13 +32,13 @@
 
 // Entry is one server that was taken out.
 type Entry struct {
-	ID   string `json:"id"`
-	Out  int64  `json:"out"`            // when it was taken out, Unix time in milliseconds
-	Back int64  `json:"back,omitempty"` // when it was put back; 0: it is out
+	ID         string `json:"id"`
+	EjectedAt  int64  `json:"out"`            // when it was taken out, Unix time in milliseconds
+	RestoredAt int64  `json:"back,omitempty"` // when it was put back; 0: it is out
 }
 
-// Book is the list. Its methods may be called from several goroutines.
-type Book struct {
+// Registry is the list. Its methods may be called from several goroutines.
+type Registry struct {
 	log   *zap.Logger
 	path  string // "": only in memory
 	apply func([]Entry)
@@ -59,22 +59,22 @@
 
 // Open reads what is there. apply is told the whole list whenever it changes, in order; at first if it isn't empty.
 // Without a folder the list lives as long as the process.
-func Open(folder, name string, apply func([]Entry), log *zap.Logger) *Book {
-	b := &Book{log: log, apply: apply}
+func Open(folder, name string, apply func([]Entry), log *zap.Logger) *Registry {
+	b := &Registry{log: log, apply: apply}
 	if folder == "" {
 		log.Warn("no folder to keep bans in: they end with this process")
 		return b
 	}
 	b.path = filepath.Join(folder, name+".bans")
-	b.Look()
+	b.Refresh()
 	return b
 }
 
-// Out takes a server out. When it returns nil that is written down, and known here.
-func (b *Book) Out(id string) error {
+// Eject takes a server out. When it returns nil that is written down, and known here.
+func (b *Registry) Eject(id string) error {
 	return b.change(func(entries []Entry) ([]Entry, error) {
 		i := slices.IndexFunc(entries, func(e Entry) bool { return e.ID == id })
-		if i >= 0 && entries[i].Back == 0 {
+		if i >= 0 && entries[i].RestoredAt == 0 {
 			return entries, nil
 		}
 		if i >= 0 {
@@ -83,31 +83,31 @@
 		if len(entries) >= most {
 			return nil, fmt.Errorf("more than %d servers are out", most)
 		}
-		return append(entries, Entry{ID: id, Out: time.Now().UnixMilli()}), nil
+		return append(entries, Entry{ID: id, EjectedAt: time.Now().UnixMilli()}), nil
 	})
 }
 
-// Back puts a server back, however often it was taken out.
-func (b *Book) Back(id string) error {
+// Restore puts a server back, however often it was taken out.
+func (b *Registry) Restore(id string) error {
 	return b.change(func(entries []Entry) ([]Entry, error) {
 		for i := range entries {
-			if entries[i].ID == id && entries[i].Back == 0 {
-				entries[i].Back = time.Now().UnixMilli()
+			if entries[i].ID == id && entries[i].RestoredAt == 0 {
+				entries[i].RestoredAt = time.Now().UnixMilli()
 			}
 		}
 		return entries, nil
 	})
 }
 
-// Has says whether a server is out, or was lately.
-func (b *Book) Has(id string) bool {
+// Contains says whether a server is out, or was lately.
+func (b *Registry) Contains(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.ContainsFunc(b.entries, func(e Entry) bool { return e.ID == id })
 }
 
 // Follow takes over what the other process writes, until the context ends.
-func (b *Book) Follow(ctx context.Context, every time.Duration) {
+func (b *Registry) Follow(ctx context.Context, every time.Duration) {
 	if b.path == "" {
 		return
 	}
@@ -118,13 +118,13 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			b.Look()
+			b.Refresh()
 		}
 	}
 }
 
-// Look reads the file if it is another one than last time.
-func (b *Book) Look() {
+// Refresh reads the file if it is another one than last time.
+func (b *Registry) Refresh() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s, err := stampOf(b.path); err != nil || s == b.seen {
@@ -137,7 +137,7 @@
 }
 
 // change writes the list anew, from what the file holds now, and tells of it.
-func (b *Book) change(f func([]Entry) ([]Entry, error)) error {
+func (b *Registry) change(f func([]Entry) ([]Entry, error)) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.path != "" {
@@ -156,7 +156,7 @@
 	}
 	forgotten := time.Now().Add(-recallFor).UnixMilli()
 	entries, err := f(slices.DeleteFunc(slices.Clone(b.entries), func(e Entry) bool {
-		return e.Back != 0 && e.Back < forgotten
+		return e.RestoredAt != 0 && e.RestoredAt < forgotten
 	}))
 	if err != nil {
 		return err
@@ -173,7 +173,7 @@
 var errNoList = errors.New("there is no list of bans")
 
 // read gives the file's entries. Where there is no list, or it can't be read just now, what this process knows stands.
-func (b *Book) read() ([]Entry, error) {
+func (b *Registry) read() ([]Entry, error) {
 	s, err := stampOf(b.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, errNoList
@@ -213,7 +213,7 @@
 }
 
 // complain logs that the file could not be read, now and then.
-func (b *Book) complain(err error) {
+func (b *Registry) complain(err error) {
 	if now := time.Now(); now.Sub(b.complained) >= complainEvery {
 		b.complained = now
 		b.log.Error("the bans can't be read just now, those known stand", zap.Error(err))
@@ -221,7 +221,7 @@
 }
 
 // write puts a whole new file in the place of the old one: killed at any moment, it leaves one of the two.
-func (b *Book) write(entries []Entry) error {
+func (b *Registry) write(entries []Entry) error {
 	if b.path == "" {
 		return nil
 	}
--- a/internal/net/ejection/bans_test.go
+++ b/internal/net/ejection/bans_test.go
@@ -17,14 +17,14 @@
 
 // reader is a process: a book and what it was told.
 type reader struct {
-	*Book
+	*Registry
 	mu   sync.Mutex
 	told []Entry
 }
 
 func open(folder string, log *zap.Logger) *reader {
 	r := &reader{}
-	r.Book = Open(folder, "n", func(entries []Entry) {
+	r.Registry = Open(folder, "n", func(entries []Entry) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.told = entries
@@ -37,7 +37,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.told {
-		if e.Back == 0 {
+		if e.RestoredAt == 0 {
 			ids = append(ids, e.ID)
 		}
 	}
@@ -55,20 +55,20 @@
 func TestCallsMayBeRepeatedAndOneBackEndsThem(t *testing.T) {
 	for _, folder := range []string{t.TempDir(), ""} {
 		b := open(folder, zap.NewNop())
-		must(t, b.Out("a"))
-		first := b.entries[0].Out
+		must(t, b.Eject("a"))
+		first := b.entries[0].EjectedAt
 		time.Sleep(2 * time.Millisecond)
-		must(t, b.Out("a"))
-		must(t, b.Out("b"))
-		if got := b.out(); !slices.Equal(got, []string{"a", "b"}) || b.entries[0].Out != first {
-			t.Errorf("%v, out since %d and then %d", got, first, b.entries[0].Out)
+		must(t, b.Eject("a"))
+		must(t, b.Eject("b"))
+		if got := b.out(); !slices.Equal(got, []string{"a", "b"}) || b.entries[0].EjectedAt != first {
+			t.Errorf("%v, out since %d and then %d", got, first, b.entries[0].EjectedAt)
 		}
-		must(t, b.Back("a"))
-		must(t, b.Back("never out"))
-		if got := b.out(); !slices.Equal(got, []string{"b"}) || !b.Has("a") || b.Has("never out") {
+		must(t, b.Restore("a"))
+		must(t, b.Restore("never out"))
+		if got := b.out(); !slices.Equal(got, []string{"b"}) || !b.Contains("a") || b.Contains("never out") {
 			t.Errorf("%v %+v", got, b.entries)
 		}
-		must(t, b.Out("a"))
+		must(t, b.Eject("a"))
 		if got := b.out(); !slices.Equal(got, []string{"a", "b"}) {
 			t.Errorf("%v", got)
 		}
@@ -90,11 +90,11 @@
 		id := fmt.Sprintf("s%02d", i)
 		r := []*reader{one, other}[i%2]
 		calls.Go(func() {
-			if err := r.Out(id); err != nil {
+			if err := r.Eject(id); err != nil {
 				t.Error(err)
 			}
 			if i%4 == 3 {
-				if err := r.Back(id); err != nil {
+				if err := r.Restore(id); err != nil {
 					t.Error(err)
 				}
 			}
@@ -118,7 +118,7 @@
 	path := filepath.Join(folder, "n.bans")
 	b := open(folder, zap.NewNop())
 	for _, id := range []string{"a", "b"} {
-		must(t, b.Out(id))
+		must(t, b.Eject(id))
 	}
 	whole, err := os.ReadFile(path)
 	must(t, err)
@@ -131,16 +131,16 @@
 		must(t, os.Rename(path+".x", path))
 		core, logs := observer.New(zap.InfoLevel)
 		fresh := open(folder, zap.New(core))
-		fresh.Look()
-		fresh.Look()
+		fresh.Refresh()
+		fresh.Refresh()
 		if len(fresh.out()) != 0 || logs.FilterMessage("the bans can't be read, those known stand").Len() != 1 {
 			t.Fatalf("%.40q: %v, %d lines", text, fresh.out(), logs.Len())
 		}
-		if b.Look(); !slices.Equal(b.out(), []string{"a", "b"}) {
+		if b.Refresh(); !slices.Equal(b.out(), []string{"a", "b"}) {
 			t.Fatalf("%.40q takes bans back: %v", text, b.out())
 		}
 	}
-	must(t, b.Out("c")) // and the next call writes it whole again
+	must(t, b.Eject("c")) // and the next call writes it whole again
 	if got := open(folder, zap.NewNop()).out(); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("%v", got)
 	}
@@ -150,14 +150,14 @@
 func TestWhatCannotBeKeptHasNotHappened(t *testing.T) {
 	folder := t.TempDir()
 	b := open(folder, zap.NewNop())
-	must(t, b.Out("a"))
+	must(t, b.Eject("a"))
 	must(t, os.Mkdir(filepath.Join(folder, "n.bans.new"), 0o700))
-	if err := b.Out("b"); err == nil || !slices.Equal(b.out(), []string{"a"}) {
+	if err := b.Eject("b"); err == nil || !slices.Equal(b.out(), []string{"a"}) {
 		t.Errorf("%v: %v", err, b.out())
 	}
 	must(t, os.Remove(filepath.Join(folder, "n.bans.new")))
 	for i := range most + 1 {
-		if err := b.Out(fmt.Sprint("s", i)); (err != nil) != (i >= most-1) {
+		if err := b.Eject(fmt.Sprint("s", i)); (err != nil) != (i >= most-1) {
 			t.Fatalf("call %d: %v", i, err)
 		}
 	}
--- a/internal/net/ejection/golden_test.go
+++ b/internal/net/ejection/golden_test.go
@@ -16,7 +16,7 @@
 // The file outlives its process: the next one, of an older or a later version, reads it.
 func TestTheFileKeepsItsForm(t *testing.T) {
 	path := filepath.Join("testdata", "golden", "n1.bans")
-	entries := []Entry{{ID: "c-1", Out: 1764750000000}, {ID: "c-2", Out: 1764750000000, Back: 1764750001000}}
+	entries := []Entry{{ID: "c-1", EjectedAt: 1764750000000}, {ID: "c-2", EjectedAt: 1764750000000, RestoredAt: 1764750001000}}
 	folder := t.TempDir()
 	b := Open(folder, "n1", func([]Entry) {}, zap.NewNop())
 	if err := b.write(entries); err != nil {
--- a/internal/net/ejection/trouble_test.go
+++ b/internal/net/ejection/trouble_test.go
@@ -20,10 +20,10 @@
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.EINTR, syscall.ENOMEM, syscall.EAGAIN} {
 		folder := t.TempDir()
 		one, other := open(folder, zap.NewNop()), open(folder, zap.NewNop())
-		must(t, one.Out("a"))
+		must(t, one.Eject("a"))
 		kernel.FailTimes(kernel.ReadFile, err, 2)
 		for range 3 {
-			other.Look()
+			other.Refresh()
 		}
 		if ids := other.out(); !slices.Equal(ids, []string{"a"}) {
 			t.Errorf("%v: out are %v, want a", err, ids)
@@ -38,14 +38,14 @@
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.ENOMEM, syscall.EAGAIN} {
 		folder := t.TempDir()
 		one, other := open(folder, zap.NewNop()), open(folder, zap.NewNop())
-		must(t, one.Out("a"))
+		must(t, one.Eject("a"))
 		kernel.FailTimes(kernel.ReadFile, err, math.MaxInt64)
-		if other.Out("b") == nil {
+		if other.Eject("b") == nil {
 			t.Errorf("%v: a call is answered well though the file could not be read", err)
 		}
 		kernel.Fail(nil)
-		must(t, other.Out("c"))
-		one.Look()
+		must(t, other.Eject("c"))
+		one.Refresh()
 		for _, each := range []*reader{one, other} {
 			if ids := each.out(); !slices.Equal(ids, []string{"a", "c"}) {
 				t.Errorf("%v: out are %v, want a and c", err, ids)
@@ -59,9 +59,9 @@
 	t.Cleanup(func() { kernel.Fail(nil) })
 	folder := t.TempDir()
 	one, other := open(folder, zap.NewNop()), open(folder, zap.NewNop())
-	must(t, one.Out("a"))
+	must(t, one.Eject("a"))
 	kernel.FailTimes(kernel.ReadFile, syscall.EINTR, 3)
-	must(t, other.Out("b"))
+	must(t, other.Eject("b"))
 	if ids := other.out(); !slices.Equal(ids, []string{"a", "b"}) {
 		t.Errorf("out are %v, want a and b", ids)
 	}
--- a/internal/net/frontend/call.go
+++ b/internal/net/frontend/call.go
@@ -17,14 +17,14 @@
 
 // call is one lookup at its client's connection, from its head to the last byte of its answer.
 type call struct {
-	*Clients
+	*Server
 	w       http.ResponseWriter
 	r       *http.Request
 	control *http.ResponseController
 	conn    *placed // nil: not one of ours
 	sound   bool    // its head gives its body's end in one way
 
-	rest      *dispatch.Rest // what of a long body had not come when the lookup was taken
+	rest      *dispatch.BodyStream // what of a long body had not come when the lookup was taken
 	namespace string
 	outcome   dispatch.Outcome // as the client sees it
 	open      bool             // counted as such
@@ -37,14 +37,14 @@
 func (a *call) end() {
 	if p := recover(); p != nil {
 		a.log.Error("a lookup's handler panicked", zap.Any("panic", p), zap.Stack("stack"))
-		a.outcome = dispatch.Abandoned
+		a.outcome = dispatch.Failed
 		if a.broken = a.answered; !a.answered {
 			plain(a.w, http.StatusInternalServerError, "internal error")
 		}
 	}
 	if a.open {
-		a.exchange.Open(-1)
-		a.exchange.Ended(a.namespace, a.outcome)
+		a.exchange.AddOpen(-1)
+		a.exchange.CountEnd(a.namespace, a.outcome)
 	}
 	if a.rest != nil {
 		defer a.rest.Close()
@@ -80,7 +80,7 @@
 // serve takes the lookup and answers it.
 func (a *call) serve() {
 	a.namespace, _ = parts(origin(a.r.RequestURI))
-	a.exchange.Open(1)
+	a.exchange.AddOpen(1)
 	a.open = true
 	full := a.inHand.Add(1) > a.most.Load()
 	defer a.inHand.Add(-1)
@@ -98,8 +98,8 @@
 	}
 	if full {
 		a.log.Debug("request refused for want of room", zap.String("trace", a.trace()))
-		a.outcome = dispatch.Deferred
-		answer(a.w, dispatch.Answer{Outcome: dispatch.Deferred, RetryAfter: min(beyondAdvice, a.bounds.Advice)})
+		a.outcome = dispatch.Rejected
+		answer(a.w, dispatch.Answer{Outcome: dispatch.Rejected, RetryAfter: min(beyondAdvice, a.bounds.MaxRetryAfter)})
 		return
 	}
 	within, err := decode(a.r, &in)
@@ -107,9 +107,9 @@
 		a.turnAway(http.StatusBadRequest, err)
 		return
 	}
-	in.Gone = a.conn.gone
-	t, err := a.exchange.Take(in, read, within)
-	if errors.Is(err, dispatch.ErrOut) {
+	in.ClientGone = a.conn.gone
+	t, err := a.exchange.Submit(in, read, within)
+	if errors.Is(err, dispatch.ErrDuplicateID) {
 		a.turnAway(http.StatusConflict, err)
 		return
 	}
@@ -126,7 +126,7 @@
 		a.answer(ans)
 	case <-left:
 		a.log.Debug("a client left", zap.String("trace", a.trace()))
-		t.Leave()
+		t.Abandon()
 		select {
 		case ans := <-t.Answers(): // it came in the same moment
 			if ans.Rest != nil {
@@ -168,7 +168,7 @@
 	}
 	if err := a.pass(ans); err != nil {
 		a.log.Info("a long answer is not passed on whole", zap.Error(err), zap.String("trace", a.trace()))
-		a.outcome, a.broken = dispatch.Abandoned, true
+		a.outcome, a.broken = dispatch.Failed, true
 	}
 }
 
--- a/internal/net/frontend/clients.go
+++ b/internal/net/frontend/clients.go
@@ -15,14 +15,14 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Bounds is what the clients' side may take.
-type Bounds struct {
-	Descriptors  int           // connections, and lookups in hand; those beyond are deferred
-	Beyond       int           // connections for such deferrals; the next wait for a free place
-	LongestLimit time.Duration // the longest time limit of a lookup
-	Advice       time.Duration // the longest retry-after that clients heed, 0: none is to be given
-	Body         int64         // of a lookup that is held whole, in bytes,
-	Long         int64         // and of one that is passed on as it comes
+// Limits is what the clients' side may take.
+type Limits struct {
+	Descriptors   int           // connections, and lookups in hand; those beyond are deferred
+	OverflowConns int           // connections for such deferrals; the next wait for a free place
+	MaxDeadline   time.Duration // the longest time limit of a lookup
+	MaxRetryAfter time.Duration // the longest retry-after that clients heed, 0: none is to be given
+	MaxBuffered   int64         // of a lookup that is held whole, in bytes,
+	MaxStreamed   int64         // and of one that is passed on as it comes
 }
 
 const (
@@ -42,12 +42,12 @@
 	beyondAdvice = 250 * time.Millisecond  // retry-after of a deferral for want of room here
 )
 
-// Clients is the client side of a node.
-type Clients struct {
+// Server is the client side of a node.
+type Server struct {
 	log      *zap.Logger
-	exchange *dispatch.Exchange
+	exchange *dispatch.Dispatcher
 	server   *http.Server
-	bounds   Bounds
+	bounds   Limits
 	room     *room
 	listener atomic.Pointer[bounded]
 	most     atomic.Int64 // lookups in hand; those beyond are deferred
@@ -56,11 +56,11 @@
 }
 
 // New makes the client side.
-func New(x *dispatch.Exchange, b Bounds, log *zap.Logger) *Clients {
-	c := &Clients{log: log, exchange: x, bounds: b, room: newRoom(b.Descriptors)}
+func New(x *dispatch.Dispatcher, b Limits, log *zap.Logger) *Server {
+	c := &Server{log: log, exchange: x, bounds: b, room: newRoom(b.Descriptors)}
 	c.most.Store(int64(b.Descriptors))
 	c.server = &http.Server{Handler: c, MaxHeaderBytes: 2 * headersMost, ReadHeaderTimeout: headersIn, DisableGeneralOptionsHandler: true,
-		ReadTimeout: headersIn, WriteTimeout: b.LongestLimit + slack, IdleTimeout: idleFor,
+		ReadTimeout: headersIn, WriteTimeout: b.MaxDeadline + slack, IdleTimeout: idleFor,
 		ErrorLog: zap.NewStdLog(log), ConnState: c.room.state,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connection{}, conn)
@@ -72,8 +72,8 @@
 type connection struct{}
 
 // Serve answers clients until Leave has ended, or the listener fails.
-func (c *Clients) Serve(l net.Listener) error {
-	b := bound(l, c.bounds.Descriptors+c.bounds.Beyond, func(waited time.Duration) { c.room.makeWay(1, waited) }, c.log)
+func (c *Server) Serve(l net.Listener) error {
+	b := bound(l, c.bounds.Descriptors+c.bounds.OverflowConns, func(waited time.Duration) { c.room.makeWay(1, waited) }, c.log)
 	c.listener.Store(b)
 	err := c.server.Serve(b)
 	if errors.Is(err, http.ErrServerClosed) || c.leaving.Load() {
@@ -83,7 +83,7 @@
 }
 
 // Resize changes how many connections are taken, and lookups; those that are open beyond make way as they can.
-func (c *Clients) Resize(descriptors, beyond int) {
+func (c *Server) Resize(descriptors, beyond int) {
 	c.most.Store(int64(descriptors))
 	if b := c.listener.Load(); b != nil {
 		b.most.Store(int64(descriptors + beyond))
@@ -91,17 +91,17 @@
 	c.room.resize(descriptors)
 }
 
-// Leave ends the service without losing a lookup: connections go on coming for a while, so it goes on
+// Shutdown ends the service without losing a lookup: connections go on coming for a while, so it goes on
 // accepting them, ends each with its next answer, and only then closes the listener and waits for the rest. Where
 // another process has the clients' socket too, the next connections are its own at once.
-func (c *Clients) Leave(succeeded bool) error {
+func (c *Server) Shutdown(succeeded bool) error {
 	c.leaving.Store(true)
 	began, last := time.Now(), time.Duration(0)
 	// Not by Shutdown or SetKeepAlivesEnabled: they close idle connections even while a lookup on them is being read.
-	for end := comingFor + c.bounds.LongestLimit + endSlack; ; time.Sleep(leaveEvery) {
+	for end := comingFor + c.bounds.MaxDeadline + endSlack; ; time.Sleep(leaveEvery) {
 		l, span := c.listener.Load(), time.Since(began) // Serve may begin only now
 		// Closed with connections in its queue, a socket would reset them.
-		if l != nil && (succeeded || span >= comingFor && (!l.queued() || span >= comingFor+c.bounds.LongestLimit/2)) {
+		if l != nil && (succeeded || span >= comingFor && (!l.queued() || span >= comingFor+c.bounds.MaxDeadline/2)) {
 			_ = l.Close()
 		}
 		if !succeeded || span >= keptFor {
@@ -125,15 +125,15 @@
 	}
 }
 
-// Leaving says whether no more clients are to come.
-func (c *Clients) Leaving() bool { return c.leaving.Load() }
+// Draining says whether no more clients are to come.
+func (c *Server) Draining() bool { return c.leaving.Load() }
 
 // Open gives how many connections clients have.
-func (c *Clients) Open() int { return c.room.count() }
+func (c *Server) Open() int { return c.room.count() }
 
 // ServeHTTP answers one lookup.
-func (c *Clients) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a := &call{Clients: c, w: w, r: r, control: http.NewResponseController(w), outcome: dispatch.Abandoned}
+func (c *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	a := &call{Server: c, w: w, r: r, control: http.NewResponseController(w), outcome: dispatch.Failed}
 	a.conn, _ = r.Context().Value(connection{}).(*placed)
 	a.sound = a.conn != nil && a.conn.framing.sound()
 	if c.room.crowded() || c.leaving.Load() {
--- a/internal/net/frontend/clients_test.go
+++ b/internal/net/frontend/clients_test.go
@@ -19,17 +19,17 @@
 )
 
 // fleet hands each shot to the test.
-type fleet chan *dispatch.Shot
+type fleet chan *dispatch.Attempt
 
-func (f fleet) Carry(s *dispatch.Shot) { f <- s }
-func (f fleet) Subscribe()             {}
-func (f fleet) HangUp(uint64, int)     {}
-func (f fleet) Most(int)               {}
+func (f fleet) Send(s *dispatch.Attempt) { f <- s }
+func (f fleet) Subscribe()               {}
+func (f fleet) CloseIdle(uint64, int)    {}
+func (f fleet) SetMaxConns(int)          {}
 
 const limit = 300 * time.Millisecond
 
 // serve starts a client side on loopback, with its fleet.
-func serve(t *testing.T, descriptors int, told bool) (*Clients, fleet, string) {
+func serve(t *testing.T, descriptors int, told bool) (*Server, fleet, string) {
 	t.Helper()
 	c, ships, l := front(t, descriptors, told)
 	go func() { _ = c.Serve(l) }()
@@ -37,7 +37,7 @@
 }
 
 // front makes a client side that doesn't serve yet, and a socket for it.
-func front(t *testing.T, descriptors int, told bool) (*Clients, fleet, *net.TCPListener) {
+func front(t *testing.T, descriptors int, told bool) (*Server, fleet, *net.TCPListener) {
 	t.Helper()
 	d, err := config.ParseSettings(
 		map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
@@ -63,16 +63,16 @@
 	x := dispatch.New(d, zap.NewNop())
 	x.Start(1, ships, ships)
 	if told {
-		x.List(
-			routing.Whole,
-			[]dispatch.Box{{ID: "a", Address: "a:1", Machine: "box"}, {ID: "z", Address: "z:1", Machine: "origin"}},
+		x.UpdateEndpoints(
+			routing.Full,
+			[]dispatch.Endpoint{{ID: "a", Address: "a:1", Model: "box"}, {ID: "z", Address: "z:1", Model: "origin"}},
 		)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(x, Bounds{Descriptors: descriptors, Beyond: 4, LongestLimit: limit, Advice: limit, Body: 64, Long: 64}, zap.NewNop())
+	c := New(x, Limits{Descriptors: descriptors, OverflowConns: 4, MaxDeadline: limit, MaxRetryAfter: limit, MaxBuffered: 64, MaxStreamed: 64}, zap.NewNop())
 	t.Cleanup(func() { c.server.Close() })
 	return c, ships, l.(*net.TCPListener)
 }
@@ -130,12 +130,12 @@
 		"Content-Length: 3\r\n\r\na\x00b",
 	)
 	s := <-ships
-	if s.Method != "PUT" || s.Target != "/once/a%2Fb/k%20y?x=1&&y" || string(s.Body) != "a\x00b" || s.Trace != "9b1f" ||
-		s.Idempotency != "Key 1" || s.Key != "k%20y" || s.Partner != "acme" || s.Work != 99.633 || !s.Write || s.Address != "z:1" ||
-		s.Within > 280*time.Millisecond || s.Within < 150*time.Millisecond {
-		t.Errorf("%+v %+v", s, s.Lookup)
+	if s.Method != "PUT" || s.Target != "/once/a%2Fb/k%20y?x=1&&y" || string(s.Body) != "a\x00b" || s.TraceID != "9b1f" ||
+		s.IdempotencyKey != "Key 1" || s.Key != "k%20y" || s.Tenant != "acme" || s.Work != 99.633 || !s.Write || s.Address != "z:1" ||
+		s.Timeout > 280*time.Millisecond || s.Timeout < 150*time.Millisecond {
+		t.Errorf("%+v %+v", s, s.Request)
 	}
-	s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v\x00w"), ContentType: "text/x"})
+	s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v\x00w"), ContentType: "text/x"})
 	if r, body := c.receive(t); r.StatusCode != 200 || body != "v\x00w" || r.Header.Get("Content-Type") != "text/x" {
 		t.Errorf("%d %q", r.StatusCode, body)
 	}
@@ -153,7 +153,7 @@
 		for range 3 {
 			select {
 			case s := <-ships:
-				s.Settle(dispatch.Failing, dispatch.Answer{})
+				s.Finish(dispatch.ServerError, dispatch.Answer{})
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
@@ -219,7 +219,7 @@
 	if r, _ := second.receive(t); r.StatusCode != http.StatusConflict || len(ships) != 0 {
 		t.Errorf("the second: %d, %d shots", r.StatusCode, len(ships))
 	}
-	s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
+	s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 	if r, body := first.receive(t); r.StatusCode != 200 || body != "v" {
 		t.Errorf("the first: %d %q", r.StatusCode, body)
 	}
@@ -238,7 +238,7 @@
 		for _, whole := range []string{"Content-Length: 1\r\n\r\nv", coded + "\r\n\r\n1\r\nv\r\n0\r\n\r\n"} {
 			fmt.Fprint(conn, head, whole)
 			s := <-ships
-			if s.Settle(dispatch.Whole, dispatch.Answer{}); string(s.Body) != "v" {
+			if s.Finish(dispatch.Complete, dispatch.Answer{}); string(s.Body) != "v" {
 				t.Errorf("%q came as %q", whole, s.Body)
 			}
 			conn.receive(t)
@@ -296,17 +296,17 @@
 	conn.send("GET /read/k", id, within)
 	s := <-ships
 	conn.Close()
-	left := func() bool { return c.exchange.Tally().Left == 1 }
+	left := func() bool { return c.exchange.Stats().ClientGone == 1 }
 	for end := time.Now().Add(2 * time.Second); !left(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nobody noticed")
 		}
 	}
-	if c.exchange.Out() != 1 {
+	if c.exchange.InFlight() != 1 {
 		t.Error("forgotten with a shot out")
 	}
-	if s.Settle(dispatch.Lacking, dispatch.Answer{}); c.exchange.Out() != 0 || len(ships) != 0 {
-		t.Errorf("%d known, %d more shots", c.exchange.Out(), len(ships))
+	if s.Finish(dispatch.NotFound, dispatch.Answer{}); c.exchange.InFlight() != 0 || len(ships) != 0 {
+		t.Errorf("%d known, %d more shots", c.exchange.InFlight(), len(ships))
 	}
 }
 
@@ -339,7 +339,7 @@
 		busy = append(busy, dial(t, address))
 		busy[i].send(fmt.Sprint("GET /read/k", i), fmt.Sprint("X-Trace-Id: ", i), "X-Expires-In: 5000m")
 	}
-	shots := []*dispatch.Shot{<-ships, <-ships}
+	shots := []*dispatch.Attempt{<-ships, <-ships}
 	for range 10 {
 		conn := dial(t, address)
 		conn.send("GET /read/k", id, within)
@@ -348,7 +348,7 @@
 		}
 	}
 	for _, s := range shots {
-		s.Settle(dispatch.Whole, dispatch.Answer{})
+		s.Finish(dispatch.Complete, dispatch.Answer{})
 	}
 	for _, c := range busy {
 		if r, _ := c.receive(t); r.StatusCode != 200 {
@@ -364,7 +364,7 @@
 	for i := range 20 {
 		conn := dial(t, address)
 		conn.send(fmt.Sprint("GET /read/k", i), id, within)
-		(<-ships).Settle(dispatch.Whole, dispatch.Answer{})
+		(<-ships).Finish(dispatch.Complete, dispatch.Answer{})
 		if r, _ := conn.receive(t); r.StatusCode != 200 {
 			t.Fatalf("lookup %d: %d", i, r.StatusCode)
 		}
@@ -393,7 +393,7 @@
 	}
 	conn, began := dial(t, address), time.Now()
 	conn.send("GET /read/k", id, "X-Expires-In: 9000m")
-	(<-ships).Settle(dispatch.Whole, dispatch.Answer{})
+	(<-ships).Finish(dispatch.Complete, dispatch.Answer{})
 	if r, _ := conn.receive(t); r.StatusCode != 200 || time.Since(began) > 3*time.Second {
 		t.Errorf("%d after %v", r.StatusCode, time.Since(began))
 	}
@@ -405,7 +405,7 @@
 	c, ships, address := serve(t, 4, true)
 	go func() {
 		for s := range ships {
-			s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
+			s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 		}
 	}()
 	var users sync.WaitGroup
@@ -432,7 +432,7 @@
 	}
 	time.Sleep(400 * time.Millisecond)
 	left := make(chan error)
-	go func() { left <- c.Leave(false) }()
+	go func() { left <- c.Shutdown(false) }()
 	users.Wait()
 	if err := <-left; err != nil {
 		t.Error(err)
@@ -449,7 +449,7 @@
 	busy.send("GET /read/busy", "X-Trace-Id: busy", "X-Expires-In: 900m")
 	out := <-ships
 	began, left := time.Now(), make(chan error)
-	go func() { left <- c.Leave(false) }()
+	go func() { left <- c.Shutdown(false) }()
 	_ = idle.SetReadDeadline(began.Add(200 * time.Millisecond)) // while new connections are still taken
 	if _, err := idle.in.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
@@ -461,7 +461,7 @@
 			conn := dial(t, address)
 			conn.send(fmt.Sprint("GET /read/late", i), fmt.Sprint("X-Trace-Id: ", i), within)
 			s := <-ships
-			s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
+			s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 			if r, _ := conn.receive(t); r.StatusCode != 200 || !r.Close {
 				t.Errorf("late lookup %d: %d, close %v", i, r.StatusCode, r.Close)
 			}
@@ -469,7 +469,7 @@
 	}
 	late.Wait()
 	time.Sleep(comingFor - time.Since(began) + 50*time.Millisecond)
-	out.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
+	out.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 	if r, _ := busy.receive(t); r.StatusCode != 200 || !r.Close {
 		t.Errorf("what was out: %d, close %v", r.StatusCode, r.Close)
 	}
@@ -487,16 +487,16 @@
 		conns = append(conns, dial(t, address))
 		conns[i].send("GET /read/k", fmt.Sprint("X-Trace-Id: ", i), within)
 		if i == 0 {
-			(<-ships).Settle(dispatch.Lacking, dispatch.Answer{})
+			(<-ships).Finish(dispatch.NotFound, dispatch.Answer{})
 			go func() { // the fetch, and what the second lookup still tries in its last moment
 				for hangs := range ships {
-					time.AfterFunc(hangs.Within, func() { hangs.Settle(dispatch.Silent, dispatch.Answer{}) })
+					time.AfterFunc(hangs.Timeout, func() { hangs.Finish(dispatch.TimedOut, dispatch.Answer{}) })
 				}
 			}()
 		}
 	}
 	began, left := time.Now(), make(chan error, 1)
-	go func() { left <- c.Leave(false) }()
+	go func() { left <- c.Shutdown(false) }()
 	for i, conn := range conns {
 		if r, _ := conn.receive(t); r.StatusCode != http.StatusServiceUnavailable || time.Since(began) > limit+700*time.Millisecond {
 			t.Errorf("lookup %d: %d after %v", i, r.StatusCode, time.Since(began))
@@ -521,7 +521,7 @@
 	if _, err := conn.in.ReadByte(); err != io.EOF {
 		t.Errorf("behind the answer: %v", err)
 	}
-	if s.Settle(dispatch.Lacking, dispatch.Answer{}); len(ships) > 0 || c.exchange.Out() != 0 {
-		t.Errorf("%d more shots, %d out", len(ships), c.exchange.Out())
+	if s.Finish(dispatch.NotFound, dispatch.Answer{}); len(ships) > 0 || c.exchange.InFlight() != 0 {
+		t.Errorf("%d more shots, %d out", len(ships), c.exchange.InFlight())
 	}
 }
--- a/internal/net/frontend/closing_test.go
+++ b/internal/net/frontend/closing_test.go
@@ -30,9 +30,9 @@
 			select {
 			case s := <-ships:
 				mu.Lock()
-				seen[s.Trace] = true
+				seen[s.TraceID] = true
 				mu.Unlock()
-				s.Settle(dispatch.Whole, dispatch.Answer{Body: value})
+				s.Finish(dispatch.Complete, dispatch.Answer{Body: value})
 			case <-stop:
 				return
 			}
@@ -54,7 +54,7 @@
 	behind := strings.Repeat(strings.Replace(head, id, "X-Trace-Id: behind", 1)+"\r\n", 200)
 	for _, row := range []struct {
 		name, text, want string
-		set              func(*Clients)
+		set              func(*Server)
 	}{
 		{"a bad header", head + "a header without a colon\r\n\r\n", "400", nil},
 		{"no request at all", "\x16\x03\x01\r\n\r\n", "400", nil},
@@ -70,10 +70,10 @@
 		{"two lengths", put + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400", nil},
 		{"half a body", put + "Content-Length: 60\r\n\r\nhalf", "408", nil},
 		{"its client's wish", head + "Connection: close\r\n\r\n", "200", nil},
-		{"too many in hand", head + "Connection: close\r\n\r\n", "503", func(c *Clients) { c.most.Store(0) }},
-		{"too many connections", head + "\r\n", "200", func(c *Clients) { c.room.resize(0) }},
-		{"SIGTERM", head + "\r\n", "200", func(c *Clients) { c.leaving.Store(true) }},
-		{"SIGTERM, a long body", put + "Content-Length: 99999\r\n\r\n", "413", func(c *Clients) { c.leaving.Store(true) }},
+		{"too many in hand", head + "Connection: close\r\n\r\n", "503", func(c *Server) { c.most.Store(0) }},
+		{"too many connections", head + "\r\n", "200", func(c *Server) { c.room.resize(0) }},
+		{"SIGTERM", head + "\r\n", "200", func(c *Server) { c.leaving.Store(true) }},
+		{"SIGTERM, a long body", put + "Content-Length: 99999\r\n\r\n", "413", func(c *Server) { c.leaving.Store(true) }},
 	} {
 		for _, goesOn := range []bool{false, true} {
 			t.Run(fmt.Sprint(row.name, ", its client goes on: ", goesOn), func(t *testing.T) {
@@ -124,7 +124,7 @@
 		time.Sleep(50 * time.Millisecond)
 		conn.send("GET /read/behind", "X-Trace-Id: behind", within)
 		if leaves {
-			if err := c.Leave(false); err != nil && c.Open() == 0 {
+			if err := c.Shutdown(false); err != nil && c.Open() == 0 {
 				t.Error(err)
 			}
 		}
--- a/internal/net/frontend/failing_test.go
+++ b/internal/net/frontend/failing_test.go
@@ -35,8 +35,8 @@
 			go func() {
 				select {
 				case s := <-ships:
-					s.Wanted()
-					s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("value")})
+					s.ClientState()
+					s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("value")})
 				case <-time.After(time.Second):
 				}
 			}()
--- a/internal/net/frontend/flood_test.go
+++ b/internal/net/frontend/flood_test.go
@@ -236,7 +236,7 @@
 	if r, body := conn.receive(t); r.StatusCode != 200 || body != string(value) {
 		t.Errorf("beside them: %d, %d bytes", r.StatusCode, len(body))
 	}
-	if err := c.Leave(false); err != nil {
+	if err := c.Shutdown(false); err != nil {
 		t.Error(err)
 	}
 	var readers sync.WaitGroup
@@ -264,7 +264,7 @@
 		conns[i].receive(t)
 	}
 	began, left := time.Now(), make(chan error, 1)
-	go func() { left <- c.Leave(false) }()
+	go func() { left <- c.Shutdown(false) }()
 	var users sync.WaitGroup
 	var answered, ended atomic.Int64
 	for i, conn := range conns {
--- a/internal/net/frontend/framing_test.go
+++ b/internal/net/frontend/framing_test.go
@@ -72,7 +72,7 @@
 	_, ships, address := serve(t, 8, true)
 	go func() {
 		for s := range ships {
-			s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte(s.Target + " " + string(s.Body))})
+			s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte(s.Target + " " + string(s.Body))})
 		}
 	}()
 	conn := dial(t, address)
--- a/internal/net/frontend/message.go
+++ b/internal/net/frontend/message.go
@@ -35,25 +35,25 @@
 
 // body reads a lookup's body, or the beginning of a long one, or gives the status that it is turned away with. It must
 // not be trusted to end where it says if it gives its length in two ways, or in one that HTTP/1.0 did not know.
-func (a *call) body() (in dispatch.Lookup, status int, err error) {
+func (a *call) body() (in dispatch.Request, status int, err error) {
 	r := a.r
 	switch {
 	case !r.ProtoAtLeast(1, 1):
 		return in, http.StatusHTTPVersionNotSupported, errVersion
 	case !a.sound:
 		return in, http.StatusBadRequest, errLengths
-	case r.ContentLength > a.bounds.Long:
+	case r.ContentLength > a.bounds.MaxStreamed:
 		return in, http.StatusRequestEntityTooLarge, errLong
 	case r.ContentLength == 0:
 		return in, 0, nil
 	}
 	from := a.steady()
-	if in.Length = r.ContentLength; r.ContentLength > a.bounds.Body {
+	if in.Length = r.ContentLength; r.ContentLength > a.bounds.MaxBuffered {
 		_ = a.control.EnableFullDuplex() // an answer may come before its end
-		in.Rest = dispatch.NewRest(from)
+		in.Rest = dispatch.NewBodyStream(from)
 		return in, 0, nil
 	}
-	in.Body, err = io.ReadAll(io.LimitReader(from, a.bounds.Body+1))
+	in.Body, err = io.ReadAll(io.LimitReader(from, a.bounds.MaxBuffered+1))
 	tooLong := (*http.MaxBytesError)(nil)
 	switch {
 	case errors.As(err, &tooLong):
@@ -62,9 +62,9 @@
 		return in, http.StatusRequestTimeout, errSlow
 	case err != nil:
 		return in, http.StatusBadRequest, errBody
-	case int64(len(in.Body)) > a.bounds.Body:
+	case int64(len(in.Body)) > a.bounds.MaxBuffered:
 		_ = a.control.EnableFullDuplex()
-		in.Rest = dispatch.NewRest(from)
+		in.Rest = dispatch.NewBodyStream(from)
 	default:
 		from.over()
 	}
@@ -80,7 +80,7 @@
 }
 
 func (a *call) steady() *steady {
-	return &steady{call: a, from: http.MaxBytesReader(nil, a.r.Body, a.bounds.Long)}
+	return &steady{call: a, from: http.MaxBytesReader(nil, a.r.Body, a.bounds.MaxStreamed)}
 }
 
 func (s *steady) Read(b []byte) (int, error) {
@@ -107,9 +107,9 @@
 func (s *steady) over() { _ = s.control.SetReadDeadline(time.Now().Add(s.server.WriteTimeout)) }
 
 // decode takes out the few fields that decisions need, and keeps the rest as it came.
-func decode(r *http.Request, in *dispatch.Lookup) (within time.Duration, err error) {
-	in.Method, in.Target, in.Trace = r.Method, origin(r.RequestURI), r.Header.Get("X-Trace-Id")
-	in.Idempotency, in.Partner = r.Header.Get("Idempotency-Key"), r.Header.Get("X-Customer")
+func decode(r *http.Request, in *dispatch.Request) (within time.Duration, err error) {
+	in.Method, in.Target, in.TraceID = r.Method, origin(r.RequestURI), r.Header.Get("X-Trace-Id")
+	in.IdempotencyKey, in.Tenant = r.Header.Get("Idempotency-Key"), r.Header.Get("X-Customer")
 	in.Write = r.Method == http.MethodPut
 	if r.Method != http.MethodGet && r.Method != http.MethodPut {
 		return 0, errMethod
@@ -119,17 +119,17 @@
 			return 0, errTwice // we might take one and a server the other
 		}
 	}
-	if in.Trace == "" {
+	if in.TraceID == "" {
 		return 0, errTrace
 	}
-	in.Namespace, in.Key = parts(in.Target)
+	in.Class, in.Key = parts(in.Target)
 	// A hint is rough and may be absent: what can't be read is none.
 	if us, err := strconv.ParseFloat(r.Header.Get("X-Size-Hint"), 64); err == nil && us > 0 &&
 		!math.IsInf(us, 0) {
 		in.Work = us / 1000
 	}
 	within, err = span(r.Header.Get("X-Expires-In"))
-	in.Patience = within
+	in.Timeout = within
 	return within, err
 }
 
@@ -174,12 +174,12 @@
 // answer writes a final answer.
 func answer(w http.ResponseWriter, a dispatch.Answer) {
 	switch a.Outcome {
-	case dispatch.Resolved:
+	case dispatch.Served:
 		if a.ContentType == "" {
 			a.ContentType = anyBytes
 		}
 		write(w, http.StatusOK, a.ContentType, a.Body)
-	case dispatch.Deferred:
+	case dispatch.Rejected:
 		if a.RetryAfter > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 		}
--- a/internal/net/frontend/room_test.go
+++ b/internal/net/frontend/room_test.go
@@ -18,7 +18,7 @@
 	c, ships, address := serve(t, 24, true)
 	go func() {
 		for s := range ships {
-			s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
+			s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 		}
 	}()
 	stop := make(chan struct{})
@@ -79,7 +79,7 @@
 	// Told to leave, it still takes and answers those that come, and is gone in time.
 	left := make(chan error, 1)
 	began := time.Now()
-	go func() { left <- c.Leave(false) }()
+	go func() { left <- c.Shutdown(false) }()
 	for i := range 20 {
 		users.Go(func() {
 			conn := dial(t, address)
@@ -115,7 +115,7 @@
 func TestLeavingLeavesNobodyInTheKernelsQueue(t *testing.T) {
 	for _, early := range []bool{false, true} {
 		c, ships, l := front(t, 8, true)
-		c.bounds.LongestLimit = 2 * time.Second // the queue is given up after half of it
+		c.bounds.MaxDeadline = 2 * time.Second // the queue is given up after half of it
 		h := held{l, make(chan struct{})}
 		left := make(chan error, 1)
 		begin := func() { go func() { _ = c.Serve(h) }() }
@@ -123,7 +123,7 @@
 			begin()
 		}
 		began := time.Now()
-		go func() { left <- c.Leave(false) }()
+		go func() { left <- c.Shutdown(false) }()
 		time.Sleep(100 * time.Millisecond)
 		if early {
 			begin()
@@ -132,11 +132,11 @@
 		conn.send("GET /read/k", id, "X-Expires-In: 1900m")
 		time.Sleep(time.Until(began.Add(comingFor + 60*time.Millisecond)))
 		close(h.until)
-		go func() { (<-ships).Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")}) }()
+		go func() { (<-ships).Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")}) }()
 		if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
 			t.Errorf("told to leave early %v: %d %q", early, r.StatusCode, body)
 		}
-		if err := <-left; err != nil || time.Since(began) > c.bounds.LongestLimit+700*time.Millisecond {
+		if err := <-left; err != nil || time.Since(began) > c.bounds.MaxDeadline+700*time.Millisecond {
 			t.Errorf("left after %v: %v", time.Since(began), err)
 		}
 	}
@@ -166,12 +166,12 @@
 	go func() { _ = c.Serve(l) }()
 	conn := dial(t, l.Addr().String())
 	conn.send("GET /read/1", id, within)
-	(<-ships).Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
+	(<-ships).Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 	conn.receive(t)
 	conn.send("GET /read/2", id, within)
 	s := <-ships
 	time.Sleep(20 * time.Millisecond)
-	s.Settle(dispatch.Whole, dispatch.Answer{Body: []byte("v")})
+	s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 	if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
 		t.Errorf("%d %q", r.StatusCode, body)
 	}
--- a/internal/net/handover/golden_test.go
+++ b/internal/net/handover/golden_test.go
@@ -11,7 +11,7 @@
 // Processes of different versions count each other: by a write lock on one of the first eight bytes of this file.
 func TestTheSeatsFileKeepsItsForm(t *testing.T) {
 	folder := t.TempDir()
-	s, err := Sit(folder, "n1")
+	s, err := Join(folder, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -113,8 +113,8 @@
 
 func TestSeatsAreSeenAndGivenUp(t *testing.T) {
 	folder := t.TempDir()
-	sit := func(name string) *Seat {
-		s, err := Sit(folder, name)
+	sit := func(name string) *Membership {
+		s, err := Join(folder, name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,10 +143,10 @@
 	if again := sit("n"); again.nth != 1 {
 		t.Errorf("seat %d, want the one that was given up", again.nth)
 	}
-	if s, err := Sit("", "n"); err != nil || s.Others() != 0 {
+	if s, err := Join("", "n"); err != nil || s.Others() != 0 {
 		t.Error("without a folder nobody is seen")
 	}
-	if _, err := Sit(folder+"/none", "n"); err == nil {
+	if _, err := Join(folder+"/none", "n"); err == nil {
 		t.Error("a folder that isn't there must be told")
 	}
 }
--- a/internal/net/handover/seat.go
+++ b/internal/net/handover/seat.go
@@ -16,9 +16,9 @@
 // seats is how many processes of one node may serve at once; two do, and a few more may overlap when one is killed.
 const seats = 8
 
-// Seat is one process's place among those that serve as one node. It is a lock on one byte of a file, which ends with
+// Membership is one process's place among those that serve as one node. It is a lock on one byte of a file, which ends with
 // its owner however that ends; a number in a file would outlive it.
-type Seat struct {
+type Membership struct {
 	nth int64
 
 	mu   sync.Mutex
@@ -26,26 +26,26 @@
 	seen int      // others, at the latest look that went through
 }
 
-// Sit takes a seat. Without a folder there is nobody to be seen.
-func Sit(folder, name string) (*Seat, error) {
+// Join takes a seat. Without a folder there is nobody to be seen.
+func Join(folder, name string) (*Membership, error) {
 	if folder == "" {
-		return &Seat{}, nil
+		return &Membership{}, nil
 	}
 	f, err := os.OpenFile(filepath.Join(folder, name+".seats"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return &Seat{}, err
+		return &Membership{}, err
 	}
 	for nth := range int64(seats) {
 		if kernel.FileLock(f.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: nth, Len: 1}) == nil {
-			return &Seat{file: f, nth: nth}, nil
+			return &Membership{file: f, nth: nth}, nil
 		}
 	}
 	_ = f.Close()
-	return &Seat{}, fmt.Errorf("%d processes serve already", seats)
+	return &Membership{}, fmt.Errorf("%d processes serve already", seats)
 }
 
 // Others counts the other processes that serve. It only asks: a lock tried and given back would be seen as one.
-func (s *Seat) Others() (n int) {
+func (s *Membership) Others() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.file == nil {
@@ -68,7 +68,7 @@
 }
 
 // Follow tells whenever the number of others has changed from what it was, until the context ends.
-func (s *Seat) Follow(ctx context.Context, was int, every time.Duration, tell func(others int)) {
+func (s *Membership) Follow(ctx context.Context, was int, every time.Duration, tell func(others int)) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -85,7 +85,7 @@
 }
 
 // Leave gives the seat up.
-func (s *Seat) Leave() {
+func (s *Membership) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.file != nil {
--- a/internal/net/handover/trouble_test.go
+++ b/internal/net/handover/trouble_test.go
@@ -14,11 +14,11 @@
 func TestALookThatFailsTellsNothing(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	folder := t.TempDir()
-	one, err := Sit(folder, "n")
+	one, err := Join(folder, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := Sit(folder, "n")
+	other, err := Join(folder, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 func TestASeatIsFoundThoughALockWasInterrupted(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	kernel.FailTimes(kernel.Lock, syscall.EINTR, 3)
-	s, err := Sit(t.TempDir(), "n")
+	s, err := Join(t.TempDir(), "n")
 	if err != nil || s.nth != 0 {
 		t.Errorf("seat %d, %v", s.nth, err)
 	}
--- a/internal/net/metrics/figures.go
+++ b/internal/net/metrics/figures.go
@@ -9,11 +9,11 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// Ends is how lookups of one namespace have ended.
-type Ends struct{ Resolved, Deferred, Abandoned atomic.Int64 }
+// Outcomes is how lookups of one namespace have ended.
+type Outcomes struct{ Served, Rejected, Failed atomic.Int64 }
 
-// Figures are one node's totals, and what it has in hand.
-type Figures struct {
+// Metrics are one node's totals, and what it has in hand.
+type Metrics struct {
 	Written atomic.Int64 // shots whose last byte went out
 	Open    atomic.Int64 // lookups taken and not answered whole
 	Listed  atomic.Int64 // caches on the box list
@@ -24,20 +24,20 @@
 	Denied, Violations [admission.Reasons]atomic.Int64
 
 	names  []string
-	counts map[string]*Ends
+	counts map[string]*Outcomes
 }
 
 // New makes the figures for these namespaces: no others are ever counted, so that no client can make names.
-func New(namespaces []string) *Figures {
-	f := &Figures{names: slices.Sorted(slices.Values(namespaces)), counts: map[string]*Ends{}}
+func New(namespaces []string) *Metrics {
+	f := &Metrics{names: slices.Sorted(slices.Values(namespaces)), counts: map[string]*Outcomes{}}
 	for _, name := range f.names {
-		f.counts[name] = &Ends{}
+		f.counts[name] = &Outcomes{}
 	}
 	return f
 }
 
 // Of gives the counts of a namespace; nil where there is none of that name.
-func (f *Figures) Of(namespace string) *Ends { return f.counts[namespace] }
+func (f *Metrics) Of(namespace string) *Outcomes { return f.counts[namespace] }
 
-// Namespaces gives their names in order.
-func (f *Figures) Namespaces() []string { return f.names }
+// Classes gives their names in order.
+func (f *Metrics) Classes() []string { return f.names }
--- a/internal/net/node/fleet_test.go
+++ b/internal/net/node/fleet_test.go
@@ -20,7 +20,7 @@
 // Without a fleet section nothing of a fleet runs; with one a node serves and tells figures though no fellow can be
 // reached, and ends in time.
 func TestANodeWithAndWithoutAFleet(t *testing.T) {
-	const fleets = "internal/net/fellows"
+	const fleets = "internal/cluster"
 	w := newWorld(t, nil, "a")
 	s := w.station(256)
 	end := run(t, s)
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -27,20 +27,20 @@
 
 // steered is the server side of a node, whose attempts go where the test says.
 type steered struct {
-	*upstream.Servers
+	*upstream.Client
 	mu    sync.Mutex
 	tries map[string]int
-	steer func(a *dispatch.Shot, nth int) // may hold it up
+	steer func(a *dispatch.Attempt, nth int) // may hold it up
 }
 
-func (s *steered) Carry(a *dispatch.Shot) {
+func (s *steered) Send(a *dispatch.Attempt) {
 	s.mu.Lock()
-	s.tries[a.Trace]++
-	nth := s.tries[a.Trace]
+	s.tries[a.TraceID]++
+	nth := s.tries[a.TraceID]
 	s.mu.Unlock()
 	go func() {
 		s.steer(a, nth)
-		s.Servers.Carry(a)
+		s.Client.Send(a)
 	}()
 }
 
@@ -104,7 +104,7 @@
 type standing struct {
 	waiting
 	t         *testing.T
-	x         *dispatch.Exchange
+	x         *dispatch.Dispatcher
 	at, open  chan struct{} // the request is at its place; it may go on
 	there     func()
 	other     chan struct{} // the request of the same key is to come,
@@ -115,15 +115,15 @@
 	second    chan struct{} // and the second one has come
 	addresses map[string]string
 	behinds   *atomic.Int64
-	tally     dispatch.Tally
+	tally     dispatch.Stats
 }
 
 // tallied waits for something in the exchange's counts.
-func (s *standing) tallied(f func(y dispatch.Tally) bool) {
+func (s *standing) tallied(f func(y dispatch.Stats) bool) {
 	for by := time.Now().Add(4 * time.Second); ; time.Sleep(2 * time.Millisecond) {
-		y := s.x.Tally()
-		s.tally.Lookups += y.Lookups
-		s.tally.Ends[dispatch.TurnedAway] += y.Ends[dispatch.TurnedAway]
+		y := s.x.Stats()
+		s.tally.Requests += y.Requests
+		s.tally.Ends[dispatch.Shed] += y.Ends[dispatch.Shed]
 		if f(s.tally) {
 			return
 		} else if time.Now().After(by) {
@@ -231,14 +231,14 @@
 }
 
 // steer sends attempts to the stand-ins, and holds the one that is looked at.
-func (s *standing) steer(a *dispatch.Shot, nth int) {
-	a.Place = uint64(100*nth + int(a.Trace[0])) // connections of its own
+func (s *standing) steer(a *dispatch.Attempt, nth int) {
+	a.Endpoint = uint64(100*nth + int(a.TraceID[0])) // connections of its own
 	switch {
-	case a.Trace == "o" && nth == 1:
+	case a.TraceID == "o" && nth == 1:
 		a.Address = s.addresses["miss"]
-	case a.Trace == "o":
+	case a.TraceID == "o":
 		a.Address = s.addresses["fetch"]
-	case a.Trace != "t":
+	case a.TraceID != "t":
 		a.Address = s.addresses["plain"]
 	case nth < s.attempt && a.Rest != nil:
 		l, err := net.Listen("tcp", own())
@@ -258,9 +258,9 @@
 	}
 }
 
-func (s *standing) hold(a *dispatch.Shot) {
-	in := *a.Lookup
-	gone, looks := in.Gone, 0
+func (s *standing) hold(a *dispatch.Attempt) {
+	in := *a.Request
+	gone, looks := in.ClientGone, 0
 	switch s.place {
 	case aDial, itsBody, muchOfIt:
 		s.there()
@@ -268,7 +268,7 @@
 		s.there()
 		<-s.open
 	case aWrite:
-		in.Gone = func() bool {
+		in.ClientGone = func() bool {
 			saw := gone()
 			if looks++; looks == 1 {
 				s.there()
@@ -277,7 +277,7 @@
 			return saw
 		}
 	case dials:
-		in.Gone = func() bool {
+		in.ClientGone = func() bool {
 			switch looks++; {
 			case looks == 1: // half a line comes in the very moment, so that nothing is written
 				c := <-s.first
@@ -290,7 +290,7 @@
 			return gone()
 		}
 	}
-	a.Lookup = &in
+	a.Request = &in
 }
 
 // onSecond says that a look is on the second connection. The looks on the first are one or two: it is given up after one where the deadline that
@@ -316,16 +316,16 @@
 		s.t.Fatal(err)
 	}
 	s.x = dispatch.New(d, zap.NewNop())
-	carrier := upstream.New(upstream.Bounds{Descriptors: 32, Shots: 32, ConnectWithin: d.ConnectTimeout, IdleFor: d.IdleTimeout, Body: bodyMost,
-		Long: longMost}, zap.NewNop())
+	carrier := upstream.New(upstream.Limits{Descriptors: 32, MaxAttempts: 32, ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, MaxBuffered: bodyMost,
+		MaxStreamed: longMost}, zap.NewNop())
 	s.t.Cleanup(carrier.Close)
-	s.x.Start(1, &steered{Servers: carrier, tries: map[string]int{}, steer: s.steer}, unlisted{})
-	list := []dispatch.Box{{ID: "z", Address: "z:1", Machine: "origin"}}
+	s.x.Start(1, &steered{Client: carrier, tries: map[string]int{}, steer: s.steer}, unlisted{})
+	list := []dispatch.Endpoint{{ID: "z", Address: "z:1", Model: "origin"}}
 	for _, id := range []string{"a", "b", "c"} {
-		list = append(list, dispatch.Box{ID: id, Address: id + ":1", Machine: "box"})
+		list = append(list, dispatch.Endpoint{ID: id, Address: id + ":1", Model: "box"})
 	}
-	s.x.List(routing.Whole, list)
-	front := frontend.New(s.x, frontend.Bounds{Descriptors: 16, Beyond: 2, LongestLimit: d.MaxDeadline, Body: bodyMost, Long: longMost}, zap.NewNop())
+	s.x.UpdateEndpoints(routing.Full, list)
+	front := frontend.New(s.x, frontend.Limits{Descriptors: 16, OverflowConns: 2, MaxDeadline: d.MaxDeadline, MaxBuffered: bodyMost, MaxStreamed: longMost}, zap.NewNop())
 	l := loopback(s.t)
 	return l.Addr().String(), func() { go func() { _ = front.Serve(l) }() }
 }
@@ -379,9 +379,9 @@
 	case w.place == aFetch && w.attempt > 1:
 		s.await(s.other, "the attempt before")
 		fmt.Fprint(s.dial(address), lookup("GET /read/k", "o", ""))
-		s.tallied(func(y dispatch.Tally) bool { return y.Ends[dispatch.TurnedAway] == w.attempt-1 })
+		s.tallied(func(y dispatch.Stats) bool { return y.Ends[dispatch.Shed] == w.attempt-1 })
 	case w.place == aFetch:
-		s.tallied(func(y dispatch.Tally) bool { return y.Lookups == 2 })
+		s.tallied(func(y dispatch.Stats) bool { return y.Requests == 2 })
 	default:
 		s.await(s.at, "the attempt")
 	}
@@ -419,7 +419,7 @@
 		if w.place == queue {
 			time.Sleep(goneFor) // it is taken, or not: nobody tells
 		}
-		for by := time.Now().Add(4 * time.Second); s.x.Out() > 0; time.Sleep(2 * time.Millisecond) {
+		for by := time.Now().Add(4 * time.Second); s.x.InFlight() > 0; time.Sleep(2 * time.Millisecond) {
 			if time.Now().After(by) {
 				t.Error("not over")
 				break
--- a/internal/net/node/kinds_test.go
+++ b/internal/net/node/kinds_test.go
@@ -25,7 +25,7 @@
 	copies map[string]int // shots beside another of their lookup, by kind
 	cold   []time.Time    // shots at the cold cache
 	warm   int            // and at another one, since the start
-	list   []dispatch.Box
+	list   []dispatch.Endpoint
 	shots  int
 }
 
@@ -70,9 +70,9 @@
 			fmt.Fprint(w, "value")
 		}))
 		t.Cleanup(s.Close)
-		y.list = append(y.list, dispatch.Box{ID: id, Address: s.Listener.Addr().String(), Machine: "box"})
+		y.list = append(y.list, dispatch.Endpoint{ID: id, Address: s.Listener.Addr().String(), Model: "box"})
 	}
-	y.list[4].Machine = "origin"
+	y.list[4].Model = "origin"
 	return y
 }
 
@@ -103,7 +103,7 @@
 func (unasked) Subscribe() {}
 
 // kindOf starts a node's deciding half, of the old shape or of the new one. Both count the nodes of both.
-func kindOf(t *testing.T, kind string, nodes int, y *yard) *dispatch.Exchange {
+func kindOf(t *testing.T, kind string, nodes int, y *yard) *dispatch.Dispatcher {
 	permissions, rules := map[string]any{"most-shots": 3., "parallel-tries": true}, map[string]any{"cold-from": 0.2, "warm-up-ms": 20000.,
 		"overload-factor": 4., "fall-ms": 500.}
 	target := 200.
@@ -121,12 +121,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	carrier := upstream.New(upstream.Bounds{Descriptors: 64, Shots: 256, ConnectWithin: 75 * time.Millisecond,
-		IdleFor: 15 * time.Second, Body: 1 << 10, Long: 1 << 10}, zap.NewNop())
+	carrier := upstream.New(upstream.Limits{Descriptors: 64, MaxAttempts: 256, ConnectTimeout: 75 * time.Millisecond,
+		IdleTimeout: 15 * time.Second, MaxBuffered: 1 << 10, MaxStreamed: 1 << 10}, zap.NewNop())
 	t.Cleanup(carrier.Close)
 	x := dispatch.New(d, zap.NewNop())
 	x.Start(uint64(len(kind)+nodes), carrier, unasked{})
-	x.List(routing.Whole, y.list)
+	x.UpdateEndpoints(routing.Full, y.list)
 	return x
 }
 
@@ -136,7 +136,7 @@
 func TestBothKindsShareTheirCaches(t *testing.T) {
 	const nodes, calm, crowded = 6, 25 * time.Millisecond, 5 * time.Millisecond // between a node's lookups
 	y := newYard(t)
-	var fleet []*dispatch.Exchange
+	var fleet []*dispatch.Dispatcher
 	for i := range nodes {
 		fleet = append(fleet, kindOf(t, []string{"old", "new"}[i%2], nodes, y))
 	}
@@ -150,13 +150,13 @@
 			for i, x := range fleet {
 				kind := []string{"old", "new"}[i%2]
 				number++
-				in := dispatch.Lookup{Namespace: "read", Partner: "acme", Key: fmt.Sprint("k", number*7919%97),
-					Method: http.MethodGet, Trace: fmt.Sprint(kind, number)}
+				in := dispatch.Request{Class: "read", Tenant: "acme", Key: fmt.Sprint("k", number*7919%97),
+					Method: http.MethodGet, TraceID: fmt.Sprint(kind, number)}
 				if number%15 == 0 {
-					in.Namespace, in.Method, in.Write = "once", http.MethodPut, true
+					in.Class, in.Method, in.Write = "once", http.MethodPut, true
 				}
-				in.Target = "/" + in.Namespace + "/" + in.Key
-				ticket, err := x.Take(in, time.Now(), time.Second)
+				in.Target = "/" + in.Class + "/" + in.Key
+				ticket, err := x.Submit(in, time.Now(), time.Second)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -166,7 +166,7 @@
 					case a := <-ticket.Answers():
 						mu.Lock()
 						defer mu.Unlock()
-						if a.Outcome == dispatch.Resolved {
+						if a.Outcome == dispatch.Served {
 							resolved[kind]++
 						}
 					case <-time.After(2 * time.Second):
@@ -188,7 +188,7 @@
 	rate := float64(y.warm) / 1.5
 	y.cold, y.list[cold].StartedMs = nil, float64(time.Now().UnixMilli())
 	for _, x := range fleet {
-		x.List(routing.Changes, y.list[cold:cold+1])
+		x.UpdateEndpoints(routing.Incremental, y.list[cold:cold+1])
 	}
 	play(1500*time.Millisecond, calm)
 	most := int(4 * 0.2 * rate * 0.5) // factor x cold share x what a warm one is seen to bear x window
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -90,7 +90,7 @@
 	if o.clients, err = clientsSocket(ctx, s, log); err != nil {
 		return err
 	}
-	return operate(ctx, s, signals, log, o, func(own cluster.Own) cluster.Own { return own })
+	return operate(ctx, s, signals, log, o, func(own cluster.LocalNode) cluster.LocalNode { return own })
 }
 
 // opened is what a process was started with, and the sockets that it listens on. Without the clients', which only the rig's build
@@ -102,10 +102,10 @@
 
 // operate serves on what was opened. own gives what the fleet's tasks need of the node.
 func operate(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger, o opened,
-	own func(cluster.Own) cluster.Own,
+	own func(cluster.LocalNode) cluster.LocalNode,
 ) error {
 	folder, name := os.Getenv("TMPDIR"), fileName(s.Listen)
-	seat, err := handover.Sit(folder, name)
+	seat, err := handover.Join(folder, name)
 	if err != nil {
 		log.Warn("other processes of this node can't be seen", zap.Error(err))
 	}
@@ -117,28 +117,28 @@
 	}
 	x := dispatch.New(s.Settings, log.Named("exchange"))
 	carrier := upstream.New(
-		upstream.Bounds{Descriptors: l.servers, Shots: l.servers + l.clients, ConnectWithin: s.ConnectTimeout,
-			IdleFor: s.IdleTimeout, Body: bodyMost, Long: longMost},
+		upstream.Limits{Descriptors: l.servers, MaxAttempts: l.servers + l.clients, ConnectTimeout: s.ConnectTimeout,
+			IdleTimeout: s.IdleTimeout, MaxBuffered: bodyMost, MaxStreamed: longMost},
 		log.Named("servers"),
 	)
 	defer carrier.Close()
 	list := discovery.New(x, s.Discovery, s.PollInterval, log.Named("boxlist"))
 	front := frontend.New(
 		x,
-		frontend.Bounds{
-			Descriptors:  l.clients,
-			Beyond:       l.beyond,
-			LongestLimit: s.MaxDeadline,
-			Advice:       s.MaxRetryAfter,
-			Body:         bodyMost,
-			Long:         longMost,
+		frontend.Limits{
+			Descriptors:   l.clients,
+			OverflowConns: l.beyond,
+			MaxDeadline:   s.MaxDeadline,
+			MaxRetryAfter: s.MaxRetryAfter,
+			MaxBuffered:   bodyMost,
+			MaxStreamed:   longMost,
 		},
 		log.Named("clients"),
 	)
 
 	x.Start(s.Seed, carrier, list)
 	book := bansOf(folder, name, x, log.Named("bans")) // before any list
-	if err := list.Known(s.CachedEndpoints); err != nil {
+	if err := list.LoadCached(s.CachedEndpoints); err != nil {
 		log.Warn("the list in the configuration can't be read, not up until the first one comes",
 			zap.Error(err))
 	}
@@ -147,7 +147,7 @@
 	go list.Run(following)
 	go renew(following, signals, s, list, log.Named("renew"))
 	go report(following, x, front, log.Named("report"))
-	var fleet *cluster.Fellows
+	var fleet *cluster.Member
 	leave := func() {}
 	if s.Fleet != nil {
 		fleet = cluster.Start(s.Fleet, own(fleetSide{x}), s.MaxDeadline, l.fellows, log.Named("fleet"))
@@ -155,7 +155,7 @@
 	}
 	defer leave() // once, however often it is called; the later call waits for the first
 	if o.operators != nil {
-		desk := admin.New(operated{x, front, book, fleet}, x.Figures(), l.operators, log.Named("admin"))
+		desk := admin.New(operated{x, front, book, fleet}, x.Metrics(), l.operators, log.Named("admin"))
 		defer desk.Close()
 		go desk.Serve(o.operators)
 		go census(following, x)
@@ -189,8 +189,8 @@
 	}
 	go leave() // side by side: the next process waits for the fleet's address, and clients for neither
 	log.Info("leaving: connections still come for a while, each ends with its next answer")
-	if err := front.Leave(s.PassedSocket != 0); err != nil {
-		log.Warn("left with lookups unanswered", zap.Error(err), zap.Int("out", x.Out()))
+	if err := front.Shutdown(s.PassedSocket != 0); err != nil {
+		log.Warn("left with lookups unanswered", zap.Error(err), zap.Int("out", x.InFlight()))
 	}
 	log.Info("left")
 	return nil
--- a/internal/net/node/operated.go
+++ b/internal/net/node/operated.go
@@ -20,7 +20,7 @@
 )
 
 // census keeps the figures of the box list fresh.
-func census(ctx context.Context, x *dispatch.Exchange) {
+func census(ctx context.Context, x *dispatch.Dispatcher) {
 	every := time.NewTicker(censusEvery)
 	defer every.Stop()
 	for {
@@ -28,47 +28,47 @@
 		case <-ctx.Done():
 			return
 		case <-every.C:
-			x.Census()
+			x.CountEndpoints()
 		}
 	}
 }
 
 // operated is what operators' calls are about.
 type operated struct {
-	exchange *dispatch.Exchange
-	front    *frontend.Clients
-	bans     *ejection.Book
-	fleet    *cluster.Fellows // nil: there is none
+	exchange *dispatch.Dispatcher
+	front    *frontend.Server
+	bans     *ejection.Registry
+	fleet    *cluster.Member // nil: there is none
 }
 
 func (o operated) Fleet() map[string]any {
 	if o.fleet == nil {
 		return nil
 	}
-	return o.fleet.Figures()
+	return o.fleet.Metrics()
 }
 
-func (o operated) Serves() bool { return o.exchange.Ready() && !o.front.Leaving() }
+func (o operated) Serving() bool { return o.exchange.Ready() && !o.front.Draining() }
 
-func (o operated) TakeOut(id string) error { return o.order(id, o.bans.Out) }
+func (o operated) Eject(id string) error { return o.order(id, o.bans.Eject) }
 
-func (o operated) PutBack(id string) error { return o.order(id, o.bans.Back) }
+func (o operated) Restore(id string) error { return o.order(id, o.bans.Restore) }
 
 func (o operated) order(id string, do func(string) error) error {
-	if !o.exchange.Heard(id) && !o.bans.Has(id) {
-		return admin.ErrUnlisted
+	if !o.exchange.WasListed(id) && !o.bans.Contains(id) {
+		return admin.ErrUnknownServer
 	}
 	return do(id)
 }
 
 // bansOf opens the node's list of bans, for the exchange to follow.
-func bansOf(folder, name string, x *dispatch.Exchange, log *zap.Logger) *ejection.Book {
+func bansOf(folder, name string, x *dispatch.Dispatcher, log *zap.Logger) *ejection.Registry {
 	return ejection.Open(folder, name, func(entries []ejection.Entry) {
-		all := make([]dispatch.Ban, 0, len(entries))
+		all := make([]dispatch.Ejection, 0, len(entries))
 		for _, e := range entries {
-			all = append(all, dispatch.Ban{ID: e.ID, Out: float64(e.Out), Back: float64(e.Back)})
+			all = append(all, dispatch.Ejection{ID: e.ID, EjectedAt: float64(e.EjectedAt), RestoredAt: float64(e.RestoredAt)})
 		}
-		x.Bans(all)
+		x.SetEjections(all)
 	}, log)
 }
 
@@ -78,17 +78,17 @@
 }
 
 // fleetSide is what the fleet's tasks need of this node.
-type fleetSide struct{ *dispatch.Exchange }
+type fleetSide struct{ *dispatch.Dispatcher }
 
-// Figures gives the totals of all namespaces.
-func (s fleetSide) Figures() map[string]int64 {
-	f := s.Exchange.Figures()
+// Metrics gives the totals of all namespaces.
+func (s fleetSide) Metrics() map[string]int64 {
+	f := s.Dispatcher.Metrics()
 	all := map[string]int64{"shots": f.Written.Load(), "open": f.Open.Load()}
-	for _, name := range f.Namespaces() {
+	for _, name := range f.Classes() {
 		ends := f.Of(name)
-		all["resolved"] += ends.Resolved.Load()
-		all["deferred"] += ends.Deferred.Load()
-		all["abandoned"] += ends.Abandoned.Load()
+		all["resolved"] += ends.Served.Load()
+		all["deferred"] += ends.Rejected.Load()
+		all["abandoned"] += ends.Failed.Load()
 	}
 	return all
 }
--- a/internal/net/node/renew.go
+++ b/internal/net/node/renew.go
@@ -24,7 +24,7 @@
 	ctx context.Context,
 	signals <-chan os.Signal,
 	s *config.Node,
-	list *discovery.Follower,
+	list *discovery.Client,
 	log *zap.Logger,
 ) {
 	for address := s.Discovery; ; {
@@ -47,7 +47,7 @@
 		log.Info("configuration read anew", zap.Bool("another discovery service", next.Discovery != address))
 		if next.Discovery != address {
 			address = next.Discovery
-			list.Move(ctx, address)
+			list.SwitchTo(ctx, address)
 		}
 	}
 }
--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -209,7 +209,7 @@
 				for i := range 20 {
 					trace := fmt.Sprint("t", i)
 					sh := shot(address, "GET", "")
-					sh.Trace = trace
+					sh.TraceID = trace
 					if i > 0 {
 						switch moment {
 						case "resting":
@@ -226,17 +226,17 @@
 							line()
 						case "before its request":
 							met := false
-							sh.Gone = func() bool {
+							sh.ClientGone = func() bool {
 								if !met {
 									met = true
 									line()
-									time.Sleep(admission.FactsFor + 5*time.Millisecond)
+									time.Sleep(admission.MaxFactAge + 5*time.Millisecond)
 								}
 								return false
 							}
 						}
 					}
-					if end, a := s.send(sh); end != dispatch.Whole || string(a.Body) != trace {
+					if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != trace {
 						t.Errorf("shot %d: %v %q", i, end, a.Body)
 					}
 				}
@@ -259,10 +259,10 @@
 		came.Add(1)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 	})
-	for left, want := range map[time.Duration]dispatch.End{10 * time.Millisecond: dispatch.Overtaken, 5 * time.Second: dispatch.Whole} {
+	for left, want := range map[time.Duration]dispatch.AttemptResult{10 * time.Millisecond: dispatch.NotConnected, 5 * time.Second: dispatch.Complete} {
 		sh := shot(address, "PUT", "v")
-		sh.BeginBy = time.Now().Add(left)
-		sh.Gone = func() bool {
+		sh.SendBy = time.Now().Add(left)
+		sh.ClientGone = func() bool {
 			time.Sleep(15 * time.Millisecond)
 			return false
 		}
@@ -292,13 +292,13 @@
 		return dial(ctx, network, to)
 	}
 	sh := shot(address, "GET", "")
-	sh.Within = 2 * time.Second
-	if end, _ := s.send(sh); end != dispatch.Whole {
+	sh.Timeout = 2 * time.Second
+	if end, _ := s.send(sh); end != dispatch.Complete {
 		t.Fatal(end)
 	}
 	us, err := strconv.Atoi(strings.TrimSuffix(<-told, "u"))
-	if left := time.Duration(us) * time.Microsecond; err != nil || left > sh.Within-200*time.Millisecond || left <= 0 {
-		t.Errorf("told %v of %v, 0.2 s and more before its request: %v", left, sh.Within, err)
+	if left := time.Duration(us) * time.Microsecond; err != nil || left > sh.Timeout-200*time.Millisecond || left <= 0 {
+		t.Errorf("told %v of %v, 0.2 s and more before its request: %v", left, sh.Timeout, err)
 	}
 }
 
@@ -323,13 +323,13 @@
 		}
 		fill = append(fill, c)
 	}
-	s := New(Bounds{Descriptors: 8, Shots: 8, ConnectWithin: 4 * time.Second, IdleFor: 500 * time.Millisecond, Body: 1 << 10,
-		Long: 1 << 10}, zap.NewNop())
+	s := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 4 * time.Second, IdleTimeout: 500 * time.Millisecond, MaxBuffered: 1 << 10,
+		MaxStreamed: 1 << 10}, zap.NewNop())
 	defer s.Close()
 	began := time.Now()
 	sh := shot(address, "GET", "")
-	sh.Within = 200 * time.Millisecond
-	if end, _ := s.send(sh); end != dispatch.Overtaken || time.Since(began) < sh.Within || time.Since(began) > 2*time.Second {
+	sh.Timeout = 200 * time.Millisecond
+	if end, _ := s.send(sh); end != dispatch.NotConnected || time.Since(began) < sh.Timeout || time.Since(began) > 2*time.Second {
 		t.Errorf("%v after %v", end, time.Since(began))
 	}
 	for range fill {
@@ -382,9 +382,9 @@
 		})
 		began := time.Now()
 		sh := shot(address, "GET", "")
-		sh.Within = 300 * time.Millisecond
+		sh.Timeout = 300 * time.Millisecond
 		end, a := s.send(sh)
-		if took := time.Since(began); end != dispatch.Silent && end != dispatch.Spoilt || took > 3*time.Second || len(a.Body) > 0 {
+		if took := time.Since(began); end != dispatch.TimedOut && end != dispatch.Malformed || took > 3*time.Second || len(a.Body) > 0 {
 			t.Errorf("%q: %v after %v", text, end, took)
 		}
 		select {
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -126,7 +126,7 @@
 		}
 		now := time.Now() // last, and no call of the kernel
 		denied = admission.Send{Refused: request.refused, ConnectionEnding: c.retired || c.failedHere.Load(), Unsolicited: request.early || c.gone, Unknown: unknown, Client: client,
-			Gathered: now.Sub(began), Now: now, BeginBy: request.beginBy, Until: request.until, Told: request.told}.Decide()
+			Gathered: now.Sub(began), Now: now, SendBy: request.beginBy, Deadline: request.until, Told: request.told}.Decide()
 		if denied != admission.FactsStale {
 			break
 		}
--- a/internal/net/upstream/failing_test.go
+++ b/internal/net/upstream/failing_test.go
@@ -22,13 +22,13 @@
 func TestFailingReadsAndWritesAreNotTheServers(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	const aMoment, forGood = 2, 1 << 30
-	answered, unsent := []routing.Code{routing.Answered}, []routing.Code{routing.Unsent}
-	either := []routing.Code{routing.Unsent, routing.CalledOff} // the connection's first read may fail before anything is written, or after it
+	answered, unsent := []routing.Result{routing.Served}, []routing.Result{routing.NotSent}
+	either := []routing.Result{routing.NotSent, routing.Canceled} // the connection's first read may fail before anything is written, or after it
 	for _, c := range []struct {
 		call  kernel.Call
 		err   syscall.Errno
 		times int64
-		want  []routing.Code
+		want  []routing.Result
 	}{
 		{kernel.Read, syscall.ENOMEM, aMoment, answered},
 		{kernel.Read, syscall.ENOBUFS, aMoment, answered},
@@ -57,7 +57,7 @@
 		if !end.MayHaveRun() && reached.Load() > 0 {
 			t.Errorf("%s, %v, %d times: %v counts as not run, and has", c.call, c.err, c.times, end)
 		}
-		if end == dispatch.Whole {
+		if end == dispatch.Complete {
 			continue
 		}
 		for by := time.Now().Add(time.Second); ; time.Sleep(time.Millisecond) {
@@ -83,7 +83,7 @@
 		kernel.FailTimes(kernel.Read, syscall.EIO, 1<<30)
 		fmt.Fprint(c, "ok")
 	})
-	if end, _ := s.send(shot(server, "GET", "")); end.Code() != routing.CalledOff || !end.MayHaveRun() {
+	if end, _ := s.send(shot(server, "GET", "")); end.Code() != routing.Canceled || !end.MayHaveRun() {
 		t.Errorf("%v (%v), want one that tells nothing of the server and is in doubt", end, end.Code())
 	}
 }
--- a/internal/net/upstream/local_test.go
+++ b/internal/net/upstream/local_test.go
@@ -12,13 +12,13 @@
 // An error of this machine in making a connection tells nothing of the server. connect(2) and socket(2) document which there are; only
 // what the server's machine or the way to it answered counts against it.
 func TestTroubleOfThisMachineIsNotTheServers(t *testing.T) {
-	for err, want := range map[syscall.Errno]dispatch.End{
-		syscall.EADDRNOTAVAIL: dispatch.NoRoom, syscall.EADDRINUSE: dispatch.NoRoom, syscall.EAGAIN: dispatch.NoRoom, syscall.ENOBUFS: dispatch.NoRoom,
-		syscall.ENOMEM: dispatch.NoRoom, syscall.EMFILE: dispatch.NoRoom, syscall.ENFILE: dispatch.NoRoom, syscall.ENETUNREACH: dispatch.NoRoom,
-		syscall.ENETDOWN: dispatch.NoRoom, syscall.EPERM: dispatch.NoRoom, syscall.EACCES: dispatch.NoRoom, syscall.EAFNOSUPPORT: dispatch.NoRoom,
-		syscall.EINTR: dispatch.NoRoom, syscall.EINVAL: dispatch.NoRoom,
-		syscall.ECONNREFUSED: dispatch.Unreached, syscall.EHOSTUNREACH: dispatch.Unreached, syscall.EHOSTDOWN: dispatch.Unreached,
-		syscall.ETIMEDOUT: dispatch.Unheard, syscall.ECONNRESET: dispatch.Unwritten,
+	for err, want := range map[syscall.Errno]dispatch.AttemptResult{
+		syscall.EADDRNOTAVAIL: dispatch.NoResources, syscall.EADDRINUSE: dispatch.NoResources, syscall.EAGAIN: dispatch.NoResources, syscall.ENOBUFS: dispatch.NoResources,
+		syscall.ENOMEM: dispatch.NoResources, syscall.EMFILE: dispatch.NoResources, syscall.ENFILE: dispatch.NoResources, syscall.ENETUNREACH: dispatch.NoResources,
+		syscall.ENETDOWN: dispatch.NoResources, syscall.EPERM: dispatch.NoResources, syscall.EACCES: dispatch.NoResources, syscall.EAFNOSUPPORT: dispatch.NoResources,
+		syscall.EINTR: dispatch.NoResources, syscall.EINVAL: dispatch.NoResources,
+		syscall.ECONNREFUSED: dispatch.ConnectRefused, syscall.EHOSTUNREACH: dispatch.ConnectRefused, syscall.EHOSTDOWN: dispatch.ConnectRefused,
+		syscall.ETIMEDOUT: dispatch.ConnectTimeout, syscall.ECONNRESET: dispatch.WriteFailed,
 	} {
 		s := side(t)
 		s.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", err) }
--- a/internal/net/upstream/long.go
+++ b/internal/net/upstream/long.go
@@ -23,10 +23,10 @@
 
 // gather takes a body whole. A good answer that is long is left where it stands, after its first bytes: one that says
 // so, one of no told length that goes on beyond the bound, or does so while its shot's time runs out.
-func (s *Servers) gather(resp *http.Response, good bool, until time.Time) (body []byte, long bool, err error) {
+func (s *Client) gather(resp *http.Response, good bool, until time.Time) (body []byte, long bool, err error) {
 	size, told := firstBytes, resp.ContentLength >= 0
 	if told {
-		size = int(min(resp.ContentLength, s.bounds.Body)) + 1 // one more, so that the last read tells of the end
+		size = int(min(resp.ContentLength, s.bounds.MaxBuffered)) + 1 // one more, so that the last read tells of the end
 	}
 	by := time.Now()
 	by = by.Add(until.Sub(by) / waitPart)
@@ -34,7 +34,7 @@
 	for {
 		n, err := resp.Body.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
-		over := int64(len(body)) > s.bounds.Body
+		over := int64(len(body)) > s.bounds.MaxBuffered
 		switch {
 		case errors.Is(err, io.EOF) && !over:
 			return body, false, nil
@@ -42,7 +42,7 @@
 			return nil, false, err
 		case over && !good:
 			return nil, false, errTooLong
-		case good && n > 0 && (over || resp.ContentLength > s.bounds.Body || !told && time.Now().After(by)):
+		case good && n > 0 && (over || resp.ContentLength > s.bounds.MaxBuffered || !told && time.Now().After(by)):
 			return body, true, nil
 		}
 		if len(body) == cap(body) {
@@ -52,23 +52,23 @@
 }
 
 // pass hands a long answer on, and waits until it is through.
-func (s *Servers) pass(ctx context.Context, shot *dispatch.Shot, resp *http.Response, answer dispatch.Answer,
-	end context.CancelCauseFunc) (dispatch.End, dispatch.Answer, error) {
-	f := &flow{from: resp.Body, end: end, left: s.bounds.Long - int64(len(answer.Body)), over: make(chan struct{}),
+func (s *Client) pass(ctx context.Context, shot *dispatch.Attempt, resp *http.Response, answer dispatch.Answer,
+	end context.CancelCauseFunc) (dispatch.AttemptResult, dispatch.Answer, error) {
+	f := &flow{from: resp.Body, end: end, left: s.bounds.MaxStreamed - int64(len(answer.Body)), over: make(chan struct{}),
 		broke: func(err error) {
 			if !errors.Is(context.Cause(ctx), errLeft) {
 				s.log.Info("a long answer broke off", zap.String("server", shot.Address),
-					zap.String("trace", shot.Trace), zap.Error(err))
+					zap.String("trace", shot.TraceID), zap.Error(err))
 			}
 		}}
 	f.silent = time.AfterFunc(time.Hour, f.look)
 	f.silent.Stop()
 	answer.Rest = f
-	if !shot.Settle(dispatch.Whole, answer) {
-		return dispatch.Whole, dispatch.Answer{}, nil // somebody else's answer came first
+	if !shot.Finish(dispatch.Complete, answer) {
+		return dispatch.Complete, dispatch.Answer{}, nil // somebody else's answer came first
 	}
 	<-f.over
-	return dispatch.Whole, dispatch.Answer{}, nil
+	return dispatch.Complete, dispatch.Answer{}, nil
 }
 
 // flow is what is left of a long answer. A server that gives nothing is not waited for without end; a client that takes
@@ -152,7 +152,7 @@
 
 // watch looks after an answer from its first byte on: one that pauses for unusually long may be stuck, and is given up
 // when it goes on pausing.
-func (s *Servers) watch(shot *dispatch.Shot, on *carried, halt func(error)) *time.Timer {
+func (s *Client) watch(shot *dispatch.Attempt, on *carried, halt func(error)) *time.Timer {
 	var t *time.Timer
 	told := false
 	t = time.AfterFunc(time.Hour, func() {
@@ -165,7 +165,7 @@
 		default:
 			if !told {
 				told = true
-				shot.Stalls()
+				shot.Stalled()
 			}
 			t.Reset(most - quiet)
 		}
