--- a/internal/net/upstream/send.go
+++ b/internal/net/upstream/send.go
@@ -35,22 +35,22 @@
 func (onceOnly) Close() error { return nil }
 
 // request makes what goes on: the bytes that came, and the time that is left.
-func request(ctx context.Context, shot *dispatch.Shot) *http.Request {
+func request(ctx context.Context, shot *dispatch.Attempt) *http.Request {
 	r := &http.Request{Method: shot.Method, Host: shot.Address,
 		// The target as it came: not parsed, not escaped. The host is what connections are kept by: a new server
 		// at the address of one that has gone must get none that was made to the old one.
-		URL: &url.URL{Scheme: "http", Host: hostOf(shot.Place), Opaque: shot.Target},
+		URL: &url.URL{Scheme: "http", Host: hostOf(shot.Endpoint), Opaque: shot.Target},
 		Header: http.Header{
 			"User-Agent":   nil,
-			"X-Trace-Id":   {shot.Trace},
+			"X-Trace-Id":   {shot.TraceID},
 			"X-Expires-In": {expiresIn(within(shot))},
 		},
 		Body: onceOnly{bytes.NewReader(shot.Body)}, ContentLength: int64(len(shot.Body))}
 	if shot.Rest != nil {
 		r.Body, r.ContentLength = onceOnly{io.MultiReader(bytes.NewReader(shot.Body), shot.Rest)}, shot.Length
 	}
-	if shot.Idempotency != "" {
-		r.Header["Idempotency-Key"] = []string{shot.Idempotency}
+	if shot.IdempotencyKey != "" {
+		r.Header["Idempotency-Key"] = []string{shot.IdempotencyKey}
 	}
 	return r.WithContext(context.WithValue(ctx, toAddress{}, target{shot.Address, !shot.Origin}))
 }
@@ -58,11 +58,11 @@
 func expiresIn(left time.Duration) string { return strconv.FormatInt(left.Microseconds(), 10) + "u" }
 
 // within is how long an answer is waited for, counted from the last byte of a body with a rest.
-func within(shot *dispatch.Shot) time.Duration {
+func within(shot *dispatch.Attempt) time.Duration {
 	if shot.Rest != nil {
-		return shot.Patience
+		return shot.Timeout
 	}
-	return shot.Within
+	return shot.Timeout
 }
 
 // hostOf names a place for the transport, which keeps connections by it.
@@ -107,8 +107,8 @@
 }
 
 // deadline gives the time that the server is told to have, from now on: its connection may have come up late.
-func (on *carried) deadline(shot *dispatch.Shot, until time.Time) time.Duration {
-	told, client := shot.Within, shot.ClientUntil()
+func (on *carried) deadline(shot *dispatch.Attempt, until time.Time) time.Duration {
+	told, client := shot.Timeout, shot.ClientDeadline()
 	if left := time.Until(until); told-left > tellAnew {
 		told = max(0, left)
 	}
@@ -145,36 +145,36 @@
 
 // send does one exchange with a server and tells how it ended. A connection that breaks before the shot was
 // written whole tells little of the server, and the shot has not run, so another one is tried.
-func (s *Servers) send(shot *dispatch.Shot) (dispatch.End, dispatch.Answer) {
+func (s *Client) send(shot *dispatch.Attempt) (dispatch.AttemptResult, dispatch.Answer) {
 	sent := time.Now()
-	until := shot.Until(sent)
+	until := shot.AttemptDeadline(sent)
 	for tried := 1; ; tried++ {
 		var on carried
 		end, answer, err := s.once(shot, until, &on)
 		if err != nil && on.conn != nil && on.conn.retire() {
 			_ = on.conn.Close() // by now: the transport's own closing may come after the next shot, where one may be out at a time
 		}
-		late := !shot.BeginBy.IsZero() && time.Now().After(shot.BeginBy) || !time.Now().Before(until)
+		late := !shot.SendBy.IsZero() && time.Now().After(shot.SendBy) || !time.Now().Before(until)
 		once := shot.Rest != nil && shot.Rest.Begun()
 		denied := on.withheld()
-		shot.Denied(denied)
-		again := end == dispatch.Unwritten || denied == admission.NotQuiet || denied == admission.ConnectionEnding || denied == admission.DeadlineStale
+		shot.Deny(denied)
+		again := end == dispatch.WriteFailed || denied == admission.NotQuiet || denied == admission.ConnectionEnding || denied == admission.DeadlineStale
 		if again && tried < triesMost && s.context.Err() == nil && !late && !once {
 			continue
 		}
-		if end <= dispatch.Unclear && (shot.Rest == nil || shot.Rest.Whole()) {
+		if end <= dispatch.UnclearStatus && (shot.Rest == nil || shot.Rest.Whole()) {
 			shot.Written() // also where nothing was left in the transport's buffer
 		}
 		if err != nil {
 			s.log.Info("shot came to nothing", zap.Stringer("end", end), zap.String("server", shot.Address),
-				zap.String("trace", shot.Trace), zap.Duration("after", time.Since(sent)), zap.Error(err))
+				zap.String("trace", shot.TraceID), zap.Duration("after", time.Since(sent)), zap.Error(err))
 		}
 		return end, answer
 	}
 }
 
 // once tries one connection.
-func (s *Servers) once(shot *dispatch.Shot, until time.Time, on *carried) (dispatch.End, dispatch.Answer, error) {
+func (s *Client) once(shot *dispatch.Attempt, until time.Time, on *carried) (dispatch.AttemptResult, dispatch.Answer, error) {
 	ctx, end := context.WithCancelCause(s.context)
 	defer end(nil)
 	w := &wait{end: end}
@@ -187,9 +187,9 @@
 	var r *http.Request
 	r = request(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
-			on.got(i.Conn, i.Reused, &outgoing{client: shot.Wanted, beginBy: shot.BeginBy})
+			on.got(i.Conn, i.Reused, &outgoing{client: shot.ClientState, beginBy: shot.SendBy})
 			if i.Reused {
-				on.conn.awaitQuiet(ctx, on.request, s.dialer.quiet.wanted(placeOf(shot.Place)), earlier(until, shot.BeginBy))
+				on.conn.awaitQuiet(ctx, on.request, s.dialer.quiet.wanted(placeOf(shot.Endpoint)), earlier(until, shot.SendBy))
 			}
 			if shot.Rest == nil {
 				r.Header["X-Expires-In"] = []string{expiresIn(on.deadline(shot, until))}
@@ -218,8 +218,8 @@
 	}
 	defer resp.Body.Close()
 	how, answer, err := s.read(resp, until)
-	if how == dispatch.TurnedAway && on.written == 0 && resp.Close {
-		how = dispatch.Crowded // a full queue turns a shot away and keeps the connection
+	if how == dispatch.Shed && on.written == 0 && resp.Close {
+		how = dispatch.ConnectionLimit // a full queue turns a shot away and keeps the connection
 	}
 	denied := on.withheld()
 	switch {
@@ -228,8 +228,8 @@
 	case err != nil && ctx.Err() != nil:
 		return s.gaveUp(ctx), dispatch.Answer{}, err
 	case err != nil && on.conn.failedHere.Load():
-		return dispatch.Withdrawn, dispatch.Answer{}, err
-	case err != nil || how != dispatch.Whole:
+		return dispatch.Canceled, dispatch.Answer{}, err
+	case err != nil || how != dispatch.Complete:
 		return how, answer, err
 	}
 	s.pauses.seen(on.conn.paused())
@@ -276,62 +276,62 @@
 
 // broken tells how an exchange without an answer ended. The transport returns only after its writing
 // is over, unless the wait for it was given up: then what was written is in doubt, and it may have run.
-func (s *Servers) broken(ctx context.Context, err error, shot *dispatch.Shot, on *carried) dispatch.End {
+func (s *Client) broken(ctx context.Context, err error, shot *dispatch.Attempt, on *carried) dispatch.AttemptResult {
 	var dial *net.OpError // the dial's own word
 	denied := on.withheld()
 	switch {
 	case errors.Is(err, errNoRoom), on.conn == nil && local(err):
-		return dispatch.NoRoom
+		return dispatch.NoResources
 	case denied != admission.Granted && s.context.Err() == nil:
 		return endOf(denied)
 	case on.conn == nil && s.context.Err() != nil:
-		return dispatch.Withdrawn
+		return dispatch.Canceled
 	case on.conn == nil && ctx.Err() != nil && !errors.As(err, &dial):
-		return dispatch.Overtaken
+		return dispatch.NotConnected
 	case on.conn == nil && errors.Is(err, syscall.ECONNRESET):
-		return dispatch.Unwritten // a new connection that is reset: a dead server would refuse it
+		return dispatch.WriteFailed // a new connection that is reset: a dead server would refuse it
 	case on.conn == nil && errors.As(err, &dial) && dial.Timeout():
-		return dispatch.Unheard
+		return dispatch.ConnectTimeout
 	case on.conn == nil:
-		return dispatch.Unreached
+		return dispatch.ConnectRefused
 	case shot.Rest != nil && !shot.Rest.Whole():
-		return dispatch.Unwritten // its last byte never came to us
+		return dispatch.WriteFailed // its last byte never came to us
 	case ctx.Err() != nil:
 		return s.gaveUp(ctx)
 	case on.unwritten() && on.conn.failedHere.Load():
-		return dispatch.NoRoom
+		return dispatch.NoResources
 	case on.unwritten():
-		return dispatch.Unwritten
+		return dispatch.WriteFailed
 	case on.conn.failedHere.Load():
-		return dispatch.Withdrawn
+		return dispatch.Canceled
 	case on.answered() && !breaks(err):
-		return dispatch.Spoilt
+		return dispatch.Malformed
 	default:
-		return dispatch.Lost
+		return dispatch.ConnectionLost
 	}
 }
 
 // endOf tells how an attempt ended that was not written. Only what its server did on the connection tells of that server.
-func endOf(denied admission.Reason) dispatch.End {
+func endOf(denied admission.Reason) dispatch.AttemptResult {
 	switch denied {
 	case admission.RequestOver, admission.ClientGone:
 		return dispatch.Withheld
 	case admission.UnsolicitedBytes:
-		return dispatch.Unwritten
+		return dispatch.WriteFailed
 	default:
-		return dispatch.Overtaken
+		return dispatch.NotConnected
 	}
 }
 
 // gaveUp tells why the node stopped waiting.
-func (s *Servers) gaveUp(ctx context.Context) dispatch.End {
+func (s *Client) gaveUp(ctx context.Context) dispatch.AttemptResult {
 	switch {
 	case s.context.Err() != nil:
-		return dispatch.Withdrawn
+		return dispatch.Canceled
 	case errors.Is(context.Cause(ctx), errHalf):
-		return dispatch.Spoilt
+		return dispatch.Malformed
 	default:
-		return dispatch.Silent
+		return dispatch.TimedOut
 	}
 }
 
@@ -345,13 +345,13 @@
 // read takes an answer whole before it counts, which also lets its connection be used again. Of a long one it takes the
 // first bytes; its Length is not 0 then. Where an answer says nothing of its length it is whole when the server ends the
 // connection; one that dies resets it.
-func (s *Servers) read(resp *http.Response, until time.Time) (dispatch.End, dispatch.Answer, error) {
+func (s *Client) read(resp *http.Response, until time.Time) (dispatch.AttemptResult, dispatch.Answer, error) {
 	good := resp.StatusCode == http.StatusOK
-	switch most := s.bounds.Long; {
+	switch most := s.bounds.MaxStreamed; {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
-		return dispatch.Spoilt, dispatch.Answer{}, errOther
-	case resp.ContentLength > most, resp.ContentLength > s.bounds.Body && !good:
-		return dispatch.Spoilt, dispatch.Answer{}, errTooLong
+		return dispatch.Malformed, dispatch.Answer{}, errOther
+	case resp.ContentLength > most, resp.ContentLength > s.bounds.MaxBuffered && !good:
+		return dispatch.Malformed, dispatch.Answer{}, errTooLong
 	}
 	answer := dispatch.Answer{ContentType: resp.Header.Get("Content-Type")}
 	long, err := false, error(nil)
@@ -360,21 +360,21 @@
 	}
 	switch {
 	case err != nil && breaks(err):
-		return dispatch.CutShort, dispatch.Answer{}, err
+		return dispatch.Truncated, dispatch.Answer{}, err
 	case err != nil:
-		return dispatch.Spoilt, dispatch.Answer{}, err
+		return dispatch.Malformed, dispatch.Answer{}, err
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return dispatch.Whole, answer, nil
+		return dispatch.Complete, answer, nil
 	case http.StatusNotFound:
-		return dispatch.Lacking, dispatch.Answer{}, nil
+		return dispatch.NotFound, dispatch.Answer{}, nil
 	case http.StatusInternalServerError:
-		return dispatch.Failing, dispatch.Answer{}, nil
+		return dispatch.ServerError, dispatch.Answer{}, nil
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get("X-Never-Ran") == "1" {
-			return dispatch.TurnedAway, dispatch.Answer{}, nil
+			return dispatch.Shed, dispatch.Answer{}, nil
 		}
 	}
-	return dispatch.Unclear, dispatch.Answer{}, nil
+	return dispatch.UnclearStatus, dispatch.Answer{}, nil
 }
--- a/internal/net/upstream/servers.go
+++ b/internal/net/upstream/servers.go
@@ -15,14 +15,14 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Bounds is what the servers' side may take.
-type Bounds struct {
-	Descriptors   int           // connections to servers, open or being made
-	Shots         int           // out at once; a shot beyond them isn't sent
-	ConnectWithin time.Duration // a connection that isn't up by then is given up
-	IdleFor       time.Duration // a server closes a connection that was idle for so long
-	Body          int64         // of an answer that is held whole, in bytes,
-	Long          int64         // and of one that is passed on as it comes
+// Limits is what the servers' side may take.
+type Limits struct {
+	Descriptors    int           // connections to servers, open or being made
+	MaxAttempts    int           // out at once; a shot beyond them isn't sent
+	ConnectTimeout time.Duration // a connection that isn't up by then is given up
+	IdleTimeout    time.Duration // a server closes a connection that was idle for so long
+	MaxBuffered    int64         // of an answer that is held whole, in bytes,
+	MaxStreamed    int64         // and of one that is passed on as it comes
 }
 
 const (
@@ -35,12 +35,12 @@
 	keepIdlePart = 2        // half of the descriptors may lie idle, so that a dial finds one
 )
 
-// Servers is the server side of a node.
-type Servers struct {
+// Client is the server side of a node.
+type Client struct {
 	log       *zap.Logger
 	transport *http.Transport
 	dialer    *dialer
-	bounds    Bounds
+	bounds    Limits
 	out       atomic.Int64
 	pauses    pauses
 	context   context.Context
@@ -48,16 +48,16 @@
 }
 
 // New makes the server side.
-func New(b Bounds, log *zap.Logger) *Servers {
-	d := &dialer{Dialer: net.Dialer{Timeout: b.ConnectWithin, KeepAlive: -1}, most: b.Descriptors, each: dialsEach, to: map[string]int{},
+func New(b Limits, log *zap.Logger) *Client {
+	d := &dialer{Dialer: net.Dialer{Timeout: b.ConnectTimeout, KeepAlive: -1}, most: b.Descriptors, each: dialsEach, to: map[string]int{},
 		kept: map[string]map[*conn]bool{}}
-	s := &Servers{log: log, dialer: d, bounds: b, transport: &http.Transport{
+	s := &Client{log: log, dialer: d, bounds: b, transport: &http.Transport{
 		Proxy:                  nil, // never one from the environment
 		DialContext:            d.dial,
 		DisableCompression:     true,
 		MaxIdleConns:           max(1, b.Descriptors/keepIdlePart),
 		MaxIdleConnsPerHost:    max(1, b.Descriptors/keepIdlePart),
-		IdleConnTimeout:        time.Duration(float64(b.IdleFor) * idlePart),
+		IdleConnTimeout:        time.Duration(float64(b.IdleTimeout) * idlePart),
 		MaxResponseHeaderBytes: headersMost,
 		ReadBufferSize:         bufferSize,
 		WriteBufferSize:        bufferSize,
@@ -67,38 +67,38 @@
 }
 
 // Close takes back what is out.
-func (s *Servers) Close() {
+func (s *Client) Close() {
 	s.stop()
 	s.transport.CloseIdleConnections()
 }
 
 // Resize changes how many descriptors connections to servers may take; idle ones beyond that are closed.
-func (s *Servers) Resize(descriptors int) { s.dialer.resize(descriptors) }
+func (s *Client) Resize(descriptors int) { s.dialer.resize(descriptors) }
 
-// HangUp closes the connections to a place that carry nothing, but for so many, without making its caller wait.
-func (s *Servers) HangUp(place uint64, but int) { go s.dialer.hangUp(placeOf(place), but) }
+// CloseIdle closes the connections to a place that carry nothing, but for so many, without making its caller wait.
+func (s *Client) CloseIdle(place uint64, but int) { go s.dialer.hangUp(placeOf(place), but) }
 
-// Most bounds the connections to each cache, those being made included.
-func (s *Servers) Most(n int) { s.dialer.bound(n) }
+// SetMaxConns bounds the connections to each cache, those being made included.
+func (s *Client) SetMaxConns(n int) { s.dialer.bound(n) }
 
-// Carry sends a shot and settles it, without making its caller wait.
-func (s *Servers) Carry(shot *dispatch.Shot) {
+// Send sends a shot and settles it, without making its caller wait.
+func (s *Client) Send(shot *dispatch.Attempt) {
 	go func() {
 		defer s.out.Add(-1)
-		end, answer := dispatch.NoRoom, dispatch.Answer{}
+		end, answer := dispatch.NoResources, dispatch.Answer{}
 		// A panic must not take the node down, and a shot that settled nowhere would keep its lookup for ever.
 		defer func() {
 			if r := recover(); r != nil {
 				s.log.Error("a shot panicked", zap.Any("panic", r), zap.Stack("stack"))
-				end, answer = dispatch.Lost, dispatch.Answer{}
+				end, answer = dispatch.ConnectionLost, dispatch.Answer{}
 			}
-			shot.Settle(end, answer)
-			shot.Over()
+			shot.Finish(end, answer)
+			shot.Release()
 		}()
 		if faults.Without(faults.OneAttempt) {
-			time.AfterFunc(shot.Within/earlyPart, func() { shot.Settle(dispatch.Silent, dispatch.Answer{}) })
+			time.AfterFunc(shot.Timeout/earlyPart, func() { shot.Finish(dispatch.TimedOut, dispatch.Answer{}) })
 		}
-		if s.out.Add(1) <= int64(s.bounds.Shots) {
+		if s.out.Add(1) <= int64(s.bounds.MaxAttempts) {
 			end, answer = s.send(shot)
 		}
 	}()
--- a/internal/net/upstream/servers_test.go
+++ b/internal/net/upstream/servers_test.go
@@ -23,20 +23,20 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-func side(t *testing.T) *Servers {
-	s := New(Bounds{Descriptors: 8, Shots: 8, ConnectWithin: 100 * time.Millisecond, IdleFor: time.Second, Body: 1 << 10, Long: 1 << 10},
+func side(t *testing.T) *Client {
+	s := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, MaxBuffered: 1 << 10, MaxStreamed: 1 << 10},
 		zap.NewNop())
 	t.Cleanup(s.Close)
 	return s
 }
 
-func shot(address, method string, body string) *dispatch.Shot {
-	return &dispatch.Shot{Lookup: &dispatch.Lookup{Method: method, Target: "/read/k", Trace: "t", Body: []byte(body)},
-		Address: address, Within: 500 * time.Millisecond}
+func shot(address, method string, body string) *dispatch.Attempt {
+	return &dispatch.Attempt{Request: &dispatch.Request{Method: method, Target: "/read/k", TraceID: "t", Body: []byte(body)},
+		Address: address, Timeout: 500 * time.Millisecond}
 }
 
 // latest follows which connection was made last.
-func latest(s *Servers) **conn {
+func latest(s *Client) **conn {
 	var last *conn
 	dial := s.transport.DialContext
 	s.transport.DialContext = func(ctx context.Context, network, place string) (net.Conn, error) {
@@ -92,10 +92,10 @@
 	})
 	for i, c := range []struct {
 		left time.Duration
-		want dispatch.End
-	}{{-time.Millisecond, dispatch.Overtaken}, {time.Second, dispatch.Whole}, {-time.Millisecond, dispatch.Overtaken}} {
+		want dispatch.AttemptResult
+	}{{-time.Millisecond, dispatch.NotConnected}, {time.Second, dispatch.Complete}, {-time.Millisecond, dispatch.NotConnected}} {
 		late := shot(server, "GET", "")
-		late.BeginBy = time.Now().Add(c.left)
+		late.SendBy = time.Now().Add(c.left)
 		if end, _ := s.send(late); end != c.want {
 			t.Errorf("shot %d ended %v, want %v", i, end, c.want)
 		}
@@ -151,7 +151,7 @@
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	send := func(target string) dispatch.End {
+	send := func(target string) dispatch.AttemptResult {
 		sent := shot(server, "GET", "")
 		sent.Target = target
 		end, _ := s.send(sent)
@@ -170,25 +170,25 @@
 			}
 		}
 	}
-	slow := make(chan dispatch.End)
+	slow := make(chan dispatch.AttemptResult)
 	go func() { slow <- send("/slow") }()
 	<-begun // a connection that no request was written to yet carries nothing, and may be closed
 	open(1)
 	send("/quick")
 	open(2)
-	s.HangUp(1, 0) // another place
-	s.HangUp(0, 1) // the one that idles may stay
+	s.CloseIdle(1, 0) // another place
+	s.CloseIdle(0, 1) // the one that idles may stay
 	time.Sleep(10 * time.Millisecond)
 	open(2)
-	s.HangUp(0, 0)
+	s.CloseIdle(0, 0)
 	open(1)
-	if close(hold); <-slow != dispatch.Whole {
+	if close(hold); <-slow != dispatch.Complete {
 		t.Error("a connection in use was closed")
 	}
 	before := served.Load()
 	for range 200 {
-		s.HangUp(0, 0)
-		if end := send("/quick"); end != dispatch.Whole {
+		s.CloseIdle(0, 0)
+		if end := send("/quick"); end != dispatch.Complete {
 			t.Fatalf("a shot ended %v", end)
 		}
 	}
@@ -207,7 +207,7 @@
 		fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		c.Close()
 	})
-	for _, want := range []dispatch.End{dispatch.Whole, dispatch.TurnedAway} {
+	for _, want := range []dispatch.AttemptResult{dispatch.Complete, dispatch.Shed} {
 		if end, _ := s.send(shot(server, "GET", "")); end != want {
 			t.Errorf("the shot ended %v, want %v", end, want)
 		}
@@ -293,7 +293,7 @@
 		began := time.Now()
 		address := raw(t, func(c net.Conn, _ *http.Request, _ int) { _, _ = io.WriteString(c, text) })
 		end, _ := side(t).send(shot(address, "GET", ""))
-		if took := time.Since(began); end != dispatch.Spoilt || took < stuckFactor*pauseLeast || took > 2*stuckFactor*pauseLeast {
+		if took := time.Since(began); end != dispatch.Malformed || took < stuckFactor*pauseLeast || took > 2*stuckFactor*pauseLeast {
 			t.Errorf("%q: %v after %v", text, end, took)
 		}
 	}
@@ -316,7 +316,7 @@
 				open++
 			}
 			c.mu.Unlock()
-			if end != dispatch.Spoilt {
+			if end != dispatch.Malformed {
 				t.Errorf("%q: %v", text, end)
 			}
 		}
@@ -350,8 +350,8 @@
 			last := latest(s)
 			for i := range 30 {
 				sh := shot(address, "GET", "")
-				sh.Trace = string(rune('a' + i%26))
-				if end, a := s.send(sh); end != dispatch.Whole || string(a.Body) != sh.Trace {
+				sh.TraceID = string(rune('a' + i%26))
+				if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != sh.TraceID {
 					t.Fatalf("%q after %v, shot %d: %v %q", behind, later, i, end, a.Body)
 				}
 				got <- true
@@ -432,8 +432,8 @@
 	s := side(t)
 	for i, want := range []string{"0", "1", "0", "2", "1"} { // requests before it on its connection
 		sh := shot(address, "GET", "")
-		sh.Place = []uint64{1, 1, 2, 1, 2}[i]
-		if end, a := s.send(sh); end != dispatch.Whole || string(a.Body) != want {
+		sh.Endpoint = []uint64{1, 1, 2, 1, 2}[i]
+		if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != want {
 			t.Errorf("shot %d: %v %q, want %s", i, end, a.Body, want)
 		}
 	}
@@ -457,7 +457,7 @@
 		return c, err
 	}
 	for i := range 5 {
-		if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Whole {
+		if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Complete {
 			t.Fatalf("shot %d: %v", i, end)
 		}
 	}
@@ -493,10 +493,10 @@
 			conn.Close()
 		})
 		s, sh := side(t), shot(address, c.method, c.body)
-		sh.Idempotency = c.key
+		sh.IdempotencyKey = c.key
 		first, _ := s.send(sh)
 		second, _ := s.send(sh)
-		if first != dispatch.Lacking || second != dispatch.Lost || seen.Load() != 2 {
+		if first != dispatch.NotFound || second != dispatch.ConnectionLost || seen.Load() != 2 {
 			t.Errorf("%v: %v, then %v; the server saw %d requests", c, first, second, seen.Load())
 		}
 	}
@@ -515,8 +515,8 @@
 	}
 	for _, c := range []struct{ method, body string }{{"PUT", "a\x00b"}, {"PUT", ""}, {"GET", ""}} {
 		sh := shot(server.Listener.Addr().String(), c.method, c.body)
-		sh.Target, sh.Trace, sh.Idempotency = "/read/a%2Fb;x//c%20?q=%41&&z", "tRaCe", "Key 1"
-		if end, _ := side(t).send(sh); end != dispatch.Whole {
+		sh.Target, sh.TraceID, sh.IdempotencyKey = "/read/a%2Fb;x//c%20?q=%41&&z", "tRaCe", "Key 1"
+		if end, _ := side(t).send(sh); end != dispatch.Complete {
 			t.Fatal(end)
 		}
 		h := seen.Header
@@ -548,16 +548,16 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if end, _ := side(t).send(shot(l.Addr().String(), "GET", "")); end != dispatch.Unreached {
+	if end, _ := side(t).send(shot(l.Addr().String(), "GET", "")); end != dispatch.ConnectRefused {
 		t.Errorf("refused: %v", end)
 	}
 	// The peer takes a few bytes, or none, and breaks: the last byte was never written. Once it has all, it may run.
 	for _, c := range []struct {
 		method, body string
 		taken        int
-		want         dispatch.End
-	}{{"PUT", "value", 10, dispatch.Unwritten}, {"GET", "", 10, dispatch.Unwritten}, {"GET", "", 0, dispatch.Unwritten},
-		{"PUT", "value", 1 << 10, dispatch.Lost}, {"GET", "", 1 << 10, dispatch.Lost}} {
+		want         dispatch.AttemptResult
+	}{{"PUT", "value", 10, dispatch.WriteFailed}, {"GET", "", 10, dispatch.WriteFailed}, {"GET", "", 0, dispatch.WriteFailed},
+		{"PUT", "value", 1 << 10, dispatch.ConnectionLost}, {"GET", "", 1 << 10, dispatch.ConnectionLost}} {
 		s := side(t)
 		s.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 			near, far := tcp(t)
@@ -585,14 +585,14 @@
 	})
 	for _, method := range []string{"GET", "PUT"} {
 		s, sh, began := side(t), shot(address, method, ""), time.Now()
-		sh.Within = pauseLeast / 2
-		if end, _ := s.send(sh); end != dispatch.Silent || time.Since(began) > time.Second {
+		sh.Timeout = pauseLeast / 2
+		if end, _ := s.send(sh); end != dispatch.TimedOut || time.Since(began) > time.Second {
 			t.Errorf("%s: %v after %v", method, end, time.Since(began))
 		}
 	}
 	s := side(t)
 	time.AfterFunc(20*time.Millisecond, s.Close)
-	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Withdrawn {
+	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Canceled {
 		t.Errorf("at the node's own end: %v", end)
 	}
 }
@@ -604,9 +604,9 @@
 
 // A shot beyond the bound, and one whose carrying panics, are settled all the same.
 func TestEveryShotIsSettled(t *testing.T) {
-	for want, spoil := range map[dispatch.End]func(*Servers){
-		dispatch.NoRoom: func(s *Servers) { s.bounds.Shots = 0 },
-		dispatch.Lost:   func(s *Servers) { s.transport = nil },
+	for want, spoil := range map[dispatch.AttemptResult]func(*Client){
+		dispatch.NoResources:    func(s *Client) { s.bounds.MaxAttempts = 0 },
+		dispatch.ConnectionLost: func(s *Client) { s.transport = nil },
 	} {
 		d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 200., "time-limit-ms": 750.}}})
@@ -615,15 +615,15 @@
 		}
 		x, s := dispatch.New(d, zap.NewNop()), side(t)
 		x.Start(1, s, nobody{})
-		x.List(routing.Whole, []dispatch.Box{{ID: "a", Address: "127.0.0.1:1"}})
+		x.UpdateEndpoints(routing.Full, []dispatch.Endpoint{{ID: "a", Address: "127.0.0.1:1"}})
 		whole := s.transport
 		spoil(s)
-		ticket, err := x.Take(dispatch.Lookup{Namespace: "read"}, time.Now(), time.Second)
+		ticket, err := x.Submit(dispatch.Request{Class: "read"}, time.Now(), time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		a := <-ticket.Answers()
-		if y := x.Tally(); a.Outcome != dispatch.Deferred || y.Ends[want] != 1 || x.Out() != 0 {
+		if y := x.Stats(); a.Outcome != dispatch.Rejected || y.Ends[want] != 1 || x.InFlight() != 0 {
 			t.Errorf("%v: %+v, ends %v", want, a, y.Ends)
 		}
 		s.transport = whole
@@ -635,9 +635,9 @@
 func TestAShotIsNotBegunAfterItsLookupsEnd(t *testing.T) {
 	for _, c := range []struct {
 		when string // the client leaves
-		want dispatch.End
+		want dispatch.AttemptResult
 		came int64
-	}{{"while a connection comes up", dispatch.Withheld, 0}, {"between two tries", dispatch.Withheld, 0}, {"once it was written", dispatch.Whole, 1}} {
+	}{{"while a connection comes up", dispatch.Withheld, 0}, {"between two tries", dispatch.Withheld, 0}, {"once it was written", dispatch.Complete, 1}} {
 		d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 700., "time-limit-ms": 750.}}})
 		if err != nil {
@@ -663,20 +663,20 @@
 			return dial(ctx, network, to)
 		}
 		x.Start(1, s, nobody{})
-		x.List(routing.Whole, []dispatch.Box{{ID: "a", Address: address}})
-		ticket, err := x.Take(dispatch.Lookup{Namespace: "read", Method: "GET", Target: "/read/k", Trace: "t"}, time.Now(), time.Second)
+		x.UpdateEndpoints(routing.Full, []dispatch.Endpoint{{ID: "a", Address: address}})
+		ticket, err := x.Submit(dispatch.Request{Class: "read", Method: "GET", Target: "/read/k", TraceID: "t"}, time.Now(), time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		leave = ticket.Leave
+		leave = ticket.Abandon
 		close(taken)
-		for end := time.Now().Add(time.Second); x.Out() > 0 && time.Now().Before(end); {
+		for end := time.Now().Add(time.Second); x.InFlight() > 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		y := x.Tally()
-		if y.Ends[c.want] != 1 || y.Left != 1 || came.Load() != c.came || x.Figures().Written.Load() != c.came || len(x.Resting()) > 0 || x.Out() > 0 {
-			t.Errorf("%s: ends %v, %d left, %d came, %d written, resting %v, %d out", c.when, y.Ends, y.Left, came.Load(),
-				x.Figures().Written.Load(), x.Resting(), x.Out())
+		y := x.Stats()
+		if y.Ends[c.want] != 1 || y.ClientGone != 1 || came.Load() != c.came || x.Metrics().Written.Load() != c.came || len(x.EjectedEndpoints()) > 0 || x.InFlight() > 0 {
+			t.Errorf("%s: ends %v, %d left, %d came, %d written, resting %v, %d out", c.when, y.Ends, y.ClientGone, came.Load(),
+				x.Metrics().Written.Load(), x.EjectedEndpoints(), x.InFlight())
 		}
 	}
 }
@@ -709,21 +709,21 @@
 	d.most, d.each, d.to = 8, 1, map[string]int{}
 	d.Timeout = 100 * time.Millisecond
 	s.transport.DialContext = d.dial
-	began, first := time.Now(), make(chan dispatch.End)
+	began, first := time.Now(), make(chan dispatch.AttemptResult)
 	go func() {
 		end, _ := s.send(shot(address, "GET", ""))
 		first <- end
 	}()
 	time.Sleep(30 * time.Millisecond)
-	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.NoRoom {
+	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.NoResources {
 		t.Errorf("a second dial to one server: %v", end)
 	}
-	if end := <-first; end != dispatch.Unheard || time.Since(began) > 450*time.Millisecond {
+	if end := <-first; end != dispatch.ConnectTimeout || time.Since(began) > 450*time.Millisecond {
 		t.Errorf("%v after %v", end, time.Since(began))
 	}
 	hurried := shot(address, "GET", "")
-	hurried.Within = 20 * time.Millisecond
-	if end, _ := s.send(hurried); end != dispatch.Overtaken {
+	hurried.Timeout = 20 * time.Millisecond
+	if end, _ := s.send(hurried); end != dispatch.NotConnected {
 		t.Errorf("with less time than a dial has: %v", end)
 	}
 	time.Sleep(150 * time.Millisecond) // that dial lives on for its own time
@@ -784,7 +784,7 @@
 	}
 	server.Start()
 	defer server.Close()
-	if end, _ := side(t).send(shot(server.Listener.Addr().String(), "GET", "")); end != dispatch.Whole {
+	if end, _ := side(t).send(shot(server.Listener.Addr().String(), "GET", "")); end != dispatch.Complete {
 		t.Fatal(end)
 	}
 	select {
--- a/internal/net/upstream/unsolicited_test.go
+++ b/internal/net/upstream/unsolicited_test.go
@@ -40,15 +40,15 @@
 			wrong, judged := 0, 0
 			for i := range rounds {
 				sh := shot(address, "GET", "")
-				sh.Trace = fmt.Sprintf("trace-%d", i)
+				sh.TraceID = fmt.Sprintf("trace-%d", i)
 				end, answer := s.send(sh)
-				if end != dispatch.Whole {
+				if end != dispatch.Complete {
 					continue
 				}
 				if _, excused := late.Load(string(answer.Body)); excused {
 					continue
 				}
-				if judged++; string(answer.Body) != sh.Trace {
+				if judged++; string(answer.Body) != sh.TraceID {
 					wrong++
 				}
 			}
@@ -69,7 +69,7 @@
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	for i := range 20 {
-		if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Whole {
+		if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Complete {
 			t.Fatalf("request %d ended %v", i, end)
 		}
 	}
@@ -87,12 +87,12 @@
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Whole {
+	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Complete {
 		t.Fatal(end)
 	}
 	hurried := shot(address, "GET", "")
-	hurried.Within = 2 * quietLeast
-	if end, _ := s.send(hurried); end != dispatch.Whole {
+	hurried.Timeout = 2 * quietLeast
+	if end, _ := s.send(hurried); end != dispatch.Complete {
 		t.Errorf("ended %v", end)
 	}
 	if n := opened.Load(); n != 2 {
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -189,8 +189,8 @@
 	log := zap.New(zapcore.NewTee(zapcore.NewSamplerWithOptions(h.log, time.Second, 10, 100), &heard{h, n}))
 	go func() {
 		defer close(x.ended)
-		_ = node.Hollow(ctx, s, x.signals, log, func(own cluster.Own) cluster.Own {
-			return &demanding{Own: own, h: h, n: n, rnd: rand.New(rand.NewPCG(h.seed, uint64(n))), at: time.Now()}
+		_ = node.Hollow(ctx, s, x.signals, log, func(own cluster.LocalNode) cluster.LocalNode {
+			return &demanding{LocalNode: own, h: h, n: n, rnd: rand.New(rand.NewPCG(h.seed, uint64(n))), at: time.Now()}
 		})
 	}()
 	return nil
@@ -251,20 +251,20 @@
 }
 
 // asked is told of each asking for the lease of a node's name.
-func (h *host) asked(a lease.Ask) func(lease.Answer, error) {
+func (h *host) asked(a lease.Request) func(lease.Response, error) {
 	n, err := strconv.Atoi(strings.TrimPrefix(a.Holder.Name, hollowName))
-	if err != nil || a.Kind != lease.Acquire && a.Kind != lease.Renew {
-		return func(lease.Answer, error) {}
+	if err != nil || a.Operation != lease.OpAcquire && a.Operation != lease.OpRenew {
+		return func(lease.Response, error) {}
 	}
 	from := faulttest.Boot()
-	return func(x lease.Answer, err error) {
+	return func(x lease.Response, err error) {
 		m := Mark{Node: n, N: faulttest.Boot() - from}
 		switch {
-		case errors.Is(x.Err, lease.ErrWait):
+		case errors.Is(x.Err, lease.ErrStillHeld):
 			return
 		case err != nil || x.Err != nil:
 			m.What = markFailed
-		case a.Kind == lease.Acquire:
+		case a.Operation == lease.OpAcquire:
 			m.What = markHeld
 		default:
 			m.What = markRenews
@@ -273,18 +273,18 @@
 	}
 }
 
-func (h *host) parts(name string, news []budget.News) {
+func (h *host) parts(name string, news []budget.QuotaUpdate) {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, hollowName))
 	for _, b := range news {
 		if err == nil {
-			h.mark(Mark{Node: n, What: markParts, N: int64(b.Terms.Revision)})
+			h.mark(Mark{Node: n, What: markParts, N: int64(b.Config.Revision)})
 		}
 	}
 }
 
 // demanding stands in for the lookups that a hollow node doesn't take: it wants as much of the budget as lookups would.
 type demanding struct {
-	cluster.Own
+	cluster.LocalNode
 	h   *host
 	n   int
 	mu  sync.Mutex
@@ -292,8 +292,8 @@
 	at  time.Time
 }
 
-func (d *demanding) Part(of routing.Bound, partner string, p allowance.Part, left, takes time.Duration) allowance.Use {
-	u := d.Own.Part(of, partner, p, left, takes)
+func (d *demanding) SetQuota(of routing.Limit, partner string, p allowance.Quota, left, takes time.Duration) allowance.Usage {
+	u := d.LocalNode.SetQuota(of, partner, p, left, takes)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	span := time.Since(d.at).Seconds()
@@ -303,7 +303,7 @@
 	}
 	mean := demandOf(d.h.seed, d.n, d.at) * span
 	asked := max(0, mean+d.rnd.NormFloat64()*mean/2)
-	return u.Max(allowance.Use{Asked: asked, Done: min(asked, p.Rate*span)})
+	return u.Max(allowance.Usage{Wanted: asked, Done: min(asked, p.Rate*span)})
 }
 
 // demandOf is by chance, and moves.
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -396,7 +396,7 @@
 		}
 		w.client = cluster.NewClient(f, zap.NewNop())
 		for end := time.Now().Add(endWithin); ; w.sleep(50 * time.Millisecond) {
-			if err = w.client.Found(0); err == nil {
+			if err = w.client.FoundCluster(0); err == nil {
 				break
 			}
 			if time.Now().After(end) || w.ctx.Err() != nil {
@@ -651,7 +651,7 @@
 			whole := math.Round(w.whole)
 			slow.Go(func() {
 				c := Change{At: faulttest.Boot()}
-				x, err := w.client.SetWhole(budgetName, whole)
+				x, err := w.client.SetLimit(budgetName, whole)
 				if err != nil { // nobody led just now: the other changes go on
 					mu.Lock()
 					defer mu.Unlock()
@@ -659,7 +659,7 @@
 					unset++
 					return
 				}
-				c.N = int64(x.Terms.Revision)
+				c.N = int64(x.BudgetConfig.Revision)
 				note(e.Kind, c, nil)
 			})
 		case nodeRestarts:
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -101,15 +101,15 @@
 	apply := func(kind, name string) error {
 		return s.Apply(lease.Entry{Version: 1, Kind: kind, Name: name, Holder: lease.Holder{Name: name}}).Err
 	}
-	if err := apply(lease.Found, "f"); err != nil {
+	if err := apply(lease.KindFoundCluster, "f"); err != nil {
 		t.Fatal(err)
 	}
 	for i := range namesMost {
-		if err := apply(lease.Grant, fmt.Sprint("node/", i)); err != nil {
+		if err := apply(lease.KindGrant, fmt.Sprint("node/", i)); err != nil {
 			t.Fatalf("lease %d: %v", i, err)
 		}
 	}
-	if err := apply(lease.Grant, "node/more"); !errors.Is(err, lease.ErrFull) {
+	if err := apply(lease.KindGrant, "node/more"); !errors.Is(err, lease.ErrLimitExceeded) {
 		t.Errorf("%d leases are held, and one more: %v", namesMost, err)
 	}
 }
--- a/internal/simulation/divided.go
+++ b/internal/simulation/divided.go
@@ -28,7 +28,7 @@
 }
 
 func (b *Budget) check(want func(ok bool, key, expected string, got any)) {
-	want(b.Kind == lease.RateKind || b.Kind == lease.NumberKind, "fleet.budget.kind", "rate or number", b.Kind)
+	want(b.Kind == lease.RateKind || b.Kind == lease.ConcurrencyKind, "fleet.budget.kind", "rate or number", b.Kind)
 	want(b.Whole > 0, "fleet.budget.whole", "a number above 0", b.Whole)
 	want(b.Kind != lease.RateKind || b.Burst >= 1, "fleet.budget.burst", "1 or more", b.Burst)
 	want(b.Apart >= 0 && b.Apart <= 1, "fleet.budget.apart", "a share from 0 to 1", b.Apart)
@@ -42,12 +42,12 @@
 	}
 }
 
-func (b *Budget) terms(nodes int) lease.Terms {
-	t := lease.Terms{Kind: b.Kind, Bounds: "origin", Units: int(b.Whole), Each: 1, Nodes: nodes}
+func (b *Budget) terms(nodes int) lease.BudgetConfig {
+	t := lease.BudgetConfig{Kind: b.Kind, Resource: "origin", Units: int(b.Whole), RatePerUnit: 1, MaxNodes: nodes}
 	if b.Kind == lease.RateKind {
-		t.Units, t.Each = b.Burst, b.Whole/float64(b.Burst)
+		t.Units, t.RatePerUnit = b.Burst, b.Whole/float64(b.Burst)
 	}
-	t.Apart = int(b.Apart*float64(t.Units)/float64(nodes) + 1e-9)
+	t.ReservedPerNode = int(b.Apart*float64(t.Units)/float64(nodes) + 1e-9)
 	return t
 }
 
@@ -66,22 +66,22 @@
 type shareholder struct {
 	w     *division
 	n     int
-	purse *budget.Purse
+	purse *budget.QuotaClient
 	token uint64
 	end   lease.Time
 	life  int
 	down  bool
 	cut   routing.Time // until when nobody hears it
 	nth   uint64
-	bound routing.Bound
+	bound routing.Limit
 }
 
 // division is the agreement and its leader, and all nodes' sides.
 type division struct {
 	*world
-	terms  lease.Terms
+	terms  lease.BudgetConfig
 	state  *lease.State
-	d      *budget.Divider
+	d      *budget.Allocator
 	ends   map[string]lease.Time
 	unled  routing.Time
 	leads  bool
@@ -89,7 +89,7 @@
 	holds  []*shareholder
 	wakeAt routing.Time
 	use    Use
-	asked  map[uint64]func(budget.Answer)
+	asked  map[uint64]func(budget.Response)
 	ids    uint64
 
 	exact       float64
@@ -117,7 +117,7 @@
 
 func (w *world) divide() {
 	b := w.e.Fleet.Budget
-	d := &division{world: w, terms: b.terms(w.e.Fleet.Nodes), state: lease.NewState(), ends: map[string]lease.Time{}, asked: map[uint64]func(budget.Answer){},
+	d := &division{world: w, terms: b.terms(w.e.Fleet.Nodes), state: lease.NewState(), ends: map[string]lease.Time{}, asked: map[uint64]func(budget.Response){},
 		evens: make([]float64, w.e.Fleet.Nodes), evensAt: make([]routing.Time, w.e.Fleet.Nodes)}
 	w.division = d
 	tenths := int(w.e.Length.Seconds()*10) + 1
@@ -127,13 +127,13 @@
 	for i := range d.evens {
 		d.evens[i] = d.evenPart
 	}
-	d.apply(lease.Entry{Version: 1, Kind: lease.Found, Name: "f"})
-	d.d = budget.NewDivider(d, d.state, budget.Unsafe{})
+	d.apply(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
+	d.d = budget.NewAllocator(d, d.state, budget.Unsafe{})
 	d.lead()
 	for i := range w.nodes {
 		h := &shareholder{w: d, n: i, bound: routing.OriginRate}
-		if b.Kind == lease.NumberKind {
-			h.bound = routing.OriginRoom
+		if b.Kind == lease.ConcurrencyKind {
+			h.bound = routing.OriginConcurrency
 		}
 		d.holds = append(d.holds, h)
 		h.begin()
@@ -147,12 +147,12 @@
 
 func (d *division) lead() {
 	d.reigns++
-	r := d.apply(lease.Entry{Version: 1, Kind: lease.Lead, Name: "l"})
+	r := d.apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"})
 	d.leads = true
 	for name := range d.ends {
 		d.ends[name] = d.now() + d.long()
 	}
-	d.d.Led(d.now(), r.Reign)
+	d.d.Promote(d.now(), r.Term)
 }
 
 func (d *division) lose(span routing.Time) {
@@ -160,7 +160,7 @@
 	if d.leads {
 		d.leads = false
 		d.reigns++
-		d.d.Deposed()
+		d.d.Demote()
 		clear(d.asked)
 		var wait func()
 		wait = func() {
@@ -181,7 +181,7 @@
 
 func (d *division) long() lease.Time {
 	b := d.e.Fleet.Budget
-	return lease.Long(lease.Time(b.Lease.ticks()), b.Drift)
+	return lease.GranterDuration(lease.Time(b.Lease.ticks()), b.Drift)
 }
 
 // sweep ends leases that have run out.
@@ -189,8 +189,8 @@
 	if d.led() {
 		for i := range d.holds {
 			if l, held := d.state.Leases[nameOf(i)]; held && d.now() >= d.ends[nameOf(i)] {
-				d.apply(lease.Entry{Version: 1, Kind: lease.End, Name: nameOf(i), Token: l.Token})
-				d.d.Changed(d.now())
+				d.apply(lease.Entry{Version: 1, Kind: lease.KindRevoke, Name: nameOf(i), Token: l.Token})
+				d.d.StateChanged(d.now())
 			}
 		}
 	}
@@ -207,7 +207,7 @@
 	if len(d.watch) > 0 {
 		sum := 0
 		for _, n := range d.watch {
-			sum += b.Parts[nameOf(n)].Units
+			sum += b.Quotas[nameOf(n)].Units
 		}
 		if d.held = append(d.held, sum); d.clock.now >= d.watchFrom+settled {
 			for i, h := range d.held { // until nine tenths of what they come to hold in the end
@@ -222,7 +222,7 @@
 	alive := 0
 	for n := range d.holds {
 		if !d.dead[n] {
-			alive += b.Parts[nameOf(n)].Units
+			alive += b.Quotas[nameOf(n)].Units
 		}
 	}
 	if d.killedUnits > 0 && alive >= d.killedUnits {
@@ -244,16 +244,16 @@
 	})
 }
 
-// Answer ends an asking.
-func (d *division) Answer(id uint64, a budget.Answer) {
+// Respond ends an asking.
+func (d *division) Respond(id uint64, a budget.Response) {
 	if f := d.asked[id]; f != nil {
 		delete(d.asked, id)
 		f(a)
 	}
 }
 
-// Wake books the divider's alarm.
-func (d *division) Wake(at lease.Time) {
+// SetAlarm books the divider's alarm.
+func (d *division) SetAlarm(at lease.Time) {
 	d.wakeAt = routing.Time(at)
 	d.clock.in(d.wakeAt-d.clock.now, func() {
 		if d.led() && d.clock.now >= d.wakeAt {
@@ -265,7 +265,7 @@
 // begin starts a node's process: its name is claimed until it is had.
 func (h *shareholder) begin() {
 	life, d := h.life, h.w
-	h.part(d.terms, d.terms.Apart, d.terms.Apart, 0)
+	h.part(d.terms, d.terms.ReservedPerNode, d.terms.ReservedPerNode, 0)
 	var claim func()
 	claim = func() {
 		if life != h.life || h.down {
@@ -281,14 +281,14 @@
 				d.clock.in(50*routing.Millisecond, claim)
 				return
 			}
-			r := d.apply(lease.Entry{Version: 1, Kind: lease.Grant, Name: nameOf(h.n), Holder: lease.Holder{Name: fmt.Sprint(h.n), Process: h.life}})
+			r := d.apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: nameOf(h.n), Holder: lease.Holder{Name: fmt.Sprint(h.n), Process: h.life}})
 			if r.Err != nil {
 				d.clock.in(50*routing.Millisecond, claim)
 				return
 			}
 			d.ends[nameOf(h.n)] = d.now() + d.long()
 			h.token, h.end = r.Token, sent+h.short()
-			h.purse = budget.NewPurse(h, d.now(), nameOf(h.n), h.token, 1, map[string]lease.Terms{limitName: d.terms}, h.end,
+			h.purse = budget.NewQuotaClient(h, d.now(), nameOf(h.n), h.token, 1, map[string]lease.BudgetConfig{limitName: d.terms}, h.end,
 				min(lease.Time(d.e.Demand.Limit.ticks()), lease.Time(d.e.Fleet.Budget.Lease.ticks()/3)))
 			h.renew(life)
 		})
@@ -298,7 +298,7 @@
 
 func (h *shareholder) short() lease.Time {
 	b := h.w.e.Fleet.Budget
-	return lease.Short(lease.Time(b.Lease.ticks()), b.Drift)
+	return lease.HolderDuration(lease.Time(b.Lease.ticks()), b.Drift)
 }
 
 func (d *division) way() routing.Time { return d.e.Network.OneWay.ticks() }
@@ -325,7 +325,7 @@
 			d.clock.in(2*d.way(), func() {
 				if life == h.life && h.heard() {
 					h.end = sent + h.short()
-					h.purse.Extend(h.end)
+					h.purse.ExtendLease(h.end)
 				}
 			})
 		}
@@ -339,33 +339,33 @@
 	h.down, h.purse = true, nil
 }
 
-func (h *shareholder) part(t lease.Terms, units, apart int, left routing.Time) allowance.Use {
+func (h *shareholder) part(t lease.BudgetConfig, units, apart int, left routing.Time) allowance.Usage {
 	drift := 1 - h.w.e.Fleet.Budget.Drift
 	n, is := h.w.nodes[h.n].policy.(*routing.Balancer)
 	if !is {
-		return allowance.Use{}
+		return allowance.Usage{}
 	}
 	if h.w.e.Fleet.Budget.Way == "even" {
 		units, apart = 0, 0
-		return n.Part(h.w.clock.now, h.bound, 0, allowance.Part{Number: t.Kind == lease.NumberKind, Rate: h.w.terms.Each * float64(h.w.terms.Units) / float64(len(h.w.nodes)),
-			Most: h.w.evenPart, Until: math.MaxInt64})
+		return n.SetQuota(h.w.clock.now, h.bound, 0, allowance.Quota{Concurrency: t.Kind == lease.ConcurrencyKind, Rate: h.w.terms.RatePerUnit * float64(h.w.terms.Units) / float64(len(h.w.nodes)),
+			Burst: h.w.evenPart, Until: math.MaxInt64})
 	}
-	p := allowance.Part{Number: t.Kind == lease.NumberKind, Most: float64(units), ThenMost: float64(apart), Until: int64(h.w.clock.now + left)}
-	if !p.Number {
-		p.Rate, p.ThenRate = t.Each*drift*float64(units), t.Each*drift*float64(apart)
+	p := allowance.Quota{Concurrency: t.Kind == lease.ConcurrencyKind, Burst: float64(units), ThenBurst: float64(apart), Until: int64(h.w.clock.now + left)}
+	if !p.Concurrency {
+		p.Rate, p.ThenRate = t.RatePerUnit*drift*float64(units), t.RatePerUnit*drift*float64(apart)
 	}
-	return n.Part(h.w.clock.now, h.bound, 0, p)
+	return n.SetQuota(h.w.clock.now, h.bound, 0, p)
 }
 
 // A shareholder is what its purse acts through.
 
-// Set is for budget.Acts, as all below.
-func (h *shareholder) Set(_ string, t lease.Terms, units, apart int, until lease.Time) allowance.Use {
+// SetQuota is for budget.Acts, as all below.
+func (h *shareholder) SetQuota(_ string, t lease.BudgetConfig, units, apart int, until lease.Time) allowance.Usage {
 	return h.part(t, units, apart, routing.Time(until)-h.w.clock.now)
 }
 
-// Ask sends an asking to the leader.
-func (h *shareholder) Ask(a budget.Ask) {
+// Send sends an asking to the leader.
+func (h *shareholder) Send(a budget.Request) {
 	h.nth++
 	nth, life, d := h.nth, h.life, h.w
 	current := func() bool { return nth == h.nth && life == h.life && h.purse != nil }
@@ -374,32 +374,32 @@
 		if !h.heard() {
 			d.clock.in(300*routing.Millisecond, func() {
 				if current() {
-					h.purse.Unanswered(d.now())
+					h.purse.HandleTimeout(d.now())
 				}
 			})
 			return
 		}
 		d.ids++
 		id := d.ids
-		d.asked[id] = func(x budget.Answer) {
+		d.asked[id] = func(x budget.Response) {
 			d.use.Messages++
 			d.clock.in(d.way(), func() {
 				if current() && h.heard() {
-					h.purse.Answered(d.now(), x)
+					h.purse.HandleResponse(d.now(), x)
 				}
 			})
 		}
-		d.d.Ask(d.now(), id, a)
+		d.d.Handle(d.now(), id, a)
 	})
 	d.clock.in(routing.Time(a.Wait)+300*routing.Millisecond, func() { // no answer in time
 		if current() {
-			h.purse.Unanswered(d.now())
+			h.purse.HandleTimeout(d.now())
 		}
 	})
 }
 
-// Wake books the purse's alarm.
-func (h *shareholder) Wake(at lease.Time) {
+// SetAlarm books the purse's alarm.
+func (h *shareholder) SetAlarm(at lease.Time) {
 	life := h.life
 	h.w.clock.in(routing.Time(at)-h.w.clock.now, func() {
 		if life == h.life && h.purse != nil && !h.down {
@@ -419,7 +419,7 @@
 	if d.terms.Kind != lease.RateKind {
 		return
 	}
-	rate := d.terms.Whole() / float64(second)
+	rate := d.terms.Limit() / float64(second)
 	d.exact = min(float64(d.terms.Units), d.exact+rate*float64(now-d.exactAt))
 	if d.exactAt = now; d.exact >= 1 {
 		d.exact--
@@ -443,7 +443,7 @@
 	d.out++
 	if d.terms.Kind == lease.RateKind {
 		now := d.clock.now
-		d.excess = max(1, d.excess+1-d.terms.Whole()*float64(now-d.excessAt)/float64(second))
+		d.excess = max(1, d.excess+1-d.terms.Limit()*float64(now-d.excessAt)/float64(second))
 		d.excessAt = now
 		d.use.Above = max(d.use.Above, d.excess/float64(d.terms.Units))
 	} else {
@@ -505,7 +505,7 @@
 // killed begins to wait until as much is given again as before.
 func (d *division) killed() {
 	if b := d.state.Budgets[limitName]; b != nil {
-		d.killedUnits, d.killedAt = b.Out()*9/10, d.clock.now
+		d.killedUnits, d.killedAt = b.Allocated()*9/10, d.clock.now
 	}
 }
 
--- a/internal/simulation/emulator_test.go
+++ b/internal/simulation/emulator_test.go
@@ -48,8 +48,8 @@
 			at += r.ExpFloat64() * 1000 / (c.busy * float64(c.places))
 			k.run(origo + routing.Time(at))
 			came := k.now
-			s.take(job{done: func(code routing.Code) {
-				if code == routing.Full {
+			s.take(job{done: func(code routing.Result) {
+				if code == routing.Rejected {
 					lost++
 					return
 				}
@@ -167,9 +167,9 @@
 	give  func(n *node, lkp int, after routing.Time)
 }
 
-func (f faulty) Shoot(lkp, to int, timeout routing.Time) { f.shoot(f.node, lkp, to, timeout) }
+func (f faulty) Send(lkp, to int, timeout routing.Time) { f.shoot(f.node, lkp, to, timeout) }
 
-func (f faulty) Defer(lkp int, after routing.Time) { f.give(f.node, lkp, after) }
+func (f faulty) Reject(lkp int, after routing.Time) { f.give(f.node, lkp, after) }
 
 // heedless sends each lookup on at once, whatever the list says, to the newest cache that there ever was.
 type heedless struct {
@@ -177,25 +177,25 @@
 	newest int
 }
 
-func (h *heedless) List(now routing.Time, how routing.ListKind, boxes []routing.Box) {
+func (h *heedless) UpdateEndpoints(now routing.Time, how routing.UpdateKind, boxes []routing.Endpoint) {
 	for _, b := range boxes {
-		if b.Kind == 0 {
+		if b.Model == 0 {
 			h.newest = max(h.newest, b.Server)
 		}
 	}
-	h.plain.List(now, how, boxes)
+	h.plain.UpdateEndpoints(now, how, boxes)
 }
 
-func (h *heedless) Lookup(now routing.Time, lkp int, in routing.Lookup) {
-	h.lkps[lkp] = &plainLookup{Lookup: in, tried: []int{h.newest}}
-	h.host.Shoot(lkp, h.newest, in.Limit-now)
+func (h *heedless) Request(now routing.Time, lkp int, in routing.Request) {
+	h.lkps[lkp] = &plainLookup{Request: in, tried: []int{h.newest}}
+	h.host.Send(lkp, h.newest, in.Deadline-now)
 }
 
 // What breaks a rule is seen to: a checker that nothing can fail shows nothing.
 func TestFaultyPoliciesAreCaught(t *testing.T) {
 	e := parse(t, eventful)
 	e.Demand.Rate, e.Length.Duration, e.Events = 3*e.Demand.Rate, 12*time.Second, e.Events[:2]
-	honest := faulty{shoot: (*node).Shoot, give: (*node).Defer}
+	honest := faulty{shoot: (*node).Send, give: (*node).Reject}
 	with := func(change func(f *faulty)) maker {
 		return func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			f := honest
@@ -212,22 +212,22 @@
 		"a lookup that is never answered": {"lost", with(func(f *faulty) {
 			f.give = func(n *node, lkp int, after routing.Time) {
 				if number++; number%50 != 0 {
-					n.Defer(lkp, after)
+					n.Reject(lkp, after)
 				}
 			}
 		})},
 		"an answer given twice": {"lost", with(func(f *faulty) {
 			f.give = func(n *node, lkp int, after routing.Time) {
 				l := n.lookups[lkp]
-				n.Defer(lkp, after)
+				n.Reject(lkp, after)
 				n.w.check.ended(l, deferred)
 			}
 		})},
 		"a write sent twice": {"twice", with(func(f *faulty) {
 			f.shoot = func(n *node, lkp, to int, timeout routing.Time) {
-				n.Shoot(lkp, to, timeout)
+				n.Send(lkp, to, timeout)
 				if l := n.lookups[lkp]; l.write {
-					n.w.clock.in(10, func() { n.w.worked(l, l.shots[0], routing.Answered) })
+					n.w.clock.in(10, func() { n.w.worked(l, l.shots[0], routing.Served) })
 				}
 			}
 		})},
@@ -246,7 +246,7 @@
 						to = i
 					}
 				}
-				n.Shoot(lkp, to, timeout)
+				n.Send(lkp, to, timeout)
 			}
 		})},
 	} {
@@ -260,12 +260,12 @@
 // rampless is the module, told of each cache as one that has run for long.
 type rampless struct{ Policy }
 
-func (r rampless) List(now routing.Time, how routing.ListKind, boxes []routing.Box) {
+func (r rampless) UpdateEndpoints(now routing.Time, how routing.UpdateKind, boxes []routing.Endpoint) {
 	boxes = slices.Clone(boxes)
 	for i := range boxes {
-		boxes[i].Since = 0
+		boxes[i].StartedAt = 0
 	}
-	r.Policy.List(now, how, boxes)
+	r.Policy.UpdateEndpoints(now, how, boxes)
 }
 
 const thirty = `
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -37,19 +37,19 @@
 	policy  Policy
 	lookups []*lookup
 	free    []int
-	known   map[int]routing.Box // the list as told, where the fleet's trials go by it
+	known   map[int]routing.Endpoint // the list as told, where the fleet's trials go by it
 	drained map[int]routing.Time
 }
 
 func (w *world) newNode(number int, seed uint64) *node {
-	n := &node{w: w, number: number, known: map[int]routing.Box{}, drained: map[int]routing.Time{}}
+	n := &node{w: w, number: number, known: map[int]routing.Endpoint{}, drained: map[int]routing.Time{}}
 	n.policy = w.maker(n, seed, w.clock.now, w.e)
-	n.list(routing.Persisted, w.boxes())
+	n.list(routing.Cached, w.boxes())
 	return n
 }
 
 // list tells the policy, and notes from when on a server is to be spared.
-func (n *node) list(how routing.ListKind, boxes []routing.Box) {
+func (n *node) list(how routing.UpdateKind, boxes []routing.Endpoint) {
 	for _, b := range boxes {
 		if b.State == routing.Ready {
 			delete(n.drained, b.Server)
@@ -60,7 +60,7 @@
 			n.known[b.Server] = b
 		}
 	}
-	n.policy.List(n.w.clock.now, how, boxes)
+	n.policy.UpdateEndpoints(n.w.clock.now, how, boxes)
 }
 
 // take brings a lookup.
@@ -77,15 +77,15 @@
 	if n.w.division != nil && r.write {
 		n.w.division.wants(n.number)
 	}
-	in := routing.Lookup{Partner: -1, Key: strconv.FormatUint(r.key, 10), Limit: l.limit, Write: r.write}
+	in := routing.Request{Tenant: -1, Key: strconv.FormatUint(r.key, 10), Deadline: l.limit, Write: r.write}
 	if r.write {
-		in.Namespace = 1
+		in.Class = 1
 	}
-	n.policy.Lookup(n.w.clock.now, l.index, in)
+	n.policy.Request(n.w.clock.now, l.index, in)
 }
 
-// Shoot is for logic.Host, as all below.
-func (n *node) Shoot(lkp, to int, timeout routing.Time) {
+// Send is for logic.Host, as all below.
+func (n *node) Send(lkp, to int, timeout routing.Time) {
 	w, l := n.w, n.lookups[lkp]
 	s := &shot{server: w.servers[to]}
 	if r, is := n.policy.(rester); is && s.server.silent && r.Rests(to) {
@@ -95,16 +95,16 @@
 	number := len(l.shots)
 	l.shots = append(l.shots, s)
 	l.out++
-	settle := func(code routing.Code) {
+	settle := func(code routing.Result) {
 		if s.settled {
 			return
 		}
 		s.settled = true
 		l.out--
-		if code == routing.Answered && !l.over {
+		if code == routing.Served && !l.over {
 			n.end(l, resolved, 0)
 		}
-		n.policy.Settled(w.clock.now, lkp, number, code, l.over)
+		n.policy.AttemptDone(w.clock.now, lkp, number, code, l.over)
 		n.forget(l)
 	}
 	way := w.e.Network.OneWay.ticks()
@@ -114,7 +114,7 @@
 		if counted {
 			w.division.fetched(n.number)
 		}
-		s.server.take(job{key: l.key, write: l.write, done: func(code routing.Code) {
+		s.server.take(job{key: l.key, write: l.write, done: func(code routing.Result) {
 			if counted {
 				w.division.gone()
 			}
@@ -125,22 +125,22 @@
 	w.clock.in(timeout, func() { settle(routing.TimedOut) })
 }
 
-// Defer turns a lookup away; its client may come back.
-func (n *node) Defer(lkp int, retryAfter routing.Time) { n.end(n.lookups[lkp], deferred, retryAfter) }
+// Reject turns a lookup away; its client may come back.
+func (n *node) Reject(lkp int, retryAfter routing.Time) { n.end(n.lookups[lkp], deferred, retryAfter) }
 
-// Abandon gives a lookup up.
-func (n *node) Abandon(lkp int) { n.end(n.lookups[lkp], abandoned, 0) }
+// Fail gives a lookup up.
+func (n *node) Fail(lkp int) { n.end(n.lookups[lkp], abandoned, 0) }
 
 // Subscribe asks for the list; what changes comes from then on.
 func (n *node) Subscribe() {
-	n.w.clock.in(n.w.delay(), func() { n.list(routing.Whole, n.w.boxes()) })
+	n.w.clock.in(n.w.delay(), func() { n.list(routing.Full, n.w.boxes()) })
 }
 
-// HangUp does nothing: connections cost nothing here.
-func (n *node) HangUp(int, int) {}
+// CloseIdle does nothing: connections cost nothing here.
+func (n *node) CloseIdle(int, int) {}
 
-// Wake books an alarm.
-func (n *node) Wake(at routing.Time, handle int) {
+// SetAlarm books an alarm.
+func (n *node) SetAlarm(at routing.Time, handle int) {
 	n.w.clock.in(at-n.w.clock.now, func() { n.policy.Alarm(n.w.clock.now, handle) })
 }
 
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -13,10 +13,10 @@
 
 // Policy is what a node decides by; logic.Balancer is one.
 type Policy interface {
-	Lookup(now routing.Time, lkp int, in routing.Lookup)
-	Settled(now routing.Time, lkp, number int, code routing.Code, ended bool)
-	Left(now routing.Time, lkp int)
-	List(now routing.Time, how routing.ListKind, boxes []routing.Box)
+	Request(now routing.Time, lkp int, in routing.Request)
+	AttemptDone(now routing.Time, lkp, number int, code routing.Result, ended bool)
+	ClientGone(now routing.Time, lkp int)
+	UpdateEndpoints(now routing.Time, how routing.UpdateKind, boxes []routing.Endpoint)
 	Alarm(now routing.Time, handle int)
 }
 
@@ -83,7 +83,7 @@
 	e     *Experiment
 	rnd   *rand.Rand
 	pick  func(p *plain, key uint64, fit []int) int
-	boxes map[int]routing.Box
+	boxes map[int]routing.Endpoint
 	ready []int
 	at    int // the origin
 	out   map[int]int
@@ -91,7 +91,7 @@
 }
 
 type plainLookup struct {
-	routing.Lookup
+	routing.Request
 	key    uint64
 	tried  []int
 	missed bool
@@ -100,18 +100,18 @@
 
 func plainly(pick func(p *plain, key uint64, fit []int) int) maker {
 	return func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
-		host.Wake(now, 0)
-		return &plain{host: host, e: e, rnd: rand.New(rand.NewPCG(seed, 1)), pick: pick, boxes: map[int]routing.Box{},
+		host.SetAlarm(now, 0)
+		return &plain{host: host, e: e, rnd: rand.New(rand.NewPCG(seed, 1)), pick: pick, boxes: map[int]routing.Endpoint{},
 			at: -1, out: map[int]int{}, lkps: map[int]*plainLookup{}}
 	}
 }
 
 func (p *plain) Alarm(routing.Time, int) { p.host.Subscribe() }
 
-func (p *plain) Left(_ routing.Time, lkp int) { delete(p.lkps, lkp) }
+func (p *plain) ClientGone(_ routing.Time, lkp int) { delete(p.lkps, lkp) }
 
-func (p *plain) List(_ routing.Time, how routing.ListKind, boxes []routing.Box) {
-	if how == routing.Whole || how == routing.Persisted {
+func (p *plain) UpdateEndpoints(_ routing.Time, how routing.UpdateKind, boxes []routing.Endpoint) {
+	if how == routing.Full || how == routing.Cached {
 		clear(p.boxes)
 	}
 	for _, b := range boxes {
@@ -121,7 +121,7 @@
 	for i, b := range p.boxes {
 		switch {
 		case b.State != routing.Ready:
-		case b.Kind == 1:
+		case b.Model == 1:
 			p.at = i
 		default:
 			p.ready = append(p.ready, i)
@@ -130,16 +130,16 @@
 	slices.Sort(p.ready)
 }
 
-func (p *plain) Lookup(now routing.Time, lkp int, in routing.Lookup) {
+func (p *plain) Request(now routing.Time, lkp int, in routing.Request) {
 	key, _ := strconv.ParseUint(in.Key, 10, 64)
-	p.lkps[lkp] = &plainLookup{Lookup: in, key: key}
+	p.lkps[lkp] = &plainLookup{Request: in, key: key}
 	p.next(now, lkp)
 }
 
 func (p *plain) next(now routing.Time, lkp int) {
 	l := p.lkps[lkp]
 	to := -1
-	if len(l.tried) < p.e.Rules.Shots && now < l.Limit && !(l.Write && l.ran) {
+	if len(l.tried) < p.e.Rules.Shots && now < l.Deadline && !(l.Write && l.ran) {
 		fit := slices.DeleteFunc(slices.Clone(p.ready), func(i int) bool { return slices.Contains(l.tried, i) })
 		if l.Write || l.missed {
 			to = p.at
@@ -151,24 +151,24 @@
 	case to >= 0:
 		l.tried = append(l.tried, to)
 		p.out[to]++
-		p.host.Shoot(lkp, to, l.Limit-now)
+		p.host.Send(lkp, to, l.Deadline-now)
 	case l.Write && l.ran:
 		delete(p.lkps, lkp)
-		p.host.Abandon(lkp)
+		p.host.Fail(lkp)
 	default:
 		delete(p.lkps, lkp)
-		p.host.Defer(lkp, 0)
+		p.host.Reject(lkp, 0)
 	}
 }
 
-func (p *plain) Settled(now routing.Time, lkp, number int, code routing.Code, ended bool) {
+func (p *plain) AttemptDone(now routing.Time, lkp, number int, code routing.Result, ended bool) {
 	l := p.lkps[lkp]
 	if l == nil {
 		return // it left; whom its shot was at is not known any more, as in many a simple program
 	}
 	p.out[l.tried[number]]--
-	l.missed = l.missed || code == routing.Missing
-	l.ran = l.ran || code == routing.Errored || code == routing.TimedOut || code == routing.Answered
+	l.missed = l.missed || code == routing.NotFound
+	l.ran = l.ran || code == routing.ServerError || code == routing.TimedOut || code == routing.Served
 	if ended {
 		delete(p.lkps, lkp)
 		return
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -14,12 +14,12 @@
 type job struct {
 	key   uint64
 	write bool
-	done  func(routing.Code)
+	done  func(routing.Result)
 }
 
 // server is a cache or the origin: slots that work, a queue before them, and for a cache the values that it holds.
 type server struct {
-	box    routing.Box
+	box    routing.Endpoint
 	clock  *clock
 	rnd    *rand.Rand
 	of     Station
@@ -45,8 +45,8 @@
 
 // speed is the share of its capacity that a server has by now.
 func (s *server) speed() float64 {
-	age := s.clock.now - s.box.Since
-	if s.box.Since == 0 || age >= s.warmUp {
+	age := s.clock.now - s.box.StartedAt
+	if s.box.StartedAt == 0 || age >= s.warmUp {
 		return 1
 	}
 	return s.coldShare + (1-s.coldShare)*float64(age)/float64(s.warmUp)
@@ -64,15 +64,15 @@
 	case s.silent:
 		s.unheard++
 	case s.box.State == routing.Gone:
-		j.done(routing.Unconnected)
+		j.done(routing.ConnectFailed)
 	case s.box.State == routing.Draining:
-		j.done(routing.Full)
+		j.done(routing.Rejected)
 	case s.busy < s.of.Slots:
 		s.begin(j)
 	case len(s.waiting) < s.of.Queue:
 		s.waiting = append(s.waiting, j)
 	default:
-		j.done(routing.Full)
+		j.done(routing.Rejected)
 	}
 }
 
@@ -82,9 +82,9 @@
 	if s.of.Shape == "exponential" {
 		work = s.rnd.ExpFloat64()
 	}
-	code := routing.Answered
+	code := routing.Served
 	if !s.origin && !s.values.use(j.key) {
-		code, work = routing.Missing, work*s.miss
+		code, work = routing.NotFound, work*s.miss
 	}
 	span := routing.Time(math.Ceil(work * float64(s.of.Service.ticks()) * s.slow / s.speed()))
 	s.worked += float64(span)
@@ -118,7 +118,7 @@
 	s.waiting = nil
 	s.box.State = routing.Gone
 	for _, j := range lost {
-		j.done(routing.Errored)
+		j.done(routing.ServerError)
 	}
 }
 
--- a/internal/simulation/sick.go
+++ b/internal/simulation/sick.go
@@ -71,11 +71,11 @@
 
 // probe lets one node try resting caches for all, by the board that a fleet's leader keeps.
 func (w *world) probe() {
-	board := lease.NewBoard()
+	board := lease.NewProbeScheduler()
 	way := w.e.Network.OneWay.ticks()
 	led := func() bool {
 		if w.clock.now < w.sick.unled {
-			board = lease.NewBoard() // the next leader begins with nothing
+			board = lease.NewProbeScheduler() // the next leader begins with nothing
 			return false
 		}
 		return true
@@ -89,8 +89,8 @@
 					if n.known[server].State != routing.Ready || !r.Rests(server) {
 						continue
 					}
-					if news, known := board.Rest(lease.Time(w.clock.now), n.known[server].ID, ""); known {
-						w.clock.in(2*way, func() { r.Tried(w.clock.now, server, news.Well, w.clock.now+routing.Time(news.Next)) })
+					if news, known := board.ReportEjected(lease.Time(w.clock.now), n.known[server].ID, ""); known {
+						w.clock.in(2*way, func() { r.Tried(w.clock.now, server, news.Healthy, w.clock.now+routing.Time(news.NextProbe)) })
 					}
 				}
 			}
@@ -101,14 +101,14 @@
 	var try func()
 	try = func() {
 		if led() {
-			for _, t := range board.Due(lease.Time(w.clock.now), 1) {
+			for _, t := range board.DueProbes(lease.Time(w.clock.now), 1) {
 				at := slices.IndexFunc(w.servers, func(s *server) bool { return s.box.ID == t.ID })
 				s, on := w.servers[at], board
 				if s.silent {
 					w.sick.Trials++
-					w.clock.in(trialIn, func() { on.Result(lease.Time(w.clock.now), 1, t.ID, false) })
+					w.clock.in(trialIn, func() { on.ReportResult(lease.Time(w.clock.now), 1, t.ID, false) })
 				} else {
-					w.clock.in(2*way, func() { on.Result(lease.Time(w.clock.now), 1, t.ID, s.box.State == routing.Ready) })
+					w.clock.in(2*way, func() { on.ReportResult(lease.Time(w.clock.now), 1, t.ID, s.box.State == routing.Ready) })
 				}
 			}
 		}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -94,7 +94,7 @@
 func (w *world) busiest() float64 {
 	most, sum, n := 0, 0, 0
 	for _, s := range w.servers {
-		if !s.origin && s.box.Since == 0 && s.box.State == routing.Ready {
+		if !s.origin && s.box.StartedAt == 0 && s.box.State == routing.Ready {
 			most, sum, n = max(most, s.jobs), sum+s.jobs, n+1
 		}
 	}
@@ -109,16 +109,16 @@
 	i := len(w.servers)
 	s := &server{clock: w.clock, rnd: rand.New(rand.NewPCG(w.seed(), 4)), of: of, origin: origin, miss: w.e.Fleet.Miss,
 		coldShare: w.e.Fleet.ColdShare, warmUp: w.e.Fleet.WarmUp.ticks(), slow: 1, values: newValues(w.e.Fleet.Keep),
-		working: map[int]job{}, box: routing.Box{Server: i, ID: "origin", Kind: 1, Since: since}}
+		working: map[int]job{}, box: routing.Endpoint{Server: i, ID: "origin", Model: 1, StartedAt: since}}
 	if !origin {
 		w.made++
-		s.box.ID, s.box.Kind = fmt.Sprintf("c-%08x", w.chance.Uint32()), 0
+		s.box.ID, s.box.Model = fmt.Sprintf("c-%08x", w.chance.Uint32()), 0
 	}
 	w.servers = append(w.servers, s)
 }
 
 // boxes is the list as the discovery service has it.
-func (w *world) boxes() (list []routing.Box) {
+func (w *world) boxes() (list []routing.Endpoint) {
 	for _, s := range w.servers {
 		if s.box.State != routing.Gone {
 			list = append(list, s.box)
@@ -134,7 +134,7 @@
 
 // tell brings a change of the list to each node, to each in its own time and in order.
 func (w *world) tell(changed ...*server) {
-	boxes := make([]routing.Box, 0, len(changed))
+	boxes := make([]routing.Endpoint, 0, len(changed))
 	for _, s := range changed {
 		boxes = append(boxes, s.box)
 	}
@@ -144,7 +144,7 @@
 			for i := range boxes {
 				boxes[i] = w.servers[boxes[i].Server].box
 			}
-			n.list(routing.Changes, slices.Clone(boxes))
+			n.list(routing.Incremental, slices.Clone(boxes))
 		})
 	}
 }
@@ -269,8 +269,8 @@
 
 // worked says what a shot came to at its server: a value fetched is stored where it was missing, one written is
 // dropped everywhere.
-func (w *world) worked(l *lookup, s *shot, code routing.Code) {
-	if code != routing.Answered {
+func (w *world) worked(l *lookup, s *shot, code routing.Result) {
+	if code != routing.Served {
 		return
 	}
 	w.check.ran(l)
--- a/internal/simwire/node.go
+++ b/internal/simwire/node.go
@@ -19,7 +19,7 @@
 	out      *orders
 	servers  map[string]int
 	names    []string
-	boxes    []routing.Box
+	boxes    []routing.Endpoint
 	index    map[string]int // tickets of lookups that are not yet forgotten
 	tickets  []ticket
 	free     []int
@@ -67,8 +67,8 @@
 	id := strings.Clone(f.ticket)
 	n.tickets[lkp] = ticket{id: id}
 	n.index[id] = lkp
-	n.balancer.Lookup(now, lkp, routing.Lookup{Namespace: ns, Partner: partner, Key: f.key,
-		Limit: config.Ticks(f.expires), Work: f.hint, Write: f.write})
+	n.balancer.Request(now, lkp, routing.Request{Class: ns, Tenant: partner, Key: f.key,
+		Deadline: config.Ticks(f.expires), Work: f.hint, Write: f.write})
 	return nil
 }
 
@@ -86,7 +86,7 @@
 		return fmt.Errorf("lookup %q had no shot %d", f.ticket, f.number)
 	}
 	t.out--
-	n.balancer.Settled(now, lkp, f.number, code, f.ended)
+	n.balancer.AttemptDone(now, lkp, f.number, code, f.ended)
 	if f.ended {
 		n.over(lkp)
 	}
@@ -99,7 +99,7 @@
 	if !ok {
 		return fmt.Errorf("list kind %q is unknown", f.how)
 	}
-	n.asking = n.asking && how == routing.Persisted
+	n.asking = n.asking && how == routing.Cached
 	n.boxes = n.boxes[:0]
 	for _, e := range f.boxes {
 		state, ok := states[e.state]
@@ -116,10 +116,10 @@
 		if !ok {
 			kind = -1
 		}
-		n.boxes = append(n.boxes, routing.Box{Server: i, ID: e.server, Kind: kind, State: state,
-			Since: config.Ticks(e.since)})
+		n.boxes = append(n.boxes, routing.Endpoint{Server: i, ID: e.server, Model: kind, State: state,
+			StartedAt: config.Ticks(e.since)})
 	}
-	n.balancer.List(now, how, n.boxes)
+	n.balancer.UpdateEndpoints(now, how, n.boxes)
 	return nil
 }
 
@@ -139,8 +139,8 @@
 	}
 }
 
-// Shoot is the module's; so are the other exported methods.
-func (n *node) Shoot(lkp, server int, timeout routing.Time) {
+// Send is the module's; so are the other exported methods.
+func (n *node) Send(lkp, server int, timeout routing.Time) {
 	t := &n.tickets[lkp]
 	t.shots++
 	t.out++
@@ -151,8 +151,8 @@
 	n.out.end()
 }
 
-// Defer turns a lookup away.
-func (n *node) Defer(lkp int, retryAfter routing.Time) {
+// Reject turns a lookup away.
+func (n *node) Reject(lkp int, retryAfter routing.Time) {
 	n.out.begin("overload-reply")
 	n.out.text("ticket", n.tickets[lkp].id)
 	n.out.millis("retry-after-ms", retryAfter)
@@ -160,8 +160,8 @@
 	n.over(lkp)
 }
 
-// Abandon gives a lookup up.
-func (n *node) Abandon(lkp int) {
+// Fail gives a lookup up.
+func (n *node) Fail(lkp int) {
 	n.out.begin("lose")
 	n.out.text("ticket", n.tickets[lkp].id)
 	n.out.end()
@@ -180,8 +180,8 @@
 	n.out.end()
 }
 
-// HangUp closes idle connections; the wire has no words for some of them.
-func (n *node) HangUp(server, but int) {
+// CloseIdle closes idle connections; the wire has no words for some of them.
+func (n *node) CloseIdle(server, but int) {
 	if but > 0 {
 		return
 	}
@@ -190,8 +190,8 @@
 	n.out.end()
 }
 
-// Wake asks for an alarm.
-func (n *node) Wake(at routing.Time, handle int) {
+// SetAlarm asks for an alarm.
+func (n *node) SetAlarm(at routing.Time, handle int) {
 	n.out.begin("remind")
 	n.out.millis("due-at-ms", at)
 	n.out.number("handle", handle)
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -254,13 +254,13 @@
 	return e
 }
 
-var codes = map[string]routing.Code{
-	"S": routing.Answered, "E": routing.Errored, "F": routing.Full, "T": routing.TimedOut, "C": routing.Unconnected,
-	"R": routing.Broken, "X": routing.CalledOff, "N": routing.Unsent, "M": routing.Missing,
+var codes = map[string]routing.Result{
+	"S": routing.Served, "E": routing.ServerError, "F": routing.Rejected, "T": routing.TimedOut, "C": routing.ConnectFailed,
+	"R": routing.ConnectionBroken, "X": routing.Canceled, "N": routing.NotSent, "M": routing.NotFound,
 }
 
-var listKinds = map[string]routing.ListKind{
-	"Partial": routing.Changes, "Complete": routing.Whole, "Persisted": routing.Persisted, "Error": routing.Failed,
+var listKinds = map[string]routing.UpdateKind{
+	"Partial": routing.Incremental, "Complete": routing.Full, "Persisted": routing.Cached, "Error": routing.Failed,
 }
 
 var states = map[string]routing.State{
@@ -299,7 +299,7 @@
 		return n.settled(f, now)
 	case "started", "client-left": // an answer that streams is the server's and the client's from here on
 		if lkp, ok := n.index[f.ticket]; ok {
-			n.balancer.Left(now, lkp)
+			n.balancer.ClientGone(now, lkp)
 			n.over(lkp)
 		}
 	case "alarm":
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -81,8 +81,8 @@
 func TestHangUpIsOrdered(t *testing.T) {
 	h := &hub{}
 	n := &node{names: []string{"10.0.0.1:1", "10.0.0.2:1"}, out: &orders{w: &h.out, node: "node_0"}}
-	n.HangUp(1, 0)
-	n.HangUp(0, 1) // the wire has no words for this
+	n.CloseIdle(1, 0)
+	n.CloseIdle(0, 1) // the wire has no words for this
 	n.out.close()
 	if text, _ := h.out.BuildBytes(); string(text) != `{"node":"node_0","orders":[{"what":"hang-up","server":"10.0.0.2:1"}]}` {
 		t.Errorf("told %s", text)
--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -15,19 +15,19 @@
 }
 
 // leader has so many holders, each of its own name, as nodes are.
-func leader(b *testing.B, holders int) (*desk, []Ask) {
+func leader(b *testing.B, holders int) (*desk, []Request) {
 	d := newDesk()
-	all := make([]Ask, holders)
+	all := make([]Request, holders)
 	for n := range all {
 		name := fmt.Sprintf("node/%05d", n)
-		id := d.ask(Ask{Kind: Acquire, Name: name, Holder: holder(n)})
+		id := d.ask(Request{Operation: OpAcquire, Name: name, Holder: holder(n)})
 		d.apply()
 		x := d.answers[id]
 		if x.Err != nil {
 			b.Fatal(n, x.Err)
 		}
-		all[n] = Ask{Kind: Renew, Name: name, Holder: holder(n), Token: x.Token}
-		d.s.Apply(Entry{Version: version, Kind: Act, Name: name, Token: x.Token, Fact: name, Number: 1, Value: []byte("127.0.0.1:10001")})
+		all[n] = Request{Operation: OpRenew, Name: name, Holder: holder(n), Token: x.Token}
+		d.s.Apply(Entry{Version: version, Kind: KindEffect, Name: name, Token: x.Token, Effect: name, Number: 1, Value: []byte("127.0.0.1:10001")})
 	}
 	clear(d.answers)
 	return d, all
--- a/lease/board.go
+++ b/lease/board.go
@@ -15,10 +15,10 @@
 	boardMost   = 4096               // servers at once; more are each node's own
 )
 
-// Board is what the leader keeps in mind of servers that rest at some nodes: which to try next, and how the last trial
+// ProbeScheduler is what the leader keeps in mind of servers that rest at some nodes: which to try next, and how the last trial
 // went. Like all of its memory it ends with its reign; then the nodes tell anew, and meanwhile try for themselves. It is
 // not safe for concurrent use.
-type Board struct {
+type ProbeScheduler struct {
 	servers map[string]*patient
 	token   uint64 // the latest under which trials were told
 }
@@ -33,24 +33,24 @@
 	under   bool // a trial is under way
 }
 
-// Trial is one to be made.
-type Trial struct {
+// Probe is one to be made.
+type Probe struct {
 	ID      string `json:"ID"`
 	Address string `json:"Address"`
 }
 
-// News is how the last trial of a server went. Next is when the one after it will have been told, from now on.
-type News struct {
-	ID   string `json:"ID"`
-	Well bool   `json:"Well"`
-	Next Time   `json:"Next"`
+// ProbeStatus is how the last trial of a server went. Next is when the one after it will have been told, from now on.
+type ProbeStatus struct {
+	ID        string `json:"ID"`
+	Healthy   bool   `json:"Well"`
+	NextProbe Time   `json:"Next"`
 }
 
-// NewBoard makes an empty one.
-func NewBoard() *Board { return &Board{servers: map[string]*patient{}} }
+// NewProbeScheduler makes an empty one.
+func NewProbeScheduler() *ProbeScheduler { return &ProbeScheduler{servers: map[string]*patient{}} }
 
-// Rest tells that a server rests at a node, and gives what is known of it.
-func (b *Board) Rest(now Time, id, address string) (n News, known bool) {
+// ReportEjected tells that a server rests at a node, and gives what is known of it.
+func (b *ProbeScheduler) ReportEjected(now Time, id, address string) (n ProbeStatus, known bool) {
 	p := b.servers[id]
 	if p == nil {
 		if len(b.servers) >= boardMost {
@@ -66,11 +66,11 @@
 	if !p.tried {
 		return n, false
 	}
-	return News{id, p.well, max(0, p.due-now) + trialIn + 2*tellEvery}, true
+	return ProbeStatus{id, p.well, max(0, p.due-now) + trialIn + 2*tellEvery}, true
 }
 
-// Due gives the trials to be made now, under the holder's token: an earlier holder is given none.
-func (b *Board) Due(now Time, token uint64) (all []Trial) {
+// DueProbes gives the trials to be made now, under the holder's token: an earlier holder is given none.
+func (b *ProbeScheduler) DueProbes(now Time, token uint64) (all []Probe) {
 	if token < b.token {
 		return nil
 	}
@@ -82,14 +82,14 @@
 			delete(b.servers, id)
 		case now >= p.due:
 			p.under, p.due = true, now+trialIn
-			all = append(all, Trial{id, p.address})
+			all = append(all, Probe{id, p.address})
 		}
 	}
 	return all
 }
 
-// Result takes what a trial came to. One that was given up, or is told under an old token, changes nothing.
-func (b *Board) Result(now Time, token uint64, id string, well bool) {
+// ReportResult takes what a trial came to. One that was given up, or is told under an old token, changes nothing.
+func (b *ProbeScheduler) ReportResult(now Time, token uint64, id string, well bool) {
 	p := b.servers[id]
 	if p == nil || token < b.token || !p.under {
 		return
--- a/lease/claim.go
+++ b/lease/claim.go
@@ -13,22 +13,22 @@
 	waitPart  = 4                  // a claimant waits at the leader for a quarter of a lease at a time
 )
 
-// Claims is what a Holder can do. None of the methods may call back.
-type Claims interface {
-	// Ask sends an asking; Answered or Unanswered tells how it went. No other follows before, but for Drop's.
-	Ask(a Ask)
-	// Held tells that the lease is held from now on, with this token.
-	Held(token uint64)
+// ClaimantHost is what a Holder can do. None of the methods may call back.
+type ClaimantHost interface {
+	// Send sends an asking; Answered or Unanswered tells how it went. No other follows before, but for Drop's.
+	Send(a Request)
+	// Granted tells that the lease is held from now on, with this token.
+	Granted(token uint64)
 	// Lost tells that it isn't any more: what is under way has to end.
 	Lost(why error)
-	// Wake asks for Alarm at that time or soon after.
-	Wake(at Time)
+	// SetAlarm asks for Alarm at that time or soon after.
+	SetAlarm(at Time)
 }
 
-// Claim is the side of one who wants a lease, and keeps it until it is dropped. It counts a lease from before its asking
+// Claimant is the side of one who wants a lease, and keeps it until it is dropped. It counts a lease from before its asking
 // was sent, since the granter counts from after. It is not safe for concurrent use.
-type Claim struct {
-	claims Claims
+type Claimant struct {
+	claims ClaimantHost
 	name   string
 	holder Holder
 	short  Time // a lease as we count it: the granter's clock may be faster than ours
@@ -45,38 +45,38 @@
 	drawn   uint64
 }
 
-// NewClaim makes one, which asks at once. short is the length of a lease as its holder counts it; seed spreads askings.
-func NewClaim(claims Claims, now Time, name string, holder Holder, length, short Time, seed uint64) *Claim {
-	c := &Claim{claims: claims, name: name, holder: holder, short: short, length: length, seed: seed}
+// NewClaimant makes one, which asks at once. short is the length of a lease as its holder counts it; seed spreads askings.
+func NewClaimant(claims ClaimantHost, now Time, name string, holder Holder, length, short Time, seed uint64) *Claimant {
+	c := &Claimant{claims: claims, name: name, holder: holder, short: short, length: length, seed: seed}
 	c.ask(now)
 	return c
 }
 
-// May says whether an act that takes so long may begin, and with which token. It holds for now only: after any wait ask
+// MayAct says whether an act that takes so long may begin, and with which token. It holds for now only: after any wait ask
 // again, and since a process may stand still between this and its act, the act carries the token to a door.
-func (c *Claim) May(now, takes Time) (token uint64, may bool) {
+func (c *Claimant) MayAct(now, takes Time) (token uint64, may bool) {
 	return c.token, c.told && !c.dropped && now+takes < c.end
 }
 
-// End gives until when the lease is held, as far as is known.
-func (c *Claim) End() Time { return c.end }
+// Expiry gives until when the lease is held, as far as is known.
+func (c *Claimant) Expiry() Time { return c.end }
 
-func (c *Claim) ask(now Time) {
-	a := Ask{Kind: Acquire, Name: c.name, Holder: c.holder, Wait: c.length / waitPart}
+func (c *Claimant) ask(now Time) {
+	a := Request{Operation: OpAcquire, Name: c.name, Holder: c.holder, Wait: c.length / waitPart}
 	switch {
 	case c.dropped && c.token != 0:
-		a.Kind, a.Token = Release, c.token
+		a.Operation, a.Token = OpRelease, c.token
 	case c.dropped:
-		a.Kind = Withdraw
+		a.Operation = OpWithdraw
 	case c.token != 0:
-		a.Kind, a.Token = Renew, c.token
+		a.Operation, a.Token = OpRenew, c.token
 	}
 	c.out = true
-	c.claims.Ask(a)
+	c.claims.Send(a)
 }
 
-// Answered tells what came of the asking that was out, which was sent at the time given.
-func (c *Claim) Answered(now, sent Time, a Answer) {
+// HandleResponse tells what came of the asking that was out, which was sent at the time given.
+func (c *Claimant) HandleResponse(now, sent Time, a Response) {
 	if c.dropped {
 		if a.Err == nil && a.Token != 0 && c.token == 0 {
 			c.token = a.Token // granted while it was given up: so it goes back
@@ -98,12 +98,12 @@
 			c.next = now
 		} else if !c.told {
 			c.told = true
-			c.claims.Held(c.token)
+			c.claims.Granted(c.token)
 		}
-	case errors.Is(a.Err, ErrLapsed) || a.Err == nil:
+	case errors.Is(a.Err, ErrLeaseExpired) || a.Err == nil:
 		c.lose(a.Err)
 		c.later(now)
-	case errors.Is(a.Err, ErrWait):
+	case errors.Is(a.Err, ErrStillHeld):
 		c.failed = 0
 		c.next = now
 	default:
@@ -112,8 +112,8 @@
 	c.wake(now)
 }
 
-// Unanswered tells that the asking that was out came to nothing: nobody knows whether it was heard.
-func (c *Claim) Unanswered(now Time) {
+// HandleTimeout tells that the asking that was out came to nothing: nobody knows whether it was heard.
+func (c *Claimant) HandleTimeout(now Time) {
 	if !c.out || c.dropped {
 		return
 	}
@@ -123,14 +123,14 @@
 }
 
 // later spreads those who come again together.
-func (c *Claim) later(now Time) {
+func (c *Claimant) later(now Time) {
 	c.failed = min(c.failed+1, 5)
 	base := min(c.length/againPart, againMost)
 	c.next = now + base + Time(c.draw()*float64(base)*float64(c.failed))
 }
 
 // draw gives the next number in [0, 1) of this claim's own chance.
-func (c *Claim) draw() float64 {
+func (c *Claimant) draw() float64 {
 	c.drawn++
 	h := fnv.New64a()
 	var buf [16]byte
@@ -140,7 +140,7 @@
 	return float64(h.Sum64()%(1<<20)) / (1 << 20)
 }
 
-func (c *Claim) lose(why error) {
+func (c *Claimant) lose(why error) {
 	was := c.told
 	c.token, c.told, c.end = 0, false, 0
 	if was {
@@ -149,14 +149,14 @@
 }
 
 // Alarm comes at or after a time asked for with Wake.
-func (c *Claim) Alarm(now Time) {
+func (c *Claimant) Alarm(now Time) {
 	if c.dropped {
 		return
 	}
 	if c.told && now >= c.end {
 		// It may still be ours by the granter's count, so the token stays, and a renewal shows it.
 		c.told = false
-		c.claims.Lost(ErrLapsed)
+		c.claims.Lost(ErrLeaseExpired)
 	}
 	if !c.out && now >= c.next {
 		c.ask(now)
@@ -164,7 +164,7 @@
 	c.wake(now)
 }
 
-func (c *Claim) wake(now Time) {
+func (c *Claimant) wake(now Time) {
 	if c.dropped {
 		return
 	}
@@ -177,11 +177,11 @@
 	} else if c.told {
 		at = min(at, c.end)
 	}
-	c.claims.Wake(max(at, now))
+	c.claims.SetAlarm(max(at, now))
 }
 
-// Drop gives the lease up, or the wish for it, once all acts have ended. What is held is released, or granted yet.
-func (c *Claim) Drop(now Time) {
+// Release gives the lease up, or the wish for it, once all acts have ended. What is held is released, or granted yet.
+func (c *Claimant) Release(now Time) {
 	if c.dropped {
 		return
 	}
--- a/lease/explore_test.go
+++ b/lease/explore_test.go
@@ -106,7 +106,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		w, history := walk("", seed, 400)
-		if grants += w.truth.Tokens; w.fault != "" {
+		if grants += w.truth.LastToken; w.fault != "" {
 			t.Fatalf("%s after %v", w.fault, history)
 		}
 	})
--- a/lease/golden_test.go
+++ b/lease/golden_test.go
@@ -37,16 +37,16 @@
 
 func goldenEntries() map[string]Entry {
 	holder := Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
-	terms := &Terms{Kind: RateKind, Bounds: "origin", Units: 40, Each: 2.5, Apart: 1, Nodes: 4, Revision: 3}
+	terms := &BudgetConfig{Kind: RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
 	return map[string]Entry{
-		Found: {Version: 1, Kind: Found, Name: "f", Number: 17},
-		Lead:  {Version: 1, Kind: Lead, Name: "n1"},
-		Grant: {Version: 1, Kind: Grant, Reign: 3, Name: "roll-up", Holder: holder},
-		End:   {Version: 1, Kind: End, Reign: 3, Name: "roll-up", Token: 19},
-		Act:   {Version: 1, Kind: Act, Name: "roll-up", Token: 19, Fact: "roll-up/x", Number: 5, Value: []byte("<v&\x00")},
-		Whole: {Version: 2, Kind: Whole, Reign: 3, Name: "origin-rate", Budget: terms},
-		Parts: {Version: 2, Kind: Parts, Reign: 3, Name: "n1", Moves: []Move{
-			{Budget: "origin-rate", Lease: "node/n1", Token: 19, Under: 20, Units: 7},
+		KindFoundCluster: {Version: 1, Kind: KindFoundCluster, Name: "f", Number: 17},
+		KindNewTerm:      {Version: 1, Kind: KindNewTerm, Name: "n1"},
+		KindGrant:        {Version: 1, Kind: KindGrant, Term: 3, Name: "roll-up", Holder: holder},
+		KindRevoke:       {Version: 1, Kind: KindRevoke, Term: 3, Name: "roll-up", Token: 19},
+		KindEffect:       {Version: 1, Kind: KindEffect, Name: "roll-up", Token: 19, Effect: "roll-up/x", Number: 5, Value: []byte("<v&\x00")},
+		KindSetBudget:    {Version: 2, Kind: KindSetBudget, Term: 3, Name: "origin-rate", Budget: terms},
+		KindMoveQuotas: {Version: 2, Kind: KindMoveQuotas, Term: 3, Name: "n1", Moves: []QuotaMove{
+			{Budget: "origin-rate", Lease: "node/n1", Token: 19, FromToken: 20, Units: 7},
 			{Budget: "origin-rate", Lease: "node/n2", Token: 21}}},
 	}
 }
@@ -72,17 +72,17 @@
 	s := NewState()
 	holder := Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
 	entries := []Entry{
-		{Kind: Found, Name: "f", Number: 17},
-		{Kind: Lead, Name: "n2"},
-		{Kind: Lead, Name: "n1"},
-		{Kind: Grant, Reign: 2, Name: "node/n1", Holder: holder},
-		{Kind: Act, Name: "node/n1", Token: 18, Fact: "node/n1", Number: 18, Value: []byte("10.0.0.1:7100")},
+		{Kind: KindFoundCluster, Name: "f", Number: 17},
+		{Kind: KindNewTerm, Name: "n2"},
+		{Kind: KindNewTerm, Name: "n1"},
+		{Kind: KindGrant, Term: 2, Name: "node/n1", Holder: holder},
+		{Kind: KindEffect, Name: "node/n1", Token: 18, Effect: "node/n1", Number: 18, Value: []byte("10.0.0.1:7100")},
 	}
 	if withBudget {
 		entries = append(entries,
-			Entry{Kind: Whole, Reign: 2, Name: "origin-rate",
-				Budget: &Terms{Kind: RateKind, Bounds: "origin", Units: 40, Each: 2.5, Apart: 1, Nodes: 4}},
-			Entry{Kind: Parts, Reign: 2, Name: "n1", Moves: []Move{{Budget: "origin-rate", Lease: "node/n1", Token: 18, Units: 7}}})
+			Entry{Kind: KindSetBudget, Term: 2, Name: "origin-rate",
+				Budget: &BudgetConfig{Kind: RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4}},
+			Entry{Kind: KindMoveQuotas, Term: 2, Name: "n1", Moves: []QuotaMove{{Budget: "origin-rate", Lease: "node/n1", Token: 18, Units: 7}}})
 	}
 	for _, e := range entries {
 		stored, err := e.Encode()
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -12,12 +12,12 @@
 
 // desk is a Keeper whose proposals are applied, and whose rounds are confirmed, when a test says so.
 type desk struct {
-	k        *Keeper
+	k        *Manager
 	s        *State
 	now      Time
 	wake     Time
 	ids      uint64
-	answers  map[uint64]Answer
+	answers  map[uint64]Response
 	proposed []uint64
 	entries  map[uint64]Entry
 	rounds   []uint64
@@ -27,18 +27,22 @@
 	d.proposed = append(d.proposed, ref)
 	d.entries[ref] = e
 }
-func (d *desk) Confirm(round uint64)       { d.rounds = append(d.rounds, round) }
-func (d *desk) Answer(id uint64, a Answer) { d.answers[id] = a }
-func (d *desk) Wake(at Time)               { d.wake = at }
-func (d *desk) ask(a Ask) uint64           { d.ids++; d.k.Ask(d.now, d.ids, a); return d.ids }
-func (d *desk) confirm()                   { r := d.rounds[0]; d.rounds = d.rounds[1:]; d.k.Confirmed(d.now, r, true) }
-func (d *desk) end(after Time)             { d.now += after; d.k.Alarm(d.now); d.apply() }
-func holder(n int) Holder                  { return Holder{Name: fmt.Sprint("h", n), Process: n} }
-func acquire(n int, wait Time) Ask {
-	return Ask{Kind: Acquire, Name: "task", Holder: holder(n), Wait: wait}
+func (d *desk) ConfirmLeadership(round uint64) { d.rounds = append(d.rounds, round) }
+func (d *desk) Respond(id uint64, a Response)  { d.answers[id] = a }
+func (d *desk) SetAlarm(at Time)               { d.wake = at }
+func (d *desk) ask(a Request) uint64           { d.ids++; d.k.Handle(d.now, d.ids, a); return d.ids }
+func (d *desk) confirm() {
+	r := d.rounds[0]
+	d.rounds = d.rounds[1:]
+	d.k.LeadershipConfirmed(d.now, r, true)
 }
-func with(kind string, n int, tk uint64) Ask {
-	return Ask{Kind: kind, Name: "task", Holder: holder(n), Token: tk}
+func (d *desk) end(after Time) { d.now += after; d.k.Alarm(d.now); d.apply() }
+func holder(n int) Holder      { return Holder{Name: fmt.Sprint("h", n), Process: n} }
+func acquire(n int, wait Time) Request {
+	return Request{Operation: OpAcquire, Name: "task", Holder: holder(n), Wait: wait}
+}
+func with(kind string, n int, tk uint64) Request {
+	return Request{Operation: kind, Name: "task", Holder: holder(n), Token: tk}
 }
 
 func (d *desk) apply() {
@@ -52,10 +56,10 @@
 const aLease = 3000 * Millisecond
 
 func newDesk() *desk {
-	d := &desk{s: NewState(), answers: map[uint64]Answer{}, entries: map[uint64]Entry{}}
-	d.s.Apply(Entry{Version: version, Kind: Found, Name: "fleet"})
-	d.k = NewKeeper(d, d.s, aLease, Long(aLease, 0.01))
-	d.k.Led(d.now, d.s.Apply(Entry{Version: version, Kind: Lead, Name: "n1"}).Reign)
+	d := &desk{s: NewState(), answers: map[uint64]Response{}, entries: map[uint64]Entry{}}
+	d.s.Apply(Entry{Version: version, Kind: KindFoundCluster, Name: "fleet"})
+	d.k = NewManager(d, d.s, aLease, GranterDuration(aLease, 0.01))
+	d.k.Promote(d.now, d.s.Apply(Entry{Version: version, Kind: KindNewTerm, Name: "n1"}).Term)
 	return d
 }
 
@@ -72,7 +76,7 @@
 	d.now += aLease / gracePart
 	d.k.Alarm(d.now) // their waits are over
 	for n := 1; n <= 4; n++ {
-		if a := d.answers[ids[n]]; !errors.Is(a.Err, ErrWait) || a.Holder != holder(0) {
+		if a := d.answers[ids[n]]; !errors.Is(a.Err, ErrStillHeld) || a.Holder != holder(0) {
 			t.Fatalf("%d: %+v", n, a)
 		}
 	}
@@ -80,13 +84,13 @@
 		ids[n] = d.ask(acquire(n, aLease))
 	}
 	ids[3] = d.ask(acquire(3, aLease)) // on another connection
-	d.ask(with(Withdraw, 4, 0))
-	d.ask(with(Release, 0, token))
+	d.ask(with(OpWithdraw, 4, 0))
+	d.ask(with(OpRelease, 0, token))
 	d.apply()
 	if a := d.answers[ids[2]]; a.Err != nil || a.Token != token+1 {
 		t.Errorf("the first in line: %+v", a)
 	}
-	d.ask(with(Release, 2, token+1))
+	d.ask(with(OpRelease, 2, token+1))
 	d.apply()
 	if a := d.answers[ids[3]]; a.Err != nil || a.Token != token+2 {
 		t.Errorf("the next in line: %+v", a)
@@ -101,78 +105,78 @@
 	for _, c := range []struct {
 		what string
 		do   func(d *desk) uint64
-		want Answer
+		want Response
 	}{
-		{"a renewal confirmed", func(d *desk) uint64 { id := d.ask(with(Renew, 0, 1)); d.confirm(); return id },
-			Answer{Token: 1, Holder: holder(0), Length: aLease}},
+		{"a renewal confirmed", func(d *desk) uint64 { id := d.ask(with(OpRenew, 0, 1)); d.confirm(); return id },
+			Response{Token: 1, Holder: holder(0), Duration: aLease}},
 		{"asked for anew by its holder, whose answer was lost", func(d *desk) uint64 { id := d.ask(acquire(0, 0)); d.confirm(); return id },
-			Answer{Token: 1, Holder: holder(0), Length: aLease}},
+			Response{Token: 1, Holder: holder(0), Duration: aLease}},
 		{"a renewal that comes while a round is out waits for the next", func(d *desk) uint64 {
-			d.ask(with(Renew, 0, 1))
-			id := d.ask(with(Renew, 0, 1))
+			d.ask(with(OpRenew, 0, 1))
+			id := d.ask(with(OpRenew, 0, 1))
 			d.confirm()
 			if _, early := d.answers[id]; early {
 				return 0
 			}
 			d.confirm()
 			return id
-		}, Answer{Token: 1, Holder: holder(0), Length: aLease}},
+		}, Response{Token: 1, Holder: holder(0), Duration: aLease}},
 		{"a renewal that isn't confirmed", func(d *desk) uint64 {
-			id := d.ask(with(Renew, 0, 1))
-			d.k.Confirmed(d.now, d.rounds[0], false)
+			id := d.ask(with(OpRenew, 0, 1))
+			d.k.LeadershipConfirmed(d.now, d.rounds[0], false)
 			return id
-		}, Answer{Err: ErrNotLeader}},
-		{"another's token", func(d *desk) uint64 { return d.ask(with(Renew, 1, 1)) }, Answer{Err: ErrLapsed}},
+		}, Response{Err: ErrNotLeader}},
+		{"another's token", func(d *desk) uint64 { return d.ask(with(OpRenew, 1, 1)) }, Response{Err: ErrLeaseExpired}},
 		{"a renewal while the release is under way", func(d *desk) uint64 {
-			id := d.ask(with(Renew, 0, 1))
-			d.ask(with(Release, 0, 1))
+			id := d.ask(with(OpRenew, 0, 1))
+			d.ask(with(OpRelease, 0, 1))
 			d.confirm()
 			return id
-		}, Answer{Err: ErrLapsed}},
+		}, Response{Err: ErrLeaseExpired}},
 		{"a release that comes late reaches no later holder", func(d *desk) uint64 {
-			d.end(Long(aLease, 0.01))
+			d.end(GranterDuration(aLease, 0.01))
 			d.ask(acquire(1, 0))
 			d.apply()
-			return d.ask(with(Release, 0, 1))
-		}, Answer{Err: ErrLapsed}},
+			return d.ask(with(OpRelease, 0, 1))
+		}, Response{Err: ErrLeaseExpired}},
 		{"held, and no wish to wait", func(d *desk) uint64 { return d.ask(acquire(1, 0)) },
-			Answer{Token: 1, Holder: holder(0), Err: ErrHeld}},
+			Response{Token: 1, Holder: holder(0), Err: ErrHeld}},
 		{"granted after its caller has gone: given back, and the next has it", func(d *desk) uint64 {
 			gone, next := d.ask(acquire(1, aLease)), d.ask(acquire(2, aLease))
-			d.ask(with(Release, 0, 1))
+			d.ask(with(OpRelease, 0, 1))
 			ref := d.proposed[0]
 			d.proposed = nil
 			d.k.Applied(d.now, ref, d.s.Apply(d.entries[ref]), false)
-			d.k.Gone(d.now, gone)
+			d.k.CallerGone(d.now, gone)
 			d.apply()
 			return next
-		}, Answer{Token: 3, Holder: holder(2), Length: aLease}},
+		}, Response{Token: 3, Holder: holder(2), Duration: aLease}},
 		{"an act", func(d *desk) uint64 {
-			a := with(Do, 0, 1)
-			a.Fact, a.Number = "task/x", 1
+			a := with(OpEffect, 0, 1)
+			a.Effect, a.Number = "task/x", 1
 			id := d.ask(a)
 			d.apply()
 			return id
-		}, Answer{Token: 1}},
+		}, Response{Token: 1}},
 		{"an act after a later holder has come", func(d *desk) uint64 {
-			d.end(Long(aLease, 0.01))
+			d.end(GranterDuration(aLease, 0.01))
 			d.ask(acquire(1, 0))
 			d.apply()
-			a := with(Do, 0, 1)
-			a.Fact, a.Number = "task/x", 1
+			a := with(OpEffect, 0, 1)
+			a.Effect, a.Number = "task/x", 1
 			id := d.ask(a)
 			d.apply()
 			return id
-		}, Answer{Err: ErrLapsed}},
+		}, Response{Err: ErrLeaseExpired}},
 		{"nothing is decided by an earlier reign's memory", func(d *desk) uint64 {
-			id := d.ask(with(Release, 0, 1))
-			d.s.Apply(Entry{Version: version, Kind: Lead, Name: "n2"})
+			id := d.ask(with(OpRelease, 0, 1))
+			d.s.Apply(Entry{Version: version, Kind: KindNewTerm, Name: "n2"})
 			d.apply()
 			return id
-		}, Answer{Err: ErrNotLeader}},
-		{"after the reign is over", func(d *desk) uint64 { d.k.Deposed(); return d.ask(with(Renew, 0, 1)) }, Answer{Err: ErrNotLeader}},
-		{"a name that can't be one", func(d *desk) uint64 { return d.ask(Ask{Kind: Acquire, Name: "a b", Holder: holder(1)}) },
-			Answer{Err: ErrForm}},
+		}, Response{Err: ErrNotLeader}},
+		{"after the reign is over", func(d *desk) uint64 { d.k.Demote(); return d.ask(with(OpRenew, 0, 1)) }, Response{Err: ErrNotLeader}},
+		{"a name that can't be one", func(d *desk) uint64 { return d.ask(Request{Operation: OpAcquire, Name: "a b", Holder: holder(1)}) },
+			Response{Err: ErrMalformed}},
 	} {
 		d := newDesk()
 		d.ask(acquire(0, 0))
@@ -191,14 +195,14 @@
 	d.apply()
 	full := 0
 	for n := 1; n <= 2*waitersMost; n++ {
-		if a := d.answers[d.ask(acquire(n, aLease))]; errors.Is(a.Err, ErrFull) {
+		if a := d.answers[d.ask(acquire(n, aLease))]; errors.Is(a.Err, ErrLimitExceeded) {
 			full++
 		}
 	}
 	if full != waitersMost || len(d.k.asks) != waitersMost {
 		t.Errorf("%d refused, %d wait, want %d each", full, len(d.k.asks), waitersMost)
 	}
-	d.ask(with(Release, 0, 1))
+	d.ask(with(OpRelease, 0, 1))
 	d.apply()
 	if h := d.s.Leases["task"].Holder; h != holder(1) {
 		t.Errorf("%v holds it", h)
@@ -211,13 +215,13 @@
 	d.ask(acquire(0, 0))
 	d.apply()
 	d.now += aLease
-	d.k.Deposed()
-	d.k.Led(d.now, d.s.Apply(Entry{Version: version, Kind: Lead, Name: "n2"}).Reign)
+	d.k.Demote()
+	d.k.Promote(d.now, d.s.Apply(Entry{Version: version, Kind: KindNewTerm, Name: "n2"}).Term)
 	d.end(aLease)
 	if len(d.s.Leases) != 1 {
 		t.Error("it ends within a length of the new reign")
 	}
-	d.end(Long(aLease, 0.01) - aLease)
+	d.end(GranterDuration(aLease, 0.01) - aLease)
 	if len(d.s.Leases) != 0 {
 		t.Error("it never ends")
 	}
@@ -228,20 +232,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, last, done := NewState(), uint64(0), map[string]uint64{}
 		held := map[string]Lease{}
-		s.Apply(Entry{Version: version, Kind: Found, Name: "fleet"})
+		s.Apply(Entry{Version: version, Kind: KindFoundCluster, Name: "fleet"})
 		for range 200 {
-			e := Entry{Version: version, Kind: rapid.SampledFrom([]string{Grant, End, Act, Lead, Found}).Draw(t, "kind"),
+			e := Entry{Version: version, Kind: rapid.SampledFrom([]string{KindGrant, KindRevoke, KindEffect, KindNewTerm, KindFoundCluster}).Draw(t, "kind"),
 				Name:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
 				Holder: holder(rapid.IntRange(0, 2).Draw(t, "holder")), Number: uint64(rapid.IntRange(1, 9).Draw(t, "number")),
 				Token: uint64(max(0, int(last)-rapid.IntRange(0, 2).Draw(t, "age")))}
-			e.Fact = e.Name
+			e.Effect = e.Name
 			l, is := held[e.Name]
 			r := s.Apply(e)
 			var want error
 			switch e.Kind {
-			case Found:
-				want = ErrBegun
-			case Grant:
+			case KindFoundCluster:
+				want = ErrAlreadyFounded
+			case KindGrant:
 				if is && l.Holder != e.Holder {
 					want = ErrHeld
 				} else if !is {
@@ -251,14 +255,14 @@
 						t.Fatalf("token %d, want %d", r.Token, last)
 					}
 				}
-			case End, Act:
+			case KindRevoke, KindEffect:
 				switch {
 				case !is || l.Token != e.Token:
-					want = ErrLapsed
-				case e.Kind == End:
+					want = ErrLeaseExpired
+				case e.Kind == KindRevoke:
 					delete(held, e.Name)
 				case e.Number <= done[e.Name]:
-					want = ErrRepeated
+					want = ErrDuplicate
 				default:
 					done[e.Name] = e.Number
 				}
@@ -276,21 +280,21 @@
 
 func TestWhatIsMalformedIsRefusedByName(t *testing.T) {
 	s := NewState()
-	s.Apply(Entry{Version: version, Kind: Found, Name: "fleet"})
-	s.Apply(Entry{Version: version, Kind: Grant, Name: "a", Holder: holder(1)})
+	s.Apply(Entry{Version: version, Kind: KindFoundCluster, Name: "fleet"})
+	s.Apply(Entry{Version: version, Kind: KindGrant, Name: "a", Holder: holder(1)})
 	for want, e := range map[string]Entry{
-		`version 9 of a "grant" entry`: {Version: 9, Kind: Grant, Name: "a"},
-		"name":                         {Version: version, Kind: Grant, Name: strings.Repeat("a", nameLength+1)},
+		`version 9 of a "grant" entry`: {Version: 9, Kind: KindGrant, Name: "a"},
+		"name":                         {Version: version, Kind: KindGrant, Name: strings.Repeat("a", nameLength+1)},
 		"unknown kind":                 {Version: version, Kind: "budget", Name: "a"},
-		`version 1 of a "whole" entry`: {Version: version, Kind: Whole, Name: "a"},
-		"no terms":                     {Version: divided, Kind: Whole, Name: "a"},
-		"rate or number":               {Version: divided, Kind: Whole, Name: "a", Budget: &Terms{Kind: "x", Units: 1, Nodes: 1}},
-		"0 units":                      {Version: divided, Kind: Whole, Name: "a", Budget: &Terms{Kind: NumberKind, Nodes: 1}},
-		"0 a second":                   {Version: divided, Kind: Whole, Name: "a", Budget: &Terms{Kind: RateKind, Units: 1, Nodes: 1}},
-		"expected 12 or more":          {Version: divided, Kind: Whole, Name: "a", Budget: &Terms{Kind: NumberKind, Units: 9, Apart: 3, Nodes: 4}},
-		"16384 at most":                {Version: divided, Kind: Parts, Name: "a", Moves: make([]Move, movesMost+1)},
-		"is not \"a\"":                 {Version: version, Kind: Act, Name: "a", Token: 1, Fact: "ab"},
-		"4096 at most":                 {Version: version, Kind: Act, Name: "a", Token: 1, Fact: "a", Value: make([]byte, valueMost+1)},
+		`version 1 of a "whole" entry`: {Version: version, Kind: KindSetBudget, Name: "a"},
+		"no terms":                     {Version: divided, Kind: KindSetBudget, Name: "a"},
+		"rate or number":               {Version: divided, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: "x", Units: 1, MaxNodes: 1}},
+		"0 units":                      {Version: divided, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: ConcurrencyKind, MaxNodes: 1}},
+		"0 a second":                   {Version: divided, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: RateKind, Units: 1, MaxNodes: 1}},
+		"expected 12 or more":          {Version: divided, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: ConcurrencyKind, Units: 9, ReservedPerNode: 3, MaxNodes: 4}},
+		"16384 at most":                {Version: divided, Kind: KindMoveQuotas, Name: "a", Moves: make([]QuotaMove, movesMost+1)},
+		"is not \"a\"":                 {Version: version, Kind: KindEffect, Name: "a", Token: 1, Effect: "ab"},
+		"4096 at most":                 {Version: version, Kind: KindEffect, Name: "a", Token: 1, Effect: "a", Value: make([]byte, valueMost+1)},
 	} {
 		if r := s.Apply(e); r.Err == nil || !strings.Contains(r.Err.Error(), want) {
 			t.Errorf("%v: want %s", r.Err, want)
@@ -311,19 +315,19 @@
 // snapshot; one without budgets can be read by a program that knows none.
 func TestPartsOfABudget(t *testing.T) {
 	s := NewState()
-	s.Apply(Entry{Version: version, Kind: Found, Name: "fleet"})
-	a := s.Apply(Entry{Version: version, Kind: Grant, Name: "node/a", Holder: holder(1)}).Token
-	b := s.Apply(Entry{Version: version, Kind: Grant, Name: "node/b", Holder: holder(2)}).Token
+	s.Apply(Entry{Version: version, Kind: KindFoundCluster, Name: "fleet"})
+	a := s.Apply(Entry{Version: version, Kind: KindGrant, Name: "node/a", Holder: holder(1)}).Token
+	b := s.Apply(Entry{Version: version, Kind: KindGrant, Name: "node/b", Holder: holder(2)}).Token
 	if text, _ := s.Snapshot(); !strings.Contains(string(text), `"version":1`) || strings.Contains(string(text), "budgets") {
 		t.Errorf("without budgets: %s", text)
 	}
 	set := func(revision uint64, units int) Result {
-		return s.Apply(Entry{Version: divided, Kind: Whole, Name: "x", Budget: &Terms{Kind: RateKind, Units: units, Each: 2, Apart: 1, Nodes: 2, Revision: revision}})
+		return s.Apply(Entry{Version: divided, Kind: KindSetBudget, Name: "x", Budget: &BudgetConfig{Kind: RateKind, Units: units, RatePerUnit: 2, ReservedPerNode: 1, MaxNodes: 2, Revision: revision}})
 	}
 	if r := set(0, 10); r.Err != nil || r.Token != 1 {
 		t.Fatal(r)
 	}
-	if r := set(0, 20); r.Err != ErrRepeated || s.Budgets["x"].Units != 10 {
+	if r := set(0, 20); r.Err != ErrDuplicate || s.Budgets["x"].Units != 10 {
 		t.Errorf("declared twice: %v, %+v", r, s.Budgets["x"])
 	}
 	for _, c := range []struct {
@@ -340,24 +344,24 @@
 		{"node/b", b, 4, 7, 7},
 		{"node/c", 9, 0, 1, 0},
 	} {
-		s.Apply(Entry{Version: divided, Kind: Parts, Name: "parts", Moves: []Move{{"x", c.lease, c.token, c.under, c.units}}})
-		if got := s.Budgets["x"].Parts[c.lease].Units; got != c.want {
+		s.Apply(Entry{Version: divided, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaMove{{"x", c.lease, c.token, c.under, c.units}}})
+		if got := s.Budgets["x"].Quotas[c.lease].Units; got != c.want {
 			t.Errorf("%+v: %d units", c, got)
 		}
 	}
-	if r := set(1, 4); r.Err != nil || s.Budgets["x"].Whole() != 8 || s.Budgets["x"].Out() != 8 {
+	if r := set(1, 4); r.Err != nil || s.Budgets["x"].Limit() != 8 || s.Budgets["x"].Allocated() != 8 {
 		t.Errorf("a whole that is lowered: %v, %+v", r, s.Budgets["x"])
 	}
-	if r := set(1, 5); r.Err != ErrRepeated {
+	if r := set(1, 5); r.Err != ErrDuplicate {
 		t.Errorf("set on an old revision: %v", r)
 	}
 	text, _ := s.Snapshot()
 	fresh := NewState()
-	if err := fresh.Restore(text); err != nil || fresh.Budgets["x"].Out() != 8 || fresh.Budgets["x"].Terms != s.Budgets["x"].Terms {
+	if err := fresh.Restore(text); err != nil || fresh.Budgets["x"].Allocated() != 8 || fresh.Budgets["x"].BudgetConfig != s.Budgets["x"].BudgetConfig {
 		t.Errorf("%v: %+v", err, fresh.Budgets["x"])
 	}
-	s.Apply(Entry{Version: version, Kind: End, Name: "node/b", Token: b})
-	if s.Budgets["x"].Out() != 1 {
+	s.Apply(Entry{Version: version, Kind: KindRevoke, Name: "node/b", Token: b})
+	if s.Budgets["x"].Allocated() != 1 {
 		t.Errorf("%+v", s.Budgets["x"])
 	}
 }
--- a/lease/state.go
+++ b/lease/state.go
@@ -44,8 +44,8 @@
 	Token  uint64 `json:"token"`
 }
 
-// Fact is an effect inside the fleet, as the last act on it left it.
-type Fact struct {
+// Effect is an effect inside the fleet, as the last act on it left it.
+type Effect struct {
 	Token  uint64 `json:"token"`  // of the lease under which it was done
 	Number uint64 `json:"number"` // grows with each act on the fact
 	Value  []byte `json:"value"`
@@ -53,147 +53,147 @@
 
 // The kinds of entry.
 const (
-	Found = "found" // begins a fleet: Name is the fleet's, Number the token before the first
-	Lead  = "lead"  // a leader begins: Name is the leader's
-	Grant = "grant" // Name to Holder
-	End   = "end"   // Name is free, if it is held with Token
-	Act   = "act"   // an effect on Fact, if Name is held with Token
-	Whole = "whole" // a budget by Name: declared, or another whole of it
-	Parts = "parts" // moves of parts; Name is who proposes
+	KindFoundCluster = "found" // begins a fleet: Name is the fleet's, Number the token before the first
+	KindNewTerm      = "lead"  // a leader begins: Name is the leader's
+	KindGrant        = "grant" // Name to Holder
+	KindRevoke       = "end"   // Name is free, if it is held with Token
+	KindEffect       = "act"   // an effect on Fact, if Name is held with Token
+	KindSetBudget    = "whole" // a budget by Name: declared, or another whole of it
+	KindMoveQuotas   = "parts" // moves of parts; Name is who proposes
 )
 
 // Entry is what is proposed. Reign, where it isn't 0, is the reign under which it was proposed: an entry that its leader
 // decided by what it kept in mind must not count once another has led.
 type Entry struct {
-	Version int    `json:"v"`
-	Kind    string `json:"kind"`
-	Reign   uint64 `json:"reign,omitempty"`
-	Name    string `json:"name"`
-	Holder  Holder `json:"holder,omitzero"`
-	Token   uint64 `json:"token,omitempty"`
-	Fact    string `json:"fact,omitempty"`
-	Number  uint64 `json:"number,omitempty"`
-	Value   []byte `json:"value,omitempty"`
-	Budget  *Terms `json:"budget,omitempty"`
-	Moves   []Move `json:"moves,omitempty"`
+	Version int           `json:"v"`
+	Kind    string        `json:"kind"`
+	Term    uint64        `json:"reign,omitempty"`
+	Name    string        `json:"name"`
+	Holder  Holder        `json:"holder,omitzero"`
+	Token   uint64        `json:"token,omitempty"`
+	Effect  string        `json:"fact,omitempty"`
+	Number  uint64        `json:"number,omitempty"`
+	Value   []byte        `json:"value,omitempty"`
+	Budget  *BudgetConfig `json:"budget,omitempty"`
+	Moves   []QuotaMove   `json:"moves,omitempty"`
 }
 
 // Refusals, as an entry or an asking may meet them.
 var (
-	ErrHeld     = errors.New("held by another")
-	ErrLapsed   = errors.New("not held with this token any more")
-	ErrRepeated = errors.New("done already, or passed by a later one")
-	ErrReign    = errors.New("another leader has come since")
-	ErrFull     = errors.New("as many as are kept at once")
-	ErrForm     = errors.New("malformed")
-	ErrUnbegun  = errors.New("the fleet is not founded")
-	ErrBegun    = errors.New("the fleet is founded already")
+	ErrHeld           = errors.New("held by another")
+	ErrLeaseExpired   = errors.New("not held with this token any more")
+	ErrDuplicate      = errors.New("done already, or passed by a later one")
+	ErrStaleTerm      = errors.New("another leader has come since")
+	ErrLimitExceeded  = errors.New("as many as are kept at once")
+	ErrMalformed      = errors.New("malformed")
+	ErrNotFounded     = errors.New("the fleet is not founded")
+	ErrAlreadyFounded = errors.New("the fleet is founded already")
 )
 
 // Result is what an entry came to.
 type Result struct {
 	Token uint64
-	Reign uint64
+	Term  uint64
 	Err   error
 }
 
 // State is what the voters agree on. It changes by Apply alone, alike everywhere. It is not safe for concurrent use.
 type State struct {
-	Fleet  string
-	Leader string
-	Reign  uint64 // leaders so far
-	Tokens uint64 // the last one given: one counter for all names, so that names need not be remembered
-	Leases map[string]Lease
-	Facts  map[string]Fact
+	Cluster   string
+	Leader    string
+	Term      uint64 // leaders so far
+	LastToken uint64 // the last one given: one counter for all names, so that names need not be remembered
+	Leases    map[string]Lease
+	Effects   map[string]Effect
 
 	Budgets map[string]*Budget
 }
 
 // NewState gives one of a fleet that isn't founded.
 func NewState() *State {
-	return &State{Leases: map[string]Lease{}, Facts: map[string]Fact{}, Budgets: map[string]*Budget{}}
+	return &State{Leases: map[string]Lease{}, Effects: map[string]Effect{}, Budgets: map[string]*Budget{}}
 }
 
 // Apply takes the next entry of the log. What it refuses changes nothing.
 func (s *State) Apply(e Entry) Result {
 	switch {
 	case e.Version != versionOf(e.Kind):
-		return Result{Err: fmt.Errorf("%w: version %d of a %.50q entry, this program reads %d", ErrForm, e.Version, e.Kind, versionOf(e.Kind))}
-	case !sound(e.Name):
-		return Result{Err: fmt.Errorf("%w: name %.150q", ErrForm, e.Name)}
-	case e.Kind == Found && s.Fleet != "":
-		return Result{Err: ErrBegun}
-	case e.Kind != Found && s.Fleet == "":
-		return Result{Err: ErrUnbegun}
-	case e.Reign != 0 && e.Reign != s.Reign:
-		return Result{Err: ErrReign}
+		return Result{Err: fmt.Errorf("%w: version %d of a %.50q entry, this program reads %d", ErrMalformed, e.Version, e.Kind, versionOf(e.Kind))}
+	case !validName(e.Name):
+		return Result{Err: fmt.Errorf("%w: name %.150q", ErrMalformed, e.Name)}
+	case e.Kind == KindFoundCluster && s.Cluster != "":
+		return Result{Err: ErrAlreadyFounded}
+	case e.Kind != KindFoundCluster && s.Cluster == "":
+		return Result{Err: ErrNotFounded}
+	case e.Term != 0 && e.Term != s.Term:
+		return Result{Err: ErrStaleTerm}
 	}
 	held, is := s.Leases[e.Name]
 	switch e.Kind {
-	case Found:
-		s.Fleet, s.Tokens = e.Name, e.Number
-	case Lead:
+	case KindFoundCluster:
+		s.Cluster, s.LastToken = e.Name, e.Number
+	case KindNewTerm:
 		s.Leader = e.Name
-		s.Reign++
-		return Result{Reign: s.Reign}
-	case Grant:
+		s.Term++
+		return Result{Term: s.Term}
+	case KindGrant:
 		switch {
 		case is && held.Holder == e.Holder:
 			return Result{Token: held.Token} // its answer was lost
 		case is:
 			return Result{Token: held.Token, Err: ErrHeld}
 		case len(s.Leases) >= namesMost:
-			return Result{Err: ErrFull}
+			return Result{Err: ErrLimitExceeded}
 		}
-		s.Tokens++
-		s.Leases[e.Name] = Lease{e.Holder, s.Tokens}
-		return Result{Token: s.Tokens}
-	case End:
+		s.LastToken++
+		s.Leases[e.Name] = Lease{e.Holder, s.LastToken}
+		return Result{Token: s.LastToken}
+	case KindRevoke:
 		if !is || held.Token != e.Token {
-			return Result{Err: ErrLapsed}
+			return Result{Err: ErrLeaseExpired}
 		}
 		delete(s.Leases, e.Name)
 		s.drop(e.Name)
-	case Act:
+	case KindEffect:
 		return s.act(e, held, is)
-	case Whole:
+	case KindSetBudget:
 		return s.whole(e)
-	case Parts:
+	case KindMoveQuotas:
 		return s.move(e.Moves)
 	default:
-		return Result{Err: fmt.Errorf("%w: unknown kind %.50q", ErrForm, e.Kind)}
+		return Result{Err: fmt.Errorf("%w: unknown kind %.50q", ErrMalformed, e.Kind)}
 	}
 	return Result{}
 }
 
 // act is the door inside the fleet: nothing passes it but under the lease's latest token, and nothing twice.
 func (s *State) act(e Entry, held Lease, is bool) Result {
-	was, known := s.Facts[e.Fact]
+	was, known := s.Effects[e.Effect]
 	switch {
 	case !is || held.Token != e.Token:
-		return Result{Err: ErrLapsed}
-	case !sound(e.Fact) || e.Fact != e.Name && !strings.HasPrefix(e.Fact, e.Name+"/"):
-		return Result{Err: fmt.Errorf("%w: fact %.150q is not %q or below it", ErrForm, e.Fact, e.Name)}
+		return Result{Err: ErrLeaseExpired}
+	case !validName(e.Effect) || e.Effect != e.Name && !strings.HasPrefix(e.Effect, e.Name+"/"):
+		return Result{Err: fmt.Errorf("%w: fact %.150q is not %q or below it", ErrMalformed, e.Effect, e.Name)}
 	case len(e.Value) > valueMost:
-		return Result{Err: fmt.Errorf("%w: a value of %d bytes, %d at most", ErrForm, len(e.Value), valueMost)}
+		return Result{Err: fmt.Errorf("%w: a value of %d bytes, %d at most", ErrMalformed, len(e.Value), valueMost)}
 	case known && e.Number <= was.Number:
-		return Result{Token: was.Token, Err: ErrRepeated}
-	case !known && len(s.Facts) >= factsMost:
-		return Result{Err: ErrFull}
+		return Result{Token: was.Token, Err: ErrDuplicate}
+	case !known && len(s.Effects) >= factsMost:
+		return Result{Err: ErrLimitExceeded}
 	}
-	s.Facts[e.Fact] = Fact{e.Token, e.Number, slices.Clone(e.Value)}
+	s.Effects[e.Effect] = Effect{e.Token, e.Number, slices.Clone(e.Value)}
 	return Result{Token: e.Token}
 }
 
-// sound says whether a name can be one: short, and of characters that stand in logs and paths as they are.
-func sound(name string) bool {
+// validName says whether a name can be one: short, and of characters that stand in logs and paths as they are.
+func validName(name string) bool {
 	return name != "" && len(name) <= nameLength && strings.IndexFunc(name, func(r rune) bool {
 		return !('a' <= r && r <= 'z' || 'A' <= r && r <= 'Z' || '0' <= r && r <= '9' || strings.ContainsRune("-_./:@", r))
 	}) < 0
 }
 
-// Sound says whether a name can be a lease's.
-func Sound(name string) bool { return sound(name) }
+// ValidName says whether a name can be a lease's.
+func ValidName(name string) bool { return validName(name) }
 
 // Encode gives an entry as it stands in the log.
 func (e Entry) Encode() ([]byte, error) {
@@ -203,7 +203,7 @@
 
 // versionOf gives the version of a kind of entry: those who vote must read all that is in the log.
 func versionOf(kind string) int {
-	if kind == Whole || kind == Parts {
+	if kind == KindSetBudget || kind == KindMoveQuotas {
 		return divided
 	}
 	return version
@@ -212,19 +212,19 @@
 // Decode reads one.
 func Decode(b []byte) (e Entry, err error) {
 	if err := json.Unmarshal(b, &e); err != nil {
-		return e, fmt.Errorf("%w: %w", ErrForm, err)
+		return e, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return e, nil
 }
 
 type snapshot struct {
-	Version int              `json:"version"`
-	Fleet   string           `json:"fleet"`
-	Leader  string           `json:"leader"`
-	Reign   uint64           `json:"reign"`
-	Tokens  uint64           `json:"tokens"`
-	Leases  map[string]Lease `json:"leases"`
-	Facts   map[string]Fact  `json:"facts"`
+	Version int               `json:"version"`
+	Fleet   string            `json:"fleet"`
+	Leader  string            `json:"leader"`
+	Reign   uint64            `json:"reign"`
+	Tokens  uint64            `json:"tokens"`
+	Leases  map[string]Lease  `json:"leases"`
+	Facts   map[string]Effect `json:"facts"`
 
 	Budgets map[string]*Budget `json:"budgets,omitempty"`
 }
@@ -235,25 +235,25 @@
 	if len(s.Budgets) > 0 {
 		of = divided
 	}
-	return json.Marshal(snapshot{of, s.Fleet, s.Leader, s.Reign, s.Tokens, s.Leases, s.Facts, s.Budgets})
+	return json.Marshal(snapshot{of, s.Cluster, s.Leader, s.Term, s.LastToken, s.Leases, s.Effects, s.Budgets})
 }
 
 // Restore takes a snapshot's place. A faulty one changes nothing; one of an unknown version is refused by name.
 func (s *State) Restore(b []byte) error {
 	var from snapshot
 	if err := json.Unmarshal(b, &from); err != nil {
-		return fmt.Errorf("snapshot: %w: %w", ErrForm, err)
+		return fmt.Errorf("snapshot: %w: %w", ErrMalformed, err)
 	}
 	if from.Version != version && from.Version != divided {
 		return fmt.Errorf("snapshot version %d: this program reads versions %d and %d", from.Version, version, divided)
 	}
 	fresh := NewState()
 	maps.Copy(fresh.Leases, from.Leases)
-	maps.Copy(fresh.Facts, from.Facts)
+	maps.Copy(fresh.Effects, from.Facts)
 	for name, b := range from.Budgets {
 		fresh.Budgets[name] = b.Clone()
 	}
-	fresh.Fleet, fresh.Leader, fresh.Reign, fresh.Tokens = from.Fleet, from.Leader, from.Reign, from.Tokens
+	fresh.Cluster, fresh.Leader, fresh.Term, fresh.LastToken = from.Fleet, from.Leader, from.Reign, from.Tokens
 	*s = *fresh
 	return nil
 }
--- a/lease/world_test.go
+++ b/lease/world_test.go
@@ -37,9 +37,9 @@
 type message struct {
 	from   int // claimant
 	id     uint64
-	ask    Ask
+	ask    Request
 	sent   Time
-	answer *Answer
+	answer *Response
 }
 
 type voter struct {
@@ -48,7 +48,7 @@
 	term    int // of the vote
 	state   *State
 	applied int
-	keeper  *Keeper
+	keeper  *Manager
 	reign   int // term in which it believes to lead, 0: it doesn't
 	wakeAt  Time
 	awake   bool
@@ -60,7 +60,7 @@
 type claimant struct {
 	w      *fleet
 	n      int
-	claim  *Claim
+	claim  *Claimant
 	wakeAt Time
 	awake  bool
 	act    uint64 // token of an act that was checked and is not done
@@ -91,25 +91,25 @@
 		w.voters[i] = &voter{w: w, n: i, state: NewState(), out: map[uint64]Entry{}, results: map[uint64]Result{}}
 		w.voters[i].keeper = w.keeper(w.voters[i])
 	}
-	w.append(Entry{Version: version, Kind: Found, Name: "f"})
-	short := Short(length, drift)
+	w.append(Entry{Version: version, Kind: KindFoundCluster, Name: "f"})
+	short := HolderDuration(length, drift)
 	if without == noMargin {
 		short = length
 	}
 	for i := range claimants {
 		c := &claimant{w: w, n: i}
 		w.claims = append(w.claims, c)
-		c.claim = NewClaim(c, c.now(), "task", Holder{Name: fmt.Sprint("c", i), Process: i}, length, short, uint64(i))
+		c.claim = NewClaimant(c, c.now(), "task", Holder{Name: fmt.Sprint("c", i), Process: i}, length, short, uint64(i))
 	}
 	return w
 }
 
-func (w *fleet) keeper(v *voter) *Keeper {
-	long := Long(length, drift)
+func (w *fleet) keeper(v *voter) *Manager {
+	long := GranterDuration(length, drift)
 	if w.without == noMargin {
 		long = length
 	}
-	return NewKeeper(v, v.state, length, long)
+	return NewManager(v, v.state, length, long)
 }
 
 func (w *fleet) append(e Entry) Result {
@@ -148,7 +148,7 @@
 
 func (v *voter) Propose(ref uint64, e Entry) {
 	if v.w.without == noReign {
-		e.Reign = 0
+		e.Term = 0
 	}
 	v.out[ref] = e
 }
@@ -167,9 +167,9 @@
 	}
 }
 
-func (v *voter) Confirm(round uint64) { v.round = round }
+func (v *voter) ConfirmLeadership(round uint64) { v.round = round }
 
-func (v *voter) Answer(id uint64, a Answer) {
+func (v *voter) Respond(id uint64, a Response) {
 	for i := range v.w.flying {
 		if m := &v.w.flying[i]; m.id == id && m.answer == nil {
 			m.answer = &a
@@ -177,17 +177,17 @@
 	}
 }
 
-func (v *voter) Wake(at Time) { v.wakeAt, v.awake = at, true }
+func (v *voter) SetAlarm(at Time) { v.wakeAt, v.awake = at, true }
 
 // A claimant is its claim's host.
 
-func (c *claimant) Ask(a Ask) {
+func (c *claimant) Send(a Request) {
 	c.w.ids++
 	c.w.flying = append(c.w.flying, message{from: c.n, id: c.w.ids, ask: a, sent: c.now()})
 }
-func (c *claimant) Held(uint64)  {}
-func (c *claimant) Lost(error)   {}
-func (c *claimant) Wake(at Time) { c.wakeAt, c.awake = at, true }
+func (c *claimant) Granted(uint64)   {}
+func (c *claimant) Lost(error)       {}
+func (c *claimant) SetAlarm(at Time) { c.wakeAt, c.awake = at, true }
 
 // move is one thing that may happen.
 type move struct {
@@ -201,7 +201,7 @@
 		all = append(all, move{what: "tick"})
 	}
 	for i, m := range w.flying {
-		if m.answer == nil && m.ask.Kind != "" {
+		if m.answer == nil && m.ask.Operation != "" {
 			for _, v := range w.voters {
 				if v.reign > 0 && m.id&(1<<40) == 0 {
 					all = append(all, move{"ask", i, v.n})
@@ -211,7 +211,7 @@
 		if m.answer != nil {
 			all = append(all, move{what: "answer", a: i})
 		}
-		if w.lost > 0 && m.ask.Kind != Withdraw {
+		if w.lost > 0 && m.ask.Operation != OpWithdraw {
 			all = append(all, move{what: "lose", a: i})
 		}
 	}
@@ -237,7 +237,7 @@
 		}
 	}
 	for i, c := range w.claims {
-		if _, may := c.claim.May(c.now(), 0); may && c.act == 0 && w.acts {
+		if _, may := c.claim.MayAct(c.now(), 0); may && c.act == 0 && w.acts {
 			all = append(all, move{what: "check", a: i})
 		}
 		if c.act != 0 {
@@ -268,7 +268,7 @@
 		f := &w.flying[m.a]
 		f.id |= 1 << 40 // delivered
 		ask := f.ask
-		w.voters[m.b].keeper.Ask(w.voters[m.b].now(), f.id, ask)
+		w.voters[m.b].keeper.Handle(w.voters[m.b].now(), f.id, ask)
 	case "answer":
 		f := w.flying[m.a]
 		w.flying = slices.Delete(w.flying, m.a, m.a+1)
@@ -277,27 +277,27 @@
 		if w.without == fromAnswer {
 			sent = c.now()
 		}
-		c.claim.Answered(c.now(), sent, *f.answer)
+		c.claim.HandleResponse(c.now(), sent, *f.answer)
 	case "lose":
 		w.lost--
 		f := w.flying[m.a]
 		w.flying = slices.Delete(w.flying, m.a, m.a+1)
-		w.claims[f.from].claim.Unanswered(w.claims[f.from].now())
+		w.claims[f.from].claim.HandleTimeout(w.claims[f.from].now())
 		for _, v := range w.voters {
-			v.keeper.Gone(v.now(), f.id)
+			v.keeper.CallerGone(v.now(), f.id)
 		}
 	case "confirm":
 		v := w.voters[m.a]
 		round := v.round
 		v.round = 0
-		v.keeper.Confirmed(v.now(), round, v.majority() || w.without == noConfirmation)
+		v.keeper.LeadershipConfirmed(v.now(), round, v.majority() || w.without == noConfirmation)
 	case "commit":
 		w.voters[m.a].commit()
 	case "crash":
 		w.crashes--
 		v := w.voters[m.a]
 		v.reign, v.round, v.awake, v.out = 0, 0, false, map[uint64]Entry{}
-		v.keeper.Deposed()
+		v.keeper.Demote()
 		v.keeper = w.keeper(v)
 		if w.without == noVote {
 			v.term = 0
@@ -308,19 +308,19 @@
 		v.term++
 		o.term, v.reign = v.term, v.term
 		v.catchUp()
-		w.append(Entry{Version: version, Kind: Lead, Name: fmt.Sprint(v.n)})
+		w.append(Entry{Version: version, Kind: KindNewTerm, Name: fmt.Sprint(v.n)})
 		v.catchUp()
-		v.keeper.Led(v.now(), v.state.Reign)
+		v.keeper.Promote(v.now(), v.state.Term)
 	case "depose":
 		v := w.voters[m.a]
 		v.reign, v.round, v.awake = 0, 0, false
-		v.keeper.Deposed()
+		v.keeper.Demote()
 		if w.without != noReign {
 			v.out = map[uint64]Entry{}
 		}
 	case "check":
 		c := w.claims[m.a]
-		c.act, _ = c.claim.May(c.now(), 0)
+		c.act, _ = c.claim.MayAct(c.now(), 0)
 	case "act":
 		c := w.claims[m.a]
 		token := c.act
@@ -329,7 +329,7 @@
 			token = w.truth.Leases["task"].Token
 		}
 		w.number++
-		if r := w.append(Entry{Version: version, Kind: Act, Name: "task", Token: token, Fact: "task", Number: w.number}); r.Err == nil {
+		if r := w.append(Entry{Version: version, Kind: KindEffect, Name: "task", Token: token, Effect: "task", Number: w.number}); r.Err == nil {
 			if w.fault == "" && token < w.door || w.without == noToken && w.holds(token) != c.n {
 				w.fault = fmt.Sprintf("claimant %d acts with token %d after token %d", c.n, token, w.door)
 			}
@@ -343,7 +343,7 @@
 	}
 	var hold []int
 	for _, c := range w.claims {
-		if _, may := c.claim.May(c.now(), 0); may {
+		if _, may := c.claim.MayAct(c.now(), 0); may {
 			hold = append(hold, c.n)
 		}
 	}
@@ -387,14 +387,14 @@
 
 func (s *State) clone() *State {
 	o := *s
-	o.Leases, o.Facts = maps.Clone(s.Leases), maps.Clone(s.Facts)
+	o.Leases, o.Effects = maps.Clone(s.Leases), maps.Clone(s.Effects)
 	return &o
 }
 
 // print gives what tells one state from another.
 func (w *fleet) print(h hash.Hash64) uint64 {
 	h.Reset()
-	fmt.Fprint(h, w.step, w.crashes, w.leads, w.lost, w.door, w.truth.Leases, w.truth.Reign)
+	fmt.Fprint(h, w.step, w.crashes, w.leads, w.lost, w.door, w.truth.Leases, w.truth.Term)
 	for _, v := range w.voters {
 		fmt.Fprint(h, v.term, v.reign, v.round != 0, v.awake, v.wakeAt, len(w.log)-v.applied)
 		if v.reign > 0 {
@@ -414,7 +414,7 @@
 	}
 	var flying []string // in whatever order
 	for _, m := range w.flying {
-		as := fmt.Sprint(m.from, m.ask.Kind, m.ask.Token, m.sent, m.id>>40)
+		as := fmt.Sprint(m.from, m.ask.Operation, m.ask.Token, m.sent, m.id>>40)
 		if m.answer != nil {
 			as += fmt.Sprint(m.answer.Token, m.answer.Err)
 		}
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -20,23 +20,23 @@
 		klDue: now + klSpan, fetches: map[uint64][]int{}, keep: keepMost,
 		weight: slices.Repeat([]float64{1.0 / bins}, bins), late: make([]float64, klGroups)}
 	b.least = max(1, min(busyLeast, roomLeast/b.nodes))
-	b.askWait = max(AskSpread, min(AskMost, config.MaxPollInterval/2, config.PushedGrace/askPart))
+	b.askWait = max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/pushedGracePart))
 	b.read()
-	host.Wake(now+Time(b.draw()*float64(AskSpread)), listHandle)
+	host.SetAlarm(now+Time(b.draw()*float64(PollSpread)), listHandle)
 	return b
 }
 
-// Lookup takes a client's lookup, which is owed one final answer from now on.
-func (b *Balancer) Lookup(now Time, lkp int, in Lookup) {
+// Request takes a client's lookup, which is owed one final answer from now on.
+func (b *Balancer) Request(now Time, lkp int, in Request) {
 	b.clock(now)
 	for lkp >= len(b.lookups) {
 		b.lookups = append(b.lookups, lookup{})
 	}
-	l, ns := &b.lookups[lkp], &b.spaces[in.Namespace]
-	*l = lookup{Lookup: in, live: true, arrived: now, giveUp: in.Limit, work: 1, shots: l.shots[:0]}
+	l, ns := &b.lookups[lkp], &b.spaces[in.Class]
+	*l = lookup{Request: in, live: true, arrived: now, giveUp: in.Deadline, work: 1, shots: l.shots[:0]}
 	if ns.LateUtility == 0 && ns.Idempotence == Safe {
 		// Two ticks early, so that a deferral is still inside the target time.
-		l.giveUp = min(in.Limit, now+ns.LatencyTarget-2*b.config.Tick)
+		l.giveUp = min(in.Deadline, now+ns.LatencyTarget-2*b.config.Tick)
 	}
 	if l.point = b.draw() * bins; in.Key != "" {
 		l.key = xxhash.Sum64String(in.Key) | 1
@@ -48,14 +48,14 @@
 		l.work = in.Work * ns.asked / ns.work
 	}
 	sure := false
-	if in.Partner >= 0 && b.partners[in.Partner].part != nil {
-		if b.lacks(l, b.partners[in.Partner].part) {
+	if in.Tenant >= 0 && b.partners[in.Tenant].part != nil {
+		if b.lacks(l, b.partners[in.Tenant].part) {
 			b.finish(lkp)
 			return
 		}
-		b.partners[in.Partner].part.Spend()
-	} else if in.Partner >= 0 {
-		p, carry := &b.partners[in.Partner], b.carry(in.Partner)
+		b.partners[in.Tenant].part.Spend()
+	} else if in.Tenant >= 0 {
+		p, carry := &b.partners[in.Tenant], b.carry(in.Tenant)
 		p.room = min(p.rate+shareLeast, p.room+p.rate*seconds(now-p.at)) - 1
 		p.most = min(p.rate*carry+shareLeast, p.most+p.rate*carry*seconds(now-p.at)) - 1
 		p.at = now
@@ -93,33 +93,33 @@
 	return max(1, asked/due)
 }
 
-// Sent tells that a long lookup's shot is out whole, or ends before: its time counts from here, and its lookup's.
-func (b *Balancer) Sent(now Time, lkp, number int) {
+// BodySent tells that a long lookup's shot is out whole, or ends before: its time counts from here, and its lookup's.
+func (b *Balancer) BodySent(now Time, lkp, number int) {
 	t := &b.lookups[lkp].shots[number]
 	b.lookups[lkp].arrived, t.sent = now, now
 	b.count(b.servers[t.server], 1)
 }
 
-// Left tells that a lookup is over without us.
-func (b *Balancer) Left(now Time, lkp int) {
+// ClientGone tells that a lookup is over without us.
+func (b *Balancer) ClientGone(now Time, lkp int) {
 	b.clock(now)
 	if b.lookups[lkp].live {
 		b.end(lkp)
 	}
 }
 
-// Part tells how much of a budget of the fleet is ours, in place of our even part; partner is whose lookups it
+// SetQuota tells how much of a budget of the fleet is ours, in place of our even part; partner is whose lookups it
 // bounds, if any's. It gives what was asked of the bound since the last time, of servers the most at any one.
-func (b *Balancer) Part(now Time, of Bound, partner int, p allowance.Part) (u allowance.Use) {
+func (b *Balancer) SetQuota(now Time, of Limit, partner int, p allowance.Quota) (u allowance.Usage) {
 	b.clock(now)
-	if of == PartnerRate {
+	if of == TenantRate {
 		return allowance.Set(&b.partners[partner].part, int64(now), p)
 	}
 	u = allowance.Set(&b.parts[of], int64(now), p)
 	for _, s := range b.servers {
-		if s != nil && !s.origin && of == ColdRate {
+		if s != nil && !s.origin && of == SlowStartRate {
 			u = u.Max(allowance.Set(&s.cold, int64(now), p))
-		} else if s != nil && !s.origin && of == CacheRoom {
+		} else if s != nil && !s.origin && of == CacheConcurrency {
 			u = u.Max(allowance.Set(&s.links, int64(now), p))
 		}
 	}
@@ -130,12 +130,12 @@
 func (b *Balancer) Alarm(now Time, handle int) {
 	b.clock(now)
 	if handle == listHandle && !b.subscribed && now >= b.askDue {
-		if !b.lacks(&lookup{}, b.parts[ListRate]) {
-			b.parts[ListRate].Spend()
+		if !b.lacks(&lookup{}, b.parts[DiscoveryRate]) {
+			b.parts[DiscoveryRate].Spend()
 			b.host.Subscribe()
 		}
 		b.askDue = now + b.askWait/2 + Time(b.draw()*float64(b.askWait/2))
-		b.host.Wake(b.askDue, listHandle)
+		b.host.SetAlarm(b.askDue, listHandle)
 	} else if i := handle - 1; i >= 0 && i < len(b.lookups) && b.lookups[i].waiting && now >= b.lookups[i].giveUp {
 		b.finish(i)
 	}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -36,12 +36,12 @@
 	made int
 }
 
-func (q *quiet) Shoot(lkp, server int, _ Time) { q.out = append(q.out, lkp) }
-func (q *quiet) Defer(lkp int, _ Time)         { q.free = append(q.free, lkp) }
-func (q *quiet) Abandon(lkp int)               { q.free = append(q.free, lkp) }
-func (q *quiet) Subscribe()                    {}
-func (q *quiet) HangUp(int, int)               {}
-func (q *quiet) Wake(Time, int)                {}
+func (q *quiet) Send(lkp, server int, _ Time) { q.out = append(q.out, lkp) }
+func (q *quiet) Reject(lkp int, _ Time)       { q.free = append(q.free, lkp) }
+func (q *quiet) Fail(lkp int)                 { q.free = append(q.free, lkp) }
+func (q *quiet) Subscribe()                   {}
+func (q *quiet) CloseIdle(int, int)           {}
+func (q *quiet) SetAlarm(Time, int)           {}
 
 func (q *quiet) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
 
@@ -55,7 +55,7 @@
 	} else {
 		q.made++
 	}
-	q.b.Lookup(q.now, lkp, Lookup{Partner: -1, Key: key, Limit: q.now + 750*Millisecond})
+	q.b.Request(q.now, lkp, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
 	if len(q.out) > benchOut {
 		q.answer()
 	}
@@ -65,7 +65,7 @@
 func (q *quiet) answer() {
 	lkp := q.out[0]
 	q.out = slices.Delete(q.out, 0, 1)
-	q.b.Settled(q.now, lkp, 0, Answered, true)
+	q.b.AttemptDone(q.now, lkp, 0, Served, true)
 	q.free = append(q.free, lkp)
 }
 
@@ -77,11 +77,11 @@
 		c.Nodes, c.CacheAside, c.OriginKind, c.MaxAttempts = nodes, true, 1, 3
 		c.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
 	}))
-	var boxes []Box
+	var boxes []Endpoint
 	for i := range caches {
-		boxes = append(boxes, Box{Server: i, ID: fmt.Sprintf("c-%08x", rnd.Uint32())})
+		boxes = append(boxes, Endpoint{Server: i, ID: fmt.Sprintf("c-%08x", rnd.Uint32())})
 	}
-	q.b.List(q.now, Whole, append(boxes, Box{Server: caches, ID: "origin", Kind: 1}))
+	q.b.UpdateEndpoints(q.now, Full, append(boxes, Endpoint{Server: caches, ID: "origin", Model: 1}))
 	return q
 }
 
@@ -118,10 +118,10 @@
 func BenchmarkListChange(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newQuiet(caches, nodes).warm(60_000)
-		box := []Box{q.b.servers[caches/2].Box}
+		box := []Endpoint{q.b.servers[caches/2].Endpoint}
 		for i := 0; b.Loop(); i++ {
 			box[0].State = []State{Draining, Ready}[i%2]
-			q.b.List(q.now, Changes, box)
+			q.b.UpdateEndpoints(q.now, Incremental, box)
 		}
 	})
 }
@@ -130,12 +130,12 @@
 func BenchmarkListWhole(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newQuiet(caches, nodes).warm(60_000)
-		var boxes []Box
+		var boxes []Endpoint
 		for _, s := range q.b.servers {
-			boxes = append(boxes, s.Box)
+			boxes = append(boxes, s.Endpoint)
 		}
 		for b.Loop() {
-			q.b.List(q.now, Whole, boxes)
+			q.b.UpdateEndpoints(q.now, Full, boxes)
 		}
 	})
 }
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -7,8 +7,8 @@
 // coldShare is the least share of its capacity that a server has by now.
 func (b *Balancer) coldShare(s *server) float64 {
 	cold, warmUp := b.config.SlowStartShare, b.config.SlowStartWindow
-	age := b.now - s.Since
-	if s.Since == 0 || age >= warmUp {
+	age := b.now - s.StartedAt
+	if s.StartedAt == 0 || age >= warmUp {
 		return 1
 	}
 	return cold + (1-cold)*max(0, float64(age)/float64(max(1, warmUp)))
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -42,12 +42,12 @@
 	out  []int
 }
 
-func (n *coldNode) Shoot(_, server int, _ Time) { n.out = append(n.out, server) }
-func (n *coldNode) Defer(int, Time)             {}
-func (n *coldNode) Abandon(int)                 {}
-func (n *coldNode) Subscribe()                  {}
-func (n *coldNode) HangUp(int, int)             {}
-func (n *coldNode) Wake(Time, int)              {}
+func (n *coldNode) Send(_, server int, _ Time) { n.out = append(n.out, server) }
+func (n *coldNode) Reject(int, Time)           {}
+func (n *coldNode) Fail(int)                   {}
+func (n *coldNode) Subscribe()                 {}
+func (n *coldNode) CloseIdle(int, int)         {}
+func (n *coldNode) SetAlarm(Time, int)         {}
 
 // coldSum is what came of it.
 type coldSum struct {
@@ -61,9 +61,9 @@
 func (c coldCase) play() (sum coldSum) {
 	rnd, now := rand.New(rand.NewSource(int64(c.nodes)*1000+int64(c.bears))), 10000*Millisecond
 	capacity := c.bears / (c.overload * c.from * seconds(coldWindow))
-	var boxes []Box
+	var boxes []Endpoint
 	for i := range coldCaches {
-		boxes = append(boxes, Box{Server: i, ID: fmt.Sprint("c", i)})
+		boxes = append(boxes, Endpoint{Server: i, ID: fmt.Sprint("c", i)})
 	}
 	fleet, begun := make([]*coldNode, c.nodes), 0
 	// A unit of the budget is worth one at once. Where there are fewer than nodes they go round.
@@ -73,7 +73,7 @@
 		if (i-from+c.nodes)%c.nodes < units%c.nodes {
 			has++
 		}
-		fleet[i].b.Part(now, ColdRate, 0, allowance.Part{Rate: has * c.budget * c.bears / seconds(coldWindow) / float64(units), Most: has,
+		fleet[i].b.SetQuota(now, SlowStartRate, 0, allowance.Quota{Rate: has * c.budget * c.bears / seconds(coldWindow) / float64(units), Burst: has,
 			Until: math.MaxInt64})
 	}
 	begin := func(i int) {
@@ -87,7 +87,7 @@
 		if fleet[i] = n; c.budget > 0 {
 			part(i)
 		}
-		n.b.List(now, Whole, boxes)
+		n.b.UpdateEndpoints(now, Full, boxes)
 	}
 	for i := range fleet {
 		begin(i)
@@ -114,10 +114,10 @@
 			if c.works {
 				work = rnd.ExpFloat64()
 			}
-			n.b.Lookup(now, 0, Lookup{Partner: -1, Key: key, Limit: now + 8000, Work: 20 * work})
+			n.b.Request(now, 0, Request{Tenant: -1, Key: key, Deadline: now + 8000, Work: 20 * work})
 			for k, to := range n.out {
 				shot(to, n.told, work)
-				n.b.Settled(now, 0, k, Answered, true)
+				n.b.AttemptDone(now, 0, k, Served, true)
 			}
 			n.out = n.out[:0]
 		}
@@ -127,7 +127,7 @@
 		began, fell := now, false
 		for i := range boxes {
 			if i == 0 || c.all {
-				boxes[i].Since = now
+				boxes[i].StartedAt = now
 			}
 		}
 		for _, n := range fleet {
@@ -142,7 +142,7 @@
 			for i, n := range fleet {
 				if !n.told && (step > 2 || rnd.Intn(2) == 0) { // within four tenths of a second
 					n.told = true
-					n.b.List(now, Changes, boxes)
+					n.b.UpdateEndpoints(now, Incremental, boxes)
 				}
 				if c.rolling && next*steps < step*c.nodes && i == next {
 					begin(i)
@@ -256,15 +256,15 @@
 		for i := range 4000 {
 			f.now += 100 * Millisecond
 			s := f.b.servers[0]
-			s.Since, f.b.perCache, f.b.halved = f.now-1000*Millisecond, perCache, f.now
+			s.StartedAt, f.b.perCache, f.b.halved = f.now-1000*Millisecond, perCache, f.now
 			work := []float64{10, 100}[i%10/9]
 			f.lkps = append(f.lkps[:0], &client{kind: kinds[0], limit: f.now + 8000})
-			f.b.Lookup(f.now, 0, Lookup{Partner: -1, Key: key(f.b, 0), Work: work, Limit: f.now + 8000})
+			f.b.Request(f.now, 0, Request{Tenant: -1, Key: key(f.b, 0), Work: work, Deadline: f.now + 8000})
 			for n, shot := range f.lkps[0].shots {
 				if shot.server == 0 {
 					sent[work]++
 				}
-				f.settle(0, n, Answered)
+				f.settle(0, n, Served)
 			}
 		}
 		if sent[10] == 0 || (sent[100] > 0) != (perCache > 1) {
--- a/routing/config.go
+++ b/routing/config.go
@@ -73,8 +73,8 @@
 		SlowStartWindow: 30000 * Millisecond,
 		OverloadFactor:  2.0,
 		OverloadWindow:  1000 * Millisecond,
-		MaxPollInterval: 2 * AskMost,
-		PushedGrace:     askPart * AskMost,
+		MaxPollInterval: 2 * MaxPollWait,
+		PushedGrace:     pushedGracePart * MaxPollWait,
 	}
 }
 
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -13,7 +13,7 @@
 	now    Time
 	lkps   []*client
 	free   []int
-	boxes  []Box
+	boxes  []Endpoint
 	wakes  map[int][]Time
 	asked  int
 	hungUp int // orders to close all that idle,
@@ -37,19 +37,19 @@
 	server    int
 	sent, due Time
 	settled   bool
-	code      Code
+	code      Result
 	whole     bool // its last byte is out
 }
 
 func (s fakeShot) mayHaveRun() bool {
-	return !s.settled || s.code != Full && s.code != Unconnected && s.code != Unsent && s.code < Missing
+	return !s.settled || s.code != Rejected && s.code != ConnectFailed && s.code != NotSent && s.code < NotFound
 }
 
 func (f *fake) fault(format string, args ...any) {
 	f.faults = append(f.faults, fmt.Sprintf(format, args...))
 }
 
-func (f *fake) Shoot(lkp, server int, timeout Time) {
+func (f *fake) Send(lkp, server int, timeout Time) {
 	c := f.lkps[lkp]
 	if c.ended || f.now >= c.limit {
 		f.fault("shot for an ended or overdue lookup")
@@ -68,7 +68,7 @@
 	c.out++
 }
 
-func (f *fake) Defer(lkp int, retryAfter Time) {
+func (f *fake) Reject(lkp int, retryAfter Time) {
 	c := f.lkps[lkp]
 	if c.kind == Unsafe && slices.ContainsFunc(c.shots, fakeShot.mayHaveRun) {
 		f.fault("a single-use lookup was deferred though it may have run")
@@ -77,7 +77,7 @@
 	f.end(lkp)
 }
 
-func (f *fake) Abandon(lkp int) { f.end(lkp) }
+func (f *fake) Fail(lkp int) { f.end(lkp) }
 
 func (f *fake) end(lkp int) {
 	if c := f.lkps[lkp]; c.ended {
@@ -90,13 +90,13 @@
 
 func (f *fake) Subscribe() { f.asked++ }
 
-func (f *fake) HangUp(_, but int) {
+func (f *fake) CloseIdle(_, but int) {
 	if f.left = but; but == 0 {
 		f.hungUp++
 	}
 }
 
-func (f *fake) Wake(at Time, handle int) { f.wakes[handle] = append(f.wakes[handle], at) }
+func (f *fake) SetAlarm(at Time, handle int) { f.wakes[handle] = append(f.wakes[handle], at) }
 
 // forget hands the index out again, as the adapter does, once nothing of the lookup is out.
 func (f *fake) forget(lkp int) {
@@ -130,10 +130,10 @@
 		MaxPollInterval: DefaultConfig().MaxPollInterval, PushedGrace: DefaultConfig().PushedGrace,
 		Classes: classes, Tenants: []Tenant{{Quota: 50}, DefaultTenant()}})
 	for i := range n {
-		f.boxes = append(f.boxes, Box{Server: i, ID: fmt.Sprintf("10.0.0.%02d", i)})
+		f.boxes = append(f.boxes, Endpoint{Server: i, ID: fmt.Sprintf("10.0.0.%02d", i)})
 	}
-	f.boxes = append(f.boxes, Box{Server: n, ID: "origin", Kind: 1})
-	f.b.List(f.now, Persisted, f.boxes)
+	f.boxes = append(f.boxes, Endpoint{Server: n, ID: "origin", Model: 1})
+	f.b.UpdateEndpoints(f.now, Cached, f.boxes)
 	return f
 }
 
@@ -148,8 +148,8 @@
 	c := &client{kind: kinds[space], limit: limit}
 	f.lkps[lkp] = c
 	c.long = (write || f.long) && f.rnd.Intn(4) == 0
-	f.b.Lookup(f.now, lkp, Lookup{Namespace: space, Partner: space % 2, Key: key, Write: write, Limit: limit,
-		Long: c.long})
+	f.b.Request(f.now, lkp, Request{Class: space, Tenant: space % 2, Key: key, Write: write, Deadline: limit,
+		Streaming: c.long})
 	return lkp, c
 }
 
@@ -157,21 +157,21 @@
 func (f *fake) sent(lkp, shot int) {
 	if c := f.lkps[lkp]; c.long && !c.shots[shot].whole {
 		c.shots[shot].whole = true
-		f.b.Sent(f.now, lkp, shot)
+		f.b.BodySent(f.now, lkp, shot)
 	}
 }
 
-func (f *fake) settle(lkp, shot int, code Code) {
+func (f *fake) settle(lkp, shot int, code Result) {
 	c := f.lkps[lkp]
 	f.sent(lkp, shot)
 	c.shots[shot].settled, c.shots[shot].code = true, code
 	c.out--
 	if code == Withheld && !c.ended { // only of a lookup that is over
 		c.ended = true
-		f.b.Left(f.now, lkp)
+		f.b.ClientGone(f.now, lkp)
 	}
-	c.ended = c.ended || code == Answered
-	f.b.Settled(f.now, lkp, shot, code, c.ended)
+	c.ended = c.ended || code == Served
+	f.b.AttemptDone(f.now, lkp, shot, code, c.ended)
 	f.forget(lkp)
 }
 
@@ -209,11 +209,11 @@
 		space := f.rnd.Intn(3)
 		f.ask(space, key, space > 0 && f.rnd.Intn(2) == 0, limit)
 	case r < 80:
-		f.settleAny(Code(f.rnd.Intn(int(Withheld) + 1)))
+		f.settleAny(Result(f.rnd.Intn(int(Withheld) + 1)))
 	case r < 82 && len(f.lkps) > 0:
 		if lkp := f.rnd.Intn(len(f.lkps)); !f.lkps[lkp].ended {
 			f.lkps[lkp].ended = true
-			f.b.Left(f.now, lkp)
+			f.b.ClientGone(f.now, lkp)
 			f.forget(lkp)
 		}
 	case r < 83 && len(f.lkps) > 0:
@@ -229,26 +229,26 @@
 		x := &f.boxes[f.rnd.Intn(len(f.boxes))]
 		x.State = State(f.rnd.Intn(3))
 		if f.rnd.Intn(2) == 0 {
-			x.State, x.Since = Ready, f.now
+			x.State, x.StartedAt = Ready, f.now
 		}
-		f.b.List(f.now, Changes, []Box{*x})
+		f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*x})
 	case r < 89:
-		f.b.List(f.now, Failed, nil)
+		f.b.UpdateEndpoints(f.now, Failed, nil)
 		for n := len(f.boxes); n < 60 && f.rnd.Intn(4) == 0 && len(f.boxes) < 2*n; { // the fleet doubles, cold
-			f.boxes = append(f.boxes, Box{Server: len(f.boxes), ID: fmt.Sprint("11.", f.rnd.Int()), Since: f.now})
+			f.boxes = append(f.boxes, Endpoint{Server: len(f.boxes), ID: fmt.Sprint("11.", f.rnd.Int()), StartedAt: f.now})
 		}
-		f.b.List(f.now, Changes, f.boxes)
+		f.b.UpdateEndpoints(f.now, Incremental, f.boxes)
 	case r < 90:
 		f.boxes[f.rnd.Intn(len(f.boxes))].State = Gone
-		some := slices.DeleteFunc(slices.Clone(f.boxes), func(x Box) bool { return x.State == Gone })
-		f.b.List(f.now, Whole, some)
+		some := slices.DeleteFunc(slices.Clone(f.boxes), func(x Endpoint) bool { return x.State == Gone })
+		f.b.UpdateEndpoints(f.now, Full, some)
 	default:
 		f.pass(Time(1 + f.rnd.Intn(200)))
 	}
 }
 
 // settleAny settles a random shot that is out.
-func (f *fake) settleAny(code Code) {
+func (f *fake) settleAny(code Result) {
 	for try := 0; try < 20 && len(f.lkps) > 0; try++ {
 		lkp := f.rnd.Intn(len(f.lkps))
 		for i, s := range f.lkps[lkp].shots {
--- a/routing/host.go
+++ b/routing/host.go
@@ -21,59 +21,59 @@
 // out. A lookup's may be used again once it has ended and all its shots have settled, a server's once it is
 // Gone and its shots have settled. Shots of a lookup are numbered from 0 in the order of Shoot.
 type Host interface {
-	// Shoot sends the lookup to a server; no answer within timeout settles the shot as TimedOut.
-	Shoot(lkp, server int, timeout Time)
-	// Defer ends the lookup: a retry is harmless, and welcome after the time given (0: no advice).
-	Defer(lkp int, retryAfter Time)
-	// Abandon ends the lookup with no promise about its effect.
-	Abandon(lkp int)
+	// Send sends the lookup to a server; no answer within timeout settles the shot as TimedOut.
+	Send(lkp, server int, timeout Time)
+	// Reject ends the lookup: a retry is harmless, and welcome after the time given (0: no advice).
+	Reject(lkp int, retryAfter Time)
+	// Fail ends the lookup with no promise about its effect.
+	Fail(lkp int)
 	// Subscribe asks for the box list and its changes; List tells how it went. An order that comes while a call is
 	// out is for one more beside it, which may find what the first can't: a service that is back, or one that is not silent.
 	Subscribe()
-	// HangUp closes the connections to a server that carry no shot, but for so many; a shot that finds none opens one.
-	HangUp(server, but int)
-	// Wake asks for Alarm with this handle at that time or soon after.
-	Wake(at Time, handle int)
+	// CloseIdle closes the connections to a server that carry no shot, but for so many; a shot that finds none opens one.
+	CloseIdle(server, but int)
+	// SetAlarm asks for Alarm with this handle at that time or soon after.
+	SetAlarm(at Time, handle int)
 }
 
-// Lookup is what a client asked for.
-type Lookup struct {
-	Namespace, Partner int     // places in the terms' lists; Partner is -1 where there are none
-	Key                string  // may be empty
-	Limit              Time    // clock time at which the client gives up
-	Work               float64 // expected work in milliseconds, rough; 0 where not told
-	Write              bool
-	Long               bool // its body is still coming when a shot is sent; Sent tells of its last byte
+// Request is what a client asked for.
+type Request struct {
+	Class, Tenant int     // places in the terms' lists; Partner is -1 where there are none
+	Key           string  // may be empty
+	Deadline      Time    // clock time at which the client gives up
+	Work          float64 // expected work in milliseconds, rough; 0 where not told
+	Write         bool
+	Streaming     bool // its body is still coming when a shot is sent; Sent tells of its last byte
 }
 
-// Code says how a shot ended.
-type Code int
+// Result says how a shot ended.
+type Result int
 
 // The codes. Full, Unconnected, Unsent, Missing, Crowded, Unheard and Withheld prove that the shot never ran.
 const (
-	Answered    Code = iota
-	Errored          // the server answered with an error
-	Full             // turned away unseen
-	TimedOut         // no answer in time
-	Unconnected      // no connection could be made
-	Broken           // the connection broke while the shot was out
-	CalledOff        // called off by the host
-	Unsent           // the host had no business sending it
-	Missing          // the server has nothing under this key
-	Crowded          // the server holds as many connections as it takes, and this was one more
-	Unheard          // nobody was heard at the server's address while a connection was to come up
-	Withheld         // its lookup was over before its first byte was written: it says nothing of the server
+	Served           Result = iota
+	ServerError             // the server answered with an error
+	Rejected                // turned away unseen
+	TimedOut                // no answer in time
+	ConnectFailed           // no connection could be made
+	ConnectionBroken        // the connection broke while the shot was out
+	Canceled                // called off by the host
+	NotSent                 // the host had no business sending it
+	NotFound                // the server has nothing under this key
+	ConnectionLimit         // the server holds as many connections as it takes, and this was one more
+	ConnectTimeout          // nobody was heard at the server's address while a connection was to come up
+	Withheld                // its lookup was over before its first byte was written: it says nothing of the server
 )
 
-// ListKind says what a box list event holds.
-type ListKind int
+// UpdateKind says what a box list event holds.
+type UpdateKind int
 
 // The kinds of list event.
 const (
-	Changes   ListKind = iota // changed boxes only
-	Whole                     // all boxes: those missing are gone
-	Persisted                 // all boxes as last known, maybe old
-	Failed                    // a call failed or the subscription broke; the old list stands
+	Incremental UpdateKind = iota // changed boxes only
+	Full                          // all boxes: those missing are gone
+	Cached                        // all boxes as last known, maybe old
+	Failed                        // a call failed or the subscription broke; the old list stands
 )
 
 // State of a box.
@@ -86,26 +86,26 @@
 	Gone
 )
 
-// Box is one server on the list, a cache box or the origin.
-type Box struct {
-	Server int    // the caller's index
-	ID     string // sorted, it gives the order of the ranges
-	Kind   int    // place among the machine models
-	State  State
-	Since  Time // its last start; 0: long ago
+// Endpoint is one server on the list, a cache box or the origin.
+type Endpoint struct {
+	Server    int    // the caller's index
+	ID        string // sorted, it gives the order of the ranges
+	Model     int    // place among the machine models
+	State     State
+	StartedAt Time // its last start; 0: long ago
 }
 
-// Bound is what a budget of the whole fleet bounds.
-type Bound int
+// Limit is what a budget of the whole fleet bounds.
+type Limit int
 
 // The bounds.
 const (
-	OriginRate  Bound = iota // shots at the origin a second,
-	OriginRoom               // and at a time
-	PartnerRate              // a partner's lookups a second
-	ListRate                 // calls for the box list a second
-	ColdRate                 // shots at each cold or returning cache a second
-	CacheRoom                // shots at each cache at a time: each wants a connection
+	OriginRate        Limit = iota // shots at the origin a second,
+	OriginConcurrency              // and at a time
+	TenantRate                     // a partner's lookups a second
+	DiscoveryRate                  // calls for the box list a second
+	SlowStartRate                  // shots at each cold or returning cache a second
+	CacheConcurrency               // shots at each cache at a time: each wants a connection
 	bounds
 )
 
@@ -128,8 +128,8 @@
 	ready   []int // ready caches in id order
 	origins []int
 	lookups []lookup
-	fetches map[uint64][]int             // key to the lookups that wait for its fetch
-	parts   [bounds]*allowance.Allowance // of the fleet's budgets; none where nothing was told of one
+	fetches map[uint64][]int           // key to the lookups that wait for its fetch
+	parts   [bounds]*allowance.Limiter // of the fleet's budgets; none where nothing was told of one
 
 	inFlight int // shots in flight at all ready caches together
 
@@ -155,15 +155,15 @@
 }
 
 type partner struct {
-	rate       float64              // lookups a second within our even part of its share
-	room, most float64              // what is left of that, and of what we carry of its share
-	part       *allowance.Allowance // of the fleet's budget for it
-	asked      float64              // halved now and then
+	rate       float64            // lookups a second within our even part of its share
+	room, most float64            // what is left of that, and of what we carry of its share
+	part       *allowance.Limiter // of the fleet's budget for it
+	asked      float64            // halved now and then
 	at         Time
 }
 
 type server struct {
-	Box
+	Endpoint
 	origin        bool
 	inFlight      int
 	answers       float64 // to us, halved now and then
@@ -176,9 +176,9 @@
 	calm          float64 // shots in flight with which its answers are quick
 	budget        float64 // shots left of a cold cache's budget
 	budgetAt      Time
-	quietAt       Time                 // when the latest shot settled
-	held          bool                 // a connection may be kept since
-	cold, links   *allowance.Allowance // parts of the fleet's budgets for it
+	quietAt       Time               // when the latest shot settled
+	held          bool               // a connection may be kept since
+	cold, links   *allowance.Limiter // parts of the fleet's budgets for it
 }
 
 type shot struct {
@@ -190,7 +190,7 @@
 }
 
 type lookup struct {
-	Lookup
+	Request
 	live     bool
 	point    float64
 	key      uint64 // 0: none was named
@@ -198,9 +198,9 @@
 	giveUp   Time // when an answer is worth nothing any more; the time limit at the latest
 	over     bool // beyond its partner's share
 	missed   bool
-	fetching bool                 // its fetch stands for all lookups of its key
-	waiting  bool                 // for another's fetch
-	lacks    *allowance.Allowance // what kept it from its next step
+	fetching bool               // its fetch stands for all lookups of its key
+	waiting  bool               // for another's fetch
+	lacks    *allowance.Limiter // what kept it from its next step
 	work     float64
 	shots    []shot
 }
--- a/routing/list.go
+++ b/routing/list.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// List tells of the boxes.
-func (b *Balancer) List(now Time, how ListKind, boxes []Box) {
+// UpdateEndpoints tells of the boxes.
+func (b *Balancer) UpdateEndpoints(now Time, how UpdateKind, boxes []Endpoint) {
 	b.clock(now)
 	if how == Failed {
 		if b.subscribed { // else the next call is due by itself, whatever becomes of this one
-			b.subscribed, b.askDue = false, now+Time(b.draw()*float64(AskSpread))
-			b.host.Wake(b.askDue, listHandle)
+			b.subscribed, b.askDue = false, now+Time(b.draw()*float64(PollSpread))
+			b.host.SetAlarm(b.askDue, listHandle)
 		}
 		return
 	}
-	b.subscribed = b.subscribed || how != Persisted
-	if how != Changes {
+	b.subscribed = b.subscribed || how != Cached
+	if how != Incremental {
 		b.ready, b.origins, b.inFlight = b.ready[:0], b.origins[:0], 0
 		for _, s := range b.servers {
 			if s != nil {
@@ -29,34 +29,34 @@
 	for _, x := range boxes {
 		b.leaves(x.Server)
 		b.renew(x)
-		if how == Changes {
+		if how == Incremental {
 			b.enters(x.Server)
 		}
 	}
-	if how != Changes {
+	if how != Incremental {
 		b.enterAll()
 	}
 	b.cuts = b.cuts[:0] // laid anew with the next lookup: a service may tell many changes in a row
 }
 
 // renew takes over what the list says of a server.
-func (b *Balancer) renew(x Box) {
+func (b *Balancer) renew(x Endpoint) {
 	for x.Server >= len(b.servers) {
 		b.servers = append(b.servers, nil)
 	}
 	s := b.servers[x.Server]
-	if s == nil || s.Since != x.Since || s.ID != x.ID {
+	if s == nil || s.StartedAt != x.StartedAt || s.ID != x.ID {
 		// A restart makes a server another one, cold and without a past; its old shots still settle.
 		fresh := &server{budgetAt: b.now, calm: b.least, credit: creditMost,
-			cold: b.parts[ColdRate].Like(int64(b.now)), links: b.parts[CacheRoom].Like(int64(b.now))}
+			cold: b.parts[SlowStartRate].Clone(int64(b.now)), links: b.parts[CacheConcurrency].Clone(int64(b.now))}
 		if s != nil {
 			fresh.inFlight = s.inFlight
 		}
 		s = fresh
 		b.servers[x.Server] = s
 	}
-	s.Box = x
-	if s.origin = b.config.CacheAside && x.Kind == b.config.OriginKind; s.origin {
+	s.Endpoint = x
+	if s.origin = b.config.CacheAside && x.Model == b.config.OriginKind; s.origin {
 		s.cold, s.links = nil, nil // these budgets are of caches
 	}
 }
--- a/routing/list_order_test.go
+++ b/routing/list_order_test.go
@@ -16,21 +16,21 @@
 		q := newQuiet(3, 10)
 		b, ids := q.b, map[int]string{}
 		for step := range 120 {
-			var boxes []Box
+			var boxes []Endpoint
 			whole := r.Intn(12) == 0
 			for range 1 + r.Intn(4) {
 				i := r.Intn(20)
 				if ids[i] == "" || r.Intn(10) == 0 {
 					ids[i] = fmt.Sprintf("s-%04d-%d", r.Intn(10000), i)
 				}
-				boxes = append(boxes, Box{Server: i, ID: ids[i], Kind: r.Intn(5) / 4, State: State(r.Intn(3)), Since: Time(r.Intn(2))})
+				boxes = append(boxes, Endpoint{Server: i, ID: ids[i], Model: r.Intn(5) / 4, State: State(r.Intn(3)), StartedAt: Time(r.Intn(2))})
 			}
-			slices.SortFunc(boxes, func(x, y Box) int { return x.Server - y.Server })
-			boxes = slices.CompactFunc(boxes, func(x, y Box) bool { return x.Server == y.Server })
+			slices.SortFunc(boxes, func(x, y Endpoint) int { return x.Server - y.Server })
+			boxes = slices.CompactFunc(boxes, func(x, y Endpoint) bool { return x.Server == y.Server })
 			if whole {
-				b.List(q.now, Whole, boxes)
+				b.UpdateEndpoints(q.now, Full, boxes)
 			} else {
-				b.List(q.now, Changes, boxes)
+				b.UpdateEndpoints(q.now, Incremental, boxes)
 			}
 			for range r.Intn(3) {
 				q.lookup(q.key())
--- a/routing/list_test.go
+++ b/routing/list_test.go
@@ -18,7 +18,7 @@
 
 func (a *asker) Subscribe() { a.at = append(a.at, a.now) }
 
-func (a *asker) Wake(at Time, handle int) { a.wakes[handle] = append(a.wakes[handle], at) }
+func (a *asker) SetAlarm(at Time, handle int) { a.wakes[handle] = append(a.wakes[handle], at) }
 
 func newAsker(seed uint64, config Config) *asker {
 	a := &asker{fake: fake{now: Time(seed % 5000), wakes: map[int][]Time{}}}
@@ -63,12 +63,12 @@
 	run := func(seed uint64) bool {
 		rnd := rand.New(rand.NewSource(int64(seed)))
 		config := asks(rnd)
-		wait := max(AskSpread, min(AskMost, config.MaxPollInterval/2, config.PushedGrace/3))
+		wait := max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/3))
 		a := newAsker(seed, config)
-		since, most, had, calls := a.now, AskSpread, false, 0 // without a call, and the longest that this may last
+		since, most, had, calls := a.now, PollSpread, false, 0 // without a call, and the longest that this may last
 		a.until(a.now+60000*Millisecond, func() {
 			if n := len(a.at); n > calls {
-				if had || calls > 0 && most != AskSpread && a.now-since < wait/2-step {
+				if had || calls > 0 && most != PollSpread && a.now-since < wait/2-step {
 					t.Logf("seed %d: a call %d after the last, with a list: %v", seed, a.now-since, had)
 					a.fault("early")
 				}
@@ -79,13 +79,13 @@
 			}
 			switch r := rnd.Intn(400); {
 			case had && r < 1: // a watch is lost
-				a.b.List(a.now, Failed, nil)
-				had, since, most = false, a.now, AskSpread
+				a.b.UpdateEndpoints(a.now, Failed, nil)
+				had, since, most = false, a.now, PollSpread
 			case !had && calls > 0 && r < 1:
-				a.b.List(a.now, []ListKind{Whole, Changes}[rnd.Intn(2)], nil)
+				a.b.UpdateEndpoints(a.now, []UpdateKind{Full, Incremental}[rnd.Intn(2)], nil)
 				had = true
 			case !had && r < 40:
-				a.b.List(a.now, Failed, nil) // one of those that are out
+				a.b.UpdateEndpoints(a.now, Failed, nil) // one of those that are out
 			case r < 50:
 				a.b.Alarm(a.now, listHandle) // a stale one
 			}
@@ -105,14 +105,14 @@
 	f := newFake(1, 1)
 	for n := range 4 {
 		was := f.asked
-		if f.pass(AskMost); f.asked == was {
-			t.Fatalf("no call within %v after %d that failed", AskMost, n)
+		if f.pass(MaxPollWait); f.asked == was {
+			t.Fatalf("no call within %v after %d that failed", MaxPollWait, n)
 		}
-		f.b.List(f.now, Failed, nil)
+		f.b.UpdateEndpoints(f.now, Failed, nil)
 	}
-	f.b.List(f.now, Changes, nil)
+	f.b.UpdateEndpoints(f.now, Incremental, nil)
 	was := f.asked
-	if f.pass(10 * AskMost); f.asked != was {
+	if f.pass(10 * MaxPollWait); f.asked != was {
 		t.Errorf("%d more calls after one went through, want none", f.asked-was)
 	}
 }
@@ -121,15 +121,15 @@
 // beside a silent one too.
 func TestAWaitForAPartIsOneBetweenCalls(t *testing.T) {
 	a := newAsker(3, DefaultConfig())
-	a.b.Part(a.now, ListRate, 0, allowance.Part{Rate: 0.0001, Most: 1, Until: int64(a.now + 90000*Millisecond)})
+	a.b.SetQuota(a.now, DiscoveryRate, 0, allowance.Quota{Rate: 0.0001, Burst: 1, Until: int64(a.now + 90000*Millisecond)})
 	a.until(a.now+20000*Millisecond, func() {})
 	if len(a.at) > 0 {
 		t.Fatalf("%d calls without a part", len(a.at))
 	}
 	given := a.now
-	a.b.Part(a.now, ListRate, 0, allowance.Part{Rate: 1000, Most: 1000, Until: int64(a.now + 90000*Millisecond)})
-	a.until(given+10*AskMost, func() {})
-	if len(a.at) < 10 || a.at[0]-given > AskMost+step {
+	a.b.SetQuota(a.now, DiscoveryRate, 0, allowance.Quota{Rate: 1000, Burst: 1000, Until: int64(a.now + 90000*Millisecond)})
+	a.until(given+10*MaxPollWait, func() {})
+	if len(a.at) < 10 || a.at[0]-given > MaxPollWait+step {
 		t.Errorf("%d calls, the first %d after a part came", len(a.at), a.at[0]-given)
 	}
 }
@@ -151,9 +151,9 @@
 				a := newAsker(uint64(n), c.config)
 				start := a.now
 				a.until(start+1000*Millisecond, func() {})
-				a.b.List(a.now, Whole, nil)
+				a.b.UpdateEndpoints(a.now, Full, nil)
 				a.until(start+2000*Millisecond, func() {})
-				a.b.List(a.now, Failed, nil)
+				a.b.UpdateEndpoints(a.now, Failed, nil)
 				lost := a.now
 				a.at = nil
 				a.until(lost+14000*Millisecond, func() {})
--- a/routing/logic_test.go
+++ b/routing/logic_test.go
@@ -59,15 +59,15 @@
 		}
 		for i, f := range fleet {
 			if f.now += 100 * Millisecond; step == cold {
-				f.boxes[0].Since = f.now
-				f.b.List(f.now, Changes, f.boxes[:1])
+				f.boxes[0].StartedAt = f.now
+				f.b.UpdateEndpoints(f.now, Incremental, f.boxes[:1])
 			}
 			for range rnd.Intn(2) + 3*(i%50/49) {
 				lkp, c := f.ask(0, fmt.Sprint("k", rnd.Intn(500)), false, f.now+80000)
 				for n := 0; n < len(c.shots); n++ {
 					at := c.shots[n].server
 					if sent[at][step+1]++; at < 4 || step < stop {
-						f.settle(lkp, n, []Code{Answered, Missing}[rnd.Intn(2)*min(1, 4-at)])
+						f.settle(lkp, n, []Result{Served, NotFound}[rnd.Intn(2)*min(1, 4-at)])
 					} else {
 						fetches++
 					}
@@ -173,11 +173,11 @@
 // that finds none gives back what has been idle for as long as it keeps them, the sooner the more often it finds none.
 func TestConnectionsAreGivenBackWhereTheyAreScarce(t *testing.T) {
 	f := newFake(1, 4)
-	use := func(server int, code Code) {
+	use := func(server int, code Result) {
 		f.b.servers[server].rest, f.b.servers[server].calm = 0, calmMost
 		lkp, c := f.ask(1, key(f.b, server), false, f.now+5000)
 		if f.settle(lkp, 0, code); !c.ended {
-			f.settle(lkp, 1, Answered)
+			f.settle(lkp, 1, Served)
 		}
 	}
 	gave := func(what string, want int) {
@@ -187,47 +187,47 @@
 		}
 		f.hungUp = 0
 	}
-	use(0, Answered)
-	use(1, Answered)
+	use(0, Served)
+	use(1, Served)
 	f.pass(2 * keepMost)
 	gave("none is scarce", 0)
-	use(0, Answered)
-	use(2, Unconnected)
+	use(0, Served)
+	use(2, ConnectFailed)
 	gave("one has idled for long, one not", 1)
-	use(2, Unconnected)
+	use(2, ConnectFailed)
 	gave("none has idled since", 0)
-	use(1, Answered)
+	use(1, Served)
 	for f.b.keep >= 2*keepLeast {
-		use(2, Unconnected)
+		use(2, ConnectFailed)
 	}
 	f.pass(f.b.keep)
 	f.hungUp = 0
-	use(2, Unconnected)
+	use(2, ConnectFailed)
 	gave("all that idled", 3) // the origin's as well
 	f.b.keep = keepLeast - 2*keepWon
-	use(0, Answered)
+	use(0, Served)
 	gave("at once", 1)
 	for range int(keepLeast / keepWon) {
-		use(1, Answered)
+		use(1, Served)
 	}
 	f.hungUp = 0
-	use(0, Answered)
+	use(0, Served)
 	gave("connects succeed again", 0)
 }
 
 // split: a zone that was cut off took no connection, and nodes gave back what they held at all others.
 func TestSilenceGivesNoConnectionsBack(t *testing.T) {
-	for code, want := range map[Code]int{Unheard: 0, Unconnected: 1, Crowded: 1} {
+	for code, want := range map[Result]int{ConnectTimeout: 0, ConnectFailed: 1, ConnectionLimit: 1} {
 		f := newFake(1, 3)
 		lkp, _ := f.ask(0, key(f.b, 0), false, f.now+5000)
-		f.settle(lkp, 0, Answered)
+		f.settle(lkp, 0, Served)
 		f.pass(keepMost)
 		lkp, c := f.ask(0, key(f.b, 1), false, f.now+5000)
 		f.settle(lkp, 0, code)
 		if f.hungUp != want || (f.b.keep < keepMost) != (want > 0) || c.shots[0].mayHaveRun() {
 			t.Errorf("code %d: %d hung up, want %d; kept for %d", code, f.hungUp, want, f.b.keep)
 		}
-		if rests := f.b.servers[1].rest > 0; rests != (code != Crowded) {
+		if rests := f.b.servers[1].rest > 0; rests != (code != ConnectionLimit) {
 			t.Errorf("code %d: the server rests: %v", code, rests)
 		}
 	}
@@ -240,9 +240,9 @@
 		f := newFake(1, 2)
 		for n := range 60 * 400 / c.span {
 			lkp, _ := f.ask(0, fmt.Sprint(n), false, f.now+8000)
-			f.settle(lkp, 0, Missing)
+			f.settle(lkp, 0, NotFound)
 			f.now += 60 * Millisecond
-			f.settle(lkp, 1, Answered)
+			f.settle(lkp, 1, Served)
 			f.now += Time(c.span-60) * Millisecond
 		}
 		if f.left != c.want {
@@ -261,7 +261,7 @@
 		lkp, _ := f.ask(1, key(f.b, f.b.ready[0]), false, f.now+5000)
 		lkps = append(lkps, lkp)
 	}
-	f.settle(lkps[1], 0, Crowded)
+	f.settle(lkps[1], 0, ConnectionLimit)
 	if c := f.lkps[lkps[1]]; s.calm != 1 || s.rest != 0 || len(c.shots) != 2 || c.shots[1].server != 2 {
 		t.Errorf("room %g, rest %d, shots %v: want room for one, no rest and the origin asked", s.calm, s.rest, c.shots)
 	}
@@ -285,14 +285,14 @@
 	f := newFake(1, 4)
 	f.b.config.Nodes = 300
 	f.b = New(f, 1, f.now, f.b.config)
-	f.b.List(f.now, Whole, f.boxes)
+	f.b.UpdateEndpoints(f.now, Full, f.boxes)
 	f.b.ease = 0
 	for i := range 20 {
 		f.now += 8000 * Millisecond // 50 a second over 300 nodes: one in 6 s
 		if lkp, c := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(c.shots) != 1 {
 			t.Fatal("a lookup inside its partner's share was taken as beyond it")
 		} else {
-			f.settle(lkp, 0, Answered)
+			f.settle(lkp, 0, Served)
 		}
 	}
 }
@@ -320,31 +320,31 @@
 		caches, space int
 		out           []int // of our shots at each server
 		prepare       func(b *Balancer)
-		codes         []Code
+		codes         []Result
 		took          Time
 		want          []int
 	}{
 		{"a busy cache is passed over", 4, 0, []int{5, 0, 0, 0, originLeast / 2}, plain, nil, 0, []int{1}},
 		{"or the origin asked, where it has room", 4, 0, []int{5}, plain, nil, 0, []int{4}},
 		{"a jam ends the walk, lest it scatter the keys", 4, 0, []int{3, 3, 3, 3, originLeast / 2}, plain, nil, 0, nil},
-		{"a miss goes to the origin", 2, 0, nil, plain, []Code{Missing}, 10, []int{0, 2}},
-		{"a further shot has credit", 2, 0, taken, plain, []Code{Errored}, 10, []int{0, 1}},
-		{"a further shot has no credit", 2, 0, taken, noCredit, []Code{Errored}, 10, []int{0}},
+		{"a miss goes to the origin", 2, 0, nil, plain, []Result{NotFound}, 10, []int{0, 2}},
+		{"a further shot has credit", 2, 0, taken, plain, []Result{ServerError}, 10, []int{0, 1}},
+		{"a further shot has no credit", 2, 0, taken, noCredit, []Result{ServerError}, 10, []int{0}},
 		// roll at full size: full caches, the next ones as full and without the value, and an origin with time to spare.
-		{"a full cache, and the origin has room", 2, 0, nil, plain, []Code{Full}, 10, []int{0, 2}},
-		{"a full cache, and it has none", 2, 0, taken, plain, []Code{Full}, 10, []int{0, 1}},
+		{"a full cache, and the origin has room", 2, 0, nil, plain, []Result{Rejected}, 10, []int{0, 2}},
+		{"a full cache, and it has none", 2, 0, taken, plain, []Result{Rejected}, 10, []int{0, 1}},
 		// big-1 of the videos: caches that take no connection, the next ones neither, and an origin with time to spare.
-		{"no connection, and the origin has room", 2, 0, nil, plain, []Code{Unconnected}, 10, []int{0, 2}},
-		{"no connection, and it has none", 2, 0, taken, plain, []Code{Unconnected}, 10, []int{0, 1}},
-		{"the origin has no room", 1, 0, []int{0, originLeast / 2}, plain, []Code{Missing}, 10, []int{0}},
+		{"no connection, and the origin has room", 2, 0, nil, plain, []Result{ConnectFailed}, 10, []int{0, 2}},
+		{"no connection, and it has none", 2, 0, taken, plain, []Result{ConnectFailed}, 10, []int{0, 1}},
+		{"the origin has no room", 1, 0, []int{0, originLeast / 2}, plain, []Result{NotFound}, 10, []int{0}},
 		// Hundreds of nodes with a fetch now and then. Each needs room for chance
 		// while the origin is quick, and none of them a sure one once it is slow.
-		{"the origin's least room", 1, 0, []int{0, 2}, calm(3), []Code{Missing}, 10, []int{0, 1}},
-		{"less time than the origin takes", 1, 0, nil, late, []Code{Missing}, 10, []int{0}},
-		{"a slow origin", 1, 0, nil, calm(0), []Code{Missing}, 10, []int{0}},
-		{"tagged, inside its span", 2, 1, nil, plain, []Code{Errored}, 1000, []int{0, 2}},
-		{"tagged, too late", 2, 1, nil, plain, []Code{Errored}, 2500, []int{0}},
-		{"single-use, may have run", 2, 2, nil, plain, []Code{Errored}, 10, []int{0}},
+		{"the origin's least room", 1, 0, []int{0, 2}, calm(3), []Result{NotFound}, 10, []int{0, 1}},
+		{"less time than the origin takes", 1, 0, nil, late, []Result{NotFound}, 10, []int{0}},
+		{"a slow origin", 1, 0, nil, calm(0), []Result{NotFound}, 10, []int{0}},
+		{"tagged, inside its span", 2, 1, nil, plain, []Result{ServerError}, 1000, []int{0, 2}},
+		{"tagged, too late", 2, 1, nil, plain, []Result{ServerError}, 2500, []int{0}},
+		{"single-use, may have run", 2, 2, nil, plain, []Result{ServerError}, 10, []int{0}},
 	} {
 		f := newFake(1, c.caches)
 		k := key(f.b, 0)
@@ -374,10 +374,10 @@
 	f.b.servers[1].inFlight = 99 // no further shot goes to the origin
 	for _, c := range []struct {
 		after       Time
-		code        Code
+		code        Result
 		least, most float64
-	}{{Millisecond, Errored, 0, s.calm}, {150 * Millisecond, Answered, calmLeast, 1},
-		{10 * Millisecond, Answered, 2, calmMost}} {
+	}{{Millisecond, ServerError, 0, s.calm}, {150 * Millisecond, Served, calmLeast, 1},
+		{10 * Millisecond, Served, 2, calmMost}} {
 		for range 120 {
 			if lkp, cl := f.ask(0, "a", false, f.now+5000); len(cl.shots) > 0 {
 				f.now += c.after
@@ -397,7 +397,7 @@
 	f := newFake(1, 1)
 	for n := range 5 {
 		lkp, _ := f.ask(0, fmt.Sprint(n), false, f.now+5000)
-		f.settle(lkp, 0, Missing)
+		f.settle(lkp, 0, NotFound)
 		f.now += 150 * Millisecond
 		f.settle(lkp, 1, TimedOut)
 	}
@@ -414,7 +414,7 @@
 			f.b.ease = float64(ease)
 			if lkp, c := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(c.shots) > 0 {
 				taken++
-				f.settle(lkp, 0, Answered)
+				f.settle(lkp, 0, Served)
 			}
 		}
 		if taken != want {
@@ -437,7 +437,7 @@
 			f.b.ease, f.b.partners[1].asked = c.ease, c.others
 			if lkp, asked := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(asked.shots) > 0 {
 				taken++
-				f.settle(lkp, 0, Answered)
+				f.settle(lkp, 0, Served)
 			}
 		}
 		if taken < c.want-1 || taken > c.want+1 {
@@ -453,12 +453,12 @@
 		f := newFake(1, 2)
 		k := key(f.b, 0)
 		for _, s := range f.b.servers[:2] {
-			s.Since, s.budget, s.budgetAt = f.now-100*Millisecond, 3, f.now
+			s.StartedAt, s.budget, s.budgetAt = f.now-100*Millisecond, 3, f.now
 		}
 		f.b.perCache = 1000
 		f.b.servers[2].inFlight = 99
 		lkp, c := f.ask(0, k, false, f.now+9000)
-		f.settle(lkp, 0, Errored) // further shots cost credit
+		f.settle(lkp, 0, ServerError) // further shots cost credit
 		if len(c.shots) != 2 {
 			t.Fatalf("%d shots, want a further one", len(c.shots))
 		}
@@ -466,8 +466,8 @@
 		credit, budget, calm, took := s.credit, s.budget, s.calm, s.took
 		f.now += 150 * Millisecond // slow
 		if restarted {
-			f.boxes[c.shots[1].server].Since = f.now - Millisecond
-			f.b.List(f.now, Changes, f.boxes)
+			f.boxes[c.shots[1].server].StartedAt = f.now - Millisecond
+			f.b.UpdateEndpoints(f.now, Incremental, f.boxes)
 			s = f.b.servers[c.shots[1].server]
 			credit, budget = s.credit-1, s.budget-1
 		}
@@ -483,10 +483,10 @@
 // h1fdc83, ib55e28: lookups lost at a few silent boxes made all nodes turn away what they held for beyond a share.
 func TestASickServerIsNotALackOfRoom(t *testing.T) {
 	for _, c := range []struct {
-		code  Code
+		code  Result
 		after Time
 		least float64
-	}{{TimedOut, 200 * Millisecond, 0.8}, {Full, Millisecond, 0.4}} {
+	}{{TimedOut, 200 * Millisecond, 0.8}, {Rejected, Millisecond, 0.4}} {
 		f := newFake(1, 1)
 		for range 5 {
 			f.b.servers[0].rest, f.b.servers[0].calm, f.b.servers[1].inFlight = 0, calmMost, 99
@@ -506,7 +506,7 @@
 	k := key(f.b, 0)
 	f.b.servers[2].inFlight = 99
 	lkp, c := f.ask(0, k, false, f.now+5000)
-	if f.settle(lkp, 0, Broken); len(c.shots) != 2 || c.shots[1].server != 1 {
+	if f.settle(lkp, 0, ConnectionBroken); len(c.shots) != 2 || c.shots[1].server != 1 {
 		t.Fatal("the lookup must go on at the next range's cache")
 	}
 	for _, c := range []struct {
@@ -540,10 +540,10 @@
 		k := key(f.b, 0)
 		if c.rests {
 			lkp, _ := f.ask(0, k, false, f.now+5000)
-			f.settle(lkp, 0, Broken)
+			f.settle(lkp, 0, ConnectionBroken)
 		}
 		if c.next >= 0 {
-			f.b.Tried(f.now, 0, c.next == good, f.now+c.next)
+			f.b.ProbeResult(f.now, 0, c.next == good, f.now+c.next)
 		}
 		f.now += c.after
 		f.b.servers[1].inFlight = 0
@@ -569,9 +569,9 @@
 	f := newFake(1, 1)
 	for n := range 4 {
 		lkp, _ := f.ask(0, fmt.Sprint(n), false, f.now+5000)
-		f.settle(lkp, 0, Missing)
+		f.settle(lkp, 0, NotFound)
 		f.now += 10 * Millisecond
-		f.settle(lkp, 1, Answered)
+		f.settle(lkp, 1, Served)
 	}
 	if calm := f.b.servers[1].calm; calm < originOwn || calm > originOwn+0.5 {
 		t.Errorf("calm room %.1f after four quick answers, want %g or a little more", calm, originOwn)
@@ -585,12 +585,12 @@
 	o := f.b.servers[1]
 	o.answers, f.b.halved, o.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
 	lkp, c := f.ask(0, "k", false, f.now+50000)
-	if f.settle(lkp, 0, Missing); len(c.shots) != 1 || !c.ended {
+	if f.settle(lkp, 0, NotFound); len(c.shots) != 1 || !c.ended {
 		t.Errorf("shots %v, want the origin spared", c.shots)
 	}
 	o.inFlight = 11
 	lkp, c = f.ask(0, "k", false, f.now+50000)
-	if f.settle(lkp, 0, Missing); len(c.shots) != 2 {
+	if f.settle(lkp, 0, NotFound); len(c.shots) != 2 {
 		t.Errorf("shots %v, want one at the origin", c.shots)
 	}
 }
@@ -618,14 +618,14 @@
 func TestOneFetchAKey(t *testing.T) {
 	f := newFake(1, 1)
 	first, c1 := f.ask(0, "a", false, f.now+5000)
-	f.settle(first, 0, Missing)
+	f.settle(first, 0, NotFound)
 	_, c2 := f.ask(0, "a", false, f.now+5000)
 	_, c3 := f.ask(1, "a", false, f.now+100*Millisecond)
 	f.pass(101 * Millisecond)
 	if c1.shots[1].server != 1 || len(c2.shots)+len(c3.shots) != 0 || !c3.ended {
 		t.Fatal("want one shot at the origin, and who waits answered at its time limit")
 	}
-	if f.settle(first, 1, Answered); len(c2.shots) != 1 || c2.shots[0].server != 0 {
+	if f.settle(first, 1, Served); len(c2.shots) != 1 || c2.shots[0].server != 0 {
 		t.Fatal("the one that waited must go to the cache")
 	}
 }
@@ -635,7 +635,7 @@
 func TestNobodyWaitsForAFetchThatNoMissAskedFor(t *testing.T) {
 	f := newFake(1, 1)
 	lkp, c1 := f.ask(0, "a", false, f.now+5000)
-	f.settle(lkp, 0, Full)
+	f.settle(lkp, 0, Rejected)
 	_, c2 := f.ask(0, "a", false, f.now+5000)
 	if len(c1.shots) != 2 || c1.shots[1].server != 1 || len(c2.shots) != 1 || c2.shots[0].server != 0 {
 		t.Errorf("shots %v and %v, want one at the origin and one at the cache", c1.shots, c2.shots)
@@ -646,11 +646,11 @@
 func TestAWriteLeavesTheNoteOfAFetch(t *testing.T) {
 	f := newFake(1, 1)
 	fetch, _ := f.ask(0, "a", false, f.now+5000)
-	f.settle(fetch, 0, Missing)
+	f.settle(fetch, 0, NotFound)
 	_, waits := f.ask(0, "a", false, f.now+5000)
 	write, _ := f.ask(0, "a", true, f.now+5000)
-	f.settle(write, 0, Missing)
-	if f.settle(fetch, 1, Answered); len(waits.shots) != 1 {
+	f.settle(write, 0, NotFound)
+	if f.settle(fetch, 1, Served); len(waits.shots) != 1 {
 		t.Error("the lookup that waited was not let go")
 	}
 }
@@ -667,7 +667,7 @@
 	f.b.servers[1].inFlight = 99
 	lkp, c := f.ask(0, "a", false, f.now+5000)
 	f.now += 150 * Millisecond
-	if f.settle(lkp, 0, Full); c.deferred != 400*Millisecond {
+	if f.settle(lkp, 0, Rejected); c.deferred != 400*Millisecond {
 		t.Errorf("retry after %d, want the longest once the time is gone", c.deferred)
 	}
 }
@@ -678,11 +678,11 @@
 	f := newFake(1, 2)
 	s := f.b.servers[0]
 	s.strikes, s.rest, s.restEnd, s.credit = 2, suspectMost, f.now+suspectMost, 0
-	f.b.List(f.now, Changes, []Box{{Server: 0, ID: "10.0.0.00"}})
+	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.00"}})
 	if f.b.servers[0].rest == 0 {
 		t.Error("the same box lost its past")
 	}
-	f.b.List(f.now, Changes, []Box{{Server: 0, ID: "10.0.0.99"}})
+	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.99"}})
 	if s := f.b.servers[0]; s.rest != 0 || s.strikes != 0 || s.credit != creditMost {
 		t.Errorf("another box has %+v", s)
 	}
@@ -693,7 +693,7 @@
 	f := newFake(1, 3)
 	origin := f.b.servers[3]
 	f.lkps = append(f.lkps, &client{kind: IdempotentByKey, long: true})
-	f.b.Lookup(f.now, 0, Lookup{Namespace: 1, Partner: 1, Write: true, Long: true, Limit: f.now + 90000})
+	f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
 	f.lkps[0].limit = f.now + 90000
 	if len(f.lkps[0].shots) != 1 || origin.inFlight != 0 {
 		t.Fatalf("%d shots, %d in flight", len(f.lkps[0].shots), origin.inFlight)
@@ -705,7 +705,7 @@
 		t.Errorf("%d in flight", origin.inFlight)
 	}
 	f.now += 100
-	f.settle(0, 0, Answered)
+	f.settle(0, 0, Served)
 	if origin.inFlight != 0 || origin.took > took+100 || origin.calm < calm || f.b.ease < ease {
 		t.Errorf("%d in flight, took %v, calm %g to %g, ease %g to %g", origin.inFlight, origin.took, calm, origin.calm,
 			ease, f.b.ease)
@@ -721,25 +721,25 @@
 	}{{memorySpan / 4, 2}, {memorySpan/2 + 10, 1}, {memorySpan + 10, 1}} {
 		f := newFake(1, 3)
 		f.lkps = append(f.lkps, &client{kind: IdempotentByKey, long: true, limit: f.now + 90000})
-		f.b.Lookup(f.now, 0, Lookup{Namespace: 1, Partner: 1, Write: true, Long: true, Limit: f.now + 90000})
+		f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
 		f.now += c.body
 		f.sent(0, 0)
 		f.now += 10
 		cl := f.lkps[0]
-		f.settle(0, 0, Errored)
+		f.settle(0, 0, ServerError)
 		if len(f.faults) > 0 || len(cl.shots) != c.shots || cl.ended != (c.shots == 1) {
 			t.Errorf("a body of %d, and an error: %d shots, want %d; ended %v, faults %v", c.body, len(cl.shots), c.shots, cl.ended, f.faults)
 		}
 	}
 	f := newFake(1, 1)
 	begin := func() {
-		f.boxes[0].Since = f.now
-		f.b.List(f.now, Changes, f.boxes[:1])
+		f.boxes[0].StartedAt = f.now
+		f.b.UpdateEndpoints(f.now, Incremental, f.boxes[:1])
 	}
 	begin()
 	f.now += 1500 * Millisecond
 	f.lkps = append(f.lkps, &client{kind: Safe, long: true, limit: f.now + 90000})
-	f.b.Lookup(f.now, 0, Lookup{Partner: -1, Key: "k", Long: true, Limit: f.now + 90000})
+	f.b.Request(f.now, 0, Request{Tenant: -1, Key: "k", Streaming: true, Deadline: f.now + 90000})
 	if len(f.lkps[0].shots) != 1 || f.lkps[0].shots[0].server != 0 {
 		t.Fatalf("shots %v, want one at the cold cache", f.lkps[0].shots)
 	}
--- a/routing/mean_test.go
+++ b/routing/mean_test.go
@@ -46,7 +46,7 @@
 				if was := f.b.servers[x.Server]; was != nil && was.inFlight > 0 {
 					carried++
 				}
-				f.b.List(f.now, Changes, []Box{*x})
+				f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*x})
 			}
 			for _, s := range f.b.servers {
 				if s != nil && seed%2 == 0 { // room for more than two at each
@@ -163,9 +163,9 @@
 			q.b.servers = near
 			lkp := q.made + n
 			out := len(q.out)
-			q.b.Lookup(q.now, lkp, Lookup{Partner: -1, Key: key, Limit: q.now + 750*Millisecond})
+			q.b.Request(q.now, lkp, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
 			if q.b.servers = all; len(q.out) > out {
-				q.b.Settled(q.now, lkp, 0, Answered, true)
+				q.b.AttemptDone(q.now, lkp, 0, Served, true)
 				q.out = q.out[:out]
 			} else {
 				q.free = q.free[:len(q.free)-1]
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -19,13 +19,13 @@
 	})
 	s, target := b.servers[best], b.soonest // what may be patient must not keep waiting what may not
 	if l.Write {
-		target = b.spaces[l.Namespace].LatencyTarget
+		target = b.spaces[l.Class].LatencyTarget
 	}
 	room := max(originLeast/b.nodes, min(s.calm, originOwn), b.rate(s.answers)*originPart*seconds(target))
 	if l.Write {
 		room = writeRoom * max(1, room)
 	}
-	if part := b.parts[OriginRoom]; part == nil && s.inFlight >= int(room+b.draw()) || l.giveUp-b.now < s.took ||
+	if part := b.parts[OriginConcurrency]; part == nil && s.inFlight >= int(room+b.draw()) || l.giveUp-b.now < s.took ||
 		b.lacks(l, part) || b.lacks(l, b.parts[OriginRate]) { // nor a fetch that would come too late
 		return -1
 	}
@@ -33,12 +33,12 @@
 }
 
 // lacks says whether the fleet's budget for the lookup's next step has nothing left for us.
-func (b *Balancer) lacks(l *lookup, part *allowance.Allowance) bool {
-	if part.Left(int64(b.now)) >= 1 {
+func (b *Balancer) lacks(l *lookup, part *allowance.Limiter) bool {
+	if part.Available(int64(b.now)) >= 1 {
 		return false
 	}
 	if l.lacks != part {
-		part.Lacked()
+		part.Denied()
 		l.lacks = part
 	}
 	return true
--- a/routing/parts_test.go
+++ b/routing/parts_test.go
@@ -14,14 +14,14 @@
 func TestPartsBoundWhatIsDone(t *testing.T) {
 	run := func(seed int64) bool {
 		f := newFake(seed, 1+int(uint64(seed)%7))
-		of := []Bound{OriginRoom, CacheRoom, ListRate}[uint64(seed)%3]
+		of := []Limit{OriginConcurrency, CacheConcurrency, DiscoveryRate}[uint64(seed)%3]
 		rnd := rand.New(rand.NewSource(seed))
 		const rate, most = 4.0, 3.0
 		excess, last, seen := 0.0, f.now, 0
 		part := func() {
 			n := float64(rnd.Intn(int(most) + 1))
-			f.b.Part(f.now, of, 0, allowance.Part{Number: of == OriginRoom || of == CacheRoom, Rate: rate * n / most, Most: n,
-				Until: int64(f.now + Time(rnd.Intn(3000))*Millisecond), ThenRate: rate * min(1, n) / most, ThenMost: min(1, n)})
+			f.b.SetQuota(f.now, of, 0, allowance.Quota{Concurrency: of == OriginConcurrency || of == CacheConcurrency, Rate: rate * n / most, Burst: n,
+				Until: int64(f.now + Time(rnd.Intn(3000))*Millisecond), ThenRate: rate * min(1, n) / most, ThenBurst: min(1, n)})
 		}
 		part()
 		for n := 0; n < 800 && len(f.faults) == 0; n++ {
@@ -31,19 +31,19 @@
 			out := map[int]int{}
 			for _, c := range f.lkps {
 				for _, s := range c.shots { // what restarts holds no connection of before
-					if x := f.boxes[s.server]; !s.settled && (x.Kind == 1 || s.sent >= x.Since) {
+					if x := f.boxes[s.server]; !s.settled && (x.Model == 1 || s.sent >= x.StartedAt) {
 						out[s.server]++
 					}
 				}
 			}
 			switch of {
-			case OriginRoom, CacheRoom:
+			case OriginConcurrency, CacheConcurrency:
 				for server, n := range out {
-					if (f.boxes[server].Kind == 1) == (of == OriginRoom) && n > int(most) {
+					if (f.boxes[server].Model == 1) == (of == OriginConcurrency) && n > int(most) {
 						f.fault("%d at once at server %d", n, server)
 					}
 				}
-			case ListRate:
+			case DiscoveryRate:
 				excess = max(0, excess-rate*seconds(f.now-last)) + float64(f.asked-seen)
 				if last, seen = f.now, f.asked; excess > most+1e-6 {
 					f.fault("%.2f calls beyond the rate in a window", excess)
@@ -63,7 +63,7 @@
 func TestWithoutAPart(t *testing.T) {
 	f := newFake(3, 2)
 	f.pass(2000 * Millisecond)
-	f.b.Part(f.now, OriginRate, 0, allowance.Part{Rate: 100, Most: 2, Until: int64(f.now + 500*Millisecond), ThenRate: 1, ThenMost: 1})
+	f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{Rate: 100, Burst: 2, Until: int64(f.now + 500*Millisecond), ThenRate: 1, ThenBurst: 1})
 	write := func() (shot bool, after Time) {
 		_, c := f.ask(2, "k", true, f.now+700*Millisecond)
 		return len(c.shots) > 0, c.deferred
@@ -87,7 +87,7 @@
 	if second, _ = write(); !first || second {
 		t.Errorf("after its end one a second: shots %v %v", first, second)
 	}
-	if u := f.b.Part(f.now, OriginRate, 0, allowance.Part{}); u.Asked != 7 || u.Done != 3 {
-		t.Errorf("told of %v asked, %v done", u.Asked, u.Done)
+	if u := f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{}); u.Wanted != 7 || u.Done != 3 {
+		t.Errorf("told of %v asked, %v done", u.Wanted, u.Done)
 	}
 }
--- a/routing/rules.go
+++ b/routing/rules.go
@@ -6,7 +6,7 @@
 
 // mayDefer: a deferral promises that a retry is harmless.
 func (b *Balancer) mayDefer(l *lookup) bool {
-	ns := &b.spaces[l.Namespace]
+	ns := &b.spaces[l.Class]
 	_, ran := l.firstRun()
 	return !ran || ns.Idempotence == Safe || ns.Idempotence == IdempotentByKey && ns.SharedDedup
 }
@@ -16,7 +16,7 @@
 	if !l.live || b.now >= l.giveUp || len(l.shots) >= b.config.MaxAttempts {
 		return false
 	}
-	ns := &b.spaces[l.Namespace]
+	ns := &b.spaces[l.Class]
 	first, ran := l.firstRun()
 	// Half the memory span is kept for the way to the server: it counts from the send.
 	return !ran || ns.Idempotence == Safe || ns.Idempotence == IdempotentByKey && ns.SharedDedup && b.now-first < ns.DedupWindow/2
@@ -27,9 +27,9 @@
 	l := &b.lookups[lkp]
 	b.feel(l, false)
 	if b.mayDefer(l) {
-		b.host.Defer(lkp, b.retryAfter(l))
+		b.host.Reject(lkp, b.retryAfter(l))
 	} else {
-		b.host.Abandon(lkp)
+		b.host.Fail(lkp)
 	}
 	b.end(lkp)
 }
@@ -37,7 +37,7 @@
 // retryAfter asks a client back while an answer can still be in time, else to stay away for long.
 func (b *Balancer) retryAfter(l *lookup) Time {
 	most := b.config.MaxRetryAfter
-	target := float64(b.spaces[l.Namespace].LatencyTarget)
+	target := float64(b.spaces[l.Class].LatencyTarget)
 	if float64(b.now-l.arrived) < earlyPart*target {
 		return min(most, Time(returnPart*target*(1+b.draw())))
 	} else if l.lacks != nil {
--- a/routing/trying_test.go
+++ b/routing/trying_test.go
@@ -15,14 +15,14 @@
 		lasts        = 40000 * Millisecond
 	)
 	for _, caches := range []int{1, 2, 5, 20} {
-		for _, code := range []Code{Errored, Full, TimedOut, Unconnected, Broken, CalledOff, Unsent, Missing, Crowded, Unheard} {
+		for _, code := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionBroken, Canceled, NotSent, NotFound, ConnectionLimit, ConnectTimeout} {
 			for _, cold := range []bool{false, true} {
 				f := newFake(int64(caches)*100+int64(code), caches)
 				if cold {
 					for i := range f.boxes[:caches] {
-						f.boxes[i].Since = f.now
+						f.boxes[i].StartedAt = f.now
 					}
-					f.b.List(f.now, Changes, f.boxes)
+					f.b.UpdateEndpoints(f.now, Incremental, f.boxes)
 				}
 				since, rejected, longest := f.now, 0, Time(0)
 				for end := f.now + lasts; f.now < end; f.pass(every) {
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -49,10 +49,10 @@
 	creditEarned = 0.25 // credit for an answer: further shots stay near a quarter of all
 	creditMost   = 5.0  // most credit kept, and a server's first: no longer burst of further shots
 
-	AskSpread  = 300 * Millisecond  // those who start, or lose the list, at once spread their calls over this
-	AskMost    = 1800 * Millisecond // longest from one call to the next: two, and a slow list, fit into 5 s
-	askPart    = 3                  // a third of a pushed list's grace for that, the rest for the call and news
-	listHandle = 0                  // the list's alarm; a lookup's handle is its index and one
+	PollSpread      = 300 * Millisecond  // those who start, or lose the list, at once spread their calls over this
+	MaxPollWait     = 1800 * Millisecond // longest from one call to the next: two, and a slow list, fit into 5 s
+	pushedGracePart = 3                  // a third of a pushed list's grace for that, the rest for the call and news
+	listHandle      = 0                  // the list's alarm; a lookup's handle is its index and one
 
 	keepMost  = 30000 * Millisecond // span for which idle connections are kept at first: as good as no bound
 	keepLeast = 50 * Millisecond    // below this one is given back at once: no shot there comes so soon
--- a/routing/walk.go
+++ b/routing/walk.go
@@ -47,7 +47,7 @@
 		return true // it had its try
 	}
 	// After a suspect's rest one replayable lookup tries it out.
-	if s.rest > 0 && (b.now < s.restEnd || s.trial || b.spaces[l.Namespace].Idempotence != Safe) {
+	if s.rest > 0 && (b.now < s.restEnd || s.trial || b.spaces[l.Class].Idempotence != Safe) {
 		return true
 	}
 	if len(l.shots) > 0 && !l.missed && s.credit < 1 {
@@ -63,7 +63,7 @@
 // room bounds what is in flight at a cache: by rate times time, as measured, with its root for chance, and
 // by what keeps it calm.
 func (b *Balancer) room(l *lookup, s *server) float64 {
-	filled := b.rate(s.answers) * roomPart * seconds(b.spaces[l.Namespace].LatencyTarget)
+	filled := b.rate(s.answers) * roomPart * seconds(b.spaces[l.Class].LatencyTarget)
 	return min(s.calm, max(busyLeast, filled+math.Sqrt(filled)))
 }
 
@@ -82,15 +82,15 @@
 	}
 	if s.links.Spend(); s.origin {
 		b.parts[OriginRate].Spend()
-		b.parts[OriginRoom].Spend()
+		b.parts[OriginConcurrency].Spend()
 	} else if len(l.shots) > 0 && !l.missed {
 		s.credit--
 	}
-	if !l.Long {
+	if !l.Streaming {
 		b.count(s, 1) // a server begins with the last byte
 	}
 	l.shots = append(l.shots, shot{server: i, begun: b.now, sent: b.now, out: true})
-	b.host.Shoot(lkp, i, l.giveUp-b.now)
+	b.host.Send(lkp, i, l.giveUp-b.now)
 }
 
 // advance takes a lookup's next step: its cache, the origin, a wait for the key's fetch, or its end.
@@ -106,7 +106,7 @@
 	}
 	if q, out := b.fetches[l.key]; out && !l.Write && l.key != 0 {
 		l.waiting, b.fetches[l.key] = true, append(q, lkp) // until the other's fetch has ended
-		b.host.Wake(l.giveUp, lkp+1)
+		b.host.SetAlarm(l.giveUp, lkp+1)
 		return
 	}
 	to := -1
