--- a/cmd/thistlerudder/budget.go
+++ b/cmd/thistlerudder/budget.go
@@ -14,26 +14,35 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// budgets is what operators do with what the fleet may do together.
-func budgets(file *string) *cobra.Command {
+// budgetCommand is for operators of the cluster's budgets.
+func budgetCommand(file *string) *cobra.Command {
 	c := &cobra.Command{Use: "budget", Short: "See what the fleet may do together and how it is divided, and change it: docs/budgets.md"}
-	list := &cobra.Command{Use: "list", Short: "Say how each budget stands", Args: cobra.NoArgs,
+	c.AddCommand(budgetList(file), budgetShow(file), budgetSet(file))
+	return c
+}
+
+func budgetList(file *string) *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "Say how each budget stands", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return told(cmd, *file, false, func(s cluster.Status) error {
+			return withStatus(cmd, *file, false, func(s cluster.Status) error {
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "budget\tbounds\twhole\tgiven\tfree\treserve\tapart for each\twanted\tnodes\trevision")
 				for _, name := range slices.Sorted(maps.Keys(s.Budgets)) {
 					b := s.Budgets[name]
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", name, b.Resource, amount(b.BudgetConfig, b.Units), amount(b.BudgetConfig, b.Allocated()),
-						amount(b.BudgetConfig, max(0, b.Allocatable()-b.Allocated())), amount(b.BudgetConfig, b.Reserve), amount(b.BudgetConfig, b.ReservedPerNode), amount(b.BudgetConfig, b.Demand),
-						len(b.Quotas), b.Revision)
+					units := func(n int) string { return amount(b.BudgetConfig, n) }
+					free := max(0, b.Allocatable()-b.Allocated())
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", name, b.Resource, units(b.Units), units(b.Allocated()), units(free),
+						units(b.Reserve), units(b.ReservedPerNode), units(b.Demand), len(b.Quotas), b.Revision)
 				}
 				return w.Flush()
 			})
 		}}
-	show := &cobra.Command{Use: "show NAME", Short: "Say who has which part of one, and until when", Args: cobra.ExactArgs(1),
+}
+
+func budgetShow(file *string) *cobra.Command {
+	return &cobra.Command{Use: "show NAME", Short: "Say who has which part of one, and until when", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return told(cmd, *file, false, func(s cluster.Status) error {
+			return withStatus(cmd, *file, false, func(s cluster.Status) error {
 				b, known := s.Budgets[args[0]]
 				if !known {
 					return fmt.Errorf("no budget %q: expected one of %v", args[0], slices.Sorted(maps.Keys(s.Budgets)))
@@ -52,16 +61,19 @@
 				return w.Flush()
 			})
 		}}
-	set := &cobra.Command{Use: "set NAME WHOLE", Args: cobra.ExactArgs(2), Short: "Change how much the fleet may do together",
+}
+
+func budgetSet(file *string) *cobra.Command {
+	c := &cobra.Command{Use: "set NAME WHOLE", Args: cobra.ExactArgs(2), Short: "Change how much the fleet may do together",
 		Long: "Change how much the fleet may do together. What is divided changes at once; where the whole is lowered, nothing more is given\n" +
 			"until enough has come back: from nodes in touch within a fraction of a second, from others once their leases have ended.\n" +
 			"What is apart for nodes that are cut off stays as it was declared. A rate's burst changes with it."}
-	set.RunE = func(cmd *cobra.Command, args []string) error {
+	c.RunE = func(cmd *cobra.Command, args []string) error {
 		whole, err := strconv.ParseFloat(args[1], 64)
 		if err != nil || !(whole > 0) {
 			return fmt.Errorf("WHOLE: expected a number above 0, not %q", args[1])
 		}
-		client, f, err := asked(*file)
+		client, f, err := clusterClient(*file)
 		if err != nil {
 			return err
 		}
@@ -77,11 +89,10 @@
 		}
 		return nil
 	}
-	c.AddCommand(list, show, set)
 	return c
 }
 
-// amount tells so many units as operators count them.
+// amount formats units of a budget: a number, or a rate per second.
 func amount(t lease.BudgetConfig, units int) string {
 	if t.Kind == lease.ConcurrencyKind {
 		return strconv.Itoa(units)
--- a/cmd/thistlerudder/faulttest_off.go
+++ b/cmd/thistlerudder/faulttest_off.go
@@ -4,5 +4,5 @@
 
 import "github.com/spf13/cobra"
 
-// ofTheRig gives the rig's commands, which no release has.
-func ofTheRig() []*cobra.Command { return nil }
+// faultTests gives the rig's commands, which no release has.
+func faultTests() []*cobra.Command { return nil }
--- a/cmd/thistlerudder/faulttest_on.go
+++ b/cmd/thistlerudder/faulttest_on.go
@@ -23,8 +23,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
-// ofTheRig gives the rig's commands.
-func ofTheRig() []*cobra.Command {
+// faultTests gives the rig's commands.
+func faultTests() []*cobra.Command {
 	c := &cobra.Command{Use: "trial", Short: "Play processes under faults, and judge them"}
 	c.AddCommand(trialOf(&leaseTrial), trialOf(&budgetTrial), trialMeasure(), trialScale(), trialSoak(), hollowNodes(), directory())
 	return []*cobra.Command{c}
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -101,8 +101,8 @@
 		t.Errorf("%v: %s", err, said)
 	}
 	late := job(ctx, "job", "--wait", "300ms", "--", "true")
-	if _ = late.Run(); late.ProcessState.ExitCode() != exitNotHad {
-		t.Errorf("status %d while another has it, want %d", late.ProcessState.ExitCode(), exitNotHad)
+	if _ = late.Run(); late.ProcessState.ExitCode() != exitNotAcquired {
+		t.Errorf("status %d while another has it, want %d", late.ProcessState.ExitCode(), exitNotAcquired)
 	}
 	if said, err := run("lease", "release", "job", "--token", "1", "--config", path); err == nil {
 		t.Errorf("released with an old token: %s", said)
--- a/cmd/thistlerudder/lease_run.go
+++ b/cmd/thistlerudder/lease_run.go
@@ -18,9 +18,9 @@
 
 // Exit statuses of `lease run` beside the command's own. They lie where sysexits.h has "try again" and its neighbour.
 const (
-	exitNotHad = 75 // the lease was not had in time: nothing was run
-	exitLost   = 76 // the lease could not be kept: the command was ended
-	exitSignal = 128
+	exitNotAcquired = 75 // the lease was not had in time: nothing was run
+	exitLost        = 76 // the lease could not be kept: the command was ended
+	exitSignal      = 128
 )
 
 // exitStatus is an error that ends the program with a status of its own.
@@ -29,9 +29,9 @@
 func (e exitStatus) Error() string { return fmt.Sprintf("exit status %d", int(e)) }
 
 const (
-	termPart = 3  // with a third of a lease left, renewals have failed for a third: the command is asked to end,
-	killPart = 10 // and with a tenth left it is ended
-	looks    = 50 // times a lease is looked at in its length
+	terminateAtPart = 3  // SIGTERM with a third of the lease left: renewals have failed for a third
+	killAtPart      = 10 // SIGKILL with a tenth of it left
+	checksPerLease  = 50 // how often the lease is checked in its duration
 )
 
 func leaseRun(file *string) *cobra.Command {
@@ -50,7 +50,7 @@
 				cmd.PrintErrln("Error:", err)
 			}
 		}()
-		client, f, err := asked(*file)
+		client, f, err := clusterClient(*file)
 		if err != nil {
 			return err
 		}
@@ -63,9 +63,9 @@
 			late := time.AfterFunc(*wait, enough)
 			defer late.Stop()
 		}
-		result := error(exitStatus(exitNotHad))
-		client.Hold(waiting, args[0], func(_ context.Context, g *cluster.HeldLease) bool {
-			result = underLease(ctx, cmd, g, f.Lease, args[0], args[1:])
+		result := error(exitStatus(exitNotAcquired))
+		client.Hold(waiting, args[0], func(_ context.Context, held *cluster.HeldLease) bool {
+			result = runUnderLease(ctx, cmd, held, f.Lease, args[0], args[1:])
 			return false
 		})
 		return result
@@ -73,55 +73,59 @@
 	return c
 }
 
-// underLease runs the command, and ends it while the lease is still held for sure.
-func underLease(ctx context.Context, cmd *cobra.Command, g *cluster.HeldLease, length time.Duration, name string, args []string) error {
-	runtime.LockOSThread() // the child's end with ours hangs on the thread that starts it
+// runUnderLease runs the command, and ends it while the lease is still held for sure.
+func runUnderLease(ctx context.Context, cmd *cobra.Command, held *cluster.HeldLease, duration time.Duration, name string, args []string) error {
+	runtime.LockOSThread() // Pdeathsig is tied to the thread that starts the child
 	defer runtime.UnlockOSThread()
 	c := exec.Command(args[0], args[1:]...)
 	c.Stdin, c.Stdout, c.Stderr = cmd.InOrStdin(), cmd.OutOrStdout(), cmd.ErrOrStderr()
-	c.Env = append(os.Environ(), "THISTLERUDDER_LEASE="+name, fmt.Sprintf("THISTLERUDDER_TOKEN=%d", g.Token()))
+	c.Env = append(os.Environ(), "THISTLERUDDER_LEASE="+name, fmt.Sprintf("THISTLERUDDER_TOKEN=%d", held.Token()))
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if !g.May(length / termPart) {
-		return exitStatus(exitNotHad)
+	if !held.May(duration / terminateAtPart) {
+		return exitStatus(exitNotAcquired)
 	}
 	if err := c.Start(); err != nil {
 		return err
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- c.Wait() }()
-	tell := func(s syscall.Signal) { _ = syscall.Kill(-c.Process.Pid, s) }
-	look := time.NewTicker(max(time.Millisecond, length/looks))
-	defer look.Stop()
+	signalGroup := func(s syscall.Signal) { _ = syscall.Kill(-c.Process.Pid, s) }
+	check := time.NewTicker(max(time.Millisecond, duration/checksPerLease))
+	defer check.Stop()
 	stopped := ctx.Done()
 	lost := false
 	for {
 		select {
 		case err := <-ended:
-			tell(syscall.SIGKILL) // children that it left behind
-			exit := (*exec.ExitError)(nil)
-			switch {
-			case lost:
+			signalGroup(syscall.SIGKILL) // children that it left behind
+			if lost {
 				return exitStatus(exitLost)
-			case err == nil:
-				return nil
-			case errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled():
-				return exitStatus(exitSignal + int(exit.Sys().(syscall.WaitStatus).Signal()))
-			case errors.As(err, &exit):
-				return exitStatus(exit.ExitCode())
 			}
-			return err
+			return statusOf(err)
 		case <-stopped: // our own end is asked for: the command's too, and its lease is kept until then
 			stopped = nil
-			tell(syscall.SIGTERM)
-		case <-look.C:
+			signalGroup(syscall.SIGTERM)
+		case <-check.C:
 		}
 		switch {
-		case !g.May(length / killPart):
+		case !held.May(duration / killAtPart):
 			lost = true
-			tell(syscall.SIGKILL)
-		case !lost && !g.May(length/termPart):
+			signalGroup(syscall.SIGKILL)
+		case !lost && !held.May(duration/terminateAtPart):
 			lost = true
-			tell(syscall.SIGTERM)
+			signalGroup(syscall.SIGTERM)
 		}
 	}
 }
+
+// statusOf turns the end of a command into the exit status of this program.
+func statusOf(err error) error {
+	exit := (*exec.ExitError)(nil)
+	if !errors.As(err, &exit) {
+		return err
+	}
+	if status := exit.Sys().(syscall.WaitStatus); status.Signaled() {
+		return exitStatus(exitSignal + int(status.Signal()))
+	}
+	return exitStatus(exit.ExitCode())
+}
--- a/cmd/thistlerudder/root.go
+++ b/cmd/thistlerudder/root.go
@@ -15,7 +15,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
 )
 
-// where a node's file is named when no flag does.
+// fileVariable names the configuration file when no flag does.
 const fileVariable = "BALANCER_CONFIG"
 
 func root() *cobra.Command {
@@ -29,8 +29,8 @@
 		os.Getenv(fileVariable),
 		"the node's configuration file, JSON (default $"+fileVariable+")",
 	)
-	c.AddCommand(serve(file), check(file), emulate(), fleetCommand(file), leases(file), budgets(file), version())
-	c.AddCommand(ofTheRig()...)
+	c.AddCommand(serve(file), check(file), emulate(), fleetCommand(file), leaseCommand(file), budgetCommand(file), version())
+	c.AddCommand(faultTests()...)
 	return c
 }
 
@@ -45,7 +45,7 @@
 		// Before anything else, and never undone: without a handler the signal ends the program.
 		signals := make(chan os.Signal, 1)
 		signal.Notify(signals, syscall.SIGHUP)
-		station, err := config.Read(*file)
+		settings, err := config.Read(*file)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
@@ -58,7 +58,7 @@
 		defer zap.RedirectStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))()
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
 		defer stop()
-		return node.Run(ctx, station, signals, log)
+		return node.Run(ctx, settings, signals, log)
 	}
 	return c
 }
@@ -117,8 +117,8 @@
 	return "thistlerudder " + info.Main.Version + revision + " " + info.GoVersion
 }
 
-// logger writes JSON lines to standard error; lines of one kind are sampled, so that a trouble that hits
-// every lookup can't fill the log. At debug each line is written, since one request is followed there by its id.
+// logger writes JSON lines to standard error; lines of one kind are sampled, so that a fault that hits
+// every request can't fill the log. At debug each line is written, since one request is followed there by its id.
 func logger(level string) (*zap.Logger, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
