--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -145,7 +145,7 @@
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newQuiet(caches, nodes).warm(60_000)
 		for b.Loop() {
-			q.b.recut()
+			q.b.recomputeRanges()
 		}
 	})
 }
@@ -156,7 +156,7 @@
 		q := newQuiet(caches, nodes).warm(60_000)
 		for b.Loop() {
 			q.now += 1000 * Millisecond
-			q.b.clock(q.now)
+			q.b.advanceClock(q.now)
 		}
 	})
 }
@@ -173,15 +173,15 @@
 			state = heap() - before
 			got := make([]float64, caches)
 			for range 60_000 {
-				at := sort.SearchFloat64s(q.b.cuts, pointOf(xxhash.Sum64String(q.key())|1))
+				at := sort.SearchFloat64s(q.b.rangeEnds, keyPoint(xxhash.Sum64String(q.key())|1))
 				got[min(at, caches-1)]++
 			}
 			slices.Sort(got)
 			mean := 60_000 / float64(caches)
 			busiest, most, middle = got[caches-1]/mean, got[caches*99/100]/mean, got[caches/2]/mean
 			from := 0.0
-			for widest = 0; len(q.b.cuts) > 0; q.b.cuts = q.b.cuts[1:] {
-				widest, from = max(widest, (q.b.cuts[0]-from)*float64(caches)/bins), q.b.cuts[0]
+			for widest = 0; len(q.b.rangeEnds) > 0; q.b.rangeEnds = q.b.rangeEnds[1:] {
+				widest, from = max(widest, (q.b.rangeEnds[0]-from)*float64(caches)/binCount), q.b.rangeEnds[0]
 			}
 			none = float64(sort.SearchFloat64s(got, 0.5))
 			runtime.KeepAlive(q)
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -106,7 +106,7 @@
 			n := fleet[i]
 			key := fmt.Sprint(rnd.Int63())
 			if is := rnd.Float64() < hot; is || hot < 0 {
-				for (pointOf(xxhash.Sum64String(key)|1) < bins/coldCaches) != is {
+				for (keyPoint(xxhash.Sum64String(key)|1) < binCount/coldCaches) != is {
 					key = fmt.Sprint(rnd.Int63())
 				}
 			}
@@ -242,7 +242,7 @@
 		if s.falls > 0 {
 			t.Errorf("%s: the cold cache falls at %d starts of %d, the fullest window is %.2f of what it bears", c.name, s.falls, x.starts, s.most)
 		}
-		if s.shares[9] < coldMargin*x.overload/2 && x.budget == 0 || s.shares[9] == 0 {
+		if s.shares[9] < slowStartMargin*x.overload/2 && x.budget == 0 || s.shares[9] == 0 {
 			t.Errorf("%s: the cold cache must warm up, it has %.2f of a warm one's shots", c.name, s.shares)
 		}
 	}
@@ -256,7 +256,7 @@
 		for i := range 4000 {
 			f.now += 100 * Millisecond
 			s := f.b.servers[0]
-			s.StartedAt, f.b.perCache, f.b.halved = f.now-1000*Millisecond, perCache, f.now
+			s.StartedAt, f.b.warmCacheRate, f.b.decayedAt = f.now-1000*Millisecond, perCache, f.now
 			work := []float64{10, 100}[i%10/9]
 			f.lkps = append(f.lkps[:0], &client{kind: kinds[0], limit: f.now + 8000})
 			f.b.Request(f.now, 0, Request{Tenant: -1, Key: key(f.b, 0), Work: work, Deadline: f.now + 8000})
--- a/routing/config.go
+++ b/routing/config.go
@@ -74,7 +74,7 @@
 		OverloadFactor:  2.0,
 		OverloadWindow:  1000 * Millisecond,
 		MaxPollInterval: 2 * MaxPollWait,
-		PushedGrace:     pushedGracePart * MaxPollWait,
+		PushedGrace:     pushedGraceDivisor * MaxPollWait,
 	}
 }
 
--- a/routing/host.go
+++ b/routing/host.go
@@ -106,128 +106,128 @@
 	DiscoveryRate                  // calls for the box list a second
 	SlowStartRate                  // shots at each cold or returning cache a second
 	CacheConcurrency               // shots at each cache at a time: each wants a connection
-	bounds
+	limitCount
 )
 
 // ---- What the module keeps in mind ----
 
 // Balancer decides for one node. It is not safe for concurrent use.
 type Balancer struct {
-	host     Host
-	config   Config
-	seed     uint64
-	nodes    float64
-	least    float64 // our part of roomLeast
-	soonest  Time    // the shortest target time
-	drawn    uint64
-	now      Time
-	spaces   []namespace
-	partners []partner
-
-	servers []*server
-	ready   []int // ready caches in id order
-	origins []int
-	lookups []lookup
-	fetches map[uint64][]int           // key to the lookups that wait for its fetch
-	parts   [bounds]*allowance.Limiter // of the fleet's budgets; none where nothing was told of one
+	host                  Host
+	config                Config
+	seed                  uint64
+	nodeCount             float64
+	initialLimit          float64 // our part of roomLeast
+	shortestLatencyTarget Time    // the shortest target time
+	draws                 uint64
+	now                   Time
+	classes               []classState
+	tenants               []tenantState
+
+	servers      []*serverState
+	ready        []int // ready caches in id order
+	origins      []int
+	requests     []requestState
+	fetchWaiters map[uint64][]int               // key to the lookups that wait for its fetch
+	quotas       [limitCount]*allowance.Limiter // of the fleet's budgets; none where nothing was told of one
 
 	inFlight int // shots in flight at all ready caches together
 
-	weight        []float64 // the bins, to be multiplied by fade
-	fade          float64
-	alpha         float64
-	seen, lately  float64   // lookups that the bins remember, and the latest,
-	late          []float64 // by group of bins; halved at times
-	cuts          []float64 // upper ends of the ranges, in bins
-	klDue, cutDue Time
-	halved        Time
-	perCache      float64 // our answers a second from a warm cache
-	ease          float64 // how readily we take lookups beyond a partner's share: 1 where all goes well
-	keep          Time    // how long an idle connection is kept
-	subscribed    bool
-	askWait       Time // the longest wait from one call for the list to the next, while not subscribed;
-	askDue        Time // and when that next one is due
+	binWeights                         []float64 // the bins, to be multiplied by fade
+	weightScale                        float64
+	alpha                              float64
+	rememberedRequests, recentRequests float64   // lookups that the bins remember, and the latest,
+	recentByGroup                      []float64 // by group of bins; halved at times
+	rangeEnds                          []float64 // upper ends of the ranges, in bins
+	adaptDue, rangesDue                Time
+	decayedAt                          Time
+	warmCacheRate                      float64 // our answers a second from a warm cache
+	admissionLevel                     float64 // how readily we take lookups beyond a partner's share: 1 where all goes well
+	idleTimeout                        Time    // how long an idle connection is kept
+	subscribed                         bool
+	maxPollWait                        Time // the longest wait from one call for the list to the next, while not subscribed;
+	pollDue                            Time // and when that next one is due
 }
 
-type namespace struct {
+type classState struct {
 	Class
-	work, asked float64 // work hinted so far, and by how many
+	hintedWork, hintedRequests float64 // work hinted so far, and by how many
 }
 
-type partner struct {
-	rate       float64            // lookups a second within our even part of its share
-	room, most float64            // what is left of that, and of what we carry of its share
-	part       *allowance.Limiter // of the fleet's budget for it
-	asked      float64            // halved now and then
-	at         Time
+type tenantState struct {
+	evenRate                  float64            // lookups a second within our even part of its share
+	evenTokens, carriedTokens float64            // what is left of that, and of what we carry of its share
+	quota                     *allowance.Limiter // of the fleet's budget for it
+	requests                  float64            // halved now and then
+	refilledAt                Time
 }
 
-type server struct {
+type serverState struct {
 	Endpoint
-	origin        bool
-	inFlight      int
-	answers       float64 // to us, halved now and then
-	firsts        float64 // those to first shots
-	strikes       int
-	took          Time // mean time of the latest shots
-	rest, restEnd Time // how long a suspect rests, and until when; rest 0: not suspect
-	trial         bool // a suspect's one trial is out
-	credit        float64
-	calm          float64 // shots in flight with which its answers are quick
-	budget        float64 // shots left of a cold cache's budget
-	budgetAt      Time
-	quietAt       Time               // when the latest shot settled
-	held          bool               // a connection may be kept since
-	cold, links   *allowance.Limiter // parts of the fleet's budgets for it
+	isOrigin                         bool
+	inFlight                         int
+	answers                          float64 // to us, halved now and then
+	firstAttemptAnswers              float64 // those to first shots
+	consecutiveFailures              int
+	meanLatency                      Time // mean time of the latest shots
+	ejectionTime, ejectedUntil       Time // how long a suspect rests, and until when; rest 0: not suspect
+	probing                          bool // a suspect's one trial is out
+	retryBudget                      float64
+	concurrencyLimit                 float64 // shots in flight with which its answers are quick
+	slowStartTokens                  float64 // shots left of a cold cache's budget
+	slowStartRefilledAt              Time
+	lastDoneAt                       Time               // when the latest shot settled
+	hasIdleConnection                bool               // a connection may be kept since
+	slowStartQuota, concurrencyQuota *allowance.Limiter // parts of the fleet's budgets for it
 }
 
-type shot struct {
-	server int
-	begun  Time // when it was ordered: its first byte may have left since
-	sent   Time // when its last byte had, as far as we are told
-	out    bool
-	notRun bool
+type attempt struct {
+	server    int
+	startedAt Time // when it was ordered: its first byte may have left since
+	sentAt    Time // when its last byte had, as far as we are told
+	inFlight  bool
+	neverRan  bool
 }
 
-type lookup struct {
+type requestState struct {
 	Request
-	live     bool
-	point    float64
-	key      uint64 // 0: none was named
-	arrived  Time
-	giveUp   Time // when an answer is worth nothing any more; the time limit at the latest
-	over     bool // beyond its partner's share
-	missed   bool
-	fetching bool               // its fetch stands for all lookups of its key
-	waiting  bool               // for another's fetch
-	lacks    *allowance.Limiter // what kept it from its next step
-	work     float64
-	shots    []shot
+	active      bool
+	point       float64
+	keyHash     uint64 // 0: none was named
+	arrivedAt   Time
+	giveUpAt    Time // when an answer is worth nothing any more; the time limit at the latest
+	overQuota   bool // beyond its partner's share
+	missed      bool
+	isFetch     bool               // its fetch stands for all lookups of its key
+	awaitsFetch bool               // for another's fetch
+	deniedBy    *allowance.Limiter // what kept it from its next step
+	work        float64
+	attempts    []attempt
 }
 
-// firstRun tells when the first shot that may have run was ordered, if there is one: its server may know it since.
-func (l *lookup) firstRun() (Time, bool) {
-	for _, s := range l.shots {
-		if !s.notRun {
-			return s.begun, true
+// firstPossibleRun tells when the first shot that may have run was ordered, if there is one: its server may know it since.
+func (l *requestState) firstPossibleRun() (Time, bool) {
+	for _, s := range l.attempts {
+		if !s.neverRan {
+			return s.startedAt, true
 		}
 	}
 	return 0, false
 }
 
-// count books shots that begin or end at a server.
-func (b *Balancer) count(s *server, n int) {
-	if s.inFlight += n; s.State == Ready && !s.origin {
+// addInFlight books shots that begin or end at a server.
+func (b *Balancer) addInFlight(s *serverState, n int) {
+	if s.inFlight += n; s.State == Ready && !s.isOrigin {
 		b.inFlight += n
 	}
 }
 
-// mean is our mean in flight at ready caches, without a look at each. Only where a cache may be at a tie with a multiple of
+// meanInFlight is our mean in flight at ready caches, without a look at each. Only where a cache may be at a tie with a multiple of
 // it, as 2 at one with 5 at all ten, are they added up one by one: there the rounding of that sum decides, and a few nodes'
 // lookups meet ties all the time.
-func (b *Balancer) mean() (mean float64) {
+func (b *Balancer) meanInFlight() (mean float64) {
 	sum, n := float64(b.inFlight), float64(len(b.ready))
-	if sum == 0 || math.Mod(jamFactor*sum, n) != 0 && math.Mod(busyFactor*sum, n) != 0 {
+	if sum == 0 || math.Mod(congestionFactor*sum, n) != 0 && math.Mod(busyFactor*sum, n) != 0 {
 		return sum / n
 	}
 	for _, i := range b.ready {
@@ -238,30 +238,30 @@
 
 func seconds(t Time) float64 { return float64(t) / float64(1000*Millisecond) }
 
-// read takes over what the settings say of classes and tenants.
-func (b *Balancer) read() {
+// initClassesAndTenants takes over what the settings say of classes and tenants.
+func (b *Balancer) initClassesAndTenants() {
 	for _, class := range b.config.Classes {
-		b.spaces = append(b.spaces, namespace{Class: class})
-		if b.soonest == 0 || class.LatencyTarget < b.soonest {
-			b.soonest = class.LatencyTarget
+		b.classes = append(b.classes, classState{Class: class})
+		if b.shortestLatencyTarget == 0 || class.LatencyTarget < b.shortestLatencyTarget {
+			b.shortestLatencyTarget = class.LatencyTarget
 		}
 	}
 	for _, tenant := range b.config.Tenants {
-		rate := tenant.Quota / b.nodes
-		b.partners = append(b.partners, partner{rate: rate, room: rate + shareLeast, most: rate + shareLeast, at: b.now})
+		rate := tenant.Quota / b.nodeCount
+		b.tenants = append(b.tenants, tenantState{evenRate: rate, evenTokens: rate + minTenantBurst, carriedTokens: rate + minTenantBurst, refilledAt: b.now})
 	}
 }
 
 // draw gives the next number in [0, 1) of this node's own chance.
 func (b *Balancer) draw() float64 {
-	b.drawn++
+	b.draws++
 	h := fnv.New64a()
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], b.seed)
-	binary.LittleEndian.PutUint64(buf[8:], b.drawn)
+	binary.LittleEndian.PutUint64(buf[8:], b.draws)
 	h.Write(buf[:])
 	return float64(h.Sum64()%(1<<20)) / (1 << 20)
 }
 
-// pointOf maps a key's hash to its point on the line.
-func pointOf(key uint64) float64 { return float64(key>>11) / (1 << 53) * bins }
+// keyPoint maps a key's hash to its point on the line.
+func keyPoint(key uint64) float64 { return float64(key>>11) / (1 << 53) * binCount }
--- a/routing/list_order_test.go
+++ b/routing/list_order_test.go
@@ -40,7 +40,7 @@
 			for i, s := range b.servers {
 				switch {
 				case s == nil || s.State != Ready:
-				case s.origin:
+				case s.isOrigin:
 					origins = append(origins, i)
 				default:
 					ready, inFlight = append(ready, i), inFlight+s.inFlight
--- a/routing/list_test.go
+++ b/routing/list_test.go
@@ -32,11 +32,11 @@
 // until plays alarms; tell gives what the service does at each step.
 func (a *asker) until(end Time, tell func()) {
 	for ; a.now < end; a.now += step {
-		due := a.wakes[listHandle]
-		a.wakes[listHandle] = slices.DeleteFunc(slices.Clone(due), func(at Time) bool { return at <= a.now })
+		due := a.wakes[pollAlarmHandle]
+		a.wakes[pollAlarmHandle] = slices.DeleteFunc(slices.Clone(due), func(at Time) bool { return at <= a.now })
 		for _, at := range due {
 			if at <= a.now {
-				a.b.Alarm(a.now, listHandle)
+				a.b.Alarm(a.now, pollAlarmHandle)
 			}
 		}
 		tell()
@@ -87,7 +87,7 @@
 			case !had && r < 40:
 				a.b.UpdateEndpoints(a.now, Failed, nil) // one of those that are out
 			case r < 50:
-				a.b.Alarm(a.now, listHandle) // a stale one
+				a.b.Alarm(a.now, pollAlarmHandle) // a stale one
 			}
 		})
 		if len(a.faults) > 0 {
--- a/routing/logic_test.go
+++ b/routing/logic_test.go
@@ -17,7 +17,7 @@
 	run := func(seed int64) bool {
 		f := newFake(seed, 1+int(uint64(seed)%7))
 		if seed%3 == 0 {
-			f.b.nodes, f.b.least = 1000, 1
+			f.b.nodeCount, f.b.initialLimit = 1000, 1
 		}
 		for n := 0; n < 800 && len(f.faults) == 0; n++ {
 			f.step()
@@ -50,7 +50,7 @@
 	var fleet [nodes]*fake
 	for i := range fleet {
 		fleet[i] = newFake(int64(i), 4)
-		fleet[i].b.nodes, fleet[i].b.least = nodes, 1
+		fleet[i].b.nodeCount, fleet[i].b.initialLimit = nodes, 1
 	}
 	rnd, sent, fetches := rand.New(rand.NewSource(1)), [5][steps + 1]float64{}, 0 // shots at each by then
 	for step := range steps {
@@ -81,7 +81,7 @@
 			t.Errorf("step %d: %g shots in a window at the cold cache, at most %g", at, got, most)
 		}
 	}
-	if sent[0][steps] == sent[0][steps-window] || fetches > originOwn*nodes {
+	if sent[0][steps] == sent[0][steps-window] || fetches > maxUnmeasuredFetches*nodes {
 		t.Errorf("the cold cache must warm up, and %d fetches are out at a stopped origin", fetches)
 	}
 }
@@ -89,18 +89,18 @@
 // The lazy fade gives what the plain definition gives.
 func TestFade(t *testing.T) {
 	b := newFake(1, 5).b
-	plain := slices.Repeat([]float64{1.0 / bins}, bins)
+	plain := slices.Repeat([]float64{1.0 / binCount}, binCount)
 	rnd := rand.New(rand.NewSource(1))
 	for range 4000 {
-		at := rnd.Intn(1 + rnd.Intn(bins))
-		b.learn(float64(at) + 0.5)
+		at := rnd.Intn(1 + rnd.Intn(binCount))
+		b.learnPoint(float64(at) + 0.5)
 		for i := range plain {
 			plain[i] *= 1 - b.alpha
 		}
 		plain[at] += b.alpha
 	}
 	for i, want := range plain {
-		if got := b.weight[i] * b.fade; math.Abs(got-want) > 1e-9 {
+		if got := b.binWeights[i] * b.weightScale; math.Abs(got-want) > 1e-9 {
 			t.Fatalf("bin %d: %g, want %g", i, got, want)
 		}
 	}
@@ -115,28 +115,28 @@
 		ask := func(spans, from int) {
 			for range spans {
 				for range each {
-					at := from + rnd.Intn(1+rnd.Intn(bins/2))
+					at := from + rnd.Intn(1+rnd.Intn(binCount/2))
 					if rnd.Intn(8) == 0 {
 						at = from + 77
 					}
-					b.learn(float64(at) + 0.5)
+					b.learnPoint(float64(at) + 0.5)
 				}
-				b.adapt()
+				b.adaptToDemand()
 			}
 		}
 		if ask(100, 0); b.alpha > 1.2/float64(100*each) {
 			t.Errorf("%d a span: alpha %g in steady demand, want about %g", each, b.alpha, 1/float64(100*each))
 		}
 		before := b.alpha
-		if ask(4, bins/2); b.alpha < 20*before {
+		if ask(4, binCount/2); b.alpha < 20*before {
 			t.Errorf("%d a span: alpha %g after a shift, %g before", each, b.alpha, before)
 		}
-		b.seen = 1
-		if b.learn(1); b.alpha != 1.0/100 {
+		b.rememberedRequests = 1
+		if b.learnPoint(1); b.alpha != 1.0/100 {
 			t.Errorf("alpha %g, want its bound", b.alpha)
 		}
-		b.seen = 1e9
-		if b.learn(1); b.alpha != alphaFloor {
+		b.rememberedRequests = 1e9
+		if b.learnPoint(1); b.alpha != minAlpha {
 			t.Errorf("alpha %g, want its floor", b.alpha)
 		}
 	}
@@ -154,15 +154,15 @@
 	} {
 		b := newFake(1, len(c.want)).b
 		if c.weight != nil {
-			b.weight = make([]float64, bins)
+			b.binWeights = make([]float64, binCount)
 		}
 		for i, w := range c.weight {
-			b.weight[i] = w
+			b.binWeights[i] = w
 		}
-		b.recut()
+		b.recomputeRanges()
 		for i, want := range c.want {
-			if math.Abs(b.cuts[i]-want) > 1e-6 {
-				t.Errorf("cuts %v, want %v", b.cuts, c.want)
+			if math.Abs(b.rangeEnds[i]-want) > 1e-6 {
+				t.Errorf("cuts %v, want %v", b.rangeEnds, c.want)
 				break
 			}
 		}
@@ -174,7 +174,7 @@
 func TestConnectionsAreGivenBackWhereTheyAreScarce(t *testing.T) {
 	f := newFake(1, 4)
 	use := func(server int, code Result) {
-		f.b.servers[server].rest, f.b.servers[server].calm = 0, calmMost
+		f.b.servers[server].ejectionTime, f.b.servers[server].concurrencyLimit = 0, maxConcurrencyLimit
 		lkp, c := f.ask(1, key(f.b, server), false, f.now+5000)
 		if f.settle(lkp, 0, code); !c.ended {
 			f.settle(lkp, 1, Served)
@@ -189,7 +189,7 @@
 	}
 	use(0, Served)
 	use(1, Served)
-	f.pass(2 * keepMost)
+	f.pass(2 * maxIdleTimeout)
 	gave("none is scarce", 0)
 	use(0, Served)
 	use(2, ConnectFailed)
@@ -197,17 +197,17 @@
 	use(2, ConnectFailed)
 	gave("none has idled since", 0)
 	use(1, Served)
-	for f.b.keep >= 2*keepLeast {
+	for f.b.idleTimeout >= 2*minIdleTimeout {
 		use(2, ConnectFailed)
 	}
-	f.pass(f.b.keep)
+	f.pass(f.b.idleTimeout)
 	f.hungUp = 0
 	use(2, ConnectFailed)
 	gave("all that idled", 3) // the origin's as well
-	f.b.keep = keepLeast - 2*keepWon
+	f.b.idleTimeout = minIdleTimeout - 2*idleTimeoutIncrease
 	use(0, Served)
 	gave("at once", 1)
-	for range int(keepLeast / keepWon) {
+	for range int(minIdleTimeout / idleTimeoutIncrease) {
 		use(1, Served)
 	}
 	f.hungUp = 0
@@ -221,13 +221,13 @@
 		f := newFake(1, 3)
 		lkp, _ := f.ask(0, key(f.b, 0), false, f.now+5000)
 		f.settle(lkp, 0, Served)
-		f.pass(keepMost)
+		f.pass(maxIdleTimeout)
 		lkp, c := f.ask(0, key(f.b, 1), false, f.now+5000)
 		f.settle(lkp, 0, code)
-		if f.hungUp != want || (f.b.keep < keepMost) != (want > 0) || c.shots[0].mayHaveRun() {
-			t.Errorf("code %d: %d hung up, want %d; kept for %d", code, f.hungUp, want, f.b.keep)
+		if f.hungUp != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || c.shots[0].mayHaveRun() {
+			t.Errorf("code %d: %d hung up, want %d; kept for %d", code, f.hungUp, want, f.b.idleTimeout)
 		}
-		if rests := f.b.servers[1].rest > 0; rests != (code != ConnectionLimit) {
+		if rests := f.b.servers[1].ejectionTime > 0; rests != (code != ConnectionLimit) {
 			t.Errorf("code %d: the server rests: %v", code, rests)
 		}
 	}
@@ -255,15 +255,15 @@
 func TestACrowdedServerHasRoomForItsConnections(t *testing.T) {
 	f := newFake(1, 2)
 	s := f.b.servers[f.b.ready[0]]
-	s.calm = 8
+	s.concurrencyLimit = 8
 	var lkps []int
 	for range 2 {
 		lkp, _ := f.ask(1, key(f.b, f.b.ready[0]), false, f.now+5000)
 		lkps = append(lkps, lkp)
 	}
 	f.settle(lkps[1], 0, ConnectionLimit)
-	if c := f.lkps[lkps[1]]; s.calm != 1 || s.rest != 0 || len(c.shots) != 2 || c.shots[1].server != 2 {
-		t.Errorf("room %g, rest %d, shots %v: want room for one, no rest and the origin asked", s.calm, s.rest, c.shots)
+	if c := f.lkps[lkps[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(c.shots) != 2 || c.shots[1].server != 2 {
+		t.Errorf("room %g, rest %d, shots %v: want room for one, no rest and the origin asked", s.concurrencyLimit, s.ejectionTime, c.shots)
 	}
 }
 
@@ -272,7 +272,7 @@
 func TestTwoShotsMayBeOutAtACalmCache(t *testing.T) {
 	for calm, want := range map[float64]int{2: 0, 1: 2} {
 		f := newFake(1, 2)
-		f.b.least, f.b.servers[0].calm = 1, calm
+		f.b.initialLimit, f.b.servers[0].concurrencyLimit = 1, calm
 		f.ask(0, key(f.b, 0), false, f.now+5000)
 		if _, c := f.ask(0, key(f.b, 0), false, f.now+5000); len(c.shots) != 1 || c.shots[0].server != want {
 			t.Errorf("a calm room of %g: shots %v, want one at %d", calm, c.shots, want)
@@ -286,7 +286,7 @@
 	f.b.config.Nodes = 300
 	f.b = New(f, 1, f.now, f.b.config)
 	f.b.UpdateEndpoints(f.now, Full, f.boxes)
-	f.b.ease = 0
+	f.b.admissionLevel = 0
 	for i := range 20 {
 		f.now += 8000 * Millisecond // 50 a second over 300 nodes: one in 6 s
 		if lkp, c := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(c.shots) != 1 {
@@ -301,7 +301,7 @@
 func key(b *Balancer, server int) string {
 	for i := 0; ; i++ {
 		k := fmt.Sprint("key", i)
-		if b.ready[b.ownRange(pointOf(xxhash.Sum64String(k)|1))] == server {
+		if b.ready[b.rangeOf(keyPoint(xxhash.Sum64String(k)|1))] == server {
 			return k
 		}
 	}
@@ -309,12 +309,12 @@
 
 // Where a lookup's shots go when they end so. Server 0 owns its key; the origin comes after the caches.
 func TestWhereShotsGo(t *testing.T) {
-	plain, late := func(*Balancer) {}, func(b *Balancer) { b.servers[1].took = 200 * Millisecond }
+	plain, late := func(*Balancer) {}, func(b *Balancer) { b.servers[1].meanLatency = 200 * Millisecond }
 	calm := func(calm float64) func(b *Balancer) { // of the origin, as one of many nodes sees it
-		return func(b *Balancer) { b.nodes, b.servers[1].calm = 600, calm }
+		return func(b *Balancer) { b.nodeCount, b.servers[1].concurrencyLimit = 600, calm }
 	}
-	taken := []int{0, 0, originLeast / 2}                       // all the room that the origin has
-	noCredit := func(b *Balancer) { b.servers[1].credit = 0.5 } // lest a jam feed itself
+	taken := []int{0, 0, minFleetFetches / 2}                        // all the room that the origin has
+	noCredit := func(b *Balancer) { b.servers[1].retryBudget = 0.5 } // lest a jam feed itself
 	for _, c := range []struct {
 		name          string
 		caches, space int
@@ -324,9 +324,9 @@
 		took          Time
 		want          []int
 	}{
-		{"a busy cache is passed over", 4, 0, []int{5, 0, 0, 0, originLeast / 2}, plain, nil, 0, []int{1}},
+		{"a busy cache is passed over", 4, 0, []int{5, 0, 0, 0, minFleetFetches / 2}, plain, nil, 0, []int{1}},
 		{"or the origin asked, where it has room", 4, 0, []int{5}, plain, nil, 0, []int{4}},
-		{"a jam ends the walk, lest it scatter the keys", 4, 0, []int{3, 3, 3, 3, originLeast / 2}, plain, nil, 0, nil},
+		{"a jam ends the walk, lest it scatter the keys", 4, 0, []int{3, 3, 3, 3, minFleetFetches / 2}, plain, nil, 0, nil},
 		{"a miss goes to the origin", 2, 0, nil, plain, []Result{NotFound}, 10, []int{0, 2}},
 		{"a further shot has credit", 2, 0, taken, plain, []Result{ServerError}, 10, []int{0, 1}},
 		{"a further shot has no credit", 2, 0, taken, noCredit, []Result{ServerError}, 10, []int{0}},
@@ -336,7 +336,7 @@
 		// big-1 of the videos: caches that take no connection, the next ones neither, and an origin with time to spare.
 		{"no connection, and the origin has room", 2, 0, nil, plain, []Result{ConnectFailed}, 10, []int{0, 2}},
 		{"no connection, and it has none", 2, 0, taken, plain, []Result{ConnectFailed}, 10, []int{0, 1}},
-		{"the origin has no room", 1, 0, []int{0, originLeast / 2}, plain, []Result{NotFound}, 10, []int{0}},
+		{"the origin has no room", 1, 0, []int{0, minFleetFetches / 2}, plain, []Result{NotFound}, 10, []int{0}},
 		// Hundreds of nodes with a fetch now and then. Each needs room for chance
 		// while the origin is quick, and none of them a sure one once it is slow.
 		{"the origin's least room", 1, 0, []int{0, 2}, calm(3), []Result{NotFound}, 10, []int{0, 1}},
@@ -376,8 +376,8 @@
 		after       Time
 		code        Result
 		least, most float64
-	}{{Millisecond, ServerError, 0, s.calm}, {150 * Millisecond, Served, calmLeast, 1},
-		{10 * Millisecond, Served, 2, calmMost}} {
+	}{{Millisecond, ServerError, 0, s.concurrencyLimit}, {150 * Millisecond, Served, minConcurrencyLimit, 1},
+		{10 * Millisecond, Served, 2, maxConcurrencyLimit}} {
 		for range 120 {
 			if lkp, cl := f.ask(0, "a", false, f.now+5000); len(cl.shots) > 0 {
 				f.now += c.after
@@ -385,10 +385,10 @@
 			}
 			f.now += 20 * Millisecond
 		}
-		if s.calm < c.least || s.calm > c.most {
-			t.Errorf("room %g after code %d in %d, want %g to %g", s.calm, c.code, c.after, c.least, c.most)
+		if s.concurrencyLimit < c.least || s.concurrencyLimit > c.most {
+			t.Errorf("room %g after code %d in %d, want %g to %g", s.concurrencyLimit, c.code, c.after, c.least, c.most)
 		}
-		s.rest, s.credit = 0, creditMost
+		s.ejectionTime, s.retryBudget = 0, maxRetryBudget
 	}
 }
 
@@ -401,17 +401,17 @@
 		f.now += 150 * Millisecond
 		f.settle(lkp, 1, TimedOut)
 	}
-	if calm := f.b.servers[1].calm; calm != calmLeast {
+	if calm := f.b.servers[1].concurrencyLimit; calm != minConcurrencyLimit {
 		t.Errorf("calm room %g after five time-outs, want the least", calm)
 	}
 }
 
 // tenant_burst: a partner beyond its share yields where lookups inside theirs fail, and only there.
 func TestPartnerBeyondItsShareYields(t *testing.T) {
-	for ease, want := range []int{25 + shareLeast, 40} { // 50 a second over two nodes
+	for ease, want := range []int{25 + minTenantBurst, 40} { // 50 a second over two nodes
 		f, taken := newFake(1, 4), 0
 		for i := range 40 {
-			f.b.ease = float64(ease)
+			f.b.admissionLevel = float64(ease)
 			if lkp, c := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(c.shots) > 0 {
 				taken++
 				f.settle(lkp, 0, Served)
@@ -431,10 +431,10 @@
 		want         int
 	}{{0, 1, 60}, {0, 0.7, 30}, {100, 0.7, 60}, {100, 0, 30}} { // in 1.2 s, where the even part is 25 a second
 		f, taken := newFake(1, 4), 0
-		f.b.partners[1].rate, f.b.partners[0].room, f.b.partners[0].most = 25, 0, 0
+		f.b.tenants[1].evenRate, f.b.tenants[0].evenTokens, f.b.tenants[0].carriedTokens = 25, 0, 0
 		for i := range 60 {
 			f.now += 20 * Millisecond
-			f.b.ease, f.b.partners[1].asked = c.ease, c.others
+			f.b.admissionLevel, f.b.tenants[1].requests = c.ease, c.others
 			if lkp, asked := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(asked.shots) > 0 {
 				taken++
 				f.settle(lkp, 0, Served)
@@ -453,9 +453,9 @@
 		f := newFake(1, 2)
 		k := key(f.b, 0)
 		for _, s := range f.b.servers[:2] {
-			s.StartedAt, s.budget, s.budgetAt = f.now-100*Millisecond, 3, f.now
+			s.StartedAt, s.slowStartTokens, s.slowStartRefilledAt = f.now-100*Millisecond, 3, f.now
 		}
-		f.b.perCache = 1000
+		f.b.warmCacheRate = 1000
 		f.b.servers[2].inFlight = 99
 		lkp, c := f.ask(0, k, false, f.now+9000)
 		f.settle(lkp, 0, ServerError) // further shots cost credit
@@ -463,19 +463,19 @@
 			t.Fatalf("%d shots, want a further one", len(c.shots))
 		}
 		s := f.b.servers[c.shots[1].server]
-		credit, budget, calm, took := s.credit, s.budget, s.calm, s.took
+		credit, budget, calm, took := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
 		f.now += 150 * Millisecond // slow
 		if restarted {
 			f.boxes[c.shots[1].server].StartedAt = f.now - Millisecond
 			f.b.UpdateEndpoints(f.now, Incremental, f.boxes)
 			s = f.b.servers[c.shots[1].server]
-			credit, budget = s.credit-1, s.budget-1
+			credit, budget = s.retryBudget-1, s.slowStartTokens-1
 		}
 		f.settle(lkp, 1, Withheld)
-		if s.inFlight != 0 || s.credit != credit+1 || s.budget != budget+1 || s.calm != calm || s.took != took && !restarted ||
-			s.strikes != 0 || s.rest != 0 || len(f.faults) > 0 {
+		if s.inFlight != 0 || s.retryBudget != credit+1 || s.slowStartTokens != budget+1 || s.concurrencyLimit != calm || s.meanLatency != took && !restarted ||
+			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.faults) > 0 {
 			t.Errorf("restarted %v: in flight %d, credit %g of %g, budget %g of %g, calm %g of %g, took %d of %d, strikes %d, %v", restarted,
-				s.inFlight, s.credit, credit+1, s.budget, budget+1, s.calm, calm, s.took, took, s.strikes, f.faults)
+				s.inFlight, s.retryBudget, credit+1, s.slowStartTokens, budget+1, s.concurrencyLimit, calm, s.meanLatency, took, s.consecutiveFailures, f.faults)
 		}
 	}
 }
@@ -489,13 +489,13 @@
 	}{{TimedOut, 200 * Millisecond, 0.8}, {Rejected, Millisecond, 0.4}} {
 		f := newFake(1, 1)
 		for range 5 {
-			f.b.servers[0].rest, f.b.servers[0].calm, f.b.servers[1].inFlight = 0, calmMost, 99
+			f.b.servers[0].ejectionTime, f.b.servers[0].concurrencyLimit, f.b.servers[1].inFlight = 0, maxConcurrencyLimit, 99
 			lkp, _ := f.ask(0, "", false, f.now+5000)
 			f.now += c.after
 			f.settle(lkp, 0, c.code)
 		}
-		if f.b.ease < c.least || f.b.ease > c.least+0.2 {
-			t.Errorf("code %d: an ease of %.2f, want %.1f or a little more", c.code, f.b.ease, c.least)
+		if f.b.admissionLevel < c.least || f.b.admissionLevel > c.least+0.2 {
+			t.Errorf("code %d: an ease of %.2f, want %.1f or a little more", c.code, f.b.admissionLevel, c.least)
 		}
 	}
 }
@@ -513,7 +513,7 @@
 		what        string
 		pass        Time
 		space, want int
-	}{{"at rest it is passed over", suspectLeast - 1, 0, 1}, {"single-use lookups don't try it out", 1, 2, 1},
+	}{{"at rest it is passed over", minEjectionTime - 1, 0, 1}, {"single-use lookups don't try it out", 1, 2, 1},
 		{"the first replayable one does", 0, 0, 0}, {"one trial at a time", 0, 0, 1}} {
 		f.now += c.pass
 		f.b.servers[1].inFlight = 0
@@ -533,8 +533,8 @@
 		next  Time // good: it went well
 		after Time
 		want  int
-	}{{"in silence its own rest counts", true, -1, suspectLeast, 0}, {"bad news", true, bad, bad - 1, 1},
-		{"after bad news, and silence since", true, bad, bad, 0}, {"bad news for ever", true, forever, suspectMost, 0},
+	}{{"in silence its own rest counts", true, -1, minEjectionTime, 0}, {"bad news", true, bad, bad - 1, 1},
+		{"after bad news, and silence since", true, bad, bad, 0}, {"bad news for ever", true, forever, maxEjectionTime, 0},
 		{"good news", true, good, 1, 0}, {"bad news of a sound one", false, bad, 1, 0}} {
 		f := newFake(1, 2)
 		k := key(f.b, 0)
@@ -558,8 +558,8 @@
 func TestARoomHasTheRootForChance(t *testing.T) {
 	f := newFake(1, 1)
 	s := f.b.servers[0]
-	s.calm, s.answers, f.b.halved = calmMost, 80, f.b.now // 80 a second, for a quarter of 200 ms
-	if got := f.b.room(&lookup{}, s); math.Abs(got-6) > 0.01 {
+	s.concurrencyLimit, s.answers, f.b.decayedAt = maxConcurrencyLimit, 80, f.b.now // 80 a second, for a quarter of 200 ms
+	if got := f.b.inFlightLimit(&requestState{}, s); math.Abs(got-6) > 0.01 {
 		t.Errorf("a room of %.2f, want 4 and 2 for chance", got)
 	}
 }
@@ -573,17 +573,17 @@
 		f.now += 10 * Millisecond
 		f.settle(lkp, 1, Served)
 	}
-	if calm := f.b.servers[1].calm; calm < originOwn || calm > originOwn+0.5 {
-		t.Errorf("calm room %.1f after four quick answers, want %g or a little more", calm, originOwn)
+	if calm := f.b.servers[1].concurrencyLimit; calm < maxUnmeasuredFetches || calm > maxUnmeasuredFetches+0.5 {
+		t.Errorf("calm room %.1f after four quick answers, want %g or a little more", calm, maxUnmeasuredFetches)
 	}
 }
 
 // rough-1 of the videos: segments, which may take 2.5 s, filled the origin and held up playlists, which may take 0.15.
 func TestPatientReadsDontHoldUpTheOrigin(t *testing.T) {
 	f := newFake(1, 1)
-	f.b.spaces[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
+	f.b.classes[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
 	o := f.b.servers[1]
-	o.answers, f.b.halved, o.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
+	o.answers, f.b.decayedAt, o.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
 	lkp, c := f.ask(0, "k", false, f.now+50000)
 	if f.settle(lkp, 0, NotFound); len(c.shots) != 1 || !c.ended {
 		t.Errorf("shots %v, want the origin spared", c.shots)
@@ -602,14 +602,14 @@
 		span    Time
 		strikes int
 	}{{300, 0}, {300, 0}, {900, 1}, {300, 1}, {900, 2}} {
-		f.b.servers[0].calm = calmMost
+		f.b.servers[0].concurrencyLimit = maxConcurrencyLimit
 		lkp, asked := f.ask(0, "k", false, f.now+c.span)
 		if len(asked.shots) != 1 || asked.shots[0].server != 0 {
-			t.Fatalf("%d strikes: shots %v", f.b.servers[0].strikes, asked.shots)
+			t.Fatalf("%d strikes: shots %v", f.b.servers[0].consecutiveFailures, asked.shots)
 		}
 		f.now += c.span
 		f.settle(lkp, 0, TimedOut)
-		if got := f.b.servers[0].strikes; got != c.strikes {
+		if got := f.b.servers[0].consecutiveFailures; got != c.strikes {
 			t.Errorf("after %d tenths of a millisecond: %d strikes, want %d", c.span, got, c.strikes)
 		}
 	}
@@ -660,7 +660,7 @@
 	f := newFake(1, 1)
 	f.b = New(f, 1, f.now, f.b.config) // no list has come yet, and none may spoil the histogram
 	if _, c := f.ask(0, "a", false, f.now+5000); c.deferred < 20*Millisecond || c.deferred > 40*Millisecond ||
-		math.IsInf(f.b.weight[0], 0) || f.b.fade == 0 {
+		math.IsInf(f.b.binWeights[0], 0) || f.b.weightScale == 0 {
 		t.Errorf("retry after %d, want a tenth to a fifth of the target time", c.deferred)
 	}
 	f = newFake(1, 1)
@@ -677,13 +677,13 @@
 func TestAnIndexUsedAnewHasNoPast(t *testing.T) {
 	f := newFake(1, 2)
 	s := f.b.servers[0]
-	s.strikes, s.rest, s.restEnd, s.credit = 2, suspectMost, f.now+suspectMost, 0
+	s.consecutiveFailures, s.ejectionTime, s.ejectedUntil, s.retryBudget = 2, maxEjectionTime, f.now+maxEjectionTime, 0
 	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.00"}})
-	if f.b.servers[0].rest == 0 {
+	if f.b.servers[0].ejectionTime == 0 {
 		t.Error("the same box lost its past")
 	}
 	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.99"}})
-	if s := f.b.servers[0]; s.rest != 0 || s.strikes != 0 || s.credit != creditMost {
+	if s := f.b.servers[0]; s.ejectionTime != 0 || s.consecutiveFailures != 0 || s.retryBudget != maxRetryBudget {
 		t.Errorf("another box has %+v", s)
 	}
 }
@@ -699,16 +699,16 @@
 		t.Fatalf("%d shots, %d in flight", len(f.lkps[0].shots), origin.inFlight)
 	}
 	f.now += 40000 // slower than any server
-	calm, took, ease := origin.calm, origin.took, f.b.ease
+	calm, took, ease := origin.concurrencyLimit, origin.meanLatency, f.b.admissionLevel
 	f.sent(0, 0)
 	if origin.inFlight != 1 {
 		t.Errorf("%d in flight", origin.inFlight)
 	}
 	f.now += 100
 	f.settle(0, 0, Served)
-	if origin.inFlight != 0 || origin.took > took+100 || origin.calm < calm || f.b.ease < ease {
-		t.Errorf("%d in flight, took %v, calm %g to %g, ease %g to %g", origin.inFlight, origin.took, calm, origin.calm,
-			ease, f.b.ease)
+	if origin.inFlight != 0 || origin.meanLatency > took+100 || origin.concurrencyLimit < calm || f.b.admissionLevel < ease {
+		t.Errorf("%d in flight, took %v, calm %g to %g, ease %g to %g", origin.inFlight, origin.meanLatency, calm, origin.concurrencyLimit,
+			ease, f.b.admissionLevel)
 	}
 }
 
@@ -746,7 +746,7 @@
 	f.now += 10
 	begin()
 	f.now += 10
-	if f.settle(0, 0, Withheld); f.b.servers[0].budget != 0 {
-		t.Errorf("a server that has started since was given back %g shots", f.b.servers[0].budget)
+	if f.settle(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
+		t.Errorf("a server that has started since was given back %g shots", f.b.servers[0].slowStartTokens)
 	}
 }
--- a/routing/mean_test.go
+++ b/routing/mean_test.go
@@ -20,9 +20,9 @@
 
 // compared holds both of the walk's comparisons of a cache with our mean against those with the plain sum, and says whether
 // either is a tie.
-func compared(b *Balancer, s *server, plain float64, sum int) (tie bool, fault string) {
-	n, x, mean := len(b.ready), s.inFlight, b.mean()
-	if got, want := float64(x) <= jamFactor*mean, float64(x) <= jamFactor*plain; got != want {
+func compared(b *Balancer, s *serverState, plain float64, sum int) (tie bool, fault string) {
+	n, x, mean := len(b.ready), s.inFlight, b.meanInFlight()
+	if got, want := float64(x) <= congestionFactor*mean, float64(x) <= congestionFactor*plain; got != want {
 		fault = fmt.Sprintf("jam: %v, want %v, for %d of %d in flight at %d caches", got, want, x, sum, n)
 	}
 	if got, want := float64(x) <= busyFactor*mean+1, float64(x) <= busyFactor*plain+1; got != want {
@@ -50,7 +50,7 @@
 			}
 			for _, s := range f.b.servers {
 				if s != nil && seed%2 == 0 { // room for more than two at each
-					s.calm, s.answers, s.rest = calmMost, 400, 0
+					s.concurrencyLimit, s.answers, s.ejectionTime = maxConcurrencyLimit, 400, 0
 				}
 			}
 			if f.step(); len(f.b.ready) == 0 {
@@ -62,7 +62,7 @@
 				return false
 			}
 			for _, s := range f.b.servers {
-				if s != nil && s.inFlight > 0 && (s.State != Ready || s.origin) {
+				if s != nil && s.inFlight > 0 && (s.State != Ready || s.isOrigin) {
 					aside++
 				}
 			}
@@ -101,7 +101,7 @@
 		n := []int{1, 2, 3, 5, 7, 10, 49, 70, 250, 999, 5700}[rnd.Intn(11)]
 		b, few := &Balancer{}, 1+rnd.Intn(4)
 		for i := range n {
-			b.servers = append(b.servers, &server{inFlight: rnd.Intn(1 + rnd.Intn(1+few*rnd.Intn(100)))})
+			b.servers = append(b.servers, &serverState{inFlight: rnd.Intn(1 + rnd.Intn(1+few*rnd.Intn(100)))})
 			b.ready = append(b.ready, i)
 			b.inFlight += b.servers[i].inFlight
 		}
@@ -124,7 +124,7 @@
 		}
 		if tie {
 			ties++
-			if x := s.inFlight; 2*x*n == 3*sum && float64(x) > jamFactor*mean || (x-1)*n == 2*sum && float64(x) > busyFactor*mean+1 {
+			if x := s.inFlight; 2*x*n == 3*sum && float64(x) > congestionFactor*mean || (x-1)*n == 2*sum && float64(x) > busyFactor*mean+1 {
 				wrong++
 			}
 		}
@@ -151,14 +151,14 @@
 			key := q.key()
 			at := startOf(q.b, key)
 			q.now += Millisecond
-			all, near := q.b.servers, make([]*server, len(q.b.servers))
-			for step := range walkMost + 1 {
+			all, near := q.b.servers, make([]*serverState, len(q.b.servers))
+			for step := range maxFallThroughs + 1 {
 				i := q.b.ready[(at+step)%caches]
 				near[i] = all[i]
 			}
 			near[caches] = all[caches] // the origin
-			if q.b.halved+halveSpan <= q.now {
-				q.b.clock(q.now) // each second all are looked at
+			if q.b.decayedAt+decayInterval <= q.now {
+				q.b.advanceClock(q.now) // each second all are looked at
 			}
 			q.b.servers = near
 			lkp := q.made + n
@@ -176,5 +176,5 @@
 
 // startOf is the place of a key's own range.
 func startOf(b *Balancer, key string) int {
-	return b.ownRange(pointOf(xxhash.Sum64String(key) | 1))
+	return b.rangeOf(keyPoint(xxhash.Sum64String(key) | 1))
 }
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -8,53 +8,53 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// origin gives the origin that has room for a lookup and would answer it in time, or -1. What it takes is
+// pickOrigin gives the origin that has room for a lookup and would answer it in time, or -1. What it takes is
 // bounded by rate times time, writes first; its least room lets each node measure it.
-func (b *Balancer) origin(l *lookup) int {
+func (b *Balancer) pickOrigin(l *requestState) int {
 	if len(b.origins) == 0 {
 		return -1
 	}
 	best := slices.MinFunc(b.origins, func(x, y int) int {
 		return b.servers[x].inFlight - b.servers[y].inFlight
 	})
-	s, target := b.servers[best], b.soonest // what may be patient must not keep waiting what may not
+	s, target := b.servers[best], b.shortestLatencyTarget // what may be patient must not keep waiting what may not
 	if l.Write {
-		target = b.spaces[l.Class].LatencyTarget
+		target = b.classes[l.Class].LatencyTarget
 	}
-	room := max(originLeast/b.nodes, min(s.calm, originOwn), b.rate(s.answers)*originPart*seconds(target))
+	room := max(minFleetFetches/b.nodeCount, min(s.concurrencyLimit, maxUnmeasuredFetches), b.perSecond(s.answers)*originTargetShare*seconds(target))
 	if l.Write {
-		room = writeRoom * max(1, room)
+		room = writeLimitFactor * max(1, room)
 	}
-	if part := b.parts[OriginConcurrency]; part == nil && s.inFlight >= int(room+b.draw()) || l.giveUp-b.now < s.took ||
-		b.lacks(l, part) || b.lacks(l, b.parts[OriginRate]) { // nor a fetch that would come too late
+	if part := b.quotas[OriginConcurrency]; part == nil && s.inFlight >= int(room+b.draw()) || l.giveUpAt-b.now < s.meanLatency ||
+		b.quotaExhausted(l, part) || b.quotaExhausted(l, b.quotas[OriginRate]) { // nor a fetch that would come too late
 		return -1
 	}
 	return best
 }
 
-// lacks says whether the fleet's budget for the lookup's next step has nothing left for us.
-func (b *Balancer) lacks(l *lookup, part *allowance.Limiter) bool {
+// quotaExhausted says whether the fleet's budget for the lookup's next step has nothing left for us.
+func (b *Balancer) quotaExhausted(l *requestState, part *allowance.Limiter) bool {
 	if part.Available(int64(b.now)) >= 1 {
 		return false
 	}
-	if l.lacks != part {
+	if l.deniedBy != part {
 		part.Denied()
-		l.lacks = part
+		l.deniedBy = part
 	}
 	return true
 }
 
-// release lets those who waited for this lookup's fetch go on.
-func (b *Balancer) release(lkp int) {
-	l := &b.lookups[lkp]
-	if !l.fetching {
+// releaseFetchWaiters lets those who waited for this lookup's fetch go on.
+func (b *Balancer) releaseFetchWaiters(lkp int) {
+	l := &b.requests[lkp]
+	if !l.isFetch {
 		return
 	}
-	l.fetching = false
-	q := b.fetches[l.key]
-	delete(b.fetches, l.key)
+	l.isFetch = false
+	q := b.fetchWaiters[l.keyHash]
+	delete(b.fetchWaiters, l.keyHash)
 	for _, w := range q {
-		b.lookups[w].waiting, b.lookups[w].missed = false, false // the value may be stored by now
+		b.requests[w].awaitsFetch, b.requests[w].missed = false, false // the value may be stored by now
 		b.advance(w)
 	}
 }
--- a/routing/ranges.go
+++ b/routing/ranges.go
@@ -7,64 +7,64 @@
 	"sort"
 )
 
-// learn fades all bins and adds alpha at the lookup's own, lazily. In steady demand all that was seen weighs alike, so
+// learnPoint fades all bins and adds alpha at the lookup's own, lazily. In steady demand all that was seen weighs alike, so
 // that nodes come to cut alike; by less than the bound on alpha nothing is learned.
-func (b *Balancer) learn(point float64) {
+func (b *Balancer) learnPoint(point float64) {
 	n := float64(max(1, len(b.ready)))
-	b.seen, b.lately = b.seen+1, b.lately+1
-	b.alpha = max(alphaFloor, min(1/b.seen, 1/(4*n*n)))
-	b.late[int(point)*klGroups/bins]++
-	b.fade *= 1 - b.alpha
-	b.weight[int(point)] += b.alpha / b.fade
-	if b.fade < fadeFloor {
-		for i := range b.weight {
-			b.weight[i] *= b.fade
+	b.rememberedRequests, b.recentRequests = b.rememberedRequests+1, b.recentRequests+1
+	b.alpha = max(minAlpha, min(1/b.rememberedRequests, 1/(4*n*n)))
+	b.recentByGroup[int(point)*binGroups/binCount]++
+	b.weightScale *= 1 - b.alpha
+	b.binWeights[int(point)] += b.alpha / b.weightScale
+	if b.weightScale < minWeightScale {
+		for i := range b.binWeights {
+			b.binWeights[i] *= b.weightScale
 		}
-		b.fade = 1
+		b.weightScale = 1
 	}
 }
 
-// adapt doubles alpha for each klStep by which the latest lookups diverge from the histogram, beyond chance.
-func (b *Balancer) adapt() {
-	kl := (1 - klGroups) / max(1, b.lately) // chance alone gives half of that in the mean
-	for g, n := range b.late {
+// adaptToDemand doubles alpha for each klStep by which the latest lookups diverge from the histogram, beyond chance.
+func (b *Balancer) adaptToDemand() {
+	kl := (1 - binGroups) / max(1, b.recentRequests) // chance alone gives half of that in the mean
+	for g, n := range b.recentByGroup {
 		p := 0.0
-		for _, w := range b.weight[g*bins/klGroups : (g+1)*bins/klGroups] {
-			p += w * b.fade
+		for _, w := range b.binWeights[g*binCount/binGroups : (g+1)*binCount/binGroups] {
+			p += w * b.weightScale
 		}
 		if n > 0 && p > 0 { // all of a group may have faded away
-			kl += n / b.lately * math.Log(n/b.lately/p)
+			kl += n / b.recentRequests * math.Log(n/b.recentRequests/p)
 		}
-		b.late[g] = n / 2
+		b.recentByGroup[g] = n / 2
 	}
-	b.seen, b.lately = math.Ldexp(b.seen, -int(max(0, kl)/klStep)), b.lately/2
+	b.rememberedRequests, b.recentRequests = math.Ldexp(b.rememberedRequests, -int(max(0, kl)/divergencePerHalving)), b.recentRequests/2
 }
 
-// recut lays the cuts at equal shares of the sum, interpolated inside bins.
-func (b *Balancer) recut() {
-	b.cutDue = b.now + recutSpan
+// recomputeRanges lays the cuts at equal shares of the sum, interpolated inside bins.
+func (b *Balancer) recomputeRanges() {
+	b.rangesDue = b.now + rangeInterval
 	n := len(b.ready)
-	b.cuts = b.cuts[:0]
+	b.rangeEnds = b.rangeEnds[:0]
 	sum := 0.0
-	for _, w := range b.weight {
+	for _, w := range b.binWeights {
 		sum += w
 	}
 	run := 0.0
-	for i, w := range b.weight {
-		for len(b.cuts) < n-1 && run+w >= sum*float64(len(b.cuts)+1)/float64(n) {
-			b.cuts = append(b.cuts, float64(i)+(sum*float64(len(b.cuts)+1)/float64(n)-run)/w)
+	for i, w := range b.binWeights {
+		for len(b.rangeEnds) < n-1 && run+w >= sum*float64(len(b.rangeEnds)+1)/float64(n) {
+			b.rangeEnds = append(b.rangeEnds, float64(i)+(sum*float64(len(b.rangeEnds)+1)/float64(n)-run)/w)
 		}
 		run += w
 	}
-	for len(b.cuts) < n {
-		b.cuts = append(b.cuts, bins)
+	for len(b.rangeEnds) < n {
+		b.rangeEnds = append(b.rangeEnds, binCount)
 	}
 }
 
-// ownRange gives the place of the cache among the ready ones whose range holds a point, by cuts of the present list.
-func (b *Balancer) ownRange(point float64) int {
-	if b.now >= b.cutDue || len(b.cuts) != len(b.ready) {
-		b.recut()
+// rangeOf gives the place of the cache among the ready ones whose range holds a point, by cuts of the present list.
+func (b *Balancer) rangeOf(point float64) int {
+	if b.now >= b.rangesDue || len(b.rangeEnds) != len(b.ready) {
+		b.recomputeRanges()
 	}
-	return min(sort.SearchFloat64s(b.cuts, point), len(b.ready)-1)
+	return min(sort.SearchFloat64s(b.rangeEnds, point), len(b.ready)-1)
 }
--- a/routing/walk.go
+++ b/routing/walk.go
@@ -7,31 +7,31 @@
 	"slices"
 )
 
-// pick walks from the lookup's own range to the first cache that nothing speaks against; where one has no
+// pickCache walks from the lookup's own range to the first cache that nothing speaks against; where one has no
 // room the origin comes before the next. -1: none.
-func (b *Balancer) pick(l *lookup) int {
+func (b *Balancer) pickCache(l *requestState) int {
 	n := len(b.ready)
 	if n == 0 {
 		return -1
 	}
-	mean := b.mean()
-	at, busy, passed := b.ownRange(l.point), -1, 0
-	for step := 0; step < n && passed <= walkMost; step++ {
+	mean := b.meanInFlight()
+	at, busy, passed := b.rangeOf(l.point), -1, 0
+	for step := 0; step < n && passed <= maxFallThroughs; step++ {
 		i := b.ready[(at+step)%n]
 		s := b.servers[i]
-		if b.passOver(l, i, s) {
+		if b.skipReason(l, i, s) {
 			continue
 		}
-		full := s.inFlight >= int(b.room(l, s)+b.draw())
+		full := s.inFlight >= int(b.inFlightLimit(l, s)+b.draw())
 		if full {
 			// The next caches hardly have the value, and misses there would jam them too.
-			if to := b.origin(l); to >= 0 {
+			if to := b.pickOrigin(l); to >= 0 {
 				return to
 			}
 		}
-		if full && s.inFlight > 0 && float64(s.inFlight) <= jamFactor*mean {
+		if full && s.inFlight > 0 && float64(s.inFlight) <= congestionFactor*mean {
 			break // all are about as full: walking on would only scatter the keys and jam the rest
-		} else if !full && (s.inFlight < busyLeast || float64(s.inFlight) <= busyFactor*mean+1) {
+		} else if !full && (s.inFlight < minBusyInFlight || float64(s.inFlight) <= busyFactor*mean+1) {
 			return i
 		}
 		if passed++; busy < 0 && !full {
@@ -41,88 +41,88 @@
 	return busy
 }
 
-// passOver gives the exceptions: each is one more reason to skip a cache.
-func (b *Balancer) passOver(l *lookup, i int, s *server) bool {
-	if slices.ContainsFunc(l.shots, func(t shot) bool { return t.server == i }) {
+// skipReason gives the exceptions: each is one more reason to skip a cache.
+func (b *Balancer) skipReason(l *requestState, i int, s *serverState) bool {
+	if slices.ContainsFunc(l.attempts, func(t attempt) bool { return t.server == i }) {
 		return true // it had its try
 	}
 	// After a suspect's rest one replayable lookup tries it out.
-	if s.rest > 0 && (b.now < s.restEnd || s.trial || b.spaces[l.Class].Idempotence != Safe) {
+	if s.ejectionTime > 0 && (b.now < s.ejectedUntil || s.probing || b.classes[l.Class].Idempotence != Safe) {
 		return true
 	}
-	if len(l.shots) > 0 && !l.missed && s.credit < 1 {
+	if len(l.attempts) > 0 && !l.missed && s.retryBudget < 1 {
 		return true // a further shot wants credit, lest a jam feed itself
 	}
-	cold := b.coldShare(s) < 1
-	if cold && b.coldBudget(l, s) < l.work {
+	cold := b.slowStartShare(s) < 1
+	if cold && b.refillSlowStart(l, s) < l.work {
 		return true // also where the fleet has a budget: its whole is one figure, what a cold cache bears grows
 	}
-	return (cold || s.rest > 0) && b.lacks(l, s.cold) || b.lacks(l, s.links)
+	return (cold || s.ejectionTime > 0) && b.quotaExhausted(l, s.slowStartQuota) || b.quotaExhausted(l, s.concurrencyQuota)
 }
 
-// room bounds what is in flight at a cache: by rate times time, as measured, with its root for chance, and
+// inFlightLimit bounds what is in flight at a cache: by rate times time, as measured, with its root for chance, and
 // by what keeps it calm.
-func (b *Balancer) room(l *lookup, s *server) float64 {
-	filled := b.rate(s.answers) * roomPart * seconds(b.spaces[l.Class].LatencyTarget)
-	return min(s.calm, max(busyLeast, filled+math.Sqrt(filled)))
+func (b *Balancer) inFlightLimit(l *requestState, s *serverState) float64 {
+	filled := b.perSecond(s.answers) * inFlightTargetShare * seconds(b.classes[l.Class].LatencyTarget)
+	return min(s.concurrencyLimit, max(minBusyInFlight, filled+math.Sqrt(filled)))
 }
 
-// rate turns a count that is halved into one a second. Halving keeps twice a span's count in the long run.
-func (b *Balancer) rate(count float64) float64 {
-	return count / (seconds(halveSpan) + seconds(b.now-b.halved))
+// perSecond turns a count that is halved into one a second. Halving keeps twice a span's count in the long run.
+func (b *Balancer) perSecond(count float64) float64 {
+	return count / (seconds(decayInterval) + seconds(b.now-b.decayedAt))
 }
 
-// shoot sends a lookup and books it.
-func (b *Balancer) shoot(lkp, i int) {
-	l, s := &b.lookups[lkp], b.servers[i]
-	s.trial = s.trial || s.rest > 0
-	if b.coldShare(s) < 1 || s.rest > 0 {
-		s.cold.Spend()
-		s.budget -= l.work
-	}
-	if s.links.Spend(); s.origin {
-		b.parts[OriginRate].Spend()
-		b.parts[OriginConcurrency].Spend()
-	} else if len(l.shots) > 0 && !l.missed {
-		s.credit--
+// sendAttempt sends a lookup and books it.
+func (b *Balancer) sendAttempt(lkp, i int) {
+	l, s := &b.requests[lkp], b.servers[i]
+	s.probing = s.probing || s.ejectionTime > 0
+	if b.slowStartShare(s) < 1 || s.ejectionTime > 0 {
+		s.slowStartQuota.Spend()
+		s.slowStartTokens -= l.work
+	}
+	if s.concurrencyQuota.Spend(); s.isOrigin {
+		b.quotas[OriginRate].Spend()
+		b.quotas[OriginConcurrency].Spend()
+	} else if len(l.attempts) > 0 && !l.missed {
+		s.retryBudget--
 	}
 	if !l.Streaming {
-		b.count(s, 1) // a server begins with the last byte
+		b.addInFlight(s, 1) // a server begins with the last byte
 	}
-	l.shots = append(l.shots, shot{server: i, begun: b.now, sent: b.now, out: true})
-	b.host.Send(lkp, i, l.giveUp-b.now)
+	l.attempts = append(l.attempts, attempt{server: i, startedAt: b.now, sentAt: b.now, inFlight: true})
+	b.host.Send(lkp, i, l.giveUpAt-b.now)
 }
 
 // advance takes a lookup's next step: its cache, the origin, a wait for the key's fetch, or its end.
 func (b *Balancer) advance(lkp int) {
-	l := &b.lookups[lkp]
-	if slices.ContainsFunc(l.shots, func(s shot) bool { return s.out }) {
+	l := &b.requests[lkp]
+	if slices.ContainsFunc(l.attempts, func(s attempt) bool { return s.inFlight }) {
 		return // its outcome will come
 	}
-	l.lacks = nil
-	if !b.mayShoot(l) {
+	l.deniedBy = nil
+	if !b.mayAttempt(l) {
 		b.finish(lkp)
 		return
 	}
-	if q, out := b.fetches[l.key]; out && !l.Write && l.key != 0 {
-		l.waiting, b.fetches[l.key] = true, append(q, lkp) // until the other's fetch has ended
-		b.host.SetAlarm(l.giveUp, lkp+1)
+	if q, out := b.fetchWaiters[l.keyHash]; out && !l.Write && l.keyHash != 0 {
+		l.awaitsFetch, b.fetchWaiters[l.keyHash] = true, append(q, lkp) // until the other's fetch has ended
+		b.host.SetAlarm(l.giveUpAt, lkp+1)
 		return
 	}
 	to := -1
-	if l.Write || len(l.shots) > 0 {
-		to = b.origin(l) // where its own cache doesn't give it, hardly another has the value
+	if l.Write || len(l.attempts) > 0 {
+		to = b.pickOrigin(l) // where its own cache doesn't give it, hardly another has the value
 	}
 	if to < 0 && !l.Write && !l.missed {
-		to = b.pick(l)
+		to = b.pickCache(l)
 	}
 	if to < 0 {
 		b.finish(lkp)
 		return
 	}
-	if b.servers[to].origin && l.missed && !l.Write && l.key != 0 { // not where a full cache has the value
-		l.fetching = true
-		b.fetches[l.key] = nil
+	if b.servers[to].isOrigin && l.missed && !l.Write && l.keyHash != 0 { // not where a full cache has the value
+		l.isFetch = true
+		b.fetchWaiters[l.keyHash] = nil
 	}
-	b.shoot(lkp, to)
+	b.sendAttempt(lkp, to)
 }
