--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -88,7 +88,7 @@
 func (n *node) Send(lkp, to int, timeout routing.Time) {
 	w, l := n.w, n.lookups[lkp]
 	s := &shot{server: w.servers[to]}
-	if r, is := n.policy.(rester); is && s.server.silent && r.Rests(to) {
+	if r, is := n.policy.(ejector); is && s.server.silent && r.IsEjected(to) {
 		w.sick.Own++
 	}
 	w.check.shot(n, l, s)
--- a/internal/simulation/sick.go
+++ b/internal/simulation/sick.go
@@ -24,12 +24,15 @@
 	unled  routing.Time // until when the fleet is silent
 }
 
-// rester is a policy that lets servers rest, and hears of others' trials.
-type rester interface {
-	Rests(server int) bool
-	Tried(now routing.Time, server int, well bool, next routing.Time)
+// ejector is a policy that ejects servers, and hears of others' probes.
+type ejector interface {
+	IsEjected(server int) bool
+	ProbeResult(now routing.Time, server int, healthy bool, next routing.Time)
 }
 
+// The nodes find out at run time whether their policy is one.
+var _ ejector = (*routing.Balancer)(nil)
+
 // silence lets caches hear nothing for a while, and looks when the nodes use them again.
 func (w *world) silence(some []*server, span routing.Time) {
 	for _, s := range some {
@@ -42,13 +45,13 @@
 			back := w.clock.now
 			var rest []*node
 			for _, n := range w.nodes {
-				if r, is := n.policy.(rester); is && r.Rests(s.box.Server) {
+				if r, is := n.policy.(ejector); is && r.IsEjected(s.box.Server) {
 					rest = append(rest, n)
 				}
 			}
 			w.until(func() bool {
 				rest = slices.DeleteFunc(rest, func(n *node) bool {
-					used := !n.policy.(rester).Rests(s.box.Server)
+					used := !n.policy.(ejector).IsEjected(s.box.Server)
 					if used {
 						w.sick.Back = append(w.sick.Back, float64(w.clock.now-back)/float64(second))
 					}
@@ -84,13 +87,13 @@
 		var tell func()
 		tell = func() {
 			n := w.nodes[i] // another after a restart
-			if r, is := n.policy.(rester); is && led() {
+			if r, is := n.policy.(ejector); is && led() {
 				for _, server := range slices.Sorted(maps.Keys(n.known)) {
-					if n.known[server].State != routing.Ready || !r.Rests(server) {
+					if n.known[server].State != routing.Ready || !r.IsEjected(server) {
 						continue
 					}
 					if news, known := board.ReportEjected(lease.Time(w.clock.now), n.known[server].ID, ""); known {
-						w.clock.in(2*way, func() { r.Tried(w.clock.now, server, news.Healthy, w.clock.now+routing.Time(news.NextProbe)) })
+						w.clock.in(2*way, func() { r.ProbeResult(w.clock.now, server, news.Healthy, w.clock.now+routing.Time(news.NextProbe)) })
 					}
 				}
 			}
