--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -1,170 +1,134 @@
 package routing
 
-// This file makes a Balancer and takes what happens. New makes one per node from its Config and a Host to act through;
-// host.go has Host and the plain types. Then the caller reports each thing that happens by calling a method: Lookup, Sent,
-// Settled, Tried, Left, List, Part or Alarm, with the clock. Methods act by calling the Host before they return. docs/design.md says where
-// all this comes from.
-
 import (
 	"slices"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// New starts a node.
-func New(host Host, seed uint64, now Time, config Config) *Balancer {
-	b := &Balancer{host: host, config: config, seed: seed, now: now, weightScale: 1,
-		nodeCount: float64(max(1, config.Nodes)), decayedAt: now, admissionLevel: 1,
-		adaptDue: now + adaptInterval, fetchWaiters: map[uint64][]int{}, idleTimeout: maxIdleTimeout,
-		binWeights: slices.Repeat([]float64{1.0 / binCount}, binCount), recentByGroup: make([]float64, binGroups)}
-	b.initialLimit = max(1, min(minBusyInFlight, initialFleetLimit/b.nodeCount))
-	b.maxPollWait = max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/pushedGraceDivisor))
-	b.initClassesAndTenants()
-	host.SetAlarm(now+Time(b.draw()*float64(PollSpread)), pollAlarmHandle)
-	return b
-}
+// Balancer decides for one node. It is not safe for concurrent use.
+type Balancer struct {
+	host   Host
+	config Config
+	seed   uint64
+	draws  uint64 // random numbers drawn so far
+	now    Time   // time of the latest event
 
-// Request takes a client's lookup, which is owed one final answer from now on.
-func (b *Balancer) Request(now Time, lkp int, in Request) {
-	b.advanceClock(now)
-	for lkp >= len(b.requests) {
-		b.requests = append(b.requests, requestState{})
-	}
-	l, ns := &b.requests[lkp], &b.classes[in.Class]
-	*l = requestState{Request: in, active: true, arrivedAt: now, giveUpAt: in.Deadline, work: 1, attempts: l.attempts[:0]}
-	if ns.LateUtility == 0 && ns.Idempotence == Safe {
-		// Two ticks early, so that a deferral is still inside the target time.
-		l.giveUpAt = min(in.Deadline, now+ns.LatencyTarget-2*b.config.Tick)
-	}
-	if l.point = b.draw() * binCount; in.Key != "" {
-		l.keyHash = xxhash.Sum64String(in.Key) | 1
-		l.point = keyPoint(l.keyHash)
-		b.learnPoint(l.point)
-	}
-	if in.Work > 0 {
-		ns.hintedWork, ns.hintedRequests = ns.hintedWork+in.Work, ns.hintedRequests+1
-		l.work = in.Work * ns.hintedRequests / ns.hintedWork
-	}
-	sure := false
-	if in.Tenant >= 0 && b.tenants[in.Tenant].quota != nil {
-		if b.quotaExhausted(l, b.tenants[in.Tenant].quota) {
-			b.finish(lkp)
-			return
-		}
-		b.tenants[in.Tenant].quota.Spend()
-	} else if in.Tenant >= 0 {
-		p, carry := &b.tenants[in.Tenant], b.carriedShares(in.Tenant)
-		p.evenTokens = min(p.evenRate+minTenantBurst, p.evenTokens+p.evenRate*seconds(now-p.refilledAt)) - 1
-		p.carriedTokens = min(p.evenRate*carry+minTenantBurst, p.carriedTokens+p.evenRate*carry*seconds(now-p.refilledAt)) - 1
-		p.refilledAt = now
-		p.requests++
-		if p.evenTokens < 0 {
-			l.overQuota, p.evenTokens = true, p.evenTokens+1
-		}
-		if p.carriedTokens < 0 {
-			sure, p.carriedTokens = true, p.carriedTokens+1
-		}
-	}
-	ease := admissionSteps * b.admissionLevel
-	if sure {
-		ease -= admissionSteps - 1
-	}
-	if l.overQuota && b.draw() >= ease {
-		b.finish(lkp)
-	} else {
-		b.advance(lkp)
-	}
-}
+	nodeCount             float64
+	shortestLatencyTarget Time // of all classes
 
-// carriedShares tells how many even parts of the traffic we carry. Clients are dealt out unevenly, and more of them
-// come when other nodes are lost: then the other partners send more than their even parts too.
-func (b *Balancer) carriedShares(of int) float64 {
-	asked, due := 0.0, 0.0
-	for i, p := range b.tenants {
-		if i != of {
-			asked, due = asked+b.perSecond(p.requests), due+p.evenRate
-		}
-	}
-	if due == 0 {
-		return 1
-	}
-	return max(1, asked/due)
+	classes  []classState
+	tenants  []tenantState
+	requests []requestState // by the caller's index
+	servers  []*serverState // by the caller's index; nil: never listed
+
+	ready    []int // servers that are ready caches, in the order of their IDs
+	origins  []int // servers that are ready origins, in ascending order
+	inFlight int   // attempts in flight at all ready caches together
+
+	fetchWaiters map[uint64][]int               // requests that wait for a fetch, by key hash
+	quotas       [limitCount]*allowance.Limiter // of the fleet's limits; nil: no such limit
+
+	// The histogram of keys and the ranges of the caches, see partition.go.
+	binWeights         []float64 // weight of each bin, to be multiplied by weightScale
+	weightScale        float64
+	alpha              float64   // weight of the newest request in the histogram
+	rememberedRequests float64   // requests that the histogram stands for
+	recentRequests     float64   // decaying count
+	recentByGroup      []float64 // decaying count for each group of bins
+	rangeEnds          []float64 // upper end of each ready cache's range, in bins
+	adaptDue           Time
+	rangesDue          Time
+
+	decayedAt      Time    // when the decaying counts were last halved
+	warmCacheRate  float64 // first attempts per second that a warm cache answers this node
+	initialLimit   float64 // concurrencyLimit of a new server
+	admissionLevel float64 // from 0 to 1, see admissionProbability
+	idleTimeout    Time    // how long an idle connection is kept
+
+	subscribed  bool // to the endpoint list
+	maxPollWait Time // longest wait between two polls while not subscribed
+	pollDue     Time
 }
 
-// BodySent tells that a long lookup's shot is out whole, or ends before: its time counts from here, and its lookup's.
-func (b *Balancer) BodySent(now Time, lkp, number int) {
-	t := &b.requests[lkp].attempts[number]
-	b.requests[lkp].arrivedAt, t.sentAt = now, now
-	b.addInFlight(b.servers[t.server], 1)
+// New returns the Balancer of one node, which starts by polling for the
+// endpoint list. The seed should differ from node to node.
+func New(host Host, seed uint64, now Time, config Config) *Balancer {
+	b := &Balancer{
+		host:           host,
+		config:         config,
+		seed:           seed,
+		now:            now,
+		nodeCount:      float64(max(1, config.Nodes)),
+		fetchWaiters:   map[uint64][]int{},
+		binWeights:     slices.Repeat([]float64{1.0 / binCount}, binCount),
+		weightScale:    1,
+		recentByGroup:  make([]float64, binGroups),
+		adaptDue:       now + adaptInterval,
+		decayedAt:      now,
+		admissionLevel: 1,
+		idleTimeout:    maxIdleTimeout,
+	}
+	b.initialLimit = initialConcurrencyLimit(b.nodeCount)
+	b.maxPollWait = maxPollWait(config)
+	b.initClasses()
+	b.initTenants()
+	b.scheduleFirstPoll()
+	return b
 }
 
-// ClientGone tells that a lookup is over without us.
-func (b *Balancer) ClientGone(now Time, lkp int) {
+// Request takes a client's request. From now on the client is owed exactly one
+// final answer: an attempt that ends the request, Host.Reject or Host.Fail.
+func (b *Balancer) Request(now Time, id int, in Request) {
 	b.advanceClock(now)
-	if b.requests[lkp].active {
-		b.endRequest(lkp)
+	r := b.startRequest(id, in)
+	if !b.admit(r) {
+		b.finish(id)
+		return
 	}
+	b.advance(id)
+}
+
+// BodySent reports that an attempt of a Streaming request was written
+// completely, or is about to end. The latencies of the attempt and of the
+// request count from here.
+func (b *Balancer) BodySent(now Time, id, number int) {
+	r := &b.requests[id]
+	a := &r.attempts[number]
+	r.arrivedAt = now
+	a.sentAt = now
+	b.addInFlight(b.servers[a.server], 1)
 }
 
-// SetQuota tells how much of a budget of the fleet is ours, in place of our even part; partner is whose lookups it
-// bounds, if any's. It gives what was asked of the bound since the last time, of servers the most at any one.
-func (b *Balancer) SetQuota(now Time, of Limit, partner int, p allowance.Quota) (u allowance.Usage) {
+// ClientGone reports that a request has ended without a final answer of the
+// Balancer's.
+func (b *Balancer) ClientGone(now Time, id int) {
 	b.advanceClock(now)
-	if of == TenantRate {
-		return allowance.Set(&b.tenants[partner].quota, int64(now), p)
-	}
-	u = allowance.Set(&b.quotas[of], int64(now), p)
-	for _, s := range b.servers {
-		if s != nil && !s.isOrigin && of == SlowStartRate {
-			u = u.Max(allowance.Set(&s.slowStartQuota, int64(now), p))
-		} else if s != nil && !s.isOrigin && of == CacheConcurrency {
-			u = u.Max(allowance.Set(&s.concurrencyQuota, int64(now), p))
-		}
+	if b.requests[id].active {
+		b.endRequest(id)
 	}
-	return u
 }
 
-// Alarm comes at or after a time asked for with Wake; a stale one does nothing.
+// Alarm is called at or after a time given to Host.SetAlarm. An alarm that is
+// out of date does nothing.
 func (b *Balancer) Alarm(now Time, handle int) {
 	b.advanceClock(now)
-	if handle == pollAlarmHandle && !b.subscribed && now >= b.pollDue {
-		if !b.quotaExhausted(&requestState{}, b.quotas[DiscoveryRate]) {
-			b.quotas[DiscoveryRate].Spend()
-			b.host.Subscribe()
-		}
-		b.pollDue = now + b.maxPollWait/2 + Time(b.draw()*float64(b.maxPollWait/2))
-		b.host.SetAlarm(b.pollDue, pollAlarmHandle)
-	} else if i := handle - 1; i >= 0 && i < len(b.requests) && b.requests[i].awaitsFetch && now >= b.requests[i].giveUpAt {
-		b.finish(i)
+	if handle == pollAlarmHandle {
+		b.pollIfDue()
+		return
 	}
+	b.expireFetchWait(handle - firstRequestHandle)
 }
 
-// advanceClock moves the time on and does what is due.
+// The handles of alarms: one for the poll, one for each request.
+const (
+	pollAlarmHandle    = 0
+	firstRequestHandle = 1
+)
+
+// advanceClock moves the time on and does what is done at intervals.
 func (b *Balancer) advanceClock(now Time) {
 	b.now = now
-	if now >= b.adaptDue {
-		b.adaptDue = now + adaptInterval
-		b.adaptToDemand()
-	}
-	if now < b.decayedAt+decayInterval {
-		return
-	}
-	sum, warm := 0.0, 0
-	for _, i := range b.ready {
-		if s := b.servers[i]; b.slowStartShare(s) == 1 {
-			sum, warm = sum+b.perSecond(s.firstAttemptAnswers), warm+1
-		}
-	}
-	b.warmCacheRate = sum / float64(max(1, warm))
-	for _, s := range b.servers {
-		if s != nil {
-			s.answers, s.firstAttemptAnswers = s.answers/2, s.firstAttemptAnswers/2
-		}
-	}
-	for i := range b.tenants {
-		b.tenants[i].requests /= 2
-	}
-	b.decayedAt = now
+	b.adaptIfDue()
+	b.decayCounts()
 }
--- /dev/null
+++ b/routing/doc.go
@@ -0,0 +1,26 @@
+// Package routing decides what one balancer node does with each request: which
+// endpoint gets it, whether it is retried, and when it is rejected.
+//
+// A Balancer is a state machine without goroutines, clocks or I/O. The caller
+// reports each event by calling a method with the time of the event, and the
+// Balancer acts by calling its Host before that method returns. Equal seeds
+// and equal events give equal decisions.
+//
+// The usual way of a request:
+//
+//	Request        startRequest, admit     admission.go
+//	               advance                 request.go: wait, send or give up
+//	                 mayAttempt            retry.go: is one more attempt allowed?
+//	                 pickCache             selection.go: a cache for the key,
+//	                   skipReason            and what speaks against each
+//	                 pickOrigin            origin.go
+//	               sendAttempt             Host.Send
+//	AttemptDone    learnFromResult         result.go: what the result says of
+//	                                         the server
+//	               advance                 a retry, or Host.Reject or Host.Fail
+//
+// Each rule has a file named after it, which holds its constants as well:
+// concurrency limits, slow start, outlier ejection, quotas, coalesced fetches,
+// idle connections and polling for the endpoint list. docs/design.md says
+// where the rules come from.
+package routing
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -1,115 +1,130 @@
 package routing
 
-// This file holds what the list of boxes changes: which servers there are, which of them are asked, and in which order.
-
 import (
 	"slices"
 	"strings"
 )
 
-// UpdateEndpoints tells of the boxes.
-func (b *Balancer) UpdateEndpoints(now Time, how UpdateKind, boxes []Endpoint) {
+// UpdateEndpoints reports an update of the endpoint list, or with Failed the
+// failure of a call or of the subscription. Any kind but Cached and Failed
+// means that the subscription stands.
+func (b *Balancer) UpdateEndpoints(now Time, kind UpdateKind, endpoints []Endpoint) {
 	b.advanceClock(now)
-	if how == Failed {
-		if b.subscribed { // else the next call is due by itself, whatever becomes of this one
-			b.subscribed, b.pollDue = false, now+Time(b.draw()*float64(PollSpread))
-			b.host.SetAlarm(b.pollDue, pollAlarmHandle)
-		}
+	if kind == Failed {
+		b.resubscribe()
 		return
 	}
-	b.subscribed = b.subscribed || how != Cached
-	if how != Incremental {
-		b.ready, b.origins, b.inFlight = b.ready[:0], b.origins[:0], 0
-		for _, s := range b.servers {
-			if s != nil {
-				s.State = Gone
-			}
-		}
+	b.subscribed = b.subscribed || kind != Cached
+	if kind == Incremental {
+		b.changeEndpoints(endpoints)
+	} else {
+		b.replaceEndpoints(endpoints)
 	}
-	for _, x := range boxes {
-		b.removeReady(x.Server)
-		b.updateServer(x)
-		if how == Incremental {
-			b.insertReady(x.Server)
+	b.invalidateRanges()
+}
+
+// changeEndpoints applies changes of single endpoints.
+func (b *Balancer) changeEndpoints(endpoints []Endpoint) {
+	for _, e := range endpoints {
+		b.removeReady(e.Server) // before its ID and state change
+		b.updateServer(e)
+		b.insertReady(e.Server)
+	}
+}
+
+// replaceEndpoints applies a full list.
+func (b *Balancer) replaceEndpoints(endpoints []Endpoint) {
+	for _, s := range b.servers {
+		if s != nil {
+			s.State = Gone
 		}
 	}
-	if how != Incremental {
-		b.rebuildReady()
+	for _, e := range endpoints {
+		b.updateServer(e)
 	}
-	b.rangeEnds = b.rangeEnds[:0] // laid anew with the next lookup: a service may tell many changes in a row
+	b.rebuildReady()
 }
 
-// updateServer takes over what the list says of a server.
-func (b *Balancer) updateServer(x Endpoint) {
-	for x.Server >= len(b.servers) {
+// updateServer takes over what the list says of a server. One that restarted,
+// or another one under the same index, begins without a past, but the attempts
+// in flight at the old one still end.
+func (b *Balancer) updateServer(e Endpoint) {
+	for e.Server >= len(b.servers) {
 		b.servers = append(b.servers, nil)
 	}
-	s := b.servers[x.Server]
-	if s == nil || s.StartedAt != x.StartedAt || s.ID != x.ID {
-		// A restart makes a server another one, cold and without a past; its old shots still settle.
-		fresh := &serverState{slowStartRefilledAt: b.now, concurrencyLimit: b.initialLimit, retryBudget: maxRetryBudget,
-			slowStartQuota: b.quotas[SlowStartRate].Clone(int64(b.now)), concurrencyQuota: b.quotas[CacheConcurrency].Clone(int64(b.now))}
+	s := b.servers[e.Server]
+	if s == nil || s.StartedAt != e.StartedAt || s.ID != e.ID {
+		fresh := b.newServer()
 		if s != nil {
 			fresh.inFlight = s.inFlight
 		}
 		s = fresh
-		b.servers[x.Server] = s
+		b.servers[e.Server] = s
 	}
-	s.Endpoint = x
-	if s.isOrigin = b.config.CacheAside && x.Model == b.config.OriginKind; s.isOrigin {
-		s.slowStartQuota, s.concurrencyQuota = nil, nil // these budgets are of caches
+	s.Endpoint = e
+	s.isOrigin = b.config.CacheAside && e.Model == b.config.OriginKind
+	if s.isOrigin { // these quotas are for caches
+		s.slowStartQuota = nil
+		s.concurrencyQuota = nil
 	}
 }
 
-// findReady finds a server's place among the ready caches.
-func (b *Balancer) findReady(id string) (at int, found bool) {
-	return slices.BinarySearchFunc(b.ready, id, func(i int, id string) int { return strings.Compare(b.servers[i].ID, id) })
+// findReady gives the index in ready of the first cache with an ID, or where
+// it would be inserted.
+func (b *Balancer) findReady(id string) (index int, found bool) {
+	return slices.BinarySearchFunc(b.ready, id, func(server int, id string) int {
+		return strings.Compare(b.servers[server].ID, id)
+	})
 }
 
-// removeReady takes a server out of those that are asked, before what is known of it changes.
-func (b *Balancer) removeReady(i int) {
-	if i >= len(b.servers) || b.servers[i] == nil || b.servers[i].State != Ready {
+// removeReady takes a server out of ready or origins, if it is there.
+func (b *Balancer) removeReady(server int) {
+	if server >= len(b.servers) || b.servers[server] == nil || b.servers[server].State != Ready {
 		return
 	}
-	s := b.servers[i]
+	s := b.servers[server]
 	if s.isOrigin {
-		b.origins = slices.DeleteFunc(b.origins, func(o int) bool { return o == i })
+		b.origins = slices.DeleteFunc(b.origins, func(o int) bool { return o == server })
 		return
 	}
-	at, found := b.findReady(s.ID)
-	for ; found && at < len(b.ready) && b.servers[b.ready[at]].ID == s.ID; at++ {
-		if b.ready[at] == i {
-			b.ready = slices.Delete(b.ready, at, at+1)
+	index, found := b.findReady(s.ID)
+	for ; found && index < len(b.ready) && b.servers[b.ready[index]].ID == s.ID; index++ {
+		if b.ready[index] == server {
+			b.ready = slices.Delete(b.ready, index, index+1)
 			b.inFlight -= s.inFlight
 			return
 		}
 	}
 }
 
-// insertReady puts a server among those that are asked, if it is ready: caches in the order of their ids, origins in that of their indices.
-func (b *Balancer) insertReady(i int) {
-	s := b.servers[i]
-	switch {
-	case s.State != Ready:
-	case s.isOrigin:
-		at, _ := slices.BinarySearch(b.origins, i)
-		b.origins = slices.Insert(b.origins, at, i)
-	default:
-		at, _ := b.findReady(s.ID)
-		b.ready = slices.Insert(b.ready, at, i)
-		b.inFlight += s.inFlight
+// insertReady puts a server into ready or origins, if its state is Ready.
+func (b *Balancer) insertReady(server int) {
+	s := b.servers[server]
+	if s.State != Ready {
+		return
+	}
+	if s.isOrigin {
+		index, _ := slices.BinarySearch(b.origins, server)
+		b.origins = slices.Insert(b.origins, index, server)
+		return
 	}
+	index, _ := b.findReady(s.ID)
+	b.ready = slices.Insert(b.ready, index, server)
+	b.inFlight += s.inFlight
 }
 
-// rebuildReady does so for all servers at once.
+// rebuildReady fills ready and origins anew from all servers.
 func (b *Balancer) rebuildReady() {
-	for i, s := range b.servers {
+	b.ready = b.ready[:0]
+	b.origins = b.origins[:0]
+	b.inFlight = 0
+	for server, s := range b.servers {
 		switch {
 		case s == nil || s.State != Ready:
 		case s.isOrigin:
-			b.origins = append(b.origins, i)
+			b.origins = append(b.origins, server)
 		default:
-			b.ready = append(b.ready, i)
+			b.ready = append(b.ready, server)
 			b.inFlight += s.inFlight
 		}
 	}
--- /dev/null
+++ b/routing/fetch.go
@@ -0,0 +1,75 @@
+package routing
+
+import "slices"
+
+// Fetches of the same key are coalesced: while one request fetches a missing
+// value from the origin, other requests of this node for the key wait, and
+// then ask the cache.
+
+// fetchInFlight reports whether a request has to wait for another's fetch.
+func (b *Balancer) fetchInFlight(r *requestState) bool {
+	if r.Write || r.keyHash == 0 {
+		return false
+	}
+	_, found := b.fetchWaiters[r.keyHash]
+	return found
+}
+
+// isFetchAt reports whether an attempt at a server would be a fetch that
+// others can wait for. After a full cache, as opposed to a miss, the cache may
+// well have the value, so nobody needs to wait.
+func (b *Balancer) isFetchAt(r *requestState, server int) bool {
+	return b.servers[server].isOrigin && r.missed && !r.Write && r.keyHash != 0
+}
+
+// beginFetch makes later requests for the key wait.
+func (b *Balancer) beginFetch(r *requestState) {
+	r.isFetch = true
+	b.fetchWaiters[r.keyHash] = nil
+}
+
+// awaitFetch makes a request wait for the fetch of its key.
+func (b *Balancer) awaitFetch(id int) {
+	r := &b.requests[id]
+	r.awaitsFetch = true
+	b.fetchWaiters[r.keyHash] = append(b.fetchWaiters[r.keyHash], id)
+	b.host.SetAlarm(r.giveUpAt, firstRequestHandle+id)
+}
+
+// expireFetchWait gives a request up that has waited until its time was over.
+func (b *Balancer) expireFetchWait(id int) {
+	if id < 0 || id >= len(b.requests) {
+		return
+	}
+	if r := &b.requests[id]; r.awaitsFetch && b.now >= r.giveUpAt {
+		b.finish(id)
+	}
+}
+
+// stopAwaitingFetch takes a request out of those that wait.
+func (b *Balancer) stopAwaitingFetch(id int) {
+	r := &b.requests[id]
+	if !r.awaitsFetch {
+		return
+	}
+	r.awaitsFetch = false
+	b.fetchWaiters[r.keyHash] = slices.DeleteFunc(b.fetchWaiters[r.keyHash], func(other int) bool { return other == id })
+}
+
+// releaseFetchWaiters lets the requests go on that wait for this one's fetch,
+// if it is one.
+func (b *Balancer) releaseFetchWaiters(id int) {
+	r := &b.requests[id]
+	if !r.isFetch {
+		return
+	}
+	r.isFetch = false
+	waiters := b.fetchWaiters[r.keyHash]
+	delete(b.fetchWaiters, r.keyHash)
+	for _, waiter := range waiters {
+		w := &b.requests[waiter]
+		w.awaitsFetch = false
+		w.missed = false // the cache may have the value by now
+		b.advance(waiter)
+	}
+}
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -1,60 +1,64 @@
 package routing
 
-// This file holds what the origin may be asked, and who waits for a fetch.
+import "slices"
 
-import (
-	"slices"
+const (
+	originTargetShare = 0.6 // of the latency target that attempts at the origin may fill
+	writeLimitFactor  = 2   // writes may fill the origin this many times as far as fetches
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	// What a node may always have in flight at the origin, to measure it by.
+	minFleetFetches      = 12.0 // attempts of all nodes together
+	maxUnmeasuredFetches = 3.0  // attempts of this node, while the origin's concurrencyLimit allows them
+
+	// originLimitIncrease is the step for a quick answer up to
+	// maxUnmeasuredFetches, larger than limitIncrease since a node of a large
+	// fleet fetches seldom.
+	originLimitIncrease = 0.3 // attempts
 )
 
-// pickOrigin gives the origin that has room for a lookup and would answer it in time, or -1. What it takes is
-// bounded by rate times time, writes first; its least room lets each node measure it.
-func (b *Balancer) pickOrigin(l *requestState) int {
+// pickOrigin gives the origin that has capacity for a request and is likely to
+// answer in time, or noServer.
+func (b *Balancer) pickOrigin(r *requestState) int {
 	if len(b.origins) == 0 {
-		return -1
+		return noServer
 	}
-	best := slices.MinFunc(b.origins, func(x, y int) int {
-		return b.servers[x].inFlight - b.servers[y].inFlight
-	})
-	s, target := b.servers[best], b.shortestLatencyTarget // what may be patient must not keep waiting what may not
-	if l.Write {
-		target = b.classes[l.Class].LatencyTarget
+	origin := b.leastLoadedOrigin()
+	s := b.servers[origin]
+	quota := b.quotas[OriginConcurrency]
+	if quota == nil && s.inFlight >= b.roundRandomly(b.originLimit(r, s)) {
+		return noServer
 	}
-	room := max(minFleetFetches/b.nodeCount, min(s.concurrencyLimit, maxUnmeasuredFetches), b.perSecond(s.answers)*originTargetShare*seconds(target))
-	if l.Write {
-		room = writeLimitFactor * max(1, room)
+	if r.giveUpAt-b.now < s.meanLatency {
+		return noServer
 	}
-	if part := b.quotas[OriginConcurrency]; part == nil && s.inFlight >= int(room+b.draw()) || l.giveUpAt-b.now < s.meanLatency ||
-		b.quotaExhausted(l, part) || b.quotaExhausted(l, b.quotas[OriginRate]) { // nor a fetch that would come too late
-		return -1
+	if b.quotaExhausted(r, quota) || b.quotaExhausted(r, b.quotas[OriginRate]) {
+		return noServer
 	}
-	return best
+	return origin
 }
 
-// quotaExhausted says whether the fleet's budget for the lookup's next step has nothing left for us.
-func (b *Balancer) quotaExhausted(l *requestState, part *allowance.Limiter) bool {
-	if part.Available(int64(b.now)) >= 1 {
-		return false
-	}
-	if l.deniedBy != part {
-		part.Denied()
-		l.deniedBy = part
-	}
-	return true
+func (b *Balancer) leastLoadedOrigin() int {
+	return slices.MinFunc(b.origins, func(x, y int) int {
+		return b.servers[x].inFlight - b.servers[y].inFlight
+	})
 }
 
-// releaseFetchWaiters lets those who waited for this lookup's fetch go on.
-func (b *Balancer) releaseFetchWaiters(lkp int) {
-	l := &b.requests[lkp]
-	if !l.isFetch {
-		return
+// originLimit gives the attempts that this node may have in flight at an
+// origin for a request. Fetches are bounded by the shortest latency target of
+// all classes, lest patient requests delay urgent ones; writes have
+// precedence.
+func (b *Balancer) originLimit(r *requestState, s *serverState) float64 {
+	target := b.shortestLatencyTarget
+	if r.Write {
+		target = b.classes[r.Class].LatencyTarget
 	}
-	l.isFetch = false
-	q := b.fetchWaiters[l.keyHash]
-	delete(b.fetchWaiters, l.keyHash)
-	for _, w := range q {
-		b.requests[w].awaitsFetch, b.requests[w].missed = false, false // the value may be stored by now
-		b.advance(w)
+	limit := max(
+		minFleetFetches/b.nodeCount,
+		min(s.concurrencyLimit, maxUnmeasuredFetches),
+		b.perSecond(s.answers)*originTargetShare*seconds(target),
+	)
+	if r.Write {
+		return writeLimitFactor * max(1, limit)
 	}
+	return limit
 }
--- /dev/null
+++ b/routing/random.go
@@ -0,0 +1,22 @@
+package routing
+
+import (
+	"encoding/binary"
+	"hash/fnv"
+)
+
+// draw gives the next number in [0, 1) of the node's own random sequence. The
+// sequence depends on the seed alone.
+func (b *Balancer) draw() float64 {
+	b.draws++
+	h := fnv.New64a()
+	var buf [16]byte
+	binary.LittleEndian.PutUint64(buf[:8], b.seed)
+	binary.LittleEndian.PutUint64(buf[8:], b.draws)
+	h.Write(buf[:])
+	return float64(h.Sum64()%(1<<20)) / (1 << 20)
+}
+
+// roundRandomly rounds x up with the probability of its fraction, else down,
+// so that many nodes with a fraction each reach the sum of them in the mean.
+func (b *Balancer) roundRandomly(x float64) int { return int(x + b.draw()) }
--- /dev/null
+++ b/routing/rates.go
@@ -0,0 +1,43 @@
+package routing
+
+// decayInterval is the time between two halvings of the decaying counts, which
+// gives them a memory of a few seconds.
+const decayInterval = 1000 * Millisecond
+
+// perSecond turns a decaying count into a rate. Halving leaves twice the count
+// of one interval in the long run.
+func (b *Balancer) perSecond(count float64) float64 {
+	return count / (seconds(decayInterval) + seconds(b.now-b.decayedAt))
+}
+
+// decayCounts halves all decaying counts if an interval has passed.
+func (b *Balancer) decayCounts() {
+	if b.now < b.decayedAt+decayInterval {
+		return
+	}
+	b.measureWarmCaches()
+	for _, s := range b.servers {
+		if s != nil {
+			s.answers /= 2
+			s.firstAttemptAnswers /= 2
+		}
+	}
+	for i := range b.tenants {
+		b.tenants[i].requests /= 2
+	}
+	b.decayedAt = b.now
+}
+
+// measureWarmCaches sets warmCacheRate, from which the limit of a cache in
+// slow start follows. Only first attempts count: retries would raise that
+// limit while caches fail.
+func (b *Balancer) measureWarmCaches() {
+	sum, warm := 0.0, 0
+	for _, i := range b.ready {
+		if s := b.servers[i]; b.slowStartShare(s) == 1 {
+			sum += b.perSecond(s.firstAttemptAnswers)
+			warm++
+		}
+	}
+	b.warmCacheRate = sum / float64(max(1, warm))
+}
--- /dev/null
+++ b/routing/result.go
@@ -0,0 +1,69 @@
+package routing
+
+// AttemptDone reports the result of an attempt, and whether the request has
+// ended with it. An attempt that outlasts its request is reported as well.
+func (b *Balancer) AttemptDone(now Time, id, number int, result Result, ended bool) {
+	b.advanceClock(now)
+	r := &b.requests[id]
+	a := &r.attempts[number]
+	a.inFlight = false
+	a.neverRan = result.neverRan()
+	b.learnFromResult(r, number, result)
+	r.missed = r.missed || result == NotFound
+	if !r.active {
+		return
+	}
+	if ended {
+		b.adjustAdmissionLevel(r, now-r.arrivedAt <= b.classes[r.Class].LatencyTarget)
+		b.endRequest(id)
+		return
+	}
+	b.releaseFetchWaiters(id)
+	b.advance(id)
+}
+
+// learnFromResult takes what the result of an attempt says of its server.
+func (b *Balancer) learnFromResult(r *requestState, number int, result Result) {
+	a := r.attempts[number]
+	s := b.servers[a.server]
+	latency := b.now - a.sentAt
+	slow := false
+	if result != Withheld {
+		s.recordLatency(latency)
+		slow = b.classes[r.Class].isSlow(latency)
+	}
+	b.returnConcurrencyQuota(s)
+	if result == TimedOut && !slow {
+		result = Canceled // the request had little time left, which says nothing of the server
+	}
+	b.addInFlight(s, -1)
+	b.updateEjection(s, result)
+	if result.isAnswer() {
+		b.growIdleTimeout()
+		s.earnRetryBudget()
+		s.countAnswer(number == 0)
+	}
+	b.closeIdleAfter(a.server, result)
+	if result == Withheld {
+		b.refundAttempt(r, number, s)
+	} else {
+		s.adjustConcurrencyLimit(result, slow)
+	}
+}
+
+// countAnswer counts an answer for the rates of the server.
+func (s *serverState) countAnswer(firstAttempt bool) {
+	s.answers++
+	if firstAttempt {
+		s.firstAttemptAnswers++
+	}
+}
+
+// returnConcurrencyQuota gives back what an attempt took of the quotas of
+// attempts in flight.
+func (b *Balancer) returnConcurrencyQuota(s *serverState) {
+	s.concurrencyQuota.Ended(int64(s.meanLatency))
+	if s.isOrigin {
+		b.quotas[OriginConcurrency].Ended(int64(s.meanLatency))
+	}
+}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -1,72 +1,87 @@
 package routing
 
-// This file holds what the rules allow and how a lookup ends.
+const (
+	retryBudgetPerAnswer = 0.25 // retries earned by an answer, so that a quarter of all attempts may be retries
+	maxRetryBudget       = 5.0  // retries; bounds a burst of them at one server
 
-import "slices"
+	// dedupMarginDivisor: half of the deduplication window is left for the way
+	// to the server, since the window counts from the send.
+	dedupMarginDivisor = 2
+)
 
-// mayDefer: a deferral promises that a retry is harmless.
-func (b *Balancer) mayReject(l *requestState) bool {
-	ns := &b.classes[l.Class]
-	_, ran := l.firstPossibleRun()
-	return !ran || ns.Idempotence == Safe || ns.Idempotence == IdempotentByKey && ns.SharedDedup
-}
-
-// mayShoot: no effect happens twice, nothing follows the end, and the host's bound on shots holds.
-func (b *Balancer) mayAttempt(l *requestState) bool {
-	if !l.active || b.now >= l.giveUpAt || len(l.attempts) >= b.config.MaxAttempts {
+// mayAttempt reports whether a request may have one more attempt: it is still
+// worth an answer, has attempts left, and no effect would happen twice.
+func (b *Balancer) mayAttempt(r *requestState) bool {
+	if !r.active || b.now >= r.giveUpAt || len(r.attempts) >= b.config.MaxAttempts {
 		return false
 	}
-	ns := &b.classes[l.Class]
-	first, ran := l.firstPossibleRun()
-	// Half the memory span is kept for the way to the server: it counts from the send.
-	return !ran || ns.Idempotence == Safe || ns.Idempotence == IdempotentByKey && ns.SharedDedup && b.now-first < ns.DedupWindow/2
+	firstRun, mayHaveRun := r.firstPossibleRun()
+	if !mayHaveRun {
+		return true
+	}
+	class := &b.classes[r.Class]
+	return class.mayRepeat() && (class.Idempotence == Safe || b.now-firstRun < class.DedupWindow/dedupMarginDivisor)
 }
 
-// finish gives the final answer at once.
-func (b *Balancer) finish(lkp int) {
-	l := &b.requests[lkp]
-	b.adjustAdmissionLevel(l, false)
-	if b.mayReject(l) {
-		b.host.Reject(lkp, b.retryAfter(l))
-	} else {
-		b.host.Fail(lkp)
-	}
-	b.endRequest(lkp)
+// mayReject reports whether a request may be rejected, which promises the
+// client that a retry is harmless.
+func (b *Balancer) mayReject(r *requestState) bool {
+	_, mayHaveRun := r.firstPossibleRun()
+	return !mayHaveRun || b.classes[r.Class].mayRepeat()
+}
+
+// mayRepeat reports whether a request of the class may run again after an
+// attempt that may have run. For a keyed one the deduplication window bounds
+// how long.
+func (c *classState) mayRepeat() bool {
+	return c.Idempotence == Safe || c.Idempotence == IdempotentByKey && c.SharedDedup
 }
 
-// retryAfter asks a client back while an answer can still be in time, else to stay away for long.
-func (b *Balancer) retryAfter(l *requestState) Time {
-	most := b.config.MaxRetryAfter
-	target := float64(b.classes[l.Class].LatencyTarget)
-	if float64(b.now-l.arrivedAt) < earlyRejectShare*target {
-		return min(most, Time(retryAfterShare*target*(1+b.draw())))
-	} else if l.deniedBy != nil {
-		return most/2 + Time(b.draw()*float64(most/2)) // all nodes may be short, and their clients come at once
+// firstPossibleRun gives the start of the first attempt that may have had an
+// effect, if there is one.
+func (r *requestState) firstPossibleRun() (at Time, found bool) {
+	for _, a := range r.attempts {
+		if !a.neverRan {
+			return a.startedAt, true
+		}
 	}
-	return most
+	return 0, false
 }
 
-// adjustAdmissionLevel notes how we fare with what is inside its share: where it suffers, what is beyond yields first. What
-// ran out of time tells of its server more than of the load.
-func (b *Balancer) adjustAdmissionLevel(l *requestState, inTime bool) {
-	switch {
-	case l.overQuota: // worth little whatever becomes of it
-	case inTime:
-		b.admissionLevel = min(1, b.admissionLevel+successGain)
-	case b.now >= l.giveUpAt:
-		b.admissionLevel = max(0, b.admissionLevel-expiryLoss)
-	default:
-		b.admissionLevel = max(0, b.admissionLevel-rejectionLoss)
+// earnRetryBudget adds what an answer earns.
+func (s *serverState) earnRetryBudget() {
+	s.retryBudget = min(maxRetryBudget, s.retryBudget+retryBudgetPerAnswer)
+}
+
+// finish gives a request up: it is rejected if a retry is harmless, else it
+// fails.
+func (b *Balancer) finish(id int) {
+	r := &b.requests[id]
+	b.adjustAdmissionLevel(r, false)
+	if b.mayReject(r) {
+		b.host.Reject(id, b.retryAfter(r))
+	} else {
+		b.host.Fail(id)
 	}
+	b.endRequest(id)
 }
 
-// endRequest forgets a lookup; its shots that are out still settle.
-func (b *Balancer) endRequest(lkp int) {
-	l := &b.requests[lkp]
-	l.active = false
-	if l.awaitsFetch {
-		l.awaitsFetch = false
-		b.fetchWaiters[l.keyHash] = slices.DeleteFunc(b.fetchWaiters[l.keyHash], func(o int) bool { return o == lkp })
+const (
+	earlyRejectShare = 0.4 // of the latency target, up to which a client's own retry can still be in time
+	retryAfterShare  = 0.1 // of the latency target; a client waits this long, and up to as long again at random
+)
+
+// retryAfter gives the advice for a rejected client: a short wait while an
+// answer can still be in time, else the longest that clients heed. If a quota
+// was exhausted, all nodes may lack it, so their clients are spread out.
+func (b *Balancer) retryAfter(r *requestState) Time {
+	longest := b.config.MaxRetryAfter
+	target := float64(b.classes[r.Class].LatencyTarget)
+	switch {
+	case float64(b.now-r.arrivedAt) < earlyRejectShare*target:
+		return min(longest, Time(retryAfterShare*target*(1+b.draw())))
+	case r.deniedBy != nil:
+		return longest/2 + Time(b.draw()*float64(longest/2))
 	}
-	b.releaseFetchWaiters(lkp)
+	return longest
 }
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -1,128 +1,126 @@
 package routing
 
-// This file holds which server a lookup is sent to: the walk along the ranges, and the next step of each lookup.
+// noServer is the index where no server can be chosen.
+const noServer = -1
 
-import (
-	"math"
-	"slices"
+const (
+	// maxFallThroughs is how many ready caches without capacity a request may
+	// pass. A hot key needs some; with more, keys scatter over the caches.
+	maxFallThroughs = 2
+
+	// A cache is busy with minBusyInFlight attempts of this node or more, and
+	// more than busyFactor times the mean plus one.
+	minBusyInFlight = 2   // attempts
+	busyFactor      = 2.0 // times the mean in flight
+
+	// congestionFactor: a full cache with no more than this many times the
+	// mean in flight shows that the others are about as full.
+	congestionFactor = 1.5 // times the mean in flight
 )
 
-// pickCache walks from the lookup's own range to the first cache that nothing speaks against; where one has no
-// room the origin comes before the next. -1: none.
-func (b *Balancer) pickCache(l *requestState) int {
+// pickServer chooses the server for a request's next attempt, or noServer. A
+// write goes to the origin, and so does a request after an attempt that gave
+// no value, since hardly another cache has it.
+func (b *Balancer) pickServer(r *requestState) int {
+	if r.Write || len(r.attempts) > 0 {
+		if origin := b.pickOrigin(r); origin != noServer {
+			return origin
+		}
+	}
+	if r.Write || r.missed {
+		return noServer
+	}
+	return b.pickCache(r)
+}
+
+// pickCache chooses the cache whose range holds the request's key, and falls
+// through to the next ranges where that one is skipped or lacks capacity. If
+// all caches within reach are busy, it takes the first of them that is not
+// full. Before a request falls through from a full cache it goes to the origin
+// if that has capacity: the next caches hardly have the value.
+func (b *Balancer) pickCache(r *requestState) int {
 	n := len(b.ready)
 	if n == 0 {
-		return -1
+		return noServer
 	}
 	mean := b.meanInFlight()
-	at, busy, passed := b.rangeOf(l.point), -1, 0
-	for step := 0; step < n && passed <= maxFallThroughs; step++ {
-		i := b.ready[(at+step)%n]
-		s := b.servers[i]
-		if b.skipReason(l, i, s) {
+	first := b.rangeOf(r.point)
+	firstBusy := noServer
+	fallThroughs := 0
+	for step := 0; step < n && fallThroughs <= maxFallThroughs; step++ {
+		server := b.ready[(first+step)%n]
+		s := b.servers[server]
+		if b.skipReason(r, server) != notSkipped {
 			continue
 		}
-		full := s.inFlight >= int(b.inFlightLimit(l, s)+b.draw())
-		if full {
-			// The next caches hardly have the value, and misses there would jam them too.
-			if to := b.pickOrigin(l); to >= 0 {
-				return to
+		if b.isFull(r, s) {
+			if origin := b.pickOrigin(r); origin != noServer {
+				return origin
+			}
+			if s.showsCongestion(mean) {
+				break
+			}
+		} else {
+			if !s.isBusy(mean) {
+				return server
+			}
+			if firstBusy == noServer {
+				firstBusy = server
 			}
 		}
-		if full && s.inFlight > 0 && float64(s.inFlight) <= congestionFactor*mean {
-			break // all are about as full: walking on would only scatter the keys and jam the rest
-		} else if !full && (s.inFlight < minBusyInFlight || float64(s.inFlight) <= busyFactor*mean+1) {
-			return i
-		}
-		if passed++; busy < 0 && !full {
-			busy = i
-		}
+		fallThroughs++
 	}
-	return busy
+	return firstBusy
 }
 
-// skipReason gives the exceptions: each is one more reason to skip a cache.
-func (b *Balancer) skipReason(l *requestState, i int, s *serverState) bool {
-	if slices.ContainsFunc(l.attempts, func(t attempt) bool { return t.server == i }) {
-		return true // it had its try
-	}
-	// After a suspect's rest one replayable lookup tries it out.
-	if s.ejectionTime > 0 && (b.now < s.ejectedUntil || s.probing || b.classes[l.Class].Idempotence != Safe) {
-		return true
-	}
-	if len(l.attempts) > 0 && !l.missed && s.retryBudget < 1 {
-		return true // a further shot wants credit, lest a jam feed itself
-	}
-	cold := b.slowStartShare(s) < 1
-	if cold && b.refillSlowStart(l, s) < l.work {
-		return true // also where the fleet has a budget: its whole is one figure, what a cold cache bears grows
-	}
-	return (cold || s.ejectionTime > 0) && b.quotaExhausted(l, s.slowStartQuota) || b.quotaExhausted(l, s.concurrencyQuota)
+// isBusy reports whether a cache has far more attempts of this node in flight
+// than the mean.
+func (s *serverState) isBusy(mean float64) bool {
+	return s.inFlight >= minBusyInFlight && float64(s.inFlight) > busyFactor*mean+1
 }
 
-// inFlightLimit bounds what is in flight at a cache: by rate times time, as measured, with its root for chance, and
-// by what keeps it calm.
-func (b *Balancer) inFlightLimit(l *requestState, s *serverState) float64 {
-	filled := b.perSecond(s.answers) * inFlightTargetShare * seconds(b.classes[l.Class].LatencyTarget)
-	return min(s.concurrencyLimit, max(minBusyInFlight, filled+math.Sqrt(filled)))
+// showsCongestion reports whether a full cache shows that all are about as
+// full, so that a request finds no capacity at the next ones.
+func (s *serverState) showsCongestion(mean float64) bool {
+	return s.inFlight > 0 && float64(s.inFlight) <= congestionFactor*mean
 }
 
-// perSecond turns a count that is halved into one a second. Halving keeps twice a span's count in the long run.
-func (b *Balancer) perSecond(count float64) float64 {
-	return count / (seconds(decayInterval) + seconds(b.now-b.decayedAt))
-}
+// skipReason says why a ready cache does not get a request's next attempt,
+// whatever its load.
+type skipReason int
 
-// sendAttempt sends a lookup and books it.
-func (b *Balancer) sendAttempt(lkp, i int) {
-	l, s := &b.requests[lkp], b.servers[i]
-	s.probing = s.probing || s.ejectionTime > 0
-	if b.slowStartShare(s) < 1 || s.ejectionTime > 0 {
-		s.slowStartQuota.Spend()
-		s.slowStartTokens -= l.work
-	}
-	if s.concurrencyQuota.Spend(); s.isOrigin {
-		b.quotas[OriginRate].Spend()
-		b.quotas[OriginConcurrency].Spend()
-	} else if len(l.attempts) > 0 && !l.missed {
-		s.retryBudget--
-	}
-	if !l.Streaming {
-		b.addInFlight(s, 1) // a server begins with the last byte
-	}
-	l.attempts = append(l.attempts, attempt{server: i, startedAt: b.now, sentAt: b.now, inFlight: true})
-	b.host.Send(lkp, i, l.giveUpAt-b.now)
-}
+const (
+	notSkipped skipReason = iota
+	skipAttempted
+	skipEjected
+	skipRetryBudget
+	skipSlowStart
+	skipSlowStartQuota
+	skipConcurrencyQuota
+)
 
-// advance takes a lookup's next step: its cache, the origin, a wait for the key's fetch, or its end.
-func (b *Balancer) advance(lkp int) {
-	l := &b.requests[lkp]
-	if slices.ContainsFunc(l.attempts, func(s attempt) bool { return s.inFlight }) {
-		return // its outcome will come
-	}
-	l.deniedBy = nil
-	if !b.mayAttempt(l) {
-		b.finish(lkp)
-		return
+// skipReason gives the first reason to skip a ready cache.
+func (b *Balancer) skipReason(r *requestState, server int) skipReason {
+	s := b.servers[server]
+	if r.attempted(server) {
+		return skipAttempted
 	}
-	if q, out := b.fetchWaiters[l.keyHash]; out && !l.Write && l.keyHash != 0 {
-		l.awaitsFetch, b.fetchWaiters[l.keyHash] = true, append(q, lkp) // until the other's fetch has ended
-		b.host.SetAlarm(l.giveUpAt, lkp+1)
-		return
+	if s.isEjected() && !b.mayProbe(r, s) {
+		return skipEjected
 	}
-	to := -1
-	if l.Write || len(l.attempts) > 0 {
-		to = b.pickOrigin(l) // where its own cache doesn't give it, hardly another has the value
+	if r.isRetry() && s.retryBudget < 1 {
+		return skipRetryBudget
 	}
-	if to < 0 && !l.Write && !l.missed {
-		to = b.pickCache(l)
+	// This limit grows with the cache, so it holds beside the fleet's quota.
+	slowStart := b.inSlowStart(s)
+	if slowStart && b.refillSlowStart(r, s) < r.work {
+		return skipSlowStart
 	}
-	if to < 0 {
-		b.finish(lkp)
-		return
+	if (slowStart || s.isEjected()) && b.quotaExhausted(r, s.slowStartQuota) {
+		return skipSlowStartQuota
 	}
-	if b.servers[to].isOrigin && l.missed && !l.Write && l.keyHash != 0 { // not where a full cache has the value
-		l.isFetch = true
-		b.fetchWaiters[l.keyHash] = nil
+	if b.quotaExhausted(r, s.concurrencyQuota) {
+		return skipConcurrencyQuota
 	}
-	b.sendAttempt(lkp, to)
+	return notSkipped
 }
