--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -19,60 +19,60 @@
 )
 
 const (
-	benchRate = 1160          // lookups a second of a node, at the peak of a large deployment
-	benchOut  = 12            // lookups out at a time: each takes some ten milliseconds
-	benchKeys = 1_200_000_000 // objects, asked for by Zipf's law
-	benchSkew = 1.1
+	benchRate     = 1160          // lookups a second of a node, at the peak of a large deployment
+	benchInFlight = 12            // lookups out at a time: each takes some ten milliseconds
+	benchKeys     = 1_200_000_000 // objects, asked for by Zipf's law
+	benchSkew     = 1.1
 )
 
-// quiet is a Host that keeps only what is out; each shot is answered, the oldest first.
-type quiet struct {
-	b    *Balancer
-	now  Time
-	rest float64 // of a tick, until the next lookup
-	zipf *rand.Zipf
-	out  []int // lookups, one shot each
-	free []int
-	made int
+// benchHost is a Host that keeps only what is out; each shot is answered, the oldest first.
+type benchHost struct {
+	b        *Balancer
+	now      Time
+	fraction float64 // of a tick, until the next lookup
+	zipf     *rand.Zipf
+	inFlight []int // lookups, one shot each
+	freeIDs  []int
+	nextID   int
 }
 
-func (q *quiet) Send(lkp, server int, _ Time) { q.out = append(q.out, lkp) }
-func (q *quiet) Reject(lkp int, _ Time)       { q.free = append(q.free, lkp) }
-func (q *quiet) Fail(lkp int)                 { q.free = append(q.free, lkp) }
-func (q *quiet) Subscribe()                   {}
-func (q *quiet) CloseIdle(int, int)           {}
-func (q *quiet) SetAlarm(Time, int)           {}
-
-func (q *quiet) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
-
-// lookup asks for a key, after the mean time between two, and brings the oldest answer.
-func (q *quiet) lookup(key string) {
-	gap := float64(1000*Millisecond)/benchRate + q.rest
-	q.now, q.rest = q.now+Time(gap), gap-math.Floor(gap)
-	lkp := q.made
-	if n := len(q.free); n > 0 {
-		lkp, q.free = q.free[n-1], q.free[:n-1]
+func (q *benchHost) Send(lkp, server int, _ Time) { q.inFlight = append(q.inFlight, lkp) }
+func (q *benchHost) Reject(lkp int, _ Time)       { q.freeIDs = append(q.freeIDs, lkp) }
+func (q *benchHost) Fail(lkp int)                 { q.freeIDs = append(q.freeIDs, lkp) }
+func (q *benchHost) Subscribe()                   {}
+func (q *benchHost) CloseIdle(int, int)           {}
+func (q *benchHost) SetAlarm(Time, int)           {}
+
+func (q *benchHost) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
+
+// request asks for a key, after the mean time between two, and brings the oldest answer.
+func (q *benchHost) request(key string) {
+	gap := float64(1000*Millisecond)/benchRate + q.fraction
+	q.now, q.fraction = q.now+Time(gap), gap-math.Floor(gap)
+	lkp := q.nextID
+	if n := len(q.freeIDs); n > 0 {
+		lkp, q.freeIDs = q.freeIDs[n-1], q.freeIDs[:n-1]
 	} else {
-		q.made++
+		q.nextID++
 	}
 	q.b.Request(q.now, lkp, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
-	if len(q.out) > benchOut {
+	if len(q.inFlight) > benchInFlight {
 		q.answer()
 	}
 }
 
 // answer brings the oldest answer.
-func (q *quiet) answer() {
-	lkp := q.out[0]
-	q.out = slices.Delete(q.out, 0, 1)
+func (q *benchHost) answer() {
+	lkp := q.inFlight[0]
+	q.inFlight = slices.Delete(q.inFlight, 0, 1)
 	q.b.AttemptDone(q.now, lkp, 0, Served, true)
-	q.free = append(q.free, lkp)
+	q.freeIDs = append(q.freeIDs, lkp)
 }
 
-// newQuiet starts one of some nodes before warm caches, whose ids lie in no order, and an origin.
-func newQuiet(caches, nodes int) *quiet {
+// newBenchHost starts one of some nodes before warm caches, whose ids lie in no order, and an origin.
+func newBenchHost(caches, nodes int) *benchHost {
 	rnd := rand.New(rand.NewSource(1))
-	q := &quiet{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
+	q := &benchHost{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
 	q.b = New(q, 1, q.now, configOf(func(c *Config) {
 		c.Nodes, c.CacheAside, c.OriginKind, c.MaxAttempts = nodes, true, 1, 3
 		c.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
@@ -85,9 +85,9 @@
 	return q
 }
 
-func (q *quiet) warm(lookups int) *quiet {
+func (q *benchHost) warm(lookups int) *benchHost {
 	for range lookups {
-		q.lookup(q.key())
+		q.request(q.key())
 	}
 	return q
 }
@@ -103,13 +103,13 @@
 // A lookup with its answer, and its part of what is done every second or two.
 func BenchmarkLookup(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
+		q := newBenchHost(caches, nodes).warm(60_000)
 		keys := make([]string, 1<<16)
 		for i := range keys {
 			keys[i] = q.key()
 		}
 		for i := 0; b.Loop(); i++ {
-			q.lookup(keys[i%len(keys)])
+			q.request(keys[i%len(keys)])
 		}
 	})
 }
@@ -117,7 +117,7 @@
 // A change of the list: one cache begins to drain, or is back.
 func BenchmarkListChange(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
+		q := newBenchHost(caches, nodes).warm(60_000)
 		box := []Endpoint{q.b.servers[caches/2].Endpoint}
 		for i := 0; b.Loop(); i++ {
 			box[0].State = []State{Draining, Ready}[i%2]
@@ -129,7 +129,7 @@
 // A whole list, with nothing new in it.
 func BenchmarkListWhole(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
+		q := newBenchHost(caches, nodes).warm(60_000)
 		var boxes []Endpoint
 		for _, s := range q.b.servers {
 			boxes = append(boxes, s.Endpoint)
@@ -143,7 +143,7 @@
 // New cuts, as every two seconds.
 func BenchmarkRecut(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
+		q := newBenchHost(caches, nodes).warm(60_000)
 		for b.Loop() {
 			q.b.recomputeRanges()
 		}
@@ -153,7 +153,7 @@
 // What is done each second: the histogram is compared, and what is measured is halved.
 func BenchmarkSecond(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
+		q := newBenchHost(caches, nodes).warm(60_000)
 		for b.Loop() {
 			q.now += 1000 * Millisecond
 			q.b.advanceClock(q.now)
@@ -169,7 +169,7 @@
 		var state, busiest, most, middle, none, widest float64
 		for b.Loop() {
 			before := heap()
-			q := newQuiet(caches, nodes).warm(60_000)
+			q := newBenchHost(caches, nodes).warm(60_000)
 			state = heap() - before
 			got := make([]float64, caches)
 			for range 60_000 {
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -10,10 +10,10 @@
 
 // However changes and whole lists come, a server is asked exactly where it is ready: caches in the order of their ids, origins in that of their
 // indices, and what is in flight is counted at ready caches alone.
-func TestWhatIsAskedFollowsTheList(t *testing.T) {
+func TestReadyServersFollowTheList(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
 	for range 60 {
-		q := newQuiet(3, 10)
+		q := newBenchHost(3, 10)
 		b, ids := q.b, map[int]string{}
 		for step := range 120 {
 			var boxes []Endpoint
@@ -33,7 +33,7 @@
 				b.UpdateEndpoints(q.now, Incremental, boxes)
 			}
 			for range r.Intn(3) {
-				q.lookup(q.key())
+				q.request(q.key())
 			}
 			var ready, origins []int
 			inFlight := 0
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -6,109 +6,109 @@
 	"slices"
 )
 
-// fake is a Host that checks the rules at every call and remembers what is out.
-type fake struct {
-	b      *Balancer
-	rnd    *rand.Rand
-	now    Time
-	lkps   []*client
-	free   []int
-	boxes  []Endpoint
-	wakes  map[int][]Time
-	asked  int
-	hungUp int // orders to close all that idle,
-	left   int // and how many connections the latest other one left
-	faults []string
-	long   bool // reads may be long as well
+// fakeHost is a Host that checks the rules at every call and remembers what is out.
+type fakeHost struct {
+	b               *Balancer
+	rnd             *rand.Rand
+	now             Time
+	requests        []*fakeRequest
+	freeIDs         []int
+	endpoints       []Endpoint
+	alarms          map[int][]Time
+	polls           int
+	closedIdle      int // orders to close all that idle,
+	connectionsKept int // and how many connections the latest other one left
+	faults          []string
+	streamReads     bool // reads may be long as well
 }
 
-// client is one lookup as its client and the servers see it.
-type client struct {
-	kind     Idempotence
-	limit    Time
-	ended    bool
-	deferred Time // the retry-after, if it was deferred
-	shots    []fakeShot
-	out      int
-	long     bool
+// fakeRequest is one lookup as its client and the servers see it.
+type fakeRequest struct {
+	idempotence Idempotence
+	deadline    Time
+	ended       bool
+	retryAfter  Time // the retry-after, if it was deferred
+	attempts    []fakeAttempt
+	inFlight    int
+	streaming   bool
 }
 
-type fakeShot struct {
-	server    int
-	sent, due Time
-	settled   bool
-	code      Result
-	whole     bool // its last byte is out
+type fakeAttempt struct {
+	server            int
+	sentAt, timeoutAt Time
+	done              bool
+	result            Result
+	bodySent          bool // its last byte is out
 }
 
-func (s fakeShot) mayHaveRun() bool {
-	return !s.settled || s.code != Rejected && s.code != ConnectFailed && s.code != NotSent && s.code < NotFound
+func (s fakeAttempt) mayHaveRun() bool {
+	return !s.done || s.result != Rejected && s.result != ConnectFailed && s.result != NotSent && s.result < NotFound
 }
 
-func (f *fake) fault(format string, args ...any) {
+func (f *fakeHost) faultf(format string, args ...any) {
 	f.faults = append(f.faults, fmt.Sprintf(format, args...))
 }
 
-func (f *fake) Send(lkp, server int, timeout Time) {
-	c := f.lkps[lkp]
-	if c.ended || f.now >= c.limit {
-		f.fault("shot for an ended or overdue lookup")
+func (f *fakeHost) Send(lkp, server int, timeout Time) {
+	c := f.requests[lkp]
+	if c.ended || f.now >= c.deadline {
+		f.faultf("shot for an ended or overdue lookup")
 	}
-	if f.boxes[server].State != Ready {
-		f.fault("shot at a server that is not ready")
+	if f.endpoints[server].State != Ready {
+		f.faultf("shot at a server that is not ready")
 	}
-	for i := range c.shots {
-		s := &c.shots[i]
-		late := c.kind == IdempotentByKey && f.now-s.sent >= memorySpan
-		if s.mayHaveRun() && (c.kind == Unsafe || late) {
-			f.fault("a %s lookup may run twice", c.kind)
+	for i := range c.attempts {
+		s := &c.attempts[i]
+		late := c.idempotence == IdempotentByKey && f.now-s.sentAt >= dedupWindow
+		if s.mayHaveRun() && (c.idempotence == Unsafe || late) {
+			f.faultf("a %s lookup may run twice", c.idempotence)
 		}
 	}
-	c.shots = append(c.shots, fakeShot{server: server, sent: f.now, due: min(f.now+timeout, c.limit)})
-	c.out++
+	c.attempts = append(c.attempts, fakeAttempt{server: server, sentAt: f.now, timeoutAt: min(f.now+timeout, c.deadline)})
+	c.inFlight++
 }
 
-func (f *fake) Reject(lkp int, retryAfter Time) {
-	c := f.lkps[lkp]
-	if c.kind == Unsafe && slices.ContainsFunc(c.shots, fakeShot.mayHaveRun) {
-		f.fault("a single-use lookup was deferred though it may have run")
+func (f *fakeHost) Reject(lkp int, retryAfter Time) {
+	c := f.requests[lkp]
+	if c.idempotence == Unsafe && slices.ContainsFunc(c.attempts, fakeAttempt.mayHaveRun) {
+		f.faultf("a single-use lookup was deferred though it may have run")
 	}
-	c.deferred = retryAfter
+	c.retryAfter = retryAfter
 	f.end(lkp)
 }
 
-func (f *fake) Fail(lkp int) { f.end(lkp) }
+func (f *fakeHost) Fail(lkp int) { f.end(lkp) }
 
-func (f *fake) end(lkp int) {
-	if c := f.lkps[lkp]; c.ended {
-		f.fault("a second final answer")
+func (f *fakeHost) end(lkp int) {
+	if c := f.requests[lkp]; c.ended {
+		f.faultf("a second final answer")
 	} else {
 		c.ended = true
 	}
-	f.forget(lkp)
+	f.releaseID(lkp)
 }
 
-func (f *fake) Subscribe() { f.asked++ }
+func (f *fakeHost) Subscribe() { f.polls++ }
 
-func (f *fake) CloseIdle(_, but int) {
-	if f.left = but; but == 0 {
-		f.hungUp++
+func (f *fakeHost) CloseIdle(_, but int) {
+	if f.connectionsKept = but; but == 0 {
+		f.closedIdle++
 	}
 }
 
-func (f *fake) SetAlarm(at Time, handle int) { f.wakes[handle] = append(f.wakes[handle], at) }
+func (f *fakeHost) SetAlarm(at Time, handle int) { f.alarms[handle] = append(f.alarms[handle], at) }
 
-// forget hands the index out again, as the adapter does, once nothing of the lookup is out.
-func (f *fake) forget(lkp int) {
-	if c := f.lkps[lkp]; c.ended && c.out == 0 {
-		f.free = append(f.free, lkp)
-		f.lkps[lkp] = &client{ended: true, out: -1}
+// releaseID hands the index out again, as the adapter does, once nothing of the lookup is out.
+func (f *fakeHost) releaseID(lkp int) {
+	if c := f.requests[lkp]; c.ended && c.inFlight == 0 {
+		f.freeIDs = append(f.freeIDs, lkp)
+		f.requests[lkp] = &fakeRequest{ended: true, inFlight: -1}
 	}
 }
 
-const memorySpan = 400 * Millisecond
+const dedupWindow = 400 * Millisecond
 
-var kinds = []Idempotence{Safe, IdempotentByKey, Unsafe}
+var idempotences = []Idempotence{Safe, IdempotentByKey, Unsafe}
 
 // configOf gives the default configuration, changed.
 func configOf(change func(*Config)) Config {
@@ -117,12 +117,12 @@
 	return c
 }
 
-// newFake starts a node with three namespaces, two partners, n warm caches and an origin.
-func newFake(seed int64, n int) *fake {
-	f := &fake{rnd: rand.New(rand.NewSource(seed)), now: 1000, wakes: map[int][]Time{}}
+// newFakeHost starts a node with three namespaces, two partners, n warm caches and an origin.
+func newFakeHost(seed int64, n int) *fakeHost {
+	f := &fakeHost{rnd: rand.New(rand.NewSource(seed)), now: 1000, alarms: map[int][]Time{}}
 	var classes []Class
-	for _, k := range kinds {
-		classes = append(classes, Class{Idempotence: k, SharedDedup: true, LatencyTarget: 200 * Millisecond, DedupWindow: memorySpan})
+	for _, k := range idempotences {
+		classes = append(classes, Class{Idempotence: k, SharedDedup: true, LatencyTarget: 200 * Millisecond, DedupWindow: dedupWindow})
 	}
 	f.b = New(f, uint64(seed), f.now, Config{Nodes: 2, CacheAside: true, OriginKind: 1,
 		MaxAttempts: 4, MaxRetryAfter: 400 * Millisecond, SlowStartShare: 0.2, Tick: 2 * Millisecond,
@@ -130,103 +130,103 @@
 		MaxPollInterval: DefaultConfig().MaxPollInterval, PushedGrace: DefaultConfig().PushedGrace,
 		Classes: classes, Tenants: []Tenant{{Quota: 50}, DefaultTenant()}})
 	for i := range n {
-		f.boxes = append(f.boxes, Endpoint{Server: i, ID: fmt.Sprintf("10.0.0.%02d", i)})
+		f.endpoints = append(f.endpoints, Endpoint{Server: i, ID: fmt.Sprintf("10.0.0.%02d", i)})
 	}
-	f.boxes = append(f.boxes, Endpoint{Server: n, ID: "origin", Model: 1})
-	f.b.UpdateEndpoints(f.now, Cached, f.boxes)
+	f.endpoints = append(f.endpoints, Endpoint{Server: n, ID: "origin", Model: 1})
+	f.b.UpdateEndpoints(f.now, Cached, f.endpoints)
 	return f
 }
 
-// ask brings one lookup and gives its client.
-func (f *fake) ask(space int, key string, write bool, limit Time) (int, *client) {
-	lkp := len(f.lkps)
-	if n := len(f.free); n > 0 {
-		lkp, f.free = f.free[n-1], f.free[:n-1]
+// request brings one lookup and gives its client.
+func (f *fakeHost) request(space int, key string, write bool, limit Time) (int, *fakeRequest) {
+	lkp := len(f.requests)
+	if n := len(f.freeIDs); n > 0 {
+		lkp, f.freeIDs = f.freeIDs[n-1], f.freeIDs[:n-1]
 	} else {
-		f.lkps = append(f.lkps, nil)
+		f.requests = append(f.requests, nil)
 	}
-	c := &client{kind: kinds[space], limit: limit}
-	f.lkps[lkp] = c
-	c.long = (write || f.long) && f.rnd.Intn(4) == 0
+	c := &fakeRequest{idempotence: idempotences[space], deadline: limit}
+	f.requests[lkp] = c
+	c.streaming = (write || f.streamReads) && f.rnd.Intn(4) == 0
 	f.b.Request(f.now, lkp, Request{Class: space, Tenant: space % 2, Key: key, Write: write, Deadline: limit,
-		Streaming: c.long})
+		Streaming: c.streaming})
 	return lkp, c
 }
 
-// sent brings the last byte of a long lookup's shot.
-func (f *fake) sent(lkp, shot int) {
-	if c := f.lkps[lkp]; c.long && !c.shots[shot].whole {
-		c.shots[shot].whole = true
+// bodySent brings the last byte of a long lookup's shot.
+func (f *fakeHost) bodySent(lkp, shot int) {
+	if c := f.requests[lkp]; c.streaming && !c.attempts[shot].bodySent {
+		c.attempts[shot].bodySent = true
 		f.b.BodySent(f.now, lkp, shot)
 	}
 }
 
-func (f *fake) settle(lkp, shot int, code Result) {
-	c := f.lkps[lkp]
-	f.sent(lkp, shot)
-	c.shots[shot].settled, c.shots[shot].code = true, code
-	c.out--
+func (f *fakeHost) attemptDone(lkp, shot int, code Result) {
+	c := f.requests[lkp]
+	f.bodySent(lkp, shot)
+	c.attempts[shot].done, c.attempts[shot].result = true, code
+	c.inFlight--
 	if code == Withheld && !c.ended { // only of a lookup that is over
 		c.ended = true
 		f.b.ClientGone(f.now, lkp)
 	}
 	c.ended = c.ended || code == Served
 	f.b.AttemptDone(f.now, lkp, shot, code, c.ended)
-	f.forget(lkp)
+	f.releaseID(lkp)
 }
 
-// pass moves the clock on and plays time-outs and alarms.
-func (f *fake) pass(span Time) {
+// advance moves the clock on and plays time-outs and alarms.
+func (f *fakeHost) advance(span Time) {
 	f.now += span
-	for lkp, c := range f.lkps {
-		for i := range c.shots {
-			if s := &c.shots[i]; !s.settled && f.now >= s.due && f.lkps[lkp] == c {
-				f.settle(lkp, i, TimedOut)
+	for lkp, c := range f.requests {
+		for i := range c.attempts {
+			if s := &c.attempts[i]; !s.done && f.now >= s.timeoutAt && f.requests[lkp] == c {
+				f.attemptDone(lkp, i, TimedOut)
 			}
 		}
 	}
-	for handle := 0; handle <= 2*max(len(f.lkps), len(f.boxes)); handle++ {
-		due := f.wakes[handle]
-		f.wakes[handle] = slices.DeleteFunc(slices.Clone(due), func(at Time) bool { return at <= f.now })
+	for handle := 0; handle <= 2*max(len(f.requests), len(f.endpoints)); handle++ {
+		due := f.alarms[handle]
+		f.alarms[handle] = slices.DeleteFunc(slices.Clone(due), func(at Time) bool { return at <= f.now })
 		for _, at := range due {
 			if at <= f.now {
 				f.b.Alarm(f.now, handle)
 			}
 		}
 	}
-	for _, c := range f.lkps {
-		if !c.ended && f.now > c.limit+8*Millisecond {
-			f.fault("a lookup has no final answer in time")
+	for _, c := range f.requests {
+		if !c.ended && f.now > c.deadline+8*Millisecond {
+			f.faultf("a lookup has no final answer in time")
 		}
 	}
 }
 
-func (f *fake) step() {
+func (f *fakeHost) step() {
 	switch r := f.rnd.Intn(100); {
 	case r < 45:
 		limit := f.now + Time(f.rnd.Intn(8000)-100) // some are already past
 		key := []string{"", fmt.Sprint("k", f.rnd.Intn(1+f.rnd.Intn(40)))}[min(1, f.rnd.Intn(20))]
 		space := f.rnd.Intn(3)
-		f.ask(space, key, space > 0 && f.rnd.Intn(2) == 0, limit)
+		f.request(space, key, space > 0 && f.rnd.Intn(2) == 0, limit)
 	case r < 80:
-		f.settleAny(Result(f.rnd.Intn(int(Withheld) + 1)))
-	case r < 82 && len(f.lkps) > 0:
-		if lkp := f.rnd.Intn(len(f.lkps)); !f.lkps[lkp].ended {
-			f.lkps[lkp].ended = true
+		f.anyAttemptDone(Result(f.rnd.Intn(int(Withheld) + 1)))
+	case r < 82 && len(f.requests) > 0:
+		if lkp := f.rnd.Intn(len(f.requests)); !f.requests[lkp].ended {
+			f.requests[lkp].ended = true
 			f.b.ClientGone(f.now, lkp)
-			f.forget(lkp)
+			f.releaseID(lkp)
 		}
-	case r < 83 && len(f.lkps) > 0:
-		lkp := f.rnd.Intn(len(f.lkps))
-		for i, s := range f.lkps[lkp].shots {
-			if !s.settled {
-				f.sent(lkp, i)
+	case r < 83 && len(f.requests) > 0:
+		lkp := f.rnd.Intn(len(f.requests))
+		for i, s := range f.requests[lkp].attempts {
+			if !s.done {
+				f.bodySent(lkp, i)
 			}
 		}
 	case r < 84:
 		f.b.Alarm(f.now, f.rnd.Intn(50)) // stale
 	case r < 88:
-		x := &f.boxes[f.rnd.Intn(len(f.boxes))]
+		x := &f.endpoints[f.rnd.Intn(len(f.endpoints))]
 		x.State = State(f.rnd.Intn(3))
 		if f.rnd.Intn(2) == 0 {
 			x.State, x.StartedAt = Ready, f.now
@@ -234,26 +234,26 @@
 		f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*x})
 	case r < 89:
 		f.b.UpdateEndpoints(f.now, Failed, nil)
-		for n := len(f.boxes); n < 60 && f.rnd.Intn(4) == 0 && len(f.boxes) < 2*n; { // the fleet doubles, cold
-			f.boxes = append(f.boxes, Endpoint{Server: len(f.boxes), ID: fmt.Sprint("11.", f.rnd.Int()), StartedAt: f.now})
+		for n := len(f.endpoints); n < 60 && f.rnd.Intn(4) == 0 && len(f.endpoints) < 2*n; { // the fleet doubles, cold
+			f.endpoints = append(f.endpoints, Endpoint{Server: len(f.endpoints), ID: fmt.Sprint("11.", f.rnd.Int()), StartedAt: f.now})
 		}
-		f.b.UpdateEndpoints(f.now, Incremental, f.boxes)
+		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
 	case r < 90:
-		f.boxes[f.rnd.Intn(len(f.boxes))].State = Gone
-		some := slices.DeleteFunc(slices.Clone(f.boxes), func(x Endpoint) bool { return x.State == Gone })
+		f.endpoints[f.rnd.Intn(len(f.endpoints))].State = Gone
+		some := slices.DeleteFunc(slices.Clone(f.endpoints), func(x Endpoint) bool { return x.State == Gone })
 		f.b.UpdateEndpoints(f.now, Full, some)
 	default:
-		f.pass(Time(1 + f.rnd.Intn(200)))
+		f.advance(Time(1 + f.rnd.Intn(200)))
 	}
 }
 
-// settleAny settles a random shot that is out.
-func (f *fake) settleAny(code Result) {
-	for try := 0; try < 20 && len(f.lkps) > 0; try++ {
-		lkp := f.rnd.Intn(len(f.lkps))
-		for i, s := range f.lkps[lkp].shots {
-			if !s.settled {
-				f.settle(lkp, i, code)
+// anyAttemptDone settles a random shot that is out.
+func (f *fakeHost) anyAttemptDone(code Result) {
+	for try := 0; try < 20 && len(f.requests) > 0; try++ {
+		lkp := f.rnd.Intn(len(f.requests))
+		for i, s := range f.requests[lkp].attempts {
+			if !s.done {
+				f.attemptDone(lkp, i, code)
 				return
 			}
 		}
--- a/routing/inflight_test.go
+++ b/routing/inflight_test.go
@@ -18,9 +18,9 @@
 	return mean, sum
 }
 
-// compared holds both of the walk's comparisons of a cache with our mean against those with the plain sum, and says whether
+// compareMeans holds both of the walk's comparisons of a cache with our mean against those with the plain sum, and says whether
 // either is a tie.
-func compared(b *Balancer, s *serverState, plain float64, sum int) (tie bool, fault string) {
+func compareMeans(b *Balancer, s *serverState, plain float64, sum int) (tie bool, fault string) {
 	n, x, mean := len(b.ready), s.inFlight, b.meanInFlight()
 	if got, want := float64(x) <= congestionFactor*mean, float64(x) <= congestionFactor*plain; got != want {
 		fault = fmt.Sprintf("jam: %v, want %v, for %d of %d in flight at %d caches", got, want, x, sum, n)
@@ -34,14 +34,14 @@
 // After every step of random runs what is kept of shots in flight is what a count over all ready caches gives, and
 // the walk decides as by the plain sum: through restarts and other boxes under an old index, whose shots are still out, caches
 // that drain, go and come back with shots out, long lookups and the origin, whose shots don't count.
-func TestWhatIsKeptInFlightIsThePlainSum(t *testing.T) {
+func TestInFlightCountIsThePlainSum(t *testing.T) {
 	ties, carried, aside, most := 0, 0, 0, 0
 	run := func(seed int64) bool {
-		f := newFake(seed, 1+int(uint64(seed)%12))
-		f.long = true
+		f := newFakeHost(seed, 1+int(uint64(seed)%12))
+		f.streamReads = true
 		for n := 0; n < 600; n++ {
 			if f.rnd.Intn(60) == 0 { // another box under an index, in whatever state
-				x := &f.boxes[f.rnd.Intn(len(f.boxes)-1)]
+				x := &f.endpoints[f.rnd.Intn(len(f.endpoints)-1)]
 				x.ID, x.State = fmt.Sprint("12.", f.rnd.Int()), State(f.rnd.Intn(3))
 				if was := f.b.servers[x.Server]; was != nil && was.inFlight > 0 {
 					carried++
@@ -67,7 +67,7 @@
 				}
 			}
 			for _, i := range f.b.ready {
-				tie, fault := compared(f.b, f.b.servers[i], mean, sum)
+				tie, fault := compareMeans(f.b, f.b.servers[i], mean, sum)
 				if fault != "" {
 					t.Errorf("seed %d, step %d: %s", seed, n, fault)
 					return false
@@ -118,7 +118,7 @@
 			}
 		}
 		mean, sum := plainMean(b)
-		tie, fault := compared(b, s, mean, sum)
+		tie, fault := compareMeans(b, s, mean, sum)
 		if fault != "" || sum != b.inFlight {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
@@ -141,15 +141,15 @@
 
 // A lookup looks at the caches of its walk, and at no other: it gets by with the others taken away, both while some are out and
 // while none is.
-func TestALookupLooksAtNoOtherCaches(t *testing.T) {
+func TestRequestReadsNoOtherCaches(t *testing.T) {
 	for _, caches := range []int{70, 5700} {
-		q := newQuiet(caches, 300).warm(2000)
+		q := newBenchHost(caches, 300).warm(2000)
 		for n := range 200 {
-			for n == 100 && len(q.out) > 0 {
+			for n == 100 && len(q.inFlight) > 0 {
 				q.answer()
 			}
 			key := q.key()
-			at := startOf(q.b, key)
+			at := rangeOfKey(q.b, key)
 			q.now += Millisecond
 			all, near := q.b.servers, make([]*serverState, len(q.b.servers))
 			for step := range maxFallThroughs + 1 {
@@ -161,20 +161,20 @@
 				q.b.advanceClock(q.now) // each second all are looked at
 			}
 			q.b.servers = near
-			lkp := q.made + n
-			out := len(q.out)
+			lkp := q.nextID + n
+			out := len(q.inFlight)
 			q.b.Request(q.now, lkp, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
-			if q.b.servers = all; len(q.out) > out {
+			if q.b.servers = all; len(q.inFlight) > out {
 				q.b.AttemptDone(q.now, lkp, 0, Served, true)
-				q.out = q.out[:out]
+				q.inFlight = q.inFlight[:out]
 			} else {
-				q.free = q.free[:len(q.free)-1]
+				q.freeIDs = q.freeIDs[:len(q.freeIDs)-1]
 			}
 		}
 	}
 }
 
-// startOf is the place of a key's own range.
-func startOf(b *Balancer, key string) int {
+// rangeOfKey is the place of a key's own range.
+func rangeOfKey(b *Balancer, key string) int {
 	return b.rangeOf(keyPoint(xxhash.Sum64String(key) | 1))
 }
--- a/routing/polling_test.go
+++ b/routing/polling_test.go
@@ -10,30 +10,30 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// asker is a host that only counts the calls for the list, and wakes to the tick.
-type asker struct {
-	fake
-	at []Time
+// pollingHost is a host that only counts the calls for the list, and wakes to the tick.
+type pollingHost struct {
+	fakeHost
+	polledAt []Time
 }
 
-func (a *asker) Subscribe() { a.at = append(a.at, a.now) }
+func (a *pollingHost) Subscribe() { a.polledAt = append(a.polledAt, a.now) }
 
-func (a *asker) SetAlarm(at Time, handle int) { a.wakes[handle] = append(a.wakes[handle], at) }
+func (a *pollingHost) SetAlarm(at Time, handle int) { a.alarms[handle] = append(a.alarms[handle], at) }
 
-func newAsker(seed uint64, config Config) *asker {
-	a := &asker{fake: fake{now: Time(seed % 5000), wakes: map[int][]Time{}}}
+func newPollingHost(seed uint64, config Config) *pollingHost {
+	a := &pollingHost{fakeHost: fakeHost{now: Time(seed % 5000), alarms: map[int][]Time{}}}
 	a.b = New(a, seed, a.now, config)
 	return a
 }
 
-// step is between two looks at the alarms; one may be as late.
-const step = Millisecond
+// alarmStep is between two looks at the alarms; one may be as late.
+const alarmStep = Millisecond
 
-// until plays alarms; tell gives what the service does at each step.
-func (a *asker) until(end Time, tell func()) {
-	for ; a.now < end; a.now += step {
-		due := a.wakes[pollAlarmHandle]
-		a.wakes[pollAlarmHandle] = slices.DeleteFunc(slices.Clone(due), func(at Time) bool { return at <= a.now })
+// runUntil plays alarms; tell gives what the service does at each step.
+func (a *pollingHost) runUntil(end Time, tell func()) {
+	for ; a.now < end; a.now += alarmStep {
+		due := a.alarms[pollAlarmHandle]
+		a.alarms[pollAlarmHandle] = slices.DeleteFunc(slices.Clone(due), func(at Time) bool { return at <= a.now })
 		for _, at := range due {
 			if at <= a.now {
 				a.b.Alarm(a.now, pollAlarmHandle)
@@ -43,8 +43,8 @@
 	}
 }
 
-// asks gives the configuration of a deployment: any limit for asking, any grace, or none.
-func asks(rnd *rand.Rand) Config {
+// randomConfig gives the configuration of a deployment: any limit for asking, any grace, or none.
+func randomConfig(rnd *rand.Rand) Config {
 	config := DefaultConfig()
 	if rnd.Intn(3) > 0 {
 		config.MaxPollInterval = Time(rnd.Intn(400)) * 100 * Millisecond
@@ -59,23 +59,23 @@
 // answered, some fail at once or later, again and again, and lists are lost. It begins within half of the limit for asking and a
 // third of a pushed list's grace too, where these are no shorter than AskSpread; after the list is lost within AskSpread; and
 // never twice within half the shortest wait, nor while there is a list.
-func TestTheNextCallForTheListIsNeverFar(t *testing.T) {
+func TestNextPollIsNeverFar(t *testing.T) {
 	run := func(seed uint64) bool {
 		rnd := rand.New(rand.NewSource(int64(seed)))
-		config := asks(rnd)
+		config := randomConfig(rnd)
 		wait := max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/3))
-		a := newAsker(seed, config)
+		a := newPollingHost(seed, config)
 		since, most, had, calls := a.now, PollSpread, false, 0 // without a call, and the longest that this may last
-		a.until(a.now+60000*Millisecond, func() {
-			if n := len(a.at); n > calls {
-				if had || calls > 0 && most != PollSpread && a.now-since < wait/2-step {
+		a.runUntil(a.now+60000*Millisecond, func() {
+			if n := len(a.polledAt); n > calls {
+				if had || calls > 0 && most != PollSpread && a.now-since < wait/2-alarmStep {
 					t.Logf("seed %d: a call %d after the last, with a list: %v", seed, a.now-since, had)
-					a.fault("early")
+					a.faultf("early")
 				}
 				calls, since, most = n, a.now, wait
 			}
-			if !had && a.now-since > most+step {
-				a.fault("late")
+			if !had && a.now-since > most+alarmStep {
+				a.faultf("late")
 			}
 			switch r := rnd.Intn(400); {
 			case had && r < 1: // a watch is lost
@@ -101,36 +101,36 @@
 }
 
 // The list is asked for again after each call that fails, and no more once one has gone through.
-func TestListIsAskedAgain(t *testing.T) {
-	f := newFake(1, 1)
+func TestFailedPollIsRepeated(t *testing.T) {
+	f := newFakeHost(1, 1)
 	for n := range 4 {
-		was := f.asked
-		if f.pass(MaxPollWait); f.asked == was {
+		was := f.polls
+		if f.advance(MaxPollWait); f.polls == was {
 			t.Fatalf("no call within %v after %d that failed", MaxPollWait, n)
 		}
 		f.b.UpdateEndpoints(f.now, Failed, nil)
 	}
 	f.b.UpdateEndpoints(f.now, Incremental, nil)
-	was := f.asked
-	if f.pass(10 * MaxPollWait); f.asked != was {
-		t.Errorf("%d more calls after one went through, want none", f.asked-was)
+	was := f.polls
+	if f.advance(10 * MaxPollWait); f.polls != was {
+		t.Errorf("%d more calls after one went through, want none", f.polls-was)
 	}
 }
 
 // Where the fleet's calls are budgeted, the wait for a part is one between calls, and every call takes from it, those
 // beside a silent one too.
-func TestAWaitForAPartIsOneBetweenCalls(t *testing.T) {
-	a := newAsker(3, DefaultConfig())
+func TestPollsWaitForTheQuota(t *testing.T) {
+	a := newPollingHost(3, DefaultConfig())
 	a.b.SetQuota(a.now, DiscoveryRate, 0, allowance.Quota{Rate: 0.0001, Burst: 1, Until: int64(a.now + 90000*Millisecond)})
-	a.until(a.now+20000*Millisecond, func() {})
-	if len(a.at) > 0 {
-		t.Fatalf("%d calls without a part", len(a.at))
+	a.runUntil(a.now+20000*Millisecond, func() {})
+	if len(a.polledAt) > 0 {
+		t.Fatalf("%d calls without a part", len(a.polledAt))
 	}
 	given := a.now
 	a.b.SetQuota(a.now, DiscoveryRate, 0, allowance.Quota{Rate: 1000, Burst: 1000, Until: int64(a.now + 90000*Millisecond)})
-	a.until(given+10*MaxPollWait, func() {})
-	if len(a.at) < 10 || a.at[0]-given > MaxPollWait+step {
-		t.Errorf("%d calls, the first %d after a part came", len(a.at), a.at[0]-given)
+	a.runUntil(given+10*MaxPollWait, func() {})
+	if len(a.polledAt) < 10 || a.polledAt[0]-given > MaxPollWait+alarmStep {
+		t.Errorf("%d calls, the first %d after a part came", len(a.polledAt), a.polledAt[0]-given)
 	}
 }
 
@@ -148,19 +148,19 @@
 			const nodes = 300
 			calls, first, span := 0, map[Time]int{}, Time(0)
 			for n := range nodes {
-				a := newAsker(uint64(n), c.config)
+				a := newPollingHost(uint64(n), c.config)
 				start := a.now
-				a.until(start+1000*Millisecond, func() {})
+				a.runUntil(start+1000*Millisecond, func() {})
 				a.b.UpdateEndpoints(a.now, Full, nil)
-				a.until(start+2000*Millisecond, func() {})
+				a.runUntil(start+2000*Millisecond, func() {})
 				a.b.UpdateEndpoints(a.now, Failed, nil)
 				lost := a.now
-				a.at = nil
-				a.until(lost+14000*Millisecond, func() {})
-				calls += len(a.at)
+				a.polledAt = nil
+				a.runUntil(lost+14000*Millisecond, func() {})
+				calls += len(a.polledAt)
 				span += a.now - lost
 				for back := 3000 * Millisecond; back < 13000*Millisecond; back += 500 * Millisecond {
-					if slices.ContainsFunc(a.at, func(at Time) bool { return at >= lost+back && at < lost+back+500*Millisecond }) {
+					if slices.ContainsFunc(a.polledAt, func(at Time) bool { return at >= lost+back && at < lost+back+500*Millisecond }) {
 						first[back]++
 					}
 				}
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -11,9 +11,9 @@
 // Random runs of all kinds as in TestRulesHoldInRandomRuns, while parts come, shrink and end: no rule breaks, and what is
 // bounded stays within its part: in any window at most the largest rate times the window and the largest burst, and never
 // more at a time.
-func TestPartsBoundWhatIsDone(t *testing.T) {
+func TestQuotasBoundWhatIsDone(t *testing.T) {
 	run := func(seed int64) bool {
-		f := newFake(seed, 1+int(uint64(seed)%7))
+		f := newFakeHost(seed, 1+int(uint64(seed)%7))
 		of := []Limit{OriginConcurrency, CacheConcurrency, DiscoveryRate}[uint64(seed)%3]
 		rnd := rand.New(rand.NewSource(seed))
 		const rate, most = 4.0, 3.0
@@ -29,9 +29,9 @@
 				part()
 			}
 			out := map[int]int{}
-			for _, c := range f.lkps {
-				for _, s := range c.shots { // what restarts holds no connection of before
-					if x := f.boxes[s.server]; !s.settled && (x.Model == 1 || s.sent >= x.StartedAt) {
+			for _, c := range f.requests {
+				for _, s := range c.attempts { // what restarts holds no connection of before
+					if x := f.endpoints[s.server]; !s.done && (x.Model == 1 || s.sentAt >= x.StartedAt) {
 						out[s.server]++
 					}
 				}
@@ -39,14 +39,14 @@
 			switch of {
 			case OriginConcurrency, CacheConcurrency:
 				for server, n := range out {
-					if (f.boxes[server].Model == 1) == (of == OriginConcurrency) && n > int(most) {
-						f.fault("%d at once at server %d", n, server)
+					if (f.endpoints[server].Model == 1) == (of == OriginConcurrency) && n > int(most) {
+						f.faultf("%d at once at server %d", n, server)
 					}
 				}
 			case DiscoveryRate:
-				excess = max(0, excess-rate*seconds(f.now-last)) + float64(f.asked-seen)
-				if last, seen = f.now, f.asked; excess > most+1e-6 {
-					f.fault("%.2f calls beyond the rate in a window", excess)
+				excess = max(0, excess-rate*seconds(f.now-last)) + float64(f.polls-seen)
+				if last, seen = f.now, f.polls; excess > most+1e-6 {
+					f.faultf("%.2f calls beyond the rate in a window", excess)
 				}
 			}
 		}
@@ -60,13 +60,13 @@
 
 // What has no part is deferred at once, with a retry-after that differs from one to the next; after a part's end what is
 // apart holds; a partner's, a cold cache's and the list's are bounded alike.
-func TestWithoutAPart(t *testing.T) {
-	f := newFake(3, 2)
-	f.pass(2000 * Millisecond)
+func TestExhaustedQuota(t *testing.T) {
+	f := newFakeHost(3, 2)
+	f.advance(2000 * Millisecond)
 	f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{Rate: 100, Burst: 2, Until: int64(f.now + 500*Millisecond), ThenRate: 1, ThenBurst: 1})
 	write := func() (shot bool, after Time) {
-		_, c := f.ask(2, "k", true, f.now+700*Millisecond)
-		return len(c.shots) > 0, c.deferred
+		_, c := f.request(2, "k", true, f.now+700*Millisecond)
+		return len(c.attempts) > 0, c.retryAfter
 	}
 	if shot, after := write(); shot || after == 0 {
 		t.Error("a new part has nothing saved up: a lookup that needs it is deferred at once")
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -17,23 +17,23 @@
 	for _, caches := range []int{1, 2, 5, 20} {
 		for _, code := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionBroken, Canceled, NotSent, NotFound, ConnectionLimit, ConnectTimeout} {
 			for _, cold := range []bool{false, true} {
-				f := newFake(int64(caches)*100+int64(code), caches)
+				f := newFakeHost(int64(caches)*100+int64(code), caches)
 				if cold {
-					for i := range f.boxes[:caches] {
-						f.boxes[i].StartedAt = f.now
+					for i := range f.endpoints[:caches] {
+						f.endpoints[i].StartedAt = f.now
 					}
-					f.b.UpdateEndpoints(f.now, Incremental, f.boxes)
+					f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
 				}
 				since, rejected, longest := f.now, 0, Time(0)
-				for end := f.now + lasts; f.now < end; f.pass(every) {
-					lkp, c := f.ask(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
-					if len(c.shots) > 0 {
+				for end := f.now + lasts; f.now < end; f.advance(every) {
+					lkp, c := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
+					if len(c.attempts) > 0 {
 						since, rejected = f.now, 0
 					} else if rejected++; rejected >= countsFrom {
 						longest = max(longest, f.now-since)
 					}
-					for code != TimedOut && f.lkps[lkp] == c && c.out > 0 {
-						f.settle(lkp, len(c.shots)-1, code)
+					for code != TimedOut && f.requests[lkp] == c && c.inFlight > 0 {
+						f.attemptDone(lkp, len(c.attempts)-1, code)
 					}
 				}
 				if longest >= rejectedMost {
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -15,7 +15,7 @@
 // stale alarms and odd orders of events, as one of two nodes and of a thousand. The fake checks the rules.
 func TestRulesHoldInRandomRuns(t *testing.T) {
 	run := func(seed int64) bool {
-		f := newFake(seed, 1+int(uint64(seed)%7))
+		f := newFakeHost(seed, 1+int(uint64(seed)%7))
 		if seed%3 == 0 {
 			f.b.nodeCount, f.b.initialLimit = 1000, 1
 		}
@@ -23,16 +23,16 @@
 			f.step()
 		}
 		for n := 0; n < 100 && len(f.faults) == 0; n++ {
-			f.pass(10 * Millisecond)
+			f.advance(10 * Millisecond)
 		}
-		for i, c := range f.lkps {
+		for i, c := range f.requests {
 			if !c.ended && len(f.faults) == 0 {
-				f.fault("lookup %d was lost", i)
+				f.faultf("lookup %d was lost", i)
 			}
 		}
 		for i, s := range f.b.servers {
 			if s != nil && s.inFlight != 0 && len(f.faults) == 0 {
-				f.fault("server %d counts %d in flight though nothing is out", i, s.inFlight)
+				f.faultf("server %d counts %d in flight though nothing is out", i, s.inFlight)
 			}
 		}
 		t.Log(seed, f.faults)
@@ -47,9 +47,9 @@
 // cache that starts cold, whatever each may do at least, and the origin while it does not answer.
 func TestSumOverAFleet(t *testing.T) {
 	const nodes, cold, stop, steps, window = 300, 30, 90, 120, 15 // in tenths of a second
-	var fleet [nodes]*fake
+	var fleet [nodes]*fakeHost
 	for i := range fleet {
-		fleet[i] = newFake(int64(i), 4)
+		fleet[i] = newFakeHost(int64(i), 4)
 		fleet[i].b.nodeCount, fleet[i].b.initialLimit = nodes, 1
 	}
 	rnd, sent, fetches := rand.New(rand.NewSource(1)), [5][steps + 1]float64{}, 0 // shots at each by then
@@ -59,15 +59,15 @@
 		}
 		for i, f := range fleet {
 			if f.now += 100 * Millisecond; step == cold {
-				f.boxes[0].StartedAt = f.now
-				f.b.UpdateEndpoints(f.now, Incremental, f.boxes[:1])
+				f.endpoints[0].StartedAt = f.now
+				f.b.UpdateEndpoints(f.now, Incremental, f.endpoints[:1])
 			}
 			for range rnd.Intn(2) + 3*(i%50/49) {
-				lkp, c := f.ask(0, fmt.Sprint("k", rnd.Intn(500)), false, f.now+80000)
-				for n := 0; n < len(c.shots); n++ {
-					at := c.shots[n].server
+				lkp, c := f.request(0, fmt.Sprint("k", rnd.Intn(500)), false, f.now+80000)
+				for n := 0; n < len(c.attempts); n++ {
+					at := c.attempts[n].server
 					if sent[at][step+1]++; at < 4 || step < stop {
-						f.settle(lkp, n, []Result{Served, NotFound}[rnd.Intn(2)*min(1, 4-at)])
+						f.attemptDone(lkp, n, []Result{Served, NotFound}[rnd.Intn(2)*min(1, 4-at)])
 					} else {
 						fetches++
 					}
@@ -87,8 +87,8 @@
 }
 
 // The lazy fade gives what the plain definition gives.
-func TestFade(t *testing.T) {
-	b := newFake(1, 5).b
+func TestLazyScalingGivesThePlainWeights(t *testing.T) {
+	b := newFakeHost(1, 5).b
 	plain := slices.Repeat([]float64{1.0 / binCount}, binCount)
 	rnd := rand.New(rand.NewSource(1))
 	for range 4000 {
@@ -110,7 +110,7 @@
 // within some seconds.
 func TestAlphaFollowsTheDemand(t *testing.T) {
 	for _, each := range []int{30, 200} { // lookups between two comparisons
-		b := newFake(1, 5).b
+		b := newFakeHost(1, 5).b
 		rnd := rand.New(rand.NewSource(1))
 		ask := func(spans, from int) {
 			for range spans {
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestCuts(t *testing.T) {
+func TestRangeEnds(t *testing.T) {
 	for _, c := range []struct {
 		weight map[int]float64 // the rest is 0
 		want   []float64
@@ -152,7 +152,7 @@
 		{map[int]float64{10: 1, 11: 3}, []float64{11 + 1.0/3, 2000}},
 		{map[int]float64{7: 1}, []float64{7.25, 7.5, 7.75, 2000}},
 	} {
-		b := newFake(1, len(c.want)).b
+		b := newFakeHost(1, len(c.want)).b
 		if c.weight != nil {
 			b.binWeights = make([]float64, binCount)
 		}
@@ -171,25 +171,25 @@
 
 // conn_squeeze: three hundred nodes held what few connections sixty boxes took, and found none at the others. A node
 // that finds none gives back what has been idle for as long as it keeps them, the sooner the more often it finds none.
-func TestConnectionsAreGivenBackWhereTheyAreScarce(t *testing.T) {
-	f := newFake(1, 4)
+func TestIdleConnectionsAreClosedWhereConnectsFail(t *testing.T) {
+	f := newFakeHost(1, 4)
 	use := func(server int, code Result) {
 		f.b.servers[server].ejectionTime, f.b.servers[server].concurrencyLimit = 0, maxConcurrencyLimit
-		lkp, c := f.ask(1, key(f.b, server), false, f.now+5000)
-		if f.settle(lkp, 0, code); !c.ended {
-			f.settle(lkp, 1, Served)
+		lkp, c := f.request(1, key(f.b, server), false, f.now+5000)
+		if f.attemptDone(lkp, 0, code); !c.ended {
+			f.attemptDone(lkp, 1, Served)
 		}
 	}
 	gave := func(what string, want int) {
 		t.Helper()
-		if f.hungUp != want {
-			t.Errorf("%s: %d hung up, want %d", what, f.hungUp, want)
+		if f.closedIdle != want {
+			t.Errorf("%s: %d hung up, want %d", what, f.closedIdle, want)
 		}
-		f.hungUp = 0
+		f.closedIdle = 0
 	}
 	use(0, Served)
 	use(1, Served)
-	f.pass(2 * maxIdleTimeout)
+	f.advance(2 * maxIdleTimeout)
 	gave("none is scarce", 0)
 	use(0, Served)
 	use(2, ConnectFailed)
@@ -200,8 +200,8 @@
 	for f.b.idleTimeout >= 2*minIdleTimeout {
 		use(2, ConnectFailed)
 	}
-	f.pass(f.b.idleTimeout)
-	f.hungUp = 0
+	f.advance(f.b.idleTimeout)
+	f.closedIdle = 0
 	use(2, ConnectFailed)
 	gave("all that idled", 3) // the origin's as well
 	f.b.idleTimeout = minIdleTimeout - 2*idleTimeoutIncrease
@@ -210,22 +210,22 @@
 	for range int(minIdleTimeout / idleTimeoutIncrease) {
 		use(1, Served)
 	}
-	f.hungUp = 0
+	f.closedIdle = 0
 	use(0, Served)
 	gave("connects succeed again", 0)
 }
 
 // split: a zone that was cut off took no connection, and nodes gave back what they held at all others.
-func TestSilenceGivesNoConnectionsBack(t *testing.T) {
+func TestConnectTimeoutClosesNoIdleConnections(t *testing.T) {
 	for code, want := range map[Result]int{ConnectTimeout: 0, ConnectFailed: 1, ConnectionLimit: 1} {
-		f := newFake(1, 3)
-		lkp, _ := f.ask(0, key(f.b, 0), false, f.now+5000)
-		f.settle(lkp, 0, Served)
-		f.pass(maxIdleTimeout)
-		lkp, c := f.ask(0, key(f.b, 1), false, f.now+5000)
-		f.settle(lkp, 0, code)
-		if f.hungUp != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || c.shots[0].mayHaveRun() {
-			t.Errorf("code %d: %d hung up, want %d; kept for %d", code, f.hungUp, want, f.b.idleTimeout)
+		f := newFakeHost(1, 3)
+		lkp, _ := f.request(0, key(f.b, 0), false, f.now+5000)
+		f.attemptDone(lkp, 0, Served)
+		f.advance(maxIdleTimeout)
+		lkp, c := f.request(0, key(f.b, 1), false, f.now+5000)
+		f.attemptDone(lkp, 0, code)
+		if f.closedIdle != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || c.attempts[0].mayHaveRun() {
+			t.Errorf("code %d: %d hung up, want %d; kept for %d", code, f.closedIdle, want, f.b.idleTimeout)
 		}
 		if rests := f.b.servers[1].ejectionTime > 0; rests != (code != ConnectionLimit) {
 			t.Errorf("code %d: the server rests: %v", code, rests)
@@ -235,64 +235,64 @@
 
 // calm at full size: each of three hundred nodes held three idle connections to the origin, which took 440, since one
 // that fetches all the time never finds any of them idle for long. It keeps as many as it needs.
-func TestFewConnectionsAreKeptAtTheOrigin(t *testing.T) {
+func TestFewIdleConnectionsStayOpenAtTheOrigin(t *testing.T) {
 	for _, c := range []struct{ span, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 each
-		f := newFake(1, 2)
+		f := newFakeHost(1, 2)
 		for n := range 60 * 400 / c.span {
-			lkp, _ := f.ask(0, fmt.Sprint(n), false, f.now+8000)
-			f.settle(lkp, 0, NotFound)
+			lkp, _ := f.request(0, fmt.Sprint(n), false, f.now+8000)
+			f.attemptDone(lkp, 0, NotFound)
 			f.now += 60 * Millisecond
-			f.settle(lkp, 1, Served)
+			f.attemptDone(lkp, 1, Served)
 			f.now += Time(c.span-60) * Millisecond
 		}
-		if f.left != c.want {
-			t.Errorf("a fetch each %d ms: %d connections left, want %d", c.span, f.left, c.want)
+		if f.connectionsKept != c.want {
+			t.Errorf("a fetch each %d ms: %d connections left, want %d", c.span, f.connectionsKept, c.want)
 		}
 	}
 }
 
 // A server that takes no more connections has room for those it took, and says nothing of its health.
-func TestACrowdedServerHasRoomForItsConnections(t *testing.T) {
-	f := newFake(1, 2)
+func TestConnectionLimitSetsTheConcurrencyLimit(t *testing.T) {
+	f := newFakeHost(1, 2)
 	s := f.b.servers[f.b.ready[0]]
 	s.concurrencyLimit = 8
 	var lkps []int
 	for range 2 {
-		lkp, _ := f.ask(1, key(f.b, f.b.ready[0]), false, f.now+5000)
+		lkp, _ := f.request(1, key(f.b, f.b.ready[0]), false, f.now+5000)
 		lkps = append(lkps, lkp)
 	}
-	f.settle(lkps[1], 0, ConnectionLimit)
-	if c := f.lkps[lkps[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(c.shots) != 2 || c.shots[1].server != 2 {
-		t.Errorf("room %g, rest %d, shots %v: want room for one, no rest and the origin asked", s.concurrencyLimit, s.ejectionTime, c.shots)
+	f.attemptDone(lkps[1], 0, ConnectionLimit)
+	if c := f.requests[lkps[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(c.attempts) != 2 || c.attempts[1].server != 2 {
+		t.Errorf("room %g, rest %d, shots %v: want room for one, no rest and the origin asked", s.concurrencyLimit, s.ejectionTime, c.attempts)
 	}
 }
 
 // Forty nodes and more sent a twentieth of their lookups to the origin since one was out at the key's cache. Two may be,
 // once quick answers have shown that the cache is calm.
-func TestTwoShotsMayBeOutAtACalmCache(t *testing.T) {
+func TestTwoAttemptsMayBeInFlightAtAQuickCache(t *testing.T) {
 	for calm, want := range map[float64]int{2: 0, 1: 2} {
-		f := newFake(1, 2)
+		f := newFakeHost(1, 2)
 		f.b.initialLimit, f.b.servers[0].concurrencyLimit = 1, calm
-		f.ask(0, key(f.b, 0), false, f.now+5000)
-		if _, c := f.ask(0, key(f.b, 0), false, f.now+5000); len(c.shots) != 1 || c.shots[0].server != want {
-			t.Errorf("a calm room of %g: shots %v, want one at %d", calm, c.shots, want)
+		f.request(0, key(f.b, 0), false, f.now+5000)
+		if _, c := f.request(0, key(f.b, 0), false, f.now+5000); len(c.attempts) != 1 || c.attempts[0].server != want {
+			t.Errorf("a calm room of %g: shots %v, want one at %d", calm, c.attempts, want)
 		}
 	}
 }
 
 // The yards: of three hundred nodes each has a part of a lookup a second, which never made a whole one.
-func TestASmallPartIsSavedUp(t *testing.T) {
-	f := newFake(1, 4)
+func TestSmallTenantShareIsSavedUp(t *testing.T) {
+	f := newFakeHost(1, 4)
 	f.b.config.Nodes = 300
 	f.b = New(f, 1, f.now, f.b.config)
-	f.b.UpdateEndpoints(f.now, Full, f.boxes)
+	f.b.UpdateEndpoints(f.now, Full, f.endpoints)
 	f.b.admissionLevel = 0
 	for i := range 20 {
 		f.now += 8000 * Millisecond // 50 a second over 300 nodes: one in 6 s
-		if lkp, c := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(c.shots) != 1 {
+		if lkp, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) != 1 {
 			t.Fatal("a lookup inside its partner's share was taken as beyond it")
 		} else {
-			f.settle(lkp, 0, Served)
+			f.attemptDone(lkp, 0, Served)
 		}
 	}
 }
@@ -308,7 +308,7 @@
 }
 
 // Where a lookup's shots go when they end so. Server 0 owns its key; the origin comes after the caches.
-func TestWhereShotsGo(t *testing.T) {
+func TestWhereAttemptsGo(t *testing.T) {
 	plain, late := func(*Balancer) {}, func(b *Balancer) { b.servers[1].meanLatency = 200 * Millisecond }
 	calm := func(calm float64) func(b *Balancer) { // of the origin, as one of many nodes sees it
 		return func(b *Balancer) { b.nodeCount, b.servers[1].concurrencyLimit = 600, calm }
@@ -346,19 +346,19 @@
 		{"tagged, too late", 2, 1, nil, plain, []Result{ServerError}, 2500, []int{0}},
 		{"single-use, may have run", 2, 2, nil, plain, []Result{ServerError}, 10, []int{0}},
 	} {
-		f := newFake(1, c.caches)
+		f := newFakeHost(1, c.caches)
 		k := key(f.b, 0)
 		for i, n := range c.out {
 			f.b.servers[i].inFlight = n
 		}
 		c.prepare(f.b)
-		lkp, cl := f.ask(c.space, k, false, f.now+5000)
+		lkp, cl := f.request(c.space, k, false, f.now+5000)
 		for n, code := range c.codes {
 			f.now += c.took
-			f.settle(lkp, n, code)
+			f.attemptDone(lkp, n, code)
 		}
 		var got []int
-		for _, s := range cl.shots {
+		for _, s := range cl.attempts {
 			got = append(got, s.server)
 		}
 		if !slices.Equal(got, c.want) || len(got) == len(c.codes) && !cl.ended {
@@ -368,8 +368,8 @@
 }
 
 // i98748e, ic385cb: caches that slow down when crowded get less until their answers are quick again.
-func TestSlowAnswersShrinkTheRoom(t *testing.T) {
-	f := newFake(1, 1)
+func TestSlowAnswersLowerTheConcurrencyLimit(t *testing.T) {
+	f := newFakeHost(1, 1)
 	s := f.b.servers[0]
 	f.b.servers[1].inFlight = 99 // no further shot goes to the origin
 	for _, c := range []struct {
@@ -379,9 +379,9 @@
 	}{{Millisecond, ServerError, 0, s.concurrencyLimit}, {150 * Millisecond, Served, minConcurrencyLimit, 1},
 		{10 * Millisecond, Served, 2, maxConcurrencyLimit}} {
 		for range 120 {
-			if lkp, cl := f.ask(0, "a", false, f.now+5000); len(cl.shots) > 0 {
+			if lkp, cl := f.request(0, "a", false, f.now+5000); len(cl.attempts) > 0 {
 				f.now += c.after
-				f.settle(lkp, 0, c.code)
+				f.attemptDone(lkp, 0, c.code)
 			}
 			f.now += 20 * Millisecond
 		}
@@ -393,13 +393,13 @@
 }
 
 // A crash before six hundred nodes: together they kept the origin's queue longer than their time limits.
-func TestTimeoutsAtTheOriginEmptyItsRoom(t *testing.T) {
-	f := newFake(1, 1)
+func TestTimeoutsAtTheOriginLowerItsLimit(t *testing.T) {
+	f := newFakeHost(1, 1)
 	for n := range 5 {
-		lkp, _ := f.ask(0, fmt.Sprint(n), false, f.now+5000)
-		f.settle(lkp, 0, NotFound)
+		lkp, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
+		f.attemptDone(lkp, 0, NotFound)
 		f.now += 150 * Millisecond
-		f.settle(lkp, 1, TimedOut)
+		f.attemptDone(lkp, 1, TimedOut)
 	}
 	if calm := f.b.servers[1].concurrencyLimit; calm != minConcurrencyLimit {
 		t.Errorf("calm room %g after five time-outs, want the least", calm)
@@ -407,14 +407,14 @@
 }
 
 // tenant_burst: a partner beyond its share yields where lookups inside theirs fail, and only there.
-func TestPartnerBeyondItsShareYields(t *testing.T) {
+func TestTenantBeyondItsShareIsShedFirst(t *testing.T) {
 	for ease, want := range []int{25 + minTenantBurst, 40} { // 50 a second over two nodes
-		f, taken := newFake(1, 4), 0
+		f, taken := newFakeHost(1, 4), 0
 		for i := range 40 {
 			f.b.admissionLevel = float64(ease)
-			if lkp, c := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(c.shots) > 0 {
+			if lkp, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) > 0 {
 				taken++
-				f.settle(lkp, 0, Served)
+				f.attemptDone(lkp, 0, Served)
 			}
 		}
 		if taken != want {
@@ -425,19 +425,19 @@
 
 // zone_loss: nodes that carried twice their part, since others were lost, took half of it for beyond the shares. What
 // the other partner sends tells; only what is beyond that too yields as soon as lookups find no room.
-func TestANodeThatCarriesMoreYieldsLater(t *testing.T) {
+func TestNodeThatCarriesMoreShedsLater(t *testing.T) {
 	for _, c := range []struct {
 		others, ease float64
 		want         int
 	}{{0, 1, 60}, {0, 0.7, 30}, {100, 0.7, 60}, {100, 0, 30}} { // in 1.2 s, where the even part is 25 a second
-		f, taken := newFake(1, 4), 0
+		f, taken := newFakeHost(1, 4), 0
 		f.b.tenants[1].evenRate, f.b.tenants[0].evenTokens, f.b.tenants[0].carriedTokens = 25, 0, 0
 		for i := range 60 {
 			f.now += 20 * Millisecond
 			f.b.admissionLevel, f.b.tenants[1].requests = c.ease, c.others
-			if lkp, asked := f.ask(0, fmt.Sprint(i), false, f.now+5000); len(asked.shots) > 0 {
+			if lkp, asked := f.request(0, fmt.Sprint(i), false, f.now+5000); len(asked.attempts) > 0 {
 				taken++
-				f.settle(lkp, 0, Served)
+				f.attemptDone(lkp, 0, Served)
 			}
 		}
 		if taken < c.want-1 || taken > c.want+1 {
@@ -448,30 +448,30 @@
 
 // A shot that was withheld says nothing of its server, however long it waited for a connection, and gives back the room, the
 // credit and the cold budget that it took; one whose server has begun anew since gives that nothing.
-func TestAWithheldShotGivesBackWhatItTook(t *testing.T) {
+func TestWithheldAttemptIsRefunded(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
-		f := newFake(1, 2)
+		f := newFakeHost(1, 2)
 		k := key(f.b, 0)
 		for _, s := range f.b.servers[:2] {
 			s.StartedAt, s.slowStartTokens, s.slowStartRefilledAt = f.now-100*Millisecond, 3, f.now
 		}
 		f.b.warmCacheRate = 1000
 		f.b.servers[2].inFlight = 99
-		lkp, c := f.ask(0, k, false, f.now+9000)
-		f.settle(lkp, 0, ServerError) // further shots cost credit
-		if len(c.shots) != 2 {
-			t.Fatalf("%d shots, want a further one", len(c.shots))
+		lkp, c := f.request(0, k, false, f.now+9000)
+		f.attemptDone(lkp, 0, ServerError) // further shots cost credit
+		if len(c.attempts) != 2 {
+			t.Fatalf("%d shots, want a further one", len(c.attempts))
 		}
-		s := f.b.servers[c.shots[1].server]
+		s := f.b.servers[c.attempts[1].server]
 		credit, budget, calm, took := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
 		f.now += 150 * Millisecond // slow
 		if restarted {
-			f.boxes[c.shots[1].server].StartedAt = f.now - Millisecond
-			f.b.UpdateEndpoints(f.now, Incremental, f.boxes)
-			s = f.b.servers[c.shots[1].server]
+			f.endpoints[c.attempts[1].server].StartedAt = f.now - Millisecond
+			f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
+			s = f.b.servers[c.attempts[1].server]
 			credit, budget = s.retryBudget-1, s.slowStartTokens-1
 		}
-		f.settle(lkp, 1, Withheld)
+		f.attemptDone(lkp, 1, Withheld)
 		if s.inFlight != 0 || s.retryBudget != credit+1 || s.slowStartTokens != budget+1 || s.concurrencyLimit != calm || s.meanLatency != took && !restarted ||
 			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.faults) > 0 {
 			t.Errorf("restarted %v: in flight %d, credit %g of %g, budget %g of %g, calm %g of %g, took %d of %d, strikes %d, %v", restarted,
@@ -481,18 +481,18 @@
 }
 
 // h1fdc83, ib55e28: lookups lost at a few silent boxes made all nodes turn away what they held for beyond a share.
-func TestASickServerIsNotALackOfRoom(t *testing.T) {
+func TestTimeoutsLowerTheAdmissionLevelLess(t *testing.T) {
 	for _, c := range []struct {
 		code  Result
 		after Time
 		least float64
 	}{{TimedOut, 200 * Millisecond, 0.8}, {Rejected, Millisecond, 0.4}} {
-		f := newFake(1, 1)
+		f := newFakeHost(1, 1)
 		for range 5 {
 			f.b.servers[0].ejectionTime, f.b.servers[0].concurrencyLimit, f.b.servers[1].inFlight = 0, maxConcurrencyLimit, 99
-			lkp, _ := f.ask(0, "", false, f.now+5000)
+			lkp, _ := f.request(0, "", false, f.now+5000)
 			f.now += c.after
-			f.settle(lkp, 0, c.code)
+			f.attemptDone(lkp, 0, c.code)
 		}
 		if f.b.admissionLevel < c.least || f.b.admissionLevel > c.least+0.2 {
 			t.Errorf("code %d: an ease of %.2f, want %.1f or a little more", c.code, f.b.admissionLevel, c.least)
@@ -501,12 +501,12 @@
 }
 
 // crash: a broken connection makes a suspect; after its rest one replayable lookup tries it out.
-func TestSuspectRestsThenIsTried(t *testing.T) {
-	f := newFake(1, 2)
+func TestOutlierIsEjectedThenProbed(t *testing.T) {
+	f := newFakeHost(1, 2)
 	k := key(f.b, 0)
 	f.b.servers[2].inFlight = 99
-	lkp, c := f.ask(0, k, false, f.now+5000)
-	if f.settle(lkp, 0, ConnectionBroken); len(c.shots) != 2 || c.shots[1].server != 1 {
+	lkp, c := f.request(0, k, false, f.now+5000)
+	if f.attemptDone(lkp, 0, ConnectionBroken); len(c.attempts) != 2 || c.attempts[1].server != 1 {
 		t.Fatal("the lookup must go on at the next range's cache")
 	}
 	for _, c := range []struct {
@@ -517,15 +517,15 @@
 		{"the first replayable one does", 0, 0, 0}, {"one trial at a time", 0, 0, 1}} {
 		f.now += c.pass
 		f.b.servers[1].inFlight = 0
-		if _, cl := f.ask(c.space, k, false, f.now+5000); cl.shots[0].server != c.want {
-			t.Errorf("%s: shot at %d, want %d", c.what, cl.shots[0].server, c.want)
+		if _, cl := f.request(c.space, k, false, f.now+5000); cl.attempts[0].server != c.want {
+			t.Errorf("%s: shot at %d, want %d", c.what, cl.attempts[0].server, c.want)
 		}
 	}
 }
 
 // Another node tries a suspect for all: bad news prolongs its rest, for a bounded time, and good news ends it, so that one
 // lookup of our own tries it. What doesn't rest here is not touched.
-func TestAnothersTrialOfASuspect(t *testing.T) {
+func TestProbeByAnotherNode(t *testing.T) {
 	const bad, good, forever = 2000 * Millisecond, 0, 1 << 40
 	for _, c := range []struct {
 		what  string
@@ -536,27 +536,27 @@
 	}{{"in silence its own rest counts", true, -1, minEjectionTime, 0}, {"bad news", true, bad, bad - 1, 1},
 		{"after bad news, and silence since", true, bad, bad, 0}, {"bad news for ever", true, forever, maxEjectionTime, 0},
 		{"good news", true, good, 1, 0}, {"bad news of a sound one", false, bad, 1, 0}} {
-		f := newFake(1, 2)
+		f := newFakeHost(1, 2)
 		k := key(f.b, 0)
 		if c.rests {
-			lkp, _ := f.ask(0, k, false, f.now+5000)
-			f.settle(lkp, 0, ConnectionBroken)
+			lkp, _ := f.request(0, k, false, f.now+5000)
+			f.attemptDone(lkp, 0, ConnectionBroken)
 		}
 		if c.next >= 0 {
 			f.b.ProbeResult(f.now, 0, c.next == good, f.now+c.next)
 		}
 		f.now += c.after
 		f.b.servers[1].inFlight = 0
-		if _, cl := f.ask(0, k, false, f.now+5000); cl.shots[0].server != c.want {
-			t.Errorf("%s: shot at %d, want %d", c.what, cl.shots[0].server, c.want)
+		if _, cl := f.request(0, k, false, f.now+5000); cl.attempts[0].server != c.want {
+			t.Errorf("%s: shot at %d, want %d", c.what, cl.attempts[0].server, c.want)
 		}
 	}
 }
 
 // One fetch a key: the second lookup waits for the first one's and then asks the cache again.
 // Shots come by chance: where four are in flight in the mean, six often are, and a room of four would defer a third.
-func TestARoomHasTheRootForChance(t *testing.T) {
-	f := newFake(1, 1)
+func TestInFlightLimitAllowsForRandomVariation(t *testing.T) {
+	f := newFakeHost(1, 1)
 	s := f.b.servers[0]
 	s.concurrencyLimit, s.answers, f.b.decayedAt = maxConcurrencyLimit, 80, f.b.now // 80 a second, for a quarter of 200 ms
 	if got := f.b.inFlightLimit(&requestState{}, s); math.Abs(got-6) > 0.01 {
@@ -565,13 +565,13 @@
 }
 
 // quiet of the yards: nodes that fetch once a second deferred one miss in eight for the first twenty seconds.
-func TestTheOriginsRoomGrowsWithItsFirstAnswers(t *testing.T) {
-	f := newFake(1, 1)
+func TestOriginLimitGrowsWithTheFirstAnswers(t *testing.T) {
+	f := newFakeHost(1, 1)
 	for n := range 4 {
-		lkp, _ := f.ask(0, fmt.Sprint(n), false, f.now+5000)
-		f.settle(lkp, 0, NotFound)
+		lkp, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
+		f.attemptDone(lkp, 0, NotFound)
 		f.now += 10 * Millisecond
-		f.settle(lkp, 1, Served)
+		f.attemptDone(lkp, 1, Served)
 	}
 	if calm := f.b.servers[1].concurrencyLimit; calm < maxUnmeasuredFetches || calm > maxUnmeasuredFetches+0.5 {
 		t.Errorf("calm room %.1f after four quick answers, want %g or a little more", calm, maxUnmeasuredFetches)
@@ -579,103 +579,103 @@
 }
 
 // rough-1 of the videos: segments, which may take 2.5 s, filled the origin and held up playlists, which may take 0.15.
-func TestPatientReadsDontHoldUpTheOrigin(t *testing.T) {
-	f := newFake(1, 1)
+func TestPatientReadsDontDelayOthersAtTheOrigin(t *testing.T) {
+	f := newFakeHost(1, 1)
 	f.b.classes[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
 	o := f.b.servers[1]
 	o.answers, f.b.decayedAt, o.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
-	lkp, c := f.ask(0, "k", false, f.now+50000)
-	if f.settle(lkp, 0, NotFound); len(c.shots) != 1 || !c.ended {
-		t.Errorf("shots %v, want the origin spared", c.shots)
+	lkp, c := f.request(0, "k", false, f.now+50000)
+	if f.attemptDone(lkp, 0, NotFound); len(c.attempts) != 1 || !c.ended {
+		t.Errorf("shots %v, want the origin spared", c.attempts)
 	}
 	o.inFlight = 11
-	lkp, c = f.ask(0, "k", false, f.now+50000)
-	if f.settle(lkp, 0, NotFound); len(c.shots) != 2 {
-		t.Errorf("shots %v, want one at the origin", c.shots)
+	lkp, c = f.request(0, "k", false, f.now+50000)
+	if f.attemptDone(lkp, 0, NotFound); len(c.attempts) != 2 {
+		t.Errorf("shots %v, want one at the origin", c.attempts)
 	}
 }
 
 // Clients that give up early: a shot that ends with its lookup's little time says nothing of its server.
-func TestAShortTimeIsNoStrike(t *testing.T) {
-	f := newFake(1, 1)
+func TestShortTimeoutIsNoFailure(t *testing.T) {
+	f := newFakeHost(1, 1)
 	for _, c := range []struct {
 		span    Time
 		strikes int
 	}{{300, 0}, {300, 0}, {900, 1}, {300, 1}, {900, 2}} {
 		f.b.servers[0].concurrencyLimit = maxConcurrencyLimit
-		lkp, asked := f.ask(0, "k", false, f.now+c.span)
-		if len(asked.shots) != 1 || asked.shots[0].server != 0 {
-			t.Fatalf("%d strikes: shots %v", f.b.servers[0].consecutiveFailures, asked.shots)
+		lkp, asked := f.request(0, "k", false, f.now+c.span)
+		if len(asked.attempts) != 1 || asked.attempts[0].server != 0 {
+			t.Fatalf("%d strikes: shots %v", f.b.servers[0].consecutiveFailures, asked.attempts)
 		}
 		f.now += c.span
-		f.settle(lkp, 0, TimedOut)
+		f.attemptDone(lkp, 0, TimedOut)
 		if got := f.b.servers[0].consecutiveFailures; got != c.strikes {
 			t.Errorf("after %d tenths of a millisecond: %d strikes, want %d", c.span, got, c.strikes)
 		}
 	}
 }
 
-func TestOneFetchAKey(t *testing.T) {
-	f := newFake(1, 1)
-	first, c1 := f.ask(0, "a", false, f.now+5000)
-	f.settle(first, 0, NotFound)
-	_, c2 := f.ask(0, "a", false, f.now+5000)
-	_, c3 := f.ask(1, "a", false, f.now+100*Millisecond)
-	f.pass(101 * Millisecond)
-	if c1.shots[1].server != 1 || len(c2.shots)+len(c3.shots) != 0 || !c3.ended {
+func TestFetchesOfAKeyAreCoalesced(t *testing.T) {
+	f := newFakeHost(1, 1)
+	first, c1 := f.request(0, "a", false, f.now+5000)
+	f.attemptDone(first, 0, NotFound)
+	_, c2 := f.request(0, "a", false, f.now+5000)
+	_, c3 := f.request(1, "a", false, f.now+100*Millisecond)
+	f.advance(101 * Millisecond)
+	if c1.attempts[1].server != 1 || len(c2.attempts)+len(c3.attempts) != 0 || !c3.ended {
 		t.Fatal("want one shot at the origin, and who waits answered at its time limit")
 	}
-	if f.settle(first, 1, Served); len(c2.shots) != 1 || c2.shots[0].server != 0 {
+	if f.attemptDone(first, 1, Served); len(c2.attempts) != 1 || c2.attempts[0].server != 0 {
 		t.Fatal("the one that waited must go to the cache")
 	}
 }
 
 // A hot key at a fleet of few nodes: all its lookups waited for one that went to the origin since its cache was full,
 // and met the cache together when that was back.
-func TestNobodyWaitsForAFetchThatNoMissAskedFor(t *testing.T) {
-	f := newFake(1, 1)
-	lkp, c1 := f.ask(0, "a", false, f.now+5000)
-	f.settle(lkp, 0, Rejected)
-	_, c2 := f.ask(0, "a", false, f.now+5000)
-	if len(c1.shots) != 2 || c1.shots[1].server != 1 || len(c2.shots) != 1 || c2.shots[0].server != 0 {
-		t.Errorf("shots %v and %v, want one at the origin and one at the cache", c1.shots, c2.shots)
+func TestNobodyWaitsForAnAttemptWithoutAMiss(t *testing.T) {
+	f := newFakeHost(1, 1)
+	lkp, c1 := f.request(0, "a", false, f.now+5000)
+	f.attemptDone(lkp, 0, Rejected)
+	_, c2 := f.request(0, "a", false, f.now+5000)
+	if len(c1.attempts) != 2 || c1.attempts[1].server != 1 || len(c2.attempts) != 1 || c2.attempts[0].server != 0 {
+		t.Errorf("shots %v and %v, want one at the origin and one at the cache", c1.attempts, c2.attempts)
 	}
 }
 
 // A write that a server has nothing for took over the note of its key's fetch, and who waited for that was lost.
-func TestAWriteLeavesTheNoteOfAFetch(t *testing.T) {
-	f := newFake(1, 1)
-	fetch, _ := f.ask(0, "a", false, f.now+5000)
-	f.settle(fetch, 0, NotFound)
-	_, waits := f.ask(0, "a", false, f.now+5000)
-	write, _ := f.ask(0, "a", true, f.now+5000)
-	f.settle(write, 0, NotFound)
-	if f.settle(fetch, 1, Served); len(waits.shots) != 1 {
+func TestWriteKeepsTheWaitersOfAFetch(t *testing.T) {
+	f := newFakeHost(1, 1)
+	fetch, _ := f.request(0, "a", false, f.now+5000)
+	f.attemptDone(fetch, 0, NotFound)
+	_, waits := f.request(0, "a", false, f.now+5000)
+	write, _ := f.request(0, "a", true, f.now+5000)
+	f.attemptDone(write, 0, NotFound)
+	if f.attemptDone(fetch, 1, Served); len(waits.attempts) != 1 {
 		t.Error("the lookup that waited was not let go")
 	}
 }
 
 // overload: told to stay away for long, a client deferred early came back too late to be answered in time.
 func TestRetryAfter(t *testing.T) {
-	f := newFake(1, 1)
+	f := newFakeHost(1, 1)
 	f.b = New(f, 1, f.now, f.b.config) // no list has come yet, and none may spoil the histogram
-	if _, c := f.ask(0, "a", false, f.now+5000); c.deferred < 20*Millisecond || c.deferred > 40*Millisecond ||
+	if _, c := f.request(0, "a", false, f.now+5000); c.retryAfter < 20*Millisecond || c.retryAfter > 40*Millisecond ||
 		math.IsInf(f.b.binWeights[0], 0) || f.b.weightScale == 0 {
-		t.Errorf("retry after %d, want a tenth to a fifth of the target time", c.deferred)
+		t.Errorf("retry after %d, want a tenth to a fifth of the target time", c.retryAfter)
 	}
-	f = newFake(1, 1)
+	f = newFakeHost(1, 1)
 	f.b.servers[1].inFlight = 99
-	lkp, c := f.ask(0, "a", false, f.now+5000)
+	lkp, c := f.request(0, "a", false, f.now+5000)
 	f.now += 150 * Millisecond
-	if f.settle(lkp, 0, Rejected); c.deferred != 400*Millisecond {
-		t.Errorf("retry after %d, want the longest once the time is gone", c.deferred)
+	if f.attemptDone(lkp, 0, Rejected); c.retryAfter != 400*Millisecond {
+		t.Errorf("retry after %d, want the longest once the time is gone", c.retryAfter)
 	}
 }
 
 // A failed call to the list is made again, later each time, and no more once one went through.
 // Another box under an index that was given back has none of its predecessor's past.
-func TestAnIndexUsedAnewHasNoPast(t *testing.T) {
-	f := newFake(1, 2)
+func TestReusedIndexHasNoPast(t *testing.T) {
+	f := newFakeHost(1, 2)
 	s := f.b.servers[0]
 	s.consecutiveFailures, s.ejectionTime, s.ejectedUntil, s.retryBudget = 2, maxEjectionTime, f.now+maxEjectionTime, 0
 	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.00"}})
@@ -689,23 +689,23 @@
 }
 
 // A long body that is still coming is no load for its server: it counts, and is timed, from its last byte on.
-func TestALongBodyCountsFromItsLastByte(t *testing.T) {
-	f := newFake(1, 3)
+func TestStreamedBodyCountsFromItsLastByte(t *testing.T) {
+	f := newFakeHost(1, 3)
 	origin := f.b.servers[3]
-	f.lkps = append(f.lkps, &client{kind: IdempotentByKey, long: true})
+	f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true})
 	f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
-	f.lkps[0].limit = f.now + 90000
-	if len(f.lkps[0].shots) != 1 || origin.inFlight != 0 {
-		t.Fatalf("%d shots, %d in flight", len(f.lkps[0].shots), origin.inFlight)
+	f.requests[0].deadline = f.now + 90000
+	if len(f.requests[0].attempts) != 1 || origin.inFlight != 0 {
+		t.Fatalf("%d shots, %d in flight", len(f.requests[0].attempts), origin.inFlight)
 	}
 	f.now += 40000 // slower than any server
 	calm, took, ease := origin.concurrencyLimit, origin.meanLatency, f.b.admissionLevel
-	f.sent(0, 0)
+	f.bodySent(0, 0)
 	if origin.inFlight != 1 {
 		t.Errorf("%d in flight", origin.inFlight)
 	}
 	f.now += 100
-	f.settle(0, 0, Served)
+	f.attemptDone(0, 0, Served)
 	if origin.inFlight != 0 || origin.meanLatency > took+100 || origin.concurrencyLimit < calm || f.b.admissionLevel < ease {
 		t.Errorf("%d in flight, took %v, calm %g to %g, ease %g to %g", origin.inFlight, origin.meanLatency, calm, origin.concurrencyLimit,
 			ease, f.b.admissionLevel)
@@ -714,39 +714,39 @@
 
 // A long body's last byte may come long after its first, from which its server may know its tag: a repeat is bounded from the
 // order of the first shot. So is what a withheld shot gives back: nothing to a server that has started since.
-func TestALongShotCountsAsBegunFromItsOrder(t *testing.T) {
+func TestStreamedAttemptStartsWhenOrdered(t *testing.T) {
 	for _, c := range []struct {
 		body  Time // from the first byte to the last
 		shots int
-	}{{memorySpan / 4, 2}, {memorySpan/2 + 10, 1}, {memorySpan + 10, 1}} {
-		f := newFake(1, 3)
-		f.lkps = append(f.lkps, &client{kind: IdempotentByKey, long: true, limit: f.now + 90000})
+	}{{dedupWindow / 4, 2}, {dedupWindow/2 + 10, 1}, {dedupWindow + 10, 1}} {
+		f := newFakeHost(1, 3)
+		f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true, deadline: f.now + 90000})
 		f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
 		f.now += c.body
-		f.sent(0, 0)
+		f.bodySent(0, 0)
 		f.now += 10
-		cl := f.lkps[0]
-		f.settle(0, 0, ServerError)
-		if len(f.faults) > 0 || len(cl.shots) != c.shots || cl.ended != (c.shots == 1) {
-			t.Errorf("a body of %d, and an error: %d shots, want %d; ended %v, faults %v", c.body, len(cl.shots), c.shots, cl.ended, f.faults)
+		cl := f.requests[0]
+		f.attemptDone(0, 0, ServerError)
+		if len(f.faults) > 0 || len(cl.attempts) != c.shots || cl.ended != (c.shots == 1) {
+			t.Errorf("a body of %d, and an error: %d shots, want %d; ended %v, faults %v", c.body, len(cl.attempts), c.shots, cl.ended, f.faults)
 		}
 	}
-	f := newFake(1, 1)
+	f := newFakeHost(1, 1)
 	begin := func() {
-		f.boxes[0].StartedAt = f.now
-		f.b.UpdateEndpoints(f.now, Incremental, f.boxes[:1])
+		f.endpoints[0].StartedAt = f.now
+		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints[:1])
 	}
 	begin()
 	f.now += 1500 * Millisecond
-	f.lkps = append(f.lkps, &client{kind: Safe, long: true, limit: f.now + 90000})
+	f.requests = append(f.requests, &fakeRequest{idempotence: Safe, streaming: true, deadline: f.now + 90000})
 	f.b.Request(f.now, 0, Request{Tenant: -1, Key: "k", Streaming: true, Deadline: f.now + 90000})
-	if len(f.lkps[0].shots) != 1 || f.lkps[0].shots[0].server != 0 {
-		t.Fatalf("shots %v, want one at the cold cache", f.lkps[0].shots)
+	if len(f.requests[0].attempts) != 1 || f.requests[0].attempts[0].server != 0 {
+		t.Fatalf("shots %v, want one at the cold cache", f.requests[0].attempts)
 	}
 	f.now += 10
 	begin()
 	f.now += 10
-	if f.settle(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
+	if f.attemptDone(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
 		t.Errorf("a server that has started since was given back %g shots", f.b.servers[0].slowStartTokens)
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -11,80 +11,80 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// coldCase is a fleet before a cache that starts cold again and again.
-type coldCase struct {
-	nodes    int
-	bears    float64 // N at the start: overload factor x cold share x capacity x window
-	overload float64
-	from     float64 // the cold share at the start
-	usual    float64 // share of its capacity that a warm cache's usual demand takes
-	hot      float64 // share of all lookups whose keys are the cold cache's, beside its part of the rest
-	lull     float64 // times that, up to
-	burst    float64 // times that, for a tenth of the warm-up somewhere in it
-	works    bool    // works differ exponentially, and are hinted
-	quiet    bool    // nobody asks for the cold cache's keys before the burst, and half of all lookups do in it
-	all      bool    // all caches start cold together
-	warmUp   Time
-	rolling  bool    // the nodes are restarted one after another meanwhile
-	budget   float64 // the fleet has one of so many times N for each cold cache; 0: it has none
-	starts   int
+// slowStartCase is a fleet before a cache that starts cold again and again.
+type slowStartCase struct {
+	nodes        int
+	bearable     float64 // N at the start: overload factor x cold share x capacity x window
+	overload     float64
+	initialShare float64 // the cold share at the start
+	load         float64 // share of its capacity that a warm cache's usual demand takes
+	hotShare     float64 // share of all lookups whose keys are the cold cache's, beside its part of the rest
+	lull         float64 // times that, up to
+	burst        float64 // times that, for a tenth of the warm-up somewhere in it
+	variedWork   bool    // works differ exponentially, and are hinted
+	quiet        bool    // nobody asks for the cold cache's keys before the burst, and half of all lookups do in it
+	allCaches    bool    // all caches start cold together
+	window       Time
+	rolling      bool    // the nodes are restarted one after another meanwhile
+	quotaFactor  float64 // the fleet has one of so many times N for each cold cache; 0: it has none
+	starts       int
 }
 
 const (
-	coldCaches = 6
-	coldWindow = 1000 * Millisecond
+	slowStartCaches = 6
+	overloadWindow  = 1000 * Millisecond
 )
 
-// coldNode is a Host whose shots wait to be settled.
-type coldNode struct {
-	b    *Balancer
-	told bool // of the latest start
-	out  []int
+// slowStartNode is a Host whose shots wait to be settled.
+type slowStartNode struct {
+	b        *Balancer
+	informed bool // of the latest start
+	sent     []int
 }
 
-func (n *coldNode) Send(_, server int, _ Time) { n.out = append(n.out, server) }
-func (n *coldNode) Reject(int, Time)           {}
-func (n *coldNode) Fail(int)                   {}
-func (n *coldNode) Subscribe()                 {}
-func (n *coldNode) CloseIdle(int, int)         {}
-func (n *coldNode) SetAlarm(Time, int)         {}
+func (n *slowStartNode) Send(_, server int, _ Time) { n.sent = append(n.sent, server) }
+func (n *slowStartNode) Reject(int, Time)           {}
+func (n *slowStartNode) Fail(int)                   {}
+func (n *slowStartNode) Subscribe()                 {}
+func (n *slowStartNode) CloseIdle(int, int)         {}
+func (n *slowStartNode) SetAlarm(Time, int)         {}
 
-// coldSum is what came of it.
-type coldSum struct {
-	falls  int         // starts at which more came in a window than 2 x root of N and 2 beyond N
-	most   float64     // the fullest window, as a share of that
-	shares [10]float64 // of a warm cache's shots, by tenth of the warm-up
+// slowStartOutcome is what came of it.
+type slowStartOutcome struct {
+	overloads int         // starts at which more came in a window than 2 x root of N and 2 beyond N
+	fullest   float64     // the fullest window, as a share of that
+	shares    [10]float64 // of a warm cache's shots, by tenth of the warm-up
 }
 
 // play lets cache 0 start cold so many times. Each lookup has a key of its own and is answered at once; one node in ten is
 // asked ten times as much as the others. What nodes send that haven't heard of the start yet doesn't count.
-func (c coldCase) play() (sum coldSum) {
-	rnd, now := rand.New(rand.NewSource(int64(c.nodes)*1000+int64(c.bears))), 10000*Millisecond
-	capacity := c.bears / (c.overload * c.from * seconds(coldWindow))
+func (c slowStartCase) play() (sum slowStartOutcome) {
+	rnd, now := rand.New(rand.NewSource(int64(c.nodes)*1000+int64(c.bearable))), 10000*Millisecond
+	capacity := c.bearable / (c.overload * c.initialShare * seconds(overloadWindow))
 	var boxes []Endpoint
-	for i := range coldCaches {
+	for i := range slowStartCaches {
 		boxes = append(boxes, Endpoint{Server: i, ID: fmt.Sprint("c", i)})
 	}
-	fleet, begun := make([]*coldNode, c.nodes), 0
+	fleet, begun := make([]*slowStartNode, c.nodes), 0
 	// A unit of the budget is worth one at once. Where there are fewer than nodes they go round.
-	units, from := max(1, int(c.budget*c.bears/4)), 0
+	units, from := max(1, int(c.quotaFactor*c.bearable/4)), 0
 	part := func(i int) {
 		has := float64(units / c.nodes)
 		if (i-from+c.nodes)%c.nodes < units%c.nodes {
 			has++
 		}
-		fleet[i].b.SetQuota(now, SlowStartRate, 0, allowance.Quota{Rate: has * c.budget * c.bears / seconds(coldWindow) / float64(units), Burst: has,
+		fleet[i].b.SetQuota(now, SlowStartRate, 0, allowance.Quota{Rate: has * c.quotaFactor * c.bearable / seconds(overloadWindow) / float64(units), Burst: has,
 			Until: math.MaxInt64})
 	}
 	begin := func(i int) {
-		n := &coldNode{told: true}
+		n := &slowStartNode{informed: true}
 		begun++
 		n.b = New(n, uint64(begun), now, configOf(func(to *Config) {
-			to.Nodes, to.MaxAttempts, to.SlowStartShare = c.nodes, 3, c.from
-			to.SlowStartWindow, to.OverloadFactor, to.OverloadWindow = c.warmUp, c.overload, coldWindow
+			to.Nodes, to.MaxAttempts, to.SlowStartShare = c.nodes, 3, c.initialShare
+			to.SlowStartWindow, to.OverloadFactor, to.OverloadWindow = c.window, c.overload, overloadWindow
 			to.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
 		}))
-		if fleet[i] = n; c.budget > 0 {
+		if fleet[i] = n; c.quotaFactor > 0 {
 			part(i)
 		}
 		n.b.UpdateEndpoints(now, Full, boxes)
@@ -94,7 +94,7 @@
 	}
 	asked := func(factor, hot float64, until Time, shot func(server int, told bool, work float64)) {
 		for {
-			now += 1 + Time(rnd.ExpFloat64()/(coldCaches*c.usual*capacity*factor)*float64(1000*Millisecond))
+			now += 1 + Time(rnd.ExpFloat64()/(slowStartCaches*c.load*capacity*factor)*float64(1000*Millisecond))
 			if now >= until {
 				now = until
 				return
@@ -106,32 +106,32 @@
 			n := fleet[i]
 			key := fmt.Sprint(rnd.Int63())
 			if is := rnd.Float64() < hot; is || hot < 0 {
-				for (keyPoint(xxhash.Sum64String(key)|1) < binCount/coldCaches) != is {
+				for (keyPoint(xxhash.Sum64String(key)|1) < binCount/slowStartCaches) != is {
 					key = fmt.Sprint(rnd.Int63())
 				}
 			}
 			work := 1.0
-			if c.works {
+			if c.variedWork {
 				work = rnd.ExpFloat64()
 			}
 			n.b.Request(now, 0, Request{Tenant: -1, Key: key, Deadline: now + 8000, Work: 20 * work})
-			for k, to := range n.out {
-				shot(to, n.told, work)
+			for k, to := range n.sent {
+				shot(to, n.informed, work)
 				n.b.AttemptDone(now, 0, k, Served, true)
 			}
-			n.out = n.out[:0]
+			n.sent = n.sent[:0]
 		}
 	}
-	asked(1, c.hot, now+10*coldWindow, func(int, bool, float64) {})
+	asked(1, c.hotShare, now+10*overloadWindow, func(int, bool, float64) {})
 	for range c.starts {
 		began, fell := now, false
 		for i := range boxes {
-			if i == 0 || c.all {
+			if i == 0 || c.allCaches {
 				boxes[i].StartedAt = now
 			}
 		}
 		for _, n := range fleet {
-			n.told = false
+			n.informed = false
 		}
 		var arrivals []Time
 		var works []float64
@@ -140,8 +140,8 @@
 		var shots [10][2]float64
 		for step := range steps {
 			for i, n := range fleet {
-				if !n.told && (step > 2 || rnd.Intn(2) == 0) { // within four tenths of a second
-					n.told = true
+				if !n.informed && (step > 2 || rnd.Intn(2) == 0) { // within four tenths of a second
+					n.informed = true
 					n.b.UpdateEndpoints(now, Incremental, boxes)
 				}
 				if c.rolling && next*steps < step*c.nodes && i == next {
@@ -149,7 +149,7 @@
 					next++
 				}
 			}
-			if c.budget > 0 && step%5 == 0 {
+			if c.quotaFactor > 0 && step%5 == 0 {
 				was := from
 				from = (from + 1) % c.nodes
 				part(was)
@@ -157,7 +157,7 @@
 					part(i)
 				}
 			}
-			factor, hot := 1.0, c.hot
+			factor, hot := 1.0, c.hotShare
 			if step < high {
 				if factor = c.lull; c.quiet {
 					hot = -1
@@ -167,34 +167,34 @@
 					hot = 0.5
 				}
 			}
-			asked(factor, hot, began+c.warmUp*Time(step+1)/steps, func(server int, told bool, work float64) {
+			asked(factor, hot, began+c.window*Time(step+1)/steps, func(server int, told bool, work float64) {
 				if server != 0 {
-					shots[step*10/steps][1] += 1.0 / (coldCaches - 1)
+					shots[step*10/steps][1] += 1.0 / (slowStartCaches - 1)
 					return
 				}
 				if shots[step*10/steps][0]++; !told {
 					return
 				}
 				arrivals, works = append(arrivals, now), append(works, work)
-				for arrivals[0] <= now-coldWindow {
+				for arrivals[0] <= now-overloadWindow {
 					arrivals, works = arrivals[1:], works[1:]
 				}
 				came := 0.0
 				for _, w := range works {
 					came += w
 				}
-				bears := c.bears * (1 + (1/c.from-1)*float64(now-began)/float64(c.warmUp))
+				bears := c.bearable * (1 + (1/c.initialShare-1)*float64(now-began)/float64(c.window))
 				full := came / (bears + 2*math.Sqrt(bears) + 2)
-				sum.most, fell = max(sum.most, full), fell || full > 1
+				sum.fullest, fell = max(sum.fullest, full), fell || full > 1
 			})
 		}
 		for i, s := range shots {
 			sum.shares[i] += s[0] / max(1, s[1]) / float64(c.starts)
 		}
 		if fell {
-			sum.falls++
+			sum.overloads++
 		}
-		asked(1, c.hot, now+5*coldWindow, func(int, bool, float64) {})
+		asked(1, c.hotShare, now+5*overloadWindow, func(int, bool, float64) {})
 	}
 	return sum
 }
@@ -203,46 +203,46 @@
 // what they send stays under what the settings allow in any window, beyond which only 2 roots of that and 2 are put down to
 // chance, and it rises until the cache is warm. Each node saved up a whole shot, and six in a window were always allowed:
 // where N is 1, one start in seven went beyond.
-func TestTheSumOfAllSparesAColdCache(t *testing.T) {
-	plain := coldCase{nodes: 30, overload: 1.5, from: 0.05, usual: 0.7, hot: 0.2, lull: 1, burst: 2, rolling: true,
-		warmUp: 30000 * Millisecond}
+func TestAllNodesTogetherSpareACacheInSlowStart(t *testing.T) {
+	plain := slowStartCase{nodes: 30, overload: 1.5, initialShare: 0.05, load: 0.7, hotShare: 0.2, lull: 1, burst: 2, rolling: true,
+		window: 30000 * Millisecond}
 	for _, c := range []struct {
 		name   string
 		bears  float64
 		starts int
-		change func(c *coldCase)
+		change func(c *slowStartCase)
 	}{
-		{"N is 1", 1, 80, func(*coldCase) {}},
-		{"one node", 1, 80, func(c *coldCase) { c.nodes = 1 }},
-		{"one node, N is 10", 10, 10, func(c *coldCase) { c.nodes = 1 }},
-		{"three nodes", 1, 80, func(c *coldCase) { c.nodes = 3 }},
-		{"three nodes, N is 4", 4, 20, func(c *coldCase) { c.nodes = 3 }},
-		{"20 nodes", 1, 40, func(c *coldCase) { c.nodes = 20 }},
-		{"300 nodes", 1, 15, func(c *coldCase) { c.nodes = 300 }},
-		{"300 nodes, N is 10", 10, 2, func(c *coldCase) { c.nodes = 300 }},
-		{"N is 2", 2, 30, func(*coldCase) {}},
-		{"N is 4, cold share 0.1", 4, 15, func(c *coldCase) { c.overload, c.from = 2, 0.1 }},
-		{"N is 10", 10, 4, func(*coldCase) {}},
-		{"N is 30", 30, 1, func(*coldCase) {}},
-		{"a burst after a lull", 1, 40, func(c *coldCase) { c.lull, c.burst = 0.1, 3 }},
-		{"a burst on what was quiet", 2, 10, func(c *coldCase) { c.quiet, c.warmUp, c.rolling = true, 120000*Millisecond, false }},
-		{"all caches start cold", 1, 40, func(c *coldCase) { c.all = true }},
-		{"works differ", 1, 40, func(c *coldCase) { c.works = true }},
-		{"a budget of N", 10, 3, func(c *coldCase) { c.budget = 1 }},
-		{"a budget far beyond N", 2, 10, func(c *coldCase) { c.budget = 100 }},
+		{"N is 1", 1, 80, func(*slowStartCase) {}},
+		{"one node", 1, 80, func(c *slowStartCase) { c.nodes = 1 }},
+		{"one node, N is 10", 10, 10, func(c *slowStartCase) { c.nodes = 1 }},
+		{"three nodes", 1, 80, func(c *slowStartCase) { c.nodes = 3 }},
+		{"three nodes, N is 4", 4, 20, func(c *slowStartCase) { c.nodes = 3 }},
+		{"20 nodes", 1, 40, func(c *slowStartCase) { c.nodes = 20 }},
+		{"300 nodes", 1, 15, func(c *slowStartCase) { c.nodes = 300 }},
+		{"300 nodes, N is 10", 10, 2, func(c *slowStartCase) { c.nodes = 300 }},
+		{"N is 2", 2, 30, func(*slowStartCase) {}},
+		{"N is 4, cold share 0.1", 4, 15, func(c *slowStartCase) { c.overload, c.initialShare = 2, 0.1 }},
+		{"N is 10", 10, 4, func(*slowStartCase) {}},
+		{"N is 30", 30, 1, func(*slowStartCase) {}},
+		{"a burst after a lull", 1, 40, func(c *slowStartCase) { c.lull, c.burst = 0.1, 3 }},
+		{"a burst on what was quiet", 2, 10, func(c *slowStartCase) { c.quiet, c.window, c.rolling = true, 120000*Millisecond, false }},
+		{"all caches start cold", 1, 40, func(c *slowStartCase) { c.allCaches = true }},
+		{"works differ", 1, 40, func(c *slowStartCase) { c.variedWork = true }},
+		{"a budget of N", 10, 3, func(c *slowStartCase) { c.quotaFactor = 1 }},
+		{"a budget far beyond N", 2, 10, func(c *slowStartCase) { c.quotaFactor = 100 }},
 	} {
 		x := plain
-		x.bears, x.starts = c.bears, c.starts
+		x.bearable, x.starts = c.bears, c.starts
 		if testing.Short() {
 			x.starts = (c.starts + 3) / 4
 		}
 		c.change(&x)
 		s := x.play()
-		t.Logf("%s: %d falls at %d starts, the fullest window %.2f, shares %.2f", c.name, s.falls, x.starts, s.most, s.shares)
-		if s.falls > 0 {
-			t.Errorf("%s: the cold cache falls at %d starts of %d, the fullest window is %.2f of what it bears", c.name, s.falls, x.starts, s.most)
+		t.Logf("%s: %d falls at %d starts, the fullest window %.2f, shares %.2f", c.name, s.overloads, x.starts, s.fullest, s.shares)
+		if s.overloads > 0 {
+			t.Errorf("%s: the cold cache falls at %d starts of %d, the fullest window is %.2f of what it bears", c.name, s.overloads, x.starts, s.fullest)
 		}
-		if s.shares[9] < slowStartMargin*x.overload/2 && x.budget == 0 || s.shares[9] == 0 {
+		if s.shares[9] < slowStartMargin*x.overload/2 && x.quotaFactor == 0 || s.shares[9] == 0 {
 			t.Errorf("%s: the cold cache must warm up, it has %.2f of a warm one's shots", c.name, s.shares)
 		}
 	}
@@ -250,21 +250,21 @@
 
 // One lookup of many times the mean work may be more than all that a cold cache bears: it goes elsewhere, until so much may
 // be saved up.
-func TestAHeavyLookupSparesAColdCache(t *testing.T) {
+func TestHeavyRequestSparesACacheInSlowStart(t *testing.T) {
 	for _, perCache := range []float64{1, 100} {
-		f, sent := newFake(1, 2), map[float64]int{}
+		f, sent := newFakeHost(1, 2), map[float64]int{}
 		for i := range 4000 {
 			f.now += 100 * Millisecond
 			s := f.b.servers[0]
 			s.StartedAt, f.b.warmCacheRate, f.b.decayedAt = f.now-1000*Millisecond, perCache, f.now
 			work := []float64{10, 100}[i%10/9]
-			f.lkps = append(f.lkps[:0], &client{kind: kinds[0], limit: f.now + 8000})
+			f.requests = append(f.requests[:0], &fakeRequest{idempotence: idempotences[0], deadline: f.now + 8000})
 			f.b.Request(f.now, 0, Request{Tenant: -1, Key: key(f.b, 0), Work: work, Deadline: f.now + 8000})
-			for n, shot := range f.lkps[0].shots {
+			for n, shot := range f.requests[0].attempts {
 				if shot.server == 0 {
 					sent[work]++
 				}
-				f.settle(0, n, Served)
+				f.attemptDone(0, n, Served)
 			}
 		}
 		if sent[10] == 0 || (sent[100] > 0) != (perCache > 1) {
