--- /dev/null
+++ b/routing/admission_test.go
@@ -0,0 +1,83 @@
+package routing
+
+import (
+	"fmt"
+	"testing"
+)
+
+// The yards: of three hundred nodes each has a part of a lookup a second, which never made a whole one.
+func TestSmallTenantShareIsSavedUp(t *testing.T) {
+	f := newFakeHost(1, 4)
+	f.b.config.Nodes = 300
+	f.b = New(f, 1, f.now, f.b.config)
+	f.b.UpdateEndpoints(f.now, Full, f.endpoints)
+	f.b.admissionLevel = 0
+	for i := range 20 {
+		f.now += 8000 * Millisecond // 50 a second over 300 nodes: one in 6 s
+		if lkp, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) != 1 {
+			t.Fatal("a lookup inside its partner's share was taken as beyond it")
+		} else {
+			f.attemptDone(lkp, 0, Served)
+		}
+	}
+}
+
+// tenant_burst: a partner beyond its share yields where lookups inside theirs fail, and only there.
+func TestTenantBeyondItsShareIsShedFirst(t *testing.T) {
+	for ease, want := range []int{25 + minTenantBurst, 40} { // 50 a second over two nodes
+		f, taken := newFakeHost(1, 4), 0
+		for i := range 40 {
+			f.b.admissionLevel = float64(ease)
+			if lkp, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) > 0 {
+				taken++
+				f.attemptDone(lkp, 0, Served)
+			}
+		}
+		if taken != want {
+			t.Errorf("ease %d: %d taken, want %d", ease, taken, want)
+		}
+	}
+}
+
+// zone_loss: nodes that carried twice their part, since others were lost, took half of it for beyond the shares. What
+// the other partner sends tells; only what is beyond that too yields as soon as lookups find no room.
+func TestNodeThatCarriesMoreShedsLater(t *testing.T) {
+	for _, c := range []struct {
+		others, ease float64
+		want         int
+	}{{0, 1, 60}, {0, 0.7, 30}, {100, 0.7, 60}, {100, 0, 30}} { // in 1.2 s, where the even part is 25 a second
+		f, taken := newFakeHost(1, 4), 0
+		f.b.tenants[1].evenRate, f.b.tenants[0].evenTokens, f.b.tenants[0].carriedTokens = 25, 0, 0
+		for i := range 60 {
+			f.now += 20 * Millisecond
+			f.b.admissionLevel, f.b.tenants[1].requests = c.ease, c.others
+			if lkp, asked := f.request(0, fmt.Sprint(i), false, f.now+5000); len(asked.attempts) > 0 {
+				taken++
+				f.attemptDone(lkp, 0, Served)
+			}
+		}
+		if taken < c.want-1 || taken > c.want+1 {
+			t.Errorf("others send %g, ease %g: %d taken, want %d", c.others, c.ease, taken, c.want)
+		}
+	}
+}
+
+// h1fdc83, ib55e28: lookups lost at a few silent boxes made all nodes turn away what they held for beyond a share.
+func TestTimeoutsLowerTheAdmissionLevelLess(t *testing.T) {
+	for _, c := range []struct {
+		code  Result
+		after Time
+		least float64
+	}{{TimedOut, 200 * Millisecond, 0.8}, {Rejected, Millisecond, 0.4}} {
+		f := newFakeHost(1, 1)
+		for range 5 {
+			f.b.servers[0].ejectionTime, f.b.servers[0].concurrencyLimit, f.b.servers[1].inFlight = 0, maxConcurrencyLimit, 99
+			lkp, _ := f.request(0, "", false, f.now+5000)
+			f.now += c.after
+			f.attemptDone(lkp, 0, c.code)
+		}
+		if f.b.admissionLevel < c.least || f.b.admissionLevel > c.least+0.2 {
+			t.Errorf("code %d: an ease of %.2f, want %.1f or a little more", c.code, f.b.admissionLevel, c.least)
+		}
+	}
+}
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -53,3 +53,19 @@
 		}
 	}
 }
+
+// A failed call to the list is made again, later each time, and no more once one went through.
+// Another box under an index that was given back has none of its predecessor's past.
+func TestReusedIndexHasNoPast(t *testing.T) {
+	f := newFakeHost(1, 2)
+	s := f.b.servers[0]
+	s.consecutiveFailures, s.ejectionTime, s.ejectedUntil, s.retryBudget = 2, maxEjectionTime, f.now+maxEjectionTime, 0
+	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.00"}})
+	if f.b.servers[0].ejectionTime == 0 {
+		t.Error("the same box lost its past")
+	}
+	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.99"}})
+	if s := f.b.servers[0]; s.ejectionTime != 0 || s.consecutiveFailures != 0 || s.retryBudget != maxRetryBudget {
+		t.Errorf("another box has %+v", s)
+	}
+}
--- /dev/null
+++ b/routing/partition_test.go
@@ -0,0 +1,91 @@
+package routing
+
+import (
+	"math"
+	"math/rand"
+	"slices"
+	"testing"
+)
+
+// The lazy fade gives what the plain definition gives.
+func TestLazyScalingGivesThePlainWeights(t *testing.T) {
+	b := newFakeHost(1, 5).b
+	plain := slices.Repeat([]float64{1.0 / binCount}, binCount)
+	rnd := rand.New(rand.NewSource(1))
+	for range 4000 {
+		at := rnd.Intn(1 + rnd.Intn(binCount))
+		b.learnPoint(float64(at) + 0.5)
+		for i := range plain {
+			plain[i] *= 1 - b.alpha
+		}
+		plain[at] += b.alpha
+	}
+	for i, want := range plain {
+		if got := b.binWeights[i] * b.weightScale; math.Abs(got-want) > 1e-9 {
+			t.Fatalf("bin %d: %g, want %g", i, got, want)
+		}
+	}
+}
+
+// In steady demand all that was seen weighs alike, a hot key's bin too; when other keys become popular the bins forget
+// within some seconds.
+func TestAlphaFollowsTheDemand(t *testing.T) {
+	for _, each := range []int{30, 200} { // lookups between two comparisons
+		b := newFakeHost(1, 5).b
+		rnd := rand.New(rand.NewSource(1))
+		ask := func(spans, from int) {
+			for range spans {
+				for range each {
+					at := from + rnd.Intn(1+rnd.Intn(binCount/2))
+					if rnd.Intn(8) == 0 {
+						at = from + 77
+					}
+					b.learnPoint(float64(at) + 0.5)
+				}
+				b.adaptToDemand()
+			}
+		}
+		if ask(100, 0); b.alpha > 1.2/float64(100*each) {
+			t.Errorf("%d a span: alpha %g in steady demand, want about %g", each, b.alpha, 1/float64(100*each))
+		}
+		before := b.alpha
+		if ask(4, binCount/2); b.alpha < 20*before {
+			t.Errorf("%d a span: alpha %g after a shift, %g before", each, b.alpha, before)
+		}
+		b.rememberedRequests = 1
+		if b.learnPoint(1); b.alpha != 1.0/100 {
+			t.Errorf("alpha %g, want its bound", b.alpha)
+		}
+		b.rememberedRequests = 1e9
+		if b.learnPoint(1); b.alpha != minAlpha {
+			t.Errorf("alpha %g, want its floor", b.alpha)
+		}
+	}
+}
+
+func TestRangeEnds(t *testing.T) {
+	for _, c := range []struct {
+		weight map[int]float64 // the rest is 0
+		want   []float64
+	}{
+		{nil, []float64{500, 1000, 1500, 2000}},
+		{nil, []float64{2000}},
+		{map[int]float64{10: 1, 11: 3}, []float64{11 + 1.0/3, 2000}},
+		{map[int]float64{7: 1}, []float64{7.25, 7.5, 7.75, 2000}},
+	} {
+		b := newFakeHost(1, len(c.want)).b
+		if c.weight != nil {
+			b.binWeights = make([]float64, binCount)
+		}
+		for i, w := range c.weight {
+			b.binWeights[i] = w
+		}
+		b.recomputeRanges()
+		for i, want := range c.want {
+			if math.Abs(b.rangeEnds[i]-want) > 1e-6 {
+				t.Errorf("cuts %v, want %v", b.rangeEnds, c.want)
+				break
+			}
+		}
+	}
+}
--- /dev/null
+++ b/routing/request_test.go
@@ -0,0 +1,102 @@
+package routing
+
+import (
+	"testing"
+)
+
+// A shot that was withheld says nothing of its server, however long it waited for a connection, and gives back the room, the
+// credit and the cold budget that it took; one whose server has begun anew since gives that nothing.
+func TestWithheldAttemptIsRefunded(t *testing.T) {
+	for _, restarted := range []bool{false, true} {
+		f := newFakeHost(1, 2)
+		k := key(f.b, 0)
+		for _, s := range f.b.servers[:2] {
+			s.StartedAt, s.slowStartTokens, s.slowStartRefilledAt = f.now-100*Millisecond, 3, f.now
+		}
+		f.b.warmCacheRate = 1000
+		f.b.servers[2].inFlight = 99
+		lkp, c := f.request(0, k, false, f.now+9000)
+		f.attemptDone(lkp, 0, ServerError) // further shots cost credit
+		if len(c.attempts) != 2 {
+			t.Fatalf("%d shots, want a further one", len(c.attempts))
+		}
+		s := f.b.servers[c.attempts[1].server]
+		credit, budget, calm, took := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
+		f.now += 150 * Millisecond // slow
+		if restarted {
+			f.endpoints[c.attempts[1].server].StartedAt = f.now - Millisecond
+			f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
+			s = f.b.servers[c.attempts[1].server]
+			credit, budget = s.retryBudget-1, s.slowStartTokens-1
+		}
+		f.attemptDone(lkp, 1, Withheld)
+		if s.inFlight != 0 || s.retryBudget != credit+1 || s.slowStartTokens != budget+1 || s.concurrencyLimit != calm || s.meanLatency != took && !restarted ||
+			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.faults) > 0 {
+			t.Errorf("restarted %v: in flight %d, credit %g of %g, budget %g of %g, calm %g of %g, took %d of %d, strikes %d, %v", restarted,
+				s.inFlight, s.retryBudget, credit+1, s.slowStartTokens, budget+1, s.concurrencyLimit, calm, s.meanLatency, took, s.consecutiveFailures, f.faults)
+		}
+	}
+}
+
+// A long body that is still coming is no load for its server: it counts, and is timed, from its last byte on.
+func TestStreamedBodyCountsFromItsLastByte(t *testing.T) {
+	f := newFakeHost(1, 3)
+	origin := f.b.servers[3]
+	f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true})
+	f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
+	f.requests[0].deadline = f.now + 90000
+	if len(f.requests[0].attempts) != 1 || origin.inFlight != 0 {
+		t.Fatalf("%d shots, %d in flight", len(f.requests[0].attempts), origin.inFlight)
+	}
+	f.now += 40000 // slower than any server
+	calm, took, ease := origin.concurrencyLimit, origin.meanLatency, f.b.admissionLevel
+	f.bodySent(0, 0)
+	if origin.inFlight != 1 {
+		t.Errorf("%d in flight", origin.inFlight)
+	}
+	f.now += 100
+	f.attemptDone(0, 0, Served)
+	if origin.inFlight != 0 || origin.meanLatency > took+100 || origin.concurrencyLimit < calm || f.b.admissionLevel < ease {
+		t.Errorf("%d in flight, took %v, calm %g to %g, ease %g to %g", origin.inFlight, origin.meanLatency, calm, origin.concurrencyLimit,
+			ease, f.b.admissionLevel)
+	}
+}
+
+// A long body's last byte may come long after its first, from which its server may know its tag: a repeat is bounded from the
+// order of the first shot. So is what a withheld shot gives back: nothing to a server that has started since.
+func TestStreamedAttemptStartsWhenOrdered(t *testing.T) {
+	for _, c := range []struct {
+		body  Time // from the first byte to the last
+		shots int
+	}{{dedupWindow / 4, 2}, {dedupWindow/2 + 10, 1}, {dedupWindow + 10, 1}} {
+		f := newFakeHost(1, 3)
+		f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true, deadline: f.now + 90000})
+		f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
+		f.now += c.body
+		f.bodySent(0, 0)
+		f.now += 10
+		cl := f.requests[0]
+		f.attemptDone(0, 0, ServerError)
+		if len(f.faults) > 0 || len(cl.attempts) != c.shots || cl.ended != (c.shots == 1) {
+			t.Errorf("a body of %d, and an error: %d shots, want %d; ended %v, faults %v", c.body, len(cl.attempts), c.shots, cl.ended, f.faults)
+		}
+	}
+	f := newFakeHost(1, 1)
+	begin := func() {
+		f.endpoints[0].StartedAt = f.now
+		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints[:1])
+	}
+	begin()
+	f.now += 1500 * Millisecond
+	f.requests = append(f.requests, &fakeRequest{idempotence: Safe, streaming: true, deadline: f.now + 90000})
+	f.b.Request(f.now, 0, Request{Tenant: -1, Key: "k", Streaming: true, Deadline: f.now + 90000})
+	if len(f.requests[0].attempts) != 1 || f.requests[0].attempts[0].server != 0 {
+		t.Fatalf("shots %v, want one at the cold cache", f.requests[0].attempts)
+	}
+	f.now += 10
+	begin()
+	f.now += 10
+	if f.attemptDone(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
+		t.Errorf("a server that has started since was given back %g shots", f.b.servers[0].slowStartTokens)
+	}
+}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 )
 
@@ -46,3 +47,20 @@
 		}
 	}
 }
+
+// overload: told to stay away for long, a client deferred early came back too late to be answered in time.
+func TestRetryAfter(t *testing.T) {
+	f := newFakeHost(1, 1)
+	f.b = New(f, 1, f.now, f.b.config) // no list has come yet, and none may spoil the histogram
+	if _, c := f.request(0, "a", false, f.now+5000); c.retryAfter < 20*Millisecond || c.retryAfter > 40*Millisecond ||
+		math.IsInf(f.b.binWeights[0], 0) || f.b.weightScale == 0 {
+		t.Errorf("retry after %d, want a tenth to a fifth of the target time", c.retryAfter)
+	}
+	f = newFakeHost(1, 1)
+	f.b.servers[1].inFlight = 99
+	lkp, c := f.request(0, "a", false, f.now+5000)
+	f.now += 150 * Millisecond
+	if f.attemptDone(lkp, 0, Rejected); c.retryAfter != 400*Millisecond {
+		t.Errorf("retry after %d, want the longest once the time is gone", c.retryAfter)
+	}
+}
