--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The yards: of three hundred nodes each has a part of a lookup a second, which never made a whole one.
+// With hundreds of nodes, a tenant's even share at each is less than one request per second. It is saved up
+// to whole requests.
 func TestSmallTenantShareIsSavedUp(t *testing.T) {
 	f := newFakeHost(1, 4)
 	f.b.config.Nodes = 300
@@ -15,14 +16,14 @@
 	for i := range 20 {
 		f.now += 8000 * Millisecond // 50 a second over 300 nodes: one in 6 s
 		if lkp, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) != 1 {
-			t.Fatal("a lookup inside its partner's share was taken as beyond it")
+			t.Fatal("a request inside its tenant's share was taken as beyond it")
 		} else {
 			f.attemptDone(lkp, 0, Served)
 		}
 	}
 }
 
-// tenant_burst: a partner beyond its share yields where lookups inside theirs fail, and only there.
+// A tenant beyond its share is shed where requests inside their shares fail, and only there.
 func TestTenantBeyondItsShareIsShedFirst(t *testing.T) {
 	for ease, want := range []int{25 + minTenantBurst, 40} { // 50 a second over two nodes
 		f, taken := newFakeHost(1, 4), 0
@@ -34,13 +35,14 @@
 			}
 		}
 		if taken != want {
-			t.Errorf("ease %d: %d taken, want %d", ease, taken, want)
+			t.Errorf("admission level %d: %d admitted, want %d", ease, taken, want)
 		}
 	}
 }
 
-// zone_loss: nodes that carried twice their part, since others were lost, took half of it for beyond the shares. What
-// the other partner sends tells; only what is beyond that too yields as soon as lookups find no room.
+// A node that carries more than its even share, since others were lost, knows it from what the other tenants
+// send. Requests beyond the carried share are shed as soon as others are rejected, those beyond the even share
+// alone only at the lowest admission levels.
 func TestNodeThatCarriesMoreShedsLater(t *testing.T) {
 	for _, c := range []struct {
 		others, ease float64
@@ -57,12 +59,13 @@
 			}
 		}
 		if taken < c.want-1 || taken > c.want+1 {
-			t.Errorf("others send %g, ease %g: %d taken, want %d", c.others, c.ease, taken, c.want)
+			t.Errorf("others send %g, admission level %g: %d admitted, want %d", c.others, c.ease, taken, c.want)
 		}
 	}
 }
 
-// h1fdc83, ib55e28: lookups lost at a few silent boxes made all nodes turn away what they held for beyond a share.
+// Requests that run out of time may have met a few silent servers, so they lower the admission level less than
+// rejected ones do.
 func TestTimeoutsLowerTheAdmissionLevelLess(t *testing.T) {
 	for _, c := range []struct {
 		code  Result
@@ -77,7 +80,7 @@
 			f.attemptDone(lkp, 0, c.code)
 		}
 		if f.b.admissionLevel < c.least || f.b.admissionLevel > c.least+0.2 {
-			t.Errorf("code %d: an ease of %.2f, want %.1f or a little more", c.code, f.b.admissionLevel, c.least)
+			t.Errorf("result %d: an admission level of %.2f, want %.1f or a little more", c.code, f.b.admissionLevel, c.least)
 		}
 	}
 }
--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -7,8 +7,8 @@
 	"testing/quick"
 )
 
-// Random runs: outcomes of every code, restarts, drains, list failures, fleets that double, lost clients and
-// stale alarms and odd orders of events, as one of two nodes and of a thousand. The fake checks the rules.
+// Random runs with every result, restarts, drains, failed polls, growing fleets, clients that leave, stale alarms
+// and events in any order, as one of two nodes and of a thousand. The fake host checks the rules.
 func TestRulesHoldInRandomRuns(t *testing.T) {
 	run := func(seed int64) bool {
 		f := newFakeHost(seed, 1+int(uint64(seed)%7))
@@ -23,12 +23,12 @@
 		}
 		for i, c := range f.requests {
 			if !c.ended && len(f.faults) == 0 {
-				f.faultf("lookup %d was lost", i)
+				f.faultf("request %d was lost", i)
 			}
 		}
 		for i, s := range f.b.servers {
 			if s != nil && s.inFlight != 0 && len(f.faults) == 0 {
-				f.faultf("server %d counts %d in flight though nothing is out", i, s.inFlight)
+				f.faultf("server %d counts %d in flight though nothing is", i, s.inFlight)
 			}
 		}
 		t.Log(seed, f.faults)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Three hundred nodes of one fleet, a few of which carry far more than the rest: in sum they must spare a
-// cache that starts cold, whatever each may do at least, and the origin while it does not answer.
+// Three hundred nodes, some of which carry far more than the rest: their sum spares a cache in slow start and an
+// origin that does not answer, whatever each node may always send.
 func TestSumOverAFleet(t *testing.T) {
 	const nodes, cold, stop, steps, window = 300, 30, 90, 120, 15 // in tenths of a second
 	var fleet [nodes]*fakeHost
@@ -48,7 +48,7 @@
 		fleet[i] = newFakeHost(int64(i), 4)
 		fleet[i].b.nodeCount, fleet[i].b.initialLimit = nodes, 1
 	}
-	rnd, sent, fetches := rand.New(rand.NewSource(1)), [5][steps + 1]float64{}, 0 // shots at each by then
+	rnd, sent, fetches := rand.New(rand.NewSource(1)), [5][steps + 1]float64{}, 0 // attempts at each by then
 	for step := range steps {
 		for s := range sent {
 			sent[s][step+1] = sent[s][step]
@@ -71,13 +71,13 @@
 			}
 		}
 	}
-	most := 4 * 0.2 * sent[1][cold] / cold * window // factor x cold share x what a warm one is seen to bear
+	most := 4 * 0.2 * sent[1][cold] / cold * window // factor x slow-start share x what a warm one is seen to bear
 	for at := cold; at+window <= steps; at++ {
 		if got := sent[0][at+window] - sent[0][at]; got > most {
-			t.Errorf("step %d: %g shots in a window at the cold cache, at most %g", at, got, most)
+			t.Errorf("step %d: %g attempts in a window at the cache in slow start, at most %g", at, got, most)
 		}
 	}
 	if sent[0][steps] == sent[0][steps-window] || fetches > maxUnmeasuredFetches*nodes {
-		t.Errorf("the cold cache must warm up, and %d fetches are out at a stopped origin", fetches)
+		t.Errorf("slow start must end, and %d fetches are in flight at a stopped origin", fetches)
 	}
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	benchRate     = 1160          // lookups a second of a node, at the peak of a large deployment
-	benchInFlight = 12            // lookups out at a time: each takes some ten milliseconds
-	benchKeys     = 1_200_000_000 // objects, asked for by Zipf's law
+	benchRate     = 1160          // requests per second of a node, at the peak of a large deployment
+	benchInFlight = 12            // requests in flight: each takes some ten milliseconds
+	benchKeys     = 1_200_000_000 // objects, with popularity by Zipf's law
 	benchSkew     = 1.1
 )
 
-// benchHost is a Host that keeps only what is out; each shot is answered, the oldest first.
+// benchHost is a Host that keeps the requests in flight; each attempt is answered, the oldest first.
 type benchHost struct {
 	b        *Balancer
 	now      Time
-	fraction float64 // of a tick, until the next lookup
+	fraction float64 // of a tick, until the next request
 	zipf     *rand.Zipf
-	inFlight []int // lookups, one shot each
+	inFlight []int // requests, one attempt each
 	freeIDs  []int
 	nextID   int
 }
@@ -45,7 +45,7 @@
 
 func (q *benchHost) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
 
-// request asks for a key, after the mean time between two, and brings the oldest answer.
+// request sends a request after the mean time between two, and the oldest answer.
 func (q *benchHost) request(key string) {
 	gap := float64(1000*Millisecond)/benchRate + q.fraction
 	q.now, q.fraction = q.now+Time(gap), gap-math.Floor(gap)
@@ -61,7 +61,7 @@
 	}
 }
 
-// answer brings the oldest answer.
+// answer ends the oldest attempt.
 func (q *benchHost) answer() {
 	lkp := q.inFlight[0]
 	q.inFlight = slices.Delete(q.inFlight, 0, 1)
@@ -69,7 +69,7 @@
 	q.freeIDs = append(q.freeIDs, lkp)
 }
 
-// newBenchHost starts one of some nodes before warm caches, whose ids lie in no order, and an origin.
+// newBenchHost returns the host of one node before warm caches, whose IDs lie in no order, and an origin.
 func newBenchHost(caches, nodes int) *benchHost {
 	rnd := rand.New(rand.NewSource(1))
 	q := &benchHost{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
@@ -100,7 +100,7 @@
 	}
 }
 
-// A lookup with its answer, and its part of what is done every second or two.
+// A request with its answer, and its part of what is done every second or two.
 func BenchmarkLookup(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newBenchHost(caches, nodes).warm(60_000)
@@ -114,7 +114,7 @@
 	})
 }
 
-// A change of the list: one cache begins to drain, or is back.
+// A change of one endpoint: a cache begins to drain, or is back.
 func BenchmarkListChange(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newBenchHost(caches, nodes).warm(60_000)
@@ -126,7 +126,7 @@
 	})
 }
 
-// A whole list, with nothing new in it.
+// A full endpoint list without changes.
 func BenchmarkListWhole(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newBenchHost(caches, nodes).warm(60_000)
@@ -140,7 +140,7 @@
 	})
 }
 
-// New cuts, as every two seconds.
+// Computation of the ranges, as every two seconds.
 func BenchmarkRecut(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newBenchHost(caches, nodes).warm(60_000)
@@ -150,7 +150,7 @@
 	})
 }
 
-// What is done each second: the histogram is compared, and what is measured is halved.
+// What is done each second: the demand is compared with the histogram, and the counts are halved.
 func BenchmarkSecond(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newBenchHost(caches, nodes).warm(60_000)
@@ -161,9 +161,10 @@
 	})
 }
 
-// What a node's state takes on the heap after 60,000 lookups, and how even its ranges are: 60,000 more lookups, each counted at its
-// range's cache, as the busiest one's over the mean and so on, and how many caches got none; and the widest range, which is the
-// largest share of all objects, over the mean. The busiest has the key that is asked for most, a tenth of all lookups.
+// The heap that a node's state takes after 60,000 requests, and how even its ranges are. 60,000 more requests are
+// counted at their range's cache: reported are the busiest cache, the 99th percentile and the median as multiples
+// of the mean, and the caches without any; and the widest range, the largest share of all keys, as a multiple of
+// the mean. The busiest cache has the most popular key, a tenth of all requests.
 func BenchmarkState(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		var state, busiest, most, middle, none, widest float64
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// However changes and whole lists come, a server is asked exactly where it is ready: caches in the order of their ids, origins in that of their
-// indices, and what is in flight is counted at ready caches alone.
+// Whatever changes and full lists come, a server is used exactly while it is ready: caches in the order of their
+// IDs, origins in that of their indices. Attempts in flight are counted at ready caches alone.
 func TestReadyServersFollowTheList(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
 	for range 60 {
@@ -48,24 +48,23 @@
 			}
 			slices.SortFunc(ready, func(x, y int) int { return strings.Compare(b.servers[x].ID, b.servers[y].ID) })
 			if !slices.Equal(ready, b.ready) || !slices.Equal(origins, b.origins) || inFlight != b.inFlight {
-				t.Fatalf("step %d: asked are %v and %v with %d in flight, want %v, %v, %d", step, b.ready, b.origins, b.inFlight, ready, origins, inFlight)
+				t.Fatalf("step %d: ready are %v and %v with %d in flight, want %v, %v, %d", step, b.ready, b.origins, b.inFlight, ready, origins, inFlight)
 			}
 		}
 	}
 }
 
-// A failed call to the list is made again, later each time, and no more once one went through.
-// Another box under an index that was given back has none of its predecessor's past.
+// Another server under a reused index has none of its predecessor's past.
 func TestReusedIndexHasNoPast(t *testing.T) {
 	f := newFakeHost(1, 2)
 	s := f.b.servers[0]
 	s.consecutiveFailures, s.ejectionTime, s.ejectedUntil, s.retryBudget = 2, maxEjectionTime, f.now+maxEjectionTime, 0
 	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.00"}})
 	if f.b.servers[0].ejectionTime == 0 {
-		t.Error("the same box lost its past")
+		t.Error("the same server lost its past")
 	}
 	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.99"}})
 	if s := f.b.servers[0]; s.ejectionTime != 0 || s.consecutiveFailures != 0 || s.retryBudget != maxRetryBudget {
-		t.Errorf("another box has %+v", s)
+		t.Errorf("another server has %+v", s)
 	}
 }
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// fakeHost is a Host that checks the rules at every call and remembers what is out.
+// fakeHost is a Host that checks the rules at every call and remembers what is in flight.
 type fakeHost struct {
 	b               *Balancer
 	rnd             *rand.Rand
@@ -16,18 +16,18 @@
 	endpoints       []Endpoint
 	alarms          map[int][]Time
 	polls           int
-	closedIdle      int // orders to close all that idle,
-	connectionsKept int // and how many connections the latest other one left
+	closedIdle      int // calls that close all idle connections of a server
+	connectionsKept int // what the latest other call left open
 	faults          []string
-	streamReads     bool // reads may be long as well
+	streamReads     bool // reads may be streamed as well
 }
 
-// fakeRequest is one lookup as its client and the servers see it.
+// fakeRequest is one request as its client and the servers see it.
 type fakeRequest struct {
 	idempotence Idempotence
 	deadline    Time
 	ended       bool
-	retryAfter  Time // the retry-after, if it was deferred
+	retryAfter  Time // of the rejection, if it was rejected
 	attempts    []fakeAttempt
 	inFlight    int
 	streaming   bool
@@ -38,7 +38,7 @@
 	sentAt, timeoutAt Time
 	done              bool
 	result            Result
-	bodySent          bool // its last byte is out
+	bodySent          bool // its last byte was written
 }
 
 func (s fakeAttempt) mayHaveRun() bool {
@@ -52,16 +52,16 @@
 func (f *fakeHost) Send(lkp, server int, timeout Time) {
 	c := f.requests[lkp]
 	if c.ended || f.now >= c.deadline {
-		f.faultf("shot for an ended or overdue lookup")
+		f.faultf("attempt of an ended or overdue request")
 	}
 	if f.endpoints[server].State != Ready {
-		f.faultf("shot at a server that is not ready")
+		f.faultf("attempt at a server that is not ready")
 	}
 	for i := range c.attempts {
 		s := &c.attempts[i]
 		late := c.idempotence == IdempotentByKey && f.now-s.sentAt >= dedupWindow
 		if s.mayHaveRun() && (c.idempotence == Unsafe || late) {
-			f.faultf("a %s lookup may run twice", c.idempotence)
+			f.faultf("a request that is %s may run twice", c.idempotence)
 		}
 	}
 	c.attempts = append(c.attempts, fakeAttempt{server: server, sentAt: f.now, timeoutAt: min(f.now+timeout, c.deadline)})
@@ -71,7 +71,7 @@
 func (f *fakeHost) Reject(lkp int, retryAfter Time) {
 	c := f.requests[lkp]
 	if c.idempotence == Unsafe && slices.ContainsFunc(c.attempts, fakeAttempt.mayHaveRun) {
-		f.faultf("a single-use lookup was deferred though it may have run")
+		f.faultf("an unsafe request was rejected though it may have run")
 	}
 	c.retryAfter = retryAfter
 	f.end(lkp)
@@ -98,7 +98,7 @@
 
 func (f *fakeHost) SetAlarm(at Time, handle int) { f.alarms[handle] = append(f.alarms[handle], at) }
 
-// releaseID hands the index out again, as the adapter does, once nothing of the lookup is out.
+// releaseID frees the index of a request once it has ended and nothing of it is in flight.
 func (f *fakeHost) releaseID(lkp int) {
 	if c := f.requests[lkp]; c.ended && c.inFlight == 0 {
 		f.freeIDs = append(f.freeIDs, lkp)
@@ -110,14 +110,14 @@
 
 var idempotences = []Idempotence{Safe, IdempotentByKey, Unsafe}
 
-// configOf gives the default configuration, changed.
+// configOf returns the default configuration, changed.
 func configOf(change func(*Config)) Config {
 	c := DefaultConfig()
 	change(&c)
 	return c
 }
 
-// newFakeHost starts a node with three namespaces, two partners, n warm caches and an origin.
+// newFakeHost returns the host of a node with three classes, two tenants, n warm caches and an origin.
 func newFakeHost(seed int64, n int) *fakeHost {
 	f := &fakeHost{rnd: rand.New(rand.NewSource(seed)), now: 1000, alarms: map[int][]Time{}}
 	var classes []Class
@@ -137,7 +137,7 @@
 	return f
 }
 
-// request brings one lookup and gives its client.
+// request sends a request and returns its index and state.
 func (f *fakeHost) request(space int, key string, write bool, limit Time) (int, *fakeRequest) {
 	lkp := len(f.requests)
 	if n := len(f.freeIDs); n > 0 {
@@ -153,7 +153,7 @@
 	return lkp, c
 }
 
-// bodySent brings the last byte of a long lookup's shot.
+// bodySent sends the last byte of a streamed attempt.
 func (f *fakeHost) bodySent(lkp, shot int) {
 	if c := f.requests[lkp]; c.streaming && !c.attempts[shot].bodySent {
 		c.attempts[shot].bodySent = true
@@ -166,7 +166,7 @@
 	f.bodySent(lkp, shot)
 	c.attempts[shot].done, c.attempts[shot].result = true, code
 	c.inFlight--
-	if code == Withheld && !c.ended { // only of a lookup that is over
+	if code == Withheld && !c.ended { // only of a request that has ended
 		c.ended = true
 		f.b.ClientGone(f.now, lkp)
 	}
@@ -175,7 +175,7 @@
 	f.releaseID(lkp)
 }
 
-// advance moves the clock on and plays time-outs and alarms.
+// advance moves the clock on and plays timeouts and alarms.
 func (f *fakeHost) advance(span Time) {
 	f.now += span
 	for lkp, c := range f.requests {
@@ -196,7 +196,7 @@
 	}
 	for _, c := range f.requests {
 		if !c.ended && f.now > c.deadline+8*Millisecond {
-			f.faultf("a lookup has no final answer in time")
+			f.faultf("a request has no final answer in time")
 		}
 	}
 }
@@ -234,7 +234,7 @@
 		f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*x})
 	case r < 89:
 		f.b.UpdateEndpoints(f.now, Failed, nil)
-		for n := len(f.endpoints); n < 60 && f.rnd.Intn(4) == 0 && len(f.endpoints) < 2*n; { // the fleet doubles, cold
+		for n := len(f.endpoints); n < 60 && f.rnd.Intn(4) == 0 && len(f.endpoints) < 2*n; { // the fleet doubles, in slow start
 			f.endpoints = append(f.endpoints, Endpoint{Server: len(f.endpoints), ID: fmt.Sprint("11.", f.rnd.Int()), StartedAt: f.now})
 		}
 		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
@@ -247,7 +247,7 @@
 	}
 }
 
-// anyAttemptDone settles a random shot that is out.
+// anyAttemptDone ends a random attempt in flight.
 func (f *fakeHost) anyAttemptDone(code Result) {
 	for try := 0; try < 20 && len(f.requests) > 0; try++ {
 		lkp := f.rnd.Intn(len(f.requests))
--- a/routing/idle_test.go
+++ b/routing/idle_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// conn_squeeze: three hundred nodes held what few connections sixty boxes took, and found none at the others. A node
-// that finds none gives back what has been idle for as long as it keeps them, the sooner the more often it finds none.
+// A node that fails to connect closes the connections that have been idle for its idle timeout, which is the
+// shorter the more often connecting fails.
 func TestIdleConnectionsAreClosedWhereConnectsFail(t *testing.T) {
 	f := newFakeHost(1, 4)
 	use := func(server int, code Result) {
@@ -19,7 +19,7 @@
 	gave := func(what string, want int) {
 		t.Helper()
 		if f.closedIdle != want {
-			t.Errorf("%s: %d hung up, want %d", what, f.closedIdle, want)
+			t.Errorf("%s: %d closed, want %d", what, f.closedIdle, want)
 		}
 		f.closedIdle = 0
 	}
@@ -29,9 +29,9 @@
 	gave("none is scarce", 0)
 	use(0, Served)
 	use(2, ConnectFailed)
-	gave("one has idled for long, one not", 1)
+	gave("one has been idle for long, one not", 1)
 	use(2, ConnectFailed)
-	gave("none has idled since", 0)
+	gave("none has been idle since", 0)
 	use(1, Served)
 	for f.b.idleTimeout >= 2*minIdleTimeout {
 		use(2, ConnectFailed)
@@ -39,7 +39,7 @@
 	f.advance(f.b.idleTimeout)
 	f.closedIdle = 0
 	use(2, ConnectFailed)
-	gave("all that idled", 3) // the origin's as well
+	gave("all idle ones", 3) // the origin's as well
 	f.b.idleTimeout = minIdleTimeout - 2*idleTimeoutIncrease
 	use(0, Served)
 	gave("at once", 1)
@@ -48,10 +48,10 @@
 	}
 	f.closedIdle = 0
 	use(0, Served)
-	gave("connects succeed again", 0)
+	gave("connecting succeeds again", 0)
 }
 
-// split: a zone that was cut off took no connection, and nodes gave back what they held at all others.
+// A server that does not respond is not short of connections, so none are closed elsewhere.
 func TestConnectTimeoutClosesNoIdleConnections(t *testing.T) {
 	for code, want := range map[Result]int{ConnectTimeout: 0, ConnectFailed: 1, ConnectionLimit: 1} {
 		f := newFakeHost(1, 3)
@@ -61,18 +61,18 @@
 		lkp, c := f.request(0, key(f.b, 1), false, f.now+5000)
 		f.attemptDone(lkp, 0, code)
 		if f.closedIdle != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || c.attempts[0].mayHaveRun() {
-			t.Errorf("code %d: %d hung up, want %d; kept for %d", code, f.closedIdle, want, f.b.idleTimeout)
+			t.Errorf("result %d: %d closed, want %d; idle timeout %d", code, f.closedIdle, want, f.b.idleTimeout)
 		}
 		if rests := f.b.servers[1].ejectionTime > 0; rests != (code != ConnectionLimit) {
-			t.Errorf("code %d: the server rests: %v", code, rests)
+			t.Errorf("result %d: the server is ejected: %v", code, rests)
 		}
 	}
 }
 
-// calm at full size: each of three hundred nodes held three idle connections to the origin, which took 440, since one
-// that fetches all the time never finds any of them idle for long. It keeps as many as it needs.
+// A node that fetches all the time never has a connection to the origin that is idle for long. It keeps as many
+// open as it needs.
 func TestFewIdleConnectionsStayOpenAtTheOrigin(t *testing.T) {
-	for _, c := range []struct{ span, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 each
+	for _, c := range []struct{ span, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 ms each
 		f := newFakeHost(1, 2)
 		for n := range 60 * 400 / c.span {
 			lkp, _ := f.request(0, fmt.Sprint(n), false, f.now+8000)
@@ -82,7 +82,7 @@
 			f.now += Time(c.span-60) * Millisecond
 		}
 		if f.connectionsKept != c.want {
-			t.Errorf("a fetch each %d ms: %d connections left, want %d", c.span, f.connectionsKept, c.want)
+			t.Errorf("a fetch each %d ms: %d connections stay open, want %d", c.span, f.connectionsKept, c.want)
 		}
 	}
 }
--- a/routing/inflight_test.go
+++ b/routing/inflight_test.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// plainMean is our mean in flight as each lookup once added it up: cache by cache, in floating point.
+// plainMean is the mean in flight, added up cache by cache in floating point, and the sum.
 func plainMean(b *Balancer) (mean float64, sum int) {
 	for _, i := range b.ready {
 		mean += float64(b.servers[i].inFlight) / float64(len(b.ready))
@@ -18,8 +18,8 @@
 	return mean, sum
 }
 
-// compareMeans holds both of the walk's comparisons of a cache with our mean against those with the plain sum, and says whether
-// either is a tie.
+// compareMeans checks that both comparisons of a cache with the mean come out as with the plain sum, and reports
+// whether either is a tie.
 func compareMeans(b *Balancer, s *serverState, plain float64, sum int) (tie bool, fault string) {
 	n, x, mean := len(b.ready), s.inFlight, b.meanInFlight()
 	if got, want := float64(x) <= congestionFactor*mean, float64(x) <= congestionFactor*plain; got != want {
@@ -31,16 +31,16 @@
 	return 2*x*n == 3*sum || (x-1)*n == 2*sum, fault
 }
 
-// After every step of random runs what is kept of shots in flight is what a count over all ready caches gives, and
-// the walk decides as by the plain sum: through restarts and other boxes under an old index, whose shots are still out, caches
-// that drain, go and come back with shots out, long lookups and the origin, whose shots don't count.
+// After every step of random runs the count of attempts in flight is the sum over all ready caches, and caches are
+// selected as by the plain sum: through restarts and reused indices with attempts in flight, caches that drain, go
+// and come back, streamed bodies, and the origin, whose attempts do not count.
 func TestInFlightCountIsThePlainSum(t *testing.T) {
 	ties, carried, aside, most := 0, 0, 0, 0
 	run := func(seed int64) bool {
 		f := newFakeHost(seed, 1+int(uint64(seed)%12))
 		f.streamReads = true
 		for n := 0; n < 600; n++ {
-			if f.rnd.Intn(60) == 0 { // another box under an index, in whatever state
+			if f.rnd.Intn(60) == 0 { // another server under an index, in any state
 				x := &f.endpoints[f.rnd.Intn(len(f.endpoints)-1)]
 				x.ID, x.State = fmt.Sprint("12.", f.rnd.Int()), State(f.rnd.Intn(3))
 				if was := f.b.servers[x.Server]; was != nil && was.inFlight > 0 {
@@ -49,7 +49,7 @@
 				f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*x})
 			}
 			for _, s := range f.b.servers {
-				if s != nil && seed%2 == 0 { // room for more than two at each
+				if s != nil && seed%2 == 0 { // a limit of more than two at each
 					s.concurrencyLimit, s.answers, s.ejectionTime = maxConcurrencyLimit, 400, 0
 				}
 			}
@@ -58,7 +58,7 @@
 			}
 			mean, sum := plainMean(f.b)
 			if f.b.inFlight != sum {
-				t.Errorf("seed %d, step %d: %d in flight are kept, %d are out at ready caches", seed, n, f.b.inFlight, sum)
+				t.Errorf("seed %d, step %d: %d in flight are counted, %d are at ready caches", seed, n, f.b.inFlight, sum)
 				return false
 			}
 			for _, s := range f.b.servers {
@@ -86,7 +86,7 @@
 	if err := quick.Check(run, &quick.Config{MaxCount: 200, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d ties, %d restarts with shots out, %d sights of shots at what isn't ready, %d at one cache at the most", ties, carried, aside, most)
+	t.Logf("%d ties, %d restarts with attempts in flight, %d sights of attempts at what is not ready, %d at one cache at the most", ties, carried, aside, most)
 	if ties < 1000 || carried < 100 || aside < 1000 || most < 6 {
 		t.Error("the runs don't reach what they are for")
 	}
@@ -106,7 +106,7 @@
 			b.inFlight += b.servers[i].inFlight
 		}
 		s := b.servers[rnd.Intn(n)]
-		if rnd.Intn(2) == 0 { // as near a tie as can be: one cache takes what makes it, or all but one shot of it
+		if rnd.Intn(2) == 0 { // as near a tie as possible: one cache takes what makes it, or all but one attempt
 			x := rnd.Intn(60)
 			want := []int{2 * x * n / 3, (x - 1) * n / 2}[rnd.Intn(2)] + rnd.Intn(3) - 1
 			b.inFlight, s.inFlight = b.inFlight+x-s.inFlight, x
@@ -139,8 +139,8 @@
 	}
 }
 
-// A lookup looks at the caches of its walk, and at no other: it gets by with the others taken away, both while some are out and
-// while none is.
+// A request reads the state of the caches that it may fall through, and of no other: it gets by with the others
+// taken away, both with attempts in flight and without.
 func TestRequestReadsNoOtherCaches(t *testing.T) {
 	for _, caches := range []int{70, 5700} {
 		q := newBenchHost(caches, 300).warm(2000)
@@ -158,7 +158,7 @@
 			}
 			near[caches] = all[caches] // the origin
 			if q.b.decayedAt+decayInterval <= q.now {
-				q.b.advanceClock(q.now) // each second all are looked at
+				q.b.advanceClock(q.now) // each second all are read
 			}
 			q.b.servers = near
 			lkp := q.nextID + n
@@ -174,7 +174,7 @@
 	}
 }
 
-// rangeOfKey is the place of a key's own range.
+// rangeOfKey returns the index in ready of the cache whose range holds a key.
 func rangeOfKey(b *Balancer, key string) int {
 	return b.rangeOf(keyPoint(xxhash.Sum64String(key) | 1))
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -4,31 +4,31 @@
 	"testing"
 )
 
-// crash: a broken connection makes a suspect; after its rest one replayable lookup tries it out.
+// A broken connection ejects a server; after the ejection time one safe request probes it.
 func TestOutlierIsEjectedThenProbed(t *testing.T) {
 	f := newFakeHost(1, 2)
 	k := key(f.b, 0)
 	f.b.servers[2].inFlight = 99
 	lkp, c := f.request(0, k, false, f.now+5000)
 	if f.attemptDone(lkp, 0, ConnectionBroken); len(c.attempts) != 2 || c.attempts[1].server != 1 {
-		t.Fatal("the lookup must go on at the next range's cache")
+		t.Fatal("the request must go on at the next range's cache")
 	}
 	for _, c := range []struct {
 		what        string
 		pass        Time
 		space, want int
-	}{{"at rest it is passed over", minEjectionTime - 1, 0, 1}, {"single-use lookups don't try it out", 1, 2, 1},
-		{"the first replayable one does", 0, 0, 0}, {"one trial at a time", 0, 0, 1}} {
+	}{{"during the ejection it is skipped", minEjectionTime - 1, 0, 1}, {"unsafe requests do not probe it", 1, 2, 1},
+		{"the first safe one does", 0, 0, 0}, {"one probe at a time", 0, 0, 1}} {
 		f.now += c.pass
 		f.b.servers[1].inFlight = 0
 		if _, cl := f.request(c.space, k, false, f.now+5000); cl.attempts[0].server != c.want {
-			t.Errorf("%s: shot at %d, want %d", c.what, cl.attempts[0].server, c.want)
+			t.Errorf("%s: attempt at %d, want %d", c.what, cl.attempts[0].server, c.want)
 		}
 	}
 }
 
-// Another node tries a suspect for all: bad news prolongs its rest, for a bounded time, and good news ends it, so that one
-// lookup of our own tries it. What doesn't rest here is not touched.
+// A bad probe by another node prolongs an ejection, for a bounded time; a good one ends the wait, so that one
+// request of this node probes the server. A server that is not ejected stays as it is.
 func TestProbeByAnotherNode(t *testing.T) {
 	const bad, good, forever = 2000 * Millisecond, 0, 1 << 40
 	for _, c := range []struct {
@@ -37,9 +37,9 @@
 		next  Time // good: it went well
 		after Time
 		want  int
-	}{{"in silence its own rest counts", true, -1, minEjectionTime, 0}, {"bad news", true, bad, bad - 1, 1},
-		{"after bad news, and silence since", true, bad, bad, 0}, {"bad news for ever", true, forever, maxEjectionTime, 0},
-		{"good news", true, good, 1, 0}, {"bad news of a sound one", false, bad, 1, 0}} {
+	}{{"without news its own ejection counts", true, -1, minEjectionTime, 0}, {"bad news", true, bad, bad - 1, 1},
+		{"after bad news, and none since", true, bad, bad, 0}, {"bad news for ever", true, forever, maxEjectionTime, 0},
+		{"good news", true, good, 1, 0}, {"bad news of a healthy one", false, bad, 1, 0}} {
 		f := newFakeHost(1, 2)
 		k := key(f.b, 0)
 		if c.rests {
@@ -52,12 +52,12 @@
 		f.now += c.after
 		f.b.servers[1].inFlight = 0
 		if _, cl := f.request(0, k, false, f.now+5000); cl.attempts[0].server != c.want {
-			t.Errorf("%s: shot at %d, want %d", c.what, cl.attempts[0].server, c.want)
+			t.Errorf("%s: attempt at %d, want %d", c.what, cl.attempts[0].server, c.want)
 		}
 	}
 }
 
-// Clients that give up early: a shot that ends with its lookup's little time says nothing of its server.
+// A timeout because the request had little time left says nothing of its server.
 func TestShortTimeoutIsNoFailure(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for _, c := range []struct {
@@ -67,12 +67,12 @@
 		f.b.servers[0].concurrencyLimit = maxConcurrencyLimit
 		lkp, asked := f.request(0, "k", false, f.now+c.span)
 		if len(asked.attempts) != 1 || asked.attempts[0].server != 0 {
-			t.Fatalf("%d strikes: shots %v", f.b.servers[0].consecutiveFailures, asked.attempts)
+			t.Fatalf("%d failures: attempts %v", f.b.servers[0].consecutiveFailures, asked.attempts)
 		}
 		f.now += c.span
 		f.attemptDone(lkp, 0, TimedOut)
 		if got := f.b.servers[0].consecutiveFailures; got != c.strikes {
-			t.Errorf("after %d tenths of a millisecond: %d strikes, want %d", c.span, got, c.strikes)
+			t.Errorf("after %d tenths of a millisecond: %d failures, want %d", c.span, got, c.strikes)
 		}
 	}
 }
--- a/routing/partition_test.go
+++ b/routing/partition_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The lazy fade gives what the plain definition gives.
+// Lazy scaling gives the weights of the plain definition.
 func TestLazyScalingGivesThePlainWeights(t *testing.T) {
 	b := newFakeHost(1, 5).b
 	plain := slices.Repeat([]float64{1.0 / binCount}, binCount)
@@ -27,10 +27,10 @@
 	}
 }
 
-// In steady demand all that was seen weighs alike, a hot key's bin too; when other keys become popular the bins forget
-// within some seconds.
+// In steady demand all remembered requests weigh alike, those of a hot key too; when other keys become popular, the
+// histogram forgets within some seconds.
 func TestAlphaFollowsTheDemand(t *testing.T) {
-	for _, each := range []int{30, 200} { // lookups between two comparisons
+	for _, each := range []int{30, 200} { // requests between two comparisons
 		b := newFakeHost(1, 5).b
 		rnd := rand.New(rand.NewSource(1))
 		ask := func(spans, from int) {
@@ -46,11 +46,11 @@
 			}
 		}
 		if ask(100, 0); b.alpha > 1.2/float64(100*each) {
-			t.Errorf("%d a span: alpha %g in steady demand, want about %g", each, b.alpha, 1/float64(100*each))
+			t.Errorf("%d per interval: alpha %g in steady demand, want about %g", each, b.alpha, 1/float64(100*each))
 		}
 		before := b.alpha
 		if ask(4, binCount/2); b.alpha < 20*before {
-			t.Errorf("%d a span: alpha %g after a shift, %g before", each, b.alpha, before)
+			t.Errorf("%d per interval: alpha %g after a shift, %g before", each, b.alpha, before)
 		}
 		b.rememberedRequests = 1
 		if b.learnPoint(1); b.alpha != 1.0/100 {
@@ -65,7 +65,7 @@
 
 func TestRangeEnds(t *testing.T) {
 	for _, c := range []struct {
-		weight map[int]float64 // the rest is 0
+		weight map[int]float64 // all others are 0
 		want   []float64
 	}{
 		{nil, []float64{500, 1000, 1500, 2000}},
@@ -83,7 +83,7 @@
 		b.recomputeRanges()
 		for i, want := range c.want {
 			if math.Abs(b.rangeEnds[i]-want) > 1e-6 {
-				t.Errorf("cuts %v, want %v", b.rangeEnds, c.want)
+				t.Errorf("range ends %v, want %v", b.rangeEnds, c.want)
 				break
 			}
 		}
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -8,8 +8,8 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// Random runs of all kinds as in TestRulesHoldInRandomRuns, while parts come, shrink and end: no rule breaks, and what is
-// bounded stays within its part: in any window at most the largest rate times the window and the largest burst, and never
+// Random runs as in TestRulesHoldInRandomRuns, while quotas come, shrink and end: no rule breaks, and what is bounded
+// stays within its quota: in any window at most the largest rate times the window and the largest burst, and never
 // more at a time.
 func TestQuotasBoundWhatIsDone(t *testing.T) {
 	run := func(seed int64) bool {
@@ -30,7 +30,7 @@
 			}
 			out := map[int]int{}
 			for _, c := range f.requests {
-				for _, s := range c.attempts { // what restarts holds no connection of before
+				for _, s := range c.attempts { // a restart closes the connections of before
 					if x := f.endpoints[s.server]; !s.done && (x.Model == 1 || s.sentAt >= x.StartedAt) {
 						out[s.server]++
 					}
@@ -40,13 +40,13 @@
 			case OriginConcurrency, CacheConcurrency:
 				for server, n := range out {
 					if (f.endpoints[server].Model == 1) == (of == OriginConcurrency) && n > int(most) {
-						f.faultf("%d at once at server %d", n, server)
+						f.faultf("%d in flight at server %d", n, server)
 					}
 				}
 			case DiscoveryRate:
 				excess = max(0, excess-rate*seconds(f.now-last)) + float64(f.polls-seen)
 				if last, seen = f.now, f.polls; excess > most+1e-6 {
-					f.faultf("%.2f calls beyond the rate in a window", excess)
+					f.faultf("%.2f polls beyond the rate in a window", excess)
 				}
 			}
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// What has no part is deferred at once, with a retry-after that differs from one to the next; after a part's end what is
-// apart holds; a partner's, a cold cache's and the list's are bounded alike.
+// A request whose quota is exhausted is rejected at once, with a retry-after that differs from one to the next; once
+// a quota has expired its fallback holds.
 func TestExhaustedQuota(t *testing.T) {
 	f := newFakeHost(3, 2)
 	f.advance(2000 * Millisecond)
@@ -69,7 +69,7 @@
 		return len(c.attempts) > 0, c.retryAfter
 	}
 	if shot, after := write(); shot || after == 0 {
-		t.Error("a new part has nothing saved up: a lookup that needs it is deferred at once")
+		t.Error("a new quota has nothing saved up: a request that needs it is rejected at once")
 	}
 	f.now += 100 * Millisecond
 	first, _ := write()
@@ -77,7 +77,7 @@
 	third, one := write()
 	_, other := write()
 	if !first || !second || third {
-		t.Errorf("two were saved up: shots %v %v %v", first, second, third)
+		t.Errorf("two were saved up: attempts %v %v %v", first, second, third)
 	}
 	if one == other || one == 0 || other == 0 {
 		t.Errorf("retry-after %d and %d: clients come back together", one, other)
@@ -85,9 +85,9 @@
 	f.now += 1500 * Millisecond
 	first, _ = write()
 	if second, _ = write(); !first || second {
-		t.Errorf("after its end one a second: shots %v %v", first, second)
+		t.Errorf("after its end one a second: attempts %v %v", first, second)
 	}
 	if u := f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{}); u.Wanted != 7 || u.Done != 3 {
-		t.Errorf("told of %v asked, %v done", u.Wanted, u.Done)
+		t.Errorf("usage of %v wanted, %v done", u.Wanted, u.Done)
 	}
 }
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A shot that was withheld says nothing of its server, however long it waited for a connection, and gives back the room, the
-// credit and the cold budget that it took; one whose server has begun anew since gives that nothing.
+// A withheld attempt says nothing of its server, however long it waited for a connection, and its retry budget and
+// slow-start tokens are refunded, but not to a server that has restarted since.
 func TestWithheldAttemptIsRefunded(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		f := newFakeHost(1, 2)
@@ -16,9 +16,9 @@
 		f.b.warmCacheRate = 1000
 		f.b.servers[2].inFlight = 99
 		lkp, c := f.request(0, k, false, f.now+9000)
-		f.attemptDone(lkp, 0, ServerError) // further shots cost credit
+		f.attemptDone(lkp, 0, ServerError) // retries cost budget
 		if len(c.attempts) != 2 {
-			t.Fatalf("%d shots, want a further one", len(c.attempts))
+			t.Fatalf("%d attempts, want a retry", len(c.attempts))
 		}
 		s := f.b.servers[c.attempts[1].server]
 		credit, budget, calm, took := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
@@ -32,13 +32,13 @@
 		f.attemptDone(lkp, 1, Withheld)
 		if s.inFlight != 0 || s.retryBudget != credit+1 || s.slowStartTokens != budget+1 || s.concurrencyLimit != calm || s.meanLatency != took && !restarted ||
 			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.faults) > 0 {
-			t.Errorf("restarted %v: in flight %d, credit %g of %g, budget %g of %g, calm %g of %g, took %d of %d, strikes %d, %v", restarted,
+			t.Errorf("restarted %v: in flight %d, retry budget %g of %g, tokens %g of %g, limit %g of %g, latency %d of %d, failures %d, %v", restarted,
 				s.inFlight, s.retryBudget, credit+1, s.slowStartTokens, budget+1, s.concurrencyLimit, calm, s.meanLatency, took, s.consecutiveFailures, f.faults)
 		}
 	}
 }
 
-// A long body that is still coming is no load for its server: it counts, and is timed, from its last byte on.
+// A body that is still being sent is no load for its server: the attempt counts, and is timed, from its last byte.
 func TestStreamedBodyCountsFromItsLastByte(t *testing.T) {
 	f := newFakeHost(1, 3)
 	origin := f.b.servers[3]
@@ -46,7 +46,7 @@
 	f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
 	f.requests[0].deadline = f.now + 90000
 	if len(f.requests[0].attempts) != 1 || origin.inFlight != 0 {
-		t.Fatalf("%d shots, %d in flight", len(f.requests[0].attempts), origin.inFlight)
+		t.Fatalf("%d attempts, %d in flight", len(f.requests[0].attempts), origin.inFlight)
 	}
 	f.now += 40000 // slower than any server
 	calm, took, ease := origin.concurrencyLimit, origin.meanLatency, f.b.admissionLevel
@@ -57,13 +57,13 @@
 	f.now += 100
 	f.attemptDone(0, 0, Served)
 	if origin.inFlight != 0 || origin.meanLatency > took+100 || origin.concurrencyLimit < calm || f.b.admissionLevel < ease {
-		t.Errorf("%d in flight, took %v, calm %g to %g, ease %g to %g", origin.inFlight, origin.meanLatency, calm, origin.concurrencyLimit,
+		t.Errorf("%d in flight, latency %v, limit %g to %g, admission level %g to %g", origin.inFlight, origin.meanLatency, calm, origin.concurrencyLimit,
 			ease, f.b.admissionLevel)
 	}
 }
 
-// A long body's last byte may come long after its first, from which its server may know its tag: a repeat is bounded from the
-// order of the first shot. So is what a withheld shot gives back: nothing to a server that has started since.
+// A body's last byte may follow long after its first, from which the server may know the idempotency key: a retry is
+// bounded from the start of the first attempt. So is a refund: a server that has restarted since gets none.
 func TestStreamedAttemptStartsWhenOrdered(t *testing.T) {
 	for _, c := range []struct {
 		body  Time // from the first byte to the last
@@ -78,7 +78,7 @@
 		cl := f.requests[0]
 		f.attemptDone(0, 0, ServerError)
 		if len(f.faults) > 0 || len(cl.attempts) != c.shots || cl.ended != (c.shots == 1) {
-			t.Errorf("a body of %d, and an error: %d shots, want %d; ended %v, faults %v", c.body, len(cl.attempts), c.shots, cl.ended, f.faults)
+			t.Errorf("a body of %d, and an error: %d attempts, want %d; ended %v, faults %v", c.body, len(cl.attempts), c.shots, cl.ended, f.faults)
 		}
 	}
 	f := newFakeHost(1, 1)
@@ -91,12 +91,12 @@
 	f.requests = append(f.requests, &fakeRequest{idempotence: Safe, streaming: true, deadline: f.now + 90000})
 	f.b.Request(f.now, 0, Request{Tenant: -1, Key: "k", Streaming: true, Deadline: f.now + 90000})
 	if len(f.requests[0].attempts) != 1 || f.requests[0].attempts[0].server != 0 {
-		t.Fatalf("shots %v, want one at the cold cache", f.requests[0].attempts)
+		t.Fatalf("attempts %v, want one at the cache in slow start", f.requests[0].attempts)
 	}
 	f.now += 10
 	begin()
 	f.now += 10
 	if f.attemptDone(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
-		t.Errorf("a server that has started since was given back %g shots", f.b.servers[0].slowStartTokens)
+		t.Errorf("a server that has restarted since was refunded %g tokens", f.b.servers[0].slowStartTokens)
 	}
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whatever its servers answer, and however few they are, a node does not turn all requests away for 4 s: some attempt is made in between. The
-// operators' bound holds where 15 and more were turned away.
+// Whatever its servers answer, and however few they are, a node does not reject all requests for 4 s: some attempt is
+// made in between. The operators' bound holds where 15 and more were rejected.
 func TestANodeGoesOnTryingWhateverItsServersAnswer(t *testing.T) {
 	const (
 		rejectedMost = 4000 * Millisecond
@@ -38,23 +38,23 @@
 					}
 				}
 				if longest >= rejectedMost {
-					t.Errorf("%d caches, code %d, cold %v: all are turned away for %d ms", caches, code, cold, longest/Millisecond)
+					t.Errorf("%d caches, result %d, slow start %v: all are rejected for %d ms", caches, code, cold, longest/Millisecond)
 				}
 				if len(f.faults) > 0 {
-					t.Errorf("%d caches, code %d: %v", caches, code, f.faults[0])
+					t.Errorf("%d caches, result %d: %v", caches, code, f.faults[0])
 				}
 			}
 		}
 	}
 }
 
-// overload: told to stay away for long, a client deferred early came back too late to be answered in time.
+// A client that is rejected early is asked back while an answer can still be in time.
 func TestRetryAfter(t *testing.T) {
 	f := newFakeHost(1, 1)
-	f.b = New(f, 1, f.now, f.b.config) // no list has come yet, and none may spoil the histogram
+	f.b = New(f, 1, f.now, f.b.config) // without an endpoint list the histogram stays sound
 	if _, c := f.request(0, "a", false, f.now+5000); c.retryAfter < 20*Millisecond || c.retryAfter > 40*Millisecond ||
 		math.IsInf(f.b.binWeights[0], 0) || f.b.weightScale == 0 {
-		t.Errorf("retry after %d, want a tenth to a fifth of the target time", c.retryAfter)
+		t.Errorf("retry after %d, want a tenth to a fifth of the latency target", c.retryAfter)
 	}
 	f = newFakeHost(1, 1)
 	f.b.servers[1].inFlight = 99
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// key finds a key whose range is the cache's.
+// key returns a key whose range is the cache's.
 func key(b *Balancer, server int) string {
 	for i := 0; ; i++ {
 		k := fmt.Sprint("key", i)
@@ -18,44 +18,45 @@
 	}
 }
 
-// Where a lookup's shots go when they end so. Server 0 owns its key; the origin comes after the caches.
+// Where the attempts of a request go when they end with these results. Server 0 owns the key; the origin comes after
+// the caches.
 func TestWhereAttemptsGo(t *testing.T) {
 	plain, late := func(*Balancer) {}, func(b *Balancer) { b.servers[1].meanLatency = 200 * Millisecond }
-	calm := func(calm float64) func(b *Balancer) { // of the origin, as one of many nodes sees it
+	calm := func(calm float64) func(b *Balancer) { // of the origin, seen by one of many nodes
 		return func(b *Balancer) { b.nodeCount, b.servers[1].concurrencyLimit = 600, calm }
 	}
-	taken := []int{0, 0, minFleetFetches / 2}                        // all the room that the origin has
-	noCredit := func(b *Balancer) { b.servers[1].retryBudget = 0.5 } // lest a jam feed itself
+	taken := []int{0, 0, minFleetFetches / 2}                        // all that the origin has capacity for
+	noCredit := func(b *Balancer) { b.servers[1].retryBudget = 0.5 } // less than one retry
 	for _, c := range []struct {
 		name          string
 		caches, space int
-		out           []int // of our shots at each server
+		out           []int // attempts of the node at each server
 		prepare       func(b *Balancer)
 		codes         []Result
 		took          Time
 		want          []int
 	}{
-		{"a busy cache is passed over", 4, 0, []int{5, 0, 0, 0, minFleetFetches / 2}, plain, nil, 0, []int{1}},
-		{"or the origin asked, where it has room", 4, 0, []int{5}, plain, nil, 0, []int{4}},
-		{"a jam ends the walk, lest it scatter the keys", 4, 0, []int{3, 3, 3, 3, minFleetFetches / 2}, plain, nil, 0, nil},
+		{"a request falls through from a busy cache", 4, 0, []int{5, 0, 0, 0, minFleetFetches / 2}, plain, nil, 0, []int{1}},
+		{"or goes to the origin, where that has capacity", 4, 0, []int{5}, plain, nil, 0, []int{4}},
+		{"congestion ends the fall-through, lest it scatter the keys", 4, 0, []int{3, 3, 3, 3, minFleetFetches / 2}, plain, nil, 0, nil},
 		{"a miss goes to the origin", 2, 0, nil, plain, []Result{NotFound}, 10, []int{0, 2}},
-		{"a further shot has credit", 2, 0, taken, plain, []Result{ServerError}, 10, []int{0, 1}},
-		{"a further shot has no credit", 2, 0, taken, noCredit, []Result{ServerError}, 10, []int{0}},
-		// roll at full size: full caches, the next ones as full and without the value, and an origin with time to spare.
-		{"a full cache, and the origin has room", 2, 0, nil, plain, []Result{Rejected}, 10, []int{0, 2}},
+		{"a retry within the budget", 2, 0, taken, plain, []Result{ServerError}, 10, []int{0, 1}},
+		{"a retry beyond the budget", 2, 0, taken, noCredit, []Result{ServerError}, 10, []int{0}},
+		// full caches, the next ones as full and without the value, and an origin with capacity
+		{"a full cache, and the origin has capacity", 2, 0, nil, plain, []Result{Rejected}, 10, []int{0, 2}},
 		{"a full cache, and it has none", 2, 0, taken, plain, []Result{Rejected}, 10, []int{0, 1}},
-		// big-1 of the videos: caches that take no connection, the next ones neither, and an origin with time to spare.
-		{"no connection, and the origin has room", 2, 0, nil, plain, []Result{ConnectFailed}, 10, []int{0, 2}},
+		// caches that accept no connection, the next ones neither, and an origin with capacity
+		{"no connection, and the origin has capacity", 2, 0, nil, plain, []Result{ConnectFailed}, 10, []int{0, 2}},
 		{"no connection, and it has none", 2, 0, taken, plain, []Result{ConnectFailed}, 10, []int{0, 1}},
-		{"the origin has no room", 1, 0, []int{0, minFleetFetches / 2}, plain, []Result{NotFound}, 10, []int{0}},
-		// Hundreds of nodes with a fetch now and then. Each needs room for chance
-		// while the origin is quick, and none of them a sure one once it is slow.
-		{"the origin's least room", 1, 0, []int{0, 2}, calm(3), []Result{NotFound}, 10, []int{0, 1}},
+		{"the origin has no capacity", 1, 0, []int{0, minFleetFetches / 2}, plain, []Result{NotFound}, 10, []int{0}},
+		// Hundreds of nodes with a fetch now and then: each may have several in flight
+		// while the origin is quick, and none for sure once it is slow.
+		{"the origin's least limit", 1, 0, []int{0, 2}, calm(3), []Result{NotFound}, 10, []int{0, 1}},
 		{"less time than the origin takes", 1, 0, nil, late, []Result{NotFound}, 10, []int{0}},
 		{"a slow origin", 1, 0, nil, calm(0), []Result{NotFound}, 10, []int{0}},
-		{"tagged, inside its span", 2, 1, nil, plain, []Result{ServerError}, 1000, []int{0, 2}},
-		{"tagged, too late", 2, 1, nil, plain, []Result{ServerError}, 2500, []int{0}},
-		{"single-use, may have run", 2, 2, nil, plain, []Result{ServerError}, 10, []int{0}},
+		{"idempotent by key, inside its window", 2, 1, nil, plain, []Result{ServerError}, 1000, []int{0, 2}},
+		{"idempotent by key, too late", 2, 1, nil, plain, []Result{ServerError}, 2500, []int{0}},
+		{"unsafe, may have run", 2, 2, nil, plain, []Result{ServerError}, 10, []int{0}},
 	} {
 		f := newFakeHost(1, c.caches)
 		k := key(f.b, 0)
@@ -73,7 +74,7 @@
 			got = append(got, s.server)
 		}
 		if !slices.Equal(got, c.want) || len(got) == len(c.codes) && !cl.ended {
-			t.Errorf("%s: shots at %v, want %v; ended %v", c.name, got, c.want, cl.ended)
+			t.Errorf("%s: attempts at %v, want %v; ended %v", c.name, got, c.want, cl.ended)
 		}
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -11,22 +11,22 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// slowStartCase is a fleet before a cache that starts cold again and again.
+// slowStartCase is a fleet before a cache that restarts again and again.
 type slowStartCase struct {
 	nodes        int
-	bearable     float64 // N at the start: overload factor x cold share x capacity x window
+	bearable     float64 // N at the start: overload factor x slow-start share x capacity x window
 	overload     float64
-	initialShare float64 // the cold share at the start
+	initialShare float64 // slow-start share at the start
 	load         float64 // share of its capacity that a warm cache's usual demand takes
-	hotShare     float64 // share of all lookups whose keys are the cold cache's, beside its part of the rest
+	hotShare     float64 // share of all requests whose keys are the cache's, beside its part of the others
 	lull         float64 // times that, up to
-	burst        float64 // times that, for a tenth of the warm-up somewhere in it
-	variedWork   bool    // works differ exponentially, and are hinted
-	quiet        bool    // nobody asks for the cold cache's keys before the burst, and half of all lookups do in it
-	allCaches    bool    // all caches start cold together
+	burst        float64 // times that, for a tenth of the slow start
+	variedWork   bool    // work is distributed exponentially, and hinted
+	quiet        bool    // no request has the cache's keys before the burst, and half of them do in it
+	allCaches    bool    // all caches restart together
 	window       Time
 	rolling      bool    // the nodes are restarted one after another meanwhile
-	quotaFactor  float64 // the fleet has one of so many times N for each cold cache; 0: it has none
+	quotaFactor  float64 // the fleet has a quota of so many times N for each cache in slow start; 0: none
 	starts       int
 }
 
@@ -35,10 +35,10 @@
 	overloadWindow  = 1000 * Millisecond
 )
 
-// slowStartNode is a Host whose shots wait to be settled.
+// slowStartNode is a Host that collects the attempts.
 type slowStartNode struct {
 	b        *Balancer
-	informed bool // of the latest start
+	informed bool // of the latest restart
 	sent     []int
 }
 
@@ -49,15 +49,15 @@
 func (n *slowStartNode) CloseIdle(int, int)         {}
 func (n *slowStartNode) SetAlarm(Time, int)         {}
 
-// slowStartOutcome is what came of it.
+// slowStartOutcome is the result of a slowStartCase.
 type slowStartOutcome struct {
 	overloads int         // starts at which more came in a window than 2 x root of N and 2 beyond N
 	fullest   float64     // the fullest window, as a share of that
-	shares    [10]float64 // of a warm cache's shots, by tenth of the warm-up
+	shares    [10]float64 // of a warm cache's attempts, by tenth of the slow start
 }
 
-// play lets cache 0 start cold so many times. Each lookup has a key of its own and is answered at once; one node in ten is
-// asked ten times as much as the others. What nodes send that haven't heard of the start yet doesn't count.
+// play restarts cache 0 again and again. Each request has a key of its own and is answered at once; one node in ten gets
+// ten times as many as the others. What nodes send that have not learned of the restart yet does not count.
 func (c slowStartCase) play() (sum slowStartOutcome) {
 	rnd, now := rand.New(rand.NewSource(int64(c.nodes)*1000+int64(c.bearable))), 10000*Millisecond
 	capacity := c.bearable / (c.overload * c.initialShare * seconds(overloadWindow))
@@ -66,7 +66,7 @@
 		boxes = append(boxes, Endpoint{Server: i, ID: fmt.Sprint("c", i)})
 	}
 	fleet, begun := make([]*slowStartNode, c.nodes), 0
-	// A unit of the budget is worth one at once. Where there are fewer than nodes they go round.
+	// A unit of the quota allows one at once. With fewer units than nodes they go round.
 	units, from := max(1, int(c.quotaFactor*c.bearable/4)), 0
 	part := func(i int) {
 		has := float64(units / c.nodes)
@@ -199,10 +199,9 @@
 	return sum
 }
 
-// Many nodes before a cache that starts cold, with uneven traffic, hot keys, bursts and restarts of the nodes: the sum of
-// what they send stays under what the settings allow in any window, beyond which only 2 roots of that and 2 are put down to
-// chance, and it rises until the cache is warm. Each node saved up a whole shot, and six in a window were always allowed:
-// where N is 1, one start in seven went beyond.
+// Many nodes before a cache in slow start, with uneven traffic, hot keys, bursts and restarts of the nodes: the sum of
+// what they send stays under N, what the settings allow in any window, and the 2 × root of N and 2 beyond that are put
+// down to chance. It rises until slow start is over.
 func TestAllNodesTogetherSpareACacheInSlowStart(t *testing.T) {
 	plain := slowStartCase{nodes: 30, overload: 1.5, initialShare: 0.05, load: 0.7, hotShare: 0.2, lull: 1, burst: 2, rolling: true,
 		window: 30000 * Millisecond}
@@ -221,15 +220,15 @@
 		{"300 nodes", 1, 15, func(c *slowStartCase) { c.nodes = 300 }},
 		{"300 nodes, N is 10", 10, 2, func(c *slowStartCase) { c.nodes = 300 }},
 		{"N is 2", 2, 30, func(*slowStartCase) {}},
-		{"N is 4, cold share 0.1", 4, 15, func(c *slowStartCase) { c.overload, c.initialShare = 2, 0.1 }},
+		{"N is 4, slow-start share 0.1", 4, 15, func(c *slowStartCase) { c.overload, c.initialShare = 2, 0.1 }},
 		{"N is 10", 10, 4, func(*slowStartCase) {}},
 		{"N is 30", 30, 1, func(*slowStartCase) {}},
 		{"a burst after a lull", 1, 40, func(c *slowStartCase) { c.lull, c.burst = 0.1, 3 }},
 		{"a burst on what was quiet", 2, 10, func(c *slowStartCase) { c.quiet, c.window, c.rolling = true, 120000*Millisecond, false }},
-		{"all caches start cold", 1, 40, func(c *slowStartCase) { c.allCaches = true }},
+		{"all caches restart", 1, 40, func(c *slowStartCase) { c.allCaches = true }},
 		{"works differ", 1, 40, func(c *slowStartCase) { c.variedWork = true }},
-		{"a budget of N", 10, 3, func(c *slowStartCase) { c.quotaFactor = 1 }},
-		{"a budget far beyond N", 2, 10, func(c *slowStartCase) { c.quotaFactor = 100 }},
+		{"a quota of N", 10, 3, func(c *slowStartCase) { c.quotaFactor = 1 }},
+		{"a quota far beyond N", 2, 10, func(c *slowStartCase) { c.quotaFactor = 100 }},
 	} {
 		x := plain
 		x.bearable, x.starts = c.bears, c.starts
@@ -238,18 +237,18 @@
 		}
 		c.change(&x)
 		s := x.play()
-		t.Logf("%s: %d falls at %d starts, the fullest window %.2f, shares %.2f", c.name, s.overloads, x.starts, s.fullest, s.shares)
+		t.Logf("%s: %d overloads at %d starts, the fullest window %.2f, shares %.2f", c.name, s.overloads, x.starts, s.fullest, s.shares)
 		if s.overloads > 0 {
-			t.Errorf("%s: the cold cache falls at %d starts of %d, the fullest window is %.2f of what it bears", c.name, s.overloads, x.starts, s.fullest)
+			t.Errorf("%s: the cache in slow start is overloaded at %d starts of %d, the fullest window is %.2f of what it bears", c.name, s.overloads, x.starts, s.fullest)
 		}
 		if s.shares[9] < slowStartMargin*x.overload/2 && x.quotaFactor == 0 || s.shares[9] == 0 {
-			t.Errorf("%s: the cold cache must warm up, it has %.2f of a warm one's shots", c.name, s.shares)
+			t.Errorf("%s: slow start must end, the cache has %.2f of a warm one's attempts", c.name, s.shares)
 		}
 	}
 }
 
-// One lookup of many times the mean work may be more than all that a cold cache bears: it goes elsewhere, until so much may
-// be saved up.
+// A request of many times the mean work may be more than all that a cache in slow start bears: it goes elsewhere,
+// until so much may be saved up.
 func TestHeavyRequestSparesACacheInSlowStart(t *testing.T) {
 	for _, perCache := range []float64{1, 100} {
 		f, sent := newFakeHost(1, 2), map[float64]int{}
@@ -268,7 +267,7 @@
 			}
 		}
 		if sent[10] == 0 || (sent[100] > 0) != (perCache > 1) {
-			t.Errorf("%g answers a second from a warm cache: light and heavy shots at the cold one %v", perCache, sent)
+			t.Errorf("%g answers a second from a warm cache: light and heavy attempts at the one in slow start %v", perCache, sent)
 		}
 	}
 }
