--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -15,27 +15,27 @@
 	f.b.admissionLevel = 0
 	for i := range 20 {
 		f.now += 8000 * Millisecond // 50 a second over 300 nodes: one in 6 s
-		if lkp, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) != 1 {
+		if id, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) != 1 {
 			t.Fatal("a request inside its tenant's share was taken as beyond it")
 		} else {
-			f.attemptDone(lkp, 0, Served)
+			f.attemptDone(id, 0, Served)
 		}
 	}
 }
 
 // A tenant beyond its share is shed where requests inside their shares fail, and only there.
 func TestTenantBeyondItsShareIsShedFirst(t *testing.T) {
-	for ease, want := range []int{25 + minTenantBurst, 40} { // 50 a second over two nodes
+	for level, want := range []int{25 + minTenantBurst, 40} { // 50 a second over two nodes
 		f, taken := newFakeHost(1, 4), 0
 		for i := range 40 {
-			f.b.admissionLevel = float64(ease)
-			if lkp, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) > 0 {
+			f.b.admissionLevel = float64(level)
+			if id, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) > 0 {
 				taken++
-				f.attemptDone(lkp, 0, Served)
+				f.attemptDone(id, 0, Served)
 			}
 		}
 		if taken != want {
-			t.Errorf("admission level %d: %d admitted, want %d", ease, taken, want)
+			t.Errorf("admission level %d: %d admitted, want %d", level, taken, want)
 		}
 	}
 }
@@ -45,21 +45,21 @@
 // alone only at the lowest admission levels.
 func TestNodeThatCarriesMoreShedsLater(t *testing.T) {
 	for _, c := range []struct {
-		others, ease float64
-		want         int
+		others, level float64
+		want          int
 	}{{0, 1, 60}, {0, 0.7, 30}, {100, 0.7, 60}, {100, 0, 30}} { // in 1.2 s, where the even part is 25 a second
 		f, taken := newFakeHost(1, 4), 0
 		f.b.tenants[1].evenRate, f.b.tenants[0].evenTokens, f.b.tenants[0].carriedTokens = 25, 0, 0
 		for i := range 60 {
 			f.now += 20 * Millisecond
-			f.b.admissionLevel, f.b.tenants[1].requests = c.ease, c.others
-			if lkp, asked := f.request(0, fmt.Sprint(i), false, f.now+5000); len(asked.attempts) > 0 {
+			f.b.admissionLevel, f.b.tenants[1].requests = c.level, c.others
+			if id, client := f.request(0, fmt.Sprint(i), false, f.now+5000); len(client.attempts) > 0 {
 				taken++
-				f.attemptDone(lkp, 0, Served)
+				f.attemptDone(id, 0, Served)
 			}
 		}
 		if taken < c.want-1 || taken > c.want+1 {
-			t.Errorf("others send %g, admission level %g: %d admitted, want %d", c.others, c.ease, taken, c.want)
+			t.Errorf("others send %g, admission level %g: %d admitted, want %d", c.others, c.level, taken, c.want)
 		}
 	}
 }
@@ -68,19 +68,19 @@
 // rejected ones do.
 func TestTimeoutsLowerTheAdmissionLevelLess(t *testing.T) {
 	for _, c := range []struct {
-		code  Result
-		after Time
-		least float64
+		result Result
+		after  Time
+		least  float64
 	}{{TimedOut, 200 * Millisecond, 0.8}, {Rejected, Millisecond, 0.4}} {
 		f := newFakeHost(1, 1)
 		for range 5 {
 			f.b.servers[0].ejectionTime, f.b.servers[0].concurrencyLimit, f.b.servers[1].inFlight = 0, maxConcurrencyLimit, 99
-			lkp, _ := f.request(0, "", false, f.now+5000)
+			id, _ := f.request(0, "", false, f.now+5000)
 			f.now += c.after
-			f.attemptDone(lkp, 0, c.code)
+			f.attemptDone(id, 0, c.result)
 		}
 		if f.b.admissionLevel < c.least || f.b.admissionLevel > c.least+0.2 {
-			t.Errorf("result %d: an admission level of %.2f, want %.1f or a little more", c.code, f.b.admissionLevel, c.least)
+			t.Errorf("result %d: an admission level of %.2f, want %.1f or a little more", c.result, f.b.admissionLevel, c.least)
 		}
 	}
 }
--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -42,7 +42,7 @@
 // Three hundred nodes, some of which carry far more than the rest: their sum spares a cache in slow start and an
 // origin that does not answer, whatever each node may always send.
 func TestSumOverAFleet(t *testing.T) {
-	const nodes, cold, stop, steps, window = 300, 30, 90, 120, 15 // in tenths of a second
+	const nodes, restart, stop, steps, window = 300, 30, 90, 120, 15 // in tenths of a second
 	var fleet [nodes]*fakeHost
 	for i := range fleet {
 		fleet[i] = newFakeHost(int64(i), 4)
@@ -54,16 +54,16 @@
 			sent[s][step+1] = sent[s][step]
 		}
 		for i, f := range fleet {
-			if f.now += 100 * Millisecond; step == cold {
+			if f.now += 100 * Millisecond; step == restart {
 				f.endpoints[0].StartedAt = f.now
 				f.b.UpdateEndpoints(f.now, Incremental, f.endpoints[:1])
 			}
 			for range rnd.Intn(2) + 3*(i%50/49) {
-				lkp, c := f.request(0, fmt.Sprint("k", rnd.Intn(500)), false, f.now+80000)
+				id, c := f.request(0, fmt.Sprint("k", rnd.Intn(500)), false, f.now+80000)
 				for n := 0; n < len(c.attempts); n++ {
 					at := c.attempts[n].server
 					if sent[at][step+1]++; at < 4 || step < stop {
-						f.attemptDone(lkp, n, []Result{Served, NotFound}[rnd.Intn(2)*min(1, 4-at)])
+						f.attemptDone(id, n, []Result{Served, NotFound}[rnd.Intn(2)*min(1, 4-at)])
 					} else {
 						fetches++
 					}
@@ -71,8 +71,8 @@
 			}
 		}
 	}
-	most := 4 * 0.2 * sent[1][cold] / cold * window // factor x slow-start share x what a warm one is seen to bear
-	for at := cold; at+window <= steps; at++ {
+	most := 4 * 0.2 * sent[1][restart] / restart * window // factor x slow-start share x what a warm one is seen to bear
+	for at := restart; at+window <= steps; at++ {
 		if got := sent[0][at+window] - sent[0][at]; got > most {
 			t.Errorf("step %d: %g attempts in a window at the cache in slow start, at most %g", at, got, most)
 		}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -36,12 +36,12 @@
 	nextID   int
 }
 
-func (q *benchHost) Send(lkp, server int, _ Time) { q.inFlight = append(q.inFlight, lkp) }
-func (q *benchHost) Reject(lkp int, _ Time)       { q.freeIDs = append(q.freeIDs, lkp) }
-func (q *benchHost) Fail(lkp int)                 { q.freeIDs = append(q.freeIDs, lkp) }
-func (q *benchHost) Subscribe()                   {}
-func (q *benchHost) CloseIdle(int, int)           {}
-func (q *benchHost) SetAlarm(Time, int)           {}
+func (q *benchHost) Send(id, server int, _ Time) { q.inFlight = append(q.inFlight, id) }
+func (q *benchHost) Reject(id int, _ Time)       { q.freeIDs = append(q.freeIDs, id) }
+func (q *benchHost) Fail(id int)                 { q.freeIDs = append(q.freeIDs, id) }
+func (q *benchHost) Subscribe()                  {}
+func (q *benchHost) CloseIdle(int, int)          {}
+func (q *benchHost) SetAlarm(Time, int)          {}
 
 func (q *benchHost) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
 
@@ -49,13 +49,13 @@
 func (q *benchHost) request(key string) {
 	gap := float64(1000*Millisecond)/benchRate + q.fraction
 	q.now, q.fraction = q.now+Time(gap), gap-math.Floor(gap)
-	lkp := q.nextID
+	id := q.nextID
 	if n := len(q.freeIDs); n > 0 {
-		lkp, q.freeIDs = q.freeIDs[n-1], q.freeIDs[:n-1]
+		id, q.freeIDs = q.freeIDs[n-1], q.freeIDs[:n-1]
 	} else {
 		q.nextID++
 	}
-	q.b.Request(q.now, lkp, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
+	q.b.Request(q.now, id, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
 	if len(q.inFlight) > benchInFlight {
 		q.answer()
 	}
@@ -63,10 +63,10 @@
 
 // answer ends the oldest attempt.
 func (q *benchHost) answer() {
-	lkp := q.inFlight[0]
+	id := q.inFlight[0]
 	q.inFlight = slices.Delete(q.inFlight, 0, 1)
-	q.b.AttemptDone(q.now, lkp, 0, Served, true)
-	q.freeIDs = append(q.freeIDs, lkp)
+	q.b.AttemptDone(q.now, id, 0, Served, true)
+	q.freeIDs = append(q.freeIDs, id)
 }
 
 // newBenchHost returns the host of one node before warm caches, whose IDs lie in no order, and an origin.
@@ -77,16 +77,16 @@
 		c.Nodes, c.CacheAside, c.OriginKind, c.MaxAttempts = nodes, true, 1, 3
 		c.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
 	}))
-	var boxes []Endpoint
+	var endpoints []Endpoint
 	for i := range caches {
-		boxes = append(boxes, Endpoint{Server: i, ID: fmt.Sprintf("c-%08x", rnd.Uint32())})
+		endpoints = append(endpoints, Endpoint{Server: i, ID: fmt.Sprintf("c-%08x", rnd.Uint32())})
 	}
-	q.b.UpdateEndpoints(q.now, Full, append(boxes, Endpoint{Server: caches, ID: "origin", Model: 1}))
+	q.b.UpdateEndpoints(q.now, Full, append(endpoints, Endpoint{Server: caches, ID: "origin", Model: 1}))
 	return q
 }
 
-func (q *benchHost) warm(lookups int) *benchHost {
-	for range lookups {
+func (q *benchHost) warm(requests int) *benchHost {
+	for range requests {
 		q.request(q.key())
 	}
 	return q
@@ -118,10 +118,10 @@
 func BenchmarkListChange(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newBenchHost(caches, nodes).warm(60_000)
-		box := []Endpoint{q.b.servers[caches/2].Endpoint}
+		changed := []Endpoint{q.b.servers[caches/2].Endpoint}
 		for i := 0; b.Loop(); i++ {
-			box[0].State = []State{Draining, Ready}[i%2]
-			q.b.UpdateEndpoints(q.now, Incremental, box)
+			changed[0].State = []State{Draining, Ready}[i%2]
+			q.b.UpdateEndpoints(q.now, Incremental, changed)
 		}
 	})
 }
@@ -130,12 +130,12 @@
 func BenchmarkListWhole(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		q := newBenchHost(caches, nodes).warm(60_000)
-		var boxes []Endpoint
+		var endpoints []Endpoint
 		for _, s := range q.b.servers {
-			boxes = append(boxes, s.Endpoint)
+			endpoints = append(endpoints, s.Endpoint)
 		}
 		for b.Loop() {
-			q.b.UpdateEndpoints(q.now, Full, boxes)
+			q.b.UpdateEndpoints(q.now, Full, endpoints)
 		}
 	})
 }
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -10,13 +10,13 @@
 	f := newFakeHost(1, 2)
 	s := f.b.servers[f.b.ready[0]]
 	s.concurrencyLimit = 8
-	var lkps []int
+	var ids []int
 	for range 2 {
-		lkp, _ := f.request(1, key(f.b, f.b.ready[0]), false, f.now+5000)
-		lkps = append(lkps, lkp)
+		id, _ := f.request(1, key(f.b, f.b.ready[0]), false, f.now+5000)
+		ids = append(ids, id)
 	}
-	f.attemptDone(lkps[1], 0, ConnectionLimit)
-	if c := f.requests[lkps[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(c.attempts) != 2 || c.attempts[1].server != 2 {
+	f.attemptDone(ids[1], 0, ConnectionLimit)
+	if c := f.requests[ids[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(c.attempts) != 2 || c.attempts[1].server != 2 {
 		t.Errorf("limit %g, ejection time %d, attempts %v: want a limit of 1, no ejection and one at the origin", s.concurrencyLimit, s.ejectionTime, c.attempts)
 	}
 }
@@ -24,12 +24,12 @@
 // Two attempts of a node may be in flight at a cache once quick answers have shown that it is not overloaded.
 // With one alone, nodes of a large fleet sent many requests to the origin.
 func TestTwoAttemptsMayBeInFlightAtAQuickCache(t *testing.T) {
-	for calm, want := range map[float64]int{2: 0, 1: 2} {
+	for limit, want := range map[float64]int{2: 0, 1: 2} {
 		f := newFakeHost(1, 2)
-		f.b.initialLimit, f.b.servers[0].concurrencyLimit = 1, calm
+		f.b.initialLimit, f.b.servers[0].concurrencyLimit = 1, limit
 		f.request(0, key(f.b, 0), false, f.now+5000)
 		if _, c := f.request(0, key(f.b, 0), false, f.now+5000); len(c.attempts) != 1 || c.attempts[0].server != want {
-			t.Errorf("a limit of %g: attempts %v, want one at %d", calm, c.attempts, want)
+			t.Errorf("a limit of %g: attempts %v, want one at %d", limit, c.attempts, want)
 		}
 	}
 }
@@ -40,20 +40,20 @@
 	s := f.b.servers[0]
 	f.b.servers[1].inFlight = 99 // no retry goes to the origin
 	for _, c := range []struct {
-		after       Time
-		code        Result
-		least, most float64
+		after     Time
+		result    Result
+		low, high float64
 	}{{Millisecond, ServerError, 0, s.concurrencyLimit}, {150 * Millisecond, Served, minConcurrencyLimit, 1},
 		{10 * Millisecond, Served, 2, maxConcurrencyLimit}} {
 		for range 120 {
-			if lkp, cl := f.request(0, "a", false, f.now+5000); len(cl.attempts) > 0 {
+			if id, client := f.request(0, "a", false, f.now+5000); len(client.attempts) > 0 {
 				f.now += c.after
-				f.attemptDone(lkp, 0, c.code)
+				f.attemptDone(id, 0, c.result)
 			}
 			f.now += 20 * Millisecond
 		}
-		if s.concurrencyLimit < c.least || s.concurrencyLimit > c.most {
-			t.Errorf("limit %g after result %d in %d, want %g to %g", s.concurrencyLimit, c.code, c.after, c.least, c.most)
+		if s.concurrencyLimit < c.low || s.concurrencyLimit > c.high {
+			t.Errorf("limit %g after result %d in %d, want %g to %g", s.concurrencyLimit, c.result, c.after, c.low, c.high)
 		}
 		s.ejectionTime, s.retryBudget = 0, maxRetryBudget
 	}
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -16,21 +16,21 @@
 		q := newBenchHost(3, 10)
 		b, ids := q.b, map[int]string{}
 		for step := range 120 {
-			var boxes []Endpoint
+			var endpoints []Endpoint
 			whole := r.Intn(12) == 0
 			for range 1 + r.Intn(4) {
 				i := r.Intn(20)
 				if ids[i] == "" || r.Intn(10) == 0 {
 					ids[i] = fmt.Sprintf("s-%04d-%d", r.Intn(10000), i)
 				}
-				boxes = append(boxes, Endpoint{Server: i, ID: ids[i], Model: r.Intn(5) / 4, State: State(r.Intn(3)), StartedAt: Time(r.Intn(2))})
+				endpoints = append(endpoints, Endpoint{Server: i, ID: ids[i], Model: r.Intn(5) / 4, State: State(r.Intn(3)), StartedAt: Time(r.Intn(2))})
 			}
-			slices.SortFunc(boxes, func(x, y Endpoint) int { return x.Server - y.Server })
-			boxes = slices.CompactFunc(boxes, func(x, y Endpoint) bool { return x.Server == y.Server })
+			slices.SortFunc(endpoints, func(x, y Endpoint) int { return x.Server - y.Server })
+			endpoints = slices.CompactFunc(endpoints, func(x, y Endpoint) bool { return x.Server == y.Server })
 			if whole {
-				b.UpdateEndpoints(q.now, Full, boxes)
+				b.UpdateEndpoints(q.now, Full, endpoints)
 			} else {
-				b.UpdateEndpoints(q.now, Incremental, boxes)
+				b.UpdateEndpoints(q.now, Incremental, endpoints)
 			}
 			for range r.Intn(3) {
 				q.request(q.key())
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -49,8 +49,8 @@
 	f.faults = append(f.faults, fmt.Sprintf(format, args...))
 }
 
-func (f *fakeHost) Send(lkp, server int, timeout Time) {
-	c := f.requests[lkp]
+func (f *fakeHost) Send(id, server int, timeout Time) {
+	c := f.requests[id]
 	if c.ended || f.now >= c.deadline {
 		f.faultf("attempt of an ended or overdue request")
 	}
@@ -68,24 +68,24 @@
 	c.inFlight++
 }
 
-func (f *fakeHost) Reject(lkp int, retryAfter Time) {
-	c := f.requests[lkp]
+func (f *fakeHost) Reject(id int, retryAfter Time) {
+	c := f.requests[id]
 	if c.idempotence == Unsafe && slices.ContainsFunc(c.attempts, fakeAttempt.mayHaveRun) {
 		f.faultf("an unsafe request was rejected though it may have run")
 	}
 	c.retryAfter = retryAfter
-	f.end(lkp)
+	f.end(id)
 }
 
-func (f *fakeHost) Fail(lkp int) { f.end(lkp) }
+func (f *fakeHost) Fail(id int) { f.end(id) }
 
-func (f *fakeHost) end(lkp int) {
-	if c := f.requests[lkp]; c.ended {
+func (f *fakeHost) end(id int) {
+	if c := f.requests[id]; c.ended {
 		f.faultf("a second final answer")
 	} else {
 		c.ended = true
 	}
-	f.releaseID(lkp)
+	f.releaseID(id)
 }
 
 func (f *fakeHost) Subscribe() { f.polls++ }
@@ -99,10 +99,10 @@
 func (f *fakeHost) SetAlarm(at Time, handle int) { f.alarms[handle] = append(f.alarms[handle], at) }
 
 // releaseID frees the index of a request once it has ended and nothing of it is in flight.
-func (f *fakeHost) releaseID(lkp int) {
-	if c := f.requests[lkp]; c.ended && c.inFlight == 0 {
-		f.freeIDs = append(f.freeIDs, lkp)
-		f.requests[lkp] = &fakeRequest{ended: true, inFlight: -1}
+func (f *fakeHost) releaseID(id int) {
+	if c := f.requests[id]; c.ended && c.inFlight == 0 {
+		f.freeIDs = append(f.freeIDs, id)
+		f.requests[id] = &fakeRequest{ended: true, inFlight: -1}
 	}
 }
 
@@ -138,50 +138,50 @@
 }
 
 // request sends a request and returns its index and state.
-func (f *fakeHost) request(space int, key string, write bool, limit Time) (int, *fakeRequest) {
-	lkp := len(f.requests)
+func (f *fakeHost) request(class int, key string, write bool, limit Time) (int, *fakeRequest) {
+	id := len(f.requests)
 	if n := len(f.freeIDs); n > 0 {
-		lkp, f.freeIDs = f.freeIDs[n-1], f.freeIDs[:n-1]
+		id, f.freeIDs = f.freeIDs[n-1], f.freeIDs[:n-1]
 	} else {
 		f.requests = append(f.requests, nil)
 	}
-	c := &fakeRequest{idempotence: idempotences[space], deadline: limit}
-	f.requests[lkp] = c
+	c := &fakeRequest{idempotence: idempotences[class], deadline: limit}
+	f.requests[id] = c
 	c.streaming = (write || f.streamReads) && f.rnd.Intn(4) == 0
-	f.b.Request(f.now, lkp, Request{Class: space, Tenant: space % 2, Key: key, Write: write, Deadline: limit,
+	f.b.Request(f.now, id, Request{Class: class, Tenant: class % 2, Key: key, Write: write, Deadline: limit,
 		Streaming: c.streaming})
-	return lkp, c
+	return id, c
 }
 
 // bodySent sends the last byte of a streamed attempt.
-func (f *fakeHost) bodySent(lkp, shot int) {
-	if c := f.requests[lkp]; c.streaming && !c.attempts[shot].bodySent {
-		c.attempts[shot].bodySent = true
-		f.b.BodySent(f.now, lkp, shot)
+func (f *fakeHost) bodySent(id, attempt int) {
+	if c := f.requests[id]; c.streaming && !c.attempts[attempt].bodySent {
+		c.attempts[attempt].bodySent = true
+		f.b.BodySent(f.now, id, attempt)
 	}
 }
 
-func (f *fakeHost) attemptDone(lkp, shot int, code Result) {
-	c := f.requests[lkp]
-	f.bodySent(lkp, shot)
-	c.attempts[shot].done, c.attempts[shot].result = true, code
+func (f *fakeHost) attemptDone(id, attempt int, result Result) {
+	c := f.requests[id]
+	f.bodySent(id, attempt)
+	c.attempts[attempt].done, c.attempts[attempt].result = true, result
 	c.inFlight--
-	if code == Withheld && !c.ended { // only of a request that has ended
+	if result == Withheld && !c.ended { // only of a request that has ended
 		c.ended = true
-		f.b.ClientGone(f.now, lkp)
+		f.b.ClientGone(f.now, id)
 	}
-	c.ended = c.ended || code == Served
-	f.b.AttemptDone(f.now, lkp, shot, code, c.ended)
-	f.releaseID(lkp)
+	c.ended = c.ended || result == Served
+	f.b.AttemptDone(f.now, id, attempt, result, c.ended)
+	f.releaseID(id)
 }
 
 // advance moves the clock on and plays timeouts and alarms.
-func (f *fakeHost) advance(span Time) {
-	f.now += span
-	for lkp, c := range f.requests {
+func (f *fakeHost) advance(elapsed Time) {
+	f.now += elapsed
+	for id, c := range f.requests {
 		for i := range c.attempts {
-			if s := &c.attempts[i]; !s.done && f.now >= s.timeoutAt && f.requests[lkp] == c {
-				f.attemptDone(lkp, i, TimedOut)
+			if s := &c.attempts[i]; !s.done && f.now >= s.timeoutAt && f.requests[id] == c {
+				f.attemptDone(id, i, TimedOut)
 			}
 		}
 	}
@@ -206,21 +206,21 @@
 	case r < 45:
 		limit := f.now + Time(f.rnd.Intn(8000)-100) // some are already past
 		key := []string{"", fmt.Sprint("k", f.rnd.Intn(1+f.rnd.Intn(40)))}[min(1, f.rnd.Intn(20))]
-		space := f.rnd.Intn(3)
-		f.request(space, key, space > 0 && f.rnd.Intn(2) == 0, limit)
+		class := f.rnd.Intn(3)
+		f.request(class, key, class > 0 && f.rnd.Intn(2) == 0, limit)
 	case r < 80:
 		f.anyAttemptDone(Result(f.rnd.Intn(int(Withheld) + 1)))
 	case r < 82 && len(f.requests) > 0:
-		if lkp := f.rnd.Intn(len(f.requests)); !f.requests[lkp].ended {
-			f.requests[lkp].ended = true
-			f.b.ClientGone(f.now, lkp)
-			f.releaseID(lkp)
+		if id := f.rnd.Intn(len(f.requests)); !f.requests[id].ended {
+			f.requests[id].ended = true
+			f.b.ClientGone(f.now, id)
+			f.releaseID(id)
 		}
 	case r < 83 && len(f.requests) > 0:
-		lkp := f.rnd.Intn(len(f.requests))
-		for i, s := range f.requests[lkp].attempts {
+		id := f.rnd.Intn(len(f.requests))
+		for i, s := range f.requests[id].attempts {
 			if !s.done {
-				f.bodySent(lkp, i)
+				f.bodySent(id, i)
 			}
 		}
 	case r < 84:
@@ -248,12 +248,12 @@
 }
 
 // anyAttemptDone ends a random attempt in flight.
-func (f *fakeHost) anyAttemptDone(code Result) {
+func (f *fakeHost) anyAttemptDone(result Result) {
 	for try := 0; try < 20 && len(f.requests) > 0; try++ {
-		lkp := f.rnd.Intn(len(f.requests))
-		for i, s := range f.requests[lkp].attempts {
+		id := f.rnd.Intn(len(f.requests))
+		for i, s := range f.requests[id].attempts {
 			if !s.done {
-				f.attemptDone(lkp, i, code)
+				f.attemptDone(id, i, result)
 				return
 			}
 		}
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -24,8 +24,8 @@
 // value. Those that waited met the cache together afterwards.
 func TestNobodyWaitsForAnAttemptWithoutAMiss(t *testing.T) {
 	f := newFakeHost(1, 1)
-	lkp, c1 := f.request(0, "a", false, f.now+5000)
-	f.attemptDone(lkp, 0, Rejected)
+	id, c1 := f.request(0, "a", false, f.now+5000)
+	f.attemptDone(id, 0, Rejected)
 	_, c2 := f.request(0, "a", false, f.now+5000)
 	if len(c1.attempts) != 2 || c1.attempts[1].server != 1 || len(c2.attempts) != 1 || c2.attempts[0].server != 0 {
 		t.Errorf("attempts %v and %v, want one at the origin and one at the cache", c1.attempts, c2.attempts)
--- a/routing/idle_test.go
+++ b/routing/idle_test.go
@@ -9,11 +9,11 @@
 // shorter the more often connecting fails.
 func TestIdleConnectionsAreClosedWhereConnectsFail(t *testing.T) {
 	f := newFakeHost(1, 4)
-	use := func(server int, code Result) {
+	use := func(server int, result Result) {
 		f.b.servers[server].ejectionTime, f.b.servers[server].concurrencyLimit = 0, maxConcurrencyLimit
-		lkp, c := f.request(1, key(f.b, server), false, f.now+5000)
-		if f.attemptDone(lkp, 0, code); !c.ended {
-			f.attemptDone(lkp, 1, Served)
+		id, c := f.request(1, key(f.b, server), false, f.now+5000)
+		if f.attemptDone(id, 0, result); !c.ended {
+			f.attemptDone(id, 1, Served)
 		}
 	}
 	gave := func(what string, want int) {
@@ -53,18 +53,18 @@
 
 // A server that does not respond is not short of connections, so none are closed elsewhere.
 func TestConnectTimeoutClosesNoIdleConnections(t *testing.T) {
-	for code, want := range map[Result]int{ConnectTimeout: 0, ConnectFailed: 1, ConnectionLimit: 1} {
+	for result, want := range map[Result]int{ConnectTimeout: 0, ConnectFailed: 1, ConnectionLimit: 1} {
 		f := newFakeHost(1, 3)
-		lkp, _ := f.request(0, key(f.b, 0), false, f.now+5000)
-		f.attemptDone(lkp, 0, Served)
+		id, _ := f.request(0, key(f.b, 0), false, f.now+5000)
+		f.attemptDone(id, 0, Served)
 		f.advance(maxIdleTimeout)
-		lkp, c := f.request(0, key(f.b, 1), false, f.now+5000)
-		f.attemptDone(lkp, 0, code)
+		id, c := f.request(0, key(f.b, 1), false, f.now+5000)
+		f.attemptDone(id, 0, result)
 		if f.closedIdle != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || c.attempts[0].mayHaveRun() {
-			t.Errorf("result %d: %d closed, want %d; idle timeout %d", code, f.closedIdle, want, f.b.idleTimeout)
+			t.Errorf("result %d: %d closed, want %d; idle timeout %d", result, f.closedIdle, want, f.b.idleTimeout)
 		}
-		if rests := f.b.servers[1].ejectionTime > 0; rests != (code != ConnectionLimit) {
-			t.Errorf("result %d: the server is ejected: %v", code, rests)
+		if rests := f.b.servers[1].ejectionTime > 0; rests != (result != ConnectionLimit) {
+			t.Errorf("result %d: the server is ejected: %v", result, rests)
 		}
 	}
 }
@@ -72,17 +72,17 @@
 // A node that fetches all the time never has a connection to the origin that is idle for long. It keeps as many
 // open as it needs.
 func TestFewIdleConnectionsStayOpenAtTheOrigin(t *testing.T) {
-	for _, c := range []struct{ span, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 ms each
+	for _, c := range []struct{ interval, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 ms each
 		f := newFakeHost(1, 2)
-		for n := range 60 * 400 / c.span {
-			lkp, _ := f.request(0, fmt.Sprint(n), false, f.now+8000)
-			f.attemptDone(lkp, 0, NotFound)
+		for n := range 60 * 400 / c.interval {
+			id, _ := f.request(0, fmt.Sprint(n), false, f.now+8000)
+			f.attemptDone(id, 0, NotFound)
 			f.now += 60 * Millisecond
-			f.attemptDone(lkp, 1, Served)
-			f.now += Time(c.span-60) * Millisecond
+			f.attemptDone(id, 1, Served)
+			f.now += Time(c.interval-60) * Millisecond
 		}
 		if f.connectionsKept != c.want {
-			t.Errorf("a fetch each %d ms: %d connections stay open, want %d", c.span, f.connectionsKept, c.want)
+			t.Errorf("a fetch each %d ms: %d connections stay open, want %d", c.interval, f.connectionsKept, c.want)
 		}
 	}
 }
--- a/routing/inflight_test.go
+++ b/routing/inflight_test.go
@@ -23,7 +23,7 @@
 func compareMeans(b *Balancer, s *serverState, plain float64, sum int) (tie bool, fault string) {
 	n, x, mean := len(b.ready), s.inFlight, b.meanInFlight()
 	if got, want := float64(x) <= congestionFactor*mean, float64(x) <= congestionFactor*plain; got != want {
-		fault = fmt.Sprintf("jam: %v, want %v, for %d of %d in flight at %d caches", got, want, x, sum, n)
+		fault = fmt.Sprintf("congested: %v, want %v, for %d of %d in flight at %d caches", got, want, x, sum, n)
 	}
 	if got, want := float64(x) <= busyFactor*mean+1, float64(x) <= busyFactor*plain+1; got != want {
 		fault = fmt.Sprintf("busy: %v, want %v, for %d of %d in flight at %d caches", got, want, x, sum, n)
@@ -161,11 +161,11 @@
 				q.b.advanceClock(q.now) // each second all are read
 			}
 			q.b.servers = near
-			lkp := q.nextID + n
+			id := q.nextID + n
 			out := len(q.inFlight)
-			q.b.Request(q.now, lkp, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
+			q.b.Request(q.now, id, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
 			if q.b.servers = all; len(q.inFlight) > out {
-				q.b.AttemptDone(q.now, lkp, 0, Served, true)
+				q.b.AttemptDone(q.now, id, 0, Served, true)
 				q.inFlight = q.inFlight[:out]
 			} else {
 				q.freeIDs = q.freeIDs[:len(q.freeIDs)-1]
--- a/routing/origin_test.go
+++ b/routing/origin_test.go
@@ -10,13 +10,13 @@
 func TestTimeoutsAtTheOriginLowerItsLimit(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for n := range 5 {
-		lkp, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
-		f.attemptDone(lkp, 0, NotFound)
+		id, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
+		f.attemptDone(id, 0, NotFound)
 		f.now += 150 * Millisecond
-		f.attemptDone(lkp, 1, TimedOut)
+		f.attemptDone(id, 1, TimedOut)
 	}
-	if calm := f.b.servers[1].concurrencyLimit; calm != minConcurrencyLimit {
-		t.Errorf("limit %g after five timeouts, want the lowest", calm)
+	if limit := f.b.servers[1].concurrencyLimit; limit != minConcurrencyLimit {
+		t.Errorf("limit %g after five timeouts, want the lowest", limit)
 	}
 }
 
@@ -24,13 +24,13 @@
 func TestOriginLimitGrowsWithTheFirstAnswers(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for n := range 4 {
-		lkp, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
-		f.attemptDone(lkp, 0, NotFound)
+		id, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
+		f.attemptDone(id, 0, NotFound)
 		f.now += 10 * Millisecond
-		f.attemptDone(lkp, 1, Served)
+		f.attemptDone(id, 1, Served)
 	}
-	if calm := f.b.servers[1].concurrencyLimit; calm < maxUnmeasuredFetches || calm > maxUnmeasuredFetches+0.5 {
-		t.Errorf("limit %.1f after four quick answers, want %g or a little more", calm, maxUnmeasuredFetches)
+	if limit := f.b.servers[1].concurrencyLimit; limit < maxUnmeasuredFetches || limit > maxUnmeasuredFetches+0.5 {
+		t.Errorf("limit %.1f after four quick answers, want %g or a little more", limit, maxUnmeasuredFetches)
 	}
 }
 
@@ -40,13 +40,13 @@
 	f.b.classes[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
 	o := f.b.servers[1]
 	o.answers, f.b.decayedAt, o.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
-	lkp, c := f.request(0, "k", false, f.now+50000)
-	if f.attemptDone(lkp, 0, NotFound); len(c.attempts) != 1 || !c.ended {
+	id, c := f.request(0, "k", false, f.now+50000)
+	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 1 || !c.ended {
 		t.Errorf("attempts %v, want none at the origin", c.attempts)
 	}
 	o.inFlight = 11
-	lkp, c = f.request(0, "k", false, f.now+50000)
-	if f.attemptDone(lkp, 0, NotFound); len(c.attempts) != 2 {
+	id, c = f.request(0, "k", false, f.now+50000)
+	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 2 {
 		t.Errorf("attempts %v, want one at the origin", c.attempts)
 	}
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -9,20 +9,20 @@
 	f := newFakeHost(1, 2)
 	k := key(f.b, 0)
 	f.b.servers[2].inFlight = 99
-	lkp, c := f.request(0, k, false, f.now+5000)
-	if f.attemptDone(lkp, 0, ConnectionBroken); len(c.attempts) != 2 || c.attempts[1].server != 1 {
+	id, c := f.request(0, k, false, f.now+5000)
+	if f.attemptDone(id, 0, ConnectionBroken); len(c.attempts) != 2 || c.attempts[1].server != 1 {
 		t.Fatal("the request must go on at the next range's cache")
 	}
 	for _, c := range []struct {
 		what        string
 		pass        Time
-		space, want int
+		class, want int
 	}{{"during the ejection it is skipped", minEjectionTime - 1, 0, 1}, {"unsafe requests do not probe it", 1, 2, 1},
 		{"the first safe one does", 0, 0, 0}, {"one probe at a time", 0, 0, 1}} {
 		f.now += c.pass
 		f.b.servers[1].inFlight = 0
-		if _, cl := f.request(c.space, k, false, f.now+5000); cl.attempts[0].server != c.want {
-			t.Errorf("%s: attempt at %d, want %d", c.what, cl.attempts[0].server, c.want)
+		if _, client := f.request(c.class, k, false, f.now+5000); client.attempts[0].server != c.want {
+			t.Errorf("%s: attempt at %d, want %d", c.what, client.attempts[0].server, c.want)
 		}
 	}
 }
@@ -43,16 +43,16 @@
 		f := newFakeHost(1, 2)
 		k := key(f.b, 0)
 		if c.rests {
-			lkp, _ := f.request(0, k, false, f.now+5000)
-			f.attemptDone(lkp, 0, ConnectionBroken)
+			id, _ := f.request(0, k, false, f.now+5000)
+			f.attemptDone(id, 0, ConnectionBroken)
 		}
 		if c.next >= 0 {
 			f.b.ProbeResult(f.now, 0, c.next == good, f.now+c.next)
 		}
 		f.now += c.after
 		f.b.servers[1].inFlight = 0
-		if _, cl := f.request(0, k, false, f.now+5000); cl.attempts[0].server != c.want {
-			t.Errorf("%s: attempt at %d, want %d", c.what, cl.attempts[0].server, c.want)
+		if _, client := f.request(0, k, false, f.now+5000); client.attempts[0].server != c.want {
+			t.Errorf("%s: attempt at %d, want %d", c.what, client.attempts[0].server, c.want)
 		}
 	}
 }
@@ -61,18 +61,18 @@
 func TestShortTimeoutIsNoFailure(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for _, c := range []struct {
-		span    Time
-		strikes int
+		timeout  Time
+		failures int
 	}{{300, 0}, {300, 0}, {900, 1}, {300, 1}, {900, 2}} {
 		f.b.servers[0].concurrencyLimit = maxConcurrencyLimit
-		lkp, asked := f.request(0, "k", false, f.now+c.span)
-		if len(asked.attempts) != 1 || asked.attempts[0].server != 0 {
-			t.Fatalf("%d failures: attempts %v", f.b.servers[0].consecutiveFailures, asked.attempts)
+		id, client := f.request(0, "k", false, f.now+c.timeout)
+		if len(client.attempts) != 1 || client.attempts[0].server != 0 {
+			t.Fatalf("%d failures: attempts %v", f.b.servers[0].consecutiveFailures, client.attempts)
 		}
-		f.now += c.span
-		f.attemptDone(lkp, 0, TimedOut)
-		if got := f.b.servers[0].consecutiveFailures; got != c.strikes {
-			t.Errorf("after %d tenths of a millisecond: %d failures, want %d", c.span, got, c.strikes)
+		f.now += c.timeout
+		f.attemptDone(id, 0, TimedOut)
+		if got := f.b.servers[0].consecutiveFailures; got != c.failures {
+			t.Errorf("after %d tenths of a millisecond: %d failures, want %d", c.timeout, got, c.failures)
 		}
 	}
 }
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -16,12 +16,12 @@
 		f := newFakeHost(seed, 1+int(uint64(seed)%7))
 		of := []Limit{OriginConcurrency, CacheConcurrency, DiscoveryRate}[uint64(seed)%3]
 		rnd := rand.New(rand.NewSource(seed))
-		const rate, most = 4.0, 3.0
+		const rate, limit = 4.0, 3.0
 		excess, last, seen := 0.0, f.now, 0
 		part := func() {
-			n := float64(rnd.Intn(int(most) + 1))
-			f.b.SetQuota(f.now, of, 0, allowance.Quota{Concurrency: of == OriginConcurrency || of == CacheConcurrency, Rate: rate * n / most, Burst: n,
-				Until: int64(f.now + Time(rnd.Intn(3000))*Millisecond), ThenRate: rate * min(1, n) / most, ThenBurst: min(1, n)})
+			n := float64(rnd.Intn(int(limit) + 1))
+			f.b.SetQuota(f.now, of, 0, allowance.Quota{Concurrency: of == OriginConcurrency || of == CacheConcurrency, Rate: rate * n / limit, Burst: n,
+				Until: int64(f.now + Time(rnd.Intn(3000))*Millisecond), ThenRate: rate * min(1, n) / limit, ThenBurst: min(1, n)})
 		}
 		part()
 		for n := 0; n < 800 && len(f.faults) == 0; n++ {
@@ -39,13 +39,13 @@
 			switch of {
 			case OriginConcurrency, CacheConcurrency:
 				for server, n := range out {
-					if (f.endpoints[server].Model == 1) == (of == OriginConcurrency) && n > int(most) {
+					if (f.endpoints[server].Model == 1) == (of == OriginConcurrency) && n > int(limit) {
 						f.faultf("%d in flight at server %d", n, server)
 					}
 				}
 			case DiscoveryRate:
 				excess = max(0, excess-rate*seconds(f.now-last)) + float64(f.polls-seen)
-				if last, seen = f.now, f.polls; excess > most+1e-6 {
+				if last, seen = f.now, f.polls; excess > limit+1e-6 {
 					f.faultf("%.2f polls beyond the rate in a window", excess)
 				}
 			}
@@ -64,11 +64,11 @@
 	f := newFakeHost(3, 2)
 	f.advance(2000 * Millisecond)
 	f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{Rate: 100, Burst: 2, Until: int64(f.now + 500*Millisecond), ThenRate: 1, ThenBurst: 1})
-	write := func() (shot bool, after Time) {
+	write := func() (attempt bool, after Time) {
 		_, c := f.request(2, "k", true, f.now+700*Millisecond)
 		return len(c.attempts) > 0, c.retryAfter
 	}
-	if shot, after := write(); shot || after == 0 {
+	if attempt, after := write(); attempt || after == 0 {
 		t.Error("a new quota has nothing saved up: a request that needs it is rejected at once")
 	}
 	f.now += 100 * Millisecond
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -15,25 +15,25 @@
 		}
 		f.b.warmCacheRate = 1000
 		f.b.servers[2].inFlight = 99
-		lkp, c := f.request(0, k, false, f.now+9000)
-		f.attemptDone(lkp, 0, ServerError) // retries cost budget
+		id, c := f.request(0, k, false, f.now+9000)
+		f.attemptDone(id, 0, ServerError) // retries cost budget
 		if len(c.attempts) != 2 {
 			t.Fatalf("%d attempts, want a retry", len(c.attempts))
 		}
 		s := f.b.servers[c.attempts[1].server]
-		credit, budget, calm, took := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
+		retryBudget, tokens, limit, latency := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
 		f.now += 150 * Millisecond // slow
 		if restarted {
 			f.endpoints[c.attempts[1].server].StartedAt = f.now - Millisecond
 			f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
 			s = f.b.servers[c.attempts[1].server]
-			credit, budget = s.retryBudget-1, s.slowStartTokens-1
+			retryBudget, tokens = s.retryBudget-1, s.slowStartTokens-1
 		}
-		f.attemptDone(lkp, 1, Withheld)
-		if s.inFlight != 0 || s.retryBudget != credit+1 || s.slowStartTokens != budget+1 || s.concurrencyLimit != calm || s.meanLatency != took && !restarted ||
+		f.attemptDone(id, 1, Withheld)
+		if s.inFlight != 0 || s.retryBudget != retryBudget+1 || s.slowStartTokens != tokens+1 || s.concurrencyLimit != limit || s.meanLatency != latency && !restarted ||
 			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.faults) > 0 {
 			t.Errorf("restarted %v: in flight %d, retry budget %g of %g, tokens %g of %g, limit %g of %g, latency %d of %d, failures %d, %v", restarted,
-				s.inFlight, s.retryBudget, credit+1, s.slowStartTokens, budget+1, s.concurrencyLimit, calm, s.meanLatency, took, s.consecutiveFailures, f.faults)
+				s.inFlight, s.retryBudget, retryBudget+1, s.slowStartTokens, tokens+1, s.concurrencyLimit, limit, s.meanLatency, latency, s.consecutiveFailures, f.faults)
 		}
 	}
 }
@@ -49,16 +49,16 @@
 		t.Fatalf("%d attempts, %d in flight", len(f.requests[0].attempts), origin.inFlight)
 	}
 	f.now += 40000 // slower than any server
-	calm, took, ease := origin.concurrencyLimit, origin.meanLatency, f.b.admissionLevel
+	limit, latency, level := origin.concurrencyLimit, origin.meanLatency, f.b.admissionLevel
 	f.bodySent(0, 0)
 	if origin.inFlight != 1 {
 		t.Errorf("%d in flight", origin.inFlight)
 	}
 	f.now += 100
 	f.attemptDone(0, 0, Served)
-	if origin.inFlight != 0 || origin.meanLatency > took+100 || origin.concurrencyLimit < calm || f.b.admissionLevel < ease {
-		t.Errorf("%d in flight, latency %v, limit %g to %g, admission level %g to %g", origin.inFlight, origin.meanLatency, calm, origin.concurrencyLimit,
-			ease, f.b.admissionLevel)
+	if origin.inFlight != 0 || origin.meanLatency > latency+100 || origin.concurrencyLimit < limit || f.b.admissionLevel < level {
+		t.Errorf("%d in flight, latency %v, limit %g to %g, admission level %g to %g", origin.inFlight, origin.meanLatency, limit, origin.concurrencyLimit,
+			level, f.b.admissionLevel)
 	}
 }
 
@@ -66,8 +66,8 @@
 // bounded from the start of the first attempt. So is a refund: a server that has restarted since gets none.
 func TestStreamedAttemptStartsWhenOrdered(t *testing.T) {
 	for _, c := range []struct {
-		body  Time // from the first byte to the last
-		shots int
+		body     Time // from the first byte to the last
+		attempts int
 	}{{dedupWindow / 4, 2}, {dedupWindow/2 + 10, 1}, {dedupWindow + 10, 1}} {
 		f := newFakeHost(1, 3)
 		f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true, deadline: f.now + 90000})
@@ -75,10 +75,10 @@
 		f.now += c.body
 		f.bodySent(0, 0)
 		f.now += 10
-		cl := f.requests[0]
+		client := f.requests[0]
 		f.attemptDone(0, 0, ServerError)
-		if len(f.faults) > 0 || len(cl.attempts) != c.shots || cl.ended != (c.shots == 1) {
-			t.Errorf("a body of %d, and an error: %d attempts, want %d; ended %v, faults %v", c.body, len(cl.attempts), c.shots, cl.ended, f.faults)
+		if len(f.faults) > 0 || len(client.attempts) != c.attempts || client.ended != (c.attempts == 1) {
+			t.Errorf("a body of %d, and an error: %d attempts, want %d; ended %v, faults %v", c.body, len(client.attempts), c.attempts, client.ended, f.faults)
 		}
 	}
 	f := newFakeHost(1, 1)
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -16,10 +16,10 @@
 		lasts        = 40000 * Millisecond
 	)
 	for _, caches := range []int{1, 2, 5, 20} {
-		for _, code := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionBroken, Canceled, NotSent, NotFound, ConnectionLimit, ConnectTimeout} {
-			for _, cold := range []bool{false, true} {
-				f := newFakeHost(int64(caches)*100+int64(code), caches)
-				if cold {
+		for _, result := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionBroken, Canceled, NotSent, NotFound, ConnectionLimit, ConnectTimeout} {
+			for _, slowStart := range []bool{false, true} {
+				f := newFakeHost(int64(caches)*100+int64(result), caches)
+				if slowStart {
 					for i := range f.endpoints[:caches] {
 						f.endpoints[i].StartedAt = f.now
 					}
@@ -27,21 +27,21 @@
 				}
 				since, rejected, longest := f.now, 0, Time(0)
 				for end := f.now + lasts; f.now < end; f.advance(every) {
-					lkp, c := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
+					id, c := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
 					if len(c.attempts) > 0 {
 						since, rejected = f.now, 0
 					} else if rejected++; rejected >= countsFrom {
 						longest = max(longest, f.now-since)
 					}
-					for code != TimedOut && f.requests[lkp] == c && c.inFlight > 0 {
-						f.attemptDone(lkp, len(c.attempts)-1, code)
+					for result != TimedOut && f.requests[id] == c && c.inFlight > 0 {
+						f.attemptDone(id, len(c.attempts)-1, result)
 					}
 				}
 				if longest >= rejectedMost {
-					t.Errorf("%d caches, result %d, slow start %v: all are rejected for %d ms", caches, code, cold, longest/Millisecond)
+					t.Errorf("%d caches, result %d, slow start %v: all are rejected for %d ms", caches, result, slowStart, longest/Millisecond)
 				}
 				if len(f.faults) > 0 {
-					t.Errorf("%d caches, result %d: %v", caches, code, f.faults[0])
+					t.Errorf("%d caches, result %d: %v", caches, result, f.faults[0])
 				}
 			}
 		}
@@ -58,9 +58,9 @@
 	}
 	f = newFakeHost(1, 1)
 	f.b.servers[1].inFlight = 99
-	lkp, c := f.request(0, "a", false, f.now+5000)
+	id, c := f.request(0, "a", false, f.now+5000)
 	f.now += 150 * Millisecond
-	if f.attemptDone(lkp, 0, Rejected); c.retryAfter != 400*Millisecond {
+	if f.attemptDone(id, 0, Rejected); c.retryAfter != 400*Millisecond {
 		t.Errorf("retry after %d, want the longest once the time is gone", c.retryAfter)
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -51,7 +51,7 @@
 
 // slowStartOutcome is the result of a slowStartCase.
 type slowStartOutcome struct {
-	overloads int         // starts at which more came in a window than 2 x root of N and 2 beyond N
+	overloads int         // starts at which more work in a window than 2 x root of N and 2 beyond N
 	fullest   float64     // the fullest window, as a share of that
 	shares    [10]float64 // of a warm cache's attempts, by tenth of the slow start
 }
@@ -61,9 +61,9 @@
 func (c slowStartCase) play() (sum slowStartOutcome) {
 	rnd, now := rand.New(rand.NewSource(int64(c.nodes)*1000+int64(c.bearable))), 10000*Millisecond
 	capacity := c.bearable / (c.overload * c.initialShare * seconds(overloadWindow))
-	var boxes []Endpoint
+	var endpoints []Endpoint
 	for i := range slowStartCaches {
-		boxes = append(boxes, Endpoint{Server: i, ID: fmt.Sprint("c", i)})
+		endpoints = append(endpoints, Endpoint{Server: i, ID: fmt.Sprint("c", i)})
 	}
 	fleet, begun := make([]*slowStartNode, c.nodes), 0
 	// A unit of the quota allows one at once. With fewer units than nodes they go round.
@@ -87,12 +87,12 @@
 		if fleet[i] = n; c.quotaFactor > 0 {
 			part(i)
 		}
-		n.b.UpdateEndpoints(now, Full, boxes)
+		n.b.UpdateEndpoints(now, Full, endpoints)
 	}
 	for i := range fleet {
 		begin(i)
 	}
-	asked := func(factor, hot float64, until Time, shot func(server int, told bool, work float64)) {
+	sendUntil := func(factor, hot float64, until Time, attempt func(server int, informed bool, work float64)) {
 		for {
 			now += 1 + Time(rnd.ExpFloat64()/(slowStartCaches*c.load*capacity*factor)*float64(1000*Millisecond))
 			if now >= until {
@@ -116,18 +116,18 @@
 			}
 			n.b.Request(now, 0, Request{Tenant: -1, Key: key, Deadline: now + 8000, Work: 20 * work})
 			for k, to := range n.sent {
-				shot(to, n.informed, work)
+				attempt(to, n.informed, work)
 				n.b.AttemptDone(now, 0, k, Served, true)
 			}
 			n.sent = n.sent[:0]
 		}
 	}
-	asked(1, c.hotShare, now+10*overloadWindow, func(int, bool, float64) {})
+	sendUntil(1, c.hotShare, now+10*overloadWindow, func(int, bool, float64) {})
 	for range c.starts {
 		began, fell := now, false
-		for i := range boxes {
+		for i := range endpoints {
 			if i == 0 || c.allCaches {
-				boxes[i].StartedAt = now
+				endpoints[i].StartedAt = now
 			}
 		}
 		for _, n := range fleet {
@@ -137,12 +137,12 @@
 		var works []float64
 		const steps = 300
 		high, next := rnd.Intn(steps*9/10), 0
-		var shots [10][2]float64
+		var attempts [10][2]float64
 		for step := range steps {
 			for i, n := range fleet {
 				if !n.informed && (step > 2 || rnd.Intn(2) == 0) { // within four tenths of a second
 					n.informed = true
-					n.b.UpdateEndpoints(now, Incremental, boxes)
+					n.b.UpdateEndpoints(now, Incremental, endpoints)
 				}
 				if c.rolling && next*steps < step*c.nodes && i == next {
 					begin(i)
@@ -167,34 +167,34 @@
 					hot = 0.5
 				}
 			}
-			asked(factor, hot, began+c.window*Time(step+1)/steps, func(server int, told bool, work float64) {
+			sendUntil(factor, hot, began+c.window*Time(step+1)/steps, func(server int, informed bool, work float64) {
 				if server != 0 {
-					shots[step*10/steps][1] += 1.0 / (slowStartCaches - 1)
+					attempts[step*10/steps][1] += 1.0 / (slowStartCaches - 1)
 					return
 				}
-				if shots[step*10/steps][0]++; !told {
+				if attempts[step*10/steps][0]++; !informed {
 					return
 				}
 				arrivals, works = append(arrivals, now), append(works, work)
 				for arrivals[0] <= now-overloadWindow {
 					arrivals, works = arrivals[1:], works[1:]
 				}
-				came := 0.0
+				total := 0.0
 				for _, w := range works {
-					came += w
+					total += w
 				}
 				bears := c.bearable * (1 + (1/c.initialShare-1)*float64(now-began)/float64(c.window))
-				full := came / (bears + 2*math.Sqrt(bears) + 2)
+				full := total / (bears + 2*math.Sqrt(bears) + 2)
 				sum.fullest, fell = max(sum.fullest, full), fell || full > 1
 			})
 		}
-		for i, s := range shots {
+		for i, s := range attempts {
 			sum.shares[i] += s[0] / max(1, s[1]) / float64(c.starts)
 		}
 		if fell {
 			sum.overloads++
 		}
-		asked(1, c.hotShare, now+5*overloadWindow, func(int, bool, float64) {})
+		sendUntil(1, c.hotShare, now+5*overloadWindow, func(int, bool, float64) {})
 	}
 	return sum
 }
@@ -259,8 +259,8 @@
 			work := []float64{10, 100}[i%10/9]
 			f.requests = append(f.requests[:0], &fakeRequest{idempotence: idempotences[0], deadline: f.now + 8000})
 			f.b.Request(f.now, 0, Request{Tenant: -1, Key: key(f.b, 0), Work: work, Deadline: f.now + 8000})
-			for n, shot := range f.requests[0].attempts {
-				if shot.server == 0 {
+			for n, attempt := range f.requests[0].attempts {
+				if attempt.server == 0 {
 					sent[work]++
 				}
 				f.attemptDone(0, n, Served)
