--- a/routing/admission.go
+++ b/routing/admission.go
@@ -20,6 +20,7 @@
 // nodes, its even share at each may be a few requests per minute.
 const minTenantBurst = 4.0 // requests
 
+// initTenants sets up the tenants of the configuration, each with a full share.
 func (b *Balancer) initTenants() {
 	for _, tenant := range b.config.Tenants {
 		rate := tenant.Quota / b.nodeCount
@@ -42,8 +43,8 @@
 		return b.spendQuota(r, quota)
 	}
 	var beyondCarried bool
-	r.overQuota, beyondCarried = b.spendShare(r.Tenant)
-	return !r.overQuota || b.draw() < b.admissionProbability(beyondCarried)
+	r.beyondEvenShare, beyondCarried = b.spendShare(r.Tenant)
+	return !r.beyondEvenShare || b.draw() < b.admissionProbability(beyondCarried)
 }
 
 // spendShare takes a request from its tenant's shares, and reports whether it
@@ -92,9 +93,9 @@
 }
 
 const (
-	// The admission level has this many ranges. In the top one, requests
-	// beyond the carried share are shed with growing probability as the level
-	// sinks; in the bottom one, all requests beyond the even share.
+	// admissionSteps divides the admission level into ranges of equal size.
+	// While it sinks through the top one, more and more requests beyond the
+	// carried share are shed; in the bottom one, all beyond the even share.
 	admissionSteps = 5.0
 
 	rejectionLoss = 0.1   // of the level, for a request inside its share that was rejected or late
@@ -102,7 +103,7 @@
 	successGain   = 0.005 // for one answered in time; at 5% of rejections the level sinks to 0
 )
 
-// admissionProbability gives the probability with which a request beyond its
+// admissionProbability returns the probability with which a request beyond its
 // tenant's even share is admitted. 1 and more admit all, 0 and less none.
 func (b *Balancer) admissionProbability(beyondCarried bool) float64 {
 	probability := admissionSteps * b.admissionLevel
@@ -116,7 +117,7 @@
 // where they suffer, requests beyond the shares are shed first.
 func (b *Balancer) adjustAdmissionLevel(r *requestState, inTime bool) {
 	switch {
-	case r.overQuota: // says nothing of those inside their shares
+	case r.beyondEvenShare: // says nothing of those inside their shares
 	case inTime:
 		b.admissionLevel = min(1, b.admissionLevel+successGain)
 	case b.now >= r.giveUpAt:
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -18,7 +18,7 @@
 	inFlightTargetShare = 0.25 // of the latency target that attempts at a cache may fill; the rest is for misses
 )
 
-// initialConcurrencyLimit gives one node's part of initialFleetLimit, from one
+// initialConcurrencyLimit returns one node's part of initialFleetLimit, from one
 // attempt to two.
 func initialConcurrencyLimit(nodeCount float64) float64 {
 	return max(1, min(minBusyInFlight, initialFleetLimit/nodeCount))
@@ -29,7 +29,7 @@
 	return s.inFlight >= b.roundRandomly(b.inFlightLimit(r, s))
 }
 
-// inFlightLimit gives the attempts that this node may have in flight at a
+// inFlightLimit returns the attempts that this node may have in flight at a
 // cache. By Little's law, measured rate × time fill a share of the latency
 // target; the square root is for random variation.
 func (b *Balancer) inFlightLimit(r *requestState, s *serverState) float64 {
@@ -57,10 +57,13 @@
 	}
 }
 
+// decreaseLimit takes a share of the limit away.
 func (s *serverState) decreaseLimit(share float64) {
 	s.concurrencyLimit = max(minConcurrencyLimit, s.concurrencyLimit*(1-share))
 }
 
+// increaseLimit adds one step, a larger one at an origin that is hardly
+// measured yet.
 func (s *serverState) increaseLimit() {
 	step := limitIncrease
 	if s.isOrigin && s.concurrencyLimit < maxUnmeasuredFetches {
--- a/routing/config.go
+++ b/routing/config.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// Idempotence says what a repeated request does at a server.
+// Idempotence says whether a request may have its effect more than once.
 type Idempotence int
 
 // The kinds of idempotence, the most cautious first.
 const (
-	Unsafe          Idempotence = iota // each repeat may take effect; also what is unknown
-	IdempotentByKey                    // servers drop a repeat of the same key within the deduplication window
+	Unsafe          Idempotence = iota // each attempt may take effect; also if unknown
+	IdempotentByKey                    // servers drop repeats of its idempotency key within Class.DedupWindow
 	Safe                               // a repeat has no further effect
 )
 
-// String gives the name as it stands in logs and test reports.
+// String returns the name for logs and test reports.
 func (i Idempotence) String() string {
 	switch i {
 	case Safe:
@@ -23,47 +23,49 @@
 	return "unsafe"
 }
 
-// NoOriginKind is the OriginKind of a deployment whose settings name none. Servers of an unknown model have this kind.
+// NoOriginKind is the OriginKind of a deployment whose settings name none. It is
+// also the Endpoint.Model of servers of an unknown model.
 const NoOriginKind = -1
 
-// Config is what a deployment's settings say to the decisions. DefaultConfig gives the values for what they leave out.
+// Config holds the settings of a deployment that decisions depend on.
+// DefaultConfig gives the values for those that are not set.
 type Config struct {
 	Nodes      int  // nodes that share the servers, this one included
 	CacheAside bool // caches are filled from an origin server
-	OriginKind int  // the Endpoint.Kind of origin servers
+	OriginKind int  // the Endpoint.Model of origins
 
-	MaxAttempts   int  // attempts of one request, the first included
+	MaxAttempts   int  // attempts per request, the first included
 	Hedging       bool // whether two attempts of a request may be in flight at once
-	MaxRetryAfter Time // longest Retry-After that clients heed; 0: they heed none
+	MaxRetryAfter Time // longest Retry-After that clients obey; 0: they obey none
 
 	SlowStartShare  float64 // share of its capacity that a server bears right after its start
 	SlowStartWindow Time    // from a server's start until it bears all of its capacity
-	OverloadFactor  float64 // a server in slow start falls when it gets this many times what it bears,
-	OverloadWindow  Time    // counted over this span
+	OverloadFactor  float64 // times what it bears, with which a server in slow start is overloaded,
+	OverloadWindow  Time    // counted over a window of this length
 
 	MaxPollInterval Time // longest time between two polls of the endpoint list that the deployment allows
-	PushedGrace     Time // how long after a pushed change of the endpoint list a request may still go by the old one
-	Tick            Time // the clock's step: what is late by two of them counts as in time
+	PushedGrace     Time // how long after a pushed change of the list a request may still follow the old one
+	Tick            Time // resolution of the deployment's clock
 
-	Classes []Class  // of requests, by Request.Class
-	Tenants []Tenant // by Request.Tenant
+	Classes []Class  // indexed by Request.Class
+	Tenants []Tenant // indexed by Request.Tenant
 }
 
-// Class is a class of requests. DefaultClass gives the values for what the settings leave out.
+// Class is a class of requests. DefaultClass gives the values for what is not set.
 type Class struct {
 	Idempotence   Idempotence
-	SharedDedup   bool    // all servers together drop repeats of a key, not each its own alone
-	DedupWindow   Time    // span in which servers drop repeats of a key
+	SharedDedup   bool    // servers drop repeats that another server has seen, too
+	DedupWindow   Time    // how long servers remember an idempotency key
 	LatencyTarget Time    // an answer within it has its full utility
-	LateUtility   float64 // share of the utility that an answer after the latency target still has
+	LateUtility   float64 // share of the utility that a later answer has
 }
 
 // Tenant is a customer whose requests have a share of the capacity.
 type Tenant struct {
-	Quota float64 // requests a second of all nodes together; +Inf: unlimited
+	Quota float64 // requests per second at all nodes together; +Inf: unlimited
 }
 
-// DefaultConfig gives the cautious values that hold where the settings are silent.
+// DefaultConfig returns the cautious values of settings that are not set.
 func DefaultConfig() Config {
 	return Config{
 		Nodes:           1,
@@ -78,12 +80,12 @@
 	}
 }
 
-// DefaultClass gives the values of a class that hold where the settings are silent.
+// DefaultClass returns the values of a class that are not set.
 func DefaultClass() Class {
 	return Class{LatencyTarget: 1000 * Millisecond}
 }
 
-// DefaultTenant gives the values of a tenant that hold where the settings are silent.
+// DefaultTenant returns the values of a tenant that are not set.
 func DefaultTenant() Tenant {
 	return Tenant{Quota: math.Inf(1)}
 }
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -11,13 +11,15 @@
 //	Request        startRequest, admit     admission.go
 //	               advance                 request.go: wait, send or give up
 //	                 mayAttempt            retry.go: is one more attempt allowed?
-//	                 pickCache             selection.go: a cache for the key,
-//	                   skipReason            and what speaks against each
-//	                 pickOrigin            origin.go
-//	               sendAttempt             Host.Send
+//	                 pickServer            selection.go
+//	                   pickCache             a cache for the key,
+//	                     skipReason          and what speaks against each
+//	                   pickOrigin          origin.go
+//	                 sendAttempt           Host.Send
+//	                 finish                retry.go: Host.Reject or Host.Fail
 //	AttemptDone    learnFromResult         result.go: what the result says of
 //	                                         the server
-//	               advance                 a retry, or Host.Reject or Host.Fail
+//	               advance                 the same for a retry
 //
 // Each rule has a file named after it, which holds its constants as well:
 // concurrency limits, slow start, outlier ejection, quotas, coalesced fetches,
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// findReady gives the index in ready of the first cache with an ID, or where
+// findReady returns the index in ready of the first cache with an ID, or where
 // it would be inserted.
 func (b *Balancer) findReady(id string) (index int, found bool) {
 	return slices.BinarySearchFunc(b.ready, id, func(server int, id string) int {
--- a/routing/fetch.go
+++ b/routing/fetch.go
@@ -36,7 +36,7 @@
 	b.host.SetAlarm(r.giveUpAt, firstRequestHandle+id)
 }
 
-// expireFetchWait gives a request up that has waited until its time was over.
+// expireFetchWait returns a request up that has waited until its time was over.
 func (b *Balancer) expireFetchWait(id int) {
 	if id < 0 || id >= len(b.requests) {
 		return
--- a/routing/host.go
+++ b/routing/host.go
@@ -10,9 +10,11 @@
 // second is the duration of one second.
 const second = 1000 * Millisecond
 
+// seconds converts a duration.
 func seconds(t Time) float64 { return float64(t) / float64(second) }
 
-// Host is what a Balancer can do. Its methods must not call the Balancer.
+// Host is what a Balancer can do. Its methods run inside an event and must not
+// report another one to the Balancer.
 //
 // Requests and servers are small indices that the caller assigns. The index of
 // a request may be used again once the request has ended and all its attempts
--- a/routing/idle.go
+++ b/routing/idle.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// originConnections gives how many connections to an origin stay open: as many
+// originConnections returns how many connections to an origin stay open: as many
 // as are in use in the mean by Little's law, the square root of that for
 // random variation, and one. All nodes share the origin and use it all the
 // time, so an idle timeout would never pass there.
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -10,7 +10,7 @@
 	}
 }
 
-// meanInFlight gives the mean number of this node's attempts in flight at a
+// meanInFlight returns the mean number of this node's attempts in flight at a
 // ready cache.
 func (b *Balancer) meanInFlight() float64 {
 	sum, n := float64(b.inFlight), float64(len(b.ready))
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -16,7 +16,7 @@
 	originLimitIncrease = 0.3 // attempts
 )
 
-// pickOrigin gives the origin that has capacity for a request and is likely to
+// pickOrigin returns the origin that has capacity for a request and is likely to
 // answer in time, or noServer.
 func (b *Balancer) pickOrigin(r *requestState) int {
 	if len(b.origins) == 0 {
@@ -37,13 +37,15 @@
 	return origin
 }
 
+// leastLoadedOrigin returns the origin with the fewest attempts of this node in
+// flight.
 func (b *Balancer) leastLoadedOrigin() int {
 	return slices.MinFunc(b.origins, func(x, y int) int {
 		return b.servers[x].inFlight - b.servers[y].inFlight
 	})
 }
 
-// originLimit gives the attempts that this node may have in flight at an
+// originLimit returns the attempts that this node may have in flight at an
 // origin for a request. Fetches are bounded by the shortest latency target of
 // all classes, lest patient requests delay urgent ones; writes have
 // precedence.
--- a/routing/partition.go
+++ b/routing/partition.go
@@ -43,6 +43,7 @@
 	}
 }
 
+// normalizeWeights applies weightScale to all bins.
 func (b *Balancer) normalizeWeights() {
 	for i := range b.binWeights {
 		b.binWeights[i] *= b.weightScale
@@ -50,6 +51,7 @@
 	b.weightScale = 1
 }
 
+// adaptIfDue adapts the histogram at its interval.
 func (b *Balancer) adaptIfDue() {
 	if b.now < b.adaptDue {
 		return
@@ -71,7 +73,7 @@
 	}
 }
 
-// demandDivergence gives the KL divergence of recent requests from the
+// demandDivergence returns the KL divergence of recent requests from the
 // histogram in nats, less twice what chance alone gives in the mean.
 func (b *Balancer) demandDivergence() float64 {
 	divergence := (1 - binGroups) / max(1, b.recentRequests)
@@ -85,7 +87,7 @@
 	return divergence
 }
 
-// groupWeight gives the weight of a group of bins in the histogram.
+// groupWeight returns the weight of a group of bins in the histogram.
 func (b *Balancer) groupWeight(group int) float64 {
 	weight := 0.0
 	for _, w := range b.binWeights[group*binCount/binGroups : (group+1)*binCount/binGroups] {
@@ -117,14 +119,14 @@
 	}
 }
 
-// shareOf gives the weight of the first count of n equal shares of a total.
+// shareOf returns the weight of the first count of n equal shares of a total.
 func shareOf(total float64, count, n int) float64 { return total * float64(count) / float64(n) }
 
 // invalidateRanges has the ranges computed anew for the next request. They are
 // not computed at once, since changes of the endpoint list come in bursts.
 func (b *Balancer) invalidateRanges() { b.rangeEnds = b.rangeEnds[:0] }
 
-// rangeOf gives the index in ready of the cache whose range holds a point.
+// rangeOf returns the index in ready of the cache whose range holds a point.
 func (b *Balancer) rangeOf(point float64) int {
 	if b.now >= b.rangesDue || len(b.rangeEnds) != len(b.ready) {
 		b.recomputeRanges()
--- a/routing/polling.go
+++ b/routing/polling.go
@@ -19,7 +19,7 @@
 	pushedGraceDivisor = 3
 )
 
-// maxPollWait gives the longest time between two polls for a configuration.
+// maxPollWait returns the longest time between two polls for a configuration.
 func maxPollWait(config Config) Time {
 	return max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/pushedGraceDivisor))
 }
@@ -41,6 +41,7 @@
 	b.host.SetAlarm(b.pollDue, pollAlarmHandle)
 }
 
+// randomPollDelay returns a random part of PollSpread.
 func (b *Balancer) randomPollDelay() Time { return Time(b.draw() * float64(PollSpread)) }
 
 // pollIfDue polls for the endpoint list, if the quota allows, and schedules
--- a/routing/random.go
+++ b/routing/random.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 )
 
-// draw gives the next number in [0, 1) of the node's own random sequence. The
+// draw returns the next number in [0, 1) of the node's own random sequence. The
 // sequence depends on the seed alone.
 func (b *Balancer) draw() float64 {
 	b.draws++
--- a/routing/request.go
+++ b/routing/request.go
@@ -11,14 +11,14 @@
 // requestState is a request and what has become of it so far.
 type requestState struct {
 	Request
-	active    bool    // a final answer is owed
-	keyHash   uint64  // 0: the request has no key
-	point     float64 // position of the key in [0, binCount)
-	arrivedAt Time
-	giveUpAt  Time    // from then on an answer has no value
-	work      float64 // in mean requests of the class
-	overQuota bool    // beyond the tenant's even share
-	missed    bool    // a cache had no value for the key
+	active          bool    // a final answer is owed
+	keyHash         uint64  // 0: the request has no key
+	point           float64 // position of the key in [0, binCount)
+	arrivedAt       Time
+	giveUpAt        Time    // from then on an answer has no value
+	work            float64 // in mean requests of the class
+	beyondEvenShare bool    // beyond the tenant's even share
+	missed          bool    // a cache had no value for the key
 
 	isFetch     bool // other requests for the key wait for its attempt at the origin
 	awaitsFetch bool // waits for the fetch of another request
@@ -43,6 +43,7 @@
 	hintedRequests float64 // requests with a Work
 }
 
+// initClasses sets up the classes of the configuration.
 func (b *Balancer) initClasses() {
 	for _, class := range b.config.Classes {
 		b.classes = append(b.classes, classState{Class: class})
@@ -75,7 +76,7 @@
 // a request is given up, so that its rejection still arrives in time.
 const earlyRejectionTicks = 2
 
-// giveUpTime gives the time from which an answer has no value: the latency
+// giveUpTime returns the time from which an answer has no value: the latency
 // target if a late answer has none and a retry is safe, else the deadline.
 func (b *Balancer) giveUpTime(in Request) Time {
 	class := &b.classes[in.Class]
@@ -176,7 +177,7 @@
 	}
 }
 
-// refundAttempt gives back the budgets that an attempt took which was never
+// refundAttempt returns back the budgets that an attempt took which was never
 // sent, unless its server has restarted since.
 func (b *Balancer) refundAttempt(r *requestState, number int, s *serverState) {
 	if s.StartedAt > r.attempts[number].startedAt {
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -37,7 +37,7 @@
 	return c.Idempotence == Safe || c.Idempotence == IdempotentByKey && c.SharedDedup
 }
 
-// firstPossibleRun gives the start of the first attempt that may have had an
+// firstPossibleRun returns the start of the first attempt that may have had an
 // effect, if there is one.
 func (r *requestState) firstPossibleRun() (at Time, found bool) {
 	for _, a := range r.attempts {
@@ -53,7 +53,7 @@
 	s.retryBudget = min(maxRetryBudget, s.retryBudget+retryBudgetPerAnswer)
 }
 
-// finish gives a request up: it is rejected if a retry is harmless, else it
+// finish returns a request up: it is rejected if a retry is harmless, else it
 // fails.
 func (b *Balancer) finish(id int) {
 	r := &b.requests[id]
@@ -71,7 +71,7 @@
 	retryAfterShare  = 0.1 // of the latency target; a client waits this long, and up to as long again at random
 )
 
-// retryAfter gives the advice for a rejected client: a short wait while an
+// retryAfter returns the advice for a rejected client: a short wait while an
 // answer can still be in time, else the longest that clients heed. If a quota
 // was exhausted, all nodes may lack it, so their clients are spread out.
 func (b *Balancer) retryAfter(r *requestState) Time {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -53,20 +53,18 @@
 		if b.skipReason(r, server) != notSkipped {
 			continue
 		}
-		if b.isFull(r, s) {
+		switch {
+		case b.isFull(r, s):
 			if origin := b.pickOrigin(r); origin != noServer {
 				return origin
 			}
 			if s.showsCongestion(mean) {
-				break
-			}
-		} else {
-			if !s.isBusy(mean) {
-				return server
-			}
-			if firstBusy == noServer {
-				firstBusy = server
+				return firstBusy
 			}
+		case !s.isBusy(mean):
+			return server
+		case firstBusy == noServer:
+			firstBusy = server
 		}
 		fallThroughs++
 	}
@@ -90,16 +88,16 @@
 type skipReason int
 
 const (
-	notSkipped skipReason = iota
-	skipAttempted
-	skipEjected
-	skipRetryBudget
-	skipSlowStart
-	skipSlowStartQuota
-	skipConcurrencyQuota
+	notSkipped           skipReason = iota
+	skipAttempted                   // the request had an attempt there
+	skipEjected                     // an outlier, and the request may not probe it
+	skipRetryBudget                 // a retry, and the server's budget for retries is spent
+	skipSlowStart                   // it bears no more during slow start
+	skipSlowStartQuota              // the fleet's quota for it in slow start or after an ejection is exhausted
+	skipConcurrencyQuota            // the fleet's quota of attempts in flight is exhausted
 )
 
-// skipReason gives the first reason to skip a ready cache.
+// skipReason returns the first reason to skip a ready cache.
 func (b *Balancer) skipReason(r *requestState, server int) skipReason {
 	s := b.servers[server]
 	if r.attempted(server) {
--- a/routing/server.go
+++ b/routing/server.go
@@ -32,7 +32,7 @@
 	concurrencyQuota *allowance.Limiter
 }
 
-// newServer gives the state of a server that has just been listed or has
+// newServer returns the state of a server that has just been listed or has
 // restarted.
 func (b *Balancer) newServer() *serverState {
 	return &serverState{
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -15,7 +15,7 @@
 	maxSlowStartWork = 2.0 // mean requests
 )
 
-// slowStartShare gives the share of its capacity that a server bears by now.
+// slowStartShare returns the share of its capacity that a server bears by now.
 func (b *Balancer) slowStartShare(s *serverState) float64 {
 	window := b.config.SlowStartWindow
 	age := b.now - s.StartedAt
@@ -26,9 +26,10 @@
 	return initial + (1-initial)*max(0, float64(age)/float64(max(1, window)))
 }
 
+// inSlowStart reports whether a server does not bear all of its capacity yet.
 func (b *Balancer) inSlowStart(s *serverState) bool { return b.slowStartShare(s) < 1 }
 
-// refillSlowStart gives the work that a server in slow start may be sent now,
+// refillSlowStart returns the work that a server in slow start may be sent now,
 // in mean requests. What is less than the request's work is rounded to all of
 // it or nothing at random: if nodes saved up whole attempts, many would send
 // theirs at once.
@@ -43,7 +44,7 @@
 	return s.slowStartTokens
 }
 
-// slowStartRate gives the mean requests per second that this node may send a
+// slowStartRate returns the mean requests per second that this node may send a
 // server in slow start, and how many it may save up. The node's part of the
 // capacity is what it sees a warm cache answer, or its even share of one
 // request in the shortest latency target, which any cache bears.
