--- a/internal/simwire/node.go
+++ b/internal/simwire/node.go
@@ -12,29 +12,29 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// node is one instance: it maps the wire's ids to small indices, and is the module's Host.
-type node struct {
-	balancer *routing.Balancer
-	terms    *config.Settings
-	out      *orders
-	servers  map[string]int
-	names    []string
-	boxes    []routing.Endpoint
-	index    map[string]int // tickets of lookups that are not yet forgotten
-	tickets  []ticket
-	free     []int
-	asking   bool // a call for the list is out
-}
-
-type ticket struct {
-	id          string
-	shots, out  int
-	over, freed bool
-}
-
-// newNode reads the settings. What is missing or of another form is left out: the module then falls back
+// instance is one instance: it maps the wire's ids to small indices, and is the module's Host.
+type instance struct {
+	balancer       *routing.Balancer
+	settings       *config.Settings
+	orders         *orderWriter
+	serverIndexes  map[string]int
+	serverIDs      []string
+	endpoints      []routing.Endpoint
+	requestIndexes map[string]int // tickets of lookups that are not yet forgotten
+	requests       []request
+	freeRequests   []int
+	subscribing    bool // a call for the list is out
+}
+
+type request struct {
+	id                 string
+	attempts, inFlight int
+	ended, released    bool
+}
+
+// newInstance reads the settings. What is missing or of another form is left out: the module then falls back
 // to its cautious default, and the complaint goes to the log.
-func newNode(info []byte) (*node, error) {
+func newInstance(info []byte) (*instance, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(info, &settings); err != nil {
 		return nil, fmt.Errorf("its settings can't be read: %w", err)
@@ -43,213 +43,213 @@
 	if err != nil {
 		log.Printf("the settings are taken without what is at fault: %v", err)
 	}
-	return &node{terms: t, servers: map[string]int{}, index: map[string]int{}}, nil
+	return &instance{settings: t, serverIndexes: map[string]int{}, requestIndexes: map[string]int{}}, nil
 }
 
-func (n *node) ingress(f *fields, now routing.Time) error {
-	if _, known := n.index[f.ticket]; known || f.ticket == "" {
-		return fmt.Errorf("ticket %q is missing or came before", f.ticket)
+func (n *instance) startRequest(f *message, now routing.Time) error {
+	if _, known := n.requestIndexes[f.requestID]; known || f.requestID == "" {
+		return fmt.Errorf("ticket %q is missing or came before", f.requestID)
 	}
-	ns, ok := n.terms.Classes[f.namespace]
+	ns, ok := n.settings.Classes[f.class]
 	if !ok {
-		return fmt.Errorf("namespace %q is unknown", f.namespace)
+		return fmt.Errorf("namespace %q is unknown", f.class)
 	}
-	partner, ok := n.terms.Tenants[f.account]
+	partner, ok := n.settings.Tenants[f.tenant]
 	if !ok {
 		partner = -1
 	}
-	lkp := len(n.tickets)
-	if last := len(n.free) - 1; last >= 0 {
-		lkp, n.free = n.free[last], n.free[:last]
+	lkp := len(n.requests)
+	if last := len(n.freeRequests) - 1; last >= 0 {
+		lkp, n.freeRequests = n.freeRequests[last], n.freeRequests[:last]
 	} else {
-		n.tickets = append(n.tickets, ticket{})
+		n.requests = append(n.requests, request{})
 	}
-	id := strings.Clone(f.ticket)
-	n.tickets[lkp] = ticket{id: id}
-	n.index[id] = lkp
+	id := strings.Clone(f.requestID)
+	n.requests[lkp] = request{id: id}
+	n.requestIndexes[id] = lkp
 	n.balancer.Request(now, lkp, routing.Request{Class: ns, Tenant: partner, Key: f.key,
-		Deadline: config.Ticks(f.expires), Work: f.hint, Write: f.write})
+		Deadline: config.Ticks(f.deadlineMillis), Work: f.workMillis, Write: f.write})
 	return nil
 }
 
-func (n *node) settled(f *fields, now routing.Time) error {
-	lkp, ok := n.index[f.ticket]
+func (n *instance) attemptDone(f *message, now routing.Time) error {
+	lkp, ok := n.requestIndexes[f.requestID]
 	if !ok {
-		return fmt.Errorf("lookup %q is unknown", f.ticket)
+		return fmt.Errorf("lookup %q is unknown", f.requestID)
 	}
-	code, ok := codes[f.code]
+	code, ok := results[f.result]
 	if !ok {
-		return fmt.Errorf("code %q is unknown", f.code)
+		return fmt.Errorf("code %q is unknown", f.result)
 	}
-	t := &n.tickets[lkp]
-	if f.number < 0 || f.number >= t.shots {
-		return fmt.Errorf("lookup %q had no shot %d", f.ticket, f.number)
+	t := &n.requests[lkp]
+	if f.attempt < 0 || f.attempt >= t.attempts {
+		return fmt.Errorf("lookup %q had no shot %d", f.requestID, f.attempt)
 	}
-	t.out--
-	n.balancer.AttemptDone(now, lkp, f.number, code, f.ended)
+	t.inFlight--
+	n.balancer.AttemptDone(now, lkp, f.attempt, code, f.ended)
 	if f.ended {
-		n.over(lkp)
+		n.endRequest(lkp)
 	}
-	n.forget(lkp)
+	n.releaseRequest(lkp)
 	return nil
 }
 
-func (n *node) list(f *fields, now routing.Time) error {
-	how, ok := listKinds[f.how]
+func (n *instance) updateEndpoints(f *message, now routing.Time) error {
+	how, ok := updateKinds[f.update]
 	if !ok {
-		return fmt.Errorf("list kind %q is unknown", f.how)
+		return fmt.Errorf("list kind %q is unknown", f.update)
 	}
-	n.asking = n.asking && how == routing.Cached
-	n.boxes = n.boxes[:0]
-	for _, e := range f.boxes {
+	n.subscribing = n.subscribing && how == routing.Cached
+	n.endpoints = n.endpoints[:0]
+	for _, e := range f.endpoints {
 		state, ok := states[e.state]
 		if !ok {
-			return fmt.Errorf("state %q of %s is unknown", e.state, e.server)
+			return fmt.Errorf("state %q of %s is unknown", e.state, e.id)
 		}
-		i, ok := n.servers[e.server]
+		i, ok := n.serverIndexes[e.id]
 		if !ok {
-			i = len(n.names)
-			n.servers[e.server] = i
-			n.names = append(n.names, e.server)
+			i = len(n.serverIDs)
+			n.serverIndexes[e.id] = i
+			n.serverIDs = append(n.serverIDs, e.id)
 		}
-		kind, ok := n.terms.Models[e.machine]
+		kind, ok := n.settings.Models[e.model]
 		if !ok {
 			kind = -1
 		}
-		n.boxes = append(n.boxes, routing.Endpoint{Server: i, ID: e.server, Model: kind, State: state,
-			StartedAt: config.Ticks(e.since)})
+		n.endpoints = append(n.endpoints, routing.Endpoint{Server: i, ID: e.id, Model: kind, State: state,
+			StartedAt: config.Ticks(e.startedAtMillis)})
 	}
-	n.balancer.UpdateEndpoints(now, how, n.boxes)
+	n.balancer.UpdateEndpoints(now, how, n.endpoints)
 	return nil
 }
 
-// over marks a lookup as ended.
-func (n *node) over(lkp int) {
-	n.tickets[lkp].over = true
-	n.forget(lkp)
+// endRequest marks a lookup as ended.
+func (n *instance) endRequest(lkp int) {
+	n.requests[lkp].ended = true
+	n.releaseRequest(lkp)
 }
 
-// forget frees a lookup's index once it has ended and all its shots have settled.
-func (n *node) forget(lkp int) {
-	t := &n.tickets[lkp]
-	if t.over && t.out == 0 && !t.freed {
-		t.freed = true
-		delete(n.index, t.id)
-		n.free = append(n.free, lkp)
+// releaseRequest frees a lookup's index once it has ended and all its shots have settled.
+func (n *instance) releaseRequest(lkp int) {
+	t := &n.requests[lkp]
+	if t.ended && t.inFlight == 0 && !t.released {
+		t.released = true
+		delete(n.requestIndexes, t.id)
+		n.freeRequests = append(n.freeRequests, lkp)
 	}
 }
 
 // Send is the module's; so are the other exported methods.
-func (n *node) Send(lkp, server int, timeout routing.Time) {
-	t := &n.tickets[lkp]
-	t.shots++
-	t.out++
-	n.out.begin("transmit")
-	n.out.text("ticket", t.id)
-	n.out.text("server", n.names[server])
-	n.out.millis("timeout-ms", timeout)
-	n.out.end()
+func (n *instance) Send(lkp, server int, timeout routing.Time) {
+	t := &n.requests[lkp]
+	t.attempts++
+	t.inFlight++
+	n.orders.begin("transmit")
+	n.orders.text("ticket", t.id)
+	n.orders.text("server", n.serverIDs[server])
+	n.orders.millis("timeout-ms", timeout)
+	n.orders.end()
 }
 
 // Reject turns a lookup away.
-func (n *node) Reject(lkp int, retryAfter routing.Time) {
-	n.out.begin("overload-reply")
-	n.out.text("ticket", n.tickets[lkp].id)
-	n.out.millis("retry-after-ms", retryAfter)
-	n.out.end()
-	n.over(lkp)
+func (n *instance) Reject(lkp int, retryAfter routing.Time) {
+	n.orders.begin("overload-reply")
+	n.orders.text("ticket", n.requests[lkp].id)
+	n.orders.millis("retry-after-ms", retryAfter)
+	n.orders.end()
+	n.endRequest(lkp)
 }
 
 // Fail gives a lookup up.
-func (n *node) Fail(lkp int) {
-	n.out.begin("lose")
-	n.out.text("ticket", n.tickets[lkp].id)
-	n.out.end()
-	n.over(lkp)
+func (n *instance) Fail(lkp int) {
+	n.orders.begin("lose")
+	n.orders.text("ticket", n.requests[lkp].id)
+	n.orders.end()
+	n.endRequest(lkp)
 }
 
 // Subscribe asks for the list and its changes. The wire has one call at a time: a second would take the first one's place
 // in the service's line.
-func (n *node) Subscribe() {
-	if n.asking {
+func (n *instance) Subscribe() {
+	if n.subscribing {
 		return
 	}
-	n.asking = true
-	n.out.begin("observe")
-	n.out.w.RawString(`,"on":true`)
-	n.out.end()
+	n.subscribing = true
+	n.orders.begin("observe")
+	n.orders.w.RawString(`,"on":true`)
+	n.orders.end()
 }
 
 // CloseIdle closes idle connections; the wire has no words for some of them.
-func (n *node) CloseIdle(server, but int) {
+func (n *instance) CloseIdle(server, but int) {
 	if but > 0 {
 		return
 	}
-	n.out.begin("hang-up")
-	n.out.text("server", n.names[server])
-	n.out.end()
+	n.orders.begin("hang-up")
+	n.orders.text("server", n.serverIDs[server])
+	n.orders.end()
 }
 
 // SetAlarm asks for an alarm.
-func (n *node) SetAlarm(at routing.Time, handle int) {
-	n.out.begin("remind")
-	n.out.millis("due-at-ms", at)
-	n.out.number("handle", handle)
-	n.out.end()
+func (n *instance) SetAlarm(at routing.Time, handle int) {
+	n.orders.begin("remind")
+	n.orders.millis("due-at-ms", at)
+	n.orders.number("handle", handle)
+	n.orders.end()
 }
 
-// orders writes one instance's orders into the reply; its part is opened by the first of them.
-type orders struct {
-	w     *jwriter.Writer
-	node  string
-	comma bool
-	open  bool
+// orderWriter writes one instance's orders into the reply; its part is opened by the first of them.
+type orderWriter struct {
+	w           *jwriter.Writer
+	instance    string
+	partWritten bool
+	partOpen    bool
 }
 
-func (o *orders) begin(what string) {
-	if o.open {
+func (o *orderWriter) begin(what string) {
+	if o.partOpen {
 		o.w.RawByte(',')
 	} else {
-		if o.comma {
+		if o.partWritten {
 			o.w.RawByte(',')
 		}
 		o.w.RawString(`{"node":`)
-		o.w.String(o.node)
+		o.w.String(o.instance)
 		o.w.RawString(`,"orders":[`)
-		o.open, o.comma = true, true
+		o.partOpen, o.partWritten = true, true
 	}
 	o.w.RawString(`{"what":"`)
 	o.w.RawString(what)
 	o.w.RawByte('"')
 }
 
-func (o *orders) field(name string) {
+func (o *orderWriter) field(name string) {
 	o.w.RawString(`,"`)
 	o.w.RawString(name)
 	o.w.RawString(`":`)
 }
 
-func (o *orders) text(name, value string) {
+func (o *orderWriter) text(name, value string) {
 	o.field(name)
 	o.w.String(value)
 }
 
-func (o *orders) number(name string, value int) {
+func (o *orderWriter) number(name string, value int) {
 	o.field(name)
 	o.w.Int(value)
 }
 
-func (o *orders) millis(name string, t routing.Time) {
+func (o *orderWriter) millis(name string, t routing.Time) {
 	o.field(name)
 	o.w.Float64(float64(t) / 10)
 }
 
-func (o *orders) end() { o.w.RawByte('}') }
+func (o *orderWriter) end() { o.w.RawByte('}') }
 
 // close ends the part, and tells whether any part has been written by now.
-func (o *orders) close() bool {
-	if o.open {
+func (o *orderWriter) close() bool {
+	if o.partOpen {
 		o.w.RawString(`]}`)
 	}
-	return o.comma
+	return o.partWritten
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -21,15 +21,15 @@
 func Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
-	h := &hub{nodes: map[string]*node{}}
+	h := &session{instances: map[string]*instance{}}
 	for {
 		line, err := readLine(r, h.line[:0])
 		h.line = line
 		if len(bytes.TrimSpace(line)) > 0 {
-			if err := h.batch(line); err != nil {
+			if err := h.handleBatch(line); err != nil {
 				return fmt.Errorf("this line is no batch: %w", err)
 			}
-			if _, err := h.out.DumpTo(w); err != nil {
+			if _, err := h.reply.DumpTo(w); err != nil {
 				return err
 			}
 			w.WriteByte('\n')
@@ -57,34 +57,34 @@
 	}
 }
 
-// hub hosts the instances of one process; they share nothing but its buffers.
-type hub struct {
-	nodes map[string]*node
-	line  []byte
-	now   float64
-	out   jwriter.Writer
-	msg   fields
+// session hosts the instances of one process; they share nothing but its buffers.
+type session struct {
+	instances map[string]*instance
+	line      []byte
+	nowMillis float64
+	reply     jwriter.Writer
+	message   message
 }
 
-// fields holds what one message said, whatever its kind; it is used again for the next one.
-type fields struct {
-	what, ticket, namespace, account, key, server, code, how string
-	number, handle                                           int
-	seed                                                     uint64
-	expires, hint                                            float64
-	ended, write                                             bool
-	info                                                     []byte
-	boxes                                                    []entry
+// message holds what one message said, whatever its kind; it is used again for the next one.
+type message struct {
+	kind, requestID, class, tenant, key, server, result, update string
+	attempt, alarm                                              int
+	seed                                                        uint64
+	deadlineMillis, workMillis                                  float64
+	ended, write                                                bool
+	settings                                                    []byte
+	endpoints                                                   []endpoint
 }
 
-// entry is one line of the box list before its names have become indices.
-type entry struct {
-	state, server, machine string
-	since                  float64
+// endpoint is one line of the box list before its names have become indices.
+type endpoint struct {
+	state, id, model string
+	startedAtMillis  float64
 }
 
-// batch answers one line into h.out.
-func (h *hub) batch(line []byte) error {
+// handleBatch answers one line into h.out.
+func (h *session) handleBatch(line []byte) error {
 	if first := bytes.TrimSpace(line); first[0] != '{' {
 		return errors.New("not a JSON object")
 	}
@@ -96,7 +96,7 @@
 		scan.WantColon()
 		switch name {
 		case "now-ms":
-			h.now, hasNow = scan.Float64(), true
+			h.nowMillis, hasNow = scan.Float64(), true
 		case "batch":
 			number = scan.Int()
 		case "parts":
@@ -114,9 +114,9 @@
 	if !hasNow || !hasParts {
 		return errors.New("it has no clock or no parts")
 	}
-	h.out.RawString(`{"batch":`)
-	h.out.Int(number)
-	h.out.RawString(`,"parts":[`)
+	h.reply.RawString(`{"batch":`)
+	h.reply.Int(number)
+	h.reply.RawString(`,"parts":[`)
 	in := jlexer.Lexer{Data: line}
 	comma := false
 	for in.Delim('{'); !in.IsDelim('}'); in.WantComma() {
@@ -127,16 +127,16 @@
 			continue
 		}
 		for in.Delim('['); !in.IsDelim(']'); in.WantComma() {
-			comma = h.part(&in, comma)
+			comma = h.handlePart(&in, comma)
 		}
 		in.Delim(']')
 	}
-	h.out.RawString(`]}`)
+	h.reply.RawString(`]}`)
 	return in.Error()
 }
 
-// part plays one instance's messages and writes its orders, if there are any.
-func (h *hub) part(in *jlexer.Lexer, comma bool) bool {
+// handlePart plays one instance's messages and writes its orders, if there are any.
+func (h *session) handlePart(in *jlexer.Lexer, comma bool) bool {
 	name, msgs := "", []byte(nil)
 	for in.Delim('{'); !in.IsDelim('}'); in.WantComma() {
 		field := in.UnsafeFieldName(false)
@@ -154,15 +154,15 @@
 	if in.Error() != nil || msgs == nil {
 		return comma
 	}
-	orders := orders{w: &h.out, node: name, comma: comma}
+	orders := orderWriter{w: &h.reply, instance: name, partWritten: comma}
 	list := jlexer.Lexer{Data: msgs}
 	for list.Delim('['); !list.IsDelim(']'); list.WantComma() {
-		h.msg.read(&list)
+		h.message.read(&list)
 		if list.Error() != nil {
 			break
 		}
-		if err := h.play(name, &orders); err != nil {
-			log.Printf("%s: %s: %v", name, h.msg.what, err)
+		if err := h.handleMessage(name, &orders); err != nil {
+			log.Printf("%s: %s: %v", name, h.message.kind, err)
 		}
 	}
 	if err := list.Error(); err != nil {
@@ -172,8 +172,8 @@
 }
 
 // read takes one message apart; what it does not know it passes over.
-func (f *fields) read(in *jlexer.Lexer) {
-	*f = fields{boxes: f.boxes[:0]}
+func (f *message) read(in *jlexer.Lexer) {
+	*f = message{endpoints: f.endpoints[:0]}
 	if in.IsNull() {
 		in.Skip()
 		return
@@ -188,42 +188,42 @@
 		}
 		switch name {
 		case "what":
-			f.what = in.UnsafeString()
+			f.kind = in.UnsafeString()
 		case "ticket":
-			f.ticket = in.UnsafeString()
+			f.requestID = in.UnsafeString()
 		case "tier-class":
-			f.namespace = in.UnsafeString()
+			f.class = in.UnsafeString()
 		case "account":
 			if account, ok := in.Interface().(string); ok {
-				f.account = account
+				f.tenant = account
 			}
 		case "route-key":
 			f.key = in.UnsafeString()
 		case "server":
 			f.server = in.UnsafeString()
 		case "state-code":
-			f.code = in.UnsafeString()
+			f.result = in.UnsafeString()
 		case "how":
-			f.how = in.UnsafeString()
+			f.update = in.UnsafeString()
 		case "try":
-			f.number = in.Int()
+			f.attempt = in.Int()
 		case "handle":
-			f.handle = in.Int()
+			f.alarm = in.Int()
 		case "prng":
 			f.seed = in.Uint64()
 		case "expires-ms":
-			f.expires = in.Float64()
+			f.deadlineMillis = in.Float64()
 		case "size-hint-ms":
-			f.hint = in.Float64()
+			f.workMillis = in.Float64()
 		case "ended":
 			f.ended = in.Bool()
 		case "is-write":
 			f.write = in.Bool()
 		case "info":
-			f.info = in.Raw()
+			f.settings = in.Raw()
 		case "entries":
 			for in.Delim('['); !in.IsDelim(']'); in.WantComma() {
-				f.boxes = append(f.boxes, readEntry(in))
+				f.endpoints = append(f.endpoints, readEndpoint(in))
 			}
 			in.Delim(']')
 		default:
@@ -233,7 +233,7 @@
 	in.Delim('}')
 }
 
-func readEntry(in *jlexer.Lexer) (e entry) {
+func readEndpoint(in *jlexer.Lexer) (e endpoint) {
 	for in.Delim('{'); !in.IsDelim('}'); in.WantComma() {
 		name := in.UnsafeFieldName(false)
 		in.WantColon()
@@ -241,11 +241,11 @@
 		case "state":
 			e.state = in.UnsafeString()
 		case "server":
-			e.server = in.String()
+			e.id = in.String()
 		case "machine":
-			e.machine = in.String()
+			e.model = in.String()
 		case "ready-at-ms":
-			e.since = in.Float64()
+			e.startedAtMillis = in.Float64()
 		default:
 			in.SkipRecursive()
 		}
@@ -254,12 +254,12 @@
 	return e
 }
 
-var codes = map[string]routing.Result{
+var results = map[string]routing.Result{
 	"S": routing.Served, "E": routing.ServerError, "F": routing.Rejected, "T": routing.TimedOut, "C": routing.ConnectFailed,
 	"R": routing.ConnectionBroken, "X": routing.Canceled, "N": routing.NotSent, "M": routing.NotFound,
 }
 
-var listKinds = map[string]routing.UpdateKind{
+var updateKinds = map[string]routing.UpdateKind{
 	"Partial": routing.Incremental, "Complete": routing.Full, "Persisted": routing.Cached, "Error": routing.Failed,
 }
 
@@ -267,8 +267,8 @@
 	"healthy": routing.Ready, "cordoned": routing.Draining, "deregistered": routing.Gone,
 }
 
-// play turns the message at hand into a call. A panic below is told on the wire.
-func (h *hub) play(name string, out *orders) (err error) {
+// handleMessage turns the message at hand into a call. A panic below is told on the wire.
+func (h *session) handleMessage(name string, out *orderWriter) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			out.begin("internal-error")
@@ -276,38 +276,38 @@
 			out.end()
 		}
 	}()
-	f, now := &h.msg, config.Ticks(h.now)
-	if f.what == "create" {
-		n, err := newNode(f.info)
+	f, now := &h.message, config.Ticks(h.nowMillis)
+	if f.kind == "create" {
+		n, err := newInstance(f.settings)
 		if err != nil {
 			return err
 		}
-		h.nodes[name] = n
-		n.out = out
-		n.balancer = routing.New(n, f.seed, now, n.terms.Routing)
+		h.instances[name] = n
+		n.orders = out
+		n.balancer = routing.New(n, f.seed, now, n.settings.Routing)
 		return nil
 	}
-	n := h.nodes[name]
+	n := h.instances[name]
 	if n == nil {
 		return errors.New("there is no such instance")
 	}
-	n.out = out
-	switch f.what {
+	n.orders = out
+	switch f.kind {
 	case "ingress":
-		return n.ingress(f, now)
+		return n.startRequest(f, now)
 	case "settled":
-		return n.settled(f, now)
+		return n.attemptDone(f, now)
 	case "started", "client-left": // an answer that streams is the server's and the client's from here on
-		if lkp, ok := n.index[f.ticket]; ok {
+		if lkp, ok := n.requestIndexes[f.requestID]; ok {
 			n.balancer.ClientGone(now, lkp)
-			n.over(lkp)
+			n.endRequest(lkp)
 		}
 	case "alarm":
-		n.balancer.Alarm(now, f.handle)
+		n.balancer.Alarm(now, f.alarm)
 	case "peers-known":
-		return n.list(f, now)
+		return n.updateEndpoints(f, now)
 	case "power-off":
-		delete(h.nodes, name)
+		delete(h.instances, name)
 	case "sampled", "note-from":
 		// The module neither probes nor talks to peers, so these tell it nothing.
 	default:
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -79,12 +79,12 @@
 
 // A connect that fails gives back what has idled; nothing has here, so the order itself is looked at.
 func TestHangUpIsOrdered(t *testing.T) {
-	h := &hub{}
-	n := &node{names: []string{"10.0.0.1:1", "10.0.0.2:1"}, out: &orders{w: &h.out, node: "node_0"}}
+	h := &session{}
+	n := &instance{serverIDs: []string{"10.0.0.1:1", "10.0.0.2:1"}, orders: &orderWriter{w: &h.reply, instance: "node_0"}}
 	n.CloseIdle(1, 0)
 	n.CloseIdle(0, 1) // the wire has no words for this
-	n.out.close()
-	if text, _ := h.out.BuildBytes(); string(text) != `{"node":"node_0","orders":[{"what":"hang-up","server":"10.0.0.2:1"}]}` {
+	n.orders.close()
+	if text, _ := h.reply.BuildBytes(); string(text) != `{"node":"node_0","orders":[{"what":"hang-up","server":"10.0.0.2:1"}]}` {
 		t.Errorf("told %s", text)
 	}
 }
@@ -99,11 +99,11 @@
 
 // A panic of one instance is told on the wire, with its text.
 func TestPanicIsTold(t *testing.T) {
-	broken := &node{index: map[string]int{"t": 0}}
-	h := &hub{nodes: map[string]*node{"node_0": broken}, msg: fields{what: "started", ticket: "t"}}
-	out := &orders{w: &h.out, node: "node_0"}
-	err := h.play("node_0", out)
-	if text, _ := h.out.BuildBytes(); err != nil || !strings.Contains(string(text), `"what":"internal-error","text":"runtime error`) {
+	broken := &instance{requestIndexes: map[string]int{"t": 0}}
+	h := &session{instances: map[string]*instance{"node_0": broken}, message: message{kind: "started", requestID: "t"}}
+	out := &orderWriter{w: &h.reply, instance: "node_0"}
+	err := h.handleMessage("node_0", out)
+	if text, _ := h.reply.BuildBytes(); err != nil || !strings.Contains(string(text), `"what":"internal-error","text":"runtime error`) {
 		t.Errorf("told %s", text)
 	}
 }
