--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs balancer instances on the simulator's wire: batches on standard input, one
-// reply a line on standard output, plain messages on standard error.
+// Command simhost runs balancer instances for the simulator. It reads batches
+// of events from standard input, writes one line for each reply to standard
+// output, and logs to standard error.
 package main
 
 import (
@@ -10,8 +11,9 @@
 	"github.com/thistlerudder/thistlerudder/internal/simwire"
 )
 
-// gcPercent trades memory, of which a node has plenty, for CPU, which is charged.
-const gcPercent = 800
+// gcPercent is the growth of the heap between two garbage collections. The
+// simulator charges for CPU time, and memory is plentiful.
+const gcPercent = 800 // percent
 
 func main() {
 	log.SetFlags(0)
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -1,13 +1,9 @@
-// Package simwire speaks the simulator's wire, lagoon-8246: it decodes events into calls of the decision
-// module and encodes the module's Host calls into orders. The wire's own names end here.
 package simwire
 
 import (
-	"bufio"
 	"bytes"
 	"errors"
 	"fmt"
-	"io"
 	"log"
 
 	"github.com/mailru/easyjson/jlexer"
@@ -17,152 +13,111 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Serve answers every batch read from in with one reply line on out, until the input ends.
-func Serve(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<20)
-	h := &session{instances: map[string]*instance{}}
-	for {
-		line, err := readLine(r, h.line[:0])
-		h.line = line
-		if len(bytes.TrimSpace(line)) > 0 {
-			if err := h.handleBatch(line); err != nil {
-				return fmt.Errorf("this line is no batch: %w", err)
-			}
-			if _, err := h.reply.DumpTo(w); err != nil {
-				return err
-			}
-			w.WriteByte('\n')
-			if err := w.Flush(); err != nil {
-				return err
-			}
-		}
-		if errors.Is(err, io.EOF) {
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-	}
-}
-
-// readLine appends one line, however long, to buf.
-func readLine(r *bufio.Reader, buf []byte) ([]byte, error) {
-	for {
-		part, err := r.ReadSlice('\n')
-		buf = append(buf, part...)
-		if !errors.Is(err, bufio.ErrBufferFull) {
-			return buf, err
-		}
-	}
-}
-
-// session hosts the instances of one process; they share nothing but its buffers.
+// session hosts the instances of one process. They share nothing but its
+// buffers.
 type session struct {
-	instances map[string]*instance
-	line      []byte
+	instances map[string]*instance // by the wire's name
 	nowMillis float64
 	reply     jwriter.Writer
-	message   message
+	message   message // the one at hand, reused for the next
 }
 
-// message holds what one message said, whatever its kind; it is used again for the next one.
-type message struct {
-	kind, requestID, class, tenant, key, server, result, update string
-	attempt, alarm                                              int
-	seed                                                        uint64
-	deadlineMillis, workMillis                                  float64
-	ended, write                                                bool
-	settings                                                    []byte
-	endpoints                                                   []endpoint
+func newSession() *session { return &session{instances: map[string]*instance{}} }
+
+// header is what a batch holds beside its parts.
+type header struct {
+	number           int
+	nowMillis        float64
+	hasNow, hasParts bool // whether it has a clock, and parts
 }
 
-// endpoint is one line of the box list before its names have become indices.
-type endpoint struct {
-	state, id, model string
-	startedAtMillis  float64
+// handleBatch writes the reply to one batch into s.reply.
+func (s *session) handleBatch(line []byte) error {
+	// The clock may follow the parts, so the header is read first.
+	h, err := readHeader(line)
+	if err != nil {
+		return err
+	}
+	s.nowMillis = h.nowMillis
+	s.reply.RawString(`{"batch":`)
+	s.reply.Int(h.number)
+	s.reply.RawString(`,"parts":[`)
+	if err := s.handleParts(line); err != nil {
+		return err
+	}
+	s.reply.RawString(`]}`)
+	return nil
 }
 
-// handleBatch answers one line into h.out.
-func (h *session) handleBatch(line []byte) error {
-	if first := bytes.TrimSpace(line); first[0] != '{' {
-		return errors.New("not a JSON object")
+// readHeader reads a batch without its parts.
+func readHeader(line []byte) (h header, err error) {
+	if bytes.TrimSpace(line)[0] != '{' {
+		return h, errors.New("not a JSON object")
 	}
-	// The clock stands before the parts on the wire; a line that has them the other way is read twice.
-	number, hasNow, hasParts := 0, false, false
-	scan := jlexer.Lexer{Data: line}
-	for scan.Delim('{'); !scan.IsDelim('}'); scan.WantComma() {
-		name := scan.UnsafeFieldName(false)
-		scan.WantColon()
+	in := jlexer.Lexer{Data: line}
+	eachField(&in, func(name string) {
 		switch name {
 		case "now-ms":
-			h.nowMillis, hasNow = scan.Float64(), true
+			h.nowMillis, h.hasNow = in.Float64(), true
 		case "batch":
-			number = scan.Int()
+			h.number = in.Int()
 		case "parts":
-			hasParts = true
-			scan.SkipRecursive()
+			h.hasParts = true
+			in.SkipRecursive()
 		default:
-			scan.SkipRecursive()
+			in.SkipRecursive()
 		}
+	})
+	in.Consumed()
+	if err := in.Error(); err != nil {
+		return h, err
 	}
-	scan.Delim('}')
-	scan.Consumed()
-	if err := scan.Error(); err != nil {
-		return err
-	}
-	if !hasNow || !hasParts {
-		return errors.New("it has no clock or no parts")
+	if !h.hasNow || !h.hasParts {
+		return h, errors.New("now-ms or parts is missing")
 	}
-	h.reply.RawString(`{"batch":`)
-	h.reply.Int(number)
-	h.reply.RawString(`,"parts":[`)
+	return h, nil
+}
+
+// handleParts handles the parts of a batch, one for each instance with events.
+func (s *session) handleParts(line []byte) error {
 	in := jlexer.Lexer{Data: line}
-	comma := false
-	for in.Delim('{'); !in.IsDelim('}'); in.WantComma() {
-		name := in.UnsafeFieldName(false)
-		in.WantColon()
+	partWritten := false
+	eachField(&in, func(name string) {
 		if name != "parts" {
 			in.SkipRecursive()
-			continue
+			return
 		}
-		for in.Delim('['); !in.IsDelim(']'); in.WantComma() {
-			comma = h.handlePart(&in, comma)
-		}
-		in.Delim(']')
-	}
-	h.reply.RawString(`]}`)
+		eachElement(&in, func() { partWritten = s.handlePart(&in, partWritten) })
+	})
 	return in.Error()
 }
 
-// handlePart plays one instance's messages and writes its orders, if there are any.
-func (h *session) handlePart(in *jlexer.Lexer, comma bool) bool {
-	name, msgs := "", []byte(nil)
-	for in.Delim('{'); !in.IsDelim('}'); in.WantComma() {
-		field := in.UnsafeFieldName(false)
-		in.WantColon()
+// handlePart handles the messages to one instance and writes its orders, if
+// there are any. It reports whether a part of the reply was written by now.
+func (s *session) handlePart(in *jlexer.Lexer, partWritten bool) bool {
+	name, messages := "", []byte(nil)
+	eachField(in, func(field string) {
 		switch field {
 		case "node":
 			name = in.String()
 		case "msgs":
-			msgs = in.Raw()
+			messages = in.Raw()
 		default:
 			in.SkipRecursive()
 		}
+	})
+	if in.Error() != nil || messages == nil {
+		return partWritten
 	}
-	in.Delim('}')
-	if in.Error() != nil || msgs == nil {
-		return comma
-	}
-	orders := orderWriter{w: &h.reply, instance: name, partWritten: comma}
-	list := jlexer.Lexer{Data: msgs}
+	orders := orderWriter{w: &s.reply, instance: name, partWritten: partWritten}
+	list := jlexer.Lexer{Data: messages}
 	for list.Delim('['); !list.IsDelim(']'); list.WantComma() {
-		h.message.read(&list)
+		s.message.read(&list)
 		if list.Error() != nil {
 			break
 		}
-		if err := h.handleMessage(name, &orders); err != nil {
-			log.Printf("%s: %s: %v", name, h.message.kind, err)
+		if err := s.handleMessage(name, &orders); err != nil {
+			log.Printf("%s: %s: %v", name, s.message.kind, err)
 		}
 	}
 	if err := list.Error(); err != nil {
@@ -171,147 +126,55 @@
 	return orders.close()
 }
 
-// read takes one message apart; what it does not know it passes over.
-func (f *message) read(in *jlexer.Lexer) {
-	*f = message{endpoints: f.endpoints[:0]}
-	if in.IsNull() {
-		in.Skip()
-		return
-	}
-	for in.Delim('{'); !in.IsDelim('}'); in.WantComma() {
-		name := in.UnsafeFieldName(false)
-		in.WantColon()
-		if in.IsNull() {
-			in.Skip()
-			in.WantComma()
-			continue
-		}
-		switch name {
-		case "what":
-			f.kind = in.UnsafeString()
-		case "ticket":
-			f.requestID = in.UnsafeString()
-		case "tier-class":
-			f.class = in.UnsafeString()
-		case "account":
-			if account, ok := in.Interface().(string); ok {
-				f.tenant = account
-			}
-		case "route-key":
-			f.key = in.UnsafeString()
-		case "server":
-			f.server = in.UnsafeString()
-		case "state-code":
-			f.result = in.UnsafeString()
-		case "how":
-			f.update = in.UnsafeString()
-		case "try":
-			f.attempt = in.Int()
-		case "handle":
-			f.alarm = in.Int()
-		case "prng":
-			f.seed = in.Uint64()
-		case "expires-ms":
-			f.deadlineMillis = in.Float64()
-		case "size-hint-ms":
-			f.workMillis = in.Float64()
-		case "ended":
-			f.ended = in.Bool()
-		case "is-write":
-			f.write = in.Bool()
-		case "info":
-			f.settings = in.Raw()
-		case "entries":
-			for in.Delim('['); !in.IsDelim(']'); in.WantComma() {
-				f.endpoints = append(f.endpoints, readEndpoint(in))
-			}
-			in.Delim(']')
-		default:
-			in.SkipRecursive()
-		}
-	}
-	in.Delim('}')
-}
-
-func readEndpoint(in *jlexer.Lexer) (e endpoint) {
-	for in.Delim('{'); !in.IsDelim('}'); in.WantComma() {
-		name := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch name {
-		case "state":
-			e.state = in.UnsafeString()
-		case "server":
-			e.id = in.String()
-		case "machine":
-			e.model = in.String()
-		case "ready-at-ms":
-			e.startedAtMillis = in.Float64()
-		default:
-			in.SkipRecursive()
-		}
-	}
-	in.Delim('}')
-	return e
-}
-
-var results = map[string]routing.Result{
-	"S": routing.Served, "E": routing.ServerError, "F": routing.Rejected, "T": routing.TimedOut, "C": routing.ConnectFailed,
-	"R": routing.ConnectionBroken, "X": routing.Canceled, "N": routing.NotSent, "M": routing.NotFound,
-}
-
-var updateKinds = map[string]routing.UpdateKind{
-	"Partial": routing.Incremental, "Complete": routing.Full, "Persisted": routing.Cached, "Error": routing.Failed,
-}
-
-var states = map[string]routing.State{
-	"healthy": routing.Ready, "cordoned": routing.Draining, "deregistered": routing.Gone,
-}
-
-// handleMessage turns the message at hand into a call. A panic below is told on the wire.
-func (h *session) handleMessage(name string, out *orderWriter) (err error) {
+// handleMessage reports the event of s.message to an instance. A panic is
+// reported on the wire.
+func (s *session) handleMessage(name string, orders *orderWriter) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			out.begin("internal-error")
-			out.text("text", fmt.Sprint(r))
-			out.end()
+			orders.begin("internal-error")
+			orders.text("text", fmt.Sprint(r))
+			orders.end()
 		}
 	}()
-	f, now := &h.message, config.Ticks(h.nowMillis)
-	if f.kind == "create" {
-		n, err := newInstance(f.settings)
-		if err != nil {
-			return err
-		}
-		h.instances[name] = n
-		n.orders = out
-		n.balancer = routing.New(n, f.seed, now, n.settings.Routing)
-		return nil
+	m, now := &s.message, config.Ticks(s.nowMillis)
+	if m.kind == "create" {
+		return s.createInstance(name, orders, now)
 	}
-	n := h.instances[name]
+	n := s.instances[name]
 	if n == nil {
-		return errors.New("there is no such instance")
+		return errors.New("unknown instance")
 	}
-	n.orders = out
-	switch f.kind {
+	n.orders = orders
+	switch m.kind {
 	case "ingress":
-		return n.startRequest(f, now)
+		return n.startRequest(m, now)
 	case "settled":
-		return n.attemptDone(f, now)
-	case "started", "client-left": // an answer that streams is the server's and the client's from here on
-		if lkp, ok := n.requestIndexes[f.requestID]; ok {
-			n.balancer.ClientGone(now, lkp)
-			n.endRequest(lkp)
-		}
+		return n.attemptDone(m, now)
+	case "started", "client-left": // a started answer is passed on without the balancer
+		n.clientGone(m.requestID, now)
 	case "alarm":
-		n.balancer.Alarm(now, f.alarm)
+		n.balancer.Alarm(now, m.alarm)
 	case "peers-known":
-		return n.updateEndpoints(f, now)
+		return n.updateEndpoints(m, now)
 	case "power-off":
-		delete(h.instances, name)
+		delete(s.instances, name)
 	case "sampled", "note-from":
-		// The module neither probes nor talks to peers, so these tell it nothing.
+		// Load reports and messages between nodes: routing uses neither.
 	default:
-		return errors.New("this event is unknown")
+		return errors.New("unknown event")
+	}
+	return nil
+}
+
+// createInstance starts an instance with the settings and the seed of
+// s.message.
+func (s *session) createInstance(name string, orders *orderWriter, now routing.Time) error {
+	n, err := newInstance(s.message.settings)
+	if err != nil {
+		return err
 	}
+	s.instances[name] = n
+	n.orders = orders
+	n.balancer = routing.New(n, s.message.seed, now, n.settings.Routing)
 	return nil
 }
