--- a/routing/result.go
+++ b/routing/result.go
@@ -67,3 +67,15 @@
 		b.quotas[OriginConcurrency].Ended(int64(s.meanLatency))
 	}
 }
+
+// neverRan reports whether the result proves that the attempt had no effect.
+func (r Result) neverRan() bool {
+	switch r {
+	case Rejected, ConnectFailed, NotSent, NotFound, ConnectionLimit, ConnectTimeout, Withheld:
+		return true
+	}
+	return false
+}
+
+// isAnswer reports whether the server processed the attempt without an error.
+func (r Result) isAnswer() bool { return r == Served || r == NotFound }
--- a/routing/types.go
+++ b/routing/types.go
@@ -31,18 +31,6 @@
 	Withheld                // the request ended before the first byte was written; never ran
 )
 
-// neverRan reports whether the result proves that the attempt had no effect.
-func (r Result) neverRan() bool {
-	switch r {
-	case Rejected, ConnectFailed, NotSent, NotFound, ConnectionLimit, ConnectTimeout, Withheld:
-		return true
-	}
-	return false
-}
-
-// isAnswer reports whether the server processed the attempt without an error.
-func (r Result) isAnswer() bool { return r == Served || r == NotFound }
-
 // UpdateKind is the kind of an update of the endpoint list.
 type UpdateKind int
 
