--- a/routing/doc.go
+++ b/routing/doc.go
@@ -6,6 +6,13 @@
 // Balancer acts by calling its Host before that method returns. Equal seeds
 // and equal events give equal decisions.
 //
+// A server is either a cache, which has a range of the keys, or an origin, which
+// has all values. A request belongs to a class, which says how soon it needs an
+// answer and whether it may be repeated, and to a tenant, which has a share of
+// the capacity. Each try of a request at a server is an attempt. Other nodes
+// decide alike for their own requests; Config.Nodes and the fleet's quotas
+// (SetQuota) bound the sum of all.
+//
 // The usual way of a request:
 //
 //	Request        startRequest, admit     admission.go
