--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -19,75 +19,75 @@
 )
 
 const (
-	benchRate = 1160          // lookups a second of a node, at the peak of a large deployment
-	benchOut  = 12            // lookups out at a time: each takes some ten milliseconds
-	benchKeys = 1_200_000_000 // objects, asked for by Zipf's law
-	benchSkew = 1.1
+	benchRate     = 1160          // requests per second of a node, at the peak of a large deployment
+	benchInFlight = 12            // requests in flight: each takes some ten milliseconds
+	benchKeys     = 1_200_000_000 // objects, with popularity by Zipf's law
+	benchSkew     = 1.1
 )
 
-// quiet is a Host that keeps only what is out; each shot is answered, the oldest first.
-type quiet struct {
-	b    *Balancer
-	now  Time
-	rest float64 // of a tick, until the next lookup
-	zipf *rand.Zipf
-	out  []int // lookups, one shot each
-	free []int
-	made int
+// benchHost is a Host that keeps the requests in flight; each attempt is answered, the oldest first.
+type benchHost struct {
+	b        *Balancer
+	now      Time
+	fraction float64 // of a tick, until the next request
+	zipf     *rand.Zipf
+	inFlight []int // requests, one attempt each
+	freeIDs  []int
+	nextID   int
 }
 
-func (q *quiet) Send(lkp, server int, _ Time) { q.out = append(q.out, lkp) }
-func (q *quiet) Reject(lkp int, _ Time)       { q.free = append(q.free, lkp) }
-func (q *quiet) Fail(lkp int)                 { q.free = append(q.free, lkp) }
-func (q *quiet) Subscribe()                   {}
-func (q *quiet) CloseIdle(int, int)           {}
-func (q *quiet) SetAlarm(Time, int)           {}
-
-func (q *quiet) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
-
-// lookup asks for a key, after the mean time between two, and brings the oldest answer.
-func (q *quiet) lookup(key string) {
-	gap := float64(1000*Millisecond)/benchRate + q.rest
-	q.now, q.rest = q.now+Time(gap), gap-math.Floor(gap)
-	lkp := q.made
-	if n := len(q.free); n > 0 {
-		lkp, q.free = q.free[n-1], q.free[:n-1]
+func (q *benchHost) Send(id, server int, _ Time) { q.inFlight = append(q.inFlight, id) }
+func (q *benchHost) Reject(id int, _ Time)       { q.freeIDs = append(q.freeIDs, id) }
+func (q *benchHost) Fail(id int)                 { q.freeIDs = append(q.freeIDs, id) }
+func (q *benchHost) Subscribe()                  {}
+func (q *benchHost) CloseIdle(int, int)          {}
+func (q *benchHost) SetAlarm(Time, int)          {}
+
+func (q *benchHost) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
+
+// request sends a request after the mean time between two, and the oldest answer.
+func (q *benchHost) request(key string) {
+	gap := float64(1000*Millisecond)/benchRate + q.fraction
+	q.now, q.fraction = q.now+Time(gap), gap-math.Floor(gap)
+	id := q.nextID
+	if n := len(q.freeIDs); n > 0 {
+		id, q.freeIDs = q.freeIDs[n-1], q.freeIDs[:n-1]
 	} else {
-		q.made++
+		q.nextID++
 	}
-	q.b.Request(q.now, lkp, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
-	if len(q.out) > benchOut {
+	q.b.Request(q.now, id, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
+	if len(q.inFlight) > benchInFlight {
 		q.answer()
 	}
 }
 
-// answer brings the oldest answer.
-func (q *quiet) answer() {
-	lkp := q.out[0]
-	q.out = slices.Delete(q.out, 0, 1)
-	q.b.AttemptDone(q.now, lkp, 0, Served, true)
-	q.free = append(q.free, lkp)
+// answer ends the oldest attempt.
+func (q *benchHost) answer() {
+	id := q.inFlight[0]
+	q.inFlight = slices.Delete(q.inFlight, 0, 1)
+	q.b.AttemptDone(q.now, id, 0, Served, true)
+	q.freeIDs = append(q.freeIDs, id)
 }
 
-// newQuiet starts one of some nodes before warm caches, whose ids lie in no order, and an origin.
-func newQuiet(caches, nodes int) *quiet {
+// newBenchHost returns the host of one node before warm caches, whose IDs lie in no order, and an origin.
+func newBenchHost(caches, nodes int) *benchHost {
 	rnd := rand.New(rand.NewSource(1))
-	q := &quiet{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
+	q := &benchHost{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
 	q.b = New(q, 1, q.now, configOf(func(c *Config) {
 		c.Nodes, c.CacheAside, c.OriginKind, c.MaxAttempts = nodes, true, 1, 3
 		c.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
 	}))
-	var boxes []Endpoint
+	var endpoints []Endpoint
 	for i := range caches {
-		boxes = append(boxes, Endpoint{Server: i, ID: fmt.Sprintf("c-%08x", rnd.Uint32())})
+		endpoints = append(endpoints, Endpoint{Server: i, ID: fmt.Sprintf("c-%08x", rnd.Uint32())})
 	}
-	q.b.UpdateEndpoints(q.now, Full, append(boxes, Endpoint{Server: caches, ID: "origin", Model: 1}))
+	q.b.UpdateEndpoints(q.now, Full, append(endpoints, Endpoint{Server: caches, ID: "origin", Model: 1}))
 	return q
 }
 
-func (q *quiet) warm(lookups int) *quiet {
-	for range lookups {
-		q.lookup(q.key())
+func (q *benchHost) warm(requests int) *benchHost {
+	for range requests {
+		q.request(q.key())
 	}
 	return q
 }
@@ -100,88 +100,89 @@
 	}
 }
 
-// A lookup with its answer, and its part of what is done every second or two.
+// A request with its answer, and its part of what is done every second or two.
 func BenchmarkLookup(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
+		q := newBenchHost(caches, nodes).warm(60_000)
 		keys := make([]string, 1<<16)
 		for i := range keys {
 			keys[i] = q.key()
 		}
 		for i := 0; b.Loop(); i++ {
-			q.lookup(keys[i%len(keys)])
+			q.request(keys[i%len(keys)])
 		}
 	})
 }
 
-// A change of the list: one cache begins to drain, or is back.
+// A change of one endpoint: a cache begins to drain, or is back.
 func BenchmarkListChange(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
-		box := []Endpoint{q.b.servers[caches/2].Endpoint}
+		q := newBenchHost(caches, nodes).warm(60_000)
+		changed := []Endpoint{q.b.servers[caches/2].Endpoint}
 		for i := 0; b.Loop(); i++ {
-			box[0].State = []State{Draining, Ready}[i%2]
-			q.b.UpdateEndpoints(q.now, Incremental, box)
+			changed[0].State = []State{Draining, Ready}[i%2]
+			q.b.UpdateEndpoints(q.now, Incremental, changed)
 		}
 	})
 }
 
-// A whole list, with nothing new in it.
+// A full endpoint list without changes.
 func BenchmarkListWhole(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
-		var boxes []Endpoint
+		q := newBenchHost(caches, nodes).warm(60_000)
+		var endpoints []Endpoint
 		for _, s := range q.b.servers {
-			boxes = append(boxes, s.Endpoint)
+			endpoints = append(endpoints, s.Endpoint)
 		}
 		for b.Loop() {
-			q.b.UpdateEndpoints(q.now, Full, boxes)
+			q.b.UpdateEndpoints(q.now, Full, endpoints)
 		}
 	})
 }
 
-// New cuts, as every two seconds.
+// Computation of the ranges, as every two seconds.
 func BenchmarkRecut(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
+		q := newBenchHost(caches, nodes).warm(60_000)
 		for b.Loop() {
-			q.b.recut()
+			q.b.recomputeRanges()
 		}
 	})
 }
 
-// What is done each second: the histogram is compared, and what is measured is halved.
+// What is done each second: the demand is compared with the histogram, and the counts are halved.
 func BenchmarkSecond(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newQuiet(caches, nodes).warm(60_000)
+		q := newBenchHost(caches, nodes).warm(60_000)
 		for b.Loop() {
 			q.now += 1000 * Millisecond
-			q.b.clock(q.now)
+			q.b.advanceClock(q.now)
 		}
 	})
 }
 
-// What a node's state takes on the heap after 60,000 lookups, and how even its ranges are: 60,000 more lookups, each counted at its
-// range's cache, as the busiest one's over the mean and so on, and how many caches got none; and the widest range, which is the
-// largest share of all objects, over the mean. The busiest has the key that is asked for most, a tenth of all lookups.
+// The heap that a node's state takes after 60,000 requests, and how even its ranges are. 60,000 more requests are
+// counted at their range's cache: reported are the busiest cache, the 99th percentile and the median as multiples
+// of the mean, and the caches without any; and the widest range, the largest share of all keys, as a multiple of
+// the mean. The busiest cache has the most popular key, a tenth of all requests.
 func BenchmarkState(b *testing.B) {
 	eachSize(b, func(b *testing.B, caches, nodes int) {
 		var state, busiest, most, middle, none, widest float64
 		for b.Loop() {
 			before := heap()
-			q := newQuiet(caches, nodes).warm(60_000)
+			q := newBenchHost(caches, nodes).warm(60_000)
 			state = heap() - before
 			got := make([]float64, caches)
 			for range 60_000 {
-				at := sort.SearchFloat64s(q.b.cuts, pointOf(xxhash.Sum64String(q.key())|1))
+				at := sort.SearchFloat64s(q.b.rangeEnds, keyPoint(xxhash.Sum64String(q.key())|1))
 				got[min(at, caches-1)]++
 			}
 			slices.Sort(got)
 			mean := 60_000 / float64(caches)
 			busiest, most, middle = got[caches-1]/mean, got[caches*99/100]/mean, got[caches/2]/mean
 			from := 0.0
-			for widest = 0; len(q.b.cuts) > 0; q.b.cuts = q.b.cuts[1:] {
-				widest, from = max(widest, (q.b.cuts[0]-from)*float64(caches)/bins), q.b.cuts[0]
+			for widest = 0; len(q.b.rangeEnds) > 0; q.b.rangeEnds = q.b.rangeEnds[1:] {
+				widest, from = max(widest, (q.b.rangeEnds[0]-from)*float64(caches)/binCount), q.b.rangeEnds[0]
 			}
 			none = float64(sort.SearchFloat64s(got, 0.5))
 			runtime.KeepAlive(q)
--- /dev/null
+++ b/routing/concurrency_test.go
@@ -0,0 +1,70 @@
+package routing
+
+import (
+	"math"
+	"testing"
+)
+
+// A server that accepts no more connections has capacity for those it has accepted, and is no outlier.
+func TestConnectionLimitSetsTheConcurrencyLimit(t *testing.T) {
+	f := newFakeHost(1, 2)
+	s := f.b.servers[f.b.ready[0]]
+	s.concurrencyLimit = 8
+	var ids []int
+	for range 2 {
+		id, _ := f.request(1, key(f.b, f.b.ready[0]), false, f.now+5000)
+		ids = append(ids, id)
+	}
+	f.attemptDone(ids[1], 0, ConnectionLimit)
+	if c := f.requests[ids[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(c.attempts) != 2 || c.attempts[1].server != 2 {
+		t.Errorf("limit %g, ejection time %d, attempts %v: want a limit of 1, no ejection and one at the origin", s.concurrencyLimit, s.ejectionTime, c.attempts)
+	}
+}
+
+// Two attempts of a node may be in flight at a cache once quick answers have shown that it is not overloaded.
+// With one alone, nodes of a large fleet sent many requests to the origin.
+func TestTwoAttemptsMayBeInFlightAtAQuickCache(t *testing.T) {
+	for limit, want := range map[float64]int{2: 0, 1: 2} {
+		f := newFakeHost(1, 2)
+		f.b.initialLimit, f.b.servers[0].concurrencyLimit = 1, limit
+		f.request(0, key(f.b, 0), false, f.now+5000)
+		if _, c := f.request(0, key(f.b, 0), false, f.now+5000); len(c.attempts) != 1 || c.attempts[0].server != want {
+			t.Errorf("a limit of %g: attempts %v, want one at %d", limit, c.attempts, want)
+		}
+	}
+}
+
+// A cache whose answers become slow gets less until they are quick again.
+func TestSlowAnswersLowerTheConcurrencyLimit(t *testing.T) {
+	f := newFakeHost(1, 1)
+	s := f.b.servers[0]
+	f.b.servers[1].inFlight = 99 // no retry goes to the origin
+	for _, c := range []struct {
+		after     Time
+		result    Result
+		low, high float64
+	}{{Millisecond, ServerError, 0, s.concurrencyLimit}, {150 * Millisecond, Served, minConcurrencyLimit, 1},
+		{10 * Millisecond, Served, 2, maxConcurrencyLimit}} {
+		for range 120 {
+			if id, client := f.request(0, "a", false, f.now+5000); len(client.attempts) > 0 {
+				f.now += c.after
+				f.attemptDone(id, 0, c.result)
+			}
+			f.now += 20 * Millisecond
+		}
+		if s.concurrencyLimit < c.low || s.concurrencyLimit > c.high {
+			t.Errorf("limit %g after result %d in %d, want %g to %g", s.concurrencyLimit, c.result, c.after, c.low, c.high)
+		}
+		s.ejectionTime, s.retryBudget = 0, maxRetryBudget
+	}
+}
+
+// Where four attempts are in flight in the mean, six often are; a limit of four would reject a third.
+func TestInFlightLimitAllowsForRandomVariation(t *testing.T) {
+	f := newFakeHost(1, 1)
+	s := f.b.servers[0]
+	s.concurrencyLimit, s.answers, f.b.decayedAt = maxConcurrencyLimit, 80, f.b.now // 80 a second, for a quarter of 200 ms
+	if got := f.b.inFlightLimit(&requestState{}, s); math.Abs(got-6) > 0.01 {
+		t.Errorf("a limit of %.2f, want 4, and 2 for random variation", got)
+	}
+}
--- /dev/null
+++ b/routing/endpoints.go
@@ -0,0 +1,132 @@
+package routing
+
+import (
+	"slices"
+	"strings"
+)
+
+// UpdateEndpoints reports an update of the endpoint list, or with Failed the
+// failure of a call or of the subscription. Any kind but Cached and Failed
+// means that the subscription stands.
+func (b *Balancer) UpdateEndpoints(now Time, kind UpdateKind, endpoints []Endpoint) {
+	b.advanceClock(now)
+	if kind == Failed {
+		b.resubscribe()
+		return
+	}
+	b.subscribed = b.subscribed || kind != Cached
+	if kind == Incremental {
+		b.changeEndpoints(endpoints)
+	} else {
+		b.replaceEndpoints(endpoints)
+	}
+	b.invalidateRanges()
+}
+
+// changeEndpoints applies changes of single endpoints.
+func (b *Balancer) changeEndpoints(endpoints []Endpoint) {
+	for _, e := range endpoints {
+		b.removeReady(e.Server) // before its ID and state change
+		b.updateServer(e)
+		b.insertReady(e.Server)
+	}
+}
+
+// replaceEndpoints applies a full list.
+func (b *Balancer) replaceEndpoints(endpoints []Endpoint) {
+	for _, s := range b.servers {
+		if s != nil {
+			s.State = Gone
+		}
+	}
+	for _, e := range endpoints {
+		b.updateServer(e)
+	}
+	b.rebuildReady()
+}
+
+// updateServer takes over what the list says of a server. One that restarted,
+// or another one under the same index, begins without a past, but the attempts
+// in flight at the old one still end.
+func (b *Balancer) updateServer(e Endpoint) {
+	for e.Server >= len(b.servers) {
+		b.servers = append(b.servers, nil)
+	}
+	s := b.servers[e.Server]
+	if s == nil || s.StartedAt != e.StartedAt || s.ID != e.ID {
+		fresh := b.newServer()
+		if s != nil {
+			fresh.inFlight = s.inFlight
+		}
+		s = fresh
+		b.servers[e.Server] = s
+	}
+	s.Endpoint = e
+	s.isOrigin = b.config.CacheAside && e.Model == b.config.OriginKind
+	if s.isOrigin { // these quotas are for caches
+		s.slowStartQuota = nil
+		s.concurrencyQuota = nil
+	}
+}
+
+// findReady returns the index in ready of the first cache with an ID, or where
+// it would be inserted.
+func (b *Balancer) findReady(id string) (index int, found bool) {
+	return slices.BinarySearchFunc(b.ready, id, func(server int, id string) int {
+		return strings.Compare(b.servers[server].ID, id)
+	})
+}
+
+// removeReady takes a server out of ready or origins, if it is there.
+func (b *Balancer) removeReady(server int) {
+	if server >= len(b.servers) || b.servers[server] == nil || b.servers[server].State != Ready {
+		return
+	}
+	s := b.servers[server]
+	if s.isOrigin {
+		b.origins = slices.DeleteFunc(b.origins, func(o int) bool { return o == server })
+		return
+	}
+	index, found := b.findReady(s.ID)
+	for ; found && index < len(b.ready) && b.servers[b.ready[index]].ID == s.ID; index++ {
+		if b.ready[index] == server {
+			b.ready = slices.Delete(b.ready, index, index+1)
+			b.inFlight -= s.inFlight
+			return
+		}
+	}
+}
+
+// insertReady puts a server into ready or origins, if its state is Ready.
+func (b *Balancer) insertReady(server int) {
+	s := b.servers[server]
+	if s.State != Ready {
+		return
+	}
+	if s.isOrigin {
+		index, _ := slices.BinarySearch(b.origins, server)
+		b.origins = slices.Insert(b.origins, index, server)
+		return
+	}
+	index, _ := b.findReady(s.ID)
+	b.ready = slices.Insert(b.ready, index, server)
+	b.inFlight += s.inFlight
+}
+
+// rebuildReady fills ready and origins anew from all servers.
+func (b *Balancer) rebuildReady() {
+	b.ready = b.ready[:0]
+	b.origins = b.origins[:0]
+	b.inFlight = 0
+	for server, s := range b.servers {
+		switch {
+		case s == nil || s.State != Ready:
+		case s.isOrigin:
+			b.origins = append(b.origins, server)
+		default:
+			b.ready = append(b.ready, server)
+			b.inFlight += s.inFlight
+		}
+	}
+	slices.SortFunc(b.ready, func(x, y int) int { return strings.Compare(b.servers[x].ID, b.servers[y].ID) })
+}
--- /dev/null
+++ b/routing/origin_test.go
@@ -0,0 +1,52 @@
+package routing
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Timeouts lower the limit at the origin quickly: with hundreds of nodes its queue would stay longer than their
+// deadlines.
+func TestTimeoutsAtTheOriginLowerItsLimit(t *testing.T) {
+	f := newFakeHost(1, 1)
+	for n := range 5 {
+		id, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
+		f.attemptDone(id, 0, NotFound)
+		f.now += 150 * Millisecond
+		f.attemptDone(id, 1, TimedOut)
+	}
+	if limit := f.b.servers[1].concurrencyLimit; limit != minConcurrencyLimit {
+		t.Errorf("limit %g after five timeouts, want the lowest", limit)
+	}
+}
+
+// The limit at the origin grows quickly at first, since a node of a large fleet fetches seldom.
+func TestOriginLimitGrowsWithTheFirstAnswers(t *testing.T) {
+	f := newFakeHost(1, 1)
+	for n := range 4 {
+		id, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
+		f.attemptDone(id, 0, NotFound)
+		f.now += 10 * Millisecond
+		f.attemptDone(id, 1, Served)
+	}
+	if limit := f.b.servers[1].concurrencyLimit; limit < maxUnmeasuredFetches || limit > maxUnmeasuredFetches+0.5 {
+		t.Errorf("limit %.1f after four quick answers, want %g or a little more", limit, maxUnmeasuredFetches)
+	}
+}
+
+// Requests with a long latency target do not fill the origin, which would delay those with a short one.
+func TestPatientReadsDontDelayOthersAtTheOrigin(t *testing.T) {
+	f := newFakeHost(1, 1)
+	f.b.classes[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
+	o := f.b.servers[1]
+	o.answers, f.b.decayedAt, o.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
+	id, c := f.request(0, "k", false, f.now+50000)
+	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 1 || !c.ended {
+		t.Errorf("attempts %v, want none at the origin", c.attempts)
+	}
+	o.inFlight = 11
+	id, c = f.request(0, "k", false, f.now+50000)
+	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 2 {
+		t.Errorf("attempts %v, want one at the origin", c.attempts)
+	}
+}
--- /dev/null
+++ b/routing/outlier.go
@@ -0,0 +1,57 @@
+package routing
+
+// A server with consecutive failures is ejected: it gets no attempts for the
+// ejection time, which doubles with each further ejection. Then one safe
+// request probes it, and an answer ends the ejection.
+const (
+	failuresToEject = 2                  // consecutive; a broken connection counts as as many
+	minEjectionTime = 250 * Millisecond  // of the first ejection: a few connect timeouts
+	maxEjectionTime = 3000 * Millisecond // with a probe that times out, requests are rejected for less than 4 s
+)
+
+// IsEjected reports whether a server is an outlier. It gets one probe at a
+// time, at most.
+func (b *Balancer) IsEjected(server int) bool { return b.servers[server].isEjected() }
+
+func (s *serverState) isEjected() bool { return s.ejectionTime > 0 }
+
+// mayProbe reports whether a request may probe an ejected server.
+func (b *Balancer) mayProbe(r *requestState, s *serverState) bool {
+	return b.now >= s.ejectedUntil && !s.probing && b.classes[r.Class].Idempotence == Safe
+}
+
+// ProbeResult reports the outcome of another node's probe of a server and the
+// time of its next one. A good one lets this node probe at once; after a bad
+// one it waits until then, for maxEjectionTime at most.
+func (b *Balancer) ProbeResult(now Time, server int, healthy bool, next Time) {
+	s := b.servers[server]
+	if healthy {
+		s.ejectedUntil = min(s.ejectedUntil, now)
+	} else if s.isEjected() {
+		s.ejectedUntil = max(s.ejectedUntil, min(next, now+maxEjectionTime))
+	}
+}
+
+// updateEjection follows the result of an attempt, a probe or another.
+func (b *Balancer) updateEjection(s *serverState, result Result) {
+	s.probing = false
+	switch result {
+	case Served, NotFound, Rejected, ConnectionLimit:
+		s.consecutiveFailures = 0
+		s.ejectionTime = 0
+	case ConnectFailed, ConnectTimeout, ConnectionBroken:
+		b.recordFailures(s, failuresToEject)
+	case TimedOut, ServerError:
+		b.recordFailures(s, 1)
+	}
+}
+
+// recordFailures counts n consecutive failures, and ejects the server if there
+// are enough of them.
+func (b *Balancer) recordFailures(s *serverState, n int) {
+	s.consecutiveFailures += n
+	if s.consecutiveFailures >= failuresToEject && b.now >= s.ejectedUntil {
+		s.ejectionTime = min(max(minEjectionTime, 2*s.ejectionTime), maxEjectionTime)
+		s.ejectedUntil = b.now + s.ejectionTime
+	}
+}
--- /dev/null
+++ b/routing/request_test.go
@@ -0,0 +1,102 @@
+package routing
+
+import (
+	"testing"
+)
+
+// A withheld attempt says nothing of its server, however long it waited for a connection, and its retry budget and
+// slow-start tokens are refunded, but not to a server that has restarted since.
+func TestWithheldAttemptIsRefunded(t *testing.T) {
+	for _, restarted := range []bool{false, true} {
+		f := newFakeHost(1, 2)
+		k := key(f.b, 0)
+		for _, s := range f.b.servers[:2] {
+			s.StartedAt, s.slowStartTokens, s.slowStartRefilledAt = f.now-100*Millisecond, 3, f.now
+		}
+		f.b.warmCacheRate = 1000
+		f.b.servers[2].inFlight = 99
+		id, c := f.request(0, k, false, f.now+9000)
+		f.attemptDone(id, 0, ServerError) // retries cost budget
+		if len(c.attempts) != 2 {
+			t.Fatalf("%d attempts, want a retry", len(c.attempts))
+		}
+		s := f.b.servers[c.attempts[1].server]
+		retryBudget, tokens, limit, latency := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
+		f.now += 150 * Millisecond // slow
+		if restarted {
+			f.endpoints[c.attempts[1].server].StartedAt = f.now - Millisecond
+			f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
+			s = f.b.servers[c.attempts[1].server]
+			retryBudget, tokens = s.retryBudget-1, s.slowStartTokens-1
+		}
+		f.attemptDone(id, 1, Withheld)
+		if s.inFlight != 0 || s.retryBudget != retryBudget+1 || s.slowStartTokens != tokens+1 || s.concurrencyLimit != limit || s.meanLatency != latency && !restarted ||
+			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.faults) > 0 {
+			t.Errorf("restarted %v: in flight %d, retry budget %g of %g, tokens %g of %g, limit %g of %g, latency %d of %d, failures %d, %v", restarted,
+				s.inFlight, s.retryBudget, retryBudget+1, s.slowStartTokens, tokens+1, s.concurrencyLimit, limit, s.meanLatency, latency, s.consecutiveFailures, f.faults)
+		}
+	}
+}
+
+// A body that is still being sent is no load for its server: the attempt counts, and is timed, from its last byte.
+func TestStreamedBodyCountsFromItsLastByte(t *testing.T) {
+	f := newFakeHost(1, 3)
+	origin := f.b.servers[3]
+	f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true})
+	f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
+	f.requests[0].deadline = f.now + 90000
+	if len(f.requests[0].attempts) != 1 || origin.inFlight != 0 {
+		t.Fatalf("%d attempts, %d in flight", len(f.requests[0].attempts), origin.inFlight)
+	}
+	f.now += 40000 // slower than any server
+	limit, latency, level := origin.concurrencyLimit, origin.meanLatency, f.b.admissionLevel
+	f.bodySent(0, 0)
+	if origin.inFlight != 1 {
+		t.Errorf("%d in flight", origin.inFlight)
+	}
+	f.now += 100
+	f.attemptDone(0, 0, Served)
+	if origin.inFlight != 0 || origin.meanLatency > latency+100 || origin.concurrencyLimit < limit || f.b.admissionLevel < level {
+		t.Errorf("%d in flight, latency %v, limit %g to %g, admission level %g to %g", origin.inFlight, origin.meanLatency, limit, origin.concurrencyLimit,
+			level, f.b.admissionLevel)
+	}
+}
+
+// A body's last byte may follow long after its first, from which the server may know the idempotency key: a retry is
+// bounded from the start of the first attempt. So is a refund: a server that has restarted since gets none.
+func TestStreamedAttemptStartsWhenOrdered(t *testing.T) {
+	for _, c := range []struct {
+		body     Time // from the first byte to the last
+		attempts int
+	}{{dedupWindow / 4, 2}, {dedupWindow/2 + 10, 1}, {dedupWindow + 10, 1}} {
+		f := newFakeHost(1, 3)
+		f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true, deadline: f.now + 90000})
+		f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
+		f.now += c.body
+		f.bodySent(0, 0)
+		f.now += 10
+		client := f.requests[0]
+		f.attemptDone(0, 0, ServerError)
+		if len(f.faults) > 0 || len(client.attempts) != c.attempts || client.ended != (c.attempts == 1) {
+			t.Errorf("a body of %d, and an error: %d attempts, want %d; ended %v, faults %v", c.body, len(client.attempts), c.attempts, client.ended, f.faults)
+		}
+	}
+	f := newFakeHost(1, 1)
+	begin := func() {
+		f.endpoints[0].StartedAt = f.now
+		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints[:1])
+	}
+	begin()
+	f.now += 1500 * Millisecond
+	f.requests = append(f.requests, &fakeRequest{idempotence: Safe, streaming: true, deadline: f.now + 90000})
+	f.b.Request(f.now, 0, Request{Tenant: -1, Key: "k", Streaming: true, Deadline: f.now + 90000})
+	if len(f.requests[0].attempts) != 1 || f.requests[0].attempts[0].server != 0 {
+		t.Fatalf("attempts %v, want one at the cache in slow start", f.requests[0].attempts)
+	}
+	f.now += 10
+	begin()
+	f.now += 10
+	if f.attemptDone(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
+		t.Errorf("a server that has restarted since was refunded %g tokens", f.b.servers[0].slowStartTokens)
+	}
+}
--- /dev/null
+++ b/routing/retry_test.go
@@ -0,0 +1,66 @@
+package routing
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+// Whatever its servers answer, and however few they are, a node does not reject all requests for 4 s: some attempt is
+// made in between. The operators' bound holds where 15 and more were rejected.
+func TestANodeGoesOnTryingWhateverItsServersAnswer(t *testing.T) {
+	const (
+		rejectedMost = 4000 * Millisecond
+		countsFrom   = 15
+		every        = 20 * Millisecond
+		lasts        = 40000 * Millisecond
+	)
+	for _, caches := range []int{1, 2, 5, 20} {
+		for _, result := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionBroken, Canceled, NotSent, NotFound, ConnectionLimit, ConnectTimeout} {
+			for _, slowStart := range []bool{false, true} {
+				f := newFakeHost(int64(caches)*100+int64(result), caches)
+				if slowStart {
+					for i := range f.endpoints[:caches] {
+						f.endpoints[i].StartedAt = f.now
+					}
+					f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
+				}
+				since, rejected, longest := f.now, 0, Time(0)
+				for end := f.now + lasts; f.now < end; f.advance(every) {
+					id, c := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
+					if len(c.attempts) > 0 {
+						since, rejected = f.now, 0
+					} else if rejected++; rejected >= countsFrom {
+						longest = max(longest, f.now-since)
+					}
+					for result != TimedOut && f.requests[id] == c && c.inFlight > 0 {
+						f.attemptDone(id, len(c.attempts)-1, result)
+					}
+				}
+				if longest >= rejectedMost {
+					t.Errorf("%d caches, result %d, slow start %v: all are rejected for %d ms", caches, result, slowStart, longest/Millisecond)
+				}
+				if len(f.faults) > 0 {
+					t.Errorf("%d caches, result %d: %v", caches, result, f.faults[0])
+				}
+			}
+		}
+	}
+}
+
+// A client that is rejected early is asked back while an answer can still be in time.
+func TestRetryAfter(t *testing.T) {
+	f := newFakeHost(1, 1)
+	f.b = New(f, 1, f.now, f.b.config) // without an endpoint list the histogram stays sound
+	if _, c := f.request(0, "a", false, f.now+5000); c.retryAfter < 20*Millisecond || c.retryAfter > 40*Millisecond ||
+		math.IsInf(f.b.binWeights[0], 0) || f.b.weightScale == 0 {
+		t.Errorf("retry after %d, want a tenth to a fifth of the latency target", c.retryAfter)
+	}
+	f = newFakeHost(1, 1)
+	f.b.servers[1].inFlight = 99
+	id, c := f.request(0, "a", false, f.now+5000)
+	f.now += 150 * Millisecond
+	if f.attemptDone(id, 0, Rejected); c.retryAfter != 400*Millisecond {
+		t.Errorf("retry after %d, want the longest once the time is gone", c.retryAfter)
+	}
+}
