--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -27,7 +27,7 @@
 			b.Fatal(n, x.Err)
 		}
 		all[n] = Request{Operation: OpRenew, Name: name, Holder: holder(n), Token: x.Token}
-		d.s.Apply(Entry{Version: version, Kind: KindEffect, Name: name, Token: x.Token, Effect: name, Number: 1, Value: []byte("127.0.0.1:10001")})
+		d.s.Apply(Entry{Version: formatVersion, Kind: KindEffect, Name: name, Token: x.Token, Effect: name, Number: 1, Value: []byte("127.0.0.1:10001")})
 	}
 	clear(d.answers)
 	return d, all
@@ -84,8 +84,8 @@
 			d := newDesk()
 			d.ask(acquire(0, 0))
 			d.apply()
-			d.k.ends["task"] = 1 << 60 // its holder renews
-			wait := aLease / waitPart
+			d.k.expiries["task"] = 1 << 60 // its holder renews
+			wait := aLease / waitDivisor
 			step, n := max(1, wait/Time(waiters)), 0
 			next := func() {
 				d.now += step
--- a/lease/budget.go
+++ b/lease/budget.go
@@ -1,27 +1,27 @@
 package lease
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 )
 
 const (
-	budgetsMost = 64      // of a fleet
-	unitsMost   = 1 << 20 // of a budget: sums stay far from any integer's end
-	movesMost   = 16384   // in one entry
-	eachMost    = 1e6     // a second, of one unit
+	maxBudgets       = 64      // of a cluster
+	maxUnits         = 1 << 20 // of a budget: sums stay far from overflow
+	maxMovesPerEntry = 16384
+	maxRatePerUnit   = 1e6 // requests a second
 )
 
-// BudgetConfig is what a fleet agrees on about a budget. It is divided in whole units, so that no sum is ever rounded: a number
-// at a time has as many as it is, a rate as many as its burst, each with its part of the rate and one saved.
+// BudgetConfig is a limit that the nodes of a cluster share. It is divided in whole units, so that sums are exact: a
+// concurrency limit has one unit for each request in flight, a rate limit one for each request of its burst, with an equal
+// part of the rate.
 type BudgetConfig struct {
-	Kind            string  `json:"kind"` // RateKind or NumberKind
-	Resource        string  `json:"of"`   // what it bounds
+	Kind            string  `json:"kind"` // RateKind or ConcurrencyKind
+	Resource        string  `json:"of"`   // what is limited
 	Units           int     `json:"units"`
-	RatePerUnit     float64 `json:"each"`  // a second, of one unit of a rate; it never changes, so that no unit is worth more to one than to another
-	ReservedPerNode int     `json:"apart"` // units that each node has for itself, in touch or not; they are never lent
-	MaxNodes        int     `json:"nodes"` // how many there may ever be
+	RatePerUnit     float64 `json:"each"`  // requests a second of one unit of a rate; it never changes, so that all nodes value a unit alike
+	ReservedPerNode int     `json:"apart"` // units that each node has at all times, connected or not; they are never allocated to another
+	MaxNodes        int     `json:"nodes"` // that units are reserved for
 	Revision        uint64  `json:"revision"`
 }
 
@@ -31,138 +31,143 @@
 	ConcurrencyKind = "number"
 )
 
-// Budget is one with the parts that are out. They end with the lease that they hang on: a node's own name.
+// Budget is a budget and the quotas allocated from it. A quota ends with the lease it belongs to, that of a node's name.
 type Budget struct {
 	BudgetConfig
 	Quotas map[string]Quota `json:"parts"` // by lease
 }
 
-// Quota is so many units of a lease's holder. The token is another one with each change, so that a word about an earlier
-// one is known as such.
+// Quota is the number of units allocated to the holder of a lease. Its token changes with each change of the quota, so that
+// messages about an earlier one can be recognised.
 type Quota struct {
 	Token uint64 `json:"token"`
 	Units int    `json:"units"`
 }
 
-// QuotaMove changes one part: of the lease with this token, if the part still has the token Under (0: there is none).
+// QuotaMove sets a quota to Units, if the lease is held with Token and the quota still has the token FromToken.
 type QuotaMove struct {
 	Budget    string `json:"b"`
 	Lease     string `json:"l"`
-	Token     uint64 `json:"t"`
-	FromToken uint64 `json:"u,omitempty"`
+	Token     uint64 `json:"t"`           // of the lease
+	FromToken uint64 `json:"u,omitempty"` // of the quota; 0: there is none yet
 	Units     int    `json:"n,omitempty"`
 }
 
-// ErrInvalidBudget says that a whole can't be what was asked.
-var ErrInvalidBudget = errors.New("not a whole for this budget")
-
-// Validate says what is wrong with a budget's terms.
-func (t BudgetConfig) Validate() error {
+// Validate returns an error that wraps ErrInvalidBudget if a field is out of its range.
+func (c BudgetConfig) Validate() error {
 	switch {
-	case t.Kind != RateKind && t.Kind != ConcurrencyKind:
-		return fmt.Errorf("%w: kind %.50q, expected %s or %s", ErrInvalidBudget, t.Kind, RateKind, ConcurrencyKind)
-	case t.Kind == RateKind && !(t.RatePerUnit > 0 && t.RatePerUnit <= eachMost):
-		return fmt.Errorf("%w: %g a second of a unit, expected a number above 0, %g at most", ErrInvalidBudget, t.RatePerUnit, eachMost)
-	case t.Units < 1 || t.Units > unitsMost:
-		return fmt.Errorf("%w: %d units, expected 1 to %d", ErrInvalidBudget, t.Units, unitsMost)
-	case t.MaxNodes < 1 || t.MaxNodes > namesMost || t.ReservedPerNode < 0 || t.ReservedPerNode*t.MaxNodes > t.Units:
-		return fmt.Errorf("%w: %d units, and %d each for %d nodes that may be cut off: expected %d or more", ErrInvalidBudget, t.Units, t.ReservedPerNode,
-			t.MaxNodes, t.ReservedPerNode*t.MaxNodes)
+	case c.Kind != RateKind && c.Kind != ConcurrencyKind:
+		return fmt.Errorf("%w: kind %.50q, expected %s or %s", ErrInvalidBudget, c.Kind, RateKind, ConcurrencyKind)
+	case c.Kind == RateKind && !(c.RatePerUnit > 0 && c.RatePerUnit <= maxRatePerUnit):
+		return fmt.Errorf("%w: %g a second for each unit, expected a number above 0, at most %g", ErrInvalidBudget, c.RatePerUnit, maxRatePerUnit)
+	case c.Units < 1 || c.Units > maxUnits:
+		return fmt.Errorf("%w: %d units, expected 1 to %d", ErrInvalidBudget, c.Units, maxUnits)
+	case c.MaxNodes < 1 || c.MaxNodes > maxLeases || c.ReservedPerNode < 0 || c.ReservedPerNode*c.MaxNodes > c.Units:
+		return fmt.Errorf("%w: %d units, with %d reserved for each of %d nodes: expected %d or more", ErrInvalidBudget, c.Units,
+			c.ReservedPerNode, c.MaxNodes, c.ReservedPerNode*c.MaxNodes)
 	}
 	return nil
 }
 
-// Allocatable is how many units may be out as parts.
-func (t BudgetConfig) Allocatable() int { return t.Units - t.ReservedPerNode*t.MaxNodes }
+// Allocatable returns how many units may be allocated as quotas.
+func (c BudgetConfig) Allocatable() int { return c.Units - c.ReservedPerNode*c.MaxNodes }
 
-// Limit is all of it: a second, or at a time.
-func (t BudgetConfig) Limit() float64 {
-	if t.Kind == ConcurrencyKind {
-		return float64(t.Units)
+// Limit returns the whole budget: requests a second, or requests in flight.
+func (c BudgetConfig) Limit() float64 {
+	if c.Kind == ConcurrencyKind {
+		return float64(c.Units)
 	}
-	return t.RatePerUnit * float64(t.Units)
+	return c.RatePerUnit * float64(c.Units)
 }
 
-// Allocated is how many units are out as parts.
-func (b *Budget) Allocated() (n int) {
-	for _, p := range b.Quotas {
-		n += p.Units
+// Allocated returns how many units are allocated as quotas.
+func (b *Budget) Allocated() (units int) {
+	for _, quota := range b.Quotas {
+		units += quota.Units
 	}
-	return n
+	return units
 }
 
-// Clone copies it.
+// Clone returns a deep copy, whose Quotas is never nil.
 func (b *Budget) Clone() *Budget {
-	o := *b
-	if o.Quotas = maps.Clone(b.Quotas); o.Quotas == nil {
-		o.Quotas = map[string]Quota{}
+	clone := *b
+	clone.Quotas = maps.Clone(b.Quotas)
+	if clone.Quotas == nil {
+		clone.Quotas = map[string]Quota{}
 	}
-	return &o
+	return &clone
 }
 
-// whole declares a budget, or changes how much of it there is. What is set apart stays as it was declared: who is cut off
-// goes on by it, and hears of no change. Parts stay as well; a whole that was lowered holds once enough has come back.
-func (s *State) whole(e Entry) Result {
-	is, known := s.Budgets[e.Name]
+// setBudget declares a budget or changes its number of units. Nothing else of a declared budget changes: a node that is
+// disconnected goes on with its reserved units and doesn't learn of the change. Quotas stay as they are too, so a lowered
+// limit holds once enough units have been returned.
+func (s *State) setBudget(e Entry) Result {
 	if e.Budget == nil {
-		return Result{Err: fmt.Errorf("%w: no terms", ErrMalformed)}
+		return Result{Err: fmt.Errorf("%w: no budget given", ErrMalformed)}
 	}
-	t := *e.Budget
+	config := *e.Budget
+	budget, known := s.Budgets[e.Name]
 	switch {
-	case !known && len(s.Budgets) >= budgetsMost:
+	case !known && len(s.Budgets) >= maxBudgets:
 		return Result{Err: ErrLimitExceeded}
-	case known && t.Revision == 0:
-		return Result{Token: is.Revision, Err: ErrDuplicate} // declared before, perhaps otherwise: what is agreed holds
-	case known && t.Revision != is.Revision:
-		return Result{Token: is.Revision, Err: ErrDuplicate}
+	case known && (config.Revision == 0 || config.Revision != budget.Revision): // declared before, or changed since
+		return Result{Token: budget.Revision, Err: ErrDuplicate}
 	case known:
-		t.ReservedPerNode, t.MaxNodes, t.Kind, t.Resource, t.RatePerUnit = is.ReservedPerNode, is.MaxNodes, is.Kind, is.Resource, is.RatePerUnit
+		units := config.Units
+		config = budget.BudgetConfig
+		config.Units = units
 	}
-	if err := t.Validate(); err != nil {
+	if err := config.Validate(); err != nil {
 		return Result{Err: err}
 	}
-	if t.Revision++; !known {
-		is = &Budget{Quotas: map[string]Quota{}}
-		s.Budgets[e.Name] = is
+	config.Revision++
+	if !known {
+		budget = &Budget{Quotas: map[string]Quota{}}
+		s.Budgets[e.Name] = budget
 	}
-	is.BudgetConfig = t
-	return Result{Token: t.Revision}
+	budget.BudgetConfig = config
+	return Result{Token: config.Revision}
 }
 
-// move changes parts, each if it can be: more is never out than there is to lend.
-func (s *State) move(moves []QuotaMove) Result {
-	if len(moves) > movesMost {
-		return Result{Err: fmt.Errorf("%w: %d moves, %d at most", ErrMalformed, len(moves), movesMost)}
+// moveQuotas applies each of the moves that is still valid, and never allocates more than is allocatable.
+func (s *State) moveQuotas(moves []QuotaMove) Result {
+	if len(moves) > maxMovesPerEntry {
+		return Result{Err: fmt.Errorf("%w: %d moves, %d at most", ErrMalformed, len(moves), maxMovesPerEntry)}
 	}
-	out := map[string]int{} // of the budgets met
-	for _, m := range moves {
-		b, known := s.Budgets[m.Budget]
-		if !known || m.Units < 0 || m.Units > unitsMost {
+	allocated := map[string]int{} // by budget, of the budgets met so far
+	for _, move := range moves {
+		budget, known := s.Budgets[move.Budget]
+		if !known || move.Units < 0 || move.Units > maxUnits {
 			continue
 		}
-		if _, met := out[m.Budget]; !met {
-			out[m.Budget] = b.Allocated()
+		if _, met := allocated[move.Budget]; !met {
+			allocated[move.Budget] = budget.Allocated()
 		}
-		was := b.Quotas[m.Lease]
-		more := m.Units - was.Units
-		held, is := s.Leases[m.Lease]
-		if !is || held.Token != m.Token || was.Token != m.FromToken || more > 0 && out[m.Budget]+more > b.Allocatable() {
+		previous := budget.Quotas[move.Lease]
+		added := move.Units - previous.Units
+		lease, held := s.Leases[move.Lease]
+		switch {
+		case !held || lease.Token != move.Token:
+			continue
+		case previous.Token != move.FromToken:
+			continue
+		case added > 0 && allocated[move.Budget]+added > budget.Allocatable():
 			continue
 		}
-		out[m.Budget] += more
+		allocated[move.Budget] += added
 		s.LastToken++
-		if m.Units == 0 {
-			delete(b.Quotas, m.Lease)
+		if move.Units == 0 {
+			delete(budget.Quotas, move.Lease)
 		} else {
-			b.Quotas[m.Lease] = Quota{s.LastToken, m.Units}
+			budget.Quotas[move.Lease] = Quota{Token: s.LastToken, Units: move.Units}
 		}
 	}
 	return Result{}
 }
 
-// drop ends the parts of a lease that has ended.
-func (s *State) drop(name string) {
-	for _, b := range s.Budgets {
-		delete(b.Quotas, name)
+// revokeQuotas ends all quotas of a lease.
+func (s *State) revokeQuotas(lease string) {
+	for _, budget := range s.Budgets {
+		delete(budget.Quotas, lease)
 	}
 }
--- a/lease/claimant.go
+++ b/lease/claimant.go
@@ -7,188 +7,219 @@
 )
 
 const (
-	renewPart = 3                  // a lease is renewed each third of it: two renewals may be lost
-	againPart = 30                 // an asking that failed is repeated after a thirtieth of a lease,
-	againMost = 1000 * Millisecond // a second at most
-	waitPart  = 4                  // a claimant waits at the leader for a quarter of a lease at a time
+	renewalsPerLease  = 3                  // two renewals in a row may be lost
+	waitDivisor       = 4                  // a request waits at the leader for a quarter of a lease
+	retryDelayDivisor = 30                 // the first backoff after a failed request, as a part of a lease,
+	maxRetryDelay     = 1000 * Millisecond // and its maximum
+	maxBackoffFactor  = 5                  // the random part of the backoff grows up to so many times the first
 )
 
-// ClaimantHost is what a Holder can do. None of the methods may call back.
+// ClaimantHost carries out the effects of a Claimant. None of its methods may call back into the Claimant.
 type ClaimantHost interface {
-	// Send sends an asking; Answered or Unanswered tells how it went. No other follows before, but for Drop's.
-	Send(a Request)
+	// Send sends a request; Claimant.HandleResponse or HandleTimeout reports its outcome. Except for a release, no
+	// further request is sent before that.
+	Send(r Request)
 	// Granted tells that the lease is held from now on, with this token.
 	Granted(token uint64)
-	// Lost tells that it isn't any more: what is under way has to end.
-	Lost(why error)
-	// SetAlarm asks for Alarm at that time or soon after.
+	// Lost tells that the lease is no longer held: acts under it have to end. reason is nil after Release.
+	Lost(reason error)
+	// SetAlarm requests a call of Claimant.Alarm at or soon after a time, in place of any earlier request.
 	SetAlarm(at Time)
 }
 
-// Claimant is the side of one who wants a lease, and keeps it until it is dropped. It counts a lease from before its asking
-// was sent, since the granter counts from after. It is not safe for concurrent use.
+// Claimant acquires a lease and renews it until it is released. It counts the lease from before its request was sent,
+// while the granter counts from after it came. It is not safe for concurrent use.
 type Claimant struct {
-	claims ClaimantHost
-	name   string
-	holder Holder
-	short  Time // a lease as we count it: the granter's clock may be faster than ours
-	length Time
-
-	token   uint64 // 0: none
-	end     Time   // of the lease, by our clock
-	told    bool   // Held was told of it
-	out     bool   // one is out
-	dropped bool
-	next    Time // when to ask again
-	failed  int  // askings in a row that came to nothing
-	seed    uint64
-	drawn   uint64
+	host           ClaimantHost
+	name           string
+	holder         Holder
+	holderDuration Time // as counted here, see HolderDuration
+	leaseDuration  Time // nominal
+
+	token          uint64 // 0: none
+	expiry         Time   // of the lease, by the holder's clock
+	granted        bool   // the host was told that the lease is held
+	requestPending bool
+	released       bool
+	nextRequest    Time
+	failures       int // requests in a row that failed, up to maxBackoffFactor
+	seed           uint64
+	draws          uint64 // random numbers drawn so far
 }
 
-// NewClaimant makes one, which asks at once. short is the length of a lease as its holder counts it; seed spreads askings.
-func NewClaimant(claims ClaimantHost, now Time, name string, holder Holder, length, short Time, seed uint64) *Claimant {
-	c := &Claimant{claims: claims, name: name, holder: holder, short: short, length: length, seed: seed}
-	c.ask(now)
+// NewClaimant returns a Claimant, which sends its first request at once. leaseDuration is the nominal duration of a lease,
+// holderDuration its duration as counted by the holder. seed makes the backoff of different claimants differ.
+func NewClaimant(host ClaimantHost, now Time, name string, holder Holder, leaseDuration, holderDuration Time, seed uint64) *Claimant {
+	c := &Claimant{
+		host:           host,
+		name:           name,
+		holder:         holder,
+		holderDuration: holderDuration,
+		leaseDuration:  leaseDuration,
+		seed:           seed,
+	}
+	c.sendRequest(now)
 	return c
 }
 
-// MayAct says whether an act that takes so long may begin, and with which token. It holds for now only: after any wait ask
-// again, and since a process may stand still between this and its act, the act carries the token to a door.
-func (c *Claimant) MayAct(now, takes Time) (token uint64, may bool) {
-	return c.token, c.told && !c.dropped && now+takes < c.end
+// MayAct reports whether an act of a given duration may begin now, and its fencing token. Call it again after any wait.
+// The process may be suspended between this check and the act, so whatever is acted upon has to check the token too.
+func (c *Claimant) MayAct(now, duration Time) (token uint64, may bool) {
+	return c.token, c.granted && !c.released && now+duration < c.expiry
 }
 
-// Expiry gives until when the lease is held, as far as is known.
-func (c *Claimant) Expiry() Time { return c.end }
+// Expiry returns until when the lease is held, by the holder's clock and as far as it knows.
+func (c *Claimant) Expiry() Time { return c.expiry }
 
-func (c *Claimant) ask(now Time) {
-	a := Request{Operation: OpAcquire, Name: c.name, Holder: c.holder, Wait: c.length / waitPart}
+// sendRequest sends the request that the present state calls for.
+func (c *Claimant) sendRequest(now Time) {
+	r := Request{Operation: OpAcquire, Name: c.name, Holder: c.holder, Wait: c.leaseDuration / waitDivisor}
 	switch {
-	case c.dropped && c.token != 0:
-		a.Operation, a.Token = OpRelease, c.token
-	case c.dropped:
-		a.Operation = OpWithdraw
+	case c.released && c.token != 0:
+		r.Operation = OpRelease
+		r.Token = c.token
+	case c.released:
+		r.Operation = OpWithdraw
 	case c.token != 0:
-		a.Operation, a.Token = OpRenew, c.token
+		r.Operation = OpRenew
+		r.Token = c.token
 	}
-	c.out = true
-	c.claims.Send(a)
+	c.requestPending = true
+	c.host.Send(r)
 }
 
-// HandleResponse tells what came of the asking that was out, which was sent at the time given.
-func (c *Claimant) HandleResponse(now, sent Time, a Response) {
-	if c.dropped {
-		if a.Err == nil && a.Token != 0 && c.token == 0 {
-			c.token = a.Token // granted while it was given up: so it goes back
-			c.ask(now)
-		}
-		return // a late yes revives nothing
+// HandleResponse takes the response to the pending request, which was sent at the time sent.
+func (c *Claimant) HandleResponse(now, sent Time, response Response) {
+	if c.released {
+		c.handleLateResponse(now, response)
+		return
 	}
-	if !c.out {
+	if !c.requestPending {
 		return
 	}
-	c.out = false
+	c.requestPending = false
 	switch {
-	case a.Err == nil && (c.token == 0 || a.Token == c.token):
-		c.failed = 0
-		c.token = a.Token
-		c.end = max(c.end, sent+c.short)
-		c.next = sent + c.length/renewPart
-		if now >= c.end { // the answer was late by a lease: a renewal has to show that it is still ours
-			c.next = now
-		} else if !c.told {
-			c.told = true
-			c.claims.Granted(c.token)
-		}
-	case errors.Is(a.Err, ErrLeaseExpired) || a.Err == nil:
-		c.lose(a.Err)
-		c.later(now)
-	case errors.Is(a.Err, ErrStillHeld):
-		c.failed = 0
-		c.next = now
+	case response.Err == nil && (c.token == 0 || response.Token == c.token):
+		c.extend(now, sent, response.Token)
+	case errors.Is(response.Err, ErrLeaseExpired) || response.Err == nil:
+		c.discard(response.Err)
+		c.scheduleRetry(now)
+	case errors.Is(response.Err, ErrStillHeld):
+		c.failures = 0
+		c.nextRequest = now
 	default:
-		c.later(now)
+		c.scheduleRetry(now)
+	}
+	c.scheduleAlarm(now)
+}
+
+// handleLateResponse gives back a lease that was granted while the request for it was being withdrawn.
+func (c *Claimant) handleLateResponse(now Time, response Response) {
+	if response.Err == nil && response.Token != 0 && c.token == 0 {
+		c.token = response.Token
+		c.sendRequest(now)
+	}
+}
+
+// extend notes a grant or a renewal, whose request was sent at the time sent.
+func (c *Claimant) extend(now, sent Time, token uint64) {
+	c.failures = 0
+	c.token = token
+	c.expiry = max(c.expiry, sent+c.holderDuration)
+	c.nextRequest = sent + c.leaseDuration/renewalsPerLease
+	if now >= c.expiry { // the response was late: only a renewal can show that the lease is still held
+		c.nextRequest = now
+		return
+	}
+	if !c.granted {
+		c.granted = true
+		c.host.Granted(c.token)
 	}
-	c.wake(now)
 }
 
-// HandleTimeout tells that the asking that was out came to nothing: nobody knows whether it was heard.
+// HandleTimeout notes that the pending request has failed; whether it reached the leader is unknown.
 func (c *Claimant) HandleTimeout(now Time) {
-	if !c.out || c.dropped {
+	if !c.requestPending || c.released {
 		return
 	}
-	c.out = false
-	c.later(now)
-	c.wake(now)
+	c.requestPending = false
+	c.scheduleRetry(now)
+	c.scheduleAlarm(now)
 }
 
-// later spreads those who come again together.
-func (c *Claimant) later(now Time) {
-	c.failed = min(c.failed+1, 5)
-	base := min(c.length/againPart, againMost)
-	c.next = now + base + Time(c.draw()*float64(base)*float64(c.failed))
+// scheduleRetry sets the time of the next request by a backoff with jitter.
+func (c *Claimant) scheduleRetry(now Time) {
+	c.failures = min(c.failures+1, maxBackoffFactor)
+	base := min(c.leaseDuration/retryDelayDivisor, maxRetryDelay)
+	c.nextRequest = now + base + Time(c.random()*float64(base)*float64(c.failures))
 }
 
-// draw gives the next number in [0, 1) of this claim's own chance.
-func (c *Claimant) draw() float64 {
-	c.drawn++
-	h := fnv.New64a()
+// random returns the next number in [0, 1) of this claimant's own sequence.
+func (c *Claimant) random() float64 {
+	const resolution = 1 << 20
+	c.draws++
+	hash := fnv.New64a()
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], c.seed)
-	binary.LittleEndian.PutUint64(buf[8:], c.drawn)
-	h.Write(buf[:])
-	return float64(h.Sum64()%(1<<20)) / (1 << 20)
+	binary.LittleEndian.PutUint64(buf[8:], c.draws)
+	hash.Write(buf[:])
+	return float64(hash.Sum64()%resolution) / resolution
 }
 
-func (c *Claimant) lose(why error) {
-	was := c.told
-	c.token, c.told, c.end = 0, false, 0
-	if was {
-		c.claims.Lost(why)
+// discard forgets the lease, and tells the host if it held it.
+func (c *Claimant) discard(reason error) {
+	wasGranted := c.granted
+	c.token = 0
+	c.granted = false
+	c.expiry = 0
+	if wasGranted {
+		c.host.Lost(reason)
 	}
 }
 
-// Alarm comes at or after a time asked for with Wake.
+// Alarm ends an expired lease and sends a request that is due. It is called at or after the time given to
+// ClaimantHost.SetAlarm.
 func (c *Claimant) Alarm(now Time) {
-	if c.dropped {
+	if c.released {
 		return
 	}
-	if c.told && now >= c.end {
-		// It may still be ours by the granter's count, so the token stays, and a renewal shows it.
-		c.told = false
-		c.claims.Lost(ErrLeaseExpired)
+	if c.granted && now >= c.expiry {
+		// By the granter's count it may still be held, so the token stays, and a renewal will tell.
+		c.granted = false
+		c.host.Lost(ErrLeaseExpired)
 	}
-	if !c.out && now >= c.next {
-		c.ask(now)
+	if !c.requestPending && now >= c.nextRequest {
+		c.sendRequest(now)
 	}
-	c.wake(now)
+	c.scheduleAlarm(now)
 }
 
-func (c *Claimant) wake(now Time) {
-	if c.dropped {
+// scheduleAlarm requests an alarm for the next request or the expiry, whichever comes first.
+func (c *Claimant) scheduleAlarm(now Time) {
+	if c.released {
 		return
 	}
-	at := c.next
-	if c.out {
-		if !c.told {
-			return // its end comes
+	at := c.nextRequest
+	if c.requestPending {
+		if !c.granted {
+			return // the outcome of the request comes first
 		}
-		at = c.end
-	} else if c.told {
-		at = min(at, c.end)
+		at = c.expiry
+	} else if c.granted {
+		at = min(at, c.expiry)
 	}
-	c.claims.SetAlarm(max(at, now))
+	c.host.SetAlarm(max(at, now))
 }
 
-// Release gives the lease up, or the wish for it, once all acts have ended. What is held is released, or granted yet.
+// Release gives up the lease, or the attempt to acquire it. Call it once all acts under the lease have ended.
 func (c *Claimant) Release(now Time) {
-	if c.dropped {
+	if c.released {
 		return
 	}
-	c.dropped = true
-	if c.told {
-		c.told = false
-		c.claims.Lost(nil)
+	c.released = true
+	if c.granted {
+		c.granted = false
+		c.host.Lost(nil)
 	}
-	c.ask(now)
+	c.sendRequest(now)
 }
--- a/lease/claimant_test.go
+++ b/lease/claimant_test.go
@@ -36,21 +36,21 @@
 		}, short, false, []string{OpAcquire, OpRenew}},
 		{"nobody answers its renewals", func(c *Claimant) {
 			c.HandleResponse(1, 0, yes)
-			c.Alarm(aLease / renewPart)
+			c.Alarm(aLease / renewalsPerLease)
 			c.HandleTimeout(aLease / 2)
 			c.Alarm(short)
 		}, short, false, []string{OpAcquire, OpRenew, OpRenew}},
 		{"lapsed: it asks anew", func(c *Claimant) {
 			c.HandleResponse(1, 0, yes)
-			c.Alarm(aLease / renewPart)
-			c.HandleResponse(aLease/2, aLease/renewPart, Response{Err: ErrLeaseExpired})
+			c.Alarm(aLease / renewalsPerLease)
+			c.HandleResponse(aLease/2, aLease/renewalsPerLease, Response{Err: ErrLeaseExpired})
 			c.Alarm(aLease)
 		}, aLease / 2, false, []string{OpAcquire, OpRenew, OpAcquire}},
 		{"released while its renewal is under way: a late yes revives nothing", func(c *Claimant) {
 			c.HandleResponse(1, 0, yes)
-			c.Alarm(aLease / renewPart)
+			c.Alarm(aLease / renewalsPerLease)
 			c.Release(aLease / 2)
-			c.HandleResponse(aLease/2+1, aLease/renewPart, yes)
+			c.HandleResponse(aLease/2+1, aLease/renewalsPerLease, yes)
 		}, aLease/2 + 1, false, []string{OpAcquire, OpRenew, OpRelease}},
 		{"granted while it was given up: it goes back", func(c *Claimant) {
 			c.Release(1)
--- a/lease/cluster_test.go
+++ b/lease/cluster_test.go
@@ -91,7 +91,7 @@
 		w.voters[i] = &voter{w: w, n: i, state: NewState(), out: map[uint64]Entry{}, results: map[uint64]Result{}}
 		w.voters[i].keeper = w.keeper(w.voters[i])
 	}
-	w.append(Entry{Version: version, Kind: KindFoundCluster, Name: "f"})
+	w.append(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "f"})
 	short := HolderDuration(length, drift)
 	if without == noMargin {
 		short = length
@@ -308,7 +308,7 @@
 		v.term++
 		o.term, v.reign = v.term, v.term
 		v.catchUp()
-		w.append(Entry{Version: version, Kind: KindNewTerm, Name: fmt.Sprint(v.n)})
+		w.append(Entry{Version: formatVersion, Kind: KindNewTerm, Name: fmt.Sprint(v.n)})
 		v.catchUp()
 		v.keeper.Promote(v.now(), v.state.Term)
 	case "depose":
@@ -329,7 +329,7 @@
 			token = w.truth.Leases["task"].Token
 		}
 		w.number++
-		if r := w.append(Entry{Version: version, Kind: KindEffect, Name: "task", Token: token, Effect: "task", Number: w.number}); r.Err == nil {
+		if r := w.append(Entry{Version: formatVersion, Kind: KindEffect, Name: "task", Token: token, Effect: "task", Number: w.number}); r.Err == nil {
 			if w.fault == "" && token < w.door || w.without == noToken && w.holds(token) != c.n {
 				w.fault = fmt.Sprintf("claimant %d acts with token %d after token %d", c.n, token, w.door)
 			}
@@ -369,17 +369,17 @@
 		x, k := *v, *v.keeper
 		x.w, x.state, x.out, x.keeper = &o, v.state.clone(), maps.Clone(v.out), &k
 		k.host, k.state = &x, x.state
-		k.ends, k.moving, k.asks, k.out = maps.Clone(k.ends), maps.Clone(k.moving), maps.Clone(k.asks), maps.Clone(k.out)
-		k.renewals, k.inRound = slices.Clone(k.renewals), slices.Clone(k.inRound)
-		k.lines = map[string][]waiter{}
-		for name, line := range v.keeper.lines {
-			k.lines[name] = slices.Clone(line)
+		k.expiries, k.changing, k.requests, k.proposals = maps.Clone(k.expiries), maps.Clone(k.changing), maps.Clone(k.requests), maps.Clone(k.proposals)
+		k.queuedRenewals, k.roundRenewals = slices.Clone(k.queuedRenewals), slices.Clone(k.roundRenewals)
+		k.queues = map[string][]waiter{}
+		for name, line := range v.keeper.queues {
+			k.queues[name] = slices.Clone(line)
 		}
 		o.voters[i] = &x
 	}
 	for _, c := range w.claims {
 		x, claim := *c, *c.claim
-		x.w, x.claim, claim.claims = &o, &claim, &x
+		x.w, x.claim, claim.host = &o, &claim, &x
 		o.claims = append(o.claims, &x)
 	}
 	return &o
@@ -399,9 +399,9 @@
 		fmt.Fprint(h, v.term, v.reign, v.round != 0, v.awake, v.wakeAt, len(w.log)-v.applied)
 		if v.reign > 0 {
 			k := v.keeper
-			fmt.Fprint(h, k.ends, k.moving, len(k.renewals), len(k.inRound), k.reign)
-			for _, w := range k.lines["task"] {
-				fmt.Fprint(h, w.holder.Process, w.id != 0, w.until)
+			fmt.Fprint(h, k.expiries, k.changing, len(k.queuedRenewals), len(k.roundRenewals), k.term)
+			for _, w := range k.queues["task"] {
+				fmt.Fprint(h, w.holder.Process, w.requestID != 0, w.deadline)
 			}
 			for ref, e := range v.out {
 				fmt.Fprint(h, ref, e)
@@ -410,7 +410,7 @@
 	}
 	for _, c := range w.claims {
 		k := c.claim
-		fmt.Fprint(h, c.act, c.awake, c.wakeAt, k.token, k.end, k.told, k.out, k.dropped, k.next, k.failed)
+		fmt.Fprint(h, c.act, c.awake, c.wakeAt, k.token, k.expiry, k.granted, k.requestPending, k.released, k.nextRequest, k.failures)
 	}
 	var flying []string // in whatever order
 	for _, m := range w.flying {
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -57,9 +57,9 @@
 
 func newDesk() *desk {
 	d := &desk{s: NewState(), answers: map[uint64]Response{}, entries: map[uint64]Entry{}}
-	d.s.Apply(Entry{Version: version, Kind: KindFoundCluster, Name: "fleet"})
+	d.s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
 	d.k = NewManager(d, d.s, aLease, GranterDuration(aLease, 0.01))
-	d.k.Promote(d.now, d.s.Apply(Entry{Version: version, Kind: KindNewTerm, Name: "n1"}).Term)
+	d.k.Promote(d.now, d.s.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n1"}).Term)
 	return d
 }
 
@@ -73,7 +73,7 @@
 	for n := 1; n <= 4; n++ {
 		ids[n] = d.ask(acquire(n, aLease))
 	}
-	d.now += aLease / gracePart
+	d.now += aLease / graceDivisor
 	d.k.Alarm(d.now) // their waits are over
 	for n := 1; n <= 4; n++ {
 		if a := d.answers[ids[n]]; !errors.Is(a.Err, ErrStillHeld) || a.Holder != holder(0) {
@@ -170,7 +170,7 @@
 		}, Response{Err: ErrLeaseExpired}},
 		{"nothing is decided by an earlier reign's memory", func(d *desk) uint64 {
 			id := d.ask(with(OpRelease, 0, 1))
-			d.s.Apply(Entry{Version: version, Kind: KindNewTerm, Name: "n2"})
+			d.s.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n2"})
 			d.apply()
 			return id
 		}, Response{Err: ErrNotLeader}},
@@ -194,13 +194,13 @@
 	d.ask(acquire(0, 0))
 	d.apply()
 	full := 0
-	for n := 1; n <= 2*waitersMost; n++ {
+	for n := 1; n <= 2*maxWaitersPerLease; n++ {
 		if a := d.answers[d.ask(acquire(n, aLease))]; errors.Is(a.Err, ErrLimitExceeded) {
 			full++
 		}
 	}
-	if full != waitersMost || len(d.k.asks) != waitersMost {
-		t.Errorf("%d refused, %d wait, want %d each", full, len(d.k.asks), waitersMost)
+	if full != maxWaitersPerLease || len(d.k.requests) != maxWaitersPerLease {
+		t.Errorf("%d refused, %d wait, want %d each", full, len(d.k.requests), maxWaitersPerLease)
 	}
 	d.ask(with(OpRelease, 0, 1))
 	d.apply()
@@ -216,7 +216,7 @@
 	d.apply()
 	d.now += aLease
 	d.k.Demote()
-	d.k.Promote(d.now, d.s.Apply(Entry{Version: version, Kind: KindNewTerm, Name: "n2"}).Term)
+	d.k.Promote(d.now, d.s.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n2"}).Term)
 	d.end(aLease)
 	if len(d.s.Leases) != 1 {
 		t.Error("it ends within a length of the new reign")
@@ -232,9 +232,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, last, done := NewState(), uint64(0), map[string]uint64{}
 		held := map[string]Lease{}
-		s.Apply(Entry{Version: version, Kind: KindFoundCluster, Name: "fleet"})
+		s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
 		for range 200 {
-			e := Entry{Version: version, Kind: rapid.SampledFrom([]string{KindGrant, KindRevoke, KindEffect, KindNewTerm, KindFoundCluster}).Draw(t, "kind"),
+			e := Entry{Version: formatVersion, Kind: rapid.SampledFrom([]string{KindGrant, KindRevoke, KindEffect, KindNewTerm, KindFoundCluster}).Draw(t, "kind"),
 				Name:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
 				Holder: holder(rapid.IntRange(0, 2).Draw(t, "holder")), Number: uint64(rapid.IntRange(1, 9).Draw(t, "number")),
 				Token: uint64(max(0, int(last)-rapid.IntRange(0, 2).Draw(t, "age")))}
@@ -280,21 +280,21 @@
 
 func TestWhatIsMalformedIsRefusedByName(t *testing.T) {
 	s := NewState()
-	s.Apply(Entry{Version: version, Kind: KindFoundCluster, Name: "fleet"})
-	s.Apply(Entry{Version: version, Kind: KindGrant, Name: "a", Holder: holder(1)})
+	s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
+	s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "a", Holder: holder(1)})
 	for want, e := range map[string]Entry{
 		`version 9 of a "grant" entry`: {Version: 9, Kind: KindGrant, Name: "a"},
-		"name":                         {Version: version, Kind: KindGrant, Name: strings.Repeat("a", nameLength+1)},
-		"unknown kind":                 {Version: version, Kind: "budget", Name: "a"},
-		`version 1 of a "whole" entry`: {Version: version, Kind: KindSetBudget, Name: "a"},
-		"no terms":                     {Version: divided, Kind: KindSetBudget, Name: "a"},
-		"rate or number":               {Version: divided, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: "x", Units: 1, MaxNodes: 1}},
-		"0 units":                      {Version: divided, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: ConcurrencyKind, MaxNodes: 1}},
-		"0 a second":                   {Version: divided, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: RateKind, Units: 1, MaxNodes: 1}},
-		"expected 12 or more":          {Version: divided, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: ConcurrencyKind, Units: 9, ReservedPerNode: 3, MaxNodes: 4}},
-		"16384 at most":                {Version: divided, Kind: KindMoveQuotas, Name: "a", Moves: make([]QuotaMove, movesMost+1)},
-		"is not \"a\"":                 {Version: version, Kind: KindEffect, Name: "a", Token: 1, Effect: "ab"},
-		"4096 at most":                 {Version: version, Kind: KindEffect, Name: "a", Token: 1, Effect: "a", Value: make([]byte, valueMost+1)},
+		"name":                         {Version: formatVersion, Kind: KindGrant, Name: strings.Repeat("a", maxNameBytes+1)},
+		"unknown kind":                 {Version: formatVersion, Kind: "budget", Name: "a"},
+		`version 1 of a "whole" entry`: {Version: formatVersion, Kind: KindSetBudget, Name: "a"},
+		"no budget given":              {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a"},
+		"rate or number":               {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: "x", Units: 1, MaxNodes: 1}},
+		"0 units":                      {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: ConcurrencyKind, MaxNodes: 1}},
+		"0 a second":                   {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: RateKind, Units: 1, MaxNodes: 1}},
+		"expected 12 or more":          {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: ConcurrencyKind, Units: 9, ReservedPerNode: 3, MaxNodes: 4}},
+		"16384 at most":                {Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "a", Moves: make([]QuotaMove, maxMovesPerEntry+1)},
+		"is not \"a\"":                 {Version: formatVersion, Kind: KindEffect, Name: "a", Token: 1, Effect: "ab"},
+		"4096 at most":                 {Version: formatVersion, Kind: KindEffect, Name: "a", Token: 1, Effect: "a", Value: make([]byte, maxValueBytes+1)},
 	} {
 		if r := s.Apply(e); r.Err == nil || !strings.Contains(r.Err.Error(), want) {
 			t.Errorf("%v: want %s", r.Err, want)
@@ -315,14 +315,14 @@
 // snapshot; one without budgets can be read by a program that knows none.
 func TestPartsOfABudget(t *testing.T) {
 	s := NewState()
-	s.Apply(Entry{Version: version, Kind: KindFoundCluster, Name: "fleet"})
-	a := s.Apply(Entry{Version: version, Kind: KindGrant, Name: "node/a", Holder: holder(1)}).Token
-	b := s.Apply(Entry{Version: version, Kind: KindGrant, Name: "node/b", Holder: holder(2)}).Token
+	s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
+	a := s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "node/a", Holder: holder(1)}).Token
+	b := s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "node/b", Holder: holder(2)}).Token
 	if text, _ := s.Snapshot(); !strings.Contains(string(text), `"version":1`) || strings.Contains(string(text), "budgets") {
 		t.Errorf("without budgets: %s", text)
 	}
 	set := func(revision uint64, units int) Result {
-		return s.Apply(Entry{Version: divided, Kind: KindSetBudget, Name: "x", Budget: &BudgetConfig{Kind: RateKind, Units: units, RatePerUnit: 2, ReservedPerNode: 1, MaxNodes: 2, Revision: revision}})
+		return s.Apply(Entry{Version: budgetFormatVersion, Kind: KindSetBudget, Name: "x", Budget: &BudgetConfig{Kind: RateKind, Units: units, RatePerUnit: 2, ReservedPerNode: 1, MaxNodes: 2, Revision: revision}})
 	}
 	if r := set(0, 10); r.Err != nil || r.Token != 1 {
 		t.Fatal(r)
@@ -344,7 +344,7 @@
 		{"node/b", b, 4, 7, 7},
 		{"node/c", 9, 0, 1, 0},
 	} {
-		s.Apply(Entry{Version: divided, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaMove{{"x", c.lease, c.token, c.under, c.units}}})
+		s.Apply(Entry{Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaMove{{"x", c.lease, c.token, c.under, c.units}}})
 		if got := s.Budgets["x"].Quotas[c.lease].Units; got != c.want {
 			t.Errorf("%+v: %d units", c, got)
 		}
@@ -360,7 +360,7 @@
 	if err := fresh.Restore(text); err != nil || fresh.Budgets["x"].Allocated() != 8 || fresh.Budgets["x"].BudgetConfig != s.Budgets["x"].BudgetConfig {
 		t.Errorf("%v: %+v", err, fresh.Budgets["x"])
 	}
-	s.Apply(Entry{Version: version, Kind: KindRevoke, Name: "node/b", Token: b})
+	s.Apply(Entry{Version: formatVersion, Kind: KindRevoke, Name: "node/b", Token: b})
 	if s.Budgets["x"].Allocated() != 1 {
 		t.Errorf("%+v", s.Budgets["x"])
 	}
--- a/lease/probe_scheduler.go
+++ b/lease/probe_scheduler.go
@@ -7,96 +7,105 @@
 )
 
 const (
-	trialLeast  = 250 * Millisecond  // between two trials of a server at first, as a node by itself rests at first,
-	trialMost   = 2000 * Millisecond // doubling to this, half of what a node waits by itself: one tries for all
-	trialIn     = 1000 * Millisecond // a trial without a result by then is another's to make
-	tellEvery   = 500 * Millisecond  // nodes with resting servers tell of them, and hear of trials, so often
-	forgetAfter = 5000 * Millisecond // a server that nobody has told of for so long is none of ours
-	boardMost   = 4096               // servers at once; more are each node's own
+	minProbeInterval       = 250 * Millisecond  // between two probes of a server; it doubles with each probe
+	maxProbeInterval       = 2000 * Millisecond // half of what a node alone waits: one probes for all
+	probeResultTimeout     = 1000 * Millisecond // until a probe without a result is scheduled again
+	ejectionReportInterval = 500 * Millisecond  // between two reports of a node, which also fetch results
+	probeTargetExpiry      = 5000 * Millisecond // since the last report of a server, until it is dropped
+	maxProbeTargets        = 4096               // further servers are probed by each node itself
 )
 
-// ProbeScheduler is what the leader keeps in mind of servers that rest at some nodes: which to try next, and how the last trial
-// went. Like all of its memory it ends with its reign; then the nodes tell anew, and meanwhile try for themselves. It is
+// ProbeScheduler schedules the health checks of servers that nodes have ejected, and keeps the last result of each. It is
+// part of the leader's memory: after a change of leader the nodes report again, and probe by themselves meanwhile. It is
 // not safe for concurrent use.
 type ProbeScheduler struct {
-	servers map[string]*patient
-	token   uint64 // the latest under which trials were told
+	targets     map[string]*probeTarget // by server id
+	latestToken uint64                  // of the lease of the probe task
 }
 
-type patient struct {
-	address string
-	told    Time // latest, by any node
-	due     Time // the next trial, or when the one under way is given up
-	wait    Time
-	tried   bool
-	well    bool
-	under   bool // a trial is under way
+// probeTarget is a server to be probed.
+type probeTarget struct {
+	address      string
+	lastReported Time // by any node
+	nextEvent    Time // the next probe, or the timeout of the one in progress
+	interval     Time
+	probed       bool
+	healthy      bool // result of the last probe
+	inProgress   bool
 }
 
-// Probe is one to be made.
+// Probe is a health check to be made.
 type Probe struct {
-	ID      string `json:"ID"`
+	ID      string `json:"ID"` // of the server
 	Address string `json:"Address"`
 }
 
-// ProbeStatus is how the last trial of a server went. Next is when the one after it will have been told, from now on.
+// ProbeStatus is the result of a server's last probe.
 type ProbeStatus struct {
 	ID        string `json:"ID"`
 	Healthy   bool   `json:"Well"`
-	NextProbe Time   `json:"Next"`
+	NextProbe Time   `json:"Next"` // from now until the result of the next probe will have been reported
 }
 
-// NewProbeScheduler makes an empty one.
-func NewProbeScheduler() *ProbeScheduler { return &ProbeScheduler{servers: map[string]*patient{}} }
+// NewProbeScheduler returns a scheduler without targets.
+func NewProbeScheduler() *ProbeScheduler {
+	return &ProbeScheduler{targets: map[string]*probeTarget{}}
+}
 
-// ReportEjected tells that a server rests at a node, and gives what is known of it.
-func (b *ProbeScheduler) ReportEjected(now Time, id, address string) (n ProbeStatus, known bool) {
-	p := b.servers[id]
-	if p == nil {
-		if len(b.servers) >= boardMost {
-			return n, false
+// ReportEjected records that a node has ejected a server, and returns the result of the server's last probe, if any.
+func (s *ProbeScheduler) ReportEjected(now Time, id, address string) (status ProbeStatus, known bool) {
+	target := s.targets[id]
+	if target == nil {
+		if len(s.targets) >= maxProbeTargets {
+			return ProbeStatus{}, false
 		}
-		p = &patient{due: now, wait: trialLeast}
-		b.servers[id] = p
+		target = &probeTarget{nextEvent: now, interval: minProbeInterval}
+		s.targets[id] = target
 	}
-	if p.address != address { // it moved: what was seen is of another
-		*p = patient{address: address, due: now, wait: trialLeast}
+	if target.address != address { // earlier results are those of another address
+		*target = probeTarget{address: address, nextEvent: now, interval: minProbeInterval}
 	}
-	p.told = now
-	if !p.tried {
-		return n, false
+	target.lastReported = now
+	if !target.probed {
+		return ProbeStatus{}, false
 	}
-	return ProbeStatus{id, p.well, max(0, p.due-now) + trialIn + 2*tellEvery}, true
+	untilNext := max(0, target.nextEvent-now) + probeResultTimeout + 2*ejectionReportInterval
+	return ProbeStatus{ID: id, Healthy: target.healthy, NextProbe: untilNext}, true
 }
 
-// DueProbes gives the trials to be made now, under the holder's token: an earlier holder is given none.
-func (b *ProbeScheduler) DueProbes(now Time, token uint64) (all []Probe) {
-	if token < b.token {
+// DueProbes returns the probes to be made now by the holder of the probe task's lease. An earlier holder, with a lower
+// token, gets none.
+func (s *ProbeScheduler) DueProbes(now Time, token uint64) (due []Probe) {
+	if token < s.latestToken {
 		return nil
 	}
-	b.token = token
-	for _, id := range slices.SortedFunc(maps.Keys(b.servers), cmp.Compare[string]) {
-		p := b.servers[id]
+	s.latestToken = token
+	for _, id := range slices.SortedFunc(maps.Keys(s.targets), cmp.Compare[string]) {
+		target := s.targets[id]
 		switch {
-		case now-p.told > forgetAfter:
-			delete(b.servers, id)
-		case now >= p.due:
-			p.under, p.due = true, now+trialIn
-			all = append(all, Probe{id, p.address})
+		case now-target.lastReported > probeTargetExpiry:
+			delete(s.targets, id)
+		case now >= target.nextEvent:
+			target.inProgress = true
+			target.nextEvent = now + probeResultTimeout
+			due = append(due, Probe{ID: id, Address: target.address})
 		}
 	}
-	return all
+	return due
 }
 
-// ReportResult takes what a trial came to. One that was given up, or is told under an old token, changes nothing.
-func (b *ProbeScheduler) ReportResult(now Time, token uint64, id string, well bool) {
-	p := b.servers[id]
-	if p == nil || token < b.token || !p.under {
+// ReportResult records the result of a probe. It ignores results of probes that aren't in progress, and of earlier holders.
+func (s *ProbeScheduler) ReportResult(now Time, token uint64, id string, healthy bool) {
+	target := s.targets[id]
+	if target == nil || token < s.latestToken || !target.inProgress {
 		return
 	}
-	if p.tried && p.well != well {
-		p.wait = trialLeast
+	if target.probed && target.healthy != healthy {
+		target.interval = minProbeInterval
 	}
-	p.tried, p.well, p.under, p.due = true, well, false, now+p.wait
-	p.wait = min(2*p.wait, trialMost)
+	target.probed = true
+	target.healthy = healthy
+	target.inProgress = false
+	target.nextEvent = now + target.interval
+	target.interval = min(2*target.interval, maxProbeInterval)
 }
--- a/lease/probe_scheduler_test.go
+++ b/lease/probe_scheduler_test.go
@@ -8,7 +8,7 @@
 	b, now, trials := NewProbeScheduler(), Time(0), 0
 	for ; now < 10_000*Millisecond; now += 50 * Millisecond {
 		for range 300 {
-			if n, known := b.ReportEjected(now, "c", "a:1"); known && (n.Healthy || n.NextProbe <= 0 || n.NextProbe > trialMost+trialIn+2*tellEvery) {
+			if n, known := b.ReportEjected(now, "c", "a:1"); known && (n.Healthy || n.NextProbe <= 0 || n.NextProbe > maxProbeInterval+probeResultTimeout+2*ejectionReportInterval) {
 				t.Fatalf("at %d: %+v", now, n)
 			}
 		}
@@ -20,7 +20,7 @@
 	if trials < 6 || trials > 9 {
 		t.Errorf("%d trials in 10 s, want one in two seconds after the first few", trials)
 	}
-	now += trialMost
+	now += maxProbeInterval
 	if b.DueProbes(now, 1) != nil {
 		t.Error("an earlier holder is to try")
 	}
@@ -36,11 +36,11 @@
 	if _, known := b.ReportEjected(now, "c", "a:2"); known {
 		t.Error("what was seen at an address is told of another")
 	}
-	now += trialIn + trialMost
-	if b.DueProbes(now, 2); len(b.DueProbes(now+trialIn, 2)) != 1 {
+	now += probeResultTimeout + maxProbeInterval
+	if b.DueProbes(now, 2); len(b.DueProbes(now+probeResultTimeout, 2)) != 1 {
 		t.Error("a trial without a result is not made again")
 	}
-	if b.DueProbes(now+2*forgetAfter, 2); len(b.servers) != 0 {
+	if b.DueProbes(now+2*probeTargetExpiry, 2); len(b.targets) != 0 {
 		t.Error("nobody tells of it, and it is kept")
 	}
 }
--- /dev/null
+++ b/lease/proposals.go
@@ -0,0 +1,66 @@
+package lease
+
+import "errors"
+
+// proposal is a log entry that the leader has proposed and whose outcome it doesn't know yet.
+type proposal struct {
+	entry     Entry
+	requestID uint64 // the request that the outcome answers; 0: none
+}
+
+// propose appends an entry to the log.
+func (m *Manager) propose(e Entry, requestID uint64) {
+	e.Version = versionOfKind(e.Kind)
+	m.lastRef++
+	m.proposals[m.lastRef] = proposal{entry: e, requestID: requestID}
+	m.host.Propose(m.lastRef, e)
+}
+
+// revoke proposes to end a lease. From here on no request renews it.
+func (m *Manager) revoke(name string, token, requestID uint64) {
+	m.changing[name] = true
+	m.propose(Entry{Kind: KindRevoke, Term: m.term, Name: name, Token: token}, requestID)
+}
+
+// Applied takes the outcome of a proposal. lost says that the outcome is unknown to this leader: the next one, perhaps this
+// process again, will find out from its log.
+func (m *Manager) Applied(now Time, ref uint64, result Result, lost bool) {
+	p, known := m.proposals[ref]
+	if !known {
+		return
+	}
+	delete(m.proposals, ref)
+	if lost || errors.Is(result.Err, ErrStaleTerm) {
+		m.reply(p.requestID, Response{Err: ErrNotLeader})
+		return // the lease stays marked as changing: the term is over, and Demote or Promote follows
+	}
+	name := p.entry.Name
+	switch p.entry.Kind {
+	case KindGrant:
+		m.granted(now, p, result)
+	case KindRevoke:
+		delete(m.changing, name)
+		delete(m.expiries, name)
+		m.reply(p.requestID, Response{Err: result.Err})
+	case KindEffect:
+		m.reply(p.requestID, Response{Token: result.Token, Err: result.Err})
+	}
+	m.grantNext(now, name)
+	m.scheduleAlarm(now)
+}
+
+// granted takes the outcome of a grant. If the claimant has gone without learning of it, the lease is revoked at once.
+func (m *Manager) granted(now Time, p proposal, result Result) {
+	name := p.entry.Name
+	delete(m.changing, name)
+	if result.Err != nil {
+		m.reply(p.requestID, Response{Token: result.Token, Err: result.Err})
+		return
+	}
+	m.expiries[name] = now + m.grantDuration
+	if _, pending := m.requests[p.requestID]; !pending {
+		m.revoke(name, result.Token, 0)
+		return
+	}
+	m.reply(p.requestID, Response{Token: result.Token, Holder: p.entry.Holder, Duration: m.leaseDuration})
+}
