--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -14,29 +14,29 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// leader has so many holders, each of its own name, as nodes are.
-func leader(b *testing.B, holders int) (*desk, []Request) {
-	d := newDesk()
+// harnessWithHolders returns a leader with a number of held leases, one for each node's name, and the requests that renew them.
+func harnessWithHolders(b *testing.B, holders int) (*managerHarness, []Request) {
+	h := newManagerHarness()
 	all := make([]Request, holders)
 	for n := range all {
 		name := fmt.Sprintf("node/%05d", n)
-		id := d.ask(Request{Operation: OpAcquire, Name: name, Holder: holder(n)})
-		d.apply()
-		x := d.answers[id]
+		id := h.handle(Request{Operation: OpAcquire, Name: name, Holder: holder(n)})
+		h.apply()
+		x := h.responses[id]
 		if x.Err != nil {
 			b.Fatal(n, x.Err)
 		}
 		all[n] = Request{Operation: OpRenew, Name: name, Holder: holder(n), Token: x.Token}
-		d.s.Apply(Entry{Version: formatVersion, Kind: KindEffect, Name: name, Token: x.Token, Effect: name, Number: 1, Value: []byte("127.0.0.1:10001")})
+		h.state.Apply(Entry{Version: formatVersion, Kind: KindEffect, Name: name, Token: x.Token, Effect: name, Number: 1, Value: []byte("127.0.0.1:10001")})
 	}
-	clear(d.answers)
-	return d, all
+	clear(h.responses)
+	return h, all
 }
 
-var holderCounts = []int{100, 232, 500, 1000, 2000, 4090} // up to namesMost
+var holderCounts = []int{100, 232, 500, 1000, 2000, 4090} // up to maxLeases
 
-// BenchmarkRenewal is what one renewal costs the leader's memory, without wire and voters: alone in its round to a majority,
-// and with fifteen others. The leader's share of a core is holders times that, at a renewal a second each.
+// BenchmarkRenewal is the cost of one renewal in the Manager, without network and voters: alone in its quorum round, and with
+// fifteen others. The leader's share of a core is holders times that, at a renewal a second each.
 func BenchmarkRenewal(b *testing.B) {
 	for _, together := range []int{1, 16} {
 		for _, holders := range holderCounts {
@@ -44,20 +44,20 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				d, asks := leader(b, holders)
+				h, asks := harnessWithHolders(b, holders)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				n := 0
 				round := func(many int) {
 					for range many {
-						d.ask(asks[n%holders])
+						h.handle(asks[n%holders])
 						n++
 					}
-					for len(d.rounds) > 0 {
-						d.confirm()
+					for len(h.rounds) > 0 {
+						h.confirm()
 					}
-					d.now += Time(many)
-					clear(d.answers)
+					h.now += Time(many)
+					clear(h.responses)
 				}
 				round(holders)
 				used := processorTime()
@@ -76,23 +76,23 @@
 	}
 }
 
-// BenchmarkWaiting is one asking of a waiter for a task that another holds: it waits for a quarter of a lease and asks
-// again, as all nodes but one do for each task.
+// BenchmarkWaiting is one request of a waiter for a lease that another holds: it waits for a quarter of a lease and retries,
+// as all nodes but one do for each task.
 func BenchmarkWaiting(b *testing.B) {
-	for _, waiters := range []int{100, 232, 500, 1000} { // up to waitersMost
+	for _, waiters := range []int{100, 232, 500, 1000} { // up to maxWaitersPerLease
 		b.Run(fmt.Sprint("waiters=", waiters), func(b *testing.B) {
-			d := newDesk()
-			d.ask(acquire(0, 0))
-			d.apply()
-			d.k.expiries["task"] = 1 << 60 // its holder renews
-			wait := aLease / waitDivisor
+			h := newManagerHarness()
+			h.handle(acquireRequest(0, 0))
+			h.apply()
+			h.manager.expiries["task"] = 1 << 60 // its holder renews
+			wait := testLeaseDuration / waitDivisor
 			step, n := max(1, wait/Time(waiters)), 0
 			next := func() {
-				d.now += step
-				d.k.Alarm(d.now)
-				d.ask(acquire(1+n%waiters, wait))
+				h.now += step
+				h.manager.Alarm(h.now)
+				h.handle(acquireRequest(1+n%waiters, wait))
 				n++
-				clear(d.answers)
+				clear(h.responses)
 			}
 			for range 2 * waiters {
 				next()
@@ -109,14 +109,14 @@
 	}
 }
 
-// BenchmarkSnapshot writes all that voters agree on of so many nodes, and reads it.
+// BenchmarkSnapshot writes and restores the state of a number of nodes.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, holders := range holderCounts {
 		b.Run(fmt.Sprint("holders=", holders), func(b *testing.B) {
-			d, _ := leader(b, holders)
+			h, _ := harnessWithHolders(b, holders)
 			size := 0
 			for b.Loop() {
-				s, err := d.s.Snapshot()
+				s, err := h.state.Snapshot()
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/lease/cluster_test.go
+++ b/lease/cluster_test.go
@@ -9,378 +9,378 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A small fleet for the tests: three voters, any of which may believe that it leads, and claimants. Agreement is taken as
-// given: an entry is in the log at once if a majority hasn't heard of a later term. What is explored is all round it: who
-// asks whom, what is late or lost, who leads when, and how the clocks run.
+// testCluster simulates a small cluster: three voters, any of which may believe that it leads, and claimants. Consensus
+// itself is taken as given: an entry is committed if no majority has voted in a later term. The tests explore what is around it:
+// which requests reach whom, what is late or lost, who leads when, and how the clocks run.
 
 const (
-	voters   = 3
-	length   = 48 * Millisecond / 10
-	drift    = 0.25
-	trueRate = 24 // units of a clock in a step of time; the others are as far off as the bound allows
-	fastRate = 30
-	slowRate = 18
+	voters         = 3
+	simulatedLease = 48 * Millisecond / 10
+	simulatedDrift = 0.25
+	nominalRate    = 24 // units of a clock in a step of time; the others are as far off as the bound allows
+	fastRate       = 30
+	slowRate       = 18
 )
 
 // The safeguards that can be taken out.
 const (
 	noMargin       = "drift-margin"
 	noConfirmation = "leader-confirmation"
-	noToken        = "door-token"
+	noFencing      = "fencing-token"
 	noVote         = "forgotten-vote"
 	fromAnswer     = "count-from-answer"
-	noReign        = "reign"
+	noTerm         = "term"
 )
 
-var safeguards = []string{noMargin, noConfirmation, noToken, noVote, fromAnswer, noReign}
+var safeguards = []string{noMargin, noConfirmation, noFencing, noVote, fromAnswer, noTerm}
 
 type message struct {
-	from   int // claimant
-	id     uint64
-	ask    Request
-	sent   Time
-	answer *Response
+	claimant int // index
+	id       uint64
+	request  Request
+	sent     Time
+	response *Response
 }
 
-type voter struct {
-	w       *fleet
-	n       int
-	term    int // of the vote
-	state   *State
-	applied int
-	keeper  *Manager
-	reign   int // term in which it believes to lead, 0: it doesn't
-	wakeAt  Time
-	awake   bool
-	round   uint64
-	out     map[uint64]Entry // proposals that are not in the log yet
-	results map[uint64]Result
+type testVoter struct {
+	cluster     *testCluster
+	index       int
+	term        int // of the vote
+	state       *State
+	applied     int
+	manager     *Manager
+	leadsInTerm int // term in which it believes to lead, 0: it doesn't
+	alarmAt     Time
+	alarmSet    bool
+	round       uint64
+	proposals   map[uint64]Entry // not in the log yet
+	results     map[uint64]Result
 }
 
-type claimant struct {
-	w      *fleet
-	n      int
-	claim  *Claimant
-	wakeAt Time
-	awake  bool
-	act    uint64 // token of an act that was checked and is not done
+type testClaimant struct {
+	cluster  *testCluster
+	index    int
+	claimant *Claimant
+	alarmAt  Time
+	alarmSet bool
+	actToken uint64 // token of an act that MayAct has allowed and that is not done yet
 }
 
-type fleet struct {
-	without string
-	later   bool // proposals take time
-	acts    bool // claimants act
-	step    int
-	log     []Entry
-	truth   *State
-	voters  [voters]*voter
-	claims  []*claimant
-	flying  []message
-	ids     uint64
-	number  uint64 // of the door's last act
-	door    uint64 // token of the last act that passed it
-	fault   string
-	crashes int
-	leads   int
-	lost    int
+type testCluster struct {
+	without         string
+	delayCommits    bool // proposals take time
+	actsEnabled     bool // claimants act
+	step            int
+	log             []Entry
+	state           *State
+	voters          [voters]*testVoter
+	claimants       []*testClaimant
+	messages        []message
+	lastID          uint64
+	effectNumber    uint64 // of the last effect
+	lastEffectToken uint64 // token of the last effect that was applied
+	violation       string
+	crashesLeft     int
+	electionsLeft   int
+	lossesLeft      int
 }
 
-func newFleet(without string, claimants int) *fleet {
-	w := &fleet{without: without, truth: NewState()}
-	for i := range w.voters {
-		w.voters[i] = &voter{w: w, n: i, state: NewState(), out: map[uint64]Entry{}, results: map[uint64]Result{}}
-		w.voters[i].keeper = w.keeper(w.voters[i])
+func newTestCluster(without string, claimants int) *testCluster {
+	tc := &testCluster{without: without, state: NewState()}
+	for i := range tc.voters {
+		tc.voters[i] = &testVoter{cluster: tc, index: i, state: NewState(), proposals: map[uint64]Entry{}, results: map[uint64]Result{}}
+		tc.voters[i].manager = tc.newManager(tc.voters[i])
 	}
-	w.append(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "f"})
-	short := HolderDuration(length, drift)
+	tc.append(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "f"})
+	short := HolderDuration(simulatedLease, simulatedDrift)
 	if without == noMargin {
-		short = length
+		short = simulatedLease
 	}
 	for i := range claimants {
-		c := &claimant{w: w, n: i}
-		w.claims = append(w.claims, c)
-		c.claim = NewClaimant(c, c.now(), "task", Holder{Name: fmt.Sprint("c", i), Process: i}, length, short, uint64(i))
+		c := &testClaimant{cluster: tc, index: i}
+		tc.claimants = append(tc.claimants, c)
+		c.claimant = NewClaimant(c, c.now(), "task", Holder{Name: fmt.Sprint("c", i), Process: i}, simulatedLease, short, uint64(i))
 	}
-	return w
+	return tc
 }
 
-func (w *fleet) keeper(v *voter) *Manager {
-	long := GranterDuration(length, drift)
-	if w.without == noMargin {
-		long = length
+func (tc *testCluster) newManager(v *testVoter) *Manager {
+	long := GranterDuration(simulatedLease, simulatedDrift)
+	if tc.without == noMargin {
+		long = simulatedLease
 	}
-	return NewManager(v, v.state, length, long)
+	return NewManager(v, v.state, simulatedLease, long)
 }
 
-func (w *fleet) append(e Entry) Result {
-	w.log = append(w.log, e)
-	return w.truth.Apply(e)
+func (tc *testCluster) append(e Entry) Result {
+	tc.log = append(tc.log, e)
+	return tc.state.Apply(e)
 }
 
 // catchUp applies what is in the log.
-func (v *voter) catchUp() {
-	for ; v.applied < len(v.w.log); v.applied++ {
-		v.state.Apply(v.w.log[v.applied])
+func (v *testVoter) catchUp() {
+	for ; v.applied < len(v.cluster.log); v.applied++ {
+		v.state.Apply(v.cluster.log[v.applied])
 	}
 }
 
-func (v *voter) now() Time { return Time(v.w.step * fastRate) }
+func (v *testVoter) now() Time { return Time(v.cluster.step * fastRate) }
 
-func (c *claimant) now() Time {
-	if c.n == 0 {
-		return Time(c.w.step * slowRate)
+func (c *testClaimant) now() Time {
+	if c.index == 0 {
+		return Time(c.cluster.step * slowRate)
 	}
-	return Time(c.w.step * trueRate)
+	return Time(c.cluster.step * nominalRate)
 }
 
-// majority says whether a majority would still follow v.
-func (v *voter) majority() bool {
+// hasMajority reports whether a majority has voted in no later term than v leads in.
+func (v *testVoter) hasMajority() bool {
 	n := 0
-	for _, o := range v.w.voters {
-		if o.term <= v.reign {
+	for _, o := range v.cluster.voters {
+		if o.term <= v.leadsInTerm {
 			n++
 		}
 	}
-	return v.reign > 0 && n > voters/2
+	return v.leadsInTerm > 0 && n > voters/2
 }
 
-// A voter is its keeper's host.
+// A testVoter is the Host of its Manager.
 
-func (v *voter) Propose(ref uint64, e Entry) {
-	if v.w.without == noReign {
+func (v *testVoter) Propose(ref uint64, e Entry) {
+	if v.cluster.without == noTerm {
 		e.Term = 0
 	}
-	v.out[ref] = e
+	v.proposals[ref] = e
 }
 
-// commit brings proposals into the log, as far as a majority follows.
-func (v *voter) commit() {
-	for len(v.out) > 0 && v.majority() {
-		ref := slices.Min(slices.Collect(maps.Keys(v.out)))
-		e := v.out[ref]
-		delete(v.out, ref)
+// commit commits proposals, as long as v has a majority.
+func (v *testVoter) commit() {
+	for len(v.proposals) > 0 && v.hasMajority() {
+		ref := slices.Min(slices.Collect(maps.Keys(v.proposals)))
+		e := v.proposals[ref]
+		delete(v.proposals, ref)
 		v.catchUp()
-		v.w.append(e)
+		v.cluster.append(e)
 		r := v.state.Apply(e)
-		v.applied = len(v.w.log)
-		v.keeper.Applied(v.now(), ref, r, false)
+		v.applied = len(v.cluster.log)
+		v.manager.Applied(v.now(), ref, r, false)
 	}
 }
 
-func (v *voter) ConfirmLeadership(round uint64) { v.round = round }
+func (v *testVoter) ConfirmLeadership(round uint64) { v.round = round }
 
-func (v *voter) Respond(id uint64, a Response) {
-	for i := range v.w.flying {
-		if m := &v.w.flying[i]; m.id == id && m.answer == nil {
-			m.answer = &a
+func (v *testVoter) Respond(id uint64, a Response) {
+	for i := range v.cluster.messages {
+		if m := &v.cluster.messages[i]; m.id == id && m.response == nil {
+			m.response = &a
 		}
 	}
 }
 
-func (v *voter) SetAlarm(at Time) { v.wakeAt, v.awake = at, true }
+func (v *testVoter) SetAlarm(at Time) { v.alarmAt, v.alarmSet = at, true }
 
-// A claimant is its claim's host.
+// A testClaimant is the ClaimantHost of its Claimant.
 
-func (c *claimant) Send(a Request) {
-	c.w.ids++
-	c.w.flying = append(c.w.flying, message{from: c.n, id: c.w.ids, ask: a, sent: c.now()})
+func (c *testClaimant) Send(a Request) {
+	c.cluster.lastID++
+	c.cluster.messages = append(c.cluster.messages, message{claimant: c.index, id: c.cluster.lastID, request: a, sent: c.now()})
 }
-func (c *claimant) Granted(uint64)   {}
-func (c *claimant) Lost(error)       {}
-func (c *claimant) SetAlarm(at Time) { c.wakeAt, c.awake = at, true }
+func (c *testClaimant) Granted(uint64)   {}
+func (c *testClaimant) Lost(error)       {}
+func (c *testClaimant) SetAlarm(at Time) { c.alarmAt, c.alarmSet = at, true }
 
-// move is one thing that may happen.
+// move is one event of a history.
 type move struct {
 	what string
 	a, b int
 }
 
-// moves gives all that may happen now.
-func (w *fleet) moves(most int) (all []move) {
-	if w.step < most {
+// moves returns all events that may happen next, with time up to maxSteps.
+func (tc *testCluster) moves(maxSteps int) (all []move) {
+	if tc.step < maxSteps {
 		all = append(all, move{what: "tick"})
 	}
-	for i, m := range w.flying {
-		if m.answer == nil && m.ask.Operation != "" {
-			for _, v := range w.voters {
-				if v.reign > 0 && m.id&(1<<40) == 0 {
-					all = append(all, move{"ask", i, v.n})
+	for i, m := range tc.messages {
+		if m.response == nil && m.request.Operation != "" {
+			for _, v := range tc.voters {
+				if v.leadsInTerm > 0 && m.id&(1<<40) == 0 {
+					all = append(all, move{"ask", i, v.index})
 				}
 			}
 		}
-		if m.answer != nil {
+		if m.response != nil {
 			all = append(all, move{what: "answer", a: i})
 		}
-		if w.lost > 0 && m.ask.Operation != OpWithdraw {
+		if tc.lossesLeft > 0 && m.request.Operation != OpWithdraw {
 			all = append(all, move{what: "lose", a: i})
 		}
 	}
-	for i, v := range w.voters {
-		if v.reign > 0 && v.round != 0 {
+	for i, v := range tc.voters {
+		if v.leadsInTerm > 0 && v.round != 0 {
 			all = append(all, move{what: "confirm", a: i})
 		}
-		if w.later && v.reign > 0 && len(v.out) > 0 {
+		if tc.delayCommits && v.leadsInTerm > 0 && len(v.proposals) > 0 {
 			all = append(all, move{what: "commit", a: i})
 		}
-		if w.crashes > 0 {
+		if tc.crashesLeft > 0 {
 			all = append(all, move{what: "crash", a: i})
 		}
-		if w.leads > 0 && v.reign == 0 {
-			for j, o := range w.voters {
+		if tc.electionsLeft > 0 && v.leadsInTerm == 0 {
+			for j, o := range tc.voters {
 				if j != i && o.term <= v.term {
 					all = append(all, move{"elect", i, j})
 				}
 			}
 		}
-		if v.reign > 0 && !v.majority() {
+		if v.leadsInTerm > 0 && !v.hasMajority() {
 			all = append(all, move{what: "depose", a: i})
 		}
 	}
-	for i, c := range w.claims {
-		if _, may := c.claim.MayAct(c.now(), 0); may && c.act == 0 && w.acts {
+	for i, c := range tc.claimants {
+		if _, may := c.claimant.MayAct(c.now(), 0); may && c.actToken == 0 && tc.actsEnabled {
 			all = append(all, move{what: "check", a: i})
 		}
-		if c.act != 0 {
+		if c.actToken != 0 {
 			all = append(all, move{what: "act", a: i})
 		}
 	}
 	return all
 }
 
-// play does one move, and looks at the rules.
-func (w *fleet) play(m move) {
+// play plays one event and checks the invariants.
+func (tc *testCluster) play(m move) {
 	switch m.what {
 	case "tick":
-		w.step++
-		for _, v := range w.voters {
-			if v.reign > 0 && v.awake && v.now() >= v.wakeAt {
-				v.awake = false
-				v.keeper.Alarm(v.now())
+		tc.step++
+		for _, v := range tc.voters {
+			if v.leadsInTerm > 0 && v.alarmSet && v.now() >= v.alarmAt {
+				v.alarmSet = false
+				v.manager.Alarm(v.now())
 			}
 		}
-		for _, c := range w.claims {
-			if c.awake && c.now() >= c.wakeAt {
-				c.awake = false
-				c.claim.Alarm(c.now())
+		for _, c := range tc.claimants {
+			if c.alarmSet && c.now() >= c.alarmAt {
+				c.alarmSet = false
+				c.claimant.Alarm(c.now())
 			}
 		}
 	case "ask":
-		f := &w.flying[m.a]
+		f := &tc.messages[m.a]
 		f.id |= 1 << 40 // delivered
-		ask := f.ask
-		w.voters[m.b].keeper.Handle(w.voters[m.b].now(), f.id, ask)
+		ask := f.request
+		tc.voters[m.b].manager.Handle(tc.voters[m.b].now(), f.id, ask)
 	case "answer":
-		f := w.flying[m.a]
-		w.flying = slices.Delete(w.flying, m.a, m.a+1)
-		c := w.claims[f.from]
+		f := tc.messages[m.a]
+		tc.messages = slices.Delete(tc.messages, m.a, m.a+1)
+		c := tc.claimants[f.claimant]
 		sent := f.sent
-		if w.without == fromAnswer {
+		if tc.without == fromAnswer {
 			sent = c.now()
 		}
-		c.claim.HandleResponse(c.now(), sent, *f.answer)
+		c.claimant.HandleResponse(c.now(), sent, *f.response)
 	case "lose":
-		w.lost--
-		f := w.flying[m.a]
-		w.flying = slices.Delete(w.flying, m.a, m.a+1)
-		w.claims[f.from].claim.HandleTimeout(w.claims[f.from].now())
-		for _, v := range w.voters {
-			v.keeper.CallerGone(v.now(), f.id)
+		tc.lossesLeft--
+		f := tc.messages[m.a]
+		tc.messages = slices.Delete(tc.messages, m.a, m.a+1)
+		tc.claimants[f.claimant].claimant.HandleTimeout(tc.claimants[f.claimant].now())
+		for _, v := range tc.voters {
+			v.manager.CallerGone(v.now(), f.id)
 		}
 	case "confirm":
-		v := w.voters[m.a]
+		v := tc.voters[m.a]
 		round := v.round
 		v.round = 0
-		v.keeper.LeadershipConfirmed(v.now(), round, v.majority() || w.without == noConfirmation)
+		v.manager.LeadershipConfirmed(v.now(), round, v.hasMajority() || tc.without == noConfirmation)
 	case "commit":
-		w.voters[m.a].commit()
+		tc.voters[m.a].commit()
 	case "crash":
-		w.crashes--
-		v := w.voters[m.a]
-		v.reign, v.round, v.awake, v.out = 0, 0, false, map[uint64]Entry{}
-		v.keeper.Demote()
-		v.keeper = w.keeper(v)
-		if w.without == noVote {
+		tc.crashesLeft--
+		v := tc.voters[m.a]
+		v.leadsInTerm, v.round, v.alarmSet, v.proposals = 0, 0, false, map[uint64]Entry{}
+		v.manager.Demote()
+		v.manager = tc.newManager(v)
+		if tc.without == noVote {
 			v.term = 0
 		}
 	case "elect":
-		w.leads--
-		v, o := w.voters[m.a], w.voters[m.b]
+		tc.electionsLeft--
+		v, o := tc.voters[m.a], tc.voters[m.b]
 		v.term++
-		o.term, v.reign = v.term, v.term
+		o.term, v.leadsInTerm = v.term, v.term
 		v.catchUp()
-		w.append(Entry{Version: formatVersion, Kind: KindNewTerm, Name: fmt.Sprint(v.n)})
+		tc.append(Entry{Version: formatVersion, Kind: KindNewTerm, Name: fmt.Sprint(v.index)})
 		v.catchUp()
-		v.keeper.Promote(v.now(), v.state.Term)
+		v.manager.Promote(v.now(), v.state.Term)
 	case "depose":
-		v := w.voters[m.a]
-		v.reign, v.round, v.awake = 0, 0, false
-		v.keeper.Demote()
-		if w.without != noReign {
-			v.out = map[uint64]Entry{}
+		v := tc.voters[m.a]
+		v.leadsInTerm, v.round, v.alarmSet = 0, 0, false
+		v.manager.Demote()
+		if tc.without != noTerm {
+			v.proposals = map[uint64]Entry{}
 		}
 	case "check":
-		c := w.claims[m.a]
-		c.act, _ = c.claim.MayAct(c.now(), 0)
+		c := tc.claimants[m.a]
+		c.actToken, _ = c.claimant.MayAct(c.now(), 0)
 	case "act":
-		c := w.claims[m.a]
-		token := c.act
-		c.act = 0
-		if w.without == noToken {
-			token = w.truth.Leases["task"].Token
+		c := tc.claimants[m.a]
+		token := c.actToken
+		c.actToken = 0
+		if tc.without == noFencing {
+			token = tc.state.Leases["task"].Token
 		}
-		w.number++
-		if r := w.append(Entry{Version: formatVersion, Kind: KindEffect, Name: "task", Token: token, Effect: "task", Number: w.number}); r.Err == nil {
-			if w.fault == "" && token < w.door || w.without == noToken && w.holds(token) != c.n {
-				w.fault = fmt.Sprintf("claimant %d acts with token %d after token %d", c.n, token, w.door)
+		tc.effectNumber++
+		if r := tc.append(Entry{Version: formatVersion, Kind: KindEffect, Name: "task", Token: token, Effect: "task", Number: tc.effectNumber}); r.Err == nil {
+			if tc.violation == "" && token < tc.lastEffectToken || tc.without == noFencing && tc.holderOf(token) != c.index {
+				tc.violation = fmt.Sprintf("claimant %d acts with token %d after token %d", c.index, token, tc.lastEffectToken)
 			}
-			w.door = token
+			tc.lastEffectToken = token
 		}
 	}
-	if !w.later {
-		for _, v := range w.voters {
+	if !tc.delayCommits {
+		for _, v := range tc.voters {
 			v.commit()
 		}
 	}
 	var hold []int
-	for _, c := range w.claims {
-		if _, may := c.claim.MayAct(c.now(), 0); may {
-			hold = append(hold, c.n)
+	for _, c := range tc.claimants {
+		if _, may := c.claimant.MayAct(c.now(), 0); may {
+			hold = append(hold, c.index)
 		}
 	}
-	if len(hold) > 1 && w.fault == "" {
-		w.fault = fmt.Sprintf("claimants %v hold the lease at once", hold)
+	if len(hold) > 1 && tc.violation == "" {
+		tc.violation = fmt.Sprintf("claimants %v hold the lease at once", hold)
 	}
 }
 
-// holds gives which claimant has this token.
-func (w *fleet) holds(token uint64) int {
-	if l := w.truth.Leases["task"]; l.Token == token {
+// holderOf returns the claimant whose lease has a token, -1 for none.
+func (tc *testCluster) holderOf(token uint64) int {
+	if l := tc.state.Leases["task"]; l.Token == token {
 		return l.Holder.Process
 	}
 	return -1
 }
 
-// clone copies the whole fleet.
-func (w *fleet) clone() *fleet {
-	o := *w
-	o.log, o.flying, o.truth = slices.Clone(w.log), slices.Clone(w.flying), w.truth.clone()
-	o.claims = nil
-	for i, v := range w.voters {
-		x, k := *v, *v.keeper
-		x.w, x.state, x.out, x.keeper = &o, v.state.clone(), maps.Clone(v.out), &k
+// clone returns a deep copy of the cluster.
+func (tc *testCluster) clone() *testCluster {
+	o := *tc
+	o.log, o.messages, o.state = slices.Clone(tc.log), slices.Clone(tc.messages), tc.state.clone()
+	o.claimants = nil
+	for i, v := range tc.voters {
+		x, k := *v, *v.manager
+		x.cluster, x.state, x.proposals, x.manager = &o, v.state.clone(), maps.Clone(v.proposals), &k
 		k.host, k.state = &x, x.state
 		k.expiries, k.changing, k.requests, k.proposals = maps.Clone(k.expiries), maps.Clone(k.changing), maps.Clone(k.requests), maps.Clone(k.proposals)
 		k.queuedRenewals, k.roundRenewals = slices.Clone(k.queuedRenewals), slices.Clone(k.roundRenewals)
 		k.queues = map[string][]waiter{}
-		for name, line := range v.keeper.queues {
+		for name, line := range v.manager.queues {
 			k.queues[name] = slices.Clone(line)
 		}
 		o.voters[i] = &x
 	}
-	for _, c := range w.claims {
-		x, claim := *c, *c.claim
-		x.w, x.claim, claim.host = &o, &claim, &x
-		o.claims = append(o.claims, &x)
+	for _, c := range tc.claimants {
+		x, claim := *c, *c.claimant
+		x.cluster, x.claimant, claim.host = &o, &claim, &x
+		o.claimants = append(o.claimants, &x)
 	}
 	return &o
 }
@@ -391,32 +391,32 @@
 	return &o
 }
 
-// print gives what tells one state from another.
-func (w *fleet) print(h hash.Hash64) uint64 {
+// fingerprint returns a hash of all that tells one state from another.
+func (tc *testCluster) fingerprint(h hash.Hash64) uint64 {
 	h.Reset()
-	fmt.Fprint(h, w.step, w.crashes, w.leads, w.lost, w.door, w.truth.Leases, w.truth.Term)
-	for _, v := range w.voters {
-		fmt.Fprint(h, v.term, v.reign, v.round != 0, v.awake, v.wakeAt, len(w.log)-v.applied)
-		if v.reign > 0 {
-			k := v.keeper
+	fmt.Fprint(h, tc.step, tc.crashesLeft, tc.electionsLeft, tc.lossesLeft, tc.lastEffectToken, tc.state.Leases, tc.state.Term)
+	for _, v := range tc.voters {
+		fmt.Fprint(h, v.term, v.leadsInTerm, v.round != 0, v.alarmSet, v.alarmAt, len(tc.log)-v.applied)
+		if v.leadsInTerm > 0 {
+			k := v.manager
 			fmt.Fprint(h, k.expiries, k.changing, len(k.queuedRenewals), len(k.roundRenewals), k.term)
-			for _, w := range k.queues["task"] {
-				fmt.Fprint(h, w.holder.Process, w.requestID != 0, w.deadline)
+			for _, tc := range k.queues["task"] {
+				fmt.Fprint(h, tc.holder.Process, tc.requestID != 0, tc.deadline)
 			}
-			for ref, e := range v.out {
+			for ref, e := range v.proposals {
 				fmt.Fprint(h, ref, e)
 			}
 		}
 	}
-	for _, c := range w.claims {
-		k := c.claim
-		fmt.Fprint(h, c.act, c.awake, c.wakeAt, k.token, k.expiry, k.granted, k.requestPending, k.released, k.nextRequest, k.failures)
+	for _, c := range tc.claimants {
+		k := c.claimant
+		fmt.Fprint(h, c.actToken, c.alarmSet, c.alarmAt, k.token, k.expiry, k.granted, k.requestPending, k.released, k.nextRequest, k.failures)
 	}
 	var flying []string // in whatever order
-	for _, m := range w.flying {
-		as := fmt.Sprint(m.from, m.ask.Operation, m.ask.Token, m.sent, m.id>>40)
-		if m.answer != nil {
-			as += fmt.Sprint(m.answer.Token, m.answer.Err)
+	for _, m := range tc.messages {
+		as := fmt.Sprint(m.claimant, m.request.Operation, m.request.Token, m.sent, m.id>>40)
+		if m.response != nil {
+			as += fmt.Sprint(m.response.Token, m.response.Err)
 		}
 		flying = append(flying, as)
 	}
--- a/lease/explore_test.go
+++ b/lease/explore_test.go
@@ -8,67 +8,67 @@
 	"pgregory.net/rapid"
 )
 
-// bounds of an exploration, beside the first leader: steps of time, crashes, further leaders, losses.
-type bounds struct{ steps, crashes, leads, lost int }
+// bounds limit an exploration: steps of time, crashes, elections after the first, and lost messages.
+type bounds struct{ steps, crashes, elections, losses int }
 
-// statesMost is far beyond what the bounds below reach: an exploration that stops there is none of all histories.
-const statesMost = 400_000
+// maxStates is far beyond what the bounds below reach: an exploration that stops there is incomplete.
+const maxStates = 400_000
 
-// explore plays all that can happen within the bounds, and gives the first history that breaks a rule. The first leader is
+// explore plays all histories within the bounds, and returns the first one that breaks an invariant. The first leader is
 // voter 0, followed by voter 1: with any others it is the same but for the names.
 func explore(without string, b bounds) (states int, history []move, fault string) {
 	type node struct {
-		w    *fleet
+		tc   *testCluster
 		from int
 		by   move
 	}
-	w := newFleet(without, 2)
-	w.leads = 1
-	w.play(move{"elect", 0, 1})
-	w.crashes, w.leads, w.lost = b.crashes, b.leads, b.lost
-	all := []node{{w: w, from: -1}}
+	tc := newTestCluster(without, 2)
+	tc.electionsLeft = 1
+	tc.play(move{"elect", 0, 1})
+	tc.crashesLeft, tc.electionsLeft, tc.lossesLeft = b.crashes, b.elections, b.losses
+	all := []node{{tc: tc, from: -1}}
 	seen, h := map[uint64]bool{}, newHash()
-	for at := 0; at < len(all) && at < statesMost; at++ {
-		now := all[at].w
+	for at := 0; at < len(all) && at < maxStates; at++ {
+		now := all[at].tc
 		for _, m := range now.moves(b.steps) {
 			next := now.clone()
 			next.play(m)
-			if next.fault != "" {
+			if next.violation != "" {
 				for history = []move{m}; all[at].from >= 0; at = all[at].from {
 					history = append([]move{all[at].by}, history...)
 				}
-				return len(seen), history, next.fault
+				return len(seen), history, next.violation
 			}
-			if p := next.print(h); !seen[p] {
+			if p := next.fingerprint(h); !seen[p] {
 				seen[p] = true
 				all = append(all, node{next, at, m})
 			}
 		}
-		all[at].w = nil // its children are made
+		all[at].tc = nil // all its successors are queued
 	}
 	return len(seen), nil, ""
 }
 
-// All histories of a small fleet: two claimants, one with a slow clock, three voters with fast ones. A step is about half
-// a lease, so that it is lost, granted to the other and renewed within them.
+// All histories of a small cluster: two claimants, one with a slow clock, three voters with fast ones. A step is about half
+// a lease, so that it is lost, granted to the other and renewed within the bounds.
 func TestAllSmallHistories(t *testing.T) {
-	for _, b := range []bounds{{steps: 5}, {steps: 3, leads: 1}, {steps: 4, lost: 1}, {steps: 3, crashes: 1, leads: 1}} {
+	for _, b := range []bounds{{steps: 5}, {steps: 3, elections: 1}, {steps: 4, losses: 1}, {steps: 3, crashes: 1, elections: 1}} {
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
-			if testing.Short() && b.leads > 0 {
+			if testing.Short() && b.elections > 0 {
 				t.Skip("too many for the race detector")
 			}
 			t.Parallel()
 			states, history, fault := explore("", b)
 			t.Log(states, "states")
-			if fault != "" || states >= statesMost {
+			if fault != "" || states >= maxStates {
 				t.Errorf("%s after %v", fault, history)
 			}
 		})
 	}
 	for without, b := range map[string]bounds{noMargin: {steps: 3}, fromAnswer: {steps: 3},
-		noConfirmation: {steps: 3, leads: 1}, noVote: {steps: 3, crashes: 1, leads: 1}} {
+		noConfirmation: {steps: 3, elections: 1}, noVote: {steps: 3, crashes: 1, elections: 1}} {
 		t.Run("without "+without, func(t *testing.T) {
-			if testing.Short() && b.leads > 0 {
+			if testing.Short() && b.elections > 0 {
 				t.Skip("too many for the race detector")
 			}
 			t.Parallel()
@@ -81,33 +81,33 @@
 	}
 }
 
-// walk plays a history of chance, with more of everything than can be explored, and proposals that take time.
-func walk(without string, seed uint64, moves int) (w *fleet, history []move) {
+// randomHistory plays random events, with more of everything than can be explored, and commits that take time.
+func randomHistory(without string, seed uint64, moves int) (tc *testCluster, history []move) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	w = newFleet(without, 3)
-	w.crashes, w.leads, w.lost, w.later, w.acts = 8, 12, 12, rnd.IntN(2) == 0, true
+	tc = newTestCluster(without, 3)
+	tc.crashesLeft, tc.electionsLeft, tc.lossesLeft, tc.delayCommits, tc.actsEnabled = 8, 12, 12, rnd.IntN(2) == 0, true
 	for range moves {
-		all := w.moves(1 << 20)
-		// Time passes slowly beside all else, or everything lapses.
+		all := tc.moves(1 << 20)
+		// Time passes slowly beside all else, or every lease expires.
 		m := all[rnd.IntN(len(all))]
 		if rare := m.what == "crash" || m.what == "elect" || m.what == "lose" || m.what == "tick"; rare && rnd.IntN(4) > 0 {
 			m = all[rnd.IntN(len(all))]
 		}
-		w.play(m)
-		if history = append(history, m); w.fault != "" {
+		tc.play(m)
+		if history = append(history, m); tc.violation != "" {
 			break
 		}
 	}
-	return w, history
+	return tc, history
 }
 
-func TestHistoriesOfChance(t *testing.T) {
+func TestRandomHistories(t *testing.T) {
 	grants := uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		w, history := walk("", seed, 400)
-		if grants += w.truth.LastToken; w.fault != "" {
-			t.Fatalf("%s after %v", w.fault, history)
+		tc, history := randomHistory("", seed, 400)
+		if grants += tc.state.LastToken; tc.violation != "" {
+			t.Fatalf("%s after %v", tc.violation, history)
 		}
 	})
 	if grants < 100 {
@@ -115,13 +115,13 @@
 	}
 }
 
-// With any one safeguard taken out some history breaks a rule: otherwise the histories above prove nothing.
+// With any one safeguard removed some history breaks an invariant: otherwise the tests above prove nothing.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for _, without := range safeguards {
 		t.Run(without, func(t *testing.T) {
 			for seed := range uint64(20_000) {
-				if w, history := walk(without, seed, 400); w.fault != "" {
-					t.Logf("seed %d, %d moves: %s", seed, len(history), w.fault)
+				if tc, history := randomHistory(without, seed, 400); tc.violation != "" {
+					t.Logf("seed %d, %d moves: %s", seed, len(history), tc.violation)
 					return
 				}
 			}
--- a/lease/golden_test.go
+++ b/lease/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// update writes the golden files anew. A file that changes breaks stored data: that takes a new version of the format.
+// update rewrites the golden files. A file that changes breaks stored data: that takes a new version of the format.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // golden compares bytes with a file under testdata/golden.
@@ -51,7 +51,7 @@
 	}
 }
 
-// Entries stand in the voters' logs, which later versions read.
+// Entries are stored in the voters' logs, which later versions read.
 func TestLogEntriesKeepTheirStoredForm(t *testing.T) {
 	for kind, e := range goldenEntries() {
 		written, err := e.Encode()
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -3,365 +3,236 @@
 import (
 	"errors"
 	"fmt"
-	"slices"
-	"strings"
 	"testing"
-
-	"pgregory.net/rapid"
 )
 
-// desk is a Keeper whose proposals are applied, and whose rounds are confirmed, when a test says so.
-type desk struct {
-	k        *Manager
-	s        *State
-	now      Time
-	wake     Time
-	ids      uint64
-	answers  map[uint64]Response
-	proposed []uint64
-	entries  map[uint64]Entry
-	rounds   []uint64
+// managerHarness is a Manager whose proposals are applied, and whose quorum rounds are confirmed, when a test says so.
+type managerHarness struct {
+	manager   *Manager
+	state     *State
+	now       Time
+	alarm     Time
+	lastID    uint64
+	responses map[uint64]Response
+	proposed  []uint64
+	entries   map[uint64]Entry
+	rounds    []uint64
 }
 
-func (d *desk) Propose(ref uint64, e Entry) {
-	d.proposed = append(d.proposed, ref)
-	d.entries[ref] = e
+func (h *managerHarness) Propose(ref uint64, e Entry) {
+	h.proposed = append(h.proposed, ref)
+	h.entries[ref] = e
+}
+func (h *managerHarness) ConfirmLeadership(round uint64) { h.rounds = append(h.rounds, round) }
+func (h *managerHarness) Respond(id uint64, a Response)  { h.responses[id] = a }
+func (h *managerHarness) SetAlarm(at Time)               { h.alarm = at }
+func (h *managerHarness) handle(a Request) uint64 {
+	h.lastID++
+	h.manager.Handle(h.now, h.lastID, a)
+	return h.lastID
 }
-func (d *desk) ConfirmLeadership(round uint64) { d.rounds = append(d.rounds, round) }
-func (d *desk) Respond(id uint64, a Response)  { d.answers[id] = a }
-func (d *desk) SetAlarm(at Time)               { d.wake = at }
-func (d *desk) ask(a Request) uint64           { d.ids++; d.k.Handle(d.now, d.ids, a); return d.ids }
-func (d *desk) confirm() {
-	r := d.rounds[0]
-	d.rounds = d.rounds[1:]
-	d.k.LeadershipConfirmed(d.now, r, true)
+func (h *managerHarness) confirm() {
+	r := h.rounds[0]
+	h.rounds = h.rounds[1:]
+	h.manager.LeadershipConfirmed(h.now, r, true)
 }
-func (d *desk) end(after Time) { d.now += after; d.k.Alarm(d.now); d.apply() }
-func holder(n int) Holder      { return Holder{Name: fmt.Sprint("h", n), Process: n} }
-func acquire(n int, wait Time) Request {
+
+// advance lets time pass, calls the alarm and applies what it proposes.
+func (h *managerHarness) advance(by Time) {
+	h.now += by
+	h.manager.Alarm(h.now)
+	h.apply()
+}
+
+func holder(n int) Holder { return Holder{Name: fmt.Sprint("h", n), Process: n} }
+func acquireRequest(n int, wait Time) Request {
 	return Request{Operation: OpAcquire, Name: "task", Holder: holder(n), Wait: wait}
 }
-func with(kind string, n int, tk uint64) Request {
+func tokenRequest(kind string, n int, tk uint64) Request {
 	return Request{Operation: kind, Name: "task", Holder: holder(n), Token: tk}
 }
 
-func (d *desk) apply() {
-	for len(d.proposed) > 0 {
-		ref := d.proposed[0]
-		d.proposed = d.proposed[1:]
-		d.k.Applied(d.now, ref, d.s.Apply(d.entries[ref]), false)
+func (h *managerHarness) apply() {
+	for len(h.proposed) > 0 {
+		ref := h.proposed[0]
+		h.proposed = h.proposed[1:]
+		h.manager.Applied(h.now, ref, h.state.Apply(h.entries[ref]), false)
 	}
 }
 
-const aLease = 3000 * Millisecond
+const testLeaseDuration = 3000 * Millisecond
 
-func newDesk() *desk {
-	d := &desk{s: NewState(), answers: map[uint64]Response{}, entries: map[uint64]Entry{}}
-	d.s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
-	d.k = NewManager(d, d.s, aLease, GranterDuration(aLease, 0.01))
-	d.k.Promote(d.now, d.s.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n1"}).Term)
-	return d
+func newManagerHarness() *managerHarness {
+	h := &managerHarness{state: NewState(), responses: map[uint64]Response{}, entries: map[uint64]Entry{}}
+	h.state.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
+	h.manager = NewManager(h, h.state, testLeaseDuration, GranterDuration(testLeaseDuration, 0.01))
+	h.manager.Promote(h.now, h.state.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n1"}).Term)
+	return h
 }
 
-// Waiters get the lease in the order of their asking, also one that asked again meanwhile; one that went away is passed.
+// Waiters get the lease in the order of their first requests, also those that have retried meanwhile; one whose caller has
+// gone is passed over.
 func TestWaitersAreServedInTheirOrder(t *testing.T) {
-	d := newDesk()
-	first := d.ask(acquire(0, 0))
-	d.apply()
-	token := d.answers[first].Token
+	h := newManagerHarness()
+	first := h.handle(acquireRequest(0, 0))
+	h.apply()
+	token := h.responses[first].Token
 	ids := map[int]uint64{}
 	for n := 1; n <= 4; n++ {
-		ids[n] = d.ask(acquire(n, aLease))
+		ids[n] = h.handle(acquireRequest(n, testLeaseDuration))
 	}
-	d.now += aLease / graceDivisor
-	d.k.Alarm(d.now) // their waits are over
+	h.now += testLeaseDuration / graceDivisor
+	h.manager.Alarm(h.now) // their waits are over
 	for n := 1; n <= 4; n++ {
-		if a := d.answers[ids[n]]; !errors.Is(a.Err, ErrStillHeld) || a.Holder != holder(0) {
+		if a := h.responses[ids[n]]; !errors.Is(a.Err, ErrStillHeld) || a.Holder != holder(0) {
 			t.Fatalf("%d: %+v", n, a)
 		}
 	}
 	for _, n := range []int{4, 3, 2} { // 1 went away, and the others come again in another order
-		ids[n] = d.ask(acquire(n, aLease))
+		ids[n] = h.handle(acquireRequest(n, testLeaseDuration))
 	}
-	ids[3] = d.ask(acquire(3, aLease)) // on another connection
-	d.ask(with(OpWithdraw, 4, 0))
-	d.ask(with(OpRelease, 0, token))
-	d.apply()
-	if a := d.answers[ids[2]]; a.Err != nil || a.Token != token+1 {
+	ids[3] = h.handle(acquireRequest(3, testLeaseDuration)) // on another connection
+	h.handle(tokenRequest(OpWithdraw, 4, 0))
+	h.handle(tokenRequest(OpRelease, 0, token))
+	h.apply()
+	if a := h.responses[ids[2]]; a.Err != nil || a.Token != token+1 {
 		t.Errorf("the first in line: %+v", a)
 	}
-	d.ask(with(OpRelease, 2, token+1))
-	d.apply()
-	if a := d.answers[ids[3]]; a.Err != nil || a.Token != token+2 {
+	h.handle(tokenRequest(OpRelease, 2, token+1))
+	h.apply()
+	if a := h.responses[ids[3]]; a.Err != nil || a.Token != token+2 {
 		t.Errorf("the next in line: %+v", a)
 	}
-	if a := d.answers[ids[4]]; !errors.Is(a.Err, ErrWithdrawn) {
+	if a := h.responses[ids[4]]; !errors.Is(a.Err, ErrWithdrawn) {
 		t.Errorf("the one that withdrew: %+v", a)
 	}
 }
 
-// Each case asks of a lease that holder 0 has with token 1.
-func TestAskings(t *testing.T) {
+// Each case sends requests for a lease that holder 0 has with token 1.
+func TestRequests(t *testing.T) {
 	for _, c := range []struct {
 		what string
-		do   func(d *desk) uint64
+		do   func(h *managerHarness) uint64
 		want Response
 	}{
-		{"a renewal confirmed", func(d *desk) uint64 { id := d.ask(with(OpRenew, 0, 1)); d.confirm(); return id },
-			Response{Token: 1, Holder: holder(0), Duration: aLease}},
-		{"asked for anew by its holder, whose answer was lost", func(d *desk) uint64 { id := d.ask(acquire(0, 0)); d.confirm(); return id },
-			Response{Token: 1, Holder: holder(0), Duration: aLease}},
-		{"a renewal that comes while a round is out waits for the next", func(d *desk) uint64 {
-			d.ask(with(OpRenew, 0, 1))
-			id := d.ask(with(OpRenew, 0, 1))
-			d.confirm()
-			if _, early := d.answers[id]; early {
+		{"a renewal confirmed", func(h *managerHarness) uint64 { id := h.handle(tokenRequest(OpRenew, 0, 1)); h.confirm(); return id },
+			Response{Token: 1, Holder: holder(0), Duration: testLeaseDuration}},
+		{"acquired again by its holder, whose response was lost", func(h *managerHarness) uint64 { id := h.handle(acquireRequest(0, 0)); h.confirm(); return id },
+			Response{Token: 1, Holder: holder(0), Duration: testLeaseDuration}},
+		{"a renewal that comes while a round is in progress waits for the next", func(h *managerHarness) uint64 {
+			h.handle(tokenRequest(OpRenew, 0, 1))
+			id := h.handle(tokenRequest(OpRenew, 0, 1))
+			h.confirm()
+			if _, early := h.responses[id]; early {
 				return 0
 			}
-			d.confirm()
+			h.confirm()
 			return id
-		}, Response{Token: 1, Holder: holder(0), Duration: aLease}},
-		{"a renewal that isn't confirmed", func(d *desk) uint64 {
-			id := d.ask(with(OpRenew, 0, 1))
-			d.k.LeadershipConfirmed(d.now, d.rounds[0], false)
+		}, Response{Token: 1, Holder: holder(0), Duration: testLeaseDuration}},
+		{"a renewal that isn't confirmed", func(h *managerHarness) uint64 {
+			id := h.handle(tokenRequest(OpRenew, 0, 1))
+			h.manager.LeadershipConfirmed(h.now, h.rounds[0], false)
 			return id
 		}, Response{Err: ErrNotLeader}},
-		{"another's token", func(d *desk) uint64 { return d.ask(with(OpRenew, 1, 1)) }, Response{Err: ErrLeaseExpired}},
-		{"a renewal while the release is under way", func(d *desk) uint64 {
-			id := d.ask(with(OpRenew, 0, 1))
-			d.ask(with(OpRelease, 0, 1))
-			d.confirm()
+		{"another's token", func(h *managerHarness) uint64 { return h.handle(tokenRequest(OpRenew, 1, 1)) }, Response{Err: ErrLeaseExpired}},
+		{"a renewal while the release is in progress", func(h *managerHarness) uint64 {
+			id := h.handle(tokenRequest(OpRenew, 0, 1))
+			h.handle(tokenRequest(OpRelease, 0, 1))
+			h.confirm()
 			return id
 		}, Response{Err: ErrLeaseExpired}},
-		{"a release that comes late reaches no later holder", func(d *desk) uint64 {
-			d.end(GranterDuration(aLease, 0.01))
-			d.ask(acquire(1, 0))
-			d.apply()
-			return d.ask(with(OpRelease, 0, 1))
+		{"a release that comes late reaches no later holder", func(h *managerHarness) uint64 {
+			h.advance(GranterDuration(testLeaseDuration, 0.01))
+			h.handle(acquireRequest(1, 0))
+			h.apply()
+			return h.handle(tokenRequest(OpRelease, 0, 1))
 		}, Response{Err: ErrLeaseExpired}},
-		{"held, and no wish to wait", func(d *desk) uint64 { return d.ask(acquire(1, 0)) },
+		{"held, and the request doesn't wait", func(h *managerHarness) uint64 { return h.handle(acquireRequest(1, 0)) },
 			Response{Token: 1, Holder: holder(0), Err: ErrHeld}},
-		{"granted after its caller has gone: given back, and the next has it", func(d *desk) uint64 {
-			gone, next := d.ask(acquire(1, aLease)), d.ask(acquire(2, aLease))
-			d.ask(with(OpRelease, 0, 1))
-			ref := d.proposed[0]
-			d.proposed = nil
-			d.k.Applied(d.now, ref, d.s.Apply(d.entries[ref]), false)
-			d.k.CallerGone(d.now, gone)
-			d.apply()
+		{"granted after its caller has gone: given back, and the next has it", func(h *managerHarness) uint64 {
+			gone, next := h.handle(acquireRequest(1, testLeaseDuration)), h.handle(acquireRequest(2, testLeaseDuration))
+			h.handle(tokenRequest(OpRelease, 0, 1))
+			ref := h.proposed[0]
+			h.proposed = nil
+			h.manager.Applied(h.now, ref, h.state.Apply(h.entries[ref]), false)
+			h.manager.CallerGone(h.now, gone)
+			h.apply()
 			return next
-		}, Response{Token: 3, Holder: holder(2), Duration: aLease}},
-		{"an act", func(d *desk) uint64 {
-			a := with(OpEffect, 0, 1)
+		}, Response{Token: 3, Holder: holder(2), Duration: testLeaseDuration}},
+		{"an effect", func(h *managerHarness) uint64 {
+			a := tokenRequest(OpEffect, 0, 1)
 			a.Effect, a.Number = "task/x", 1
-			id := d.ask(a)
-			d.apply()
+			id := h.handle(a)
+			h.apply()
 			return id
 		}, Response{Token: 1}},
-		{"an act after a later holder has come", func(d *desk) uint64 {
-			d.end(GranterDuration(aLease, 0.01))
-			d.ask(acquire(1, 0))
-			d.apply()
-			a := with(OpEffect, 0, 1)
+		{"an act after a later grant", func(h *managerHarness) uint64 {
+			h.advance(GranterDuration(testLeaseDuration, 0.01))
+			h.handle(acquireRequest(1, 0))
+			h.apply()
+			a := tokenRequest(OpEffect, 0, 1)
 			a.Effect, a.Number = "task/x", 1
-			id := d.ask(a)
-			d.apply()
+			id := h.handle(a)
+			h.apply()
 			return id
 		}, Response{Err: ErrLeaseExpired}},
-		{"nothing is decided by an earlier reign's memory", func(d *desk) uint64 {
-			id := d.ask(with(OpRelease, 0, 1))
-			d.s.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n2"})
-			d.apply()
+		{"nothing is decided by the memory of an earlier term", func(h *managerHarness) uint64 {
+			id := h.handle(tokenRequest(OpRelease, 0, 1))
+			h.state.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n2"})
+			h.apply()
 			return id
 		}, Response{Err: ErrNotLeader}},
-		{"after the reign is over", func(d *desk) uint64 { d.k.Demote(); return d.ask(with(OpRenew, 0, 1)) }, Response{Err: ErrNotLeader}},
-		{"a name that can't be one", func(d *desk) uint64 { return d.ask(Request{Operation: OpAcquire, Name: "a b", Holder: holder(1)}) },
+		{"after the term is over", func(h *managerHarness) uint64 { h.manager.Demote(); return h.handle(tokenRequest(OpRenew, 0, 1)) }, Response{Err: ErrNotLeader}},
+		{"a name that can't be one", func(h *managerHarness) uint64 {
+			return h.handle(Request{Operation: OpAcquire, Name: "a b", Holder: holder(1)})
+		},
 			Response{Err: ErrMalformed}},
 	} {
-		d := newDesk()
-		d.ask(acquire(0, 0))
-		d.apply()
-		id := c.do(d)
-		if got, answered := d.answers[id]; !answered || fmt.Sprint(got) != fmt.Sprint(c.want) {
+		h := newManagerHarness()
+		h.handle(acquireRequest(0, 0))
+		h.apply()
+		id := c.do(h)
+		if got, answered := h.responses[id]; !answered || fmt.Sprint(got) != fmt.Sprint(c.want) {
 			t.Errorf("%s: %+v, want %+v", c.what, got, c.want)
 		}
 	}
 }
 
-// A flood of claimants is bounded: whoever is beyond the line is refused at once, and those in it are served.
-func TestAFloodIsTurnedAway(t *testing.T) {
-	d := newDesk()
-	d.ask(acquire(0, 0))
-	d.apply()
+// A flood of claimants is bounded: those beyond the queue's limit are refused at once, and those in it are served.
+func TestAFloodOfClaimantsIsRefused(t *testing.T) {
+	h := newManagerHarness()
+	h.handle(acquireRequest(0, 0))
+	h.apply()
 	full := 0
 	for n := 1; n <= 2*maxWaitersPerLease; n++ {
-		if a := d.answers[d.ask(acquire(n, aLease))]; errors.Is(a.Err, ErrLimitExceeded) {
+		if a := h.responses[h.handle(acquireRequest(n, testLeaseDuration))]; errors.Is(a.Err, ErrLimitExceeded) {
 			full++
 		}
 	}
-	if full != maxWaitersPerLease || len(d.k.requests) != maxWaitersPerLease {
-		t.Errorf("%d refused, %d wait, want %d each", full, len(d.k.requests), maxWaitersPerLease)
+	if full != maxWaitersPerLease || len(h.manager.requests) != maxWaitersPerLease {
+		t.Errorf("%d refused, %d wait, want %d each", full, len(h.manager.requests), maxWaitersPerLease)
 	}
-	d.ask(with(OpRelease, 0, 1))
-	d.apply()
-	if h := d.s.Leases["task"].Holder; h != holder(1) {
-		t.Errorf("%v holds it", h)
+	h.handle(tokenRequest(OpRelease, 0, 1))
+	h.apply()
+	if got := h.state.Leases["task"].Holder; got != holder(1) {
+		t.Errorf("%v holds it", got)
 	}
 }
 
-// A new leader lets no lease end sooner than the one before may have promised.
+// A new leader lets no lease expire sooner than the previous one may have promised.
 func TestANewLeaderCountsFromItsBeginning(t *testing.T) {
-	d := newDesk()
-	d.ask(acquire(0, 0))
-	d.apply()
-	d.now += aLease
-	d.k.Demote()
-	d.k.Promote(d.now, d.s.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n2"}).Term)
-	d.end(aLease)
-	if len(d.s.Leases) != 1 {
-		t.Error("it ends within a length of the new reign")
-	}
-	d.end(GranterDuration(aLease, 0.01) - aLease)
-	if len(d.s.Leases) != 0 {
-		t.Error("it never ends")
-	}
-}
-
-// The state against a plain model, through snapshots: tokens only grow, acts pass under the latest alone and once.
-func TestTheStateAgainstAModel(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		s, last, done := NewState(), uint64(0), map[string]uint64{}
-		held := map[string]Lease{}
-		s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
-		for range 200 {
-			e := Entry{Version: formatVersion, Kind: rapid.SampledFrom([]string{KindGrant, KindRevoke, KindEffect, KindNewTerm, KindFoundCluster}).Draw(t, "kind"),
-				Name:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
-				Holder: holder(rapid.IntRange(0, 2).Draw(t, "holder")), Number: uint64(rapid.IntRange(1, 9).Draw(t, "number")),
-				Token: uint64(max(0, int(last)-rapid.IntRange(0, 2).Draw(t, "age")))}
-			e.Effect = e.Name
-			l, is := held[e.Name]
-			r := s.Apply(e)
-			var want error
-			switch e.Kind {
-			case KindFoundCluster:
-				want = ErrAlreadyFounded
-			case KindGrant:
-				if is && l.Holder != e.Holder {
-					want = ErrHeld
-				} else if !is {
-					last++
-					held[e.Name] = Lease{e.Holder, last}
-					if r.Token != last {
-						t.Fatalf("token %d, want %d", r.Token, last)
-					}
-				}
-			case KindRevoke, KindEffect:
-				switch {
-				case !is || l.Token != e.Token:
-					want = ErrLeaseExpired
-				case e.Kind == KindRevoke:
-					delete(held, e.Name)
-				case e.Number <= done[e.Name]:
-					want = ErrDuplicate
-				default:
-					done[e.Name] = e.Number
-				}
-			}
-			if !errors.Is(r.Err, want) {
-				t.Fatalf("%+v: %v, want %v", e, r.Err, want)
-			}
-			b, err := s.Snapshot()
-			if s = NewState(); err != nil || s.Restore(b) != nil {
-				t.Fatal(err)
-			}
-		}
-	})
-}
-
-func TestWhatIsMalformedIsRefusedByName(t *testing.T) {
-	s := NewState()
-	s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
-	s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "a", Holder: holder(1)})
-	for want, e := range map[string]Entry{
-		`version 9 of a "grant" entry`: {Version: 9, Kind: KindGrant, Name: "a"},
-		"name":                         {Version: formatVersion, Kind: KindGrant, Name: strings.Repeat("a", maxNameBytes+1)},
-		"unknown kind":                 {Version: formatVersion, Kind: "budget", Name: "a"},
-		`version 1 of a "whole" entry`: {Version: formatVersion, Kind: KindSetBudget, Name: "a"},
-		"no budget given":              {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a"},
-		"rate or number":               {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: "x", Units: 1, MaxNodes: 1}},
-		"0 units":                      {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: ConcurrencyKind, MaxNodes: 1}},
-		"0 a second":                   {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: RateKind, Units: 1, MaxNodes: 1}},
-		"expected 12 or more":          {Version: budgetFormatVersion, Kind: KindSetBudget, Name: "a", Budget: &BudgetConfig{Kind: ConcurrencyKind, Units: 9, ReservedPerNode: 3, MaxNodes: 4}},
-		"16384 at most":                {Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "a", Moves: make([]QuotaMove, maxMovesPerEntry+1)},
-		"is not \"a\"":                 {Version: formatVersion, Kind: KindEffect, Name: "a", Token: 1, Effect: "ab"},
-		"4096 at most":                 {Version: formatVersion, Kind: KindEffect, Name: "a", Token: 1, Effect: "a", Value: make([]byte, maxValueBytes+1)},
-	} {
-		if r := s.Apply(e); r.Err == nil || !strings.Contains(r.Err.Error(), want) {
-			t.Errorf("%v: want %s", r.Err, want)
-		}
-	}
-	before, _ := s.Snapshot()
-	for text, want := range map[string]string{`{"version":3}`: "snapshot version 3: this program reads versions 1 and 2", `{`: "snapshot"} {
-		if err := s.Restore([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: want %s", err, want)
-		}
-	}
-	if after, _ := s.Snapshot(); !slices.Equal(before, after) {
-		t.Error("a refused snapshot changes something")
-	}
-}
-
-// More than there is to lend is never out, an old word moves nothing, parts end with their lease, and all of it is in a
-// snapshot; one without budgets can be read by a program that knows none.
-func TestPartsOfABudget(t *testing.T) {
-	s := NewState()
-	s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
-	a := s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "node/a", Holder: holder(1)}).Token
-	b := s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "node/b", Holder: holder(2)}).Token
-	if text, _ := s.Snapshot(); !strings.Contains(string(text), `"version":1`) || strings.Contains(string(text), "budgets") {
-		t.Errorf("without budgets: %s", text)
-	}
-	set := func(revision uint64, units int) Result {
-		return s.Apply(Entry{Version: budgetFormatVersion, Kind: KindSetBudget, Name: "x", Budget: &BudgetConfig{Kind: RateKind, Units: units, RatePerUnit: 2, ReservedPerNode: 1, MaxNodes: 2, Revision: revision}})
-	}
-	if r := set(0, 10); r.Err != nil || r.Token != 1 {
-		t.Fatal(r)
-	}
-	if r := set(0, 20); r.Err != ErrDuplicate || s.Budgets["x"].Units != 10 {
-		t.Errorf("declared twice: %v, %+v", r, s.Budgets["x"])
-	}
-	for _, c := range []struct {
-		lease        string
-		token, under uint64
-		units, want  int
-	}{
-		{"node/a", a, 0, 6, 6},
-		{"node/b", b, 0, 3, 0}, // two are apart
-		{"node/b", a, 0, 2, 0}, // another's lease
-		{"node/b", b, 0, 2, 2},
-		{"node/a", a, a, 1, 6}, // under a token that is not the part's
-		{"node/a", a, 3, 1, 1},
-		{"node/b", b, 4, 7, 7},
-		{"node/c", 9, 0, 1, 0},
-	} {
-		s.Apply(Entry{Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaMove{{"x", c.lease, c.token, c.under, c.units}}})
-		if got := s.Budgets["x"].Quotas[c.lease].Units; got != c.want {
-			t.Errorf("%+v: %d units", c, got)
-		}
-	}
-	if r := set(1, 4); r.Err != nil || s.Budgets["x"].Limit() != 8 || s.Budgets["x"].Allocated() != 8 {
-		t.Errorf("a whole that is lowered: %v, %+v", r, s.Budgets["x"])
-	}
-	if r := set(1, 5); r.Err != ErrDuplicate {
-		t.Errorf("set on an old revision: %v", r)
-	}
-	text, _ := s.Snapshot()
-	fresh := NewState()
-	if err := fresh.Restore(text); err != nil || fresh.Budgets["x"].Allocated() != 8 || fresh.Budgets["x"].BudgetConfig != s.Budgets["x"].BudgetConfig {
-		t.Errorf("%v: %+v", err, fresh.Budgets["x"])
-	}
-	s.Apply(Entry{Version: formatVersion, Kind: KindRevoke, Name: "node/b", Token: b})
-	if s.Budgets["x"].Allocated() != 1 {
-		t.Errorf("%+v", s.Budgets["x"])
+	h := newManagerHarness()
+	h.handle(acquireRequest(0, 0))
+	h.apply()
+	h.now += testLeaseDuration
+	h.manager.Demote()
+	h.manager.Promote(h.now, h.state.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n2"}).Term)
+	h.advance(testLeaseDuration)
+	if len(h.state.Leases) != 1 {
+		t.Error("it expires within a lease's duration of the new term")
+	}
+	h.advance(GranterDuration(testLeaseDuration, 0.01) - testLeaseDuration)
+	if len(h.state.Leases) != 0 {
+		t.Error("it never expires")
 	}
 }
