--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -53,17 +53,17 @@
 		b.Fatal(err)
 	}
 	c = NewClient(all[0], zap.NewNop())
-	if conn, err = c.dial(s.LeaderAddress, forAsks, "", time.Second); err != nil {
+	if conn, err = c.dial(s.LeaderAddress, purposeRPC, "", time.Second); err != nil {
 		b.Fatal(err)
 	}
-	c.conn, c.at = jsonrpc.NewClient(conn), s.LeaderAddress
+	c.conn, c.address = jsonrpc.NewClient(conn), s.LeaderAddress
 	b.Cleanup(c.Close)
-	h := lease.Holder{Name: "edge-r07-z21-00042", Process: 4242, Start: begun.UnixMilli()*1000 + 1}
-	x, err := c.ask(lease.Request{Operation: lease.OpAcquire, Name: session(h.Name), Holder: h})
+	h := lease.Holder{Name: "edge-r07-z21-00042", Process: 4242, Start: processStart.UnixMilli()*1000 + 1}
+	x, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: nodeLease(h.Name), Holder: h})
 	if err != nil || x.Err != nil {
 		b.Fatal(err, x.Err)
 	}
-	return c, conn, lease.Request{Operation: lease.OpRenew, Name: session(h.Name), Holder: h, Token: x.Token}
+	return c, conn, lease.Request{Operation: lease.OpRenew, Name: nodeLease(h.Name), Holder: h, Token: x.Token}
 }
 
 // weigh repeats a call, and tells its bytes on the wire, headers included.
@@ -87,7 +87,7 @@
 func BenchmarkARenewal(b *testing.B) {
 	c, conn, a := claimant(b)
 	weigh(b, conn, func() error {
-		x, err := c.ask(a)
+		x, err := c.send(a)
 		if err == nil {
 			err = x.Err
 		}
@@ -98,12 +98,12 @@
 // BenchmarkAWait is one asking for a task that another holds: answered in vain.
 func BenchmarkAWait(b *testing.B) {
 	c, conn, a := claimant(b)
-	if x, err := c.ask(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: a.Holder}); err != nil || x.Err != nil {
+	if x, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: a.Holder}); err != nil || x.Err != nil {
 		b.Fatal(err, x.Err)
 	}
 	other := lease.Holder{Name: "edge-r07-z21-00043", Process: 4243, Start: a.Holder.Start}
 	weigh(b, conn, func() error {
-		_, err := c.ask(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: other})
+		_, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: other})
 		return err
 	})
 }
@@ -119,20 +119,20 @@
 			}
 			var due []lease.Probe
 			token := uint64(1 << 40)
-			if err := c.plainly("Fleet.Rest", r, &[]lease.ProbeStatus{}); err != nil {
+			if err := c.callCurrent("Fleet.Rest", r, &[]lease.ProbeStatus{}); err != nil {
 				b.Fatal(err)
 			}
-			if err := c.plainly("Fleet.Due", &token, &due); err != nil {
+			if err := c.callCurrent("Fleet.Due", &token, &due); err != nil {
 				b.Fatal(err)
 			}
 			for _, t := range due {
-				if err := c.plainly("Fleet.Result", &ProbeReport{token, t.ID, false}, &struct{}{}); err != nil {
+				if err := c.callCurrent("Fleet.Result", &ProbeReport{token, t.ID, false}, &struct{}{}); err != nil {
 					b.Fatal(err)
 				}
 			}
 			weigh(b, conn, func() error {
 				var news []lease.ProbeStatus
-				err := c.plainly("Fleet.Rest", r, &news)
+				err := c.callCurrent("Fleet.Rest", r, &news)
 				if err == nil && len(news) != resting {
 					err = fmt.Errorf("news of %d of %d", len(news), resting)
 				}
@@ -157,7 +157,7 @@
 				var x QuotaResponse
 				eventually(b, "no parts", func() bool {
 					x = QuotaResponse{}
-					if err := c.plainlyWithin("Fleet.Part", &ask, &x, time.Second); err != nil {
+					if err := c.callCurrentWithin("Fleet.Part", &ask, &x, time.Second); err != nil {
 						b.Fatal(err)
 					}
 					for _, n := range x.Updates {
@@ -180,7 +180,7 @@
 				}
 				weigh(b, conn, func() error {
 					x = QuotaResponse{}
-					err := c.plainlyWithin("Fleet.Part", &ask, &x, time.Second)
+					err := c.callCurrentWithin("Fleet.Part", &ask, &x, time.Second)
 					if err == nil && news != (len(x.Updates) == budgets) {
 						err = fmt.Errorf("%d news", len(x.Updates))
 					}
@@ -295,7 +295,7 @@
 		first := sync.OnceFunc(held.Done)
 		keeping.Go(func() {
 			defer c.Close()
-			c.Hold(ctx, session(f.Node), func(holds context.Context, _ *HeldLease) bool {
+			c.Hold(ctx, nodeLease(f.Node), func(holds context.Context, _ *HeldLease) bool {
 				first()
 				<-holds.Done()
 				if ctx.Err() == nil {
--- a/internal/cluster/budgets.go
+++ b/internal/cluster/budgets.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	lendEvery = 100 * time.Millisecond // for the next process of a node to ask the present one for its half
-	takesPart = 10                     // a tenth of a lease: in touch it is renewed long before that
-	idleEvery = 10 * time.Millisecond  // until a node that leaves looks again whether its acts are over
+	lendInterval     = 100 * time.Millisecond // for the next process of a node to ask the present one for its half
+	actMarginDivisor = 10                     // a tenth of a lease: in touch it is renewed long before that
+	idlePollInterval = 10 * time.Millisecond  // until a node that leaves looks again whether its acts are over
 )
 
-// purse is this node's side of the fleet's budgets, while it holds its own name.
-type purse struct {
-	f     *Member
-	grip  *HeldLease
-	name  string
-	ctx   context.Context
-	mu    sync.Mutex
-	purse *budget.QuotaClient
-	alarm alarm
-	asked uint64 // the latest asking
-	over  bool
+// nodeQuotas is this node's side of the fleet's budgets, while it holds its own name.
+type nodeQuotas struct {
+	member      *Member
+	lease       *HeldLease
+	name        string
+	ctx         context.Context
+	mu          sync.Mutex
+	client      *budget.QuotaClient
+	alarm       alarm
+	lastRequest uint64 // the latest asking
+	closed      bool
 }
 
-// part hands one budget to the module: so many units until a time, and so many after it.
-func (f *Member) part(name string, t lease.BudgetConfig, units, apart int, left, takes time.Duration) allowance.Usage {
-	at := slices.IndexFunc(f.fleet.Budgets, func(b config.Budget) bool { return b.Name == name })
+// applyQuota hands one budget to the module: so many units until a time, and so many after it.
+func (f *Member) applyQuota(name string, t lease.BudgetConfig, units, apart int, left, takes time.Duration) allowance.Usage {
+	at := slices.IndexFunc(f.config.Budgets, func(b config.Budget) bool { return b.Name == name })
 	if at < 0 {
 		return allowance.Usage{}
 	}
 	rate := 0.0
 	if t.Kind == lease.RateKind {
-		rate = t.RatePerUnit * (1 - f.fleet.MaxDrift) // our clock may be as much too fast
+		rate = t.RatePerUnit * (1 - f.config.MaxDrift) // our clock may be as much too fast
 	}
 	p := allowance.Quota{Concurrency: t.Kind == lease.ConcurrencyKind, Rate: rate * float64(units), Burst: float64(units),
 		ThenRate: rate * float64(apart), ThenBurst: float64(apart)}
@@ -57,57 +57,59 @@
 		p.Burst, p.ThenBurst = f.bursts[name], f.bursts[name]
 		f.mu.Unlock()
 	}
-	b := f.fleet.Budgets[at]
-	return f.own.SetQuota(b.Bound, b.Partner, p, left, takes)
+	b := f.config.Budgets[at]
+	return f.node.SetQuota(b.Bound, b.Partner, p, left, takes)
 }
 
-// takes is how long before a part's end acts of a number at a time begin no more: what goes on then is cut off.
-func (f *Member) takes() time.Duration { return min(f.longest, f.fleet.Lease/takesPart) }
+// actMargin is how long before a part's end acts of a number at a time begin no more: what goes on then is cut off.
+func (f *Member) actMargin() time.Duration {
+	return min(f.maxRequestDuration, f.config.Lease/actMarginDivisor)
+}
 
-// alone sets all budgets to what is ours without the fleet: what is apart, once the fleet's address is ours, else nothing.
-func (f *Member) alone(ours bool) (out int) {
-	for _, b := range f.fleet.Budgets {
-		t, apart := f.agreed(b), 0
+// applyReserved sets all budgets to what is ours without the fleet: what is apart, once the fleet's address is ours, else nothing.
+func (f *Member) applyReserved(ours bool) (out int) {
+	for _, b := range f.config.Budgets {
+		t, apart := f.agreedConfig(b), 0
 		if ours {
 			apart = t.ReservedPerNode
 		}
-		out += f.part(b.Name, t, apart, apart, 0, 0).InFlight
+		out += f.applyQuota(b.Name, t, apart, apart, 0, 0).InFlight
 	}
 	return out
 }
 
-// agreed gives a budget's terms, as the fleet last told them or else as our papers have them.
-func (f *Member) agreed(b config.Budget) lease.BudgetConfig {
+// agreedConfig gives a budget's terms, as the fleet last told them or else as our papers have them.
+func (f *Member) agreedConfig(b config.Budget) lease.BudgetConfig {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if t, told := f.wholes[b.Name]; told {
+	if t, told := f.agreedConfigs[b.Name]; told {
 		return t
 	}
 	return b.BudgetConfig
 }
 
-// divide takes part in the division while our name is held.
-func (f *Member) divide(ctx context.Context, g *HeldLease) {
+// holdQuotas takes part in the division while our name is held.
+func (f *Member) holdQuotas(ctx context.Context, g *HeldLease) {
 	all := map[string]lease.BudgetConfig{}
-	for _, b := range f.fleet.Budgets {
-		all[b.Name] = f.agreed(b) // which a fleet that has forgotten it, as one founded anew, is told of
+	for _, b := range f.config.Budgets {
+		all[b.Name] = f.agreedConfig(b) // which a fleet that has forgotten it, as one founded anew, is told of
 	}
-	p := &purse{f: f, grip: g, name: session(f.fleet.Node), ctx: ctx}
-	p.alarm = newAlarm(p.ring)
+	p := &nodeQuotas{member: f, lease: g, name: nodeLease(f.config.Node), ctx: ctx}
+	p.alarm = newAlarm(p.onAlarm)
 	p.mu.Lock()
-	p.purse = budget.NewQuotaClient(p, now(), p.name, g.Token(), f.fleet.Weight, all, g.End(), tenths(f.takes()))
+	p.client = budget.NewQuotaClient(p, now(), p.name, g.Token(), f.config.Weight, all, g.End(), toLeaseTime(f.actMargin()))
 	p.mu.Unlock()
 	f.mu.Lock()
-	f.purse = p
+	f.quotas = p
 	f.mu.Unlock()
 	<-ctx.Done()
 	if g.Remaining() > 0 { // we leave, and the parts are ours yet: nothing more begins, and what goes on ends before they are given back
 		p.mu.Lock()
-		p.purse.Close(now())
+		p.client.Close(now())
 		p.mu.Unlock()
-		for end := time.Now().Add(f.longest + f.client.within()); time.Now().Before(end); time.Sleep(idleEvery) {
+		for end := time.Now().Add(f.maxRequestDuration + f.client.callTimeout()); time.Now().Before(end); time.Sleep(idlePollInterval) {
 			p.mu.Lock()
-			idle := p.purse.Idle(now())
+			idle := p.client.Idle(now())
 			p.mu.Unlock()
 			if idle {
 				break
@@ -115,62 +117,62 @@
 		}
 	}
 	p.mu.Lock()
-	p.over = true
+	p.closed = true
 	p.mu.Unlock()
 	f.mu.Lock()
-	f.purse = nil
+	f.quotas = nil
 	leaving := f.leaving
 	f.mu.Unlock()
-	f.alone(!leaving)
+	f.applyReserved(!leaving)
 }
 
-func (p *purse) ring() {
+func (p *nodeQuotas) onAlarm() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.over {
-		p.purse.ExtendLease(p.grip.End())
-		p.purse.Alarm(now())
+	if !p.closed {
+		p.client.ExtendLease(p.lease.End())
+		p.client.Alarm(now())
 	}
 }
 
 // What the purse acts through. These run with the lock held.
 
-func (p *purse) SetAlarm(at lease.Time) { p.alarm.set(at) }
+func (p *nodeQuotas) SetAlarm(at lease.Time) { p.alarm.set(at) }
 
-func (p *purse) SetQuota(name string, t lease.BudgetConfig, units, apart int, until lease.Time) allowance.Usage {
-	return p.f.part(name, t, units, apart, span(until-now()), p.f.takes())
+func (p *nodeQuotas) SetQuota(name string, t lease.BudgetConfig, units, apart int, until lease.Time) allowance.Usage {
+	return p.member.applyQuota(name, t, units, apart, toDuration(until-now()), p.member.actMargin())
 }
 
-func (p *purse) Send(a budget.Request) {
-	p.asked++
-	nth := p.asked
+func (p *nodeQuotas) Send(a budget.Request) {
+	p.lastRequest++
+	nth := p.lastRequest
 	go func() {
 		var x QuotaResponse
-		err := p.f.client.plainlyWithin("Fleet.Part", &a, &x, span(a.Wait)+p.f.client.within())
+		err := p.member.client.callCurrentWithin("Fleet.Part", &a, &x, toDuration(a.Wait)+p.member.client.callTimeout())
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.over || p.asked != nth {
+		if p.closed || p.lastRequest != nth {
 			return
 		}
-		p.purse.ExtendLease(p.grip.End())
+		p.client.ExtendLease(p.lease.End())
 		if err != nil {
-			p.f.log.Debug("an asking for parts came to nothing", zap.Error(err))
-			p.purse.HandleTimeout(now())
+			p.member.log.Debug("an asking for parts came to nothing", zap.Error(err))
+			p.client.HandleTimeout(now())
 			return
 		}
-		if traceParts != nil {
-			traceParts(p.f.fleet.Node, x.Updates)
+		if traceQuotas != nil {
+			traceQuotas(p.member.config.Node, x.Updates)
 		}
-		for _, d := range p.purse.HandleResponse(now(), budget.Response{Updates: x.Updates, Err: x.Error.err()}) {
-			p.f.log.Warn("a budget differs from the configuration's: the fleet's holds", zap.String("budget", d.Name),
+		for _, d := range p.client.HandleResponse(now(), budget.Response{Updates: x.Updates, Err: x.Error.toError()}) {
+			p.member.log.Warn("a budget differs from the configuration's: the fleet's holds", zap.String("budget", d.Name),
 				zap.Float64("configuration", d.Local.Limit()), zap.Float64("fleet", d.Agreed.Limit()),
 				zap.Any("configuration's terms", d.Local), zap.Any("fleet's terms", d.Agreed))
 		}
-		p.f.mu.Lock()
+		p.member.mu.Lock()
 		for _, n := range x.Updates {
-			p.f.wholes[n.Budget] = n.Config
+			p.member.agreedConfigs[n.Budget] = n.Config
 		}
-		p.f.mu.Unlock()
+		p.member.mu.Unlock()
 	}()
 }
 
@@ -181,11 +183,11 @@
 }
 
 // Part is a node's call: what it holds and wants. It is answered once there is news.
-func (l *line) Part(a *budget.Request, x *QuotaResponse) error {
-	v := l.f.voter()
+func (l *rpcService) Part(a *budget.Request, x *QuotaResponse) error {
+	v := l.member.voter()
 	got := budget.Response{Err: lease.ErrNotLeader}
 	if v != nil {
-		got = v.askPart(*a, l.gone)
+		got = v.handleQuotaRequest(*a, l.disconnected)
 	}
 	if errors.Is(got.Err, lease.ErrNotLeader) {
 		return lease.ErrNotLeader
@@ -201,17 +203,17 @@
 }
 
 // Lend is the call of our own node's next process, which waits for our address.
-func (l *line) Lend(_ *struct{}, x *LentQuotas) error {
-	l.f.mu.Lock()
-	p := l.f.purse
-	l.f.mu.Unlock()
+func (l *rpcService) Lend(_ *struct{}, x *LentQuotas) error {
+	l.member.mu.Lock()
+	p := l.member.quotas
+	l.member.mu.Unlock()
 	if p == nil {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.over {
-		all, span := p.purse.Lend(now())
+	if !p.closed {
+		all, span := p.client.Lend(now())
 		x.Quotas, x.Duration = all, int64(span)
 	}
 	return nil
@@ -219,7 +221,7 @@
 
 // borrow asks the process whose place we take for half of its parts, until the context ends. Both read the same clock.
 func (f *Member) borrow(ctx context.Context) {
-	if len(f.fleet.Budgets) == 0 {
+	if len(f.config.Budgets) == 0 {
 		return
 	}
 	var conn *rpc.Client
@@ -229,47 +231,47 @@
 		}
 	}()
 	for ctx.Err() == nil {
-		sent := boot()
+		sent := bootTime()
 		var x LentQuotas
 		if conn == nil {
-			if n, err := f.client.dial(f.fleet.Address, forAsks, "", lendEvery); err == nil {
+			if n, err := f.client.dial(f.config.Address, purposeRPC, "", lendInterval); err == nil {
 				conn = jsonrpc.NewClient(n)
 			}
 		}
 		if conn != nil {
-			if err := call(conn, "Fleet.Lend", &struct{}{}, &x, lendEvery); err != nil {
+			if err := call(conn, "Fleet.Lend", &struct{}{}, &x, lendInterval); err != nil {
 				_ = conn.Close()
 				conn = nil
 			}
 		}
 		for _, b := range x.Quotas {
 			if ctx.Err() == nil {
-				left, takes := sent+span(lease.Time(x.Duration))-boot(), time.Duration(0)
+				left, takes := sent+toDuration(lease.Time(x.Duration))-bootTime(), time.Duration(0)
 				if b.Config.Kind == lease.ConcurrencyKind {
-					takes = min(f.takes(), lendEvery)
+					takes = min(f.actMargin(), lendInterval)
 				}
-				f.part(b.Name, b.Config, b.Units, 0, left-takes, takes)
+				f.applyQuota(b.Name, b.Config, b.Units, 0, left-takes, takes)
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(lendEvery):
+		case <-time.After(lendInterval):
 		}
 	}
 }
 
-// askPart brings an asking to the divider, and waits for its answer or until the caller has gone.
-func (v *Voter) askPart(a budget.Request, gone <-chan struct{}) budget.Response {
+// handleQuotaRequest brings an asking to the divider, and waits for its answer or until the caller has gone.
+func (v *Voter) handleQuotaRequest(a budget.Request, gone <-chan struct{}) budget.Response {
 	c := make(chan budget.Response, 1)
 	v.mu.Lock()
-	if v.ended != nil {
+	if v.endReason != nil {
 		v.mu.Unlock()
 		return budget.Response{Err: lease.ErrNotLeader}
 	}
-	v.ids++
-	id := v.ids
-	v.parts[id] = c
-	v.divider.Handle(now(), id, a)
+	v.lastRequestID++
+	id := v.lastRequestID
+	v.quotaRequests[id] = c
+	v.allocator.Handle(now(), id, a)
 	v.mu.Unlock()
 	select {
 	case x := <-c:
@@ -279,40 +281,40 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.parts, id)
-	v.divider.CallerGone(id)
+	delete(v.quotaRequests, id)
+	v.allocator.CallerGone(id)
 	return budget.Response{Err: lease.ErrNotLeader}
 }
 
-// dividing is what the divider acts through. Its methods run with the lock held.
-type dividing struct{ *Voter }
+// allocatorHost is what the divider acts through. Its methods run with the lock held.
+type allocatorHost struct{ *Voter }
 
-func (h dividing) SetAlarm(at lease.Time) { h.divides.set(at) }
+func (h allocatorHost) SetAlarm(at lease.Time) { h.allocatorAlarm.set(at) }
 
-func (h dividing) Respond(id uint64, a budget.Response) {
-	if c, waits := h.parts[id]; waits {
-		delete(h.parts, id)
+func (h allocatorHost) Respond(id uint64, a budget.Response) {
+	if c, waits := h.quotaRequests[id]; waits {
+		delete(h.quotaRequests, id)
 		c <- a // it has room for this one
 	}
 }
 
-func (h dividing) Propose(ref uint64, e lease.Entry) {
-	nth := h.leads
+func (h allocatorHost) Propose(ref uint64, e lease.Entry) {
+	nth := h.leaderChanges
 	go func() {
-		_, err := h.apply(e)
+		_, err := h.propose(e)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.leads == nth {
-			h.divider.Applied(now(), ref, err != nil)
+		if h.leaderChanges == nth {
+			h.allocator.Applied(now(), ref, err != nil)
 		}
 	}()
 }
 
-// deal is the divider's alarm.
-func (v *Voter) deal() {
+// onAllocatorAlarm is the divider's alarm.
+func (v *Voter) onAllocatorAlarm() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.divider.Alarm(now())
+	v.allocator.Alarm(now())
 }
 
 // BudgetState is a budget as a voter has it; Want and Reserve are the leader's to know.
@@ -329,14 +331,14 @@
 }
 
 // SetWhole changes a whole, at the leader.
-func (l *line) SetWhole(w *LimitChange, x *BudgetState) error {
-	v := l.f.voter()
+func (l *rpcService) SetWhole(w *LimitChange, x *BudgetState) error {
+	v := l.member.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
 	b, known := v.state.Budgets[w.Name]
-	leads := v.divider.IsLeader()
+	leads := v.allocator.IsLeader()
 	names := slices.Sorted(maps.Keys(v.state.Budgets))
 	var t lease.BudgetConfig
 	if known {
@@ -354,7 +356,7 @@
 		each = 1
 	}
 	t.Units = int(w.Limit/each + 1e-9)
-	if r, err := v.apply(lease.Entry{Kind: lease.KindSetBudget, Name: w.Name, Budget: &t}); err != nil || r.Err != nil {
+	if r, err := v.propose(lease.Entry{Kind: lease.KindSetBudget, Name: w.Name, Budget: &t}); err != nil || r.Err != nil {
 		return errors.Join(err, r.Err)
 	}
 	v.mu.Lock()
@@ -365,24 +367,24 @@
 
 // SetLimit changes a whole, and tells how the budget stands then.
 func (c *Client) SetLimit(name string, whole float64) (x BudgetState, err error) {
-	return x, c.CallLeader("Fleet.SetWhole", &LimitChange{name, whole}, &x, changeMost+c.within())
+	return x, c.CallLeader("Fleet.SetWhole", &LimitChange{name, whole}, &x, membershipTimeout+c.callTimeout())
 }
 
-// standings adds what operators see of the budgets from here.
-func (f *Member) standings(all map[string]any) {
+// addBudgetMetrics adds what operators see of the budgets from here.
+func (f *Member) addBudgetMetrics(all map[string]any) {
 	f.mu.Lock()
-	p := f.purse
+	p := f.quotas
 	f.mu.Unlock()
 	if p == nil {
-		for _, b := range f.fleet.Budgets {
-			t := f.agreed(b)
+		for _, b := range f.config.Budgets {
+			t := f.agreedConfig(b)
 			all["budget."+b.Name+".whole"], all["budget."+b.Name+".part"], all["budget."+b.Name+".end_ms"] = t.Limit(), 0, 0
 		}
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.purse.Status() {
+	for _, s := range p.client.Status() {
 		unit := func(n int) float64 {
 			if s.Config.Kind == lease.ConcurrencyKind {
 				return float64(n)
@@ -391,7 +393,7 @@
 		}
 		for key, v := range map[string]any{"whole": s.Config.Limit(), "given": unit(s.Allocated), "reserve": unit(s.Reserve),
 			"free": unit(max(0, s.Config.Allocatable()-s.Allocated)), "apart": unit(s.Config.ReservedPerNode), "part": unit(s.Units),
-			"wanted": unit(s.Demand), "out": s.InFlight, "used": s.Used, "end_ms": max(0, span(s.End-now()).Milliseconds()),
+			"wanted": unit(s.Demand), "out": s.InFlight, "used": s.Used, "end_ms": max(0, toDuration(s.End-now()).Milliseconds()),
 			"revision": s.Config.Revision} {
 			all["budget."+s.Name+"."+key] = v
 		}
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	hopsMost  = 4  // voters asked for one asking, as each names another as the leader
-	slowTimes = 6  // delays within which a call that doesn't wait has to be answered: a round to a majority is in it
-	asksMost  = 64 // askings of this process that are out
+	maxRedirects       = 4  // voters asked for one asking, as each names another as the leader
+	callTimeoutFactor  = 6  // delays within which a call that doesn't wait has to be answered: a round to a majority is in it
+	maxPendingRequests = 64 // askings of this process that are out
 )
 
-var errBusy = errors.New("too many askings of this process are out")
+var errTooManyRequests = errors.New("too many askings of this process are out")
 
 // Client asks the fleet's leader, over one connection that it keeps.
 type Client struct {
-	fleet *config.Cluster
+	config *config.Cluster
 	dialer
 	log *zap.Logger
 
-	places chan struct{}
-	mu     sync.Mutex
-	conn   *rpc.Client
-	out    map[*rpc.Client]int // calls by connection: by the one that is kept, and by those that were dropped with calls out
-	at     string              // whom the one that is kept leads to
-	next   int                 // the voter to try, where nobody is known to lead
-	told   time.Duration
-	claims int64
+	slots        chan struct{}
+	mu           sync.Mutex
+	conn         *rpc.Client
+	pendingCalls map[*rpc.Client]int // calls by connection: by the one that is kept, and by those that were dropped with calls out
+	address      string              // whom the one that is kept leads to
+	nextVoter    int                 // the voter to try, where nobody is known to lead
+	lastResponse time.Duration
+	claimants    int64
 }
 
 // NewClient makes one; nothing is opened before it is asked something.
 func NewClient(f *config.Cluster, log *zap.Logger) *Client {
-	return &Client{fleet: f, dialer: dialer{f.Name, f.Node, f.Routes}, log: log, places: make(chan struct{}, asksMost),
-		out: map[*rpc.Client]int{}}
+	return &Client{config: f, dialer: dialer{f.Name, f.Node, f.Routes}, log: log, slots: make(chan struct{}, maxPendingRequests),
+		pendingCalls: map[*rpc.Client]int{}}
 }
 
 // Close lets the connection go.
@@ -56,60 +56,60 @@
 	}
 }
 
-// drop gives the connection up, if it is still this one, and goes elsewhere next. Other askings may be out on it and get their
+// dropConn gives the connection up, if it is still this one, and goes elsewhere next. Other askings may be out on it and get their
 // answers yet, so it is closed with the last of them; not later, since it takes the place of another node's at a voter.
-func (c *Client) drop(conn *rpc.Client, elsewhere string) {
+func (c *Client) dropConn(conn *rpc.Client, elsewhere string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != conn {
 		return
 	}
-	c.conn, c.at = nil, elsewhere
+	c.conn, c.address = nil, elsewhere
 	if elsewhere == "" {
-		c.next++
+		c.nextVoter++
 	}
-	if c.out[conn] == 0 {
+	if c.pendingCalls[conn] == 0 {
 		_ = conn.Close()
 	}
 }
 
-// over says that a call on what line gave has ended.
-func (c *Client) over(conn *rpc.Client) {
+// callDone says that a call on what line gave has ended.
+func (c *Client) callDone(conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.out[conn]--; c.out[conn] > 0 {
+	if c.pendingCalls[conn]--; c.pendingCalls[conn] > 0 {
 		return
 	}
-	delete(c.out, conn)
+	delete(c.pendingCalls, conn)
 	if c.conn != conn {
 		_ = conn.Close()
 	}
 }
 
-// line gives the connection, opened if need be, for one call; over is told of its end.
-func (c *Client) line() (*rpc.Client, string, error) {
+// connection gives the connection, opened if need be, for one call; over is told of its end.
+func (c *Client) connection() (*rpc.Client, string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
-		c.out[c.conn]++
-		return c.conn, c.at, nil
+		c.pendingCalls[c.conn]++
+		return c.conn, c.address, nil
 	}
-	if c.at == "" {
-		c.at = c.fleet.Voters[c.next%len(c.fleet.Voters)].Address
+	if c.address == "" {
+		c.address = c.config.Voters[c.nextVoter%len(c.config.Voters)].Address
 	}
-	n, err := c.dial(c.at, forAsks, "", c.within())
+	n, err := c.dial(c.address, purposeRPC, "", c.callTimeout())
 	if err != nil {
-		at := c.at
-		c.at = ""
-		c.next++
+		at := c.address
+		c.address = ""
+		c.nextVoter++
 		return nil, "", fmt.Errorf("%s: %w", at, err)
 	}
 	c.conn = jsonrpc.NewClient(n)
-	c.out[c.conn]++
-	return c.conn, c.at, nil
+	c.pendingCalls[c.conn]++
+	return c.conn, c.address, nil
 }
 
-func (c *Client) within() time.Duration { return slowTimes * c.fleet.MaxDelay }
+func (c *Client) callTimeout() time.Duration { return callTimeoutFactor * c.config.MaxDelay }
 
 // call makes one call on a connection; who doesn't answer in time loses it, since the connection may lead nowhere.
 func call(conn *rpc.Client, method string, args, reply any, within time.Duration) error {
@@ -126,9 +126,9 @@
 	}
 }
 
-// atOnce makes one call to a given address, on a connection of its own.
-func (c *Client) atOnce(address, method string, args, reply any, within time.Duration) error {
-	n, err := c.dial(address, forAsks, "", c.within())
+// callAddressWithin makes one call to a given address, on a connection of its own.
+func (c *Client) callAddressWithin(address, method string, args, reply any, within time.Duration) error {
+	n, err := c.dial(address, purposeRPC, "", c.callTimeout())
 	if err != nil {
 		return err
 	}
@@ -137,54 +137,54 @@
 	return call(conn, method, args, reply, within)
 }
 
-func (c *Client) once(address, method string, args, reply any) error {
-	return c.atOnce(address, method, args, reply, c.within())
+func (c *Client) callAddress(address, method string, args, reply any) error {
+	return c.callAddressWithin(address, method, args, reply, c.callTimeout())
 }
 
-// heard tells whom the last answer named as the leader, and how long ago it came; -1: none ever did.
-func (c *Client) heard() (leader string, agoMs int64) {
+// lastLeader tells whom the last answer named as the leader, and how long ago it came; -1: none ever did.
+func (c *Client) lastLeader() (leader string, agoMs int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.told == 0 {
-		return c.at, -1
+	if c.lastResponse == 0 {
+		return c.address, -1
 	}
-	return c.at, (boot() - c.told).Milliseconds()
+	return c.address, (bootTime() - c.lastResponse).Milliseconds()
 }
 
-// ask brings one asking to the leader, wherever that is. An error says that nobody knows whether it was heard.
-func (c *Client) ask(a lease.Request) (lease.Response, error) {
+// send brings one asking to the leader, wherever that is. An error says that nobody knows whether it was heard.
+func (c *Client) send(a lease.Request) (lease.Response, error) {
 	select {
-	case c.places <- struct{}{}:
-		defer func() { <-c.places }()
+	case c.slots <- struct{}{}:
+		defer func() { <-c.slots }()
 	default:
-		return lease.Response{}, errBusy
+		return lease.Response{}, errTooManyRequests
 	}
 	args := &LeaseRequest{Kind: a.Operation, Name: a.Name, Effect: a.Effect, Holder: a.Holder, Token: a.Token, Number: a.Number,
 		Wait: uint64(a.Wait), Value: a.Value}
-	for range hopsMost {
-		conn, at, err := c.line()
+	for range maxRedirects {
+		conn, at, err := c.connection()
 		if err != nil {
 			return lease.Response{}, err
 		}
 		var x LeaseResponse
-		err = call(conn, "Fleet.Ask", args, &x, span(a.Wait)+c.within())
-		c.over(conn)
+		err = call(conn, "Fleet.Ask", args, &x, toDuration(a.Wait)+c.callTimeout())
+		c.callDone(conn)
 		if err != nil {
-			c.drop(conn, "")
+			c.dropConn(conn, "")
 			return lease.Response{}, err
 		}
-		got := lease.Response{Token: x.Token, Holder: x.Holder, Duration: lease.Time(x.Duration), Err: x.Error.err()}
+		got := lease.Response{Token: x.Token, Holder: x.Holder, Duration: lease.Time(x.Duration), Err: x.Error.toError()}
 		if !errors.Is(got.Err, lease.ErrNotLeader) {
 			c.mu.Lock()
-			c.told = boot()
+			c.lastResponse = bootTime()
 			c.mu.Unlock()
 			return got, nil
 		}
 		if x.Leader == at || x.Leader == "" { // it leads, but can't show it, or knows of none
-			c.drop(conn, "")
+			c.dropConn(conn, "")
 			return got, nil
 		}
-		c.drop(conn, x.Leader)
+		c.dropConn(conn, x.Leader)
 	}
 	return lease.Response{Err: lease.ErrNotLeader}, nil
 }
@@ -202,12 +202,12 @@
 		}
 		asked = append(asked, at)
 		var s Status
-		if err := c.once(at, "Fleet.Status", &struct{}{}, &s); err != nil {
+		if err := c.callAddress(at, "Fleet.Status", &struct{}{}, &s); err != nil {
 			faults = append(faults, fmt.Errorf("%s: %w", at, err))
 			continue
 		}
 		if s.Voter && s.Leader == s.ID && s.ID != "" {
-			return c.atOnce(at, method, args, reply, within)
+			return c.callAddressWithin(at, method, args, reply, within)
 		}
 		if s.LeaderAddress != "" {
 			next = append([]string{s.LeaderAddress}, next...)
@@ -217,7 +217,7 @@
 }
 
 func (c *Client) addresses() (all []string) {
-	for _, v := range c.fleet.Voters {
+	for _, v := range c.config.Voters {
 		all = append(all, v.Address)
 	}
 	return all
@@ -225,12 +225,12 @@
 
 // Status asks the leader how the fleet is.
 func (c *Client) Status() (s Status, err error) {
-	return s, c.CallLeader("Fleet.Status", &struct{}{}, &s, c.within())
+	return s, c.CallLeader("Fleet.Status", &struct{}{}, &s, c.callTimeout())
 }
 
 // Watch waits for a change after a revision of the log, half a minute at most, and tells how the fleet is then.
 func (c *Client) Watch(after uint64) (s Status, err error) {
-	return s, c.CallLeader("Fleet.Watch", &after, &s, watchMost+c.within())
+	return s, c.CallLeader("Fleet.Watch", &after, &s, maxWatchDuration+c.callTimeout())
 }
 
 // FoundCluster begins a fleet with the voters of the configuration. It changes nothing where one of them can't be reached, or has
@@ -238,9 +238,9 @@
 func (c *Client) FoundCluster(after uint64) error {
 	var all []VoterInfo
 	begun := 0 // of them, by a founding that was not brought to its end
-	for _, v := range c.fleet.Voters {
+	for _, v := range c.config.Voters {
 		var s Status
-		if err := c.once(v.Address, "Fleet.Status", &struct{}{}, &s); err != nil {
+		if err := c.callAddress(v.Address, "Fleet.Status", &struct{}{}, &s); err != nil {
 			return fmt.Errorf("fleet.voters: %s at %s: %w", v.Name, v.Address, err)
 		}
 		switch {
@@ -248,7 +248,7 @@
 			return fmt.Errorf("fleet.voters: %s is node %q, not %q", v.Address, s.Node, v.Name)
 		case s.ID == "":
 			return fmt.Errorf("fleet.voters: %s can't vote: %s", v.Name, s.VoterError)
-		case !s.New && s.Cluster == "" && len(s.Voters) == len(c.fleet.Voters):
+		case !s.New && s.Cluster == "" && len(s.Voters) == len(c.config.Voters):
 			begun++
 		case !s.New:
 			return fmt.Errorf("fleet.voters: %s has voted before: %w", v.Name, lease.ErrAlreadyFounded)
@@ -256,12 +256,12 @@
 		all = append(all, VoterInfo{s.ID, v.Address})
 	}
 	if begun == 0 {
-		if err := c.once(all[0].Address, "Fleet.Bootstrap", &BootstrapRequest{Voters: all}, &struct{}{}); err != nil {
+		if err := c.callAddress(all[0].Address, "Fleet.Bootstrap", &BootstrapRequest{Voters: all}, &struct{}{}); err != nil {
 			return err
 		}
 	}
-	for end := time.Now().Add(20*c.within() + 4*c.fleet.Lease); ; time.Sleep(c.fleet.MaxDelay) {
-		err := c.CallLeader("Fleet.Found", &BootstrapRequest{LastToken: after}, &struct{}{}, c.within())
+	for end := time.Now().Add(20*c.callTimeout() + 4*c.config.Lease); ; time.Sleep(c.config.MaxDelay) {
+		err := c.CallLeader("Fleet.Found", &BootstrapRequest{LastToken: after}, &struct{}{}, c.callTimeout())
 		if err == nil || strings.Contains(err.Error(), lease.ErrAlreadyFounded.Error()) {
 			return nil
 		}
@@ -279,7 +279,7 @@
 	}
 	for _, l := range s.Leases {
 		if l.Name == name && l.Token == token {
-			x, err := c.ask(lease.Request{Operation: lease.OpRelease, Name: name, Holder: l.Holder, Token: token})
+			x, err := c.send(lease.Request{Operation: lease.OpRelease, Name: name, Holder: l.Holder, Token: token})
 			return errors.Join(err, x.Err)
 		}
 	}
@@ -288,15 +288,15 @@
 
 // Change adds or removes a voter.
 func (c *Client) Change(x MembershipChange) (id string, err error) {
-	return id, c.CallLeader("Fleet.Change", &x, &id, changeMost+c.within())
+	return id, c.CallLeader("Fleet.Change", &x, &id, membershipTimeout+c.callTimeout())
 }
 
-// start tells this process from all others, and each of its claims from the others.
-func (c *Client) start() int64 {
+// nextStart tells this process from all others, and each of its claims from the others.
+func (c *Client) nextStart() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.claims++
-	return begun.UnixMilli()*1000 + c.claims
+	c.claimants++
+	return processStart.UnixMilli()*1000 + c.claimants
 }
 
-var begun = time.Now()
+var processStart = time.Now()
--- a/internal/cluster/clock.go
+++ b/internal/cluster/clock.go
@@ -9,9 +9,9 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// boot reads the clock that leases are counted by: it goes on while the machine sleeps, which the one behind time.Now
+// bootTime reads the clock that leases are counted by: it goes on while the machine sleeps, which the one behind time.Now
 // doesn't, so a machine that wakes up knows that its leases are over.
-func boot() time.Duration {
+func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // Linux has had it since 2.6.39; without a clock nothing may be held
@@ -19,13 +19,13 @@
 	return faults.Clock(time.Duration(t.Nano()))
 }
 
-func now() lease.Time { return tenths(boot()) }
+func now() lease.Time { return toLeaseTime(bootTime()) }
 
-const tenth = time.Millisecond / time.Duration(lease.Millisecond)
+const leaseTimeUnit = time.Millisecond / time.Duration(lease.Millisecond)
 
-func tenths(d time.Duration) lease.Time { return lease.Time(d / tenth) }
+func toLeaseTime(d time.Duration) lease.Time { return lease.Time(d / leaseTimeUnit) }
 
-func span(t lease.Time) time.Duration { return time.Duration(t) * tenth }
+func toDuration(t lease.Time) time.Duration { return time.Duration(t) * leaseTimeUnit }
 
 // alarm calls once, at or after the latest time set. The timer's clock stands still in suspension; whoever is called
 // looks at the other one.
@@ -38,4 +38,4 @@
 }
 
 // set asks to be called at that time, in place of any earlier wish.
-func (a alarm) set(at lease.Time) { a.timer.Reset(max(0, span(at-now())) + tenth) }
+func (a alarm) set(at lease.Time) { a.timer.Reset(max(0, toDuration(at-now())) + leaseTimeUnit) }
--- a/internal/cluster/faulttest_task_off.go
+++ b/internal/cluster/faulttest_task_off.go
@@ -4,5 +4,5 @@
 
 import "context"
 
-// trial is the rig's task, which no release has.
-func (f *Member) trial() func(context.Context, *HeldLease) bool { return nil }
+// faultTestTask is the rig's task, which no release has.
+func (f *Member) faultTestTask() func(context.Context, *HeldLease) bool { return nil }
--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -39,7 +39,7 @@
 // Trace lets each asking of this process be told before it is sent, and its answer to what asked gives back; and each
 // answer about budgets. It is called before the first node of the process starts.
 func Trace(asked func(lease.Request) func(lease.Response, error), parts func(node string, news []budget.QuotaUpdate)) {
-	trace, traceParts = asked, parts
+	traceRequest, traceQuotas = asked, parts
 }
 
 // record writes what this process does, by the machine's one clock, whatever our own is made to show.
@@ -63,15 +63,15 @@
 	_, _ = r.file.Write(append(b, '\n'))
 }
 
-// trial acts while it holds the lease: at the door inside the fleet, at one outside, and where no door is.
-func (f *Member) trial() func(context.Context, *HeldLease) bool {
+// faultTestTask acts while it holds the lease: at the door inside the fleet, at one outside, and where no door is.
+func (f *Member) faultTestTask() func(context.Context, *HeldLease) bool {
 	file, err := os.OpenFile(os.Getenv(RecordVariable), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		f.log.Sugar().Error(err)
 		return nil
 	}
-	r := &record{file: file, who: f.fleet.Node}
-	trace = func(a lease.Request) func(lease.Response, error) {
+	r := &record{file: file, who: f.config.Node}
+	traceRequest = func(a lease.Request) func(lease.Response, error) {
 		call := trueBoot()
 		return func(x lease.Response, err error) {
 			if a.Name != config.TaskFaultTest {
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -60,16 +60,16 @@
 }
 
 func TestGreetingsAndTheVotersFileKeepTheirForm(t *testing.T) {
-	goldenForm(t, "hello-votes.json", hello{Fleet: "f", For: forVotes, From: "n1", To: "n2.0badcafe"})
-	goldenForm(t, "hello-asks.json", hello{Fleet: "f", For: forAsks, From: "n1"})
+	goldenForm(t, "hello-votes.json", hello{Cluster: "f", Purpose: purposeRaft, From: "n1", To: "n2.0badcafe"})
+	goldenForm(t, "hello-asks.json", hello{Cluster: "f", Purpose: purposeRPC, From: "n1"})
 	goldenForm(t, "welcome.json", welcome{})
-	goldenForm(t, "welcome-refused.json", welcome{Refused: "no voter: fleet.folder is empty or can't be used"})
-	goldenForm(t, "voter.json", paper{Fleet: "f", Node: "n1", ID: "n1.0badcafe"})
-	goldenForm(t, "roll-up.json", sheet{Nodes: 2, Missing: []string{"n3"}, Sums: map[string]int64{"served": 7}})
-	if paperFile != "voter.json" || logFile != "log.db" {
+	goldenForm(t, "welcome-refused.json", welcome{Refusal: "no voter: fleet.folder is empty or can't be used"})
+	goldenForm(t, "voter.json", voterIdentity{Cluster: "f", Node: "n1", ID: "n1.0badcafe"})
+	goldenForm(t, "roll-up.json", rollUpReport{Nodes: 2, Missing: []string{"n3"}, Sums: map[string]int64{"served": 7}})
+	if identityFile != "voter.json" || logFile != "log.db" {
 		t.Error("files of a voter's folder have other names")
 	}
-	if a := addressOf("n1.0badcafe", "10.0.0.1:7100"); a != "10.0.0.1:7100#n1.0badcafe" {
+	if a := raftAddress("n1.0badcafe", "10.0.0.1:7100"); a != "10.0.0.1:7100#n1.0badcafe" {
 		t.Error("a voter's address in the log is", a)
 	}
 }
@@ -120,7 +120,7 @@
 }
 
 func TestCallsKeepTheirForm(t *testing.T) {
-	methods := reflect.TypeFor[*line]()
+	methods := reflect.TypeFor[*rpcService]()
 	if n := methods.NumMethod(); n != len(goldenCalls()) {
 		t.Errorf("%d calls are served, %d have golden files", n, len(goldenCalls()))
 	}
@@ -164,15 +164,15 @@
 func TestRefusalsKeepTheirNames(t *testing.T) {
 	all := []error{lease.ErrHeld, lease.ErrLeaseExpired, lease.ErrDuplicate, lease.ErrStaleTerm, lease.ErrLimitExceeded, lease.ErrMalformed, lease.ErrNotFounded,
 		lease.ErrAlreadyFounded, lease.ErrNotLeader, lease.ErrStillHeld, lease.ErrWithdrawn}
-	if len(all) != len(refusals) {
-		t.Errorf("%d refusals have names, %d have golden ones", len(refusals), len(all))
+	if len(all) != len(errorsByName) {
+		t.Errorf("%d refusals have names, %d have golden ones", len(errorsByName), len(all))
 	}
 	for _, err := range all {
-		if got := toWireError(err).err(); got != err {
+		if got := toWireError(err).toError(); got != err {
 			t.Errorf("%v comes back as %v", err, got)
 		}
 		further := fmt.Errorf("%w: further", err)
-		if got := toWireError(further).err(); !errors.Is(got, err) {
+		if got := toWireError(further).toError(); !errors.Is(got, err) {
 			t.Errorf("%v comes back as %v", further, got)
 		}
 	}
@@ -192,7 +192,7 @@
 		if again, err := json.Marshal(r); err != nil || !bytes.Equal(again, line) {
 			t.Errorf("%s is written again as %s, %v", line, again, err)
 		}
-		switch got := r.err(); {
+		switch got := r.toError(); {
 		case i < len(all) && (!errors.Is(got, all[i]) || toWireError(got).Name != r.Name || toWireError(all[i]).Name != r.Name):
 			t.Errorf("%s is read as %v, want %v", line, got, all[i])
 		case i == len(all) && (got == nil || got.Error() != "another" || toWireError(got) != r):
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -19,123 +19,123 @@
 
 // HeldLease is a lease that is held, or was.
 type HeldLease struct {
-	c      *Client
+	client *Client
 	name   string
 	holder lease.Holder
 	ctx    context.Context // ends when it is lost
 
-	mu    sync.Mutex
-	claim *lease.Claimant
-	alarm alarm
-	token uint64
-	held  chan struct{} // closed when it is held first
-	lost  context.CancelFunc
-	freed chan struct{} // closed when the release was answered
-	over  bool
-	told  bool // that another has our name
+	mu              sync.Mutex
+	claimant        *lease.Claimant
+	alarm           alarm
+	token           uint64
+	acquired        chan struct{} // closed when it is held first
+	cancel          context.CancelFunc
+	released        chan struct{} // closed when the release was answered
+	dropped         bool
+	warnedDuplicate bool // that another has our name
 }
 
-// claim asks for a name until it is dropped.
-func (c *Client) claim(ctx context.Context, name string) *HeldLease {
-	g := &HeldLease{c: c, name: name, held: make(chan struct{}), freed: make(chan struct{}),
-		holder: lease.Holder{Name: c.fleet.Node, Process: os.Getpid(), Start: c.start()}}
-	g.ctx, g.lost = context.WithCancel(ctx)
-	g.alarm = newAlarm(g.ring)
-	short := lease.HolderDuration(tenths(c.fleet.Lease), c.fleet.MaxDrift)
+// acquire asks for a name until it is dropped.
+func (c *Client) acquire(ctx context.Context, name string) *HeldLease {
+	g := &HeldLease{client: c, name: name, acquired: make(chan struct{}), released: make(chan struct{}),
+		holder: lease.Holder{Name: c.config.Node, Process: os.Getpid(), Start: c.nextStart()}}
+	g.ctx, g.cancel = context.WithCancel(ctx)
+	g.alarm = newAlarm(g.onAlarm)
+	short := lease.HolderDuration(toLeaseTime(c.config.Lease), c.config.MaxDrift)
 	if faults.Without(faults.DriftMargin) {
-		short = tenths(c.fleet.Lease)
+		short = toLeaseTime(c.config.Lease)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.claim = lease.NewClaimant((*claims)(g), now(), name, g.holder, tenths(c.fleet.Lease), short, uint64(g.holder.Start))
+	g.claimant = lease.NewClaimant((*claimantHost)(g), now(), name, g.holder, toLeaseTime(c.config.Lease), short, uint64(g.holder.Start))
 	return g
 }
 
-func (g *HeldLease) ring() {
+func (g *HeldLease) onAlarm() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.over {
-		g.claim.Alarm(now())
+	if !g.dropped {
+		g.claimant.Alarm(now())
 	}
 }
 
-// claims is what the claim acts through. Its methods run with the lock held.
-type claims HeldLease
+// claimantHost is what the claim acts through. Its methods run with the lock held.
+type claimantHost HeldLease
 
-func (g *claims) SetAlarm(at lease.Time) { g.alarm.set(at) }
+func (g *claimantHost) SetAlarm(at lease.Time) { g.alarm.set(at) }
 
-func (g *claims) Granted(token uint64) {
+func (g *claimantHost) Granted(token uint64) {
 	if g.token == 0 {
 		g.token = token
-		close(g.held)
+		close(g.acquired)
 	}
 }
 
-func (g *claims) Lost(why error) {
-	g.lost()
+func (g *claimantHost) Lost(why error) {
+	g.cancel()
 	if why != nil {
-		g.c.log.Warn("a lease is lost", zap.String("lease", g.name), zap.Uint64("token", g.token), zap.Error(why))
+		g.client.log.Warn("a lease is lost", zap.String("lease", g.name), zap.Uint64("token", g.token), zap.Error(why))
 	}
 }
 
-func (g *claims) Send(a lease.Request) {
+func (g *claimantHost) Send(a lease.Request) {
 	sent := now()
 	go func() {
-		x, err := g.c.traced(a)
+		x, err := g.client.sendTraced(a)
 		if faults.Without(faults.FromAnswer) {
 			sent = now()
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if a.Operation == lease.OpRelease || a.Operation == lease.OpWithdraw {
-			close(g.freed)
-			g.freed = make(chan struct{})
+			close(g.released)
+			g.released = make(chan struct{})
 		}
 		if err != nil {
-			g.c.log.Debug("an asking came to nothing", zap.String("lease", g.name), zap.Error(err))
-			if g.claim != nil {
-				g.claim.HandleTimeout(now())
+			g.client.log.Debug("an asking came to nothing", zap.String("lease", g.name), zap.Error(err))
+			if g.claimant != nil {
+				g.claimant.HandleTimeout(now())
 			}
 			return
 		}
-		if g.claim != nil {
-			g.claim.HandleResponse(now(), sent, x)
+		if g.claimant != nil {
+			g.claimant.HandleResponse(now(), sent, x)
 		}
-		if errors.Is(x.Err, lease.ErrStillHeld) && g.name == session(g.c.fleet.Node) && !g.told {
-			g.told = true
-			g.c.log.Warn("name: another process has our name in the fleet; until its lease ends this one takes no part",
+		if errors.Is(x.Err, lease.ErrStillHeld) && g.name == nodeLease(g.client.config.Node) && !g.warnedDuplicate {
+			g.warnedDuplicate = true
+			g.client.log.Warn("name: another process has our name in the fleet; until its lease ends this one takes no part",
 				zap.Stringer("who", x.Holder))
 		}
 	}()
 }
 
-// trace is told of each asking of this process before it is sent, and what it gives back of its answer; only the rig's
+// traceRequest is told of each asking of this process before it is sent, and what it gives back of its answer; only the rig's
 // build sets it.
-var trace func(a lease.Request) func(x lease.Response, err error)
+var traceRequest func(a lease.Request) func(x lease.Response, err error)
 
-// traceParts is told of each answer about budgets; only the rig's build sets it.
-var traceParts func(node string, news []budget.QuotaUpdate)
+// traceQuotas is told of each answer about budgets; only the rig's build sets it.
+var traceQuotas func(node string, news []budget.QuotaUpdate)
 
-func (c *Client) traced(a lease.Request) (x lease.Response, err error) {
-	if trace != nil {
-		told := trace(a)
+func (c *Client) sendTraced(a lease.Request) (x lease.Response, err error) {
+	if traceRequest != nil {
+		told := traceRequest(a)
 		defer func() { told(x, err) }()
 	}
-	return c.ask(a)
+	return c.send(a)
 }
 
-// drop gives it up, and waits until that was heard or a call's time is over.
-func (g *HeldLease) drop() {
+// release gives it up, and waits until that was heard or a call's time is over.
+func (g *HeldLease) release() {
 	g.mu.Lock()
-	freed := g.freed
-	g.over = true
-	g.claim.Release(now())
+	freed := g.released
+	g.dropped = true
+	g.claimant.Release(now())
 	g.mu.Unlock()
 	select {
 	case <-freed:
-	case <-time.After(g.c.within()):
+	case <-time.After(g.client.callTimeout()):
 	}
-	g.lost()
+	g.cancel()
 }
 
 // May says whether an act that takes so long may begin now. What it says is old at once: the process may stand still
@@ -143,7 +143,7 @@
 func (g *HeldLease) May(takes time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, may := g.claim.MayAct(now(), tenths(takes))
+	_, may := g.claimant.MayAct(now(), toLeaseTime(takes))
 	return may && g.ctx.Err() == nil // once lost it stays so, whatever the claim comes to
 }
 
@@ -151,14 +151,14 @@
 func (g *HeldLease) Remaining() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return max(0, span(g.claim.Expiry()-now()))
+	return max(0, toDuration(g.claimant.Expiry()-now()))
 }
 
 // End gives until when it is held, by our clock.
 func (g *HeldLease) End() lease.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.claim.Expiry()
+	return g.claimant.Expiry()
 }
 
 // Token is of this holding; tokens only grow.
@@ -175,7 +175,7 @@
 	}
 	faults.Point(faults.BeforeAct)
 	a := lease.Request{Operation: lease.OpEffect, Name: g.name, Holder: g.holder, Token: g.Token(), Effect: fact, Number: number, Value: value}
-	x, err := g.c.traced(a)
+	x, err := g.client.sendTraced(a)
 	if err != nil || errors.Is(x.Err, lease.ErrNotLeader) {
 		return errors.Join(ErrOutcomeUnknown, err)
 	}
@@ -186,14 +186,14 @@
 // leaves is given back, and claimed again if f says so.
 func (c *Client) Hold(ctx context.Context, name string, f func(context.Context, *HeldLease) (again bool)) {
 	for ctx.Err() == nil {
-		g := c.claim(ctx, name)
+		g := c.acquire(ctx, name)
 		again := true
 		select {
-		case <-g.held:
+		case <-g.acquired:
 			again = f(g.ctx, g)
 		case <-ctx.Done():
 		}
-		g.drop()
+		g.release()
 		if !again {
 			return
 		}
--- a/internal/cluster/listener_test.go
+++ b/internal/cluster/listener_test.go
@@ -26,30 +26,30 @@
 	}
 	const most = 3
 	gone := make(chan struct{})
-	p := newPorch(l, most, time.Minute, "f", time.Second, func() string { return "" }, func(c *inbound) {
+	p := newPeerListener(l, most, time.Minute, "f", time.Second, func() string { return "" }, func(c *peerConn) {
 		_, _ = c.Read(make([]byte, 1)) // until its end
 		gone <- struct{}{}
 	})
 	go p.serve()
 	defer p.close()
-	d := dialer{fleet: "f", node: "n"}
+	d := dialer{cluster: "f", node: "n"}
 	var held []net.Conn
 	for range most {
-		c, err := d.dial(l.Addr().String(), forAsks, "", time.Second)
+		c, err := d.dial(l.Addr().String(), purposeRPC, "", time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		held = append(held, c)
 	}
-	if c, err := d.dial(l.Addr().String(), forAsks, "", time.Second); err == nil {
+	if c, err := d.dial(l.Addr().String(), purposeRPC, "", time.Second); err == nil {
 		c.Close()
 		t.Error("one more than the part is held")
 	}
 	_ = held[0].Close()
 	<-gone
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		c, err := d.dial(l.Addr().String(), forAsks, "", time.Second)
+		c, err := d.dial(l.Addr().String(), purposeRPC, "", time.Second)
 		if err == nil {
 			go func() { <-gone }()
 			c.Close()
@@ -67,7 +67,7 @@
 }
 
 // held gives how many connections a porch has, and how many of them are idle.
-func (p *porch) held() (open, idle int) {
+func (p *peerListener) held() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.open), p.idle.Len()
@@ -87,16 +87,16 @@
 }
 
 // answering is a porch that answers calls about figures.
-func answering(t *testing.T, most int, rest time.Duration, own LocalNode) (p *porch, d dialer, at string) {
+func answering(t *testing.T, most int, rest time.Duration, own LocalNode) (p *peerListener, d dialer, at string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = newPorch(l, most, rest, "f", 5*time.Second, func() string { return "v" }, (&Member{own: own}).answer)
+	p = newPeerListener(l, most, rest, "f", 5*time.Second, func() string { return "v" }, (&Member{node: own}).serveConn)
 	go p.serve()
 	t.Cleanup(p.close)
-	return p, dialer{fleet: "f", node: "n"}, l.Addr().String()
+	return p, dialer{cluster: "f", node: "n"}, l.Addr().String()
 }
 
 // After a stall each node holds a connection that it no longer uses beside the one by which it comes anew. With room for one of
@@ -118,7 +118,7 @@
 				var err error
 				for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 					var c net.Conn
-					if c, err = d.dial(at, forAsks, "", 5*time.Second); err != nil {
+					if c, err = d.dial(at, purposeRPC, "", 5*time.Second); err != nil {
 						continue
 					}
 					conn, got := jsonrpc.NewClient(c), map[string]int64{}
@@ -177,21 +177,21 @@
 		<-s.asked
 		return over
 	}
-	votes := dial(forVotes, "v")
-	vote := <-p.votes
-	round := dial(forAsks, "v")
-	first := asking(dial(forAsks, ""))
-	idle := dial(forAsks, "")
+	votes := dial(purposeRaft, "v")
+	vote := <-p.raftConns
+	round := dial(purposeRPC, "v")
+	first := asking(dial(purposeRPC, ""))
+	idle := dial(purposeRPC, "")
 	eventually(t, "it is not idle", func() bool { _, idle := p.held(); return idle == 1 })
 	time.Sleep(5 * time.Millisecond)
-	second := asking(dial(forAsks, "")) // idle makes way
+	second := asking(dial(purposeRPC, "")) // idle makes way
 	_ = idle.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := idle.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the idle one did not make way: %v", err)
 	}
 	for range 20 {
 		time.Sleep(2 * time.Millisecond)
-		if c, err := d.dial(at, forAsks, "", 5*time.Second); err == nil {
+		if c, err := d.dial(at, purposeRPC, "", 5*time.Second); err == nil {
 			_ = c.Close()
 			t.Fatal("something in use made way")
 		}
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	waits := unread(in)
+	waits := unreadCheck(in)
 	if waits() {
 		t.Error("nothing has come")
 	}
@@ -272,12 +272,12 @@
 
 // A connection that leads to no leader is closed with the last asking on it, which has its answer, and not half a lease later.
 func TestADroppedConnectionIsClosedWithItsLastCall(t *testing.T) {
-	serve := func(v *counter) (p *porch, at string) {
+	serve := func(v *counter) (p *peerListener, at string) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		p = newPorch(l, 8, time.Minute, "f", 5*time.Second, func() string { return "" }, func(c *inbound) {
+		p = newPeerListener(l, 8, time.Minute, "f", 5*time.Second, func() string { return "" }, func(c *peerConn) {
 			s := rpc.NewServer()
 			_ = s.RegisterName("Fleet", v)
 			s.ServeCodec(jsonrpc.NewServerCodec(c))
@@ -294,12 +294,12 @@
 	defer c.Close()
 	over := make(chan string, 1)
 	go func() {
-		x, err := c.ask(lease.Request{Name: "slow"})
+		x, err := c.send(lease.Request{Name: "slow"})
 		over <- fmt.Sprint(x.Token, err, x.Err)
 	}()
 	<-v.asked
 	for range 3 {
-		if x, err := c.ask(lease.Request{Name: "n"}); err != nil || x.Err != nil || x.Token != 1 {
+		if x, err := c.send(lease.Request{Name: "n"}); err != nil || x.Err != nil || x.Token != 1 {
 			t.Fatalf("%+v, %v", x, err)
 		}
 	}
@@ -314,13 +314,13 @@
 		t.Errorf("the call on what was dropped: %s", got)
 	}
 	eventually(t, "the other's connection stays", func() bool { there, _ := other.held(); return there == 0 })
-	if x, err := c.ask(lease.Request{Name: "n"}); err != nil || x.Token != 1 {
+	if x, err := c.send(lease.Request{Name: "n"}); err != nil || x.Token != 1 {
 		t.Errorf("%+v, %v", x, err)
 	}
-	if here, _ := leads.held(); here != 1 || len(c.out) != 0 {
-		t.Errorf("%d connections to the leader, calls out: %v", here, c.out)
+	if here, _ := leads.held(); here != 1 || len(c.pendingCalls) != 0 {
+		t.Errorf("%d connections to the leader, calls out: %v", here, c.pendingCalls)
 	}
-	c.drop(c.conn, "") // with none out
+	c.dropConn(c.conn, "") // with none out
 	eventually(t, "the leader's connection stays", func() bool { here, _ := leads.held(); return here == 0 })
 }
 
@@ -336,11 +336,11 @@
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		most, rest := 1+r.IntN(8), time.Duration(1+r.IntN(50))*time.Millisecond
-		p := newPorch(nil, most, rest, "f", time.Second, nil, nil)
+		p := newPeerListener(nil, most, rest, "f", time.Second, nil, nil)
 		at := time.Unix(1000, 0)
-		all := map[*inbound]*seen{} // those that are held
-		var order []*inbound
-		drop := func(in *inbound) {
+		all := map[*peerConn]*seen{} // those that are held
+		var order []*peerConn
+		drop := func(in *peerConn) {
 			delete(all, in)
 			for i, x := range order {
 				if x == in {
@@ -351,7 +351,7 @@
 		}
 		for step := range 2000 {
 			at = at.Add(time.Duration(r.IntN(8)) * time.Millisecond)
-			var in *inbound
+			var in *peerConn
 			if len(order) > 0 {
 				in = order[r.IntN(len(order))]
 			}
@@ -359,7 +359,7 @@
 			switch what := r.IntN(10); {
 			case what < 3 || in == nil:
 				x := &seen{node: r.IntN(4) > 0}
-				fresh := &inbound{p: p, unread: func() bool { return x.waits }}
+				fresh := &peerConn{listener: p, hasUnread: func() bool { return x.waits }}
 				var may time.Time // since when the longest that may make way is idle
 				for _, x := range all {
 					if x.node && x.greeted && x.calls == 0 && !x.waits && at.Sub(x.since) >= rest && (may.IsZero() || x.since.Before(may)) {
@@ -376,7 +376,7 @@
 						t.Fatalf("seed %d, step %d: %+v made way, not the one that is idle since %v", seed, step, x, may)
 					}
 					drop(way)
-					if way.begin() == nil {
+					if way.beginCall() == nil {
 						t.Fatalf("seed %d, step %d: a call begins on what made way", seed, step)
 					}
 					ways++
@@ -389,16 +389,16 @@
 			case what == 3 && !x.greeted:
 				if x.greeted = true; x.node {
 					x.since = at
-					p.greeted(in, at)
+					p.markNodeConn(in, at)
 				}
 			case what < 6 && x.greeted:
-				if x.calls, x.waits = x.calls+1, false; in.begin() != nil {
+				if x.calls, x.waits = x.calls+1, false; in.beginCall() != nil {
 					t.Fatalf("seed %d, step %d: it is held", seed, step)
 				}
 			case what < 8 && x.calls > 0:
 				x.calls--
 				x.since = at
-				in.end(at)
+				in.endCall(at)
 			case what == 8:
 				x.waits = !x.waits
 			case what == 9 && r.IntN(3) == 0:
@@ -406,7 +406,7 @@
 				p.remove(in)
 				p.mu.Unlock()
 				drop(in)
-				if in.end(at); in.place != nil { // its last answer comes after it has gone
+				if in.endCall(at); in.idleElement != nil { // its last answer comes after it has gone
 					t.Fatalf("seed %d, step %d: what has gone is idle", seed, step)
 				}
 			}
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -17,7 +17,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-const addressAgain = 50 * time.Millisecond // until the process whose place we take has let the address go
+const listenRetryInterval = 50 * time.Millisecond // until the process whose place we take has let the address go
 
 // LocalNode is what the fleet's tasks need of their node.
 type LocalNode interface {
@@ -34,36 +34,36 @@
 
 // Member is this process's part in its fleet.
 type Member struct {
-	fleet  *config.Cluster
-	log    *zap.Logger
-	own    LocalNode
-	client *Client
-	paper  paper
-
-	mu      sync.Mutex
-	votes   *Voter
-	broken  error
-	purse   *purse                        // nil: our name is not held, or there are no budgets
-	wholes  map[string]lease.BudgetConfig // of budgets, as last told
-	bursts  map[string]float64            // for the rig, where a safeguard is out
-	leaving bool
-
-	longest time.Duration // that a lookup goes on
-	lines   int           // connections from fellows at once
-
-	porch *porch
-	tasks sync.WaitGroup
-	ended chan struct{}
-	stop  context.CancelFunc
+	config   *config.Cluster
+	log      *zap.Logger
+	node     LocalNode
+	client   *Client
+	identity voterIdentity
+
+	mu            sync.Mutex
+	currentVoter  *Voter
+	voterError    error
+	quotas        *nodeQuotas                   // nil: our name is not held, or there are no budgets
+	agreedConfigs map[string]lease.BudgetConfig // of budgets, as last told
+	bursts        map[string]float64            // for the rig, where a safeguard is out
+	leaving       bool
+
+	maxRequestDuration time.Duration // that a lookup goes on
+	maxPeerConnections int           // connections from fellows at once
+
+	listener *peerListener
+	tasks    sync.WaitGroup
+	ended    chan struct{}
+	stop     context.CancelFunc
 }
 
 // Start joins the fleet in the background, and goes on trying. One address is one node's: while another process has it,
 // as the one whose place we take, it is that one which takes part.
 // No lookup goes on for longer than longest; fellows may hold so many connections to us at once.
 func Start(f *config.Cluster, own LocalNode, longest time.Duration, lines int, log *zap.Logger) *Member {
-	x := &Member{fleet: f, log: log, own: own, client: NewClient(f, log), ended: make(chan struct{}), longest: longest, lines: lines,
-		wholes: map[string]lease.BudgetConfig{}, bursts: map[string]float64{}}
-	x.alone(false)
+	x := &Member{config: f, log: log, node: own, client: NewClient(f, log), ended: make(chan struct{}), maxRequestDuration: longest, maxPeerConnections: lines,
+		agreedConfigs: map[string]lease.BudgetConfig{}, bursts: map[string]float64{}}
+	x.applyReserved(false)
 	ctx, stop := context.WithCancel(context.Background())
 	x.stop = stop
 	go x.run(ctx)
@@ -83,33 +83,33 @@
 	defer close(f.ended)
 	l := f.listen(ctx)
 	if l == nil {
-		f.letGo()
+		f.releaseReserved()
 		return
 	}
-	f.alone(true)
-	f.porch = newPorch(l, f.lines, f.fleet.Lease/idlePart, f.fleet.Name, f.client.within(), f.id, f.answer)
-	if f.fleet.Folder != "" {
-		f.open()
+	f.applyReserved(true)
+	f.listener = newPeerListener(l, f.maxPeerConnections, f.config.Lease/idleDivisor, f.config.Name, f.client.callTimeout(), f.voterID, f.serveConn)
+	if f.config.Folder != "" {
+		f.openVoter()
 		f.tasks.Go(func() { f.rejoin(ctx) })
 	}
-	go f.porch.serve()
-	f.log.Info("takes part in the fleet", zap.String("fleet", f.fleet.Name), zap.String("address", f.fleet.Address),
-		zap.String("voter", f.id()))
-	f.work(ctx)
+	go f.listener.serve()
+	f.log.Info("takes part in the fleet", zap.String("fleet", f.config.Name), zap.String("address", f.config.Address),
+		zap.String("voter", f.voterID()))
+	f.runTasks(ctx)
 	<-ctx.Done()
 	f.tasks.Wait()
-	f.letGo()
+	f.releaseReserved()
 	if v := f.voter(); v != nil {
 		v.close()
 	}
 	f.client.Close()
-	f.porch.close()
+	f.listener.close()
 }
 
-// letGo gives up what is apart before the address, which it goes with: what goes on has to end first.
-func (f *Member) letGo() {
-	for end := time.Now().Add(f.longest + f.client.within()); f.alone(false) > 0 && time.Now().Before(end); {
-		time.Sleep(idleEvery)
+// releaseReserved gives up what is apart before the address, which it goes with: what goes on has to end first.
+func (f *Member) releaseReserved() {
+	for end := time.Now().Add(f.maxRequestDuration + f.client.callTimeout()); f.applyReserved(false) > 0 && time.Now().Before(end); {
+		time.Sleep(idlePollInterval)
 	}
 }
 
@@ -120,7 +120,7 @@
 	defer borrowing.Wait()
 	defer come()
 	for told := false; ; {
-		l, err := net.Listen("tcp", f.fleet.Address)
+		l, err := net.Listen("tcp", f.config.Address)
 		if err == nil {
 			return l
 		}
@@ -132,62 +132,62 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(addressAgain):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
 
-// open takes part in the agreement, if the folder lets us. A node whose folder can't be used goes on asking.
-func (f *Member) open() {
-	p, err := openPaper(f.fleet.Folder, f.fleet.Name, f.fleet.Node)
+// openVoter takes part in the agreement, if the folder lets us. A node whose folder can't be used goes on asking.
+func (f *Member) openVoter() {
+	p, err := openIdentity(f.config.Folder, f.config.Name, f.config.Node)
 	var v *Voter
 	if err == nil {
 		f.mu.Lock()
-		f.paper = p
+		f.identity = p
 		f.mu.Unlock()
-		l := newLayer(f.porch, dialer{f.fleet.Name, f.fleet.Node, f.fleet.Routes}, string(addressOf(p.ID, f.fleet.Address)))
-		v, err = startVoter(f.fleet, p, l, f.log.Named("voter"))
+		l := newRaftStreamLayer(f.listener, dialer{f.config.Name, f.config.Node, f.config.Routes}, string(raftAddress(p.ID, f.config.Address)))
+		v, err = startVoter(f.config, p, l, f.log.Named("voter"))
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.votes, f.broken = v, err
+	f.currentVoter, f.voterError = v, err
 	if err != nil {
-		f.paper = paper{}
+		f.identity = voterIdentity{}
 		f.log.Error("no voter, the node serves on and only asks", zap.Error(err))
 	}
 }
 
-// id tells our vote's, empty: none.
-func (f *Member) id() string {
+// voterID tells our vote's, empty: none.
+func (f *Member) voterID() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.paper.ID
+	return f.identity.ID
 }
 
 func (f *Member) voter() *Voter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.votes
+	return f.currentVoter
 }
 
-// session is the lease of a node's own name: two nodes under one name can't both have it.
-func session(node string) string { return "node/" + node }
+// nodeLease is the lease of a node's own name: two nodes under one name can't both have it.
+func nodeLease(node string) string { return "node/" + node }
 
-// work claims the node's own name, and with it the tasks.
-func (f *Member) work(ctx context.Context) {
-	if slices.Contains(f.fleet.Tasks, config.TaskProbe) {
-		f.tasks.Go(func() { f.hear(ctx) })
+// runTasks claims the node's own name, and with it the tasks.
+func (f *Member) runTasks(ctx context.Context) {
+	if slices.Contains(f.config.Tasks, config.TaskProbe) {
+		f.tasks.Go(func() { f.reportEjections(ctx) })
 	}
 	f.tasks.Go(func() {
-		f.client.Hold(ctx, session(f.fleet.Node), func(ctx context.Context, g *HeldLease) bool {
-			if err := g.Do(session(f.fleet.Node), g.Token(), []byte(f.fleet.Address)); err != nil {
+		f.client.Hold(ctx, nodeLease(f.config.Node), func(ctx context.Context, g *HeldLease) bool {
+			if err := g.Do(nodeLease(f.config.Node), g.Token(), []byte(f.config.Address)); err != nil {
 				f.log.Warn("the fleet was not told of our address", zap.Error(err))
 			}
 			var tasks sync.WaitGroup
-			if len(f.fleet.Budgets) > 0 {
-				tasks.Go(func() { f.divide(ctx, g) })
+			if len(f.config.Budgets) > 0 {
+				tasks.Go(func() { f.holdQuotas(ctx, g) })
 			}
-			for _, name := range f.fleet.Tasks {
+			for _, name := range f.config.Tasks {
 				if run := f.task(name); run != nil {
 					tasks.Go(func() { f.client.Hold(ctx, name, run) })
 				}
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -132,21 +132,21 @@
 func TestFoldersThatCantBeUsed(t *testing.T) {
 	for want, spoil := range map[string]func(folder string) error{
 		`is of node "x" in fleet "f", not of node "n0" in fleet "f"`: func(folder string) error {
-			_, err := openPaper(folder, "f", "x")
+			_, err := openIdentity(folder, "f", "x")
 			return err
 		},
 		`is of node "n0" in fleet "g", not of node "n0" in fleet "f"`: func(folder string) error {
-			_, err := openPaper(folder, "g", "n0")
+			_, err := openIdentity(folder, "g", "n0")
 			return err
 		},
 		"voter.json is missing beside log.db": func(folder string) error {
 			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, logFile), []byte("x"), 0o600))
 		},
 		"expected fleet, node and id": func(folder string) error {
-			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, paperFile), []byte("{}"), 0o600))
+			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, identityFile), []byte("{}"), 0o600))
 		},
 		"log.db is damaged": func(folder string) error {
-			_, err := openPaper(folder, "f", "n0")
+			_, err := openIdentity(folder, "f", "n0")
 			return errors.Join(err, os.WriteFile(filepath.Join(folder, logFile), make([]byte, 5000), 0o600))
 		},
 		"expected a folder that can be written": func(folder string) error {
@@ -157,12 +157,12 @@
 		if err := spoil(f.Folder); err != nil {
 			t.Fatal(err)
 		}
-		before, _ := os.ReadFile(filepath.Join(f.Folder, paperFile))
+		before, _ := os.ReadFile(filepath.Join(f.Folder, identityFile))
 		n := Start(f, figures{}, time.Second, 256, zap.NewNop())
-		eventually(t, want, func() bool { return strings.Contains(n.status().VoterError, want) || n.id() != "" })
+		eventually(t, want, func() bool { return strings.Contains(n.status().VoterError, want) || n.voterID() != "" })
 		s := n.status()
 		n.Close()
-		if after, _ := os.ReadFile(filepath.Join(f.Folder, paperFile)); s.Voter || string(after) != string(before) {
+		if after, _ := os.ReadFile(filepath.Join(f.Folder, identityFile)); s.Voter || string(after) != string(before) {
 			t.Errorf("%s: %+v, and the paper was %q, is %q", want, s, before, after)
 		}
 	}
@@ -172,7 +172,7 @@
 func TestALogCutShort(t *testing.T) {
 	nodes := founded(t, fleetOf(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
-	path := filepath.Join(nodes[0].fleet.Folder, logFile)
+	path := filepath.Join(nodes[0].config.Folder, logFile)
 	for _, n := range nodes {
 		n.Close()
 	}
@@ -186,11 +186,11 @@
 		if err := os.WriteFile(short, whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if look(short) != nil {
+		if checkLog(short) != nil {
 			refused++
 		}
 	}
-	if err := look(path); err != nil || refused < 10 {
+	if err := checkLog(path); err != nil || refused < 10 {
 		t.Errorf("the whole log: %v; %d cut ones refused", err, refused)
 	}
 }
@@ -200,8 +200,8 @@
 	all := fleetOf(t, 3)
 	founded(t, all)
 	for want, d := range map[string]struct{ fleet, purpose, to string }{
-		`fleet.name: this is "f", not "g"`:        {"g", forAsks, ""},
-		"what it was has gone with its folder":    {"f", forVotes, "n0.00000000"},
+		`fleet.name: this is "f", not "g"`:        {"g", purposeRPC, ""},
+		"what it was has gone with its folder":    {"f", purposeRaft, "n0.00000000"},
 		"expected a connection for votes or asks": {"f", "tea", ""},
 	} {
 		_, err := dialer{d.fleet, "x", nil}.dial(all[0].Address, d.purpose, d.to, time.Second)
@@ -228,7 +228,7 @@
 	holder := func() (h lease.Holder) {
 		s, _ := nodes[0].client.Status()
 		for _, l := range s.Leases {
-			if l.Name == session(all[3].Node) {
+			if l.Name == nodeLease(all[3].Node) {
 				h = l.Holder
 			}
 		}
@@ -249,11 +249,11 @@
 func TestAFolderThatIsFull(t *testing.T) {
 	nodes := founded(t, fleetOf(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
-	nodes[0].voter().once.broken(syscall.EFBIG)
+	nodes[0].voter().once.fail(syscall.EFBIG)
 	eventually(t, "it votes on", func() bool { return strings.Contains(nodes[0].status().VoterError, "file too large") })
 	eventually(t, "the others don't agree", func() bool {
 		s, err := nodes[1].client.Status()
-		return err == nil && s.IsLeader && s.Node != nodes[0].fleet.Node
+		return err == nil && s.IsLeader && s.Node != nodes[0].config.Node
 	})
 }
 
@@ -334,7 +334,7 @@
 		}
 		return v != nil && len(v.raft.GetConfiguration().Configuration().Servers) == 3
 	})
-	if !v.round() {
+	if !v.confirmLeadership() {
 		t.Error("the leader is not confirmed")
 	}
 	for _, c := range []struct {
@@ -347,7 +347,7 @@
 		i := 0
 		v.peers.mu.Lock()
 		for _, s := range v.raft.GetConfiguration().Configuration().Servers {
-			if string(s.ID) == v.paper.ID {
+			if string(s.ID) == v.identity.ID {
 				continue
 			}
 			w := termed{TermVote{string(s.ID), v.raft.CurrentTerm() + c.later[i]}}
@@ -367,7 +367,7 @@
 			v.peers.conns[s.ID] = jsonrpc.NewClient(here)
 		}
 		v.peers.mu.Unlock()
-		if got := v.round(); got != c.confirmed {
+		if got := v.confirmLeadership(); got != c.confirmed {
 			t.Errorf("%s: %v", c.what, got)
 		}
 	}
@@ -385,7 +385,7 @@
 	for i := range asks {
 		clients[i] = NewClient(all[0], zap.NewNop())
 		h := lease.Holder{Name: fmt.Sprint("h", i), Process: i}
-		x, err := clients[i].ask(lease.Request{Operation: lease.OpAcquire, Name: h.Name, Holder: h})
+		x, err := clients[i].send(lease.Request{Operation: lease.OpAcquire, Name: h.Name, Holder: h})
 		if err != nil || x.Err != nil {
 			b.Fatal(err, x.Err)
 		}
@@ -400,7 +400,7 @@
 	for i := range asks {
 		all2.Go(func() {
 			for next.Add(1) <= int64(b.N) {
-				if x, err := clients[i].ask(asks[i]); err != nil || x.Err != nil {
+				if x, err := clients[i].send(asks[i]); err != nil || x.Err != nil {
 					b.Error(err, x.Err)
 					return
 				}
@@ -419,45 +419,45 @@
 // BenchmarkRecovery starts a voter on a folder with 16 MB in its log, until it leads by itself again.
 func BenchmarkRecovery(b *testing.B) {
 	f := fleetOf(b, 3)[0]
-	p, err := openPaper(f.Folder, f.Name, f.Node)
+	p, err := openIdentity(f.Folder, f.Name, f.Node)
 	if err != nil {
 		b.Fatal(err)
 	}
-	start := func() (*Voter, *porch) {
+	start := func() (*Voter, *peerListener) {
 		l, err := net.Listen("tcp", f.Address)
 		if err != nil {
 			b.Fatal(err)
 		}
-		porch := newPorch(l, 256, time.Second, f.Name, time.Second, func() string { return p.ID }, nil)
+		porch := newPeerListener(l, 256, time.Second, f.Name, time.Second, func() string { return p.ID }, nil)
 		go porch.serve()
-		v, err := startVoter(f, p, newLayer(porch, dialer{f.Name, f.Node, nil}, f.Address), zap.NewNop())
+		v, err := startVoter(f, p, newRaftStreamLayer(porch, dialer{f.Name, f.Node, nil}, f.Address), zap.NewNop())
 		if err != nil {
 			b.Fatal(err)
 		}
 		return v, porch
 	}
 	v, porch := start()
-	alone := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(p.ID), Address: addressOf(p.ID, f.Address)}}}
+	alone := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(p.ID), Address: raftAddress(p.ID, f.Address)}}}
 	if err := v.raft.BootstrapCluster(alone).Error(); err != nil {
 		b.Fatal(err)
 	}
 	eventually(b, "no leader", func() bool { return v.raft.State() == raft.Leader })
-	_, _ = v.apply(lease.Entry{Kind: lease.KindFoundCluster, Name: "f"})
-	_, _ = v.apply(lease.Entry{Kind: lease.KindGrant, Name: "big"})
+	_, _ = v.propose(lease.Entry{Kind: lease.KindFoundCluster, Name: "f"})
+	_, _ = v.propose(lease.Entry{Kind: lease.KindGrant, Name: "big"})
 	for i := range 4000 {
-		_, _ = v.apply(lease.Entry{Kind: lease.KindEffect, Name: "big", Token: 1, Effect: "big", Number: uint64(i + 1), Value: make([]byte, 3<<10)})
+		_, _ = v.propose(lease.Entry{Kind: lease.KindEffect, Name: "big", Token: 1, Effect: "big", Number: uint64(i + 1), Value: make([]byte, 3<<10)})
 	}
 	for b.Loop() {
-		v.end(nil)
+		v.shutDown(nil)
 		porch.close()
 		v, porch = start()
-		for !func() bool { v.mu.Lock(); defer v.mu.Unlock(); return v.keeper.IsLeader() }() {
+		for !func() bool { v.mu.Lock(); defer v.mu.Unlock(); return v.leases.IsLeader() }() {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	i, _ := os.Stat(filepath.Join(f.Folder, logFile))
 	b.ReportMetric(float64(i.Size())/(1<<20), "MB")
-	v.end(nil)
+	v.shutDown(nil)
 	porch.close()
 }
 
@@ -470,7 +470,7 @@
 		for _, n := range nodes[:3] {
 			v := n.voter()
 			v.mu.Lock()
-			leads := v.keeper.IsLeader()
+			leads := v.leases.IsLeader()
 			v.mu.Unlock()
 			if leads {
 				leader = v
@@ -482,7 +482,7 @@
 		eventually(t, "a node has not its name", func() bool {
 			leader.mu.Lock()
 			defer leader.mu.Unlock()
-			_, has := leader.state.Leases[session(n.fleet.Node)]
+			_, has := leader.state.Leases[nodeLease(n.config.Node)]
 			return has
 		})
 	}
@@ -492,7 +492,7 @@
 		return leader.state.Term
 	}
 	was := reign()
-	db := *(**bbolt.DB)(reflect.ValueOf(leader.logs).Elem().FieldByName("conn").Addr().UnsafePointer())
+	db := *(**bbolt.DB)(reflect.ValueOf(leader.logStore).Elem().FieldByName("conn").Addr().UnsafePointer())
 	tx, err := db.Begin(true) // the library's writes wait for it
 	if err != nil {
 		t.Fatal(err)
@@ -510,7 +510,7 @@
 			})
 		})
 	}
-	time.Sleep(nodes[0].fleet.Lease * 3 / 5)
+	time.Sleep(nodes[0].config.Lease * 3 / 5)
 	if err := tx.Rollback(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	tellEvery  = 500 * time.Millisecond // lease's figure too: whoever has resting servers tells of them so often
-	triesEvery = 50 * time.Millisecond  // how often whoever tries asks what is due
-	trialIn    = 500 * time.Millisecond // for a server's answer: half of what the board waits for the result
-	trialsMost = 64                     // at once
-	restsMost  = 4096                   // servers that one node may tell of in one call
+	ejectionReportInterval = 500 * time.Millisecond // lease's figure too: whoever has resting servers tells of them so often
+	probePollInterval      = 50 * time.Millisecond  // how often whoever tries asks what is due
+	probeTimeout           = 500 * time.Millisecond // for a server's answer: half of what the board waits for the result
+	maxConcurrentProbes    = 64                     // at once
+	maxReportedServers     = 4096                   // servers that one node may tell of in one call
 )
 
 // EjectionReport is a node's word about its resting servers, addresses by id.
@@ -35,18 +35,18 @@
 }
 
 // Rest tells the leader of resting servers, and gives what trials came to.
-func (l *line) Rest(r *EjectionReport, news *[]lease.ProbeStatus) error {
-	v := l.f.voter()
-	if v == nil || len(r.Servers) > restsMost {
+func (l *rpcService) Rest(r *EjectionReport, news *[]lease.ProbeStatus) error {
+	v := l.member.voter()
+	if v == nil || len(r.Servers) > maxReportedServers {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.keeper.IsLeader() {
+	if !v.leases.IsLeader() {
 		return lease.ErrNotLeader
 	}
 	for id, address := range r.Servers {
-		if n, known := v.board.ReportEjected(now(), id, address); known {
+		if n, known := v.probes.ReportEjected(now(), id, address); known {
 			*news = append(*news, n)
 		}
 	}
@@ -54,86 +54,86 @@
 }
 
 // Due gives the trials that are to be made now.
-func (l *line) Due(token *uint64, trials *[]lease.Probe) error {
-	v := l.f.voter()
+func (l *rpcService) Due(token *uint64, trials *[]lease.Probe) error {
+	v := l.member.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.keeper.IsLeader() {
+	if !v.leases.IsLeader() {
 		return lease.ErrNotLeader
 	}
-	*trials = append(*trials, v.board.DueProbes(now(), *token)...) // never null, which the other end takes for a broken connection
+	*trials = append(*trials, v.probes.DueProbes(now(), *token)...) // never null, which the other end takes for a broken connection
 	return nil
 }
 
 // Result takes what one came to.
-func (l *line) Result(o *ProbeReport, _ *struct{}) error {
-	v := l.f.voter()
+func (l *rpcService) Result(o *ProbeReport, _ *struct{}) error {
+	v := l.member.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.board.ReportResult(now(), o.Token, o.ID, o.Healthy)
+	v.probes.ReportResult(now(), o.Token, o.ID, o.Healthy)
 	return nil
 }
 
-// plainly makes one call on the connection that is kept, wherever that leads; who doesn't lead says so.
-func (c *Client) plainly(method string, args, reply any) error {
-	return c.plainlyWithin(method, args, reply, c.within())
+// callCurrent makes one call on the connection that is kept, wherever that leads; who doesn't lead says so.
+func (c *Client) callCurrent(method string, args, reply any) error {
+	return c.callCurrentWithin(method, args, reply, c.callTimeout())
 }
 
-func (c *Client) plainlyWithin(method string, args, reply any, within time.Duration) error {
-	conn, _, err := c.line()
+func (c *Client) callCurrentWithin(method string, args, reply any, within time.Duration) error {
+	conn, _, err := c.connection()
 	if err != nil {
 		return err
 	}
 	err = call(conn, method, args, reply, within)
-	c.over(conn)
+	c.callDone(conn)
 	if err != nil {
 		if err.Error() != lease.ErrNotLeader.Error() { // claims look for the leader; this only goes along
-			c.drop(conn, "")
+			c.dropConn(conn, "")
 		}
 		return err
 	}
 	return nil
 }
 
-// hear tells the fleet of our resting servers, and our module of how their trials went. In silence it tries by itself.
-func (f *Member) hear(ctx context.Context) {
-	for every := time.NewTicker(tellEvery); ; {
+// reportEjections tells the fleet of our resting servers, and our module of how their trials went. In silence it tries by itself.
+func (f *Member) reportEjections(ctx context.Context) {
+	for every := time.NewTicker(ejectionReportInterval); ; {
 		select {
 		case <-ctx.Done():
 			every.Stop()
 			return
 		case <-every.C:
 		}
-		resting := f.own.EjectedEndpoints()
+		resting := f.node.EjectedEndpoints()
 		if len(resting) == 0 {
 			continue
 		}
 		var news []lease.ProbeStatus
-		if err := f.client.plainly("Fleet.Rest", &EjectionReport{resting}, &news); err != nil {
+		if err := f.client.callCurrent("Fleet.Rest", &EjectionReport{resting}, &news); err != nil {
 			f.log.Debug("the fleet is silent about resting servers", zap.Error(err))
 			continue
 		}
 		for _, n := range news {
-			f.own.ProbeResult(n.ID, resting[n.ID], n.Healthy, span(n.NextProbe))
+			f.node.ProbeResult(n.ID, resting[n.ID], n.Healthy, toDuration(n.NextProbe))
 		}
 	}
 }
 
-// probe tries resting servers for all nodes.
-func (f *Member) probe(ctx context.Context, g *HeldLease) bool {
-	h := &http.Client{Timeout: trialIn, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
-		DialContext: (&net.Dialer{Timeout: trialIn}).DialContext},
+// runProbes tries resting servers for all nodes.
+func (f *Member) runProbes(ctx context.Context, g *HeldLease) bool {
+	h := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
+		DialContext: (&net.Dialer{Timeout: probeTimeout}).DialContext},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	places := make(chan struct{}, trialsMost)
+	places := make(chan struct{}, maxConcurrentProbes)
 	var trying sync.WaitGroup
 	defer trying.Wait()
-	for every := time.NewTicker(triesEvery); ; {
+	for every := time.NewTicker(probePollInterval); ; {
 		select {
 		case <-ctx.Done():
 			every.Stop()
@@ -142,11 +142,11 @@
 		}
 		var due []lease.Probe
 		token := g.Token()
-		if f.client.plainly("Fleet.Due", &token, &due) != nil {
+		if f.client.callCurrent("Fleet.Due", &token, &due) != nil {
 			continue
 		}
 		for _, t := range due {
-			if !g.May(trialIn) { // a trial is harmless, so its end is only bounded
+			if !g.May(probeTimeout) { // a trial is harmless, so its end is only bounded
 				break
 			}
 			select {
@@ -156,16 +156,16 @@
 			}
 			trying.Go(func() {
 				defer func() { <-places }()
-				well := f.try(ctx, h, t)
-				_ = f.client.plainly("Fleet.Result", &ProbeReport{token, t.ID, well}, &struct{}{})
+				well := f.probeServer(ctx, h, t)
+				_ = f.client.callCurrent("Fleet.Result", &ProbeReport{token, t.ID, well}, &struct{}{})
 			})
 		}
 	}
 }
 
-// try asks one server. Any answer but an error of its own says that it is well.
-func (f *Member) try(ctx context.Context, h *http.Client, t lease.Probe) bool {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address+f.fleet.ProbePath, nil)
+// probeServer asks one server. Any answer but an error of its own says that it is well.
+func (f *Member) probeServer(ctx context.Context, h *http.Client, t lease.Probe) bool {
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address+f.config.ProbePath, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/cluster/quorum.go
+++ b/internal/cluster/quorum.go
@@ -23,36 +23,36 @@
 }
 
 // Term tells the latest term in which this voter has voted, or may have.
-func (l *line) Term(_ *struct{}, w *TermVote) error {
-	v := l.f.voter()
+func (l *rpcService) Term(_ *struct{}, w *TermVote) error {
+	v := l.member.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
 	v.mu.Lock()
-	ended := v.ended != nil
+	ended := v.endReason != nil
 	v.mu.Unlock()
 	if ended {
 		return lease.ErrNotLeader
 	}
-	*w = TermVote{v.paper.ID, v.raft.CurrentTerm()}
+	*w = TermVote{v.identity.ID, v.raft.CurrentTerm()}
 	return nil
 }
 
-// peers keeps a connection to each other voter.
-type peers struct {
+// peerClients keeps a connection to each other voter.
+type peerClients struct {
 	mu    sync.Mutex
 	conns map[raft.ServerID]*rpc.Client
 }
 
-func (v *Voter) peer(s raft.Server) (*rpc.Client, error) {
+func (v *Voter) peerClient(s raft.Server) (*rpc.Client, error) {
 	v.peers.mu.Lock()
 	c := v.peers.conns[s.ID]
 	v.peers.mu.Unlock()
 	if c != nil {
 		return c, nil
 	}
-	address, id := partsOf(s.Address)
-	n, err := v.dialer.dial(address, forAsks, id, v.within)
+	address, id := splitRaftAddress(s.Address)
+	n, err := v.dialer.dial(address, purposeRPC, id, v.callTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 	return c, nil
 }
 
-func (v *Voter) part(id raft.ServerID, c *rpc.Client) {
+func (v *Voter) dropPeer(id raft.ServerID, c *rpc.Client) {
 	_ = c.Close()
 	v.peers.mu.Lock()
 	defer v.peers.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// leave closes the connections for good.
-func (p *peers) leave() {
+// close closes the connections for good.
+func (p *peerClients) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
@@ -90,8 +90,8 @@
 	p.conns = nil
 }
 
-// round asks a majority, and says whether it shows that we lead.
-func (v *Voter) round() bool {
+// confirmLeadership asks a majority, and says whether it shows that we lead.
+func (v *Voter) confirmLeadership() bool {
 	term := v.raft.CurrentTerm() // before the state: the library gives the state up before it takes a later term
 	if v.raft.State() != raft.Leader {
 		return false
@@ -100,20 +100,20 @@
 	words := make(chan bool, len(servers))
 	have, need, out := 0, len(servers)/2+1, 0
 	for _, s := range servers {
-		if string(s.ID) == v.paper.ID {
+		if string(s.ID) == v.identity.ID {
 			have++
 			continue
 		}
 		out++
 		go func() {
-			c, err := v.peer(s)
+			c, err := v.peerClient(s)
 			if err != nil {
 				words <- false
 				return
 			}
 			var w TermVote
-			if err := call(c, "Fleet.Term", &struct{}{}, &w, v.within); err != nil {
-				v.part(s.ID, c)
+			if err := call(c, "Fleet.Term", &struct{}{}, &w, v.callTimeout); err != nil {
+				v.dropPeer(s.ID, c)
 				words <- false
 				return
 			}
--- a/internal/cluster/rejoin.go
+++ b/internal/cluster/rejoin.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	rejoinFirst = 250 * time.Millisecond // after a voter has ended, until its folder is tried again; it doubles
-	rejoinMost  = 5 * time.Second
+	minRejoinDelay = 250 * time.Millisecond // after a voter has ended, until its folder is tried again; it doubles
+	maxRejoinDelay = 5 * time.Second
 )
 
-// passing are the errors of a folder that may go by, as write(2), fsync(2) and open(2) document them. A folder that is damaged, or
+// transientErrors are the errors of a folder that may go by, as write(2), fsync(2) and open(2) document them. A folder that is damaged, or
 // another's, stays out until a person has looked at it.
-var passing = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, syscall.EIO, syscall.EROFS, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM,
+var transientErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, syscall.EIO, syscall.EROFS, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM,
 	syscall.EAGAIN, syscall.EINTR, syscall.EBUSY}
 
-func passes(err error) bool {
-	for _, one := range passing {
+func isTransient(err error) bool {
+	for _, one := range transientErrors {
 		if errors.Is(err, one) {
 			return true
 		}
@@ -35,7 +35,7 @@
 
 // rejoin starts the voter anew when it has ended by an error of its folder that may have gone by, until the context ends.
 func (f *Member) rejoin(ctx context.Context) {
-	for wait := rejoinFirst; ; wait = min(2*wait, rejoinMost) {
+	for wait := minRejoinDelay; ; wait = min(2*wait, maxRejoinDelay) {
 		v := f.voter()
 		if v != nil {
 			select {
@@ -44,8 +44,8 @@
 			case <-v.down:
 			}
 		}
-		why := f.out()
-		if why == nil || !passes(why) {
+		why := f.voterFailure()
+		if why == nil || !isTransient(why) {
 			return
 		}
 		select {
@@ -53,41 +53,41 @@
 			return
 		case <-time.After(wait):
 		}
-		if err := renew(f.fleet.Folder); err != nil {
+		if err := rewriteLog(f.config.Folder); err != nil {
 			f.log.Info("the voter's folder can't be used yet", zap.Error(err))
 			continue
 		}
-		if f.open(); f.out() == nil {
-			wait = rejoinFirst
-			f.log.Info("votes again, with what its folder holds", zap.String("voter", f.id()))
+		if f.openVoter(); f.voterFailure() == nil {
+			wait = minRejoinDelay
+			f.log.Info("votes again, with what its folder holds", zap.String("voter", f.voterID()))
 		}
 	}
 }
 
-// out says why this node doesn't vote, though it has a folder; nil: it does, or it leaves.
-func (f *Member) out() error {
+// voterFailure says why this node doesn't vote, though it has a folder; nil: it does, or it leaves.
+func (f *Member) voterFailure() error {
 	f.mu.Lock()
-	v, err := f.votes, f.broken
+	v, err := f.currentVoter, f.voterError
 	f.mu.Unlock()
 	if v == nil {
 		return err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if errors.Is(v.ended, errLeaves) {
+	if errors.Is(v.endReason, errNodeLeaves) {
 		return nil
 	}
-	return v.ended
+	return v.endReason
 }
 
-// renew writes a folder's log anew, whole, and brings it to the disk, before anything is built on it. After a sync that failed the kernel
+// rewriteLog writes a folder's log anew, whole, and brings it to the disk, before anything is built on it. After a sync that failed the kernel
 // holds pages as clean that the disk may not have, so that no later sync would write them; a copy is written and synced by itself.
-func renew(folder string) error {
+func rewriteLog(folder string) error {
 	path := filepath.Join(folder, logFile)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil // it never began
 	}
-	if err := look(path); err != nil {
+	if err := checkLog(path); err != nil {
 		return err
 	}
 	aside := path + ".new"
@@ -95,19 +95,19 @@
 		_ = os.Remove(aside)
 		return fmt.Errorf("fleet.folder: %s can't be written anew: %w", path, err)
 	}
-	if err := look(aside); err != nil {
+	if err := checkLog(aside); err != nil {
 		_ = os.Remove(aside)
 		return err
 	}
 	if err := os.Rename(aside, path); err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
 	}
-	return syncFolder(folder)
+	return syncDirectory(folder)
 }
 
 // copyLog copies a log and syncs the copy.
 func copyLog(from, to string) error {
-	db, err := bbolt.Open(from, 0o600, &bbolt.Options{ReadOnly: true, Timeout: openWithin})
+	db, err := bbolt.Open(from, 0o600, &bbolt.Options{ReadOnly: true, Timeout: openTimeout})
 	if err != nil {
 		return err
 	}
@@ -123,8 +123,8 @@
 	return errors.Join(err, f.Sync(), f.Close())
 }
 
-// syncFolder brings a folder's own entries to the disk.
-func syncFolder(folder string) error {
+// syncDirectory brings a folder's own entries to the disk.
+func syncDirectory(folder string) error {
 	d, err := os.Open(folder)
 	if err != nil {
 		return err
--- a/internal/cluster/rejoin_test.go
+++ b/internal/cluster/rejoin_test.go
@@ -25,7 +25,7 @@
 			before, _ := nodes[0].client.Status()
 			var failing atomic.Bool
 			fault := func(folder string, made bool) error {
-				if failing.Load() && made == c.after && folder != nodes[0].fleet.Folder {
+				if failing.Load() && made == c.after && folder != nodes[0].config.Folder {
 					return c.err
 				}
 				return nil
@@ -33,7 +33,7 @@
 			folderFault.Store(&fault)
 			t.Cleanup(func() { folderFault.Store(nil) })
 			failing.Store(true)
-			client := NewClient(nodes[0].fleet, zap.NewNop())
+			client := NewClient(nodes[0].config, zap.NewNop())
 			defer client.Close()
 			done := make(chan uint64, 1)
 			ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
--- a/internal/cluster/service.go
+++ b/internal/cluster/service.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	callsMost  = 256 // out on one connection; beyond, nothing more is read from it
-	watchMost  = 30 * time.Second
-	changeMost = 10 * time.Second
+	maxCallsPerConn   = 256 // out on one connection; beyond, nothing more is read from it
+	maxWatchDuration  = 30 * time.Second
+	membershipTimeout = 10 * time.Second
 )
 
 // The calls' arguments and answers, as they stand on the wire.
@@ -97,62 +97,62 @@
 	LastToken uint64      `json:"After"` // the token before the first
 }
 
-// line is one fellow's connection.
-type line struct {
-	f    *Member
-	gone chan struct{}
+// rpcService is one fellow's connection.
+type rpcService struct {
+	member       *Member
+	disconnected chan struct{}
 }
 
-// codec bounds what is out on a connection, tells the porch of its calls, and notices its end.
-type codec struct {
+// limitedCodec bounds what is out on a connection, tells the porch of its calls, and notices its end.
+type limitedCodec struct {
 	rpc.ServerCodec
-	in     *inbound
-	places chan struct{}
-	end    func()
+	conn         *peerConn
+	slots        chan struct{}
+	disconnected func()
 }
 
-func (c *codec) ReadRequestHeader(r *rpc.Request) error {
-	c.places <- struct{}{}
+func (c *limitedCodec) ReadRequestHeader(r *rpc.Request) error {
+	c.slots <- struct{}{}
 	err := c.ServerCodec.ReadRequestHeader(r)
 	if err == nil {
-		err = c.in.begin()
+		err = c.conn.beginCall()
 	}
 	if err != nil {
-		c.end()
+		c.disconnected()
 	}
 	return err
 }
 
-func (c *codec) WriteResponse(r *rpc.Response, x any) error {
+func (c *limitedCodec) WriteResponse(r *rpc.Response, x any) error {
 	err := c.ServerCodec.WriteResponse(r, x)
-	c.in.end(time.Now())
-	<-c.places
+	c.conn.endCall(time.Now())
+	<-c.slots
 	return err
 }
 
-// answer serves a connection until its end.
-func (f *Member) answer(c *inbound) {
-	l := &line{f: f, gone: make(chan struct{})}
+// serveConn serves a connection until its end.
+func (f *Member) serveConn(c *peerConn) {
+	l := &rpcService{member: f, disconnected: make(chan struct{})}
 	s := rpc.NewServer()
 	if err := s.RegisterName("Fleet", l); err != nil {
 		f.log.Sugar().Error(err)
 		return
 	}
 	var once sync.Once
-	s.ServeCodec(&codec{jsonrpc.NewServerCodec(struct {
+	s.ServeCodec(&limitedCodec{jsonrpc.NewServerCodec(struct {
 		io.Reader
 		io.Writer
 		io.Closer
-	}{c, c, c}), c, make(chan struct{}, callsMost), func() { once.Do(func() { close(l.gone) }) }})
+	}{c, c, c}), c, make(chan struct{}, maxCallsPerConn), func() { once.Do(func() { close(l.disconnected) }) }})
 }
 
 // Ask is a claimant's call.
-func (l *line) Ask(a *LeaseRequest, x *LeaseResponse) error {
-	v := l.f.voter()
+func (l *rpcService) Ask(a *LeaseRequest, x *LeaseResponse) error {
+	v := l.member.voter()
 	got := lease.Response{Err: lease.ErrNotLeader}
 	if v != nil {
-		got = v.ask(lease.Request{Operation: a.Kind, Name: a.Name, Holder: a.Holder, Token: a.Token, Wait: lease.Time(a.Wait),
-			Effect: a.Effect, Number: a.Number, Value: a.Value}, l.gone)
+		got = v.handleLeaseRequest(lease.Request{Operation: a.Kind, Name: a.Name, Holder: a.Holder, Token: a.Token, Wait: lease.Time(a.Wait),
+			Effect: a.Effect, Number: a.Number, Value: a.Value}, l.disconnected)
 	}
 	*x = LeaseResponse{Token: got.Token, Holder: got.Holder, Duration: int64(got.Duration), Error: toWireError(got.Err)}
 	if v != nil && errors.Is(got.Err, lease.ErrNotLeader) {
@@ -162,31 +162,31 @@
 }
 
 // Status is anybody's call.
-func (l *line) Status(_ *struct{}, s *Status) error {
-	*s = l.f.status()
+func (l *rpcService) Status(_ *struct{}, s *Status) error {
+	*s = l.member.status()
 	return nil
 }
 
 // Watch waits until the log has gone beyond a revision that this voter knows, and tells the status then.
-func (l *line) Watch(after *uint64, s *Status) error {
-	v := l.f.voter()
+func (l *rpcService) Watch(after *uint64, s *Status) error {
+	v := l.member.voter()
 	if v == nil {
 		return errors.New("no voter: ask one of fleet.voters")
 	}
-	end := time.NewTimer(watchMost)
+	end := time.NewTimer(maxWatchDuration)
 	defer end.Stop()
 	for waiting := true; waiting; {
 		v.mu.Lock()
 		changed := v.changed
 		v.mu.Unlock()
-		if *s = l.f.status(); s.Revision > *after {
+		if *s = l.member.status(); s.Revision > *after {
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-end.C:
 			waiting = false
-		case <-l.gone:
+		case <-l.disconnected:
 			waiting = false
 		case <-v.stop:
 			waiting = false
@@ -196,31 +196,31 @@
 }
 
 // Figures tells a node's totals.
-func (l *line) Figures(_ *struct{}, out *map[string]int64) error {
-	*out = l.f.own.Metrics()
+func (l *rpcService) Figures(_ *struct{}, out *map[string]int64) error {
+	*out = l.member.node.Metrics()
 	return nil
 }
 
 // Bootstrap makes this voter know the first voters of a fleet.
-func (l *line) Bootstrap(c *BootstrapRequest, _ *struct{}) error {
-	v := l.f.voter()
+func (l *rpcService) Bootstrap(c *BootstrapRequest, _ *struct{}) error {
+	v := l.member.voter()
 	if v == nil {
 		return errors.New("no voter: fleet.folder is not told or can't be used")
 	}
 	var servers []raft.Server
 	for _, m := range c.Voters {
-		servers = append(servers, raft.Server{ID: raft.ServerID(m.ID), Address: addressOf(m.ID, m.Address)})
+		servers = append(servers, raft.Server{ID: raft.ServerID(m.ID), Address: raftAddress(m.ID, m.Address)})
 	}
 	return v.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
 }
 
 // Found brings the first entry to the log, at the leader.
-func (l *line) Found(c *BootstrapRequest, _ *struct{}) error {
-	v := l.f.voter()
+func (l *rpcService) Found(c *BootstrapRequest, _ *struct{}) error {
+	v := l.member.voter()
 	if v == nil {
 		return lease.ErrNotLeader
 	}
-	r, err := v.apply(lease.Entry{Kind: lease.KindFoundCluster, Name: v.fleet.Name, Number: c.LastToken})
+	r, err := v.propose(lease.Entry{Kind: lease.KindFoundCluster, Name: v.config.Name, Number: c.LastToken})
 	if err != nil {
 		return err
 	}
@@ -228,8 +228,8 @@
 }
 
 // Change adds or removes one voter, at the leader.
-func (l *line) Change(c *MembershipChange, id *string) error {
-	v := l.f.voter()
+func (l *rpcService) Change(c *MembershipChange, id *string) error {
+	v := l.member.voter()
 	if v == nil || v.raft.State() != raft.Leader {
 		return lease.ErrNotLeader
 	}
@@ -247,13 +247,13 @@
 			return fmt.Errorf("%s is no voter", c.Remove)
 		}
 		*id = string(servers[at].ID)
-		return v.raft.RemoveServer(servers[at].ID, config.Index(), changeMost).Error()
+		return v.raft.RemoveServer(servers[at].ID, config.Index(), membershipTimeout).Error()
 	}
 	if at := of(c.Add); at >= 0 {
 		return fmt.Errorf("%s is a voter already, as %s: remove that one first", c.Add, servers[at].ID)
 	}
 	var s Status
-	if err := l.f.client.once(c.Address, "Fleet.Status", &struct{}{}, &s); err != nil {
+	if err := l.member.client.callAddress(c.Address, "Fleet.Status", &struct{}{}, &s); err != nil {
 		return fmt.Errorf("%s: %w", c.Address, err)
 	}
 	switch {
@@ -263,7 +263,7 @@
 		return fmt.Errorf("%s can't vote: %s", c.Add, s.VoterError)
 	}
 	*id = s.ID
-	return v.raft.AddVoter(raft.ServerID(s.ID), addressOf(s.ID, c.Address), config.Index(), changeMost).Error()
+	return v.raft.AddVoter(raft.ServerID(s.ID), raftAddress(s.ID, c.Address), config.Index(), membershipTimeout).Error()
 }
 
 // nodeOf gives a voter's node from its id.
@@ -276,26 +276,26 @@
 
 // status tells how the fleet looks from here.
 func (f *Member) status() Status {
-	s := Status{Node: f.fleet.Node, LastContactMs: -1}
+	s := Status{Node: f.config.Node, LastContactMs: -1}
 	v := f.voter()
 	f.mu.Lock()
-	if f.broken != nil {
-		s.VoterError = f.broken.Error()
+	if f.voterError != nil {
+		s.VoterError = f.voterError.Error()
 	}
 	f.mu.Unlock()
 	if v == nil {
 		if s.VoterError == "" {
 			s.VoterError = "fleet.folder is not told, so this node only asks"
 		}
-		s.LeaderAddress, s.LastContactMs = f.client.heard()
+		s.LeaderAddress, s.LastContactMs = f.client.lastLeader()
 		return s
 	}
-	s.Voter, s.ID = true, v.paper.ID
+	s.Voter, s.ID = true, v.identity.ID
 	s.Leader, s.LeaderAddress = v.leader()
 	s.Revision = v.raft.AppliedIndex()
 	s.New = v.raft.LastIndex() == 0
 	for _, m := range v.raft.GetConfiguration().Configuration().Servers {
-		at, _ := partsOf(m.Address)
+		at, _ := splitRaftAddress(m.Address)
 		s.Voters = append(s.Voters, VoterInfo{string(m.ID), at})
 	}
 	if v.raft.State() == raft.Leader {
@@ -305,23 +305,23 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.ended != nil {
-		s.Voter, s.ID, s.VoterError = false, "", v.ended.Error()
+	if v.endReason != nil {
+		s.Voter, s.ID, s.VoterError = false, "", v.endReason.Error()
 	}
-	s.IsLeader, s.Term, s.Cluster, s.LastToken = v.keeper.IsLeader(), v.state.Term, v.state.Cluster, v.state.LastToken
+	s.IsLeader, s.Term, s.Cluster, s.LastToken = v.leases.IsLeader(), v.state.Term, v.state.Cluster, v.state.LastToken
 	s.Entries, s.QuorumRounds = v.entries, v.rounds
 	s.Effects = maps.Clone(v.state.Effects)
 	s.Budgets = map[string]BudgetState{}
 	for name, b := range v.state.Budgets {
-		want, reserve := v.divider.Demand(name)
+		want, reserve := v.allocator.Demand(name)
 		s.Budgets[name] = BudgetState{*b.Clone(), want, reserve}
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.state.Leases)) {
 		l := v.state.Leases[name]
 		h := LeaseStatus{Name: name, Holder: l.Holder, Token: l.Token, RemainingMs: -1}
 		if s.IsLeader {
-			end, waiting := v.keeper.Expiry(name)
-			h.RemainingMs, h.Waiting = max(0, span(end-now()).Milliseconds()), waiting
+			end, waiting := v.leases.Expiry(name)
+			h.RemainingMs, h.Waiting = max(0, toDuration(end-now()).Milliseconds()), waiting
 		}
 		s.Leases = append(s.Leases, h)
 	}
@@ -333,7 +333,7 @@
 	s := f.status()
 	mine := 0
 	for _, l := range s.Leases {
-		if l.Holder.Name == f.fleet.Node {
+		if l.Holder.Name == f.config.Node {
 			mine++
 		}
 	}
@@ -343,6 +343,6 @@
 		all["entries"], all["rounds"] = s.Entries, s.QuorumRounds
 		all["leads"], all["reign"], all["tokens"], all["leases"], all["held"] = flag[s.IsLeader], s.Term, s.LastToken, len(s.Leases), mine
 	}
-	f.standings(all)
+	f.addBudgetMetrics(all)
 	return all
 }
--- a/internal/cluster/tasks.go
+++ b/internal/cluster/tasks.go
@@ -17,7 +17,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-const askedAtOnce = 16 // nodes that a task asks side by side
+const maxConcurrentCollections = 16 // nodes that a task asks side by side
 
 // task gives what a task does while its lease is held; nil: this build has no such task.
 func (f *Member) task(name string) func(context.Context, *HeldLease) bool {
@@ -25,18 +25,18 @@
 	case config.TaskRollUp:
 		return f.rollUp
 	case config.TaskProbe:
-		return f.probe
+		return f.runProbes
 	case config.TaskFaultTest:
-		return f.trial()
+		return f.faultTestTask()
 	}
 	return nil
 }
 
-// nodes gives the addresses of those who hold their own names now, as the leader has it.
-func (s *Status) nodes() map[string]string {
+// nodeAddresses gives the addresses of those who hold their own names now, as the leader has it.
+func (s *Status) nodeAddresses() map[string]string {
 	all := map[string]string{}
 	for _, l := range s.Leases {
-		if node, is := strings.CutPrefix(l.Name, session("")); is {
+		if node, is := strings.CutPrefix(l.Name, nodeLease("")); is {
 			if fact, told := s.Effects[l.Name]; told && fact.Token == l.Token {
 				all[node] = string(fact.Value)
 			}
@@ -45,14 +45,14 @@
 	return all
 }
 
-// sheet is one period of the roll-up.
-type sheet struct {
+// rollUpReport is one period of the roll-up.
+type rollUpReport struct {
 	Nodes   int              `json:"nodes"`
 	Missing []string         `json:"missing,omitempty"` // they hold their names, and didn't answer
 	Sums    map[string]int64 `json:"sums"`              // totals since the start of each
 }
 
-const missingMost = 32 // names that a sheet tells; of more it tells how many
+const maxListedNodes = 32 // names that a sheet tells; of more it tells how many
 
 // wallClock gives the time by which the fleet's periods are told; tests step it.
 var wallClock = clock.Wall
@@ -60,7 +60,7 @@
 // rollUp writes one line a period for the whole fleet. The fleet itself keeps which period was the last, so none is written
 // twice; one that nobody wrote is told as a gap by who writes next.
 func (f *Member) rollUp(ctx context.Context, g *HeldLease) bool {
-	period := f.fleet.RollUp
+	period := f.config.RollUp
 	for {
 		now := wallClock()
 		at := now.Truncate(period).Add(period)
@@ -81,10 +81,10 @@
 				zap.Uint64("last", last))
 			number = next
 		}
-		x := f.gather(s.nodes())
+		x := f.collectMetrics(s.nodeAddresses())
 		text, _ := json.Marshal(x)
-		if len(x.Missing) > missingMost {
-			x.Missing = append(x.Missing[:missingMost], "and others")
+		if len(x.Missing) > maxListedNodes {
+			x.Missing = append(x.Missing[:maxListedNodes], "and others")
 			text, _ = json.Marshal(x)
 		}
 		switch err := g.Do(config.TaskRollUp, number, text); {
@@ -118,18 +118,18 @@
 	return byClock
 }
 
-// gather asks all nodes for their figures.
-func (f *Member) gather(nodes map[string]string) (x sheet) {
+// collectMetrics asks all nodes for their figures.
+func (f *Member) collectMetrics(nodes map[string]string) (x rollUpReport) {
 	x.Sums = map[string]int64{}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
-	places := make(chan struct{}, askedAtOnce)
+	places := make(chan struct{}, maxConcurrentCollections)
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		places <- struct{}{}
 		asking.Go(func() {
 			defer func() { <-places }()
 			var figures map[string]int64
-			err := f.client.once(nodes[name], "Fleet.Figures", &struct{}{}, &figures)
+			err := f.client.callAddress(nodes[name], "Fleet.Figures", &struct{}{}, &figures)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -20,25 +20,25 @@
 
 // One address takes two kinds of connection, told apart by their first line.
 const (
-	forVotes = "votes" // the library's own protocol between voters
-	forAsks  = "asks"  // JSON-RPC: askings and operators' calls
+	purposeRaft = "votes" // the library's own protocol between voters
+	purposeRPC  = "asks"  // JSON-RPC: askings and operators' calls
 
-	helloMost = 1 << 10
+	maxHelloBytes = 1 << 10
 
-	idlePart = 9 // a ninth of a lease without a call, a third of a renewal's period: who is in use rests longer only between two renewals
+	idleDivisor = 9 // a ninth of a lease without a call, a third of a renewal's period: who is in use rests longer only between two renewals
 )
 
 // hello is the first line from who dials.
 type hello struct {
-	Fleet string `json:"fleet"`
-	For   string `json:"for"`
-	From  string `json:"from"`
-	To    string `json:"to,omitempty"` // the voter that is meant, by its folder's number too
+	Cluster string `json:"fleet"`
+	Purpose string `json:"for"`
+	From    string `json:"from"`
+	To      string `json:"to,omitempty"` // the voter that is meant, by its folder's number too
 }
 
 // welcome is the first line back.
 type welcome struct {
-	Refused string `json:"refused,omitempty"`
+	Refusal string `json:"refused,omitempty"`
 }
 
 // errRefused says that a fellow was reached and wants nothing of us; the text says why.
@@ -46,8 +46,8 @@
 
 // dialer reaches fellows.
 type dialer struct {
-	fleet, node string
-	routes      map[string]string
+	cluster, node string
+	routes        map[string]string
 }
 
 // dial opens a connection, and has it accepted.
@@ -62,11 +62,11 @@
 	}
 	c = faults.Counted(purpose, c)
 	_ = c.SetDeadline(time.Now().Add(within))
-	line, _ := json.Marshal(hello{d.fleet, purpose, d.node, to})
+	line, _ := json.Marshal(hello{d.cluster, purpose, d.node, to})
 	if _, err = c.Write(append(line, '\n')); err == nil {
 		var w welcome
-		if err = readLine(c, &w); err == nil && w.Refused != "" {
-			err = fmt.Errorf("%w %s: %s", errRefused, address, w.Refused)
+		if err = readLine(c, &w); err == nil && w.Refusal != "" {
+			err = fmt.Errorf("%w %s: %s", errRefused, address, w.Refusal)
 		}
 	}
 	if err != nil {
@@ -80,7 +80,7 @@
 // readLine reads one line and nothing beyond it, which belongs to the protocol that follows.
 func readLine(c net.Conn, into any) error {
 	line := make([]byte, 0, 128)
-	for one := make([]byte, 1); len(line) < helloMost; line = append(line, one[0]) {
+	for one := make([]byte, 1); len(line) < maxHelloBytes; line = append(line, one[0]) {
 		if _, err := c.Read(one); err != nil {
 			return err
 		}
@@ -91,48 +91,48 @@
 	return errors.New("no line of a fellow's")
 }
 
-// porch takes connections in and hands them on by their kind. When it is full, the connection of askings that has been idle for
+// peerListener takes connections in and hands them on by their kind. When it is full, the connection of askings that has been idle for
 // longest makes way for the next one: a node that turned elsewhere, or vanished without closing what it held, keeps no other out.
-type porch struct {
-	listener net.Listener
-	most     int           // connections at once; each node holds one to the leader
-	rest     time.Duration // without a call, before a connection makes way
-	fleet    string
-	id       func() string // of our own vote, empty: none
-	within   time.Duration
-	asks     func(*inbound)
-	votes    chan net.Conn
+type peerListener struct {
+	listener       net.Listener
+	maxConnections int           // connections at once; each node holds one to the leader
+	minIdle        time.Duration // without a call, before a connection makes way
+	cluster        string
+	voterID        func() string // of our own vote, empty: none
+	helloTimeout   time.Duration
+	serveRPC       func(*peerConn)
+	raftConns      chan net.Conn
 
 	mu     sync.Mutex
-	open   map[*inbound]bool
+	open   map[*peerConn]bool
 	idle   *list.List // of *inbound, all in open, the longest idle first
 	closed bool
 	done   chan struct{}
 }
 
-// inbound is a connection that was taken in. It makes way only while it is in idle: not during its greeting, which has a bound,
+// peerConn is a connection that was taken in. It makes way only while it is in idle: not during its greeting, which has a bound,
 // nor with a call in hand, and never one for votes, nor a voter's for its rounds: these are few, and a leader shows by them that it leads.
-type inbound struct {
+type peerConn struct {
 	net.Conn
-	p      *porch
-	unread func() bool // bytes have come that nobody has read yet; nil: not known
+	listener  *peerListener
+	hasUnread func() bool // bytes have come that nobody has read yet; nil: not known
 
-	node  bool          // it is a node's, for askings; the porch's lock guards this and what follows
-	calls int           // in hand
-	since time.Time     // without a call
-	place *list.Element // in idle; nil: it isn't there
+	fromNode    bool          // it is a node's, for askings; the porch's lock guards this and what follows
+	calls       int           // in hand
+	idleSince   time.Time     // without a call
+	idleElement *list.Element // in idle; nil: it isn't there
 }
 
-// errWay ends the reading of a connection that has made way: a call that comes after that isn't run.
-var errWay = errors.New("made way for another connection")
+// errConnEvicted ends the reading of a connection that has made way: a call that comes after that isn't run.
+var errConnEvicted = errors.New("made way for another connection")
 
-func newPorch(l net.Listener, most int, rest time.Duration, fleet string, within time.Duration, id func() string, asks func(*inbound)) *porch {
-	return &porch{listener: l, most: most, rest: rest, fleet: fleet, id: id, within: within, asks: asks, votes: make(chan net.Conn),
-		open: map[*inbound]bool{}, idle: list.New(), done: make(chan struct{})}
+func newPeerListener(l net.Listener, most int, rest time.Duration, fleet string, within time.Duration, id func() string, asks func(*peerConn)) *peerListener {
+	return &peerListener{listener: l, maxConnections: most, minIdle: rest, cluster: fleet, voterID: id, helloTimeout: within, serveRPC: asks, raftConns: make(chan net.Conn),
+		open: map[*peerConn]bool{}, idle: list.New(), done: make(chan struct{})}
 }
 
 // serve takes connections until close.
-func (p *porch) serve() {
+func (p *peerListener) serve() {
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
@@ -143,7 +143,7 @@
 				continue
 			}
 		}
-		in := &inbound{Conn: faults.Counted("taken", c), p: p, unread: unread(c)}
+		in := &peerConn{Conn: faults.Counted("taken", c), listener: p, hasUnread: unreadCheck(c)}
 		taken, way := p.admit(in, time.Now())
 		if way != nil {
 			_ = way.Close() // this waits until its descriptor is free, so that the bound holds for these too
@@ -152,19 +152,19 @@
 			_ = in.Close()
 			continue
 		}
-		go p.greet(in)
+		go p.handshake(in)
 	}
 }
 
 // admit takes a connection in if there is room, or if one makes way, which is then the caller's to close.
-func (p *porch) admit(in *inbound, at time.Time) (taken bool, way *inbound) {
+func (p *peerListener) admit(in *peerConn, at time.Time) (taken bool, way *peerConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return false, nil
 	}
-	if len(p.open) >= p.most {
-		if way = p.longest(at); way == nil {
+	if len(p.open) >= p.maxConnections {
+		if way = p.evictionCandidate(at); way == nil {
 			return false, nil
 		}
 		p.remove(way)
@@ -173,23 +173,23 @@
 	return true, way
 }
 
-// longest gives the connection that has been idle for longest, if it has been so for long enough. One whose call has come and
+// evictionCandidate gives the connection that has been idle for longest, if it has been so for long enough. One whose call has come and
 // waits to be read has it in hand too: after a stall that may be so with all.
-func (p *porch) longest(at time.Time) *inbound {
+func (p *peerListener) evictionCandidate(at time.Time) *peerConn {
 	for e := p.idle.Front(); e != nil; e = e.Next() {
-		c := e.Value.(*inbound)
-		if at.Sub(c.since) < p.rest {
+		c := e.Value.(*peerConn)
+		if at.Sub(c.idleSince) < p.minIdle {
 			return nil
 		}
-		if c.unread == nil || !c.unread() {
+		if c.hasUnread == nil || !c.hasUnread() {
 			return c
 		}
 	}
 	return nil
 }
 
-// unread gives a look at whether bytes wait in a connection; nil: it can't be seen.
-func unread(c net.Conn) func() bool {
+// unreadCheck gives a look at whether bytes wait in a connection; nil: it can't be seen.
+func unreadCheck(c net.Conn) func() bool {
 	s, is := c.(syscall.Conn)
 	if !is {
 		return nil
@@ -206,113 +206,113 @@
 }
 
 // remove takes a connection out, with the lock held.
-func (p *porch) remove(in *inbound) {
+func (p *peerListener) remove(in *peerConn) {
 	delete(p.open, in)
-	if in.place != nil {
-		p.idle.Remove(in.place)
-		in.place = nil
+	if in.idleElement != nil {
+		p.idle.Remove(in.idleElement)
+		in.idleElement = nil
 	}
 }
 
-// rests makes a connection idle from now on, with the lock held.
-func (p *porch) rests(in *inbound, at time.Time) {
-	if in.node && p.open[in] && in.place == nil {
-		in.since, in.place = at, p.idle.PushBack(in)
+// markIdle makes a connection idle from now on, with the lock held.
+func (p *peerListener) markIdle(in *peerConn, at time.Time) {
+	if in.fromNode && p.open[in] && in.idleElement == nil {
+		in.idleSince, in.idleElement = at, p.idle.PushBack(in)
 	}
 }
 
-// greeted says that a connection is a node's.
-func (p *porch) greeted(in *inbound, at time.Time) {
+// markNodeConn says that a connection is a node's.
+func (p *peerListener) markNodeConn(in *peerConn, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	in.node = true
-	p.rests(in, at)
+	in.fromNode = true
+	p.markIdle(in, at)
 }
 
-// begin says that a call has come in; an error, that its connection is no longer there to answer it.
-func (in *inbound) begin() error {
-	p := in.p
+// beginCall says that a call has come in; an error, that its connection is no longer there to answer it.
+func (in *peerConn) beginCall() error {
+	p := in.listener
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.open[in] {
-		return errWay
+		return errConnEvicted
 	}
-	if in.place != nil {
-		p.idle.Remove(in.place)
-		in.place = nil
+	if in.idleElement != nil {
+		p.idle.Remove(in.idleElement)
+		in.idleElement = nil
 	}
 	in.calls++
 	return nil
 }
 
-// end says that a call was answered.
-func (in *inbound) end(at time.Time) {
-	p := in.p
+// endCall says that a call was answered.
+func (in *peerConn) endCall(at time.Time) {
+	p := in.listener
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if in.calls--; in.calls == 0 {
-		p.rests(in, at)
+		p.markIdle(in, at)
 	}
 }
 
-func (p *porch) forget(in *inbound) {
+func (p *peerListener) closeConn(in *peerConn) {
 	_ = in.Conn.Close()
 	p.mu.Lock()
 	p.remove(in)
 	p.mu.Unlock()
 }
 
-func (p *porch) greet(in *inbound) {
-	_ = in.SetDeadline(time.Now().Add(p.within))
+func (p *peerListener) handshake(in *peerConn) {
+	_ = in.SetDeadline(time.Now().Add(p.helloTimeout))
 	var h hello
 	if err := readLine(in, &h); err != nil {
-		p.forget(in)
+		p.closeConn(in)
 		return
 	}
 	var w welcome
-	id := p.id()
+	id := p.voterID()
 	switch {
-	case h.Fleet != p.fleet:
-		w.Refused = fmt.Sprintf("fleet.name: this is %q, not %q", p.fleet, h.Fleet)
-	case h.For == forVotes && id == "":
-		w.Refused = "no voter: fleet.folder is empty or can't be used"
-	case (h.For == forVotes || h.To != "") && h.To != id && !faults.Without(faults.Vote):
+	case h.Cluster != p.cluster:
+		w.Refusal = fmt.Sprintf("fleet.name: this is %q, not %q", p.cluster, h.Cluster)
+	case h.Purpose == purposeRaft && id == "":
+		w.Refusal = "no voter: fleet.folder is empty or can't be used"
+	case (h.Purpose == purposeRaft || h.To != "") && h.To != id && !faults.Without(faults.Vote):
 		// A voter that has lost its folder may have forgotten a vote: it is another one, which no member was told of.
-		w.Refused = fmt.Sprintf("this voter is %s, not %s: what it was has gone with its folder", id, h.To)
-	case h.For != forVotes && h.For != forAsks:
-		w.Refused = "expected a connection for votes or asks"
+		w.Refusal = fmt.Sprintf("this voter is %s, not %s: what it was has gone with its folder", id, h.To)
+	case h.Purpose != purposeRaft && h.Purpose != purposeRPC:
+		w.Refusal = "expected a connection for votes or asks"
 	}
 	line, _ := json.Marshal(w)
-	if _, err := in.Write(append(line, '\n')); err != nil || w.Refused != "" {
-		p.forget(in)
+	if _, err := in.Write(append(line, '\n')); err != nil || w.Refusal != "" {
+		p.closeConn(in)
 		return
 	}
 	_ = in.SetDeadline(time.Time{})
-	if h.For == forAsks {
-		defer p.forget(in)
+	if h.Purpose == purposeRPC {
+		defer p.closeConn(in)
 		if h.To == "" {
-			p.greeted(in, time.Now())
+			p.markNodeConn(in, time.Now())
 		}
-		p.asks(in)
+		p.serveRPC(in)
 		return
 	}
 	select {
-	case p.votes <- &vote{in}:
+	case p.raftConns <- &raftConn{in}:
 	case <-p.done:
-		p.forget(in)
+		p.closeConn(in)
 	}
 }
 
-// vote is a voters' connection, forgotten when the library closes it.
-type vote struct{ *inbound }
+// raftConn is a voters' connection, forgotten when the library closes it.
+type raftConn struct{ *peerConn }
 
-func (v *vote) Close() error {
-	v.p.forget(v.inbound)
+func (v *raftConn) Close() error {
+	v.listener.closeConn(v.peerConn)
 	return nil
 }
 
 // close ends all connections, and lets the address go.
-func (p *porch) close() {
+func (p *peerListener) close() {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
@@ -327,30 +327,32 @@
 	p.mu.Unlock()
 }
 
-// layer is what the library's transport runs on.
-type layer struct {
-	*porch
+// raftStreamLayer is what the library's transport runs on.
+type raftStreamLayer struct {
+	*peerListener
 	dialer
 	self   string
 	closed chan struct{} // the transport that runs on it has ended
 	once   *sync.Once
 }
 
-func newLayer(p *porch, d dialer, self string) layer {
-	return layer{p, d, self, make(chan struct{}), &sync.Once{}}
+func newRaftStreamLayer(p *peerListener, d dialer, self string) raftStreamLayer {
+	return raftStreamLayer{p, d, self, make(chan struct{}), &sync.Once{}}
 }
 
 // A voter's address in the library holds its id too, so that a dial can say who is meant.
-func addressOf(id, address string) raft.ServerAddress { return raft.ServerAddress(address + "#" + id) }
+func raftAddress(id, address string) raft.ServerAddress {
+	return raft.ServerAddress(address + "#" + id)
+}
 
-func partsOf(a raft.ServerAddress) (address, id string) {
+func splitRaftAddress(a raft.ServerAddress) (address, id string) {
 	address, id, _ = strings.Cut(string(a), "#")
 	return address, id
 }
 
-func (l layer) Accept() (net.Conn, error) {
+func (l raftStreamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.votes:
+	case c := <-l.raftConns:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -360,25 +362,25 @@
 }
 
 // Close ends this transport's part. The porch closes itself, after the library has ended, and another transport may follow on it.
-func (l layer) Close() error {
+func (l raftStreamLayer) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l layer) Addr() net.Addr { return named(l.self) }
+func (l raftStreamLayer) Addr() net.Addr { return peerAddr(l.self) }
 
-type named string
+type peerAddr string
 
-func (named) Network() string  { return "tcp" }
-func (n named) String() string { return string(n) }
+func (peerAddr) Network() string  { return "tcp" }
+func (n peerAddr) String() string { return string(n) }
 
-func (l layer) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	address, id := partsOf(to)
-	return l.dial(address, forVotes, id, within)
+func (l raftStreamLayer) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
+	address, id := splitRaftAddress(to)
+	return l.dial(address, purposeRaft, id, within)
 }
 
-// refusals are those that are told by name.
-var refusals = map[string]error{"held": lease.ErrHeld, "lapsed": lease.ErrLeaseExpired, "repeated": lease.ErrDuplicate,
+// errorsByName are those that are told by name.
+var errorsByName = map[string]error{"held": lease.ErrHeld, "lapsed": lease.ErrLeaseExpired, "repeated": lease.ErrDuplicate,
 	"reign": lease.ErrStaleTerm, "full": lease.ErrLimitExceeded, "form": lease.ErrMalformed, "unfounded": lease.ErrNotFounded,
 	"founded": lease.ErrAlreadyFounded, "leader": lease.ErrNotLeader, "wait": lease.ErrStillHeld, "withdrawn": lease.ErrWithdrawn}
 
@@ -392,7 +394,7 @@
 	if err == nil {
 		return wireError{}
 	}
-	for name, known := range refusals {
+	for name, known := range errorsByName {
 		if errors.Is(err, known) {
 			return wireError{name, err.Error()}
 		}
@@ -400,8 +402,8 @@
 	return wireError{"other", err.Error()}
 }
 
-func (r wireError) err() error {
-	known, is := refusals[r.Name]
+func (r wireError) toError() error {
+	known, is := errorsByName[r.Name]
 	switch {
 	case r.Name == "":
 		return nil
--- a/internal/cluster/voter_folder.go
+++ b/internal/cluster/voter_folder.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	paperFile     = "voter.json"
-	logFile       = "log.db"
-	openWithin    = time.Second // another process may still have it
-	snapshotsKept = 2
+	identityFile      = "voter.json"
+	logFile           = "log.db"
+	openTimeout       = time.Second // another process may still have it
+	retainedSnapshots = 2
 )
 
-// paper is what a voter's folder says of itself.
-type paper struct {
-	Fleet string `json:"fleet"`
-	Node  string `json:"node"`
-	ID    string `json:"id"` // another one for each folder: who comes back without one is another voter
+// voterIdentity is what a voter's folder says of itself.
+type voterIdentity struct {
+	Cluster string `json:"fleet"`
+	Node    string `json:"node"`
+	ID      string `json:"id"` // another one for each folder: who comes back without one is another voter
 }
 
 // open reads the folder's paper, or writes one where the folder is empty. Nothing in it is ever overwritten.
-func openPaper(folder, fleet, node string) (p paper, err error) {
+func openIdentity(folder, fleet, node string) (p voterIdentity, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return p, fmt.Errorf("fleet.folder: expected a folder that can be written: %w", err)
 	}
-	path := filepath.Join(folder, paperFile)
+	path := filepath.Join(folder, identityFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		if _, err := os.Stat(filepath.Join(folder, logFile)); err == nil {
-			return p, fmt.Errorf("fleet.folder: %s is missing beside %s: whose votes these are can't be known", paperFile, logFile)
+			return p, fmt.Errorf("fleet.folder: %s is missing beside %s: whose votes these are can't be known", identityFile, logFile)
 		}
-		p = paper{fleet, node, node + "." + uuid.NewString()[:8]}
+		p = voterIdentity{fleet, node, node + "." + uuid.NewString()[:8]}
 		text, _ = json.Marshal(p)
-		if err := writeWhole(path, text); err != nil {
+		if err := writeAtomically(path, text); err != nil {
 			return p, fmt.Errorf("fleet.folder: expected a folder that can be written: %w", err)
 		}
 		return p, nil
@@ -57,14 +57,14 @@
 	if err := json.Unmarshal(text, &p); err != nil || p.ID == "" {
 		return p, fmt.Errorf("fleet.folder: %s can't be read: %w", path, errors.Join(err, errors.New("expected fleet, node and id")))
 	}
-	if p.Fleet != fleet || p.Node != node {
-		return p, fmt.Errorf("fleet.folder: %s is of node %q in fleet %q, not of node %q in fleet %q", folder, p.Node, p.Fleet, node, fleet)
+	if p.Cluster != fleet || p.Node != node {
+		return p, fmt.Errorf("fleet.folder: %s is of node %q in fleet %q, not of node %q in fleet %q", folder, p.Node, p.Cluster, node, fleet)
 	}
 	return p, nil
 }
 
-// writeWhole writes a file that is there whole or not at all.
-func writeWhole(path string, text []byte) error {
+// writeAtomically writes a file that is there whole or not at all.
+func writeAtomically(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "new-*")
 	if err != nil {
 		return err
@@ -77,12 +77,12 @@
 	if err := os.Rename(f.Name(), path); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(path))
+	return syncDirectory(filepath.Dir(path))
 }
 
-// look reads all of a log, so that one that was cut short or spoilt is found here, and not by a library that ends the
+// checkLog reads all of a log, so that one that was cut short or spoilt is found here, and not by a library that ends the
 // process over it.
-func look(path string) (err error) {
+func checkLog(path string) (err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
@@ -93,7 +93,7 @@
 		}
 	}()
 	// With the list of free pages: the library reads it only when a log is opened to be written, and panics where it is spoilt.
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, PreLoadFreelist: true, Timeout: openWithin})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, PreLoadFreelist: true, Timeout: openTimeout})
 	if err != nil {
 		return fmt.Errorf("fleet.folder: %s is damaged or in use: %w", path, err)
 	}
@@ -111,13 +111,13 @@
 	})
 }
 
-// store is the library's, but for what the library ends the process over: there this voter ends instead, and its node
+// raftStore is the library's, but for what the library ends the process over: there this voter ends instead, and its node
 // goes on serving.
-type store struct {
+type raftStore struct {
 	*raftbolt.BoltStore
-	folder string
-	broken func(error)
-	first  *firstWrite
+	folder    string
+	onFailure func(error)
+	first     *firstWrite
 }
 
 // firstWrite keeps the error of the first write, by which the library begins. It has no goroutines yet that could end by it.
@@ -130,7 +130,7 @@
 var folderFault atomic.Pointer[func(folder string, made bool) error]
 
 // write makes a write to the log.
-func (s store) write(make func() error) error {
+func (s raftStore) write(make func() error) error {
 	fault := folderFault.Load()
 	if fault != nil {
 		if err := (*fault)(s.folder, false); err != nil {
@@ -144,41 +144,41 @@
 	return err
 }
 
-// give ends the library's goroutine that asked, once a write has failed: what would follow is a panic, or a vote that isn't kept.
-func (s store) give(err error) error {
+// endOnFailure ends the library's goroutine that asked, once a write has failed: what would follow is a panic, or a vote that isn't kept.
+func (s raftStore) endOnFailure(err error) error {
 	if err != nil {
-		s.broken(err)
+		s.onFailure(err)
 		runtime.Goexit()
 	}
 	return nil
 }
 
-func (s store) SetUint64(key []byte, v uint64) error {
+func (s raftStore) SetUint64(key []byte, v uint64) error {
 	err := s.write(func() error { return s.BoltStore.SetUint64(key, v) })
 	if s.first.made.CompareAndSwap(false, true) {
 		s.first.err = err
 		return err // the library panics, which newRaft recovers
 	}
-	return s.give(err)
+	return s.endOnFailure(err)
 }
 
-func (s store) Set(key, v []byte) error {
-	return s.give(s.write(func() error { return s.BoltStore.Set(key, v) }))
+func (s raftStore) Set(key, v []byte) error {
+	return s.endOnFailure(s.write(func() error { return s.BoltStore.Set(key, v) }))
 }
 
-func (s store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
-func (s store) StoreLogs(l []*raft.Log) error {
+func (s raftStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+func (s raftStore) StoreLogs(l []*raft.Log) error {
 	err := s.write(func() error { return s.BoltStore.StoreLogs(l) })
 	if err != nil {
-		s.broken(err)
+		s.onFailure(err)
 	}
 	return err // the library steps down by itself
 }
 
-// once keeps the first reason for which a voter ends.
-type once struct {
+// shutdownOnce keeps the first reason for which a voter ends.
+type shutdownOnce struct {
 	sync.Once
 	end func(error)
 }
 
-func (o *once) broken(err error) { o.Do(func() { go o.end(err) }) }
+func (o *shutdownOnce) fail(err error) { o.Do(func() { go o.end(err) }) }
--- a/internal/cluster/voter_folder_damage_test.go
+++ b/internal/cluster/voter_folder_damage_test.go
@@ -17,7 +17,7 @@
 // votes gives what a voter's log holds: its entries, its term and its vote.
 func votes(t *testing.T, path string) string {
 	t.Helper()
-	if err := look(path); err != nil {
+	if err := checkLog(path); err != nil {
 		t.Fatal(err)
 	}
 	log, err := raftbolt.New(raftbolt.Options{Path: path})
@@ -176,7 +176,7 @@
 			if err := os.WriteFile(path, spoilt, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if look(path) != nil {
+			if checkLog(path) != nil {
 				refused++
 			} else if p := opens(path); p != nil {
 				t.Errorf("page %d, %s: passed, and opening it panics: %v", at/page, what, p)
