--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -18,6 +18,7 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -53,7 +54,7 @@
 		b.Fatal(err)
 	}
 	c = NewClient(all[0], zap.NewNop())
-	if conn, err = c.dial(s.LeaderAddress, purposeRPC, "", time.Second); err != nil {
+	if conn, err = c.dialer.Dial(s.LeaderAddress, transport.PurposeRPC, "", time.Second); err != nil {
 		b.Fatal(err)
 	}
 	c.conn, c.address = jsonrpc.NewClient(conn), s.LeaderAddress
--- a/internal/cluster/budgets.go
+++ b/internal/cluster/budgets.go
@@ -15,6 +15,7 @@
 
 	"github.com/thistlerudder/thistlerudder/budget"
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/lease"
@@ -234,7 +235,7 @@
 		sent := bootTime()
 		var x LentQuotas
 		if conn == nil {
-			if n, err := f.client.dial(f.config.Address, purposeRPC, "", lendInterval); err == nil {
+			if n, err := f.client.dialer.Dial(f.config.Address, transport.PurposeRPC, "", lendInterval); err == nil {
 				conn = jsonrpc.NewClient(n)
 			}
 		}
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -12,6 +12,7 @@
 
 	"go.uber.org/zap"
 
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
@@ -27,8 +28,8 @@
 // Client asks the fleet's leader, over one connection that it keeps.
 type Client struct {
 	config *config.Cluster
-	dialer
-	log *zap.Logger
+	dialer transport.Dialer
+	log    *zap.Logger
 
 	slots        chan struct{}
 	mu           sync.Mutex
@@ -42,7 +43,7 @@
 
 // NewClient makes one; nothing is opened before it is asked something.
 func NewClient(f *config.Cluster, log *zap.Logger) *Client {
-	return &Client{config: f, dialer: dialer{f.Name, f.Node, f.Routes}, log: log, slots: make(chan struct{}, maxPendingRequests),
+	return &Client{config: f, dialer: transport.Dialer{Cluster: f.Name, Node: f.Node, Routes: f.Routes}, log: log, slots: make(chan struct{}, maxPendingRequests),
 		pendingCalls: map[*rpc.Client]int{}}
 }
 
@@ -97,7 +98,7 @@
 	if c.address == "" {
 		c.address = c.config.Voters[c.nextVoter%len(c.config.Voters)].Address
 	}
-	n, err := c.dial(c.address, purposeRPC, "", c.callTimeout())
+	n, err := c.dialer.Dial(c.address, transport.PurposeRPC, "", c.callTimeout())
 	if err != nil {
 		at := c.address
 		c.address = ""
@@ -128,7 +129,7 @@
 
 // callAddressWithin makes one call to a given address, on a connection of its own.
 func (c *Client) callAddressWithin(address, method string, args, reply any, within time.Duration) error {
-	n, err := c.dial(address, purposeRPC, "", c.callTimeout())
+	n, err := c.dialer.Dial(address, transport.PurposeRPC, "", c.callTimeout())
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -59,19 +59,12 @@
 	}
 }
 
-func TestGreetingsAndTheVotersFileKeepTheirForm(t *testing.T) {
-	goldenForm(t, "hello-votes.json", hello{Cluster: "f", Purpose: purposeRaft, From: "n1", To: "n2.0badcafe"})
-	goldenForm(t, "hello-asks.json", hello{Cluster: "f", Purpose: purposeRPC, From: "n1"})
-	goldenForm(t, "welcome.json", welcome{})
-	goldenForm(t, "welcome-refused.json", welcome{Refusal: "no voter: fleet.folder is empty or can't be used"})
+func TestTheVotersFileKeepsItsForm(t *testing.T) {
 	goldenForm(t, "voter.json", voterIdentity{Cluster: "f", Node: "n1", ID: "n1.0badcafe"})
 	goldenForm(t, "roll-up.json", rollUpReport{Nodes: 2, Missing: []string{"n3"}, Sums: map[string]int64{"served": 7}})
 	if identityFile != "voter.json" || logFile != "log.db" {
 		t.Error("files of a voter's folder have other names")
 	}
-	if a := raftAddress("n1.0badcafe", "10.0.0.1:7100"); a != "10.0.0.1:7100#n1.0badcafe" {
-		t.Error("a voter's address in the log is", a)
-	}
 }
 
 // conn keeps what is written, and reads what it was given.
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -12,11 +12,16 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
+// idleDivisor gives the idle time after which a node's connection may be evicted: a ninth of a lease, a third of the period of
+// renewals. A connection in use is idle for longer only between two renewals.
+const idleDivisor = 9
+
 const listenRetryInterval = 50 * time.Millisecond // until the process whose place we take has let the address go
 
 // LocalNode is what the fleet's tasks need of their node.
@@ -51,7 +56,7 @@
 	maxRequestDuration time.Duration // that a lookup goes on
 	maxPeerConnections int           // connections from fellows at once
 
-	listener *peerListener
+	listener *transport.Listener
 	tasks    sync.WaitGroup
 	ended    chan struct{}
 	stop     context.CancelFunc
@@ -87,12 +92,19 @@
 		return
 	}
 	f.applyReserved(true)
-	f.listener = newPeerListener(l, f.maxPeerConnections, f.config.Lease/idleDivisor, f.config.Name, f.client.callTimeout(), f.voterID, f.serveConn)
+	f.listener = transport.NewListener(l, transport.ListenerConfig{
+		Cluster:        f.config.Name,
+		MaxConnections: f.maxPeerConnections,
+		MinIdle:        f.config.Lease / idleDivisor,
+		HelloTimeout:   f.client.callTimeout(),
+		VoterID:        f.voterID,
+		ServeRPC:       f.serveConn,
+	})
 	if f.config.Folder != "" {
 		f.openVoter()
 		f.tasks.Go(func() { f.rejoin(ctx) })
 	}
-	go f.listener.serve()
+	go f.listener.Serve()
 	f.log.Info("takes part in the fleet", zap.String("fleet", f.config.Name), zap.String("address", f.config.Address),
 		zap.String("voter", f.voterID()))
 	f.runTasks(ctx)
@@ -103,7 +115,7 @@
 		v.close()
 	}
 	f.client.Close()
-	f.listener.close()
+	f.listener.Close()
 }
 
 // releaseReserved gives up what is apart before the address, which it goes with: what goes on has to end first.
@@ -145,7 +157,8 @@
 		f.mu.Lock()
 		f.identity = p
 		f.mu.Unlock()
-		l := newRaftStreamLayer(f.listener, dialer{f.config.Name, f.config.Node, f.config.Routes}, string(raftAddress(p.ID, f.config.Address)))
+		l := transport.NewStreamLayer(f.listener, transport.Dialer{Cluster: f.config.Name, Node: f.config.Node, Routes: f.config.Routes},
+			transport.RaftAddress(p.ID, f.config.Address))
 		v, err = startVoter(f.config, p, l, f.log.Named("voter"))
 	}
 	f.mu.Lock()
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -25,6 +25,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
@@ -200,12 +201,12 @@
 	all := fleetOf(t, 3)
 	founded(t, all)
 	for want, d := range map[string]struct{ fleet, purpose, to string }{
-		`fleet.name: this is "f", not "g"`:        {"g", purposeRPC, ""},
-		"what it was has gone with its folder":    {"f", purposeRaft, "n0.00000000"},
+		`fleet.name: this is "f", not "g"`:        {"g", transport.PurposeRPC, ""},
+		"whose folder is gone":                    {"f", transport.PurposeRaft, "n0.00000000"},
 		"expected a connection for votes or asks": {"f", "tea", ""},
 	} {
-		_, err := dialer{d.fleet, "x", nil}.dial(all[0].Address, d.purpose, d.to, time.Second)
-		if !errors.Is(err, errRefused) || !strings.Contains(err.Error(), want) {
+		_, err := transport.Dialer{Cluster: d.fleet, Node: "x"}.Dial(all[0].Address, d.purpose, d.to, time.Second)
+		if !errors.Is(err, transport.ErrRefused) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: want %s", err, want)
 		}
 	}
@@ -423,21 +424,22 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	start := func() (*Voter, *peerListener) {
+	start := func() (*Voter, *transport.Listener) {
 		l, err := net.Listen("tcp", f.Address)
 		if err != nil {
 			b.Fatal(err)
 		}
-		porch := newPeerListener(l, 256, time.Second, f.Name, time.Second, func() string { return p.ID }, nil)
-		go porch.serve()
-		v, err := startVoter(f, p, newRaftStreamLayer(porch, dialer{f.Name, f.Node, nil}, f.Address), zap.NewNop())
+		listener := transport.NewListener(l, transport.ListenerConfig{Cluster: f.Name, MaxConnections: 256, MinIdle: time.Second, HelloTimeout: time.Second,
+			VoterID: func() string { return p.ID }})
+		go listener.Serve()
+		v, err := startVoter(f, p, transport.NewStreamLayer(listener, transport.Dialer{Cluster: f.Name, Node: f.Node}, raft.ServerAddress(f.Address)), zap.NewNop())
 		if err != nil {
 			b.Fatal(err)
 		}
-		return v, porch
+		return v, listener
 	}
-	v, porch := start()
-	alone := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(p.ID), Address: raftAddress(p.ID, f.Address)}}}
+	v, listener := start()
+	alone := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(p.ID), Address: transport.RaftAddress(p.ID, f.Address)}}}
 	if err := v.raft.BootstrapCluster(alone).Error(); err != nil {
 		b.Fatal(err)
 	}
@@ -449,8 +451,8 @@
 	}
 	for b.Loop() {
 		v.shutDown(nil)
-		porch.close()
-		v, porch = start()
+		listener.Close()
+		v, listener = start()
 		for !func() bool { v.mu.Lock(); defer v.mu.Unlock(); return v.leases.IsLeader() }() {
 			time.Sleep(time.Millisecond)
 		}
@@ -458,7 +460,7 @@
 	i, _ := os.Stat(filepath.Join(f.Folder, logFile))
 	b.ReportMetric(float64(i.Size())/(1<<20), "MB")
 	v.shutDown(nil)
-	porch.close()
+	listener.Close()
 }
 
 // A leader's disk stands still for longer than it may take for an entry to be taken up, and the leader goes on leading: what
--- a/internal/cluster/quorum.go
+++ b/internal/cluster/quorum.go
@@ -7,6 +7,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -51,8 +52,8 @@
 	if c != nil {
 		return c, nil
 	}
-	address, id := splitRaftAddress(s.Address)
-	n, err := v.dialer.dial(address, purposeRPC, id, v.callTimeout)
+	address, id := transport.SplitRaftAddress(s.Address)
+	n, err := v.dialer.Dial(address, transport.PurposeRPC, id, v.callTimeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/service.go
+++ b/internal/cluster/service.go
@@ -14,6 +14,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -103,10 +104,10 @@
 	disconnected chan struct{}
 }
 
-// limitedCodec bounds what is out on a connection, tells the porch of its calls, and notices its end.
+// limitedCodec bounds what is out on a connection, tells the listener of its calls, and notices its end.
 type limitedCodec struct {
 	rpc.ServerCodec
-	conn         *peerConn
+	conn         *transport.Conn
 	slots        chan struct{}
 	disconnected func()
 }
@@ -115,7 +116,7 @@
 	c.slots <- struct{}{}
 	err := c.ServerCodec.ReadRequestHeader(r)
 	if err == nil {
-		err = c.conn.beginCall()
+		err = c.conn.BeginCall()
 	}
 	if err != nil {
 		c.disconnected()
@@ -125,13 +126,13 @@
 
 func (c *limitedCodec) WriteResponse(r *rpc.Response, x any) error {
 	err := c.ServerCodec.WriteResponse(r, x)
-	c.conn.endCall(time.Now())
+	c.conn.EndCall(time.Now())
 	<-c.slots
 	return err
 }
 
 // serveConn serves a connection until its end.
-func (f *Member) serveConn(c *peerConn) {
+func (f *Member) serveConn(c *transport.Conn) {
 	l := &rpcService{member: f, disconnected: make(chan struct{})}
 	s := rpc.NewServer()
 	if err := s.RegisterName("Fleet", l); err != nil {
@@ -209,7 +210,7 @@
 	}
 	var servers []raft.Server
 	for _, m := range c.Voters {
-		servers = append(servers, raft.Server{ID: raft.ServerID(m.ID), Address: raftAddress(m.ID, m.Address)})
+		servers = append(servers, raft.Server{ID: raft.ServerID(m.ID), Address: transport.RaftAddress(m.ID, m.Address)})
 	}
 	return v.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
 }
@@ -263,7 +264,7 @@
 		return fmt.Errorf("%s can't vote: %s", c.Add, s.VoterError)
 	}
 	*id = s.ID
-	return v.raft.AddVoter(raft.ServerID(s.ID), raftAddress(s.ID, c.Address), config.Index(), membershipTimeout).Error()
+	return v.raft.AddVoter(raft.ServerID(s.ID), transport.RaftAddress(s.ID, c.Address), config.Index(), membershipTimeout).Error()
 }
 
 // nodeOf gives a voter's node from its id.
@@ -295,7 +296,7 @@
 	s.Revision = v.raft.AppliedIndex()
 	s.New = v.raft.LastIndex() == 0
 	for _, m := range v.raft.GetConfiguration().Configuration().Servers {
-		at, _ := splitRaftAddress(m.Address)
+		at, _ := transport.SplitRaftAddress(m.Address)
 		s.Voters = append(s.Voters, VoterInfo{string(m.ID), at})
 	}
 	if v.raft.State() == raft.Leader {
--- /dev/null
+++ b/internal/cluster/transport/stream_layer.go
@@ -0,0 +1,73 @@
+package transport
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// RaftAddress returns a voter's address in the consensus library: its network address and its id, so that a dialer can say
+// which voter it means.
+func RaftAddress(id, address string) raft.ServerAddress {
+	return raft.ServerAddress(address + "#" + id)
+}
+
+// SplitRaftAddress is the inverse of RaftAddress.
+func SplitRaftAddress(a raft.ServerAddress) (address, id string) {
+	address, id, _ = strings.Cut(string(a), "#")
+	return address, id
+}
+
+// StreamLayer is the network of the consensus library's transport, a raft.StreamLayer. Its connections come from a Listener,
+// which outlives it: another StreamLayer may follow on the same Listener.
+type StreamLayer struct {
+	listener *Listener
+	dialer   Dialer
+	self     raft.ServerAddress
+	closed   chan struct{}
+	once     sync.Once
+}
+
+// NewStreamLayer returns the StreamLayer of the voter with an address.
+func NewStreamLayer(l *Listener, d Dialer, self raft.ServerAddress) *StreamLayer {
+	return &StreamLayer{listener: l, dialer: d, self: self, closed: make(chan struct{})}
+}
+
+// Accept returns the next connection for consensus.
+func (s *StreamLayer) Accept() (net.Conn, error) {
+	select {
+	case c := <-s.listener.raftConns:
+		return c, nil
+	case <-s.listener.done:
+		return nil, net.ErrClosed
+	case <-s.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+// Close ends Accept. It leaves the Listener open.
+func (s *StreamLayer) Close() error {
+	s.once.Do(func() { close(s.closed) })
+	return nil
+}
+
+// Addr returns the voter's own address.
+func (s *StreamLayer) Addr() net.Addr { return voterAddr(s.self) }
+
+// Dial opens a connection to another voter.
+func (s *StreamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	address, id := SplitRaftAddress(to)
+	return s.dialer.Dial(address, PurposeRaft, id, timeout)
+}
+
+// Dialer returns the dialer to the other nodes.
+func (s *StreamLayer) Dialer() Dialer { return s.dialer }
+
+// voterAddr is a voter's address as a net.Addr.
+type voterAddr string
+
+func (voterAddr) Network() string  { return "tcp" }
+func (a voterAddr) String() string { return string(a) }
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -17,6 +17,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/lease"
@@ -33,13 +34,13 @@
 
 // Voter is this process's part in the agreement: the library, the state that it agrees on, and the leader's memory.
 type Voter struct {
-	log       *zap.Logger
-	config    *config.Cluster
-	identity  voterIdentity
-	raft      *raft.Raft
-	logStore  *raftbolt.BoltStore
-	transport *raft.NetworkTransport
-	dialer
+	log         *zap.Logger
+	config      *config.Cluster
+	identity    voterIdentity
+	raft        *raft.Raft
+	logStore    *raftbolt.BoltStore
+	transport   *raft.NetworkTransport
+	dialer      transport.Dialer
 	callTimeout time.Duration // for a call and its answer
 	peers       peerClients
 
@@ -68,13 +69,13 @@
 }
 
 // startVoter opens the folder and takes part. Whatever is wrong with the folder is told, and nothing in it is changed.
-func startVoter(f *config.Cluster, p voterIdentity, l raftStreamLayer, log *zap.Logger) (*Voter, error) {
+func startVoter(f *config.Cluster, p voterIdentity, l *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
 	path := filepath.Join(f.Folder, logFile)
 	if err := checkLog(path); err != nil {
 		return nil, err
 	}
 	v := &Voter{log: log, config: f, identity: p, state: lease.NewState(), probes: lease.NewProbeScheduler(), leaseRequests: map[uint64]chan lease.Response{},
-		changed: make(chan struct{}), stop: make(chan struct{}), built: make(chan struct{}), down: make(chan struct{}), dialer: l.dialer, callTimeout: callTimeoutFactor * f.MaxDelay,
+		changed: make(chan struct{}), stop: make(chan struct{}), built: make(chan struct{}), down: make(chan struct{}), dialer: l.Dialer(), callTimeout: callTimeoutFactor * f.MaxDelay,
 		peers: peerClients{conns: map[raft.ServerID]*rpc.Client{}}}
 	v.leaseAlarm, v.allocatorAlarm, v.quotaRequests = newAlarm(v.onLeaseAlarm), newAlarm(v.onAllocatorAlarm), map[uint64]chan budget.Response{}
 	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
@@ -392,6 +393,6 @@
 // leader tells who leads, as far as is known here.
 func (v *Voter) leader() (name, address string) {
 	at, id := v.raft.LeaderWithID()
-	address, _ = splitRaftAddress(at)
+	address, _ = transport.SplitRaftAddress(at)
 	return string(id), address
 }
