--- a/internal/cluster/clock.go
+++ b/internal/cluster/clock.go
@@ -9,33 +9,36 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// bootTime reads the clock that leases are counted by: it goes on while the machine sleeps, which the one behind time.Now
-// doesn't, so a machine that wakes up knows that its leases are over.
+// leaseTimeUnit is the unit of lease.Time.
+const leaseTimeUnit = time.Millisecond / time.Duration(lease.Millisecond)
+
+// bootTime reads the clock that leases are counted by. Unlike the monotonic clock of time.Now it goes on while the machine
+// sleeps, so that after waking up the process knows that its leases have expired.
 func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has had it since 2.6.39; without a clock nothing may be held
+		panic(err) // Linux has it since 2.6.39, and no lease may be held without a clock
 	}
 	return faults.Clock(time.Duration(t.Nano()))
 }
 
+// now returns bootTime as a lease.Time.
 func now() lease.Time { return toLeaseTime(bootTime()) }
 
-const leaseTimeUnit = time.Millisecond / time.Duration(lease.Millisecond)
-
 func toLeaseTime(d time.Duration) lease.Time { return lease.Time(d / leaseTimeUnit) }
 
 func toDuration(t lease.Time) time.Duration { return time.Duration(t) * leaseTimeUnit }
 
-// alarm calls once, at or after the latest time set. The timer's clock stands still in suspension; whoever is called
-// looks at the other one.
+// alarm calls a function once, at or after the latest time set. Its timer stands still while the machine sleeps, so the
+// function has to read the clock itself.
 type alarm struct{ timer *time.Timer }
 
-func newAlarm(ring func()) alarm {
-	t := time.AfterFunc(time.Hour, ring)
-	t.Stop()
-	return alarm{t}
+// newAlarm returns an alarm that isn't set.
+func newAlarm(f func()) alarm {
+	timer := time.AfterFunc(time.Hour, f)
+	timer.Stop()
+	return alarm{timer: timer}
 }
 
-// set asks to be called at that time, in place of any earlier wish.
+// set replaces the time of the alarm.
 func (a alarm) set(at lease.Time) { a.timer.Reset(max(0, toDuration(at-now())) + leaseTimeUnit) }
--- a/internal/cluster/faulttest_task_off.go
+++ b/internal/cluster/faulttest_task_off.go
@@ -4,5 +4,5 @@
 
 import "context"
 
-// faultTestTask is the rig's task, which no release has.
-func (f *Member) faultTestTask() func(context.Context, *HeldLease) bool { return nil }
+// faultTestTask returns nil: only the fault test's build has its task.
+func (m *Member) faultTestTask() func(context.Context, *HeldLease) bool { return nil }
--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
 	"github.com/thistlerudder/thistlerudder/budget"
@@ -21,130 +22,177 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// What the rig tells its task.
+// The environment variables by which the fault test configures its task.
 const (
-	DoorVariable   = "THISTLERUDDER_TRIAL_DOOR"   // the address of a door outside the fleet
-	RecordVariable = "THISTLERUDDER_TRIAL_RECORD" // the file of this process's own
+	DoorVariable   = "THISTLERUDDER_TRIAL_DOOR"   // address of a resource outside the cluster that checks fencing tokens
+	RecordVariable = "THISTLERUDDER_TRIAL_RECORD" // file that this process appends its events to
 )
 
 const (
-	actLeast  = 3 * time.Millisecond
-	actSpread = 12 * time.Millisecond
-	actSlack  = 15 * time.Millisecond // for a scheduler that is late with the end of an act
-	restSpan  = 8 * time.Millisecond
-	lateLook  = 10 * time.Millisecond
-	lateLeast = 30 * time.Millisecond
+	minActDuration    = 3 * time.Millisecond
+	actDurationSpread = 12 * time.Millisecond
+	actMarginForDelay = 15 * time.Millisecond // for a scheduler that is late with the end of an act
+	effectInterval    = 8 * time.Millisecond
+	actInterval       = effectInterval / 4
+	effectRetryDelay  = 10 * effectInterval
+	delayCheckPeriod  = 10 * time.Millisecond
+	minReportedDelay  = 30 * time.Millisecond
 )
 
-// Trace lets each asking of this process be told before it is sent, and its answer to what asked gives back; and each
-// answer about budgets. It is called before the first node of the process starts.
-func Trace(asked func(lease.Request) func(lease.Response, error), parts func(node string, news []budget.QuotaUpdate)) {
-	traceRequest, traceQuotas = asked, parts
+// Trace sets functions that see the lease and quota traffic of this process: request is called before each lease request is
+// sent, and what it returns with the response; quotas is called with each response to a quota request. Trace is called before
+// the first node of the process starts.
+func Trace(request func(lease.Request) func(lease.Response, error), quotas func(node string, updates []budget.QuotaUpdate)) {
+	traceRequest = request
+	traceQuotas = quotas
 }
 
-// record writes what this process does, by the machine's one clock, whatever our own is made to show.
-type record struct {
+// event is a line of the record that the fault test judges. Its keys are those that internal/faulttest reads.
+type event struct {
+	What    string `json:"what"`
+	Who     string `json:"who"`
+	PID     int    `json:"pid"`
+	At      int64  `json:"at,omitempty"` // boot time in ns, as are From, Call and Return
+	From    int64  `json:"from,omitempty"`
+	Token   uint64 `json:"token,omitempty"`
+	Kind    string `json:"kind,omitempty"` // operation of a lease request
+	Holder  string `json:"holder,omitempty"`
+	Asked   uint64 `json:"asked,omitempty"` // token of a lease request
+	Call    int64  `json:"call,omitempty"`
+	Return  int64  `json:"return,omitempty"`
+	Refusal string `json:"refusal,omitempty"`
+	Unknown bool   `json:"unknown,omitempty"`
+	DelayNs int64  `json:"ns,omitempty"`
+}
+
+// recorder writes the events of this process, timed by the machine's one clock whatever faults.Clock shows.
+type recorder struct {
 	mu   sync.Mutex
 	file *os.File
-	who  string
+	node string
 }
 
-func trueBoot() int64 {
+// trueBootTime reads the boot clock without faults, in ns.
+func trueBootTime() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return t.Nano()
 }
 
-func (r *record) write(x map[string]any) {
-	x["who"], x["pid"] = r.who, os.Getpid()
-	b, _ := json.Marshal(x)
+func (r *recorder) write(e event) {
+	e.Who = r.node
+	e.PID = os.Getpid()
+	line, _ := json.Marshal(e)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, _ = r.file.Write(append(b, '\n'))
+	_, _ = r.file.Write(append(line, '\n'))
+}
+
+// traceRequest records a lease request of the task and its response.
+func (r *recorder) traceRequest(request lease.Request) func(lease.Response, error) {
+	call := trueBootTime()
+	return func(response lease.Response, err error) {
+		if request.Name != config.TaskFaultTest {
+			return
+		}
+		r.write(event{
+			What:    "ask",
+			Kind:    request.Operation,
+			Holder:  request.Holder.String(),
+			Asked:   request.Token,
+			Call:    call,
+			Return:  trueBootTime(),
+			Token:   response.Token,
+			Refusal: toWireError(response.Err).Name,
+			Unknown: err != nil,
+		})
+	}
+}
+
+// recordDelays records when this process did not run for want of processor cores, or was suspended.
+func (r *recorder) recordDelays() {
+	for {
+		before := trueBootTime()
+		time.Sleep(delayCheckPeriod)
+		if delay := trueBootTime() - before - int64(delayCheckPeriod); delay > int64(minReportedDelay) {
+			r.write(event{What: "late", At: trueBootTime(), DelayNs: delay})
+		}
+	}
 }
 
-// faultTestTask acts while it holds the lease: at the door inside the fleet, at one outside, and where no door is.
-func (f *Member) faultTestTask() func(context.Context, *HeldLease) bool {
+// faultTestTask returns the fault test's task. While it holds the lease it sets an effect in the replicated state, and acts on
+// resources outside: one that checks fencing tokens, and one that doesn't.
+func (m *Member) faultTestTask() func(context.Context, *HeldLease) bool {
 	file, err := os.OpenFile(os.Getenv(RecordVariable), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		f.log.Sugar().Error(err)
+		m.log.Error("fault test record not opened", zap.Error(err))
 		return nil
 	}
-	r := &record{file: file, who: f.config.Node}
-	traceRequest = func(a lease.Request) func(lease.Response, error) {
-		call := trueBoot()
-		return func(x lease.Response, err error) {
-			if a.Name != config.TaskFaultTest {
-				return
-			}
-			r.write(map[string]any{"what": "ask", "kind": a.Operation, "holder": a.Holder.String(), "asked": a.Token, "call": call,
-				"return": trueBoot(), "token": x.Token, "refusal": toWireError(x.Err).Name, "unknown": err != nil})
-		}
-	}
-	go r.lateness()
-	return func(ctx context.Context, g *HeldLease) bool {
-		r.write(map[string]any{"what": "held", "at": trueBoot(), "token": g.Token()})
+	r := &recorder{file: file, node: m.config.Node}
+	traceRequest = r.traceRequest
+	go r.recordDelays()
+	return func(ctx context.Context, held *HeldLease) bool {
+		r.write(event{What: "held", At: trueBootTime(), Token: held.Token()})
 		over := make(chan struct{})
-		var inside sync.WaitGroup
-		inside.Go(func() { // beside the others: an act inside the fleet waits for an answer, which may never come
-			for {
-				select {
-				case <-over:
-					return
-				case <-time.After(restSpan):
-					if g.Do(config.TaskFaultTest, uint64(trueBoot()), nil) != nil {
-						time.Sleep(10 * restSpan)
-					}
-				}
-			}
-		})
+		var effects sync.WaitGroup
+		effects.Go(func() { setEffects(held, over) }) // beside the acts, since a response may never come
 		acts := 10 + rand.IntN(40)
 		if rand.IntN(2) == 0 {
-			acts *= 20 // kept until it is lost
+			acts *= 20 // holds the lease until it is lost
 		}
 		for i := range acts {
 			if ctx.Err() != nil {
 				break
 			}
-			f.act(r, g, i)
-			time.Sleep(restSpan / 4)
+			r.act(held, i)
+			time.Sleep(actInterval)
 		}
 		close(over)
-		inside.Wait()
-		r.write(map[string]any{"what": "over", "at": trueBoot(), "token": g.Token()})
+		effects.Wait()
+		r.write(event{What: "over", At: trueBootTime(), Token: held.Token()})
 		return true
 	}
 }
 
-// lateness notes when this process did not run for want of cores, or was made to stand still.
-func (r *record) lateness() {
+// setEffects sets the task's effect again and again until over is closed.
+func setEffects(held *HeldLease, over <-chan struct{}) {
 	for {
-		was := trueBoot()
-		time.Sleep(lateLook)
-		if late := trueBoot() - was - int64(lateLook); late > int64(lateLeast) {
-			r.write(map[string]any{"what": "late", "at": trueBoot(), "ns": late})
+		select {
+		case <-over:
+			return
+		case <-time.After(effectInterval):
+			if held.Do(config.TaskFaultTest, uint64(trueBootTime()), nil) != nil {
+				time.Sleep(effectRetryDelay)
+			}
 		}
 	}
 }
 
-func (f *Member) act(r *record, g *HeldLease, i int) {
-	takes := actLeast + time.Duration(rand.Int64N(int64(actSpread)))
-	if !g.May(takes + actSlack) {
+// act makes the i-th act: each fourth on the resource that checks fencing tokens, the others on the one that doesn't.
+func (r *recorder) act(held *HeldLease, i int) {
+	duration := minActDuration + time.Duration(rand.Int64N(int64(actDurationSpread)))
+	if !held.May(duration + actMarginForDelay) {
 		return
 	}
 	faults.Point(faults.BeforeAct)
 	if i%4 == 0 {
-		resp, err := http.Post(fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(DoorVariable), g.Token(), r.who), "", nil)
-		if err == nil {
-			_, _ = io.Copy(io.Discard, resp.Body)
-			_ = resp.Body.Close()
-		}
+		r.actAtDoor(held)
 		return
 	}
-	from := trueBoot()
-	r.write(map[string]any{"what": "begin", "at": from, "token": g.Token()})
-	time.Sleep(takes / 2)
+	from := trueBootTime()
+	r.write(event{What: "begin", At: from, Token: held.Token()})
+	time.Sleep(duration / 2)
 	faults.Point(faults.InAct)
-	time.Sleep(takes / 2)
-	r.write(map[string]any{"what": "end", "at": trueBoot(), "token": g.Token(), "from": from})
+	time.Sleep(duration / 2)
+	r.write(event{What: "end", At: trueBootTime(), Token: held.Token(), From: from})
+}
+
+func (r *recorder) actAtDoor(held *HeldLease) {
+	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(DoorVariable), held.Token(), r.node)
+	response, err := http.Post(url, "", nil)
+	if err != nil {
+		return
+	}
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
 }
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -9,191 +9,190 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/budget"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// ErrOutcomeUnknown says that nobody knows whether an act was done.
-var ErrOutcomeUnknown = errors.New("no answer: the act may have been done")
+// ErrOutcomeUnknown says that an effect may or may not have been applied.
+var ErrOutcomeUnknown = errors.New("no response: the effect may have been applied")
 
-// HeldLease is a lease that is held, or was.
+// HeldLease is a lease that this process holds, or has held. It is safe for concurrent use.
 type HeldLease struct {
 	client *Client
 	name   string
 	holder lease.Holder
-	ctx    context.Context // ends when it is lost
+	ctx    context.Context // ends when the lease is lost or released
+	cancel context.CancelFunc
 
 	mu              sync.Mutex
 	claimant        *lease.Claimant
 	alarm           alarm
 	token           uint64
-	acquired        chan struct{} // closed when it is held first
-	cancel          context.CancelFunc
+	acquired        chan struct{} // closed when the lease is first held
 	released        chan struct{} // closed when the release was answered
 	dropped         bool
-	warnedDuplicate bool // that another has our name
+	warnedDuplicate bool // the log has that another process has this node's name
 }
 
-// acquire asks for a name until it is dropped.
+// acquire requests a lease until it is released.
 func (c *Client) acquire(ctx context.Context, name string) *HeldLease {
-	g := &HeldLease{client: c, name: name, acquired: make(chan struct{}), released: make(chan struct{}),
-		holder: lease.Holder{Name: c.config.Node, Process: os.Getpid(), Start: c.nextStart()}}
-	g.ctx, g.cancel = context.WithCancel(ctx)
-	g.alarm = newAlarm(g.onAlarm)
-	short := lease.HolderDuration(toLeaseTime(c.config.Lease), c.config.MaxDrift)
+	holder := lease.Holder{Name: c.config.Node, Process: os.Getpid(), Start: c.nextStart()}
+	h := &HeldLease{
+		client:   c,
+		name:     name,
+		holder:   holder,
+		acquired: make(chan struct{}),
+		released: make(chan struct{}),
+	}
+	h.ctx, h.cancel = context.WithCancel(ctx)
+	h.alarm = newAlarm(h.onAlarm)
+	leaseDuration := toLeaseTime(c.config.Lease)
+	holderDuration := lease.HolderDuration(leaseDuration, c.config.MaxDrift)
 	if faults.Without(faults.DriftMargin) {
-		short = toLeaseTime(c.config.Lease)
+		holderDuration = leaseDuration
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.claimant = lease.NewClaimant((*claimantHost)(g), now(), name, g.holder, toLeaseTime(c.config.Lease), short, uint64(g.holder.Start))
-	return g
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.claimant = lease.NewClaimant((*claimantHost)(h), now(), name, holder, leaseDuration, holderDuration, uint64(holder.Start))
+	return h
 }
 
-func (g *HeldLease) onAlarm() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.dropped {
-		g.claimant.Alarm(now())
+func (h *HeldLease) onAlarm() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.dropped {
+		h.claimant.Alarm(now())
 	}
 }
 
-// claimantHost is what the claim acts through. Its methods run with the lock held.
+// claimantHost is the lease.ClaimantHost of a HeldLease. Its methods are called with the lock held.
 type claimantHost HeldLease
 
-func (g *claimantHost) SetAlarm(at lease.Time) { g.alarm.set(at) }
+func (h *claimantHost) SetAlarm(at lease.Time) { h.alarm.set(at) }
 
-func (g *claimantHost) Granted(token uint64) {
-	if g.token == 0 {
-		g.token = token
-		close(g.acquired)
+func (h *claimantHost) Granted(token uint64) {
+	if h.token == 0 {
+		h.token = token
+		close(h.acquired)
 	}
 }
 
-func (g *claimantHost) Lost(why error) {
-	g.cancel()
-	if why != nil {
-		g.client.log.Warn("a lease is lost", zap.String("lease", g.name), zap.Uint64("token", g.token), zap.Error(why))
+func (h *claimantHost) Lost(reason error) {
+	h.cancel()
+	if reason != nil {
+		h.client.log.Warn("a lease is lost", zap.String("lease", h.name), zap.Uint64("token", h.token), zap.Error(reason))
 	}
 }
 
-func (g *claimantHost) Send(a lease.Request) {
+func (h *claimantHost) Send(r lease.Request) {
 	sent := now()
 	go func() {
-		x, err := g.client.sendTraced(a)
+		response, err := h.client.sendTraced(r)
 		if faults.Without(faults.FromAnswer) {
 			sent = now()
 		}
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		if a.Operation == lease.OpRelease || a.Operation == lease.OpWithdraw {
-			close(g.released)
-			g.released = make(chan struct{})
-		}
-		if err != nil {
-			g.client.log.Debug("an asking came to nothing", zap.String("lease", g.name), zap.Error(err))
-			if g.claimant != nil {
-				g.claimant.HandleTimeout(now())
-			}
-			return
-		}
-		if g.claimant != nil {
-			g.claimant.HandleResponse(now(), sent, x)
-		}
-		if errors.Is(x.Err, lease.ErrStillHeld) && g.name == nodeLease(g.client.config.Node) && !g.warnedDuplicate {
-			g.warnedDuplicate = true
-			g.client.log.Warn("name: another process has our name in the fleet; until its lease ends this one takes no part",
-				zap.Stringer("who", x.Holder))
-		}
+		(*HeldLease)(h).handleOutcome(r, sent, response, err)
 	}()
 }
 
-// traceRequest is told of each asking of this process before it is sent, and what it gives back of its answer; only the rig's
-// build sets it.
-var traceRequest func(a lease.Request) func(x lease.Response, err error)
-
-// traceQuotas is told of each answer about budgets; only the rig's build sets it.
-var traceQuotas func(node string, news []budget.QuotaUpdate)
-
-func (c *Client) sendTraced(a lease.Request) (x lease.Response, err error) {
-	if traceRequest != nil {
-		told := traceRequest(a)
-		defer func() { told(x, err) }()
+// handleOutcome hands the outcome of a request to the claimant.
+func (h *HeldLease) handleOutcome(r lease.Request, sent lease.Time, response lease.Response, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if r.Operation == lease.OpRelease || r.Operation == lease.OpWithdraw {
+		close(h.released)
+		h.released = make(chan struct{})
+	}
+	if err != nil {
+		h.client.log.Debug("lease request failed", zap.String("lease", h.name), zap.Error(err))
+		if h.claimant != nil {
+			h.claimant.HandleTimeout(now())
+		}
+		return
+	}
+	if h.claimant != nil {
+		h.claimant.HandleResponse(now(), sent, response)
+	}
+	if errors.Is(response.Err, lease.ErrStillHeld) && h.name == nodeLease(h.client.config.Node) && !h.warnedDuplicate {
+		h.warnedDuplicate = true
+		h.client.log.Warn("another process holds the lease of this node's name, waiting for it", zap.Stringer("holder", response.Holder))
 	}
-	return c.send(a)
 }
 
-// release gives it up, and waits until that was heard or a call's time is over.
-func (g *HeldLease) release() {
-	g.mu.Lock()
-	freed := g.released
-	g.dropped = true
-	g.claimant.Release(now())
-	g.mu.Unlock()
+// release releases the lease, and waits for the response for as long as a call may take.
+func (h *HeldLease) release() {
+	h.mu.Lock()
+	released := h.released
+	h.dropped = true
+	h.claimant.Release(now())
+	h.mu.Unlock()
 	select {
-	case <-freed:
-	case <-time.After(g.client.callTimeout()):
+	case <-released:
+	case <-time.After(h.client.callTimeout()):
 	}
-	g.cancel()
+	h.cancel()
 }
 
-// May says whether an act that takes so long may begin now. What it says is old at once: the process may stand still
-// before the act, so the act carries the token to a door that refuses what is old, or is bounded by the time told here.
-func (g *HeldLease) May(takes time.Duration) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	_, may := g.claimant.MayAct(now(), toLeaseTime(takes))
-	return may && g.ctx.Err() == nil // once lost it stays so, whatever the claim comes to
+// May reports whether an act that takes a duration may begin now. The process may be suspended between this check and the
+// act: so the act either carries the token to a resource that refuses an old one, or is bounded by the duration given here.
+func (h *HeldLease) May(duration time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	_, may := h.claimant.MayAct(now(), toLeaseTime(duration))
+	return may && h.ctx.Err() == nil // a lost lease stays lost here, though the claimant may acquire it again
 }
 
-// Remaining gives how long it is held for sure.
-func (g *HeldLease) Remaining() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return max(0, toDuration(g.claimant.Expiry()-now()))
-}
+// Remaining returns for how long the lease is certainly held.
+func (h *HeldLease) Remaining() time.Duration { return max(0, toDuration(h.End()-now())) }
 
-// End gives until when it is held, by our clock.
-func (g *HeldLease) End() lease.Time {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.claimant.Expiry()
+// End returns until when the lease is held, by this process's clock.
+func (h *HeldLease) End() lease.Time {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.claimant.Expiry()
 }
 
-// Token is of this holding; tokens only grow.
-func (g *HeldLease) Token() uint64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.token
+// Token returns the fencing token. Later grants, of whatever lease, have higher ones.
+func (h *HeldLease) Token() uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.token
 }
 
-// Do acts on a fact of the fleet, which refuses an old token, and a number that isn't above the fact's last.
-func (g *HeldLease) Do(fact string, number uint64, value []byte) error {
-	if !g.May(0) {
+// Do applies an effect to the cluster's replicated state, which refuses an old token, and a number that isn't above the
+// effect's last one. Its error is ErrOutcomeUnknown if there was no response.
+func (h *HeldLease) Do(effect string, number uint64, value []byte) error {
+	if !h.May(0) {
 		return lease.ErrLeaseExpired
 	}
 	faults.Point(faults.BeforeAct)
-	a := lease.Request{Operation: lease.OpEffect, Name: g.name, Holder: g.holder, Token: g.Token(), Effect: fact, Number: number, Value: value}
-	x, err := g.client.sendTraced(a)
-	if err != nil || errors.Is(x.Err, lease.ErrNotLeader) {
+	response, err := h.client.sendTraced(lease.Request{
+		Operation: lease.OpEffect,
+		Name:      h.name,
+		Holder:    h.holder,
+		Token:     h.Token(),
+		Effect:    effect,
+		Number:    number,
+		Value:     value,
+	})
+	if err != nil || errors.Is(response.Err, lease.ErrNotLeader) {
 		return errors.Join(ErrOutcomeUnknown, err)
 	}
-	return x.Err
+	return response.Err
 }
 
-// Hold claims a name until the context ends, and runs f each time it is held; f's context ends with the holding. What f
-// leaves is given back, and claimed again if f says so.
+// Hold acquires a lease, again and again until the context ends, and runs f each time it is held. f's context ends when the
+// lease is lost. When f returns the lease is released, and acquired again if f returns true.
 func (c *Client) Hold(ctx context.Context, name string, f func(context.Context, *HeldLease) (again bool)) {
 	for ctx.Err() == nil {
-		g := c.acquire(ctx, name)
+		held := c.acquire(ctx, name)
 		again := true
 		select {
-		case <-g.acquired:
-			again = f(g.ctx, g)
+		case <-held.acquired:
+			again = f(held.ctx, held)
 		case <-ctx.Done():
 		}
-		g.release()
+		held.release()
 		if !again {
 			return
 		}
--- /dev/null
+++ b/internal/cluster/leadership.go
@@ -0,0 +1,94 @@
+package cluster
+
+import (
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/faults"
+	"github.com/thistlerudder/thistlerudder/lease"
+)
+
+// newTermRetryInterval is the time between two attempts to begin a term while the cluster isn't founded.
+const newTermRetryInterval = 100 * time.Millisecond
+
+var errUnknownResult = errors.New("the consensus library returned a result of an unknown type")
+
+// followLeadership promotes and demotes this voter as the library gains and loses the leadership.
+func (v *Voter) followLeadership(leadership <-chan bool) {
+	for {
+		select {
+		case <-v.stop:
+			return
+		case leads := <-leadership:
+			v.changeLeadership(leads)
+		}
+	}
+}
+
+func (v *Voter) changeLeadership(leads bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if !leads && faults.Without(faults.Confirmation) {
+		return // as if it hadn't noticed
+	}
+	v.leaderChanges++
+	v.leases.Demote()
+	v.allocator.Demote()
+	if leads {
+		go v.beginTerm(v.leaderChanges)
+	}
+}
+
+// beginTerm commits the entry that begins a term. Once it is applied, this voter has applied all entries of earlier leaders.
+// It retries while the cluster isn't founded.
+func (v *Voter) beginTerm(leaderChange uint64) {
+	for {
+		result, err := v.propose(lease.Entry{Kind: lease.KindNewTerm, Name: v.config.Node})
+		if v.promote(leaderChange, result, err) || err != nil {
+			return
+		}
+		select {
+		case <-time.After(newTermRetryInterval):
+		case <-v.stop:
+			return
+		}
+	}
+}
+
+// promote makes this voter the leader of a new term, if that was begun. It returns false if beginning it may be retried.
+func (v *Voter) promote(leaderChange uint64, result lease.Result, err error) (done bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.leaderChanges != leaderChange || v.endReason != nil {
+		return true
+	}
+	if err != nil || result.Err != nil {
+		return false
+	}
+	v.leases.Promote(now(), result.Term)
+	v.allocator.Promote(now(), result.Term)
+	v.probes = lease.NewProbeScheduler()
+	v.log.Info("leading the cluster", zap.Uint64("term", result.Term))
+	return true
+}
+
+// propose appends an entry to the log and waits for its result. An error means that the entry may still be applied, and that
+// the term is over: the lease manager and the allocator then wait for the next term, so no other failure may be returned as an
+// error. An entry that the library is too busy to take waits without a timeout, since nobody would propose it again.
+func (v *Voter) propose(e lease.Entry) (lease.Result, error) {
+	encoded, err := e.Encode()
+	if err != nil {
+		return lease.Result{}, err
+	}
+	future := v.raft.Apply(encoded, 0)
+	if err := future.Error(); err != nil {
+		return lease.Result{}, err
+	}
+	result, ok := future.Response().(lease.Result)
+	if !ok {
+		return lease.Result{}, errUnknownResult
+	}
+	return result, nil
+}
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -1,5 +1,9 @@
-// Package cluster joins a node to the others of its fleet: the voters' agreement, by a library, on the state of package
-// lease; the service that its leader gives; and the claims of this process. No lookup waits for any of it.
+// Package cluster makes a node a member of its cluster. The voters among the nodes replicate the state of package lease by a
+// consensus library; their leader serves lease requests, quota requests and probe schedules; and each node acquires leases, of
+// its own name and of the tasks that run on one node at a time. No request of a client waits for any of it.
+//
+// Member is this node's membership and Voter its voter, if it has one. Client is used by members and by operators' commands.
+// Package transport has the connections between nodes.
 package cluster
 
 import (
@@ -18,128 +22,148 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// idleDivisor gives the idle time after which a node's connection may be evicted: a ninth of a lease, a third of the period of
-// renewals. A connection in use is idle for longer only between two renewals.
-const idleDivisor = 9
+const (
+	// listenRetryInterval is the time between two attempts to listen on an address that another process still has.
+	listenRetryInterval = 50 * time.Millisecond
 
-const listenRetryInterval = 50 * time.Millisecond // until the process whose place we take has let the address go
+	// idleDivisor gives the idle time after which a node's connection may be evicted: a ninth of a lease, a third of the
+	// period of renewals. A connection in use is idle for longer only between two renewals.
+	idleDivisor = 9
+)
 
-// LocalNode is what the fleet's tasks need of their node.
+// LocalNode is what the cluster needs of the node that it runs in. Its methods may be called concurrently.
 type LocalNode interface {
-	// Metrics gives totals by name.
+	// Metrics returns the node's totals by name.
 	Metrics() map[string]int64
-	// EjectedEndpoints gives the addresses of servers that rest after failures, by id.
+	// EjectedEndpoints returns the addresses of the servers that are ejected after failures, by id.
 	EjectedEndpoints() map[string]string
-	// ProbeResult tells how the fleet's trial of one went, and within which time of the next one.
-	ProbeResult(id, address string, well bool, next time.Duration)
-	// SetQuota tells how much of a budget of the fleet is ours: acts may begin for so long, and then what p says for after that;
-	// of a number at a time they have to be over takes later. It gives what was asked since the last time.
-	SetQuota(of routing.Limit, partner string, p allowance.Quota, left, takes time.Duration) allowance.Usage
+	// ProbeResult reports the result of the cluster's last probe of a server, and within which time the next one follows.
+	ProbeResult(id, address string, healthy bool, next time.Duration)
+	// SetQuota sets this node's quota of a budget. Requests may begin under it for a duration, and then under what quota says
+	// for the time after; those of a concurrency limit have to end within margin after the duration. It returns the usage
+	// since the last call.
+	SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, duration, margin time.Duration) allowance.Usage
 }
 
-// Member is this process's part in its fleet.
+// Member is this process's membership in its cluster. It is safe for concurrent use.
 type Member struct {
-	config   *config.Cluster
-	log      *zap.Logger
-	node     LocalNode
-	client   *Client
-	identity voterIdentity
+	config             *config.Cluster
+	log                *zap.Logger
+	node               LocalNode
+	client             *Client
+	maxRequestDuration time.Duration
+	maxPeerConnections int
 
 	mu            sync.Mutex
-	currentVoter  *Voter
-	voterError    error
-	quotas        *nodeQuotas                   // nil: our name is not held, or there are no budgets
-	agreedConfigs map[string]lease.BudgetConfig // of budgets, as last told
-	bursts        map[string]float64            // for the rig, where a safeguard is out
+	identity      voterIdentity
+	currentVoter  *Voter                        // nil: this node has no voter
+	voterError    error                         // why the voter could not be started
+	quotas        *nodeQuotas                   // nil: the lease of this node's name is not held, or there are no budgets
+	agreedConfigs map[string]lease.BudgetConfig // of budgets, as the cluster last reported them
+	bursts        map[string]float64            // for the fault test, where a safeguard is removed
 	leaving       bool
 
-	maxRequestDuration time.Duration // that a lookup goes on
-	maxPeerConnections int           // connections from fellows at once
-
 	listener *transport.Listener
 	tasks    sync.WaitGroup
-	ended    chan struct{}
 	stop     context.CancelFunc
+	ended    chan struct{} // closed when the member has left
 }
 
-// Start joins the fleet in the background, and goes on trying. One address is one node's: while another process has it,
-// as the one whose place we take, it is that one which takes part.
-// No lookup goes on for longer than longest; fellows may hold so many connections to us at once.
-func Start(f *config.Cluster, own LocalNode, longest time.Duration, lines int, log *zap.Logger) *Member {
-	x := &Member{config: f, log: log, node: own, client: NewClient(f, log), ended: make(chan struct{}), maxRequestDuration: longest, maxPeerConnections: lines,
-		agreedConfigs: map[string]lease.BudgetConfig{}, bursts: map[string]float64{}}
-	x.applyReserved(false)
+// Start joins the cluster in the background, and retries until it has. The cluster address belongs to one process at a time:
+// while another has it, as the one that this process replaces, that one is the member. maxRequestDuration bounds how long a
+// request of a client may take, maxPeerConnections how many connections peers may have open to this node.
+func Start(c *config.Cluster, node LocalNode, maxRequestDuration time.Duration, maxPeerConnections int, log *zap.Logger) *Member {
 	ctx, stop := context.WithCancel(context.Background())
-	x.stop = stop
-	go x.run(ctx)
-	return x
+	m := &Member{
+		config:             c,
+		log:                log,
+		node:               node,
+		client:             NewClient(c, log),
+		maxRequestDuration: maxRequestDuration,
+		maxPeerConnections: maxPeerConnections,
+		agreedConfigs:      map[string]lease.BudgetConfig{},
+		bursts:             map[string]float64{},
+		stop:               stop,
+		ended:              make(chan struct{}),
+	}
+	m.applyReserved(false)
+	go m.run(ctx)
+	return m
 }
 
-// Close leaves the fleet: what is held is given back, a vote's place as leader too.
-func (f *Member) Close() {
-	f.mu.Lock()
-	f.leaving = true
-	f.mu.Unlock()
-	f.stop()
-	<-f.ended
+// Close leaves the cluster: it releases the leases, and a voter that leads hands over its leadership.
+func (m *Member) Close() {
+	m.mu.Lock()
+	m.leaving = true
+	m.mu.Unlock()
+	m.stop()
+	<-m.ended
 }
 
-func (f *Member) run(ctx context.Context) {
-	defer close(f.ended)
-	l := f.listen(ctx)
+func (m *Member) run(ctx context.Context) {
+	defer close(m.ended)
+	l := m.listen(ctx)
 	if l == nil {
-		f.releaseReserved()
+		m.releaseReserved()
 		return
 	}
-	f.applyReserved(true)
-	f.listener = transport.NewListener(l, transport.ListenerConfig{
-		Cluster:        f.config.Name,
-		MaxConnections: f.maxPeerConnections,
-		MinIdle:        f.config.Lease / idleDivisor,
-		HelloTimeout:   f.client.callTimeout(),
-		VoterID:        f.voterID,
-		ServeRPC:       f.serveConn,
+	m.applyReserved(true)
+	m.listener = transport.NewListener(l, transport.ListenerConfig{
+		Cluster:        m.config.Name,
+		MaxConnections: m.maxPeerConnections,
+		MinIdle:        m.config.Lease / idleDivisor,
+		HelloTimeout:   m.client.callTimeout(),
+		VoterID:        m.voterID,
+		ServeRPC:       m.serveConn,
 	})
-	if f.config.Folder != "" {
-		f.openVoter()
-		f.tasks.Go(func() { f.rejoin(ctx) })
+	if m.config.Folder != "" {
+		m.openVoter()
+		m.tasks.Go(func() { m.restartVoter(ctx) })
 	}
-	go f.listener.Serve()
-	f.log.Info("takes part in the fleet", zap.String("fleet", f.config.Name), zap.String("address", f.config.Address),
-		zap.String("voter", f.voterID()))
-	f.runTasks(ctx)
+	go m.listener.Serve()
+	m.log.Info("joined the cluster", zap.String("cluster", m.config.Name), zap.String("address", m.config.Address),
+		zap.String("voter", m.voterID()))
+	m.runTasks(ctx)
 	<-ctx.Done()
-	f.tasks.Wait()
-	f.releaseReserved()
-	if v := f.voter(); v != nil {
+	m.leave()
+}
+
+// leave ends the tasks, the reserved quotas, the voter and the connections, in this order.
+func (m *Member) leave() {
+	m.tasks.Wait()
+	m.releaseReserved()
+	if v := m.voter(); v != nil {
 		v.close()
 	}
-	f.client.Close()
-	f.listener.Close()
+	m.client.Close()
+	m.listener.Close()
 }
 
-// releaseReserved gives up what is apart before the address, which it goes with: what goes on has to end first.
-func (f *Member) releaseReserved() {
-	for end := time.Now().Add(f.maxRequestDuration + f.client.callTimeout()); f.applyReserved(false) > 0 && time.Now().Before(end); {
+// releaseReserved gives up the reserved quotas, which belong to whoever has the address, and waits until the requests in
+// flight under them have ended.
+func (m *Member) releaseReserved() {
+	end := time.Now().Add(m.maxRequestDuration + m.client.callTimeout())
+	for m.applyReserved(false) > 0 && time.Now().Before(end) {
 		time.Sleep(idlePollInterval)
 	}
 }
 
-// listen takes the address, as soon as it is free.
-func (f *Member) listen(ctx context.Context) net.Listener {
-	waits, come := context.WithCancel(ctx)
-	var borrowing sync.WaitGroup
-	defer borrowing.Wait()
-	defer come()
-	for told := false; ; {
-		l, err := net.Listen("tcp", f.config.Address)
+// listen listens on the cluster address as soon as it is free; nil: the context has ended first. Until then this process
+// borrows quotas from the one that has the address.
+func (m *Member) listen(ctx context.Context) net.Listener {
+	borrowing, stopBorrowing := context.WithCancel(ctx)
+	var borrower sync.WaitGroup
+	defer borrower.Wait()
+	defer stopBorrowing()
+	for warned := false; ; {
+		l, err := net.Listen("tcp", m.config.Address)
 		if err == nil {
 			return l
 		}
-		if !told {
-			told = true
-			f.log.Warn("fleet.address is not free: until it is, this process takes no part in the fleet", zap.Error(err))
-			borrowing.Go(func() { f.borrow(waits) })
+		if !warned {
+			warned = true
+			m.log.Warn("fleet.address is in use, waiting for it", zap.Error(err))
+			borrower.Go(func() { m.borrowQuotas(borrowing) })
 		}
 		select {
 		case <-ctx.Done():
@@ -149,65 +173,78 @@
 	}
 }
 
-// openVoter takes part in the agreement, if the folder lets us. A node whose folder can't be used goes on asking.
-func (f *Member) openVoter() {
-	p, err := openIdentity(f.config.Folder, f.config.Name, f.config.Node)
-	var v *Voter
-	if err == nil {
-		f.mu.Lock()
-		f.identity = p
-		f.mu.Unlock()
-		l := transport.NewStreamLayer(f.listener, transport.Dialer{Cluster: f.config.Name, Node: f.config.Node, Routes: f.config.Routes},
-			transport.RaftAddress(p.ID, f.config.Address))
-		v, err = startVoter(f.config, p, l, f.log.Named("voter"))
+// openVoter starts the voter. A node whose folder can't be used goes on without one.
+func (m *Member) openVoter() {
+	v, err := m.newVoter()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.currentVoter = v
+	m.voterError = err
+	if err != nil {
+		m.identity = voterIdentity{}
+		m.log.Error("voter not started, the node goes on without it", zap.Error(err))
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.currentVoter, f.voterError = v, err
+}
+
+func (m *Member) newVoter() (*Voter, error) {
+	identity, err := openIdentity(m.config.Folder, m.config.Name, m.config.Node)
 	if err != nil {
-		f.identity = voterIdentity{}
-		f.log.Error("no voter, the node serves on and only asks", zap.Error(err))
+		return nil, err
 	}
+	m.mu.Lock()
+	m.identity = identity
+	m.mu.Unlock()
+	dialer := transport.Dialer{Cluster: m.config.Name, Node: m.config.Node, Routes: m.config.Routes}
+	layer := transport.NewStreamLayer(m.listener, dialer, transport.RaftAddress(identity.ID, m.config.Address))
+	return startVoter(m.config, identity, layer, m.log.Named("voter"))
+}
+
+// voterID returns the id of this node's voter; empty: it has none.
+func (m *Member) voterID() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.identity.ID
 }
 
-// voterID tells our vote's, empty: none.
-func (f *Member) voterID() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.identity.ID
+// voter returns this node's voter; nil: it has none.
+func (m *Member) voter() *Voter {
+	v, _ := m.voterOrError()
+	return v
 }
 
-func (f *Member) voter() *Voter {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.currentVoter
+// voterOrError returns this node's voter, or why it could not be started; both may be nil.
+func (m *Member) voterOrError() (*Voter, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.currentVoter, m.voterError
 }
 
-// nodeLease is the lease of a node's own name: two nodes under one name can't both have it.
+// nodeLease returns the lease of a node's name: two nodes with one name can't both hold it.
 func nodeLease(node string) string { return "node/" + node }
 
-// runTasks claims the node's own name, and with it the tasks.
-func (f *Member) runTasks(ctx context.Context) {
-	if slices.Contains(f.config.Tasks, config.TaskProbe) {
-		f.tasks.Go(func() { f.reportEjections(ctx) })
+// runTasks acquires the lease of the node's name and, while it is held, those of the tasks.
+func (m *Member) runTasks(ctx context.Context) {
+	if slices.Contains(m.config.Tasks, config.TaskProbe) {
+		m.tasks.Go(func() { m.reportEjections(ctx) })
 	}
-	f.tasks.Go(func() {
-		f.client.Hold(ctx, nodeLease(f.config.Node), func(ctx context.Context, g *HeldLease) bool {
-			if err := g.Do(nodeLease(f.config.Node), g.Token(), []byte(f.config.Address)); err != nil {
-				f.log.Warn("the fleet was not told of our address", zap.Error(err))
-			}
-			var tasks sync.WaitGroup
-			if len(f.config.Budgets) > 0 {
-				tasks.Go(func() { f.holdQuotas(ctx, g) })
-			}
-			for _, name := range f.config.Tasks {
-				if run := f.task(name); run != nil {
-					tasks.Go(func() { f.client.Hold(ctx, name, run) })
-				}
-			}
-			<-ctx.Done()
-			tasks.Wait()
-			return true
-		})
-	})
+	m.tasks.Go(func() { m.client.Hold(ctx, nodeLease(m.config.Node), m.runAsNode) })
+}
+
+// runAsNode runs while the lease of the node's name is held.
+func (m *Member) runAsNode(ctx context.Context, held *HeldLease) bool {
+	if err := held.Do(nodeLease(m.config.Node), held.Token(), []byte(m.config.Address)); err != nil {
+		m.log.Warn("node address not published", zap.Error(err))
+	}
+	var tasks sync.WaitGroup
+	if len(m.config.Budgets) > 0 {
+		tasks.Go(func() { m.holdQuotas(ctx, held) })
+	}
+	for _, name := range m.config.Tasks {
+		if run := m.task(name); run != nil {
+			tasks.Go(func() { m.client.Hold(ctx, name, run) })
+		}
+	}
+	<-ctx.Done()
+	tasks.Wait()
+	return true
 }
--- /dev/null
+++ b/internal/cluster/node_quotas.go
@@ -0,0 +1,242 @@
+package cluster
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/internal/faults"
+	"github.com/thistlerudder/thistlerudder/lease"
+)
+
+const (
+	actMarginDivisor = 10 // the margin is at most a tenth of a lease: a connected node renews it long before that
+	idlePollInterval = 10 * time.Millisecond
+)
+
+// nodeQuotas is this node's part of the cluster's budgets, while it holds the lease of its name.
+type nodeQuotas struct {
+	member *Member
+	lease  *HeldLease
+
+	mu          sync.Mutex
+	client      *budget.QuotaClient
+	alarm       alarm
+	lastRequest uint64 // number of the latest request; responses to earlier ones are ignored
+	closed      bool
+}
+
+// holdQuotas takes part in the allocation of the budgets while the lease of this node's name is held. When the node leaves, it
+// returns the quotas once the requests under them have ended.
+func (m *Member) holdQuotas(ctx context.Context, held *HeldLease) {
+	q := m.openQuotas(held)
+	<-ctx.Done()
+	if held.Remaining() > 0 { // the node leaves, and the quotas are still its own
+		q.drain(m.maxRequestDuration + m.client.callTimeout())
+	}
+	q.mu.Lock()
+	q.closed = true
+	q.mu.Unlock()
+	m.mu.Lock()
+	m.quotas = nil
+	leaving := m.leaving
+	m.mu.Unlock()
+	m.applyReserved(!leaving)
+}
+
+func (m *Member) openQuotas(held *HeldLease) *nodeQuotas {
+	configs := map[string]lease.BudgetConfig{}
+	for _, b := range m.config.Budgets {
+		configs[b.Name] = m.agreedConfig(b) // declared again to a cluster that has lost it, as one that was founded anew
+	}
+	q := &nodeQuotas{member: m, lease: held}
+	q.alarm = newAlarm(q.onAlarm)
+	q.mu.Lock()
+	q.client = budget.NewQuotaClient(q, now(), nodeLease(m.config.Node), held.Token(), m.config.Weight, configs, held.End(),
+		toLeaseTime(m.actMargin()))
+	q.mu.Unlock()
+	m.mu.Lock()
+	m.quotas = q
+	m.mu.Unlock()
+	return q
+}
+
+// drain begins nothing more under the quotas, and waits until the requests under them have ended, or for a timeout.
+func (q *nodeQuotas) drain(timeout time.Duration) {
+	q.mu.Lock()
+	q.client.Close(now())
+	q.mu.Unlock()
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(idlePollInterval) {
+		q.mu.Lock()
+		idle := q.client.Idle(now())
+		q.mu.Unlock()
+		if idle {
+			return
+		}
+	}
+}
+
+func (q *nodeQuotas) onAlarm() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if !q.closed {
+		q.client.ExtendLease(q.lease.End())
+		q.client.Alarm(now())
+	}
+}
+
+// nodeQuotas is the host of its budget.QuotaClient, which calls these methods with the lock held.
+
+// SetAlarm sets the time of the client's next alarm.
+func (q *nodeQuotas) SetAlarm(at lease.Time) { q.alarm.set(at) }
+
+// SetQuota applies a quota to this node until a time.
+func (q *nodeQuotas) SetQuota(name string, c lease.BudgetConfig, units, reserved int, until lease.Time) allowance.Usage {
+	return q.member.applyQuota(name, c, units, reserved, toDuration(until-now()), q.member.actMargin())
+}
+
+// Send sends a quota request to the leader.
+func (q *nodeQuotas) Send(r budget.Request) {
+	q.lastRequest++
+	number := q.lastRequest
+	go func() {
+		var reply QuotaResponse
+		err := q.member.client.callCurrentWithin("Fleet.Part", &r, &reply, toDuration(r.Wait)+q.member.client.callTimeout())
+		q.handleOutcome(number, reply, err)
+	}()
+}
+
+// handleOutcome hands the outcome of a request to the client.
+func (q *nodeQuotas) handleOutcome(number uint64, reply QuotaResponse, err error) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed || q.lastRequest != number {
+		return
+	}
+	q.client.ExtendLease(q.lease.End())
+	if err != nil {
+		q.member.log.Debug("quota request failed", zap.Error(err))
+		q.client.HandleTimeout(now())
+		return
+	}
+	if traceQuotas != nil {
+		traceQuotas(q.member.config.Node, reply.Updates)
+	}
+	for _, d := range q.client.HandleResponse(now(), budget.Response{Updates: reply.Updates, Err: reply.Error.toError()}) {
+		q.member.log.Warn("budget differs from the configuration, the cluster's is used", zap.String("budget", d.Name),
+			zap.Float64("configured_limit", d.Local.Limit()), zap.Float64("cluster_limit", d.Agreed.Limit()),
+			zap.Any("configured", d.Local), zap.Any("cluster", d.Agreed))
+	}
+	q.member.noteAgreedConfigs(reply.Updates)
+}
+
+func (m *Member) noteAgreedConfigs(updates []budget.QuotaUpdate) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, u := range updates {
+		m.agreedConfigs[u.Budget] = u.Config
+	}
+}
+
+// agreedConfig returns a budget's configuration as the cluster last reported it, or else as this node is configured.
+func (m *Member) agreedConfig(b config.Budget) lease.BudgetConfig {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if c, found := m.agreedConfigs[b.Name]; found {
+		return c
+	}
+	return b.BudgetConfig
+}
+
+// actMargin returns how long before the end of a quota of concurrency no more requests begin: those still in flight at the
+// end are cut off.
+func (m *Member) actMargin() time.Duration {
+	return min(m.maxRequestDuration, m.config.Lease/actMarginDivisor)
+}
+
+// applyReserved sets all budgets to what this node has without the cluster: its reserved units while it owns the cluster
+// address, else nothing. It returns how many requests are in flight.
+func (m *Member) applyReserved(ownsAddress bool) (inFlight int) {
+	for _, b := range m.config.Budgets {
+		c, reserved := m.agreedConfig(b), 0
+		if ownsAddress {
+			reserved = c.ReservedPerNode
+		}
+		inFlight += m.applyQuota(b.Name, c, reserved, reserved, 0, 0).InFlight
+	}
+	return inFlight
+}
+
+// applyQuota hands the quota of one budget to the node: units for a duration, and reserved units after that.
+func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, margin time.Duration) allowance.Usage {
+	at := slices.IndexFunc(m.config.Budgets, func(b config.Budget) bool { return b.Name == name })
+	if at < 0 {
+		return allowance.Usage{}
+	}
+	rate := 0.0
+	if c.Kind == lease.RateKind {
+		rate = c.RatePerUnit * (1 - m.config.MaxDrift) // this node's clock may be as much too fast
+	}
+	quota := allowance.Quota{
+		Concurrency: c.Kind == lease.ConcurrencyKind,
+		Rate:        rate * float64(units),
+		Burst:       float64(units),
+		ThenRate:    rate * float64(reserved),
+		ThenBurst:   float64(reserved),
+	}
+	if faults.Without(faults.BurstKept) && !quota.Concurrency {
+		m.mu.Lock()
+		m.bursts[name] = max(m.bursts[name], quota.Burst)
+		quota.Burst, quota.ThenBurst = m.bursts[name], m.bursts[name]
+		m.mu.Unlock()
+	}
+	b := m.config.Budgets[at]
+	return m.node.SetQuota(b.Bound, b.Partner, quota, duration, margin)
+}
+
+// addBudgetMetrics adds the metrics of the budgets as this node sees them.
+func (m *Member) addBudgetMetrics(all map[string]any) {
+	m.mu.Lock()
+	q := m.quotas
+	m.mu.Unlock()
+	if q == nil {
+		for _, b := range m.config.Budgets {
+			prefix := "budget." + b.Name
+			all[prefix+".whole"] = m.agreedConfig(b).Limit()
+			all[prefix+".part"] = 0
+			all[prefix+".end_ms"] = 0
+		}
+		return
+	}
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, s := range q.client.Status() {
+		limitOf := func(units int) float64 {
+			if s.Config.Kind == lease.ConcurrencyKind {
+				return float64(units)
+			}
+			return s.Config.RatePerUnit * float64(units)
+		}
+		for key, value := range map[string]any{
+			"whole":    s.Config.Limit(),
+			"given":    limitOf(s.Allocated),
+			"reserve":  limitOf(s.Reserve),
+			"free":     limitOf(max(0, s.Config.Allocatable()-s.Allocated)),
+			"apart":    limitOf(s.Config.ReservedPerNode),
+			"part":     limitOf(s.Units),
+			"wanted":   limitOf(s.Demand),
+			"out":      s.InFlight,
+			"used":     s.Used,
+			"end_ms":   max(0, toDuration(s.End-now()).Milliseconds()),
+			"revision": s.Config.Revision,
+		} {
+			all["budget."+s.Name+"."+key] = value
+		}
+	}
+}
--- /dev/null
+++ b/internal/cluster/state_machine.go
@@ -0,0 +1,75 @@
+package cluster
+
+import (
+	"errors"
+	"io"
+	"runtime"
+
+	"github.com/hashicorp/raft"
+
+	"github.com/thistlerudder/thistlerudder/internal/faults"
+	"github.com/thistlerudder/thistlerudder/lease"
+)
+
+// stateMachine is the replicated state of a voter as the consensus library drives it, a raft.FSM.
+type stateMachine struct{ *Voter }
+
+// Apply applies an entry and returns its lease.Result.
+func (m stateMachine) Apply(l *raft.Log) any {
+	e, err := lease.Decode(l.Data)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if faults.Without(faults.Door) && e.Kind == lease.KindEffect {
+		e.Token = m.state.Leases[e.Name].Token
+	}
+	result := lease.Result{Err: err}
+	if err == nil {
+		result = m.state.Apply(e)
+	}
+	if e.Kind == lease.KindRevoke || e.Kind == lease.KindSetBudget {
+		m.allocator.StateChanged(now())
+	}
+	m.entries++
+	close(m.changed)
+	m.changed = make(chan struct{})
+	return result
+}
+
+// Snapshot returns a snapshot of the state.
+func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	encoded, err := m.state.Snapshot()
+	return stateSnapshot(encoded), err
+}
+
+// Restore replaces the state by a snapshot's. The library ends the process over an error, so once the library has started this
+// ends the voter and the library's goroutine instead.
+func (m stateMachine) Restore(from io.ReadCloser) error {
+	defer from.Close()
+	encoded, err := io.ReadAll(from)
+	if err == nil {
+		m.mu.Lock()
+		err = m.state.Restore(encoded)
+		m.mu.Unlock()
+	}
+	if err != nil && m.started.Load() {
+		m.once.fail(err)
+		runtime.Goexit()
+	}
+	return err
+}
+
+// stateSnapshot is an encoded snapshot, a raft.FSMSnapshot.
+type stateSnapshot []byte
+
+// Persist writes the snapshot.
+func (s stateSnapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		return errors.Join(err, sink.Cancel())
+	}
+	return sink.Close()
+}
+
+// Release does nothing.
+func (s stateSnapshot) Release() {}
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -3,10 +3,8 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"net/rpc"
 	"path/filepath"
-	"runtime"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -24,142 +22,176 @@
 )
 
 const (
-	electionTimeoutDivisor = 10   // a tenth of a lease without a word from the leader, and another is chosen
-	snapshotThreshold      = 4096 // entries, some hundred bytes each
-	trailingLogs           = 1024 // entries kept behind a snapshot, for a voter that was away for a moment
-	newTermRetryInterval   = 100 * time.Millisecond
+	electionTimeoutDivisor = 10   // a tenth of a lease without contact to the leader, and voters elect another
+	snapshotThreshold      = 4096 // entries of some hundred bytes each
+	trailingLogs           = 1024 // entries kept after a snapshot, for a voter that was disconnected for a moment
+	snapshotInterval       = time.Minute
+	maxPooledConns         = 2                      // to each other voter
+	maxLeaderChanges       = 64                     // changes of leadership not handled yet; beyond, the library waits
 	shutdownTimeout        = 500 * time.Millisecond // for the library to end; a node has its own time to leave
-	maxQueuedLeaderChanges = 64                     // changes of leadership that may wait to be looked at; the library waits beyond
 )
 
-// Voter is this process's part in the agreement: the library, the state that it agrees on, and the leader's memory.
+// errNodeLeaves is the reason for which a voter ends together with its node.
+var errNodeLeaves = errors.New("the node leaves the cluster")
+
+// Voter is this process's voter: the consensus library, the replicated state, and the leader's memory.
 type Voter struct {
 	log         *zap.Logger
 	config      *config.Cluster
 	identity    voterIdentity
-	raft        *raft.Raft
-	logStore    *raftbolt.BoltStore
-	transport   *raft.NetworkTransport
 	dialer      transport.Dialer
-	callTimeout time.Duration // for a call and its answer
+	callTimeout time.Duration // for calls to other voters
 	peers       peerClients
 
+	raft      *raft.Raft
+	logStore  *raftbolt.BoltStore
+	transport *raft.NetworkTransport
+
 	mu             sync.Mutex
 	state          *lease.State
 	leases         *lease.Manager
 	probes         *lease.ProbeScheduler
 	allocator      *budget.Allocator
 	leaseAlarm     alarm
-	allocatorAlarm alarm // the divider's
-	quotaRequests  map[uint64]chan budget.Response
-	leaseRequests  map[uint64]chan lease.Response
+	allocatorAlarm alarm
+	leaseRequests  map[uint64]chan lease.Response  // pending, by id
+	quotaRequests  map[uint64]chan budget.Response // pending, by id
 	lastRequestID  uint64
-	leaderChanges  uint64 // changes of leadership so far
-	lastApplied    time.Duration
-	changed        chan struct{} // closed with the next entry
-	endReason      error
-	rounds         int // confirmed or not, since the start
-	entries        int
+	leaderChanges  uint64        // so far; tells whether an outcome belongs to the present leadership
+	changed        chan struct{} // closed when the next entry is applied
+	rounds         int           // quorum rounds, confirmed or not
+	entries        int           // applied
+	endReason      error         // nil: the voter has not ended
 
-	stop    chan struct{}
+	stop    chan struct{} // closed when the voter ends
 	built   chan struct{} // closed when the library has started, or has failed to
-	down    chan struct{} // closed when it has ended, and its folder is free unless something is stuck
+	down    chan struct{} // closed when the library has ended; its folder is free unless a goroutine is stuck
 	once    shutdownOnce
-	started atomic.Bool
+	started atomic.Bool // the library has started
 }
 
-// startVoter opens the folder and takes part. Whatever is wrong with the folder is told, and nothing in it is changed.
-func startVoter(f *config.Cluster, p voterIdentity, l *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
-	path := filepath.Join(f.Folder, logFile)
+// startVoter opens the folder and starts the consensus library. If the folder can't be used, it changes nothing in it.
+func startVoter(c *config.Cluster, identity voterIdentity, layer *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
+	path := filepath.Join(c.Folder, logFile)
 	if err := checkLog(path); err != nil {
 		return nil, err
 	}
-	v := &Voter{log: log, config: f, identity: p, state: lease.NewState(), probes: lease.NewProbeScheduler(), leaseRequests: map[uint64]chan lease.Response{},
-		changed: make(chan struct{}), stop: make(chan struct{}), built: make(chan struct{}), down: make(chan struct{}), dialer: l.Dialer(), callTimeout: callTimeoutFactor * f.MaxDelay,
-		peers: peerClients{conns: map[raft.ServerID]*rpc.Client{}}}
-	v.leaseAlarm, v.allocatorAlarm, v.quotaRequests = newAlarm(v.onLeaseAlarm), newAlarm(v.onAllocatorAlarm), map[uint64]chan budget.Response{}
-	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
-	v.once.end = v.shutDown
-	long := lease.GranterDuration(toLeaseTime(f.Lease), f.MaxDrift)
-	if faults.Without(faults.DriftMargin) {
-		long = toLeaseTime(f.Lease)
-	}
-	v.leases = lease.NewManager(leaseHost{v}, v.state, toLeaseTime(f.Lease), long)
-	logs, err := raftbolt.New(raftbolt.Options{Path: path, BoltOptions: nil})
+	v := newVoter(c, identity, layer.Dialer(), log)
+	var err error
+	v.logStore, err = raftbolt.New(raftbolt.Options{Path: path, BoltOptions: nil})
 	if err != nil {
 		return nil, fmt.Errorf("fleet.folder: %s: %w", path, err)
 	}
-	v.logStore = logs
-	quiet := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{log}, DisableTime: true})
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(f.Folder, retainedSnapshots, quiet)
+	raftLog := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{log}, DisableTime: true})
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, retainedSnapshots, raftLog)
 	if err != nil {
-		_ = logs.Close()
+		_ = v.logStore.Close()
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
-	silence := max(f.Lease/electionTimeoutDivisor, 2*f.MaxDelay)
-	v.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: l, MaxPool: 2,
-		Timeout: silence + 4*f.MaxDelay, Logger: quiet})
-	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(p.ID)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = silence, silence, silence*3/4
-	c.CommitTimeout = max(time.Millisecond, silence/20)
-	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = snapshotThreshold, trailingLogs, time.Minute
-	c.Logger, c.NoLegacyTelemetry = quiet, true
-	led := make(chan bool, maxQueuedLeaderChanges)
-	c.NotifyCh = led
-	s := raftStore{logs, f.Folder, v.once.fail, &firstWrite{}}
-	v.raft, err = newRaft(c, stateMachine{v}, s, snapshots, v.transport)
+	electionTimeout := max(c.Lease/electionTimeoutDivisor, 2*c.MaxDelay)
+	v.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream:  layer,
+		MaxPool: maxPooledConns,
+		Timeout: electionTimeout + 4*c.MaxDelay,
+		Logger:  raftLog,
+	})
+	leadership := make(chan bool, maxLeaderChanges)
+	raftConfig := newRaftConfig(identity, electionTimeout, leadership, raftLog)
+	store := raftStore{BoltStore: v.logStore, folder: c.Folder, onFailure: v.once.fail, first: &firstWrite{}}
+	v.raft, err = newRaft(raftConfig, stateMachine{v}, store, snapshots, v.transport)
 	v.started.Store(err == nil)
 	close(v.built)
 	if err != nil {
 		_ = v.transport.Close()
-		_ = logs.Close()
+		_ = v.logStore.Close()
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
-	go v.followLeadership(led)
+	go v.followLeadership(leadership)
 	return v, nil
 }
 
-// newRaft starts the library. It panics where its first write fails, and that is told as an error.
+// newVoter returns a voter without its library.
+func newVoter(c *config.Cluster, identity voterIdentity, dialer transport.Dialer, log *zap.Logger) *Voter {
+	v := &Voter{
+		log:           log,
+		config:        c,
+		identity:      identity,
+		dialer:        dialer,
+		callTimeout:   callTimeoutFactor * c.MaxDelay,
+		peers:         peerClients{conns: map[raft.ServerID]*rpc.Client{}},
+		state:         lease.NewState(),
+		probes:        lease.NewProbeScheduler(),
+		leaseRequests: map[uint64]chan lease.Response{},
+		quotaRequests: map[uint64]chan budget.Response{},
+		changed:       make(chan struct{}),
+		stop:          make(chan struct{}),
+		built:         make(chan struct{}),
+		down:          make(chan struct{}),
+	}
+	v.once.end = v.shutDown
+	v.leaseAlarm = newAlarm(v.onLeaseAlarm)
+	v.allocatorAlarm = newAlarm(v.onAllocatorAlarm)
+	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
+	leaseDuration := toLeaseTime(c.Lease)
+	grantDuration := lease.GranterDuration(leaseDuration, c.MaxDrift)
+	if faults.Without(faults.DriftMargin) {
+		grantDuration = leaseDuration
+	}
+	v.leases = lease.NewManager(leaseHost{v}, v.state, leaseDuration, grantDuration)
+	return v
+}
+
+func newRaftConfig(identity voterIdentity, electionTimeout time.Duration, leadership chan<- bool, log hclog.Logger) *raft.Config {
+	c := raft.DefaultConfig()
+	c.LocalID = raft.ServerID(identity.ID)
+	c.HeartbeatTimeout = electionTimeout
+	c.ElectionTimeout = electionTimeout
+	c.LeaderLeaseTimeout = electionTimeout * 3 / 4
+	c.CommitTimeout = max(time.Millisecond, electionTimeout/20)
+	c.SnapshotThreshold = snapshotThreshold
+	c.TrailingLogs = trailingLogs
+	c.SnapshotInterval = snapshotInterval
+	c.NotifyCh = leadership
+	c.Logger = log
+	c.NoLegacyTelemetry = true
+	return c
+}
+
+// newRaft starts the library. The library panics if its first write fails, which newRaft returns as an error.
 func newRaft(c *raft.Config, m stateMachine, s raftStore, snapshots raft.SnapshotStore, t raft.Transport) (r *raft.Raft, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = errors.Join(s.first.err, fmt.Errorf("the agreement does not start: %v", p))
+			err = errors.Join(s.first.err, fmt.Errorf("the consensus library does not start: %v", p))
 		}
 	}()
 	return raft.NewRaft(c, m, s, s, snapshots, t)
 }
 
-// raftLogWriter brings the library's log into ours.
+// raftLogWriter writes the library's log lines to this process's log.
 type raftLogWriter struct{ *zap.Logger }
 
-func (l raftLogWriter) Write(b []byte) (int, error) {
-	l.Warn(string(b[:max(0, len(b)-1)]))
-	return len(b), nil
+func (w raftLogWriter) Write(line []byte) (int, error) {
+	w.Warn(string(line[:max(0, len(line)-1)]))
+	return len(line), nil
 }
 
-var errNodeLeaves = errors.New("the node leaves")
+// close ends the voter together with its node. A leader hands its leadership over first, so that nobody has to wait for an
+// election timeout.
+func (v *Voter) close() {
+	if v.raft.State() == raft.Leader {
+		_ = v.raft.LeadershipTransfer().Error()
+	}
+	v.once.Do(func() { v.shutDown(nil) })
+}
 
-// shutDown stops taking part; err says why, nil: the node leaves.
-func (v *Voter) shutDown(err error) {
-	<-v.built // a goroutine of the library may fail to write before it is handed over
-	v.mu.Lock()
-	if v.endReason != nil {
-		v.mu.Unlock()
+// shutDown ends the voter for a reason; nil: its node leaves. Further calls do nothing.
+func (v *Voter) shutDown(reason error) {
+	<-v.built // a goroutine of the library may fail to write before newRaft returns
+	if !v.noteEnd(reason) {
 		return
 	}
-	v.endReason = err
-	if err == nil {
-		v.endReason = errNodeLeaves
-	} else {
-		v.log.Error("this voter ends, its node serves on", zap.Error(err))
-	}
-	v.leases.Demote()
-	v.allocator.Demote()
-	close(v.stop)
-	v.mu.Unlock()
-	// The library waits for each of its goroutines, and one that has filled its way to a voter that is cut off waits for
-	// that one. Its main goroutine, which votes, ends at once, so what is left over can be left behind.
+	// The library waits for each of its goroutines, and one that writes to a voter that was disconnected may wait for long. The
+	// library's main goroutine, which votes, ends at once, so the others can be left behind.
 	down := make(chan struct{})
 	go func() {
 		if v.started.Load() {
@@ -172,227 +204,62 @@
 		_ = v.transport.Close()
 		_ = v.logStore.Close()
 	case <-time.After(shutdownTimeout):
-		v.log.Warn("a way to another voter is stuck, and left so")
-		_ = v.transport.Close() // not the log: whoever is left reads it yet
+		v.log.Warn("voter shutdown timed out, a connection to another voter is stuck")
+		_ = v.transport.Close() // not the log, which a goroutine left behind may still read
 		go func() {
 			<-down
-			_ = v.logStore.Close() // a further voter waits for it
+			_ = v.logStore.Close() // a later voter waits for this
 		}()
 	}
 	v.peers.close()
 	close(v.down)
 }
 
-// close ends it with its node; a leader hands on first, so that nobody has to wait for its silence to be noticed.
-func (v *Voter) close() {
-	if v.raft.State() == raft.Leader {
-		_ = v.raft.LeadershipTransfer().Error()
-	}
-	v.once.Do(func() { v.shutDown(nil) })
-}
-
-// followLeadership tells the keeper who leads.
-func (v *Voter) followLeadership(led <-chan bool) {
-	for {
-		select {
-		case <-v.stop:
-			return
-		case is := <-led:
-			v.mu.Lock()
-			if !is && faults.Without(faults.Confirmation) {
-				v.mu.Unlock()
-				continue // it hasn't noticed
-			}
-			v.leaderChanges++
-			v.leases.Demote()
-			v.allocator.Demote()
-			if is {
-				go v.beginTerm(v.leaderChanges)
-			}
-			v.mu.Unlock()
-		}
-	}
-}
-
-// beginTerm brings the entry that begins a reign. Once it is applied, all that earlier leaders did is known here.
-func (v *Voter) beginTerm(nth uint64) {
-	for {
-		r, err := v.propose(lease.Entry{Kind: lease.KindNewTerm, Name: v.config.Node})
-		v.mu.Lock()
-		if v.leaderChanges != nth || v.endReason != nil {
-			v.mu.Unlock()
-			return
-		}
-		if err == nil && r.Err == nil {
-			v.leases.Promote(now(), r.Term)
-			v.allocator.Promote(now(), r.Term)
-			v.probes = lease.NewProbeScheduler()
-			v.log.Info("leads the fleet", zap.Uint64("reign", r.Term))
-			v.mu.Unlock()
-			return
-		}
-		v.mu.Unlock()
-		if err != nil {
-			return // led no more
-		}
-		select { // not founded yet
-		case <-time.After(newTermRetryInterval):
-		case <-v.stop:
-			return
-		}
-	}
-}
-
-// propose brings an entry to the log, and waits for what it comes to. An error says that it may be applied yet, and that this
-// reign is over: the keeper and the divider then wait for the next, so nothing else may end as one. An entry that the library
-// is too busy to take up waits for that, since nobody would bring it again.
-func (v *Voter) propose(e lease.Entry) (lease.Result, error) {
-	b, err := e.Encode()
-	if err != nil {
-		return lease.Result{}, err
-	}
-	f := v.raft.Apply(b, 0)
-	if err := f.Error(); err != nil {
-		return lease.Result{}, err
-	}
-	r, ok := f.Response().(lease.Result)
-	if !ok {
-		return r, errors.New("the entry came to nothing known")
-	}
-	return r, nil
-}
-
-// stateMachine is the state as the library drives it.
-type stateMachine struct{ *Voter }
-
-func (m stateMachine) Apply(l *raft.Log) any {
-	e, err := lease.Decode(l.Data)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if faults.Without(faults.Door) && e.Kind == lease.KindEffect {
-		e.Token = m.state.Leases[e.Name].Token
-	}
-	r := lease.Result{Err: err}
-	if err == nil {
-		r = m.state.Apply(e)
-	}
-	if e.Kind == lease.KindRevoke || e.Kind == lease.KindSetBudget {
-		m.allocator.StateChanged(now())
-	}
-	m.lastApplied = bootTime()
-	m.entries++
-	close(m.changed)
-	m.changed = make(chan struct{})
-	return r
-}
-
-func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	b, err := m.state.Snapshot()
-	return stateSnapshot(b), err
-}
-
-// Restore refuses what it can't read. The library ends the process over that, so its goroutine ends here instead.
-func (m stateMachine) Restore(from io.ReadCloser) error {
-	defer from.Close()
-	b, err := io.ReadAll(from)
-	if err == nil {
-		m.mu.Lock()
-		err = m.state.Restore(b)
-		m.mu.Unlock()
-	}
-	if err != nil && m.started.Load() { // at the start the error itself is told
-		m.once.fail(err)
-		runtime.Goexit()
+// noteEnd ends the leadership and all waiting calls, unless that was done before.
+func (v *Voter) noteEnd(reason error) (first bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.endReason != nil {
+		return false
 	}
-	return err
-}
-
-type stateSnapshot []byte
-
-func (f stateSnapshot) Persist(to raft.SnapshotSink) error {
-	if _, err := to.Write(f); err != nil {
-		return errors.Join(err, to.Cancel())
+	v.endReason = reason
+	if reason == nil {
+		v.endReason = errNodeLeaves
+	} else {
+		v.log.Error("voter stopped, the node goes on without it", zap.Error(reason))
 	}
-	return to.Close()
+	v.leases.Demote()
+	v.allocator.Demote()
+	close(v.stop)
+	return true
 }
-func (f stateSnapshot) Release() {}
 
-// onLeaseAlarm is the keeper's alarm.
-func (v *Voter) onLeaseAlarm() {
+// hasEnded reports whether the voter has ended.
+func (v *Voter) hasEnded() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.leases.Alarm(now())
-}
-
-// leaseHost is what the keeper acts through. Its methods run with the lock held.
-type leaseHost struct{ *Voter }
-
-func (h leaseHost) SetAlarm(at lease.Time) { h.leaseAlarm.set(at) }
-
-func (h leaseHost) Respond(id uint64, a lease.Response) {
-	if c, waits := h.leaseRequests[id]; waits {
-		delete(h.leaseRequests, id)
-		c <- a // it has room for this one
-	}
-}
-
-func (h leaseHost) Propose(ref uint64, e lease.Entry) {
-	nth := h.leaderChanges
-	go func() {
-		r, err := h.propose(e)
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if h.leaderChanges == nth {
-			h.leases.Applied(now(), ref, r, err != nil)
-		}
-	}()
+	return v.endReason != nil
 }
 
-func (h leaseHost) ConfirmLeadership(round uint64) {
-	nth := h.leaderChanges
-	go func() {
-		faults.Point(faults.OnRenewal)
-		led := faults.Without(faults.Confirmation) || h.confirmLeadership()
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.rounds++
-		if h.leaderChanges == nth {
-			h.leases.LeadershipConfirmed(now(), round, led)
-		}
-	}()
+// leader returns the id and the address of the leader, as far as this voter knows.
+func (v *Voter) leader() (id, address string) {
+	raftAddress, raftID := v.raft.LeaderWithID()
+	address, _ = transport.SplitRaftAddress(raftAddress)
+	return string(raftID), address
 }
 
-// handleLeaseRequest brings an asking to the keeper, and waits for its answer or until the caller has gone.
-func (v *Voter) handleLeaseRequest(a lease.Request, gone <-chan struct{}) lease.Response {
-	c := make(chan lease.Response, 1)
-	v.mu.Lock()
-	if v.endReason != nil {
-		v.mu.Unlock()
-		return lease.Response{Err: lease.ErrNotLeader}
-	}
-	v.lastRequestID++
-	id := v.lastRequestID
-	v.leaseRequests[id] = c
-	v.leases.Handle(now(), id, a)
-	v.mu.Unlock()
-	select {
-	case x := <-c:
-		return x
-	case <-gone:
-	case <-v.stop:
-	}
+// nextChange returns a channel that is closed when the next entry is applied.
+func (v *Voter) nextChange() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.leaseRequests, id)
-	v.leases.CallerGone(now(), id)
-	return lease.Response{Err: lease.ErrNotLeader}
+	return v.changed
 }
 
-// leader tells who leads, as far as is known here.
-func (v *Voter) leader() (name, address string) {
-	at, id := v.raft.LeaderWithID()
-	address, _ = transport.SplitRaftAddress(at)
-	return string(id), address
+// shutdownOnce ends a voter once, by the first reason.
+type shutdownOnce struct {
+	sync.Once
+	end func(reason error)
 }
+
+// fail ends the voter in the background.
+func (o *shutdownOnce) fail(reason error) { o.Do(func() { go o.end(reason) }) }
