--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -60,9 +61,9 @@
 }
 
 func TestTheVotersFileKeepsItsForm(t *testing.T) {
-	goldenForm(t, "voter.json", voterIdentity{Cluster: "f", Node: "n1", ID: "n1.0badcafe"})
+	goldenForm(t, "voter.json", voterstore.Identity{Cluster: "f", Node: "n1", ID: "n1.0badcafe"})
 	goldenForm(t, "roll-up.json", rollUpReport{Nodes: 2, Missing: []string{"n3"}, Sums: map[string]int64{"served": 7}})
-	if identityFile != "voter.json" || logFile != "log.db" {
+	if voterstore.IdentityFile != "voter.json" || voterstore.LogFile != "log.db" {
 		t.Error("files of a voter's folder have other names")
 	}
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -17,6 +17,7 @@
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
@@ -55,7 +56,7 @@
 	maxPeerConnections int
 
 	mu            sync.Mutex
-	identity      voterIdentity
+	identity      voterstore.Identity
 	currentVoter  *Voter                        // nil: this node has no voter
 	voterError    error                         // why the voter could not be started
 	quotas        *nodeQuotas                   // nil: the lease of this node's name is not held, or there are no budgets
@@ -181,13 +182,13 @@
 	m.currentVoter = v
 	m.voterError = err
 	if err != nil {
-		m.identity = voterIdentity{}
+		m.identity = voterstore.Identity{}
 		m.log.Error("voter not started, the node goes on without it", zap.Error(err))
 	}
 }
 
 func (m *Member) newVoter() (*Voter, error) {
-	identity, err := openIdentity(m.config.Folder, m.config.Name, m.config.Node)
+	identity, err := voterstore.OpenIdentity(m.config.Folder, m.config.Name, m.config.Node)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -26,6 +26,7 @@
 
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
@@ -133,22 +134,22 @@
 func TestFoldersThatCantBeUsed(t *testing.T) {
 	for want, spoil := range map[string]func(folder string) error{
 		`is of node "x" in fleet "f", not of node "n0" in fleet "f"`: func(folder string) error {
-			_, err := openIdentity(folder, "f", "x")
+			_, err := voterstore.OpenIdentity(folder, "f", "x")
 			return err
 		},
 		`is of node "n0" in fleet "g", not of node "n0" in fleet "f"`: func(folder string) error {
-			_, err := openIdentity(folder, "g", "n0")
+			_, err := voterstore.OpenIdentity(folder, "g", "n0")
 			return err
 		},
 		"voter.json is missing beside log.db": func(folder string) error {
-			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, logFile), []byte("x"), 0o600))
+			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, voterstore.LogFile), []byte("x"), 0o600))
 		},
 		"expected fleet, node and id": func(folder string) error {
-			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, identityFile), []byte("{}"), 0o600))
+			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, voterstore.IdentityFile), []byte("{}"), 0o600))
 		},
 		"log.db is damaged": func(folder string) error {
-			_, err := openIdentity(folder, "f", "n0")
-			return errors.Join(err, os.WriteFile(filepath.Join(folder, logFile), make([]byte, 5000), 0o600))
+			_, err := voterstore.OpenIdentity(folder, "f", "n0")
+			return errors.Join(err, os.WriteFile(filepath.Join(folder, voterstore.LogFile), make([]byte, 5000), 0o600))
 		},
 		"expected a folder that can be written": func(folder string) error {
 			return os.WriteFile(folder, nil, 0o600)
@@ -158,12 +159,12 @@
 		if err := spoil(f.Folder); err != nil {
 			t.Fatal(err)
 		}
-		before, _ := os.ReadFile(filepath.Join(f.Folder, identityFile))
+		before, _ := os.ReadFile(filepath.Join(f.Folder, voterstore.IdentityFile))
 		n := Start(f, figures{}, time.Second, 256, zap.NewNop())
 		eventually(t, want, func() bool { return strings.Contains(n.status().VoterError, want) || n.voterID() != "" })
 		s := n.status()
 		n.Close()
-		if after, _ := os.ReadFile(filepath.Join(f.Folder, identityFile)); s.Voter || string(after) != string(before) {
+		if after, _ := os.ReadFile(filepath.Join(f.Folder, voterstore.IdentityFile)); s.Voter || string(after) != string(before) {
 			t.Errorf("%s: %+v, and the paper was %q, is %q", want, s, before, after)
 		}
 	}
@@ -173,7 +174,7 @@
 func TestALogCutShort(t *testing.T) {
 	nodes := founded(t, fleetOf(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
-	path := filepath.Join(nodes[0].config.Folder, logFile)
+	path := filepath.Join(nodes[0].config.Folder, voterstore.LogFile)
 	for _, n := range nodes {
 		n.Close()
 	}
@@ -187,11 +188,11 @@
 		if err := os.WriteFile(short, whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if checkLog(short) != nil {
+		if voterstore.CheckLog(short) != nil {
 			refused++
 		}
 	}
-	if err := checkLog(path); err != nil || refused < 10 {
+	if err := voterstore.CheckLog(path); err != nil || refused < 10 {
 		t.Errorf("the whole log: %v; %d cut ones refused", err, refused)
 	}
 }
@@ -420,7 +421,7 @@
 // BenchmarkRecovery starts a voter on a folder with 16 MB in its log, until it leads by itself again.
 func BenchmarkRecovery(b *testing.B) {
 	f := fleetOf(b, 3)[0]
-	p, err := openIdentity(f.Folder, f.Name, f.Node)
+	p, err := voterstore.OpenIdentity(f.Folder, f.Name, f.Node)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -457,7 +458,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	i, _ := os.Stat(filepath.Join(f.Folder, logFile))
+	i, _ := os.Stat(filepath.Join(f.Folder, voterstore.LogFile))
 	b.ReportMetric(float64(i.Size())/(1<<20), "MB")
 	v.shutDown(nil)
 	listener.Close()
@@ -494,7 +495,7 @@
 		return leader.state.Term
 	}
 	was := reign()
-	db := *(**bbolt.DB)(reflect.ValueOf(leader.logStore).Elem().FieldByName("conn").Addr().UnsafePointer())
+	db := *(**bbolt.DB)(reflect.ValueOf(leader.store.BoltStore).Elem().FieldByName("conn").Addr().UnsafePointer())
 	tx, err := db.Begin(true) // the library's writes wait for it
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -4,18 +4,17 @@
 	"errors"
 	"fmt"
 	"net/rpc"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
-	raftbolt "github.com/hashicorp/raft-boltdb/v2"
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget"
 	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/lease"
@@ -26,6 +25,7 @@
 	snapshotThreshold      = 4096 // entries of some hundred bytes each
 	trailingLogs           = 1024 // entries kept after a snapshot, for a voter that was disconnected for a moment
 	snapshotInterval       = time.Minute
+	retainedSnapshots      = 2
 	maxPooledConns         = 2                      // to each other voter
 	maxLeaderChanges       = 64                     // changes of leadership not handled yet; beyond, the library waits
 	shutdownTimeout        = 500 * time.Millisecond // for the library to end; a node has its own time to leave
@@ -38,13 +38,13 @@
 type Voter struct {
 	log         *zap.Logger
 	config      *config.Cluster
-	identity    voterIdentity
+	identity    voterstore.Identity
 	dialer      transport.Dialer
 	callTimeout time.Duration // for calls to other voters
 	peers       peerClients
 
 	raft      *raft.Raft
-	logStore  *raftbolt.BoltStore
+	store     *voterstore.Store
 	transport *raft.NetworkTransport
 
 	mu             sync.Mutex
@@ -71,21 +71,17 @@
 }
 
 // startVoter opens the folder and starts the consensus library. If the folder can't be used, it changes nothing in it.
-func startVoter(c *config.Cluster, identity voterIdentity, layer *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
-	path := filepath.Join(c.Folder, logFile)
-	if err := checkLog(path); err != nil {
-		return nil, err
-	}
+func startVoter(c *config.Cluster, identity voterstore.Identity, layer *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
 	v := newVoter(c, identity, layer.Dialer(), log)
 	var err error
-	v.logStore, err = raftbolt.New(raftbolt.Options{Path: path, BoltOptions: nil})
+	v.store, err = voterstore.Open(c.Folder, v.once.fail)
 	if err != nil {
-		return nil, fmt.Errorf("fleet.folder: %s: %w", path, err)
+		return nil, err
 	}
 	raftLog := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{log}, DisableTime: true})
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, retainedSnapshots, raftLog)
 	if err != nil {
-		_ = v.logStore.Close()
+		_ = v.store.Close()
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
 	electionTimeout := max(c.Lease/electionTimeoutDivisor, 2*c.MaxDelay)
@@ -97,13 +93,12 @@
 	})
 	leadership := make(chan bool, maxLeaderChanges)
 	raftConfig := newRaftConfig(identity, electionTimeout, leadership, raftLog)
-	store := raftStore{BoltStore: v.logStore, folder: c.Folder, onFailure: v.once.fail, first: &firstWrite{}}
-	v.raft, err = newRaft(raftConfig, stateMachine{v}, store, snapshots, v.transport)
+	v.raft, err = newRaft(raftConfig, stateMachine{v}, v.store, snapshots, v.transport)
 	v.started.Store(err == nil)
 	close(v.built)
 	if err != nil {
 		_ = v.transport.Close()
-		_ = v.logStore.Close()
+		_ = v.store.Close()
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
 	go v.followLeadership(leadership)
@@ -111,7 +106,7 @@
 }
 
 // newVoter returns a voter without its library.
-func newVoter(c *config.Cluster, identity voterIdentity, dialer transport.Dialer, log *zap.Logger) *Voter {
+func newVoter(c *config.Cluster, identity voterstore.Identity, dialer transport.Dialer, log *zap.Logger) *Voter {
 	v := &Voter{
 		log:           log,
 		config:        c,
@@ -141,7 +136,7 @@
 	return v
 }
 
-func newRaftConfig(identity voterIdentity, electionTimeout time.Duration, leadership chan<- bool, log hclog.Logger) *raft.Config {
+func newRaftConfig(identity voterstore.Identity, electionTimeout time.Duration, leadership chan<- bool, log hclog.Logger) *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(identity.ID)
 	c.HeartbeatTimeout = electionTimeout
@@ -158,10 +153,10 @@
 }
 
 // newRaft starts the library. The library panics if its first write fails, which newRaft returns as an error.
-func newRaft(c *raft.Config, m stateMachine, s raftStore, snapshots raft.SnapshotStore, t raft.Transport) (r *raft.Raft, err error) {
+func newRaft(c *raft.Config, m stateMachine, s *voterstore.Store, snapshots raft.SnapshotStore, t raft.Transport) (r *raft.Raft, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = errors.Join(s.first.err, fmt.Errorf("the consensus library does not start: %v", p))
+			err = errors.Join(s.FirstWriteError(), fmt.Errorf("the consensus library does not start: %v", p))
 		}
 	}()
 	return raft.NewRaft(c, m, s, s, snapshots, t)
@@ -202,13 +197,13 @@
 	select {
 	case <-down:
 		_ = v.transport.Close()
-		_ = v.logStore.Close()
+		_ = v.store.Close()
 	case <-time.After(shutdownTimeout):
 		v.log.Warn("voter shutdown timed out, a connection to another voter is stuck")
 		_ = v.transport.Close() // not the log, which a goroutine left behind may still read
 		go func() {
 			<-down
-			_ = v.logStore.Close() // a later voter waits for this
+			_ = v.store.Close() // a later voter waits for this
 		}()
 	}
 	v.peers.close()
--- a/internal/cluster/voter_folder_full_test.go
+++ b/internal/cluster/voter_folder_full_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
 // A node whose voter's folder can't be written at its start serves on as one that only asks, says why, and votes once it can.
@@ -22,11 +24,11 @@
 		}
 		return nil
 	}
-	folderFault.Store(&fault)
-	t.Cleanup(func() { folderFault.Store(nil) })
+	voterstore.WriteFault.Store(&fault)
+	t.Cleanup(func() { voterstore.WriteFault.Store(nil) })
 	again := Start(all[2], figures{}, time.Second, 256, zap.NewNop())
 	t.Cleanup(sync.OnceFunc(again.Close))
 	eventually(t, "it doesn't say why it is no voter", func() bool { s := again.status(); return !s.Voter && strings.Contains(s.VoterError, "no space left") })
-	folderFault.Store(nil)
+	voterstore.WriteFault.Store(nil)
 	eventually(t, "it doesn't vote again", func() bool { return again.status().Voter })
 }
--- a/internal/cluster/voter_restart_test.go
+++ b/internal/cluster/voter_restart_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
 // Two of three folders can't be written for a while, or fail in their sync after the write. When they can be again, the voters come back by
@@ -30,8 +32,8 @@
 				}
 				return nil
 			}
-			folderFault.Store(&fault)
-			t.Cleanup(func() { folderFault.Store(nil) })
+			voterstore.WriteFault.Store(&fault)
+			t.Cleanup(func() { voterstore.WriteFault.Store(nil) })
 			failing.Store(true)
 			client := NewClient(nodes[0].config, zap.NewNop())
 			defer client.Close()
--- a/internal/cluster/voter_folder_damage_test.go
+++ b/internal/cluster/voterstore/log_test.go
@@ -1,4 +1,4 @@
-package cluster
+package voterstore
 
 import (
 	"bytes"
@@ -14,10 +14,10 @@
 	raftbolt "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// votes gives what a voter's log holds: its entries, its term and its vote.
-func votes(t *testing.T, path string) string {
+// contents returns what a voter's log holds: its entries, its term and its vote.
+func contents(t *testing.T, path string) string {
 	t.Helper()
-	if err := checkLog(path); err != nil {
+	if err := CheckLog(path); err != nil {
 		t.Fatal(err)
 	}
 	log, err := raftbolt.New(raftbolt.Options{Path: path})
@@ -47,7 +47,7 @@
 // voter has what it had before the write, or after it, and whole. A write is an entry, several, a term or a vote.
 func TestAKillAmidAWriteLeavesTheLogBeforeOrAfter(t *testing.T) {
 	const page, step = 4096, 509 // a prefix at each so many bytes; prime, so that it falls everywhere in pages
-	path := filepath.Join(t.TempDir(), logFile)
+	path := filepath.Join(t.TempDir(), LogFile)
 	entry := func(i uint64) *raft.Log {
 		return &raft.Log{Index: i, Term: 1 + i/3, Data: bytes.Repeat([]byte{byte(i)}, 300)}
 	}
@@ -90,13 +90,13 @@
 		}
 		return s.SetUint64([]byte("CurrentTerm"), 4)
 	})
-	was := votes(t, path)
+	was := contents(t, path)
 	for what, write := range writes {
 		if err := os.WriteFile(path, before, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		base, after := with(write)
-		is := votes(t, path)
+		is := contents(t, path)
 		var changed []int // pages, the two that make others count last
 		for at := 0; at < len(after); at += page {
 			if at >= len(base) || !bytes.Equal(base[at:at+page], after[at:at+page]) {
@@ -122,7 +122,7 @@
 			if err := os.WriteFile(path, torn, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			switch got := votes(t, path); got {
+			switch got := contents(t, path); got {
 			case was:
 				old++
 			case is:
@@ -140,7 +140,7 @@
 // A log of which one page is spoilt, by zeros, by other bytes or by another of its pages, is refused, or opened by the library without ending the process.
 func TestALogWithASpoiltPageEndsNoProcess(t *testing.T) {
 	const page = 4096
-	path := filepath.Join(t.TempDir(), logFile)
+	path := filepath.Join(t.TempDir(), LogFile)
 	s, err := raftbolt.New(raftbolt.Options{Path: path})
 	if err != nil {
 		t.Fatal(err)
@@ -170,13 +170,13 @@
 	for at := 0; at < len(sound); at += page {
 		for what, with := range map[string][]byte{"zeros": make([]byte, page), "ones": bytes.Repeat([]byte{1}, page), "another page": sound[2*page : 3*page],
 			"a leaf": sound[3*page : 4*page]} {
-			path := filepath.Join(t.TempDir(), logFile) // an opening that panics keeps its lock on the file
+			path := filepath.Join(t.TempDir(), LogFile) // an opening that panics keeps its lock on the file
 			spoilt := slices.Clone(sound)
 			copy(spoilt[at:at+page], with)
 			if err := os.WriteFile(path, spoilt, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if checkLog(path) != nil {
+			if CheckLog(path) != nil {
 				refused++
 			} else if p := opens(path); p != nil {
 				t.Errorf("page %d, %s: passed, and opening it panics: %v", at/page, what, p)
