--- /dev/null
+++ b/internal/cluster/faulttest_task_on.go
@@ -0,0 +1,198 @@
+//go:build faults
+
+package cluster
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+
+	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/internal/faults"
+	"github.com/thistlerudder/thistlerudder/lease"
+)
+
+// The environment variables by which the fault test configures its task.
+const (
+	DoorVariable   = "THISTLERUDDER_TRIAL_DOOR"   // address of a resource outside the cluster that checks fencing tokens
+	RecordVariable = "THISTLERUDDER_TRIAL_RECORD" // file that this process appends its events to
+)
+
+const (
+	minActDuration    = 3 * time.Millisecond
+	actDurationSpread = 12 * time.Millisecond
+	actMarginForDelay = 15 * time.Millisecond // for a scheduler that is late with the end of an act
+	effectInterval    = 8 * time.Millisecond
+	actInterval       = effectInterval / 4
+	effectRetryDelay  = 10 * effectInterval
+	delayCheckPeriod  = 10 * time.Millisecond
+	minReportedDelay  = 30 * time.Millisecond
+)
+
+// Trace sets functions that see the lease and quota traffic of this process: request is called before each lease request is
+// sent, and what it returns with the response; quotas is called with each response to a quota request. Trace is called before
+// the first node of the process starts.
+func Trace(request func(lease.Request) func(lease.Response, error), quotas func(node string, updates []budget.QuotaUpdate)) {
+	traceRequest = request
+	traceQuotas = quotas
+}
+
+// event is a line of the record that the fault test judges. Its keys are those that internal/faulttest reads.
+type event struct {
+	What    string `json:"what"`
+	Who     string `json:"who"`
+	PID     int    `json:"pid"`
+	At      int64  `json:"at,omitempty"` // boot time in ns, as are From, Call and Return
+	From    int64  `json:"from,omitempty"`
+	Token   uint64 `json:"token,omitempty"`
+	Kind    string `json:"kind,omitempty"` // operation of a lease request
+	Holder  string `json:"holder,omitempty"`
+	Asked   uint64 `json:"asked,omitempty"` // token of a lease request
+	Call    int64  `json:"call,omitempty"`
+	Return  int64  `json:"return,omitempty"`
+	Refusal string `json:"refusal,omitempty"`
+	Unknown bool   `json:"unknown,omitempty"`
+	DelayNs int64  `json:"ns,omitempty"`
+}
+
+// recorder writes the events of this process, timed by the machine's one clock whatever faults.Clock shows.
+type recorder struct {
+	mu   sync.Mutex
+	file *os.File
+	node string
+}
+
+// trueBootTime reads the boot clock without faults, in ns.
+func trueBootTime() int64 {
+	var t unix.Timespec
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
+	return t.Nano()
+}
+
+func (r *recorder) write(e event) {
+	e.Who = r.node
+	e.PID = os.Getpid()
+	line, _ := json.Marshal(e)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, _ = r.file.Write(append(line, '\n'))
+}
+
+// traceRequest records a lease request of the task and its response.
+func (r *recorder) traceRequest(request lease.Request) func(lease.Response, error) {
+	call := trueBootTime()
+	return func(response lease.Response, err error) {
+		if request.Name != config.TaskFaultTest {
+			return
+		}
+		r.write(event{
+			What:    "ask",
+			Kind:    request.Operation,
+			Holder:  request.Holder.String(),
+			Asked:   request.Token,
+			Call:    call,
+			Return:  trueBootTime(),
+			Token:   response.Token,
+			Refusal: toWireError(response.Err).Name,
+			Unknown: err != nil,
+		})
+	}
+}
+
+// recordDelays records when this process did not run for want of processor cores, or was suspended.
+func (r *recorder) recordDelays() {
+	for {
+		before := trueBootTime()
+		time.Sleep(delayCheckPeriod)
+		if delay := trueBootTime() - before - int64(delayCheckPeriod); delay > int64(minReportedDelay) {
+			r.write(event{What: "late", At: trueBootTime(), DelayNs: delay})
+		}
+	}
+}
+
+// faultTestTask returns the fault test's task. While it holds the lease it sets an effect in the replicated state, and acts on
+// resources outside: one that checks fencing tokens, and one that doesn't.
+func (m *Member) faultTestTask() func(context.Context, *HeldLease) bool {
+	file, err := os.OpenFile(os.Getenv(RecordVariable), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		m.log.Error("fault test record not opened", zap.Error(err))
+		return nil
+	}
+	r := &recorder{file: file, node: m.config.Node}
+	traceRequest = r.traceRequest
+	go r.recordDelays()
+	return func(ctx context.Context, held *HeldLease) bool {
+		r.write(event{What: "held", At: trueBootTime(), Token: held.Token()})
+		over := make(chan struct{})
+		var effects sync.WaitGroup
+		effects.Go(func() { setEffects(held, over) }) // beside the acts, since a response may never come
+		acts := 10 + rand.IntN(40)
+		if rand.IntN(2) == 0 {
+			acts *= 20 // holds the lease until it is lost
+		}
+		for i := range acts {
+			if ctx.Err() != nil {
+				break
+			}
+			r.act(held, i)
+			time.Sleep(actInterval)
+		}
+		close(over)
+		effects.Wait()
+		r.write(event{What: "over", At: trueBootTime(), Token: held.Token()})
+		return true
+	}
+}
+
+// setEffects sets the task's effect again and again until over is closed.
+func setEffects(held *HeldLease, over <-chan struct{}) {
+	for {
+		select {
+		case <-over:
+			return
+		case <-time.After(effectInterval):
+			if held.Do(config.TaskFaultTest, uint64(trueBootTime()), nil) != nil {
+				time.Sleep(effectRetryDelay)
+			}
+		}
+	}
+}
+
+// act makes the i-th act: each fourth on the resource that checks fencing tokens, the others on the one that doesn't.
+func (r *recorder) act(held *HeldLease, i int) {
+	duration := minActDuration + time.Duration(rand.Int64N(int64(actDurationSpread)))
+	if !held.May(duration + actMarginForDelay) {
+		return
+	}
+	faults.Point(faults.BeforeAct)
+	if i%4 == 0 {
+		r.actAtDoor(held)
+		return
+	}
+	from := trueBootTime()
+	r.write(event{What: "begin", At: from, Token: held.Token()})
+	time.Sleep(duration / 2)
+	faults.Point(faults.InAct)
+	time.Sleep(duration / 2)
+	r.write(event{What: "end", At: trueBootTime(), Token: held.Token(), From: from})
+}
+
+func (r *recorder) actAtDoor(held *HeldLease) {
+	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(DoorVariable), held.Token(), r.node)
+	response, err := http.Post(url, "", nil)
+	if err != nil {
+		return
+	}
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+}
--- /dev/null
+++ b/internal/cluster/held_lease.go
@@ -0,0 +1,200 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"os"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/faults"
+	"github.com/thistlerudder/thistlerudder/lease"
+)
+
+// ErrOutcomeUnknown says that an effect may or may not have been applied.
+var ErrOutcomeUnknown = errors.New("no response: the effect may have been applied")
+
+// HeldLease is a lease that this process holds, or has held. It is safe for concurrent use.
+type HeldLease struct {
+	client *Client
+	name   string
+	holder lease.Holder
+	ctx    context.Context // ends when the lease is lost or released
+	cancel context.CancelFunc
+
+	mu              sync.Mutex
+	claimant        *lease.Claimant
+	alarm           alarm
+	token           uint64
+	acquired        chan struct{} // closed when the lease is first held
+	released        chan struct{} // closed when the release was answered
+	dropped         bool
+	warnedDuplicate bool // the log has that another process has this node's name
+}
+
+// acquire requests a lease until it is released.
+func (c *Client) acquire(ctx context.Context, name string) *HeldLease {
+	holder := lease.Holder{Name: c.config.Node, Process: os.Getpid(), Start: c.nextStart()}
+	h := &HeldLease{
+		client:   c,
+		name:     name,
+		holder:   holder,
+		acquired: make(chan struct{}),
+		released: make(chan struct{}),
+	}
+	h.ctx, h.cancel = context.WithCancel(ctx)
+	h.alarm = newAlarm(h.onAlarm)
+	leaseDuration := toLeaseTime(c.config.Lease)
+	holderDuration := lease.HolderDuration(leaseDuration, c.config.MaxDrift)
+	if faults.Without(faults.DriftMargin) {
+		holderDuration = leaseDuration
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.claimant = lease.NewClaimant((*claimantHost)(h), now(), name, holder, leaseDuration, holderDuration, uint64(holder.Start))
+	return h
+}
+
+func (h *HeldLease) onAlarm() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.dropped {
+		h.claimant.Alarm(now())
+	}
+}
+
+// claimantHost is the lease.ClaimantHost of a HeldLease. Its methods are called with the lock held.
+type claimantHost HeldLease
+
+func (h *claimantHost) SetAlarm(at lease.Time) { h.alarm.set(at) }
+
+func (h *claimantHost) Granted(token uint64) {
+	if h.token == 0 {
+		h.token = token
+		close(h.acquired)
+	}
+}
+
+func (h *claimantHost) Lost(reason error) {
+	h.cancel()
+	if reason != nil {
+		h.client.log.Warn("a lease is lost", zap.String("lease", h.name), zap.Uint64("token", h.token), zap.Error(reason))
+	}
+}
+
+func (h *claimantHost) Send(r lease.Request) {
+	sent := now()
+	go func() {
+		response, err := h.client.sendTraced(r)
+		if faults.Without(faults.FromAnswer) {
+			sent = now()
+		}
+		(*HeldLease)(h).handleOutcome(r, sent, response, err)
+	}()
+}
+
+// handleOutcome hands the outcome of a request to the claimant.
+func (h *HeldLease) handleOutcome(r lease.Request, sent lease.Time, response lease.Response, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if r.Operation == lease.OpRelease || r.Operation == lease.OpWithdraw {
+		close(h.released)
+		h.released = make(chan struct{})
+	}
+	if err != nil {
+		h.client.log.Debug("lease request failed", zap.String("lease", h.name), zap.Error(err))
+		if h.claimant != nil {
+			h.claimant.HandleTimeout(now())
+		}
+		return
+	}
+	if h.claimant != nil {
+		h.claimant.HandleResponse(now(), sent, response)
+	}
+	if errors.Is(response.Err, lease.ErrStillHeld) && h.name == nodeLease(h.client.config.Node) && !h.warnedDuplicate {
+		h.warnedDuplicate = true
+		h.client.log.Warn("another process holds the lease of this node's name, waiting for it", zap.Stringer("holder", response.Holder))
+	}
+}
+
+// release releases the lease, and waits for the response for as long as a call may take.
+func (h *HeldLease) release() {
+	h.mu.Lock()
+	released := h.released
+	h.dropped = true
+	h.claimant.Release(now())
+	h.mu.Unlock()
+	select {
+	case <-released:
+	case <-time.After(h.client.callTimeout()):
+	}
+	h.cancel()
+}
+
+// May reports whether an act that takes a duration may begin now. The process may be suspended between this check and the
+// act: so the act either carries the token to a resource that refuses an old one, or is bounded by the duration given here.
+func (h *HeldLease) May(duration time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	_, may := h.claimant.MayAct(now(), toLeaseTime(duration))
+	return may && h.ctx.Err() == nil // a lost lease stays lost here, though the claimant may acquire it again
+}
+
+// Remaining returns for how long the lease is certainly held.
+func (h *HeldLease) Remaining() time.Duration { return max(0, toDuration(h.End()-now())) }
+
+// End returns until when the lease is held, by this process's clock.
+func (h *HeldLease) End() lease.Time {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.claimant.Expiry()
+}
+
+// Token returns the fencing token. Later grants, of whatever lease, have higher ones.
+func (h *HeldLease) Token() uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.token
+}
+
+// Do applies an effect to the cluster's replicated state, which refuses an old token, and a number that isn't above the
+// effect's last one. Its error is ErrOutcomeUnknown if there was no response.
+func (h *HeldLease) Do(effect string, number uint64, value []byte) error {
+	if !h.May(0) {
+		return lease.ErrLeaseExpired
+	}
+	faults.Point(faults.BeforeAct)
+	response, err := h.client.sendTraced(lease.Request{
+		Operation: lease.OpEffect,
+		Name:      h.name,
+		Holder:    h.holder,
+		Token:     h.Token(),
+		Effect:    effect,
+		Number:    number,
+		Value:     value,
+	})
+	if err != nil || errors.Is(response.Err, lease.ErrNotLeader) {
+		return errors.Join(ErrOutcomeUnknown, err)
+	}
+	return response.Err
+}
+
+// Hold acquires a lease, again and again until the context ends, and runs f each time it is held. f's context ends when the
+// lease is lost. When f returns the lease is released, and acquired again if f returns true.
+func (c *Client) Hold(ctx context.Context, name string, f func(context.Context, *HeldLease) (again bool)) {
+	for ctx.Err() == nil {
+		held := c.acquire(ctx, name)
+		again := true
+		select {
+		case <-held.acquired:
+			again = f(held.ctx, held)
+		case <-ctx.Done():
+		}
+		held.release()
+		if !again {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/cluster/member.go
@@ -0,0 +1,251 @@
+// Package cluster makes a node a member of its cluster. The voters among the nodes replicate the state of package lease by a
+// consensus library; their leader serves lease requests, quota requests and probe schedules; and each node acquires leases, of
+// its own name and of the tasks that run on one node at a time. No request of a client waits for any of it.
+//
+// Member is this node's membership and Voter its voter, if it has one. Client is used by members and by operators' commands.
+// Package transport has the connections between nodes.
+package cluster
+
+import (
+	"context"
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
+	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/lease"
+	"github.com/thistlerudder/thistlerudder/routing"
+)
+
+const (
+	// listenRetryInterval is the time between two attempts to listen on an address that another process still has.
+	listenRetryInterval = 50 * time.Millisecond
+
+	// idleDivisor gives the idle time after which a node's connection may be evicted: a ninth of a lease, a third of the
+	// period of renewals. A connection in use is idle for longer only between two renewals.
+	idleDivisor = 9
+)
+
+// LocalNode is what the cluster needs of the node that it runs in. Its methods may be called concurrently.
+type LocalNode interface {
+	// Metrics returns the node's totals by name.
+	Metrics() map[string]int64
+	// EjectedEndpoints returns the addresses of the servers that are ejected after failures, by id.
+	EjectedEndpoints() map[string]string
+	// ProbeResult reports the result of the cluster's last probe of a server, and within which time the next one follows.
+	ProbeResult(id, address string, healthy bool, next time.Duration)
+	// SetQuota sets this node's quota of a budget. Requests may begin under it for a duration, and then under what quota says
+	// for the time after; those of a concurrency limit have to end within margin after the duration. It returns the usage
+	// since the last call.
+	SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, duration, margin time.Duration) allowance.Usage
+}
+
+// Member is this process's membership in its cluster. It is safe for concurrent use.
+type Member struct {
+	config             *config.Cluster
+	log                *zap.Logger
+	node               LocalNode
+	client             *Client
+	maxRequestDuration time.Duration
+	maxPeerConnections int
+
+	mu            sync.Mutex
+	identity      voterstore.Identity
+	currentVoter  *Voter                        // nil: this node has no voter
+	voterError    error                         // why the voter could not be started
+	quotas        *nodeQuotas                   // nil: the lease of this node's name is not held, or there are no budgets
+	agreedConfigs map[string]lease.BudgetConfig // of budgets, as the cluster last reported them
+	bursts        map[string]float64            // for the fault test, where a safeguard is removed
+	leaving       bool
+
+	listener *transport.Listener
+	tasks    sync.WaitGroup
+	stop     context.CancelFunc
+	ended    chan struct{} // closed when the member has left
+}
+
+// Start joins the cluster in the background, and retries until it has. The cluster address belongs to one process at a time:
+// while another has it, as the one that this process replaces, that one is the member. maxRequestDuration bounds how long a
+// request of a client may take, maxPeerConnections how many connections peers may have open to this node.
+func Start(c *config.Cluster, node LocalNode, maxRequestDuration time.Duration, maxPeerConnections int, log *zap.Logger) *Member {
+	ctx, stop := context.WithCancel(context.Background())
+	m := &Member{
+		config:             c,
+		log:                log,
+		node:               node,
+		client:             NewClient(c, log),
+		maxRequestDuration: maxRequestDuration,
+		maxPeerConnections: maxPeerConnections,
+		agreedConfigs:      map[string]lease.BudgetConfig{},
+		bursts:             map[string]float64{},
+		stop:               stop,
+		ended:              make(chan struct{}),
+	}
+	m.applyReserved(false)
+	go m.run(ctx)
+	return m
+}
+
+// Close leaves the cluster: it releases the leases, and a voter that leads hands over its leadership.
+func (m *Member) Close() {
+	m.mu.Lock()
+	m.leaving = true
+	m.mu.Unlock()
+	m.stop()
+	<-m.ended
+}
+
+func (m *Member) run(ctx context.Context) {
+	defer close(m.ended)
+	l := m.listen(ctx)
+	if l == nil {
+		m.releaseReserved()
+		return
+	}
+	m.applyReserved(true)
+	m.listener = transport.NewListener(l, transport.ListenerConfig{
+		Cluster:        m.config.Name,
+		MaxConnections: m.maxPeerConnections,
+		MinIdle:        m.config.Lease / idleDivisor,
+		HelloTimeout:   m.client.callTimeout(),
+		VoterID:        m.voterID,
+		ServeRPC:       m.serveConn,
+	})
+	if m.config.Folder != "" {
+		m.openVoter()
+		m.tasks.Go(func() { m.restartVoter(ctx) })
+	}
+	go m.listener.Serve()
+	m.log.Info("joined the cluster", zap.String("cluster", m.config.Name), zap.String("address", m.config.Address),
+		zap.String("voter", m.voterID()))
+	m.runTasks(ctx)
+	<-ctx.Done()
+	m.leave()
+}
+
+// leave ends the tasks, the reserved quotas, the voter and the connections, in this order.
+func (m *Member) leave() {
+	m.tasks.Wait()
+	m.releaseReserved()
+	if v := m.voter(); v != nil {
+		v.close()
+	}
+	m.client.Close()
+	m.listener.Close()
+}
+
+// releaseReserved gives up the reserved quotas, which belong to whoever has the address, and waits until the requests in
+// flight under them have ended.
+func (m *Member) releaseReserved() {
+	end := time.Now().Add(m.maxRequestDuration + m.client.callTimeout())
+	for m.applyReserved(false) > 0 && time.Now().Before(end) {
+		time.Sleep(idlePollInterval)
+	}
+}
+
+// listen listens on the cluster address as soon as it is free; nil: the context has ended first. Until then this process
+// borrows quotas from the one that has the address.
+func (m *Member) listen(ctx context.Context) net.Listener {
+	borrowing, stopBorrowing := context.WithCancel(ctx)
+	var borrower sync.WaitGroup
+	defer borrower.Wait()
+	defer stopBorrowing()
+	for warned := false; ; {
+		l, err := net.Listen("tcp", m.config.Address)
+		if err == nil {
+			return l
+		}
+		if !warned {
+			warned = true
+			m.log.Warn("fleet.address is in use, waiting for it", zap.Error(err))
+			borrower.Go(func() { m.borrowQuotas(borrowing) })
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(listenRetryInterval):
+		}
+	}
+}
+
+// openVoter starts the voter. A node whose folder can't be used goes on without one.
+func (m *Member) openVoter() {
+	v, err := m.newVoter()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.currentVoter = v
+	m.voterError = err
+	if err != nil {
+		m.identity = voterstore.Identity{}
+		m.log.Error("voter not started, the node goes on without it", zap.Error(err))
+	}
+}
+
+func (m *Member) newVoter() (*Voter, error) {
+	identity, err := voterstore.OpenIdentity(m.config.Folder, m.config.Name, m.config.Node)
+	if err != nil {
+		return nil, err
+	}
+	m.mu.Lock()
+	m.identity = identity
+	m.mu.Unlock()
+	dialer := transport.Dialer{Cluster: m.config.Name, Node: m.config.Node, Routes: m.config.Routes}
+	layer := transport.NewStreamLayer(m.listener, dialer, transport.RaftAddress(identity.ID, m.config.Address))
+	return startVoter(m.config, identity, layer, m.log.Named("voter"))
+}
+
+// voterID returns the id of this node's voter; empty: it has none.
+func (m *Member) voterID() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.identity.ID
+}
+
+// voter returns this node's voter; nil: it has none.
+func (m *Member) voter() *Voter {
+	v, _ := m.voterOrError()
+	return v
+}
+
+// voterOrError returns this node's voter, or why it could not be started; both may be nil.
+func (m *Member) voterOrError() (*Voter, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.currentVoter, m.voterError
+}
+
+// nodeLease returns the lease of a node's name: two nodes with one name can't both hold it.
+func nodeLease(node string) string { return "node/" + node }
+
+// runTasks acquires the lease of the node's name and, while it is held, those of the tasks.
+func (m *Member) runTasks(ctx context.Context) {
+	if slices.Contains(m.config.Tasks, config.TaskProbe) {
+		m.tasks.Go(func() { m.reportEjections(ctx) })
+	}
+	m.tasks.Go(func() { m.client.Hold(ctx, nodeLease(m.config.Node), m.runAsNode) })
+}
+
+// runAsNode runs while the lease of the node's name is held.
+func (m *Member) runAsNode(ctx context.Context, held *HeldLease) bool {
+	if err := held.Do(nodeLease(m.config.Node), held.Token(), []byte(m.config.Address)); err != nil {
+		m.log.Warn("node address not published", zap.Error(err))
+	}
+	var tasks sync.WaitGroup
+	if len(m.config.Budgets) > 0 {
+		tasks.Go(func() { m.holdQuotas(ctx, held) })
+	}
+	for _, name := range m.config.Tasks {
+		if run := m.task(name); run != nil {
+			tasks.Go(func() { m.client.Hold(ctx, name, run) })
+		}
+	}
+	<-ctx.Done()
+	tasks.Wait()
+	return true
+}
--- /dev/null
+++ b/internal/cluster/quorum.go
@@ -0,0 +1,116 @@
+package cluster
+
+import (
+	"net/rpc"
+	"net/rpc/jsonrpc"
+	"sync"
+
+	"github.com/hashicorp/raft"
+
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
+	"github.com/thistlerudder/thistlerudder/lease"
+)
+
+// A quorum round shows that this voter led at some moment after the round began: a majority, itself included, reports that it
+// has voted in no later term. A later leader needs the vote of one of them, which comes after its report, so that the later
+// leader's term begins after the round. The library's VerifyLeader doesn't show that: it counts the response to a heartbeat that
+// was sent earlier (replication.go, heartbeat: notifyAll after AppendEntries returns), and a leader that was suspended finds
+// such responses in its queues, beside requests that came in between.
+
+// confirmLeadership makes a quorum round, and reports whether it shows that this voter leads.
+func (v *Voter) confirmLeadership() bool {
+	term := v.raft.CurrentTerm() // read before the state, which the library gives up before it takes a later term
+	if v.raft.State() != raft.Leader {
+		return false
+	}
+	servers := v.raft.GetConfiguration().Configuration().Servers
+	votes := make(chan bool, len(servers))
+	confirmed, pending := 0, 0
+	for _, s := range servers {
+		if string(s.ID) == v.identity.ID {
+			confirmed++
+			continue
+		}
+		pending++
+		go func() { votes <- v.follows(s, term) }()
+	}
+	quorum := len(servers)/2 + 1
+	for ; pending > 0 && confirmed < quorum; pending-- {
+		if <-votes {
+			confirmed++
+		}
+	}
+	return confirmed >= quorum
+}
+
+// follows asks another voter whether it has voted in no later term.
+func (v *Voter) follows(s raft.Server, term uint64) bool {
+	client, err := v.peerClient(s)
+	if err != nil {
+		return false
+	}
+	var vote TermVote
+	if err := call(client, "Fleet.Term", &struct{}{}, &vote, v.callTimeout); err != nil {
+		v.dropPeer(s.ID, client)
+		return false
+	}
+	return vote.ID == string(s.ID) && vote.Term <= term
+}
+
+// peerClients has a connection to each other voter.
+type peerClients struct {
+	mu    sync.Mutex
+	conns map[raft.ServerID]*rpc.Client // nil: closed
+}
+
+// peerClient returns the connection to another voter, opened if need be.
+func (v *Voter) peerClient(s raft.Server) (*rpc.Client, error) {
+	v.peers.mu.Lock()
+	client := v.peers.conns[s.ID]
+	v.peers.mu.Unlock()
+	if client != nil {
+		return client, nil
+	}
+	address, id := transport.SplitRaftAddress(s.Address)
+	conn, err := v.dialer.Dial(address, transport.PurposeRPC, id, v.callTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return v.peers.add(s.ID, jsonrpc.NewClient(conn))
+}
+
+// add keeps a connection, unless another one was added meanwhile, which it returns then.
+func (p *peerClients) add(id raft.ServerID, client *rpc.Client) (*rpc.Client, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.conns == nil {
+		_ = client.Close()
+		return nil, lease.ErrNotLeader
+	}
+	if other := p.conns[id]; other != nil {
+		_ = client.Close()
+		return other, nil
+	}
+	p.conns[id] = client
+	return client, nil
+}
+
+// dropPeer closes a connection that failed.
+func (v *Voter) dropPeer(id raft.ServerID, client *rpc.Client) {
+	_ = client.Close()
+	v.peers.mu.Lock()
+	defer v.peers.mu.Unlock()
+	if v.peers.conns[id] == client {
+		delete(v.peers.conns, id)
+	}
+}
+
+// close closes all connections for good.
+func (p *peerClients) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, client := range p.conns {
+		_ = client.Close()
+	}
+	p.conns = nil
+}
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -3,162 +3,190 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"net/rpc"
-	"path/filepath"
-	"runtime"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
-	raftbolt "github.com/hashicorp/raft-boltdb/v2"
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
 const (
-	silencePart   = 10   // a tenth of a lease without a word from the leader, and another is chosen
-	snapshotAfter = 4096 // entries, some hundred bytes each
-	trailing      = 1024 // entries kept behind a snapshot, for a voter that was away for a moment
-	restartAgain  = 100 * time.Millisecond
-	downWithin    = 500 * time.Millisecond // for the library to end; a node has its own time to leave
-	leadsKept     = 64                     // changes of leadership that may wait to be looked at; the library waits beyond
+	electionTimeoutDivisor = 10   // a tenth of a lease without contact to the leader, and voters elect another
+	snapshotThreshold      = 4096 // entries of some hundred bytes each
+	trailingLogs           = 1024 // entries kept after a snapshot, for a voter that was disconnected for a moment
+	snapshotInterval       = time.Minute
+	retainedSnapshots      = 2
+	maxPooledConns         = 2                      // to each other voter
+	maxLeaderChanges       = 64                     // changes of leadership not handled yet; beyond, the library waits
+	shutdownTimeout        = 500 * time.Millisecond // for the library to end; a node has its own time to leave
 )
 
-// Voter is this process's part in the agreement: the library, the state that it agrees on, and the leader's memory.
+// errNodeLeaves is the reason for which a voter ends together with its node.
+var errNodeLeaves = errors.New("the node leaves the cluster")
+
+// Voter is this process's voter: the consensus library, the replicated state, and the leader's memory.
 type Voter struct {
-	log   *zap.Logger
-	fleet *config.Cluster
-	paper paper
-	raft  *raft.Raft
-	logs  *raftbolt.BoltStore
-	trans *raft.NetworkTransport
-	dialer
-	within time.Duration // for a call and its answer
-	peers  peers
+	log         *zap.Logger
+	config      *config.Cluster
+	identity    voterstore.Identity
+	dialer      transport.Dialer
+	callTimeout time.Duration // for calls to other voters
+	peers       peerClients
+
+	raft      *raft.Raft
+	store     *voterstore.Store
+	transport *raft.NetworkTransport
 
-	mu      sync.Mutex
-	state   *lease.State
-	keeper  *lease.Manager
-	board   *lease.ProbeScheduler
-	divider *budget.Allocator
-	alarm   alarm
-	divides alarm // the divider's
-	parts   map[uint64]chan budget.Response
-	waits   map[uint64]chan lease.Response
-	ids     uint64
-	leads   uint64 // changes of leadership so far
-	applied time.Duration
-	changed chan struct{} // closed with the next entry
-	ended   error
-	rounds  int // confirmed or not, since the start
-	entries int
+	mu             sync.Mutex
+	state          *lease.State
+	leases         *lease.Manager
+	probes         *lease.ProbeScheduler
+	allocator      *budget.Allocator
+	leaseAlarm     alarm
+	allocatorAlarm alarm
+	leaseRequests  map[uint64]chan lease.Response  // pending, by id
+	quotaRequests  map[uint64]chan budget.Response // pending, by id
+	lastRequestID  uint64
+	leaderChanges  uint64        // so far; tells whether an outcome belongs to the present leadership
+	changed        chan struct{} // closed when the next entry is applied
+	rounds         int           // quorum rounds, confirmed or not
+	entries        int           // applied
+	endReason      error         // nil: the voter has not ended
 
-	stop    chan struct{}
+	stop    chan struct{} // closed when the voter ends
 	built   chan struct{} // closed when the library has started, or has failed to
-	down    chan struct{} // closed when it has ended, and its folder is free unless something is stuck
-	once    once
-	started atomic.Bool
+	down    chan struct{} // closed when the library has ended; its folder is free unless a goroutine is stuck
+	once    shutdownOnce
+	started atomic.Bool // the library has started
 }
 
-// startVoter opens the folder and takes part. Whatever is wrong with the folder is told, and nothing in it is changed.
-func startVoter(f *config.Cluster, p paper, l layer, log *zap.Logger) (*Voter, error) {
-	path := filepath.Join(f.Folder, logFile)
-	if err := look(path); err != nil {
-		return nil, err
-	}
-	v := &Voter{log: log, fleet: f, paper: p, state: lease.NewState(), board: lease.NewProbeScheduler(), waits: map[uint64]chan lease.Response{},
-		changed: make(chan struct{}), stop: make(chan struct{}), built: make(chan struct{}), down: make(chan struct{}), dialer: l.dialer, within: slowTimes * f.MaxDelay,
-		peers: peers{conns: map[raft.ServerID]*rpc.Client{}}}
-	v.alarm, v.divides, v.parts = newAlarm(v.ring), newAlarm(v.deal), map[uint64]chan budget.Response{}
-	v.divider = budget.NewAllocator(dividing{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
-	v.once.end = v.end
-	long := lease.GranterDuration(tenths(f.Lease), f.MaxDrift)
-	if faults.Without(faults.DriftMargin) {
-		long = tenths(f.Lease)
-	}
-	v.keeper = lease.NewManager(host{v}, v.state, tenths(f.Lease), long)
-	logs, err := raftbolt.New(raftbolt.Options{Path: path, BoltOptions: nil})
+// startVoter opens the folder and starts the consensus library. If the folder can't be used, it changes nothing in it.
+func startVoter(c *config.Cluster, identity voterstore.Identity, layer *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
+	v := newVoter(c, identity, layer.Dialer(), log)
+	var err error
+	v.store, err = voterstore.Open(c.Folder, v.once.fail)
 	if err != nil {
-		return nil, fmt.Errorf("fleet.folder: %s: %w", path, err)
+		return nil, err
 	}
-	v.logs = logs
-	quiet := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lines{log}, DisableTime: true})
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(f.Folder, snapshotsKept, quiet)
+	raftLog := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{log}, DisableTime: true})
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, retainedSnapshots, raftLog)
 	if err != nil {
-		_ = logs.Close()
+		_ = v.store.Close()
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
-	silence := max(f.Lease/silencePart, 2*f.MaxDelay)
-	v.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: l, MaxPool: 2,
-		Timeout: silence + 4*f.MaxDelay, Logger: quiet})
-	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(p.ID)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = silence, silence, silence*3/4
-	c.CommitTimeout = max(time.Millisecond, silence/20)
-	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = snapshotAfter, trailing, time.Minute
-	c.Logger, c.NoLegacyTelemetry = quiet, true
-	led := make(chan bool, leadsKept)
-	c.NotifyCh = led
-	s := store{logs, f.Folder, v.once.broken, &firstWrite{}}
-	v.raft, err = newRaft(c, machine{v}, s, snapshots, v.trans)
+	electionTimeout := max(c.Lease/electionTimeoutDivisor, 2*c.MaxDelay)
+	v.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream:  layer,
+		MaxPool: maxPooledConns,
+		Timeout: electionTimeout + 4*c.MaxDelay,
+		Logger:  raftLog,
+	})
+	leadership := make(chan bool, maxLeaderChanges)
+	raftConfig := newRaftConfig(identity, electionTimeout, leadership, raftLog)
+	v.raft, err = newRaft(raftConfig, stateMachine{v}, v.store, snapshots, v.transport)
 	v.started.Store(err == nil)
 	close(v.built)
 	if err != nil {
-		_ = v.trans.Close()
-		_ = logs.Close()
+		_ = v.transport.Close()
+		_ = v.store.Close()
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
-	go v.follow(led)
+	go v.followLeadership(leadership)
 	return v, nil
 }
 
-// newRaft starts the library. It panics where its first write fails, and that is told as an error.
-func newRaft(c *raft.Config, m machine, s store, snapshots raft.SnapshotStore, t raft.Transport) (r *raft.Raft, err error) {
+// newVoter returns a voter without its library.
+func newVoter(c *config.Cluster, identity voterstore.Identity, dialer transport.Dialer, log *zap.Logger) *Voter {
+	v := &Voter{
+		log:           log,
+		config:        c,
+		identity:      identity,
+		dialer:        dialer,
+		callTimeout:   callTimeoutFactor * c.MaxDelay,
+		peers:         peerClients{conns: map[raft.ServerID]*rpc.Client{}},
+		state:         lease.NewState(),
+		probes:        lease.NewProbeScheduler(),
+		leaseRequests: map[uint64]chan lease.Response{},
+		quotaRequests: map[uint64]chan budget.Response{},
+		changed:       make(chan struct{}),
+		stop:          make(chan struct{}),
+		built:         make(chan struct{}),
+		down:          make(chan struct{}),
+	}
+	v.once.end = v.shutDown
+	v.leaseAlarm = newAlarm(v.onLeaseAlarm)
+	v.allocatorAlarm = newAlarm(v.onAllocatorAlarm)
+	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
+	leaseDuration := toLeaseTime(c.Lease)
+	grantDuration := lease.GranterDuration(leaseDuration, c.MaxDrift)
+	if faults.Without(faults.DriftMargin) {
+		grantDuration = leaseDuration
+	}
+	v.leases = lease.NewManager(leaseHost{v}, v.state, leaseDuration, grantDuration)
+	return v
+}
+
+func newRaftConfig(identity voterstore.Identity, electionTimeout time.Duration, leadership chan<- bool, log hclog.Logger) *raft.Config {
+	c := raft.DefaultConfig()
+	c.LocalID = raft.ServerID(identity.ID)
+	c.HeartbeatTimeout = electionTimeout
+	c.ElectionTimeout = electionTimeout
+	c.LeaderLeaseTimeout = electionTimeout * 3 / 4
+	c.CommitTimeout = max(time.Millisecond, electionTimeout/20)
+	c.SnapshotThreshold = snapshotThreshold
+	c.TrailingLogs = trailingLogs
+	c.SnapshotInterval = snapshotInterval
+	c.NotifyCh = leadership
+	c.Logger = log
+	c.NoLegacyTelemetry = true
+	return c
+}
+
+// newRaft starts the library. The library panics if its first write fails, which newRaft returns as an error.
+func newRaft(c *raft.Config, m stateMachine, s *voterstore.Store, snapshots raft.SnapshotStore, t raft.Transport) (r *raft.Raft, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = errors.Join(s.first.err, fmt.Errorf("the agreement does not start: %v", p))
+			err = errors.Join(s.FirstWriteError(), fmt.Errorf("the consensus library does not start: %v", p))
 		}
 	}()
 	return raft.NewRaft(c, m, s, s, snapshots, t)
 }
 
-// lines brings the library's log into ours.
-type lines struct{ *zap.Logger }
+// raftLogWriter writes the library's log lines to this process's log.
+type raftLogWriter struct{ *zap.Logger }
 
-func (l lines) Write(b []byte) (int, error) {
-	l.Warn(string(b[:max(0, len(b)-1)]))
-	return len(b), nil
+func (w raftLogWriter) Write(line []byte) (int, error) {
+	w.Warn(string(line[:max(0, len(line)-1)]))
+	return len(line), nil
 }
 
-var errLeaves = errors.New("the node leaves")
+// close ends the voter together with its node. A leader hands its leadership over first, so that nobody has to wait for an
+// election timeout.
+func (v *Voter) close() {
+	if v.raft.State() == raft.Leader {
+		_ = v.raft.LeadershipTransfer().Error()
+	}
+	v.once.Do(func() { v.shutDown(nil) })
+}
 
-// end stops taking part; err says why, nil: the node leaves.
-func (v *Voter) end(err error) {
-	<-v.built // a goroutine of the library may fail to write before it is handed over
-	v.mu.Lock()
-	if v.ended != nil {
-		v.mu.Unlock()
+// shutDown ends the voter for a reason; nil: its node leaves. Further calls do nothing.
+func (v *Voter) shutDown(reason error) {
+	<-v.built // a goroutine of the library may fail to write before newRaft returns
+	if !v.noteEnd(reason) {
 		return
 	}
-	v.ended = err
-	if err == nil {
-		v.ended = errLeaves
-	} else {
-		v.log.Error("this voter ends, its node serves on", zap.Error(err))
-	}
-	v.keeper.Demote()
-	v.divider.Demote()
-	close(v.stop)
-	v.mu.Unlock()
-	// The library waits for each of its goroutines, and one that has filled its way to a voter that is cut off waits for
-	// that one. Its main goroutine, which votes, ends at once, so what is left over can be left behind.
+	// The library waits for each of its goroutines, and one that writes to a voter that was disconnected may wait for long. The
+	// library's main goroutine, which votes, ends at once, so the others can be left behind.
 	down := make(chan struct{})
 	go func() {
 		if v.started.Load() {
@@ -168,230 +196,65 @@
 	}()
 	select {
 	case <-down:
-		_ = v.trans.Close()
-		_ = v.logs.Close()
-	case <-time.After(downWithin):
-		v.log.Warn("a way to another voter is stuck, and left so")
-		_ = v.trans.Close() // not the log: whoever is left reads it yet
+		_ = v.transport.Close()
+		_ = v.store.Close()
+	case <-time.After(shutdownTimeout):
+		v.log.Warn("voter shutdown timed out, a connection to another voter is stuck")
+		_ = v.transport.Close() // not the log, which a goroutine left behind may still read
 		go func() {
 			<-down
-			_ = v.logs.Close() // a further voter waits for it
+			_ = v.store.Close() // a later voter waits for this
 		}()
 	}
-	v.peers.leave()
+	v.peers.close()
 	close(v.down)
 }
 
-// close ends it with its node; a leader hands on first, so that nobody has to wait for its silence to be noticed.
-func (v *Voter) close() {
-	if v.raft.State() == raft.Leader {
-		_ = v.raft.LeadershipTransfer().Error()
-	}
-	v.once.Do(func() { v.end(nil) })
-}
-
-// follow tells the keeper who leads.
-func (v *Voter) follow(led <-chan bool) {
-	for {
-		select {
-		case <-v.stop:
-			return
-		case is := <-led:
-			v.mu.Lock()
-			if !is && faults.Without(faults.Confirmation) {
-				v.mu.Unlock()
-				continue // it hasn't noticed
-			}
-			v.leads++
-			v.keeper.Demote()
-			v.divider.Demote()
-			if is {
-				go v.begin(v.leads)
-			}
-			v.mu.Unlock()
-		}
-	}
-}
-
-// begin brings the entry that begins a reign. Once it is applied, all that earlier leaders did is known here.
-func (v *Voter) begin(nth uint64) {
-	for {
-		r, err := v.apply(lease.Entry{Kind: lease.KindNewTerm, Name: v.fleet.Node})
-		v.mu.Lock()
-		if v.leads != nth || v.ended != nil {
-			v.mu.Unlock()
-			return
-		}
-		if err == nil && r.Err == nil {
-			v.keeper.Promote(now(), r.Term)
-			v.divider.Promote(now(), r.Term)
-			v.board = lease.NewProbeScheduler()
-			v.log.Info("leads the fleet", zap.Uint64("reign", r.Term))
-			v.mu.Unlock()
-			return
-		}
-		v.mu.Unlock()
-		if err != nil {
-			return // led no more
-		}
-		select { // not founded yet
-		case <-time.After(restartAgain):
-		case <-v.stop:
-			return
-		}
-	}
-}
-
-// apply brings an entry to the log, and waits for what it comes to. An error says that it may be applied yet, and that this
-// reign is over: the keeper and the divider then wait for the next, so nothing else may end as one. An entry that the library
-// is too busy to take up waits for that, since nobody would bring it again.
-func (v *Voter) apply(e lease.Entry) (lease.Result, error) {
-	b, err := e.Encode()
-	if err != nil {
-		return lease.Result{}, err
-	}
-	f := v.raft.Apply(b, 0)
-	if err := f.Error(); err != nil {
-		return lease.Result{}, err
-	}
-	r, ok := f.Response().(lease.Result)
-	if !ok {
-		return r, errors.New("the entry came to nothing known")
-	}
-	return r, nil
-}
-
-// machine is the state as the library drives it.
-type machine struct{ *Voter }
-
-func (m machine) Apply(l *raft.Log) any {
-	e, err := lease.Decode(l.Data)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if faults.Without(faults.Door) && e.Kind == lease.KindEffect {
-		e.Token = m.state.Leases[e.Name].Token
-	}
-	r := lease.Result{Err: err}
-	if err == nil {
-		r = m.state.Apply(e)
-	}
-	if e.Kind == lease.KindRevoke || e.Kind == lease.KindSetBudget {
-		m.divider.StateChanged(now())
-	}
-	m.applied = boot()
-	m.entries++
-	close(m.changed)
-	m.changed = make(chan struct{})
-	return r
-}
-
-func (m machine) Snapshot() (raft.FSMSnapshot, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	b, err := m.state.Snapshot()
-	return frozen(b), err
-}
-
-// Restore refuses what it can't read. The library ends the process over that, so its goroutine ends here instead.
-func (m machine) Restore(from io.ReadCloser) error {
-	defer from.Close()
-	b, err := io.ReadAll(from)
-	if err == nil {
-		m.mu.Lock()
-		err = m.state.Restore(b)
-		m.mu.Unlock()
-	}
-	if err != nil && m.started.Load() { // at the start the error itself is told
-		m.once.broken(err)
-		runtime.Goexit()
+// noteEnd ends the leadership and all waiting calls, unless that was done before.
+func (v *Voter) noteEnd(reason error) (first bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.endReason != nil {
+		return false
 	}
-	return err
-}
-
-type frozen []byte
-
-func (f frozen) Persist(to raft.SnapshotSink) error {
-	if _, err := to.Write(f); err != nil {
-		return errors.Join(err, to.Cancel())
+	v.endReason = reason
+	if reason == nil {
+		v.endReason = errNodeLeaves
+	} else {
+		v.log.Error("voter stopped, the node goes on without it", zap.Error(reason))
 	}
-	return to.Close()
+	v.leases.Demote()
+	v.allocator.Demote()
+	close(v.stop)
+	return true
 }
-func (f frozen) Release() {}
 
-// ring is the keeper's alarm.
-func (v *Voter) ring() {
+// hasEnded reports whether the voter has ended.
+func (v *Voter) hasEnded() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.keeper.Alarm(now())
-}
-
-// host is what the keeper acts through. Its methods run with the lock held.
-type host struct{ *Voter }
-
-func (h host) SetAlarm(at lease.Time) { h.alarm.set(at) }
-
-func (h host) Respond(id uint64, a lease.Response) {
-	if c, waits := h.waits[id]; waits {
-		delete(h.waits, id)
-		c <- a // it has room for this one
-	}
-}
-
-func (h host) Propose(ref uint64, e lease.Entry) {
-	nth := h.leads
-	go func() {
-		r, err := h.apply(e)
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if h.leads == nth {
-			h.keeper.Applied(now(), ref, r, err != nil)
-		}
-	}()
+	return v.endReason != nil
 }
 
-func (h host) ConfirmLeadership(round uint64) {
-	nth := h.leads
-	go func() {
-		faults.Point(faults.OnRenewal)
-		led := faults.Without(faults.Confirmation) || h.round()
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.rounds++
-		if h.leads == nth {
-			h.keeper.LeadershipConfirmed(now(), round, led)
-		}
-	}()
+// leader returns the id and the address of the leader, as far as this voter knows.
+func (v *Voter) leader() (id, address string) {
+	raftAddress, raftID := v.raft.LeaderWithID()
+	address, _ = transport.SplitRaftAddress(raftAddress)
+	return string(raftID), address
 }
 
-// ask brings an asking to the keeper, and waits for its answer or until the caller has gone.
-func (v *Voter) ask(a lease.Request, gone <-chan struct{}) lease.Response {
-	c := make(chan lease.Response, 1)
-	v.mu.Lock()
-	if v.ended != nil {
-		v.mu.Unlock()
-		return lease.Response{Err: lease.ErrNotLeader}
-	}
-	v.ids++
-	id := v.ids
-	v.waits[id] = c
-	v.keeper.Handle(now(), id, a)
-	v.mu.Unlock()
-	select {
-	case x := <-c:
-		return x
-	case <-gone:
-	case <-v.stop:
-	}
+// nextChange returns a channel that is closed when the next entry is applied.
+func (v *Voter) nextChange() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.waits, id)
-	v.keeper.CallerGone(now(), id)
-	return lease.Response{Err: lease.ErrNotLeader}
+	return v.changed
 }
 
-// leader tells who leads, as far as is known here.
-func (v *Voter) leader() (name, address string) {
-	at, id := v.raft.LeaderWithID()
-	address, _ = partsOf(at)
-	return string(id), address
+// shutdownOnce ends a voter once, by the first reason.
+type shutdownOnce struct {
+	sync.Once
+	end func(reason error)
 }
+
+// fail ends the voter in the background.
+func (o *shutdownOnce) fail(reason error) { o.Do(func() { go o.end(reason) }) }
--- /dev/null
+++ b/internal/cluster/voter_restart.go
@@ -0,0 +1,61 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
+)
+
+// The backoff between two attempts to restart a voter; it doubles.
+const (
+	minRestartDelay = 250 * time.Millisecond
+	maxRestartDelay = 5 * time.Second
+)
+
+// restartVoter restarts the voter each time it has ended by a transient error of its folder, until the context ends.
+func (m *Member) restartVoter(ctx context.Context) {
+	for delay := minRestartDelay; ; delay = min(2*delay, maxRestartDelay) {
+		if v := m.voter(); v != nil {
+			select {
+			case <-ctx.Done():
+				return
+			case <-v.down:
+			}
+		}
+		if failure := m.voterFailure(); failure == nil || !voterstore.IsTransient(failure) {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(delay):
+		}
+		if err := voterstore.RewriteLog(m.config.Folder); err != nil {
+			m.log.Info("voter restart failed, will be retried", zap.Error(err))
+			continue
+		}
+		m.openVoter()
+		if m.voterFailure() == nil {
+			delay = minRestartDelay
+			m.log.Info("voter restarted", zap.String("voter", m.voterID()))
+		}
+	}
+}
+
+// voterFailure returns why this node has no voter although it has a folder; nil: it has one, or it leaves.
+func (m *Member) voterFailure() error {
+	v, err := m.voterOrError()
+	if v == nil {
+		return err
+	}
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if errors.Is(v.endReason, errNodeLeaves) {
+		return nil
+	}
+	return v.endReason
+}
--- a/internal/cluster/rejoin_test.go
+++ b/internal/cluster/voter_restart_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
 // Two of three folders can't be written for a while, or fail in their sync after the write. When they can be again, the voters come back by
@@ -25,15 +27,15 @@
 			before, _ := nodes[0].client.Status()
 			var failing atomic.Bool
 			fault := func(folder string, made bool) error {
-				if failing.Load() && made == c.after && folder != nodes[0].fleet.Folder {
+				if failing.Load() && made == c.after && folder != nodes[0].config.Folder {
 					return c.err
 				}
 				return nil
 			}
-			folderFault.Store(&fault)
-			t.Cleanup(func() { folderFault.Store(nil) })
+			voterstore.WriteFault.Store(&fault)
+			t.Cleanup(func() { voterstore.WriteFault.Store(nil) })
 			failing.Store(true)
-			client := NewClient(nodes[0].fleet, zap.NewNop())
+			client := NewClient(nodes[0].config, zap.NewNop())
 			defer client.Close()
 			done := make(chan uint64, 1)
 			ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
--- /dev/null
+++ b/lease/manager.go
@@ -0,0 +1,221 @@
+package lease
+
+import (
+	"maps"
+	"slices"
+)
+
+// maxPendingRequests bounds the requests that a leader has not answered yet, for all leases together.
+const maxPendingRequests = 8192
+
+// Host carries out the effects of a Manager. None of its methods may block or call back into the Manager.
+type Host interface {
+	// Propose appends an entry to the log; Manager.Applied reports its outcome.
+	Propose(ref uint64, e Entry)
+	// ConfirmLeadership begins a quorum round that shows whether this process still leads; Manager.LeadershipConfirmed
+	// reports its outcome.
+	ConfirmLeadership(round uint64)
+	// Respond answers the request with this id.
+	Respond(id uint64, response Response)
+	// SetAlarm requests a call of Manager.Alarm at or soon after a time, in place of any earlier request.
+	SetAlarm(at Time)
+}
+
+// pendingRequest is a request that is not answered yet.
+type pendingRequest struct {
+	Request
+	deadline Time // of a waiter's request
+}
+
+// Manager is the leader's memory of the leases: their expiries, the queues of waiters, and the proposals in progress. It is
+// not replicated. A new leader starts from State alone, so it extends every lease by its full duration. It is not safe for
+// concurrent use.
+type Manager struct {
+	host          Host
+	state         *State
+	leaseDuration Time // nominal
+	grantDuration Time // as counted here, see GranterDuration
+
+	leading   bool
+	term      uint64
+	expiries  map[string]Time           // by lease
+	changing  map[string]bool           // leases with a grant or a revocation in progress
+	queues    map[string][]waiter       // by lease
+	requests  map[uint64]pendingRequest // by id
+	proposals map[uint64]proposal       // by reference
+	lastRef   uint64                    // last reference of a proposal or a round
+
+	queuedRenewals []uint64 // request ids that wait for the next quorum round
+	round          uint64   // in progress; 0: none
+	roundRenewals  []uint64 // request ids that the round in progress will renew
+}
+
+// NewManager returns a Manager that doesn't lead. leaseDuration is the nominal duration of a lease, grantDuration its
+// duration as counted by the granter.
+func NewManager(host Host, state *State, leaseDuration, grantDuration Time) *Manager {
+	m := &Manager{host: host, state: state, leaseDuration: leaseDuration, grantDuration: grantDuration}
+	m.Demote()
+	return m
+}
+
+// Promote makes this process the leader. It is called once the entry that begins the term has been applied.
+func (m *Manager) Promote(now Time, term uint64) {
+	m.Demote()
+	m.leading = true
+	m.term = term
+	for name := range m.state.Leases {
+		m.expiries[name] = now + m.grantDuration // the previous leader may have renewed it up to now
+	}
+	m.scheduleAlarm(now)
+}
+
+// Demote ends the leadership: it drops the leader's memory and answers all pending requests with ErrNotLeader.
+func (m *Manager) Demote() {
+	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
+		m.host.Respond(id, Response{Err: ErrNotLeader})
+	}
+	m.leading = false
+	m.round = 0
+	m.queuedRenewals = nil
+	m.roundRenewals = nil
+	m.expiries = map[string]Time{}
+	m.changing = map[string]bool{}
+	m.queues = map[string][]waiter{}
+	m.requests = map[uint64]pendingRequest{}
+	m.proposals = map[uint64]proposal{}
+}
+
+// IsLeader reports whether this process leads, as far as it knows.
+func (m *Manager) IsLeader() bool { return m.leading }
+
+// Expiry returns when a lease expires by the leader's count, and how many claimants wait for it.
+func (m *Manager) Expiry(name string) (expiry Time, waiting int) {
+	return m.expiries[name], len(m.queues[name])
+}
+
+// Handle takes a request. Its id is above 0 and differs from those of all pending requests; Host.Respond answers it,
+// perhaps before Handle returns.
+func (m *Manager) Handle(now Time, id uint64, r Request) {
+	switch {
+	case !m.leading:
+		m.host.Respond(id, Response{Err: ErrNotLeader})
+		return
+	case len(m.requests) >= maxPendingRequests:
+		m.host.Respond(id, Response{Err: ErrLimitExceeded})
+		return
+	case !ValidName(r.Name) || r.Holder.Name == "":
+		m.host.Respond(id, Response{Err: ErrMalformed})
+		return
+	}
+	switch r.Operation {
+	case OpAcquire:
+		m.acquire(now, id, r)
+	case OpRenew:
+		if !m.heldWithToken(r) {
+			m.host.Respond(id, Response{Err: ErrLeaseExpired})
+			return
+		}
+		m.renew(id, r)
+	case OpRelease:
+		if !m.heldWithToken(r) {
+			m.host.Respond(id, Response{Err: ErrLeaseExpired})
+			return
+		}
+		m.requests[id] = pendingRequest{Request: r}
+		m.revoke(r.Name, r.Token, id)
+	case OpWithdraw:
+		m.withdraw(r)
+		m.host.Respond(id, Response{})
+	case OpEffect:
+		m.requests[id] = pendingRequest{Request: r}
+		m.propose(Entry{Kind: KindEffect, Name: r.Name, Token: r.Token, Effect: r.Effect, Number: r.Number, Value: r.Value}, id)
+	default:
+		m.host.Respond(id, Response{Err: ErrMalformed})
+	}
+}
+
+// acquire renews the lease for its present holder, and puts anyone else into the queue.
+func (m *Manager) acquire(now Time, id uint64, r Request) {
+	if m.heldBy(r) {
+		m.renew(id, r)
+		return
+	}
+	m.enqueue(now, id, r)
+}
+
+// heldBy reports whether the sender of a request holds the lease, and nothing is about to change that.
+func (m *Manager) heldBy(r Request) bool {
+	lease, held := m.state.Leases[r.Name]
+	return held && lease.Holder == r.Holder && !m.changing[r.Name]
+}
+
+// heldWithToken is heldBy, and that the request has the lease's token.
+func (m *Manager) heldWithToken(r Request) bool {
+	return m.heldBy(r) && m.state.Leases[r.Name].Token == r.Token
+}
+
+// CallerGone drops a request whose caller can't be answered any more. A waiter keeps its place in the queue for a while: it
+// may retry on another connection.
+func (m *Manager) CallerGone(now Time, id uint64) {
+	r, pending := m.requests[id]
+	if !pending {
+		return
+	}
+	delete(m.requests, id)
+	m.detach(now, r.Name, id)
+}
+
+// reply answers a request, if it is still pending.
+func (m *Manager) reply(id uint64, response Response) {
+	if _, pending := m.requests[id]; pending {
+		delete(m.requests, id)
+		m.host.Respond(id, response)
+	}
+}
+
+// Alarm revokes expired leases and answers waiters whose deadline has passed. It is called at or after the time given to
+// Host.SetAlarm.
+func (m *Manager) Alarm(now Time) {
+	if !m.leading {
+		return
+	}
+	m.revokeExpired(now)
+	m.endWaits(now)
+	m.scheduleAlarm(now)
+}
+
+func (m *Manager) revokeExpired(now Time) {
+	for _, name := range slices.Sorted(maps.Keys(m.expiries)) {
+		if now < m.expiries[name] || m.changing[name] {
+			continue
+		}
+		if lease, held := m.state.Leases[name]; held {
+			m.revoke(name, lease.Token, 0)
+		} else {
+			delete(m.expiries, name)
+		}
+	}
+}
+
+// scheduleAlarm requests an alarm for the earliest expiry or deadline.
+func (m *Manager) scheduleAlarm(now Time) {
+	earliest, found := Time(0), false
+	consider := func(t Time) {
+		if !found || t < earliest {
+			earliest, found = t, true
+		}
+	}
+	for name, expiry := range m.expiries {
+		if !m.changing[name] {
+			consider(expiry)
+		}
+	}
+	for _, queue := range m.queues {
+		for _, w := range queue {
+			consider(w.deadline)
+		}
+	}
+	if found {
+		m.host.SetAlarm(max(earliest, now))
+	}
+}
