--- a/budget/allocator_test.go
+++ b/budget/allocator_test.go
@@ -15,16 +15,16 @@
 		claims []claim
 		want   []int
 	}{
-		{10, []claim{{want: 2, weight: 1}, {want: 3, weight: 1}}, []int{2, 3}},
-		{10, []claim{{want: 2, weight: 1}, {want: 20, weight: 1}, {want: 20, weight: 1, rank: 1}}, []int{2, 4, 4}},
-		{11, []claim{{want: 2, weight: 1}, {want: 20, weight: 1, rank: 1}, {want: 20, weight: 1}}, []int{2, 4, 5}},
-		{12, []claim{{want: 20, weight: 1}, {want: 20, weight: 3}}, []int{3, 9}},
-		{12, []claim{{want: 2, weight: 1}, {want: 20, weight: 1}, {want: 5, weight: 3}}, []int{2, 5, 5}},
-		{1, []claim{{want: 1, weight: 1, rank: 1}, {want: 1, weight: 1}}, []int{0, 1}},
-		{5, []claim{{weight: 1}, {want: 9, weight: 1}}, []int{0, 5}},
-		{0, []claim{{want: 9, weight: 1}}, []int{0}},
+		{10, []claim{{demand: 2, weight: 1}, {demand: 3, weight: 1}}, []int{2, 3}},
+		{10, []claim{{demand: 2, weight: 1}, {demand: 20, weight: 1}, {demand: 20, weight: 1, rank: 1}}, []int{2, 4, 4}},
+		{11, []claim{{demand: 2, weight: 1}, {demand: 20, weight: 1, rank: 1}, {demand: 20, weight: 1}}, []int{2, 4, 5}},
+		{12, []claim{{demand: 20, weight: 1}, {demand: 20, weight: 3}}, []int{3, 9}},
+		{12, []claim{{demand: 2, weight: 1}, {demand: 20, weight: 1}, {demand: 5, weight: 3}}, []int{2, 5, 5}},
+		{1, []claim{{demand: 1, weight: 1, rank: 1}, {demand: 1, weight: 1}}, []int{0, 1}},
+		{5, []claim{{weight: 1}, {demand: 9, weight: 1}}, []int{0, 5}},
+		{0, []claim{{demand: 9, weight: 1}}, []int{0}},
 	} {
-		if got := shares(c.units, c.claims); !slices.Equal(got, c.want) {
+		if got := maxMinShares(c.units, c.claims); !slices.Equal(got, c.want) {
 			t.Errorf("%d units among %+v: %v, want %v", c.units, c.claims, got, c.want)
 		}
 	}
@@ -96,7 +96,7 @@
 func (f *fleet) pass(span Time) {
 	for end := f.now + span; f.now < end; f.now += 10 * lease.Millisecond {
 		for _, ref := range f.out {
-			e := f.d.out[ref]
+			e := f.d.proposals[ref]
 			f.state.Apply(e)
 			f.entries++
 			f.d.Applied(f.now, ref, false)
@@ -141,7 +141,7 @@
 		longest = max(longest, n.longest)
 	}
 	t.Logf("the longest wait is %d ms", longest/lease.Millisecond)
-	if most := 60 / 20 * (turnSpan + 500*lease.Millisecond); longest > most {
+	if most := 60 / 20 * (minTurn + 500*lease.Millisecond); longest > most {
 		t.Errorf("a node waited for %d ms, %d at most", longest/lease.Millisecond, most/lease.Millisecond)
 	}
 }
--- a/budget/allowance/limiter.go
+++ b/budget/allowance/limiter.go
@@ -5,7 +5,7 @@
 
 import "math"
 
-const second = 10000.0 // of a clock's ticks
+const ticksPerSecond = 10000.0 // of a clock's ticks
 
 // Quota is how much of a budget may be acted on.
 type Quota struct {
@@ -29,24 +29,24 @@
 
 // Limiter is what is left of a part. None, a nil one, bounds nothing.
 type Limiter struct {
-	part  Quota
-	saved float64
-	at    int64
-	use   Usage
+	quota      Quota
+	tokens     float64
+	refilledAt int64
+	usage      Usage
 }
 
 // Set changes the part, and gives what was asked for since the last time. Nothing is saved up in a new one; what is saved
 // up in an older one was so at the old rate, and shrinks with the part.
 func Set(a **Limiter, now int64, p Quota) Usage {
 	if *a == nil {
-		*a = &Limiter{part: p, at: now}
+		*a = &Limiter{quota: p, refilledAt: now}
 	}
 	x := *a
 	x.Available(now)
-	x.part = p
+	x.quota = p
 	x.Available(now)
-	u := x.use
-	x.use = Usage{InFlight: u.InFlight}
+	u := x.usage
+	x.usage = Usage{InFlight: u.InFlight}
 	return u
 }
 
@@ -55,7 +55,7 @@
 	if a == nil {
 		return nil
 	}
-	return &Limiter{part: a.part, at: now}
+	return &Limiter{quota: a.quota, refilledAt: now}
 }
 
 // Available gives how many acts may begin now. Once the part has ended, all time since the last look counts at the rate after it.
@@ -63,15 +63,15 @@
 	if a == nil {
 		return math.Inf(1)
 	}
-	if now >= a.part.Until {
-		a.part.Rate, a.part.Burst = a.part.ThenRate, a.part.ThenBurst
+	if now >= a.quota.Until {
+		a.quota.Rate, a.quota.Burst = a.quota.ThenRate, a.quota.ThenBurst
 	}
-	if a.part.Concurrency {
-		return a.part.Burst - float64(a.use.InFlight)
+	if a.quota.Concurrency {
+		return a.quota.Burst - float64(a.usage.InFlight)
 	}
-	a.saved = min(a.part.Burst, a.saved+a.part.Rate*float64(now-a.at)/second)
-	a.at = now
-	return a.saved
+	a.tokens = min(a.quota.Burst, a.tokens+a.quota.Rate*float64(now-a.refilledAt)/ticksPerSecond)
+	a.refilledAt = now
+	return a.tokens
 }
 
 // Spend counts an act that begins.
@@ -79,25 +79,25 @@
 	if a == nil {
 		return
 	}
-	a.use.Wanted++
-	a.use.Done++
-	if a.part.Concurrency {
-		a.use.InFlight++
+	a.usage.Wanted++
+	a.usage.Done++
+	if a.quota.Concurrency {
+		a.usage.InFlight++
 	} else {
-		a.saved--
+		a.tokens--
 	}
 }
 
 // Ended counts one of a number at a time that is over; took is in ticks, the mean of late.
 func (a *Limiter) Ended(took int64) {
 	if a != nil {
-		a.use.InFlight, a.use.MeanSeconds = max(0, a.use.InFlight-1), float64(took)/second
+		a.usage.InFlight, a.usage.MeanSeconds = max(0, a.usage.InFlight-1), float64(took)/ticksPerSecond
 	}
 }
 
 // Denied counts an act that could not begin.
 func (a *Limiter) Denied() {
 	if a != nil {
-		a.use.Wanted++
+		a.usage.Wanted++
 	}
 }
--- a/budget/allowance/limiter_test.go
+++ b/budget/allowance/limiter_test.go
@@ -42,7 +42,7 @@
 				for _, a := range all {
 					for a.Available(now) >= 1 {
 						a.Spend()
-						excess = max(0, excess-units*float64(now-last)/second) + 1
+						excess = max(0, excess-units*float64(now-last)/ticksPerSecond) + 1
 						if last = now; excess > units+1e-6 {
 							if passed = true; !kept {
 								t.Fatalf("%.3f beyond the rate, %g may be", excess, units)
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -30,7 +30,7 @@
 	for ; len(c.refs) > 0; entries++ {
 		ref := c.refs[0]
 		c.refs = c.refs[1:]
-		c.state.Apply(c.d.out[ref])
+		c.state.Apply(c.d.proposals[ref])
 		c.d.Applied(c.now, ref, false)
 	}
 	return entries
@@ -80,11 +80,11 @@
 	for n := range nodes {
 		name := fmt.Sprintf("node/%05d", n)
 		r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: name, Holder: lease.Holder{Name: name, Process: n}})
-		c.asks[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: askWait, Declared: declares, Held: append([]Holding(nil), holds...)}
+		c.asks[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: requestWait, Declared: declares, Held: append([]Holding(nil), holds...)}
 		c.ask(n)
 	}
 	for range 8 {
-		c.now += entryEvery
+		c.now += minMoveInterval
 		c.apply()
 		c.d.Alarm(c.now)
 		c.apply()
@@ -148,8 +148,8 @@
 	for _, nodes := range []int{100, 232, 500, 1000, 2000, 4090} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
 			c := newCrowd(nodes, 2)
-			for _, m := range c.d.members {
-				m.until = 1 << 60 // what their waits cost is the other benchmark's
+			for _, m := range c.d.nodes {
+				m.deadline = 1 << 60 // what their waits cost is the other benchmark's
 			}
 			entries, i := 0, 0
 			used := processorTime()
@@ -159,7 +159,7 @@
 				i++
 				c.asks[n].Held[0].Demand = 3 - c.asks[n].Held[0].Demand // one or two units
 				c.ask(n)
-				c.d.members[c.asks[n].Lease].until = 1 << 60
+				c.d.nodes[c.asks[n].Lease].deadline = 1 << 60
 				for range 2 { // what is asked back is given in the second
 					c.now += 1000 * lease.Millisecond
 					c.d.Alarm(c.now)
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -377,7 +377,7 @@
 		l.out = l.out[1:]
 		if l.term == w.term {
 			l.catchUp()
-			w.append(l.d.out[ref])
+			w.append(l.d.proposals[ref])
 			l.catchUp()
 			l.d.Applied(l.now(), ref, false)
 		}
@@ -467,11 +467,11 @@
 	for i, l := range w.leaders {
 		x, d := *l, *l.d
 		x.w, x.state, x.d, x.out = &o, copied(l.state), &d, slices.Clone(l.out)
-		d.host, d.state, d.out, d.reserves, d.members, d.turns = &x, x.state, maps.Clone(d.out), maps.Clone(d.reserves), map[string]*member{}, map[string]map[string]turn{}
-		for name, m := range l.d.members {
+		d.host, d.state, d.proposals, d.reserves, d.nodes, d.turns = &x, x.state, maps.Clone(d.proposals), maps.Clone(d.reserves), map[string]*nodeRecord{}, map[string]map[string]turn{}
+		for name, m := range l.d.nodes {
 			y := *m
-			y.holds, y.keep = maps.Clone(m.holds), maps.Clone(m.keep)
-			d.members[name] = &y
+			y.holdings, y.shrinkTo = maps.Clone(m.holdings), maps.Clone(m.shrinkTo)
+			d.nodes[name] = &y
 		}
 		for name, t := range l.d.turns {
 			d.turns[name] = maps.Clone(t)
@@ -481,11 +481,11 @@
 	o.procs = nil
 	for _, p := range w.procs {
 		x, purse := *p, *p.purse
-		x.w, x.purse, purse.acts = &o, &purse, &x
-		purse.shares = nil
-		for _, s := range p.purse.shares {
+		x.w, x.purse, purse.host = &o, &purse, &x
+		purse.budgets = nil
+		for _, s := range p.purse.budgets {
 			y := *s
-			purse.shares = append(purse.shares, &y)
+			purse.budgets = append(purse.budgets, &y)
 		}
 		o.procs = append(o.procs, &x)
 	}
@@ -502,16 +502,16 @@
 			fmt.Fprint(h, *l.state.Budgets[name])
 		}
 		if l.term > 0 {
-			fmt.Fprint(h, l.d.stale, l.d.due, l.d.again, l.d.moving, l.d.turns)
-			for _, name := range slices.Sorted(maps.Keys(l.d.members)) {
-				m := l.d.members[name]
-				fmt.Fprint(h, name, m.token, m.holds, m.keep, m.ask != 0, m.until)
+			fmt.Fprint(h, l.d.stale, l.d.nextDivision, l.d.retryAt, l.d.moveInFlight, l.d.turns)
+			for _, name := range slices.Sorted(maps.Keys(l.d.nodes)) {
+				m := l.d.nodes[name]
+				fmt.Fprint(h, name, m.token, m.holdings, m.shrinkTo, m.request != 0, m.deadline)
 			}
 		}
 	}
 	for _, p := range w.procs {
-		fmt.Fprint(h, p.units, p.apart, p.until, p.out, p.saved, p.asks, p.wakeAt, p.renewing, p.end, p.purse.out, p.purse.next, p.purse.looked)
-		for _, s := range p.purse.shares {
+		fmt.Fprint(h, p.units, p.apart, p.until, p.out, p.saved, p.asks, p.wakeAt, p.renewing, p.end, p.purse.nextRequest, p.purse.lastSample)
+		for _, s := range p.purse.budgets {
 			fmt.Fprint(h, *s)
 		}
 	}
--- a/budget/max_min.go
+++ b/budget/max_min.go
@@ -1,7 +1,3 @@
-// Package budget divides what a fleet may do together among its nodes, in whole units, and anew as their demand moves and
-// they come and go. It does no I/O and knows no clock of its own. What is out is agreed on in lease.State; Divider is what
-// the voters' leader keeps in mind beside it, Purse is a node's side. docs/budgets.md says what is promised,
-// docs/design-budgets.md why so.
 package budget
 
 import (
@@ -10,77 +6,91 @@
 	"slices"
 )
 
-// claim is one node's, at a division.
+// surplusFraction: a surplus of one in so many of a node's units isn't worth taking from it.
+const surplusFraction = 16
+
+// claim is what one node brings to a division.
 type claim struct {
-	want   int     // units that it can use
-	weight float64 // beside the others', above 0
-	has    int     // units that it holds
+	demand int     // units that it can use
+	weight float64 // relative to the other claims, above 0
+	units  int     // units that it has
 	rank   int     // lower ones come first where single units are left over
 }
 
-// shares divides so many units by weighted max-min: nobody gets more than it wants, and what one leaves goes to the others
-// by their weights. What is left over of the rounding goes one by one, by rank.
-func shares(units int, claims []claim) []int {
-	out := make([]int, len(claims))
-	open := make([]int, 0, len(claims))
-	for i, c := range claims {
-		if c.want > 0 {
-			open = append(open, i)
-		}
-	}
-	slices.SortFunc(open, func(x, y int) int {
-		a, b := claims[x], claims[y]
-		return cmp.Or(cmp.Compare(float64(a.want)/a.weight, float64(b.want)/b.weight), cmp.Compare(a.rank, b.rank))
-	})
+// maxMinShares divides units by weighted max-min fairness: no claim gets more than its demand, and what a satisfied claim
+// leaves goes to the others by weight. The units left over by rounding go one each, by rank.
+func maxMinShares(units int, claims []claim) []int {
+	result := make([]int, len(claims))
+	unsatisfied := demandingClaims(claims)
 	weights := 0.0
-	for _, i := range open {
+	for _, i := range unsatisfied {
 		weights += claims[i].weight
 	}
-	left, level := float64(units), 0.0
-	for n, i := range open {
+	left := float64(units)
+	level := 0.0 // units for each unit of weight
+	for len(unsatisfied) > 0 {
+		i := unsatisfied[0]
 		c := claims[i]
-		if level = left / weights; float64(c.want) > level*c.weight {
-			open = open[n:]
+		level = left / weights
+		if float64(c.demand) > level*c.weight {
 			break
 		}
-		out[i], left, weights = c.want, left-float64(c.want), weights-c.weight
-		if n == len(open)-1 {
-			return out // all have what they want
-		}
+		result[i] = c.demand
+		left -= float64(c.demand)
+		weights -= c.weight
+		unsatisfied = unsatisfied[1:]
+	}
+	if len(unsatisfied) == 0 {
+		return result
 	}
-	if len(open) == 0 {
-		return out
+	rounding := int(math.Round(left)) // whole but for the float arithmetic
+	for _, i := range unsatisfied {
+		result[i] = int(level * claims[i].weight)
+		rounding -= result[i]
 	}
-	rest := int(math.Round(left)) // a whole number but for the arithmetic
-	for _, i := range open {
-		out[i] = int(level * claims[i].weight)
-		rest -= out[i]
+	slices.SortFunc(unsatisfied, func(i, j int) int { return cmp.Compare(claims[i].rank, claims[j].rank) })
+	for _, i := range unsatisfied {
+		if rounding > 0 && result[i] < claims[i].demand {
+			result[i]++
+			rounding--
+		}
 	}
-	slices.SortFunc(open, func(x, y int) int { return cmp.Compare(claims[x].rank, claims[y].rank) })
-	for _, i := range open {
-		if rest > 0 && out[i] < claims[i].want {
-			out[i]++
-			rest--
+	return result
+}
+
+// demandingClaims returns the indices of claims with any demand, the lowest demand for their weight first.
+func demandingClaims(claims []claim) []int {
+	all := make([]int, 0, len(claims))
+	for i, c := range claims {
+		if c.demand > 0 {
+			all = append(all, i)
 		}
 	}
-	return out
+	slices.SortFunc(all, func(i, j int) int {
+		a, b := claims[i], claims[j]
+		byDemand := cmp.Compare(float64(a.demand)/a.weight, float64(b.demand)/b.weight)
+		return cmp.Or(byDemand, cmp.Compare(a.rank, b.rank))
+	})
+	return all
 }
 
-// steady keeps a division from swinging: who has a little more than its share keeps that, unless another lacks more than a
-// little.
-func steady(units int, claims []claim, target []int) {
-	free, lack := units, 0
+// keepSmallSurpluses keeps a division from oscillating: a node with slightly more than its target keeps the surplus,
+// unless the free units don't cover what others lack by more than slightly.
+func keepSmallSurpluses(units int, claims []claim, target []int) {
+	free, lacking := units, 0
 	for i, c := range claims {
-		free -= c.has
-		if short := target[i] - c.has; short > c.has/bandPart {
-			lack += short
+		free -= c.units
+		if lack := target[i] - c.units; lack > c.units/surplusFraction {
+			lacking += lack
 		}
 	}
+	if lacking > free {
+		return
+	}
 	for i, c := range claims {
-		if over := c.has - target[i]; over > 0 && over <= max(1, c.has/bandPart) && lack <= free {
-			target[i] = c.has
+		surplus := c.units - target[i]
+		if surplus > 0 && surplus <= max(1, c.units/surplusFraction) {
+			target[i] = c.units
 		}
 	}
 }
-
-const bandPart = 16 // a sixteenth of a part: less isn't worth taking from another
