--- a/budget/allowance/limiter.go
+++ b/budget/allowance/limiter.go
@@ -1,33 +1,38 @@
-// Package allowance counts what a node may do of a budget of its fleet: so many acts a second with some saved up, or so
-// many at a time, until the part ends, and less after that. It does no I/O and has no clock: its times are in whole tenths
-// of a millisecond. What to do where nothing is left is for others to decide.
+// Package allowance limits what a node does by its quota of a budget: a rate by a token bucket, or a concurrency, until the
+// quota ends, and a lower limit after that. It does no I/O and reads no clock: its times are in ticks of a tenth of a
+// millisecond. What to do with a request that the limit denies is the caller's decision.
 package allowance
 
 import "math"
 
-const ticksPerSecond = 10000.0 // of a clock's ticks
+const ticksPerSecond = 10000.0
 
-// Quota is how much of a budget may be acted on.
+// Quota is a limit that falls to another at its end.
 type Quota struct {
-	Concurrency         bool    // at a time; else a rate
-	Rate, Burst         float64 // a second, and how much of it may be saved up; of a number at a time Most alone
-	Until               int64
-	ThenRate, ThenBurst float64 // after that; never more
+	Concurrency         bool    // limits requests in flight, to Burst; else it limits a rate
+	Rate, Burst         float64 // tokens a second, and the bucket's size
+	Until               int64   // the end, in ticks
+	ThenRate, ThenBurst float64 // the limit after the end; never above the one before
 }
 
-// Usage is what was asked for since a part was last set.
+// Usage is what was asked of a limiter since Set was last called.
 type Usage struct {
-	Wanted, Done float64 // acts wanted, and done
-	InFlight     int     // of a number at a time, that go on now
-	MeanSeconds  float64 // seconds that one takes in the mean, 0: not known
+	Wanted, Done float64 // requests that wanted to begin, and those that did
+	InFlight     int     // requests in flight now, under a concurrency limit
+	MeanSeconds  float64 // that a request takes, 0: not known
 }
 
-// Max gives the larger of each.
+// Max returns the larger of each field.
 func (u Usage) Max(o Usage) Usage {
-	return Usage{max(u.Wanted, o.Wanted), max(u.Done, o.Done), max(u.InFlight, o.InFlight), max(u.MeanSeconds, o.MeanSeconds)}
+	return Usage{
+		Wanted:      max(u.Wanted, o.Wanted),
+		Done:        max(u.Done, o.Done),
+		InFlight:    max(u.InFlight, o.InFlight),
+		MeanSeconds: max(u.MeanSeconds, o.MeanSeconds),
+	}
 }
 
-// Limiter is what is left of a part. None, a nil one, bounds nothing.
+// Limiter enforces a Quota. A nil Limiter limits nothing. It is not safe for concurrent use.
 type Limiter struct {
 	quota      Quota
 	tokens     float64
@@ -35,69 +40,74 @@
 	usage      Usage
 }
 
-// Set changes the part, and gives what was asked for since the last time. Nothing is saved up in a new one; what is saved
-// up in an older one was so at the old rate, and shrinks with the part.
-func Set(a **Limiter, now int64, p Quota) Usage {
-	if *a == nil {
-		*a = &Limiter{quota: p, refilledAt: now}
+// Set replaces the quota of *l, which it creates if it is nil, and returns the usage since the call before. A new limiter has
+// no tokens. An older one has those that it got at the old rate, as far as the new bucket holds them: a quota that moves to
+// another node must not leave its burst behind.
+func Set(l **Limiter, now int64, q Quota) Usage {
+	if *l == nil {
+		*l = &Limiter{quota: q, refilledAt: now}
 	}
-	x := *a
-	x.Available(now)
-	x.quota = p
-	x.Available(now)
-	u := x.usage
-	x.usage = Usage{InFlight: u.InFlight}
-	return u
+	limiter := *l
+	limiter.Available(now)
+	limiter.quota = q
+	limiter.Available(now)
+	usage := limiter.usage
+	limiter.usage = Usage{InFlight: usage.InFlight}
+	return usage
 }
 
-// Clone gives a new one of the same part, with nothing saved up.
-func (a *Limiter) Clone(now int64) *Limiter {
-	if a == nil {
+// Clone returns a new limiter under the same quota, with no tokens.
+func (l *Limiter) Clone(now int64) *Limiter {
+	if l == nil {
 		return nil
 	}
-	return &Limiter{quota: a.quota, refilledAt: now}
+	return &Limiter{quota: l.quota, refilledAt: now}
 }
 
-// Available gives how many acts may begin now. Once the part has ended, all time since the last look counts at the rate after it.
-func (a *Limiter) Available(now int64) float64 {
-	if a == nil {
+// Available returns how many requests may begin now; it is negative when more are in flight than the limit allows. Once
+// the quota has ended, all time since the call before counts at the rate after the end.
+func (l *Limiter) Available(now int64) float64 {
+	if l == nil {
 		return math.Inf(1)
 	}
-	if now >= a.quota.Until {
-		a.quota.Rate, a.quota.Burst = a.quota.ThenRate, a.quota.ThenBurst
+	if now >= l.quota.Until {
+		l.quota.Rate = l.quota.ThenRate
+		l.quota.Burst = l.quota.ThenBurst
 	}
-	if a.quota.Concurrency {
-		return a.quota.Burst - float64(a.usage.InFlight)
+	if l.quota.Concurrency {
+		return l.quota.Burst - float64(l.usage.InFlight)
 	}
-	a.tokens = min(a.quota.Burst, a.tokens+a.quota.Rate*float64(now-a.refilledAt)/ticksPerSecond)
-	a.refilledAt = now
-	return a.tokens
+	l.tokens = min(l.quota.Burst, l.tokens+l.quota.Rate*float64(now-l.refilledAt)/ticksPerSecond)
+	l.refilledAt = now
+	return l.tokens
 }
 
-// Spend counts an act that begins.
-func (a *Limiter) Spend() {
-	if a == nil {
+// Spend counts a request that begins.
+func (l *Limiter) Spend() {
+	if l == nil {
 		return
 	}
-	a.usage.Wanted++
-	a.usage.Done++
-	if a.quota.Concurrency {
-		a.usage.InFlight++
+	l.usage.Wanted++
+	l.usage.Done++
+	if l.quota.Concurrency {
+		l.usage.InFlight++
 	} else {
-		a.tokens--
+		l.tokens--
 	}
 }
 
-// Ended counts one of a number at a time that is over; took is in ticks, the mean of late.
-func (a *Limiter) Ended(took int64) {
-	if a != nil {
-		a.usage.InFlight, a.usage.MeanSeconds = max(0, a.usage.InFlight-1), float64(took)/ticksPerSecond
+// Ended counts a request in flight that has ended. meanDuration is the mean of recent requests, in ticks.
+func (l *Limiter) Ended(meanDuration int64) {
+	if l == nil {
+		return
 	}
+	l.usage.InFlight = max(0, l.usage.InFlight-1)
+	l.usage.MeanSeconds = float64(meanDuration) / ticksPerSecond
 }
 
-// Denied counts an act that could not begin.
-func (a *Limiter) Denied() {
-	if a != nil {
-		a.usage.Wanted++
+// Denied counts a request that the limit kept from beginning.
+func (l *Limiter) Denied() {
+	if l != nil {
+		l.usage.Wanted++
 	}
 }
