--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -120,7 +120,7 @@
 	a.reserves = map[string]int{}
 }
 
-// IsLeader reports whether the Allocator believes to lead.
+// IsLeader reports whether the Allocator believes that it leads.
 func (a *Allocator) IsLeader() bool { return a.leader }
 
 // Demand returns the units of a budget that all nodes in contact could use, and those held back for nodes without any.
@@ -302,7 +302,7 @@
 		if target, ok := n.shrinkTo[budget]; ok && target < u.Quota.Units {
 			u.ShrinkTo = target
 		}
-		changed = changed || u.isNews(n.holdings[budget])
+		changed = changed || u.differs(n.holdings[budget])
 		updates = append(updates, u)
 	}
 	if changed {
@@ -310,8 +310,8 @@
 	}
 }
 
-// isNews reports whether the update tells a node something that its latest report doesn't have.
-func (u QuotaUpdate) isNews(h Holding) bool {
+// differs reports whether the node that sent this report must be notified of the update.
+func (u QuotaUpdate) differs(h Holding) bool {
 	if u.Quota.Token > h.Token || u.Config.Revision != h.Revision {
 		return true
 	}
--- a/budget/allowance/limiter_test.go
+++ b/budget/allowance/limiter_test.go
@@ -6,11 +6,11 @@
 	"pgregory.net/rapid"
 )
 
-// Parts that move between nodes at random, each given only once another has given it up: all together never do more than
-// the whole's rate in any window, and its burst. An act is done wherever one may be.
-func TestMovesNeverPassTheWhole(t *testing.T) {
+// Units move between nodes at random, each granted only once another node has returned it: all nodes together never exceed the
+// budget's rate and burst in any window. Each limiter spends every token that it has.
+func TestMovesNeverExceedTheBudget(t *testing.T) {
 	for _, kept := range []bool{false, true} {
-		passed := false
+		exceeded := false
 		check := func(t *rapid.T) {
 			const nodes, units = 4, 12.0
 			var all [nodes]*Limiter
@@ -20,7 +20,7 @@
 			set := func(i int) {
 				most := has[i]
 				if kept {
-					most = units // what was saved up stays
+					most = units // tokens stay
 				}
 				Set(&all[i], now, Quota{Rate: has[i], Burst: most, Until: 1 << 60})
 			}
@@ -44,8 +44,8 @@
 						a.Spend()
 						excess = max(0, excess-units*float64(now-last)/ticksPerSecond) + 1
 						if last = now; excess > units+1e-6 {
-							if passed = true; !kept {
-								t.Fatalf("%.3f beyond the rate, %g may be", excess, units)
+							if exceeded = true; !kept {
+								t.Fatalf("%.3f beyond the rate, want at most %g", excess, units)
 							}
 						}
 					}
@@ -53,17 +53,17 @@
 			}
 		}
 		rapid.Check(t, check)
-		if kept && !passed {
-			t.Error("with what was saved up kept nothing passes the whole: the test shows nothing")
+		if kept && !exceeded {
+			t.Error("with tokens kept no run exceeds the budget: the test proves nothing")
 		}
 	}
 }
 
-// A part's end, acts at a time, and what is told of them.
+// The end of a quota, a concurrency limit, and the usage reported.
 func TestEndsAndUse(t *testing.T) {
 	var a *Limiter
 	if a.Available(5) < 1e300 || a.Clone(5) != nil {
-		t.Error("no part bounds something")
+		t.Error("a nil limiter limits something")
 	}
 	a.Spend()
 	Set(&a, 0, Quota{Concurrency: true, Burst: 3, Until: 100, ThenBurst: 1})
@@ -81,14 +81,14 @@
 		t.Errorf("%+v", u)
 	}
 	if u := Set(&a, 60, Quota{Concurrency: true}); u.InFlight != 1 || u.Wanted != 0 {
-		t.Errorf("what goes on counts on: %+v", u)
+		t.Errorf("requests in flight must stay counted: %+v", u)
 	}
 	if l := a.Clone(70); l.Available(70) != 0 {
-		t.Errorf("%g left of a new one of no part", l.Available(70))
+		t.Errorf("%g available from the clone of an empty quota", l.Available(70))
 	}
 	var r *Limiter
 	Set(&r, 0, Quota{Rate: 2, Burst: 4, Until: 10000, ThenRate: 1, ThenBurst: 1})
 	if r.Available(5000) != 1 || r.Available(20000) != 1 {
-		t.Error("a rate fills with time, and what is saved up ends with its part")
+		t.Error("want tokens to fill with time, and the bucket to shrink when the quota ends")
 	}
 }
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -10,48 +10,48 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// crowd is a leader with many nodes in touch; entries are applied as soon as they are proposed.
-type crowd struct {
-	now   Time
-	state *lease.State
-	d     *Allocator
-	refs  []uint64
-	told  map[uint64]Response
-	asks  []Request // by node
-	lasts []uint64
-	ids   uint64
+// benchFleet is a leader and many nodes; entries are applied as soon as they are proposed.
+type benchFleet struct {
+	now       Time
+	state     *lease.State
+	allocator *Allocator
+	refs      []uint64
+	responses map[uint64]Response
+	requests  []Request // by node
+	lastIDs   []uint64
+	lastID    uint64
 }
 
-func (c *crowd) SetAlarm(Time)                     {}
-func (c *crowd) Propose(ref uint64, _ lease.Entry) { c.refs = append(c.refs, ref) }
-func (c *crowd) Respond(id uint64, a Response)     { c.told[id] = a }
+func (c *benchFleet) SetAlarm(Time)                     {}
+func (c *benchFleet) Propose(ref uint64, _ lease.Entry) { c.refs = append(c.refs, ref) }
+func (c *benchFleet) Respond(id uint64, a Response)     { c.responses[id] = a }
 
-func (c *crowd) apply() (entries int) {
+func (c *benchFleet) apply() (entries int) {
 	for ; len(c.refs) > 0; entries++ {
 		ref := c.refs[0]
 		c.refs = c.refs[1:]
-		c.state.Apply(c.d.proposals[ref])
-		c.d.Applied(c.now, ref, false)
+		c.state.Apply(c.allocator.proposals[ref])
+		c.allocator.Applied(c.now, ref, false)
 	}
 	return entries
 }
 
-func (c *crowd) ask(n int) {
-	c.ids++
-	c.lasts[n] = c.ids
-	c.d.Handle(c.now, c.ids, c.asks[n])
+func (c *benchFleet) send(n int) {
+	c.lastID++
+	c.lastIDs[n] = c.lastID
+	c.allocator.Handle(c.now, c.lastID, c.requests[n])
 }
 
-// heed lets a node take its answer, and ask again if there was news.
-func (c *crowd) heed(n int) {
-	a, told := c.told[c.lasts[n]]
+// handleResponse lets a node take its response, and send its next request if there were updates.
+func (c *benchFleet) handleResponse(n int) {
+	a, told := c.responses[c.lastIDs[n]]
 	if !told {
 		return
 	}
-	delete(c.told, c.lasts[n])
+	delete(c.responses, c.lastIDs[n])
 	for _, x := range a.Updates {
-		for i := range c.asks[n].Held {
-			if h := &c.asks[n].Held[i]; h.Budget == x.Budget {
+		for i := range c.requests[n].Held {
+			if h := &c.requests[n].Held[i]; h.Budget == x.Budget {
 				h.Token, h.Units, h.ShrinkTo, h.Revision = x.Quota.Token, x.Quota.Units, x.ShrinkTo, x.Config.Revision
 				if x.ShrinkTo >= 0 {
 					h.Units = min(h.Units, x.ShrinkTo)
@@ -60,16 +60,16 @@
 		}
 	}
 	if len(a.Updates) > 0 {
-		c.ask(n)
+		c.send(n)
 	}
 }
 
-// newCrowd has so many nodes share so many budgets of a unit and a half each, in steady demand.
-func newCrowd(nodes, budgets int) *crowd {
-	c := &crowd{now: 1, state: lease.NewState(), told: map[uint64]Response{}, asks: make([]Request, nodes), lasts: make([]uint64, nodes)}
+// newBenchFleet has nodes share budgets of two units for each, in steady demand of one unit each.
+func newBenchFleet(nodes, budgets int) *benchFleet {
+	c := &benchFleet{now: 1, state: lease.NewState(), responses: map[uint64]Response{}, requests: make([]Request, nodes), lastIDs: make([]uint64, nodes)}
 	c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
-	c.d = NewAllocator(c, c.state, Unsafe{})
-	c.d.Promote(c.now, c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"}).Term)
+	c.allocator = NewAllocator(c, c.state, Unsafe{})
+	c.allocator.Promote(c.now, c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"}).Term)
 	declares := map[string]lease.BudgetConfig{}
 	var holds []Holding
 	for i := range budgets {
@@ -80,17 +80,17 @@
 	for n := range nodes {
 		name := fmt.Sprintf("node/%05d", n)
 		r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: name, Holder: lease.Holder{Name: name, Process: n}})
-		c.asks[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: requestWait, Declared: declares, Held: append([]Holding(nil), holds...)}
-		c.ask(n)
+		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: requestWait, Declared: declares, Held: append([]Holding(nil), holds...)}
+		c.send(n)
 	}
 	for range 8 {
 		c.now += minMoveInterval
 		c.apply()
-		c.d.Alarm(c.now)
+		c.allocator.Alarm(c.now)
 		c.apply()
 		for n := range nodes {
-			c.asks[n].Declared = nil
-			c.heed(n)
+			c.requests[n].Declared = nil
+			c.handleResponse(n)
 		}
 	}
 	return c
@@ -102,32 +102,32 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkAskings is a leader's second in steady demand by parts: each node asks once a second, waits in vain, and asks
-// again. One op is one node's asking and the alarm at its end. The leader's share of a core is nodes times that.
-func BenchmarkAskings(b *testing.B) {
+// BenchmarkRequests measures a leader in steady demand: each node's request waits for a second without an update, and is sent
+// again. One op is one node's request and the alarm at its end. The leader's share of a core is nodes times that.
+func BenchmarkRequests(b *testing.B) {
 	for _, nodes := range []int{100, 232, 500, 1000, 2000, 4090} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			c := newCrowd(nodes, 2)
+			c := newBenchFleet(nodes, 2)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			step, n := max(1, 1000*lease.Millisecond/Time(nodes)), 0
 			for i := range nodes { // spread over a second
 				c.now += step
-				c.d.Alarm(c.now)
-				c.ask(i)
-				clear(c.told)
+				c.allocator.Alarm(c.now)
+				c.send(i)
+				clear(c.responses)
 			}
 			used := processorTime()
 			b.ResetTimer()
 			for b.Loop() {
 				c.now += step
-				c.d.Alarm(c.now)
-				c.ask(n % nodes)
+				c.allocator.Alarm(c.now)
+				c.send(n % nodes)
 				n++
-				clear(c.told)
+				clear(c.responses)
 			}
 			each := float64(processorTime()-used) / float64(b.N)
 			b.ReportMetric(each, "cpu-ns/op")
@@ -142,14 +142,14 @@
 	}
 }
 
-// BenchmarkDivisions is what one entry of the log costs the leader: a node wants another part, the budget is divided, and
-// all nodes that wait are looked at for news.
+// BenchmarkDivisions measures what one log entry costs the leader: a node's demand changes, the budget is divided, and all
+// requests that wait are checked for updates.
 func BenchmarkDivisions(b *testing.B) {
 	for _, nodes := range []int{100, 232, 500, 1000, 2000, 4090} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
-			c := newCrowd(nodes, 2)
-			for _, m := range c.d.nodes {
-				m.deadline = 1 << 60 // what their waits cost is the other benchmark's
+			c := newBenchFleet(nodes, 2)
+			for _, m := range c.allocator.nodes {
+				m.deadline = 1 << 60 // BenchmarkRequests measures the waits
 			}
 			entries, i := 0, 0
 			used := processorTime()
@@ -157,16 +157,16 @@
 			for b.Loop() {
 				n := i * 7 % nodes
 				i++
-				c.asks[n].Held[0].Demand = 3 - c.asks[n].Held[0].Demand // one or two units
-				c.ask(n)
-				c.d.nodes[c.asks[n].Lease].deadline = 1 << 60
-				for range 2 { // what is asked back is given in the second
+				c.requests[n].Held[0].Demand = 3 - c.requests[n].Held[0].Demand // one or two units
+				c.send(n)
+				c.allocator.nodes[c.requests[n].Lease].deadline = 1 << 60
+				for range 2 { // units that are asked back are free in the second one
 					c.now += 1000 * lease.Millisecond
-					c.d.Alarm(c.now)
+					c.allocator.Alarm(c.now)
 					entries += c.apply()
-					c.heed(n)
+					c.handleResponse(n)
 				}
-				clear(c.told)
+				clear(c.responses)
 			}
 			b.ReportMetric(float64(processorTime()-used)/float64(b.N), "cpu-ns/op")
 			b.ReportMetric(float64(entries)/float64(b.N), "entries/op")
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -10,228 +10,228 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// A small fleet for the tests: a log, two who may lead and believe it for too long, and nodes under leases that end. What
-// is explored is who hears what and when, who leads, and how the clocks run. Leases are kept by package lease, whose own
-// tests show that a holder's end comes before the granter's; here both ends are plain times.
+// A model of a small cluster: a log, two leaders of which one may be outdated without knowing it, and nodes under leases that
+// expire. The tests explore the order of messages, elections and clock rates. That a lease ends for its holder before it does
+// for its granter is shown by the tests of package lease; here both ends are plain times.
 
 const (
-	trueRate = 1000 // ticks of a clock in a step; the others are as far off as the bound allows
-	fastRate = 1250
-	slowRate = 750
-	length   = Time(4 * trueRate)
-	drift    = 0.25
+	trueRate      = 1000 // ticks of a clock in a step; the others drift as far as the bound allows
+	fastRate      = 1250
+	slowRate      = 750
+	leaseDuration = Time(4 * trueRate)
+	drift         = 0.25
 )
 
-// The safeguards that can be taken out.
+// The safeguards that can be disabled.
 const (
-	noMargin   = "drift-margin"      // ends with no margin for clocks of unlike rate
-	fromAnswer = "count-from-answer" // ends counted from when the answer came
-	burstKept  = "burst-kept"        // what was saved up stays when a part shrinks
-	reuse      = "reuse-early"       // what is asked back counts as free at once
-	forget     = "leader-forgets"    // a new leader takes all parts to be free
-	lateWord   = "old-word"          // an old word about a part counts for the one now
-	outKept    = "acts-forgotten"    // a number at a time shrinks on paper while acts go on
+	withoutDriftMargin = "drift-margin"      // lease ends have no margin for clock drift
+	countFromResponse  = "count-from-answer" // lease ends count from the response, not from the request
+	keepBurst          = "burst-kept"        // tokens stay when a quota shrinks
+	reuseEarly         = "reuse-early"       // units that are asked back count as free at once
+	forgetQuotas       = "leader-forgets"    // a new leader takes all quotas to be free
+	acceptStaleReports = "old-word"          // a report under an outdated token counts
+	forgetInFlight     = "acts-forgotten"    // requests in flight don't count as units in use
 )
 
-var safeguards = []string{noMargin, fromAnswer, burstKept, reuse, forget, lateWord, outKept}
+var safeguards = []string{withoutDriftMargin, countFromResponse, keepBurst, reuseEarly, forgetQuotas, acceptStaleReports, forgetInFlight}
 
 const limit = "limit"
 
-type letter struct {
-	from   int // process
-	id     uint64
-	ask    *Request
-	answer *Response
-	renews bool // of the lease
-	sent   Time
-	heard  bool
+type message struct {
+	from     int // process
+	id       uint64
+	request  *Request
+	response *Response
+	renewal  bool // of the lease
+	sent     Time
+	received bool
 }
 
-// process is one of a node; a node may have an earlier one that hasn't noticed its end.
+// process is a process of a node; a node may have an earlier one that hasn't noticed the end of its lease.
 type process struct {
-	w            *world
-	n, node      int
-	purse        *QuotaClient
-	token        uint64
-	end          Time
-	units, apart int
-	until        Time
-	out          int
-	saved        int
-	asks         bool // it is asked to act
-	wakeAt       Time
-	last         uint64 // its latest asking
-	renewing     bool
+	cluster         *testCluster
+	n, node         int
+	client          *QuotaClient
+	token           uint64
+	leaseEnd        Time
+	units, reserved int
+	until           Time
+	inFlight        int
+	tokens          int
+	busy            bool // it has demand
+	wakeAt          Time
+	lastRequest     uint64 // id of its latest request
+	renewing        bool
 }
 
 type leader struct {
-	w       *world
-	n       int
-	state   *lease.State
-	applied int
-	d       *Allocator
-	term    int // 0: it doesn't believe to lead
-	out     []uint64
-	wakeAt  Time
-	awake   bool
+	cluster   *testCluster
+	n         int
+	state     *lease.State
+	applied   int
+	allocator *Allocator
+	term      int // 0: it doesn't believe that it leads
+	proposals []uint64
+	wakeAt    Time
+	alarmSet  bool
 }
 
-type world struct {
-	without string
-	terms   lease.BudgetConfig
-	step    int
-	from    int // the step that an exploration begins at
-	log     []lease.Entry
-	truth   *lease.State
-	ends    map[string]Time // as the granter counts
-	leaders [2]*leader
-	procs   []*process
-	flying  []letter
-	term    int
-	ids     uint64
-	fault   string
-	leads, lost, demands, regrants, renews,
-	acts int
-	old int // letters of a process that may be under way beside its latest
+type testCluster struct {
+	disabled  string
+	config    lease.BudgetConfig
+	step      int
+	startStep int // the step that an exploration begins at
+	log       []lease.Entry
+	truth     *lease.State
+	leaseEnds map[string]Time // as the granter counts
+	leaders   [2]*leader
+	processes []*process
+	messages  []message
+	term      int
+	ids       uint64
+	fault     string
+	elections, losses, demandChanges, regrants, renewals,
+	requests int
+	olderMessages int // requests of a process that may be in flight beside its latest
 }
 
 func nameOf(node int) string { return fmt.Sprint("node/n", node) }
 
-func newWorld(without string, t lease.BudgetConfig, nodes int) *world {
-	w := &world{without: without, terms: t, truth: lease.NewState(), ends: map[string]Time{}}
-	for i := range w.leaders {
-		l := &leader{w: w, n: i, state: lease.NewState()}
-		l.d = w.divider(l)
-		w.leaders[i] = l
+func newTestCluster(without string, t lease.BudgetConfig, nodes int) *testCluster {
+	c := &testCluster{disabled: without, config: t, truth: lease.NewState(), leaseEnds: map[string]Time{}}
+	for i := range c.leaders {
+		l := &leader{cluster: c, n: i, state: lease.NewState()}
+		l.allocator = c.newAllocator(l)
+		c.leaders[i] = l
 	}
-	w.append(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
-	w.elect(0)
+	c.append(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
+	c.elect(0)
 	for i := range nodes {
-		w.grant(i)
+		c.grant(i)
 	}
-	return w
+	return c
 }
 
-func (w *world) divider(l *leader) *Allocator {
-	return NewAllocator(l, l.state, Unsafe{Reuse: w.without == reuse, Forget: w.without == forget, Words: w.without == lateWord})
+func (c *testCluster) newAllocator(l *leader) *Allocator {
+	return NewAllocator(l, l.state, Unsafe{Reuse: c.disabled == reuseEarly, Forget: c.disabled == forgetQuotas, Words: c.disabled == acceptStaleReports})
 }
 
-func (w *world) append(e lease.Entry) lease.Result {
-	w.log = append(w.log, e)
-	return w.truth.Apply(e)
+func (c *testCluster) append(e lease.Entry) lease.Result {
+	c.log = append(c.log, e)
+	return c.truth.Apply(e)
 }
 
 func (l *leader) catchUp() {
-	for ; l.applied < len(l.w.log); l.applied++ {
-		l.state.Apply(l.w.log[l.applied])
+	for ; l.applied < len(l.cluster.log); l.applied++ {
+		l.state.Apply(l.cluster.log[l.applied])
 	}
 }
 
-func (w *world) elect(i int) {
-	w.term++
-	l := w.leaders[i]
-	l.term = w.term
+func (c *testCluster) elect(i int) {
+	c.term++
+	l := c.leaders[i]
+	l.term = c.term
 	l.catchUp()
-	w.append(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: fmt.Sprint(i)})
+	c.append(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: fmt.Sprint(i)})
 	l.catchUp()
-	l.out = nil
-	l.d.Promote(l.now(), l.state.Term)
-	for name := range w.ends {
-		w.ends[name] = l.now() + w.long()
+	l.proposals = nil
+	l.allocator.Promote(l.now(), l.state.Term)
+	for name := range c.leaseEnds {
+		c.leaseEnds[name] = l.now() + c.granterDuration()
 	}
 }
 
-func (w *world) long() Time {
-	if w.without == noMargin {
-		return length
+func (c *testCluster) granterDuration() Time {
+	if c.disabled == withoutDriftMargin {
+		return leaseDuration
 	}
-	return lease.GranterDuration(length, drift)
+	return lease.GranterDuration(leaseDuration, drift)
 }
 
-func (w *world) short() Time {
-	if w.without == noMargin {
-		return length
+func (c *testCluster) holderDuration() Time {
+	if c.disabled == withoutDriftMargin {
+		return leaseDuration
 	}
-	return lease.HolderDuration(length, drift)
+	return lease.HolderDuration(leaseDuration, drift)
 }
 
 // grant gives a node's lease to a new process of it.
-func (w *world) grant(node int) {
-	r := w.append(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: nameOf(node), Holder: lease.Holder{Name: fmt.Sprint("n", node), Process: len(w.procs)}})
-	w.ends[nameOf(node)] = w.granter() + w.long()
-	p := &process{w: w, n: len(w.procs), node: node, token: r.Token, asks: node == 0}
-	p.end = p.now() + w.short()
-	w.procs = append(w.procs, p)
-	w.current().catchUp()
-	p.purse = NewQuotaClient(p, p.now(), nameOf(node), r.Token, 1, map[string]lease.BudgetConfig{limit: w.terms}, p.end, 0)
+func (c *testCluster) grant(node int) {
+	r := c.append(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: nameOf(node), Holder: lease.Holder{Name: fmt.Sprint("n", node), Process: len(c.processes)}})
+	c.leaseEnds[nameOf(node)] = c.granterNow() + c.granterDuration()
+	p := &process{cluster: c, n: len(c.processes), node: node, token: r.Token, busy: node == 0}
+	p.leaseEnd = p.now() + c.holderDuration()
+	c.processes = append(c.processes, p)
+	c.current().catchUp()
+	p.client = NewQuotaClient(p, p.now(), nameOf(node), r.Token, 1, map[string]lease.BudgetConfig{limit: c.config}, p.leaseEnd, 0)
 }
 
-func (w *world) current() *leader {
-	for _, l := range w.leaders {
-		if l.term == w.term {
+func (c *testCluster) current() *leader {
+	for _, l := range c.leaders {
+		if l.term == c.term {
 			return l
 		}
 	}
 	return nil
 }
 
-func (w *world) granter() Time      { return Time(w.step * fastRate) }
-func (l *leader) now() Time         { return l.w.granter() }
-func (p *process) now() Time        { return Time(p.w.step * slowRate) }
-func (l *leader) SetAlarm(at Time)  { l.wakeAt, l.awake = at, true }
-func (p *process) SetAlarm(at Time) { p.wakeAt = at }
+func (c *testCluster) granterNow() Time { return Time(c.step * fastRate) }
+func (l *leader) now() Time             { return l.cluster.granterNow() }
+func (p *process) now() Time            { return Time(p.cluster.step * slowRate) }
+func (l *leader) SetAlarm(at Time)      { l.wakeAt, l.alarmSet = at, true }
+func (p *process) SetAlarm(at Time)     { p.wakeAt = at }
 
-func (l *leader) Propose(ref uint64, e lease.Entry) { l.out = append(l.out, ref) }
+func (l *leader) Propose(ref uint64, e lease.Entry) { l.proposals = append(l.proposals, ref) }
 
 func (l *leader) Respond(id uint64, a Response) {
-	for i := range l.w.flying {
-		if m := &l.w.flying[i]; m.id == id {
-			m.answer = &a
+	for i := range l.cluster.messages {
+		if m := &l.cluster.messages[i]; m.id == id {
+			m.response = &a
 		}
 	}
 }
 
 func (p *process) Send(a Request) {
 	n := 0
-	for i := len(p.w.flying) - 1; i >= 0; i-- { // the oldest are lost
-		if f := p.w.flying[i]; f.from == p.n && !f.renews {
-			if n++; n > p.w.old {
-				p.w.flying = slices.Delete(p.w.flying, i, i+1)
+	for i := len(p.cluster.messages) - 1; i >= 0; i-- { // drops the oldest
+		if f := p.cluster.messages[i]; f.from == p.n && !f.renewal {
+			if n++; n > p.cluster.olderMessages {
+				p.cluster.messages = slices.Delete(p.cluster.messages, i, i+1)
 			}
 		}
 	}
-	p.w.ids++
-	p.last = p.w.ids
-	p.w.flying = append(p.w.flying, letter{from: p.n, id: p.last, ask: &a, sent: p.now()})
+	p.cluster.ids++
+	p.lastRequest = p.cluster.ids
+	p.cluster.messages = append(p.cluster.messages, message{from: p.n, id: p.lastRequest, request: &a, sent: p.now()})
 }
 
 func (p *process) SetQuota(_ string, t lease.BudgetConfig, units, apart int, until Time) allowance.Usage {
-	p.units, p.apart, p.until = units, apart, until
-	if p.cut(); p.w.without != burstKept {
-		p.saved = min(p.saved, p.allowed())
+	p.units, p.reserved, p.until = units, apart, until
+	if p.endAtLease(); p.cluster.disabled != keepBurst {
+		p.tokens = min(p.tokens, p.allowed())
 	}
-	u := allowance.Usage{InFlight: p.out, MeanSeconds: 0.1}
-	if p.w.without == outKept {
+	u := allowance.Usage{InFlight: p.inFlight, MeanSeconds: 0.1}
+	if p.cluster.disabled == forgetInFlight {
 		u.InFlight = 0
 	}
-	if p.asks {
+	if p.busy {
 		u.Wanted = 100
 	}
 	return u
 }
 
-// allowed is what the process may act on now, whatever it notices.
+// allowed returns the units that the process may use now.
 func (p *process) allowed() int {
 	if p.now() < p.until {
 		return p.units
 	}
-	return p.apart
+	return p.reserved
 }
 
-// cut ends what an end ends: acts of a number at a time begin only where they are over by then.
-func (p *process) cut() {
-	if p.now() >= p.end {
-		p.out = min(p.out, p.apart)
+// endAtLease ends requests in flight at the lease's end: none begins that would outlast it.
+func (p *process) endAtLease() {
+	if p.now() >= p.leaseEnd {
+		p.inFlight = min(p.inFlight, p.reserved)
 	}
 }
 
@@ -240,58 +240,58 @@
 	a, b int
 }
 
-func (w *world) moves(most int) (all []move) {
-	if w.step-w.from < most {
+func (c *testCluster) moves(most int) (all []move) {
+	if c.step-c.startStep < most {
 		all = append(all, move{what: "tick"})
 	}
-	for i, m := range w.flying {
+	for i, m := range c.messages {
 		switch {
-		case m.answer != nil || m.renews && m.heard:
+		case m.response != nil || m.renewal && m.received:
 			all = append(all, move{what: "answer", a: i})
-		case !m.heard && m.renews:
+		case !m.received && m.renewal:
 			all = append(all, move{what: "renew", a: i})
-		case !m.heard:
-			for _, l := range w.leaders {
+		case !m.received:
+			for _, l := range c.leaders {
 				if l.term > 0 {
 					all = append(all, move{"ask", i, l.n})
 				}
 			}
 		}
-		if w.lost > 0 {
+		if c.losses > 0 {
 			all = append(all, move{what: "lose", a: i})
 		}
 	}
-	for i, l := range w.leaders {
-		if l.term > 0 && len(l.out) > 0 {
+	for i, l := range c.leaders {
+		if l.term > 0 && len(l.proposals) > 0 {
 			all = append(all, move{what: "commit", a: i})
 		}
-		if w.leads > 0 && l.term != w.term {
+		if c.elections > 0 && l.term != c.term {
 			all = append(all, move{what: "elect", a: i})
 		}
-		if l.term > 0 && l.term != w.term {
+		if l.term > 0 && l.term != c.term {
 			all = append(all, move{what: "depose", a: i})
 		}
 	}
-	for i, p := range w.procs {
-		if w.demands > 0 && p.purse != nil {
+	for i, p := range c.processes {
+		if c.demandChanges > 0 && p.client != nil {
 			all = append(all, move{what: "demand", a: i})
 		}
-		if w.renews > 0 && !p.renewing && w.truth.Leases[nameOf(p.node)].Token == p.token {
+		if c.renewals > 0 && !p.renewing && c.truth.Leases[nameOf(p.node)].Token == p.token {
 			all = append(all, move{what: "extend", a: i})
 		}
-		if w.terms.Kind == lease.ConcurrencyKind {
-			if p.out < p.allowed() && w.acts > 0 {
+		if c.config.Kind == lease.ConcurrencyKind {
+			if p.inFlight < p.allowed() && c.requests > 0 {
 				all = append(all, move{what: "begin", a: i})
 			}
-			if p.out > 0 {
+			if p.inFlight > 0 {
 				all = append(all, move{what: "finish", a: i})
 			}
 		}
 	}
-	for name := range w.ends {
+	for name := range c.leaseEnds {
 		var node int
 		_, _ = fmt.Sscanf(name, "node/n%d", &node)
-		if _, held := w.truth.Leases[name]; !held && w.regrants > 0 {
+		if _, held := c.truth.Leases[name]; !held && c.regrants > 0 {
 			all = append(all, move{what: "regrant", a: node})
 		}
 	}
@@ -299,162 +299,162 @@
 	return all
 }
 
-func (w *world) play(m move) {
+func (c *testCluster) play(m move) {
 	switch m.what {
 	case "tick":
-		w.step++
-		for _, name := range slices.Sorted(maps.Keys(w.ends)) {
-			if l, held := w.truth.Leases[name]; held && w.granter() >= w.ends[name] {
-				w.append(lease.Entry{Version: 1, Kind: lease.KindRevoke, Name: name, Token: l.Token})
-				w.current().catchUp()
-				w.current().d.StateChanged(w.granter())
+		c.step++
+		for _, name := range slices.Sorted(maps.Keys(c.leaseEnds)) {
+			if l, held := c.truth.Leases[name]; held && c.granterNow() >= c.leaseEnds[name] {
+				c.append(lease.Entry{Version: 1, Kind: lease.KindRevoke, Name: name, Token: l.Token})
+				c.current().catchUp()
+				c.current().allocator.StateChanged(c.granterNow())
 			}
 		}
-		for _, p := range w.procs {
-			p.cut()
-			if p.now() >= p.end && w.without != burstKept {
-				p.saved = min(p.saved, p.apart)
+		for _, p := range c.processes {
+			p.endAtLease()
+			if p.now() >= p.leaseEnd && c.disabled != keepBurst {
+				p.tokens = min(p.tokens, p.reserved)
 			}
-			p.saved = max(p.saved, p.allowed()) // a bucket is full by now
+			p.tokens = max(p.tokens, p.allowed()) // a step is long enough to fill the bucket
 			if p.wakeAt <= p.now() {
-				p.purse.Alarm(p.now())
+				p.client.Alarm(p.now())
 			}
 		}
 	case "ask":
-		f := &w.flying[m.a]
-		f.heard = true
-		id, a := f.id, *f.ask
-		w.leaders[m.b].d.Handle(w.granter(), id, a)
+		f := &c.messages[m.a]
+		f.received = true
+		id, a := f.id, *f.request
+		c.leaders[m.b].allocator.Handle(c.granterNow(), id, a)
 	case "extend":
-		w.renews--
-		w.procs[m.a].renewing = true
-		w.ids++
-		w.flying = append(w.flying, letter{from: m.a, id: w.ids, renews: true, sent: w.procs[m.a].now()})
+		c.renewals--
+		c.processes[m.a].renewing = true
+		c.ids++
+		c.messages = append(c.messages, message{from: m.a, id: c.ids, renewal: true, sent: c.processes[m.a].now()})
 	case "renew":
-		f := &w.flying[m.a]
-		p := w.procs[f.from]
-		if w.truth.Leases[nameOf(p.node)].Token != p.token {
-			w.flying = slices.Delete(w.flying, m.a, m.a+1)
+		f := &c.messages[m.a]
+		p := c.processes[f.from]
+		if c.truth.Leases[nameOf(p.node)].Token != p.token {
+			c.messages = slices.Delete(c.messages, m.a, m.a+1)
 			p.renewing = false
 			break
 		}
-		f.heard = true
-		w.ends[nameOf(p.node)] = max(w.ends[nameOf(p.node)], w.granter()+w.long())
+		f.received = true
+		c.leaseEnds[nameOf(p.node)] = max(c.leaseEnds[nameOf(p.node)], c.granterNow()+c.granterDuration())
 	case "answer":
-		f := w.flying[m.a]
-		w.flying = slices.Delete(w.flying, m.a, m.a+1)
-		p := w.procs[f.from]
+		f := c.messages[m.a]
+		c.messages = slices.Delete(c.messages, m.a, m.a+1)
+		p := c.processes[f.from]
 		switch {
-		case f.renews:
+		case f.renewal:
 			from := f.sent
-			if w.without == fromAnswer {
+			if c.disabled == countFromResponse {
 				from = p.now()
 			}
 			p.renewing = false
-			p.end = max(p.end, from+w.short())
-			p.purse.ExtendLease(p.end)
-		case f.id == p.last:
-			p.purse.HandleResponse(p.now(), *f.answer)
+			p.leaseEnd = max(p.leaseEnd, from+c.holderDuration())
+			p.client.ExtendLease(p.leaseEnd)
+		case f.id == p.lastRequest:
+			p.client.HandleResponse(p.now(), *f.response)
 		}
 	case "lose":
-		w.lost--
-		f := w.flying[m.a]
-		w.flying = slices.Delete(w.flying, m.a, m.a+1)
-		p := w.procs[f.from]
-		if f.renews {
+		c.losses--
+		f := c.messages[m.a]
+		c.messages = slices.Delete(c.messages, m.a, m.a+1)
+		p := c.processes[f.from]
+		if f.renewal {
 			p.renewing = false
 		} else {
-			for _, l := range w.leaders {
-				l.d.CallerGone(f.id)
+			for _, l := range c.leaders {
+				l.allocator.CallerGone(f.id)
 			}
-			if f.id == p.last {
-				p.purse.HandleTimeout(p.now())
+			if f.id == p.lastRequest {
+				p.client.HandleTimeout(p.now())
 			}
 		}
 	case "commit":
-		l := w.leaders[m.a]
-		ref := l.out[0]
-		l.out = l.out[1:]
-		if l.term == w.term {
+		l := c.leaders[m.a]
+		ref := l.proposals[0]
+		l.proposals = l.proposals[1:]
+		if l.term == c.term {
 			l.catchUp()
-			w.append(l.d.proposals[ref])
+			c.append(l.allocator.proposals[ref])
 			l.catchUp()
-			l.d.Applied(l.now(), ref, false)
+			l.allocator.Applied(l.now(), ref, false)
 		}
 	case "elect":
-		w.leads--
-		w.elect(m.a)
+		c.elections--
+		c.elect(m.a)
 	case "depose":
-		l := w.leaders[m.a]
-		l.term, l.out, l.awake = 0, nil, false
-		l.d.Demote()
+		l := c.leaders[m.a]
+		l.term, l.proposals, l.alarmSet = 0, nil, false
+		l.allocator.Demote()
 	case "demand":
-		w.demands--
-		w.procs[m.a].asks = !w.procs[m.a].asks
+		c.demandChanges--
+		c.processes[m.a].busy = !c.processes[m.a].busy
 	case "regrant":
-		w.regrants--
-		w.grant(m.a)
+		c.regrants--
+		c.grant(m.a)
 	case "begin":
-		w.acts--
-		w.procs[m.a].out++
+		c.requests--
+		c.processes[m.a].inFlight++
 	case "finish":
-		w.procs[m.a].out--
+		c.processes[m.a].inFlight--
 	}
-	for range 4 { // what is due at once
-		for _, l := range w.leaders {
-			if l.term > 0 && l.awake && l.wakeAt <= l.now() {
-				l.awake = false
-				l.d.Alarm(l.now())
+	for range 4 { // alarms that are due at once
+		for _, l := range c.leaders {
+			if l.term > 0 && l.alarmSet && l.wakeAt <= l.now() {
+				l.alarmSet = false
+				l.allocator.Alarm(l.now())
 			}
 		}
 	}
-	w.look()
+	c.checkBounds()
 }
 
-// look holds all processes together against the whole: what they may do, what goes on, what is saved up.
-func (w *world) look() {
+// checkBounds checks that the units, requests in flight and tokens of all processes together don't exceed the budget.
+func (c *testCluster) checkBounds() {
 	sum, saved := 0, 0
 	apart := map[int]bool{}
 	var told []string
-	for i := len(w.procs) - 1; i >= 0; i-- {
-		p := w.procs[i]
+	for i := len(c.processes) - 1; i >= 0; i-- {
+		p := c.processes[i]
 		units := p.allowed()
 		if p.now() >= p.until && apart[p.node] {
-			units = 0 // the address is the later process's, and what is apart with it
+			units = 0 // the later process has the node's address, and its reserved units with it
 		}
 		if p.now() >= p.until && units == 0 {
-			p.saved = min(p.saved, units)
+			p.tokens = min(p.tokens, units)
 		}
 		apart[p.node] = true
-		sum += max(units, p.out)
-		saved += p.saved
-		told = append(told, fmt.Sprintf("process %d of n%d: %d, %d going on, %d saved", p.n, p.node, units, p.out, p.saved))
+		sum += max(units, p.inFlight)
+		saved += p.tokens
+		told = append(told, fmt.Sprintf("process %d of n%d: %d, %d going on, %d saved", p.n, p.node, units, p.inFlight, p.tokens))
 	}
-	if w.fault == "" && (sum > w.terms.Units || w.terms.Kind == lease.RateKind && saved > w.terms.Units) {
-		w.fault = fmt.Sprintf("of %d units: %v", w.terms.Units, told)
+	if c.fault == "" && (sum > c.config.Units || c.config.Kind == lease.RateKind && saved > c.config.Units) {
+		c.fault = fmt.Sprintf("of %d units: %v", c.config.Units, told)
 	}
 }
 
-// settle lets all go well for some steps.
-func (w *world) settle(steps int) {
-	w.renews = 100
-	for end := w.step + steps; w.step < end; {
-		all := w.moves(end)
+// settle plays some steps without faults.
+func (c *testCluster) settle(steps int) {
+	c.renewals = 100
+	for end := c.step + steps; c.step < end; {
+		all := c.moves(end)
 		at := slices.IndexFunc(all, func(m move) bool {
-			return m.what == "answer" || m.what == "commit" || m.what == "renew" || m.what == "ask" || m.what == "extend" && w.renews > 90
+			return m.what == "answer" || m.what == "commit" || m.what == "renew" || m.what == "ask" || m.what == "extend" && c.renewals > 90
 		})
 		if at < 0 {
-			w.renews = 100
+			c.renewals = 100
 			at = slices.IndexFunc(all, func(m move) bool { return m.what == "tick" })
 		}
-		w.play(all[at])
+		c.play(all[at])
 	}
-	w.from = w.step
+	c.startStep = c.step
 }
 
-// clone copies the whole fleet.
-func (w *world) clone() *world {
-	o := *w
+// clone returns a deep copy.
+func (c *testCluster) clone() *testCluster {
+	o := *c
 	copied := func(s *lease.State) *lease.State {
 		x := *s
 		x.Leases, x.Budgets = maps.Clone(s.Leases), map[string]*lease.Budget{}
@@ -463,66 +463,66 @@
 		}
 		return &x
 	}
-	o.log, o.flying, o.truth, o.ends = w.log[:len(w.log):len(w.log)], slices.Clone(w.flying), copied(w.truth), maps.Clone(w.ends)
-	for i, l := range w.leaders {
-		x, d := *l, *l.d
-		x.w, x.state, x.d, x.out = &o, copied(l.state), &d, slices.Clone(l.out)
+	o.log, o.messages, o.truth, o.leaseEnds = c.log[:len(c.log):len(c.log)], slices.Clone(c.messages), copied(c.truth), maps.Clone(c.leaseEnds)
+	for i, l := range c.leaders {
+		x, d := *l, *l.allocator
+		x.cluster, x.state, x.allocator, x.proposals = &o, copied(l.state), &d, slices.Clone(l.proposals)
 		d.host, d.state, d.proposals, d.reserves, d.nodes, d.turns = &x, x.state, maps.Clone(d.proposals), maps.Clone(d.reserves), map[string]*nodeRecord{}, map[string]map[string]turn{}
-		for name, m := range l.d.nodes {
+		for name, m := range l.allocator.nodes {
 			y := *m
 			y.holdings, y.shrinkTo = maps.Clone(m.holdings), maps.Clone(m.shrinkTo)
 			d.nodes[name] = &y
 		}
-		for name, t := range l.d.turns {
+		for name, t := range l.allocator.turns {
 			d.turns[name] = maps.Clone(t)
 		}
 		o.leaders[i] = &x
 	}
-	o.procs = nil
-	for _, p := range w.procs {
-		x, purse := *p, *p.purse
-		x.w, x.purse, purse.host = &o, &purse, &x
+	o.processes = nil
+	for _, p := range c.processes {
+		x, purse := *p, *p.client
+		x.cluster, x.client, purse.host = &o, &purse, &x
 		purse.budgets = nil
-		for _, s := range p.purse.budgets {
+		for _, s := range p.client.budgets {
 			y := *s
 			purse.budgets = append(purse.budgets, &y)
 		}
-		o.procs = append(o.procs, &x)
+		o.processes = append(o.processes, &x)
 	}
 	return &o
 }
 
-// print gives what tells one state from another.
-func (w *world) print(h hash.Hash64) uint64 {
+// fingerprint returns a hash of everything that tells one state from another.
+func (c *testCluster) fingerprint(h hash.Hash64) uint64 {
 	h.Reset()
-	fmt.Fprint(h, w.step, w.term, w.leads, w.lost, w.demands, w.regrants, w.renews, w.acts, w.ends, w.truth.Leases)
-	for _, l := range w.leaders {
-		fmt.Fprint(h, l.term, len(w.log)-l.applied, l.out, l.awake, l.wakeAt)
+	fmt.Fprint(h, c.step, c.term, c.elections, c.losses, c.demandChanges, c.regrants, c.renewals, c.requests, c.leaseEnds, c.truth.Leases)
+	for _, l := range c.leaders {
+		fmt.Fprint(h, l.term, len(c.log)-l.applied, l.proposals, l.alarmSet, l.wakeAt)
 		for _, name := range slices.Sorted(maps.Keys(l.state.Budgets)) {
 			fmt.Fprint(h, *l.state.Budgets[name])
 		}
 		if l.term > 0 {
-			fmt.Fprint(h, l.d.stale, l.d.nextDivision, l.d.retryAt, l.d.moveInFlight, l.d.turns)
-			for _, name := range slices.Sorted(maps.Keys(l.d.nodes)) {
-				m := l.d.nodes[name]
+			fmt.Fprint(h, l.allocator.stale, l.allocator.nextDivision, l.allocator.retryAt, l.allocator.moveInFlight, l.allocator.turns)
+			for _, name := range slices.Sorted(maps.Keys(l.allocator.nodes)) {
+				m := l.allocator.nodes[name]
 				fmt.Fprint(h, name, m.token, m.holdings, m.shrinkTo, m.request != 0, m.deadline)
 			}
 		}
 	}
-	for _, p := range w.procs {
-		fmt.Fprint(h, p.units, p.apart, p.until, p.out, p.saved, p.asks, p.wakeAt, p.renewing, p.end, p.purse.nextRequest, p.purse.lastSample)
-		for _, s := range p.purse.budgets {
+	for _, p := range c.processes {
+		fmt.Fprint(h, p.units, p.reserved, p.until, p.inFlight, p.tokens, p.busy, p.wakeAt, p.renewing, p.leaseEnd, p.client.nextRequest, p.client.lastSample)
+		for _, s := range p.client.budgets {
 			fmt.Fprint(h, *s)
 		}
 	}
 	var flying []string // in whatever order
-	for _, m := range w.flying {
-		as := fmt.Sprint(m.from, m.sent, m.heard, m.renews, m.id == w.procs[m.from].last)
-		if m.ask != nil {
-			as += fmt.Sprint(m.ask.Held)
+	for _, m := range c.messages {
+		as := fmt.Sprint(m.from, m.sent, m.received, m.renewal, m.id == c.processes[m.from].lastRequest)
+		if m.request != nil {
+			as += fmt.Sprint(m.request.Held)
 		}
-		if m.answer != nil {
-			as += fmt.Sprint(*m.answer)
+		if m.response != nil {
+			as += fmt.Sprint(*m.response)
 		}
 		flying = append(flying, as)
 	}
