--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math"
 	"slices"
 	"strings"
@@ -10,92 +11,123 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Budget is what a node's papers say of one of its fleet's.
+const (
+	defaultReservedFraction = 0.1     // a node's reserved units are its own in normal operation too, so they cost little
+	maxUnits                = 1 << 20 // of a budget; also the largest rate a second
+	unitRounding            = 1e-9    // corrects the float arithmetic where a product should be whole
+)
+
+// Values of a budget's key "bounds".
+const (
+	boundsOrigin    = "origin"
+	boundsTenant    = "partner"
+	boundsDiscovery = "discovery"
+	boundsSlowStart = "cold"
+	boundsCache     = "cache"
+)
+
+// Budget is a limit that all nodes of a cluster share.
 type Budget struct {
-	Name    string
-	Bound   routing.Limit
-	Partner string // whose lookups it bounds, if any's
+	// Name is unique among the budgets. Required.
+	Name string
+	// Bound is the routing limit that the node's quota is applied to.
+	Bound routing.Limit
+	// Partner is the tenant whose requests are limited; empty for other limits.
+	Partner string
+	// BudgetConfig holds the size: Units of RatePerUnit requests a second each, or of 1 request in flight each.
+	// ReservedPerNode is the fraction "apart" of the units, 0.1 by default, divided by the key "nodes" and rounded down.
 	lease.BudgetConfig
 }
 
-const (
-	defaultApart = 0.1 // of the whole, for nodes that are cut off: it is theirs in peace too, so little is lost by it
-	weightMost   = 1000.0
-)
+// limits gives the routing limit for each kind of budget of each resource.
+var limits = map[string]map[string]routing.Limit{
+	boundsOrigin:    {lease.RateKind: routing.OriginRate, lease.ConcurrencyKind: routing.OriginConcurrency},
+	boundsTenant:    {lease.RateKind: routing.TenantRate},
+	boundsDiscovery: {lease.RateKind: routing.DiscoveryRate},
+	boundsSlowStart: {lease.RateKind: routing.SlowStartRate},
+	boundsCache:     {lease.ConcurrencyKind: routing.CacheConcurrency},
+}
 
-// What can be bounded, and by which kinds of budget.
-var bounds = map[string]map[string]routing.Limit{
-	"origin":    {lease.RateKind: routing.OriginRate, lease.ConcurrencyKind: routing.OriginConcurrency},
-	"partner":   {lease.RateKind: routing.TenantRate},
-	"discovery": {lease.RateKind: routing.DiscoveryRate},
-	"cold":      {lease.RateKind: routing.SlowStartRate},
-	"cache":     {lease.ConcurrencyKind: routing.CacheConcurrency},
+var reservedForm = numberForm("a share from 0 to 1", func(x float64) bool { return x >= 0 && x <= 1 })
+
+// readBudget reads a budget. earlier are those before it in the list, maxNodes is the most nodes that there may ever be.
+func readBudget(o object, earlier []Budget, maxNodes int, tenants []string) Budget {
+	b := Budget{Name: o.stringAt("name")}
+	b.Kind = o.stringAt("kind")
+	b.Resource = o.stringAt("bounds")
+	b.MaxNodes = maxNodes
+	b.checkNameAndKind(o, earlier)
+	b.readLimit(o, earlier, tenants)
+	units := b.readUnits(o)
+	b.readReserved(o, units)
+	return b
 }
 
-// budgets reads the section's budgets. nodes is how many there may ever be, 0: not told.
-func budgets(list []any, nodes int, partners []string, fault func(key, expected string)) (all []Budget) {
-	for i, v := range list {
-		m, _ := v.(map[string]any)
-		key := fmt.Sprintf("fleet.budgets[%d].", i)
-		b := Budget{BudgetConfig: lease.BudgetConfig{MaxNodes: max(1, nodes), RatePerUnit: 1}}
-		b.Name, _ = m["name"].(string)
-		b.Kind, _ = m["kind"].(string)
-		b.Resource, _ = m["bounds"].(string)
-		whole, _ := m["whole"].(float64)
-		bound, known := bounds[b.Resource][b.Kind]
-		b.Bound = bound
-		switch {
-		case !lease.ValidName(b.Name) || strings.ContainsAny(b.Name, "./:"):
-			fault(key+"name", "a name of letters, digits and -_@")
-		case slices.ContainsFunc(all, func(o Budget) bool { return o.Name == b.Name }):
-			fault(key+"name", fmt.Sprintf("another name than %q, which a budget before it has", b.Name))
-		case bounds[b.Resource] == nil:
-			fault(key+"bounds", "one of origin, partner, discovery, cold, cache")
-		case !known:
-			fault(key+"kind", "for "+b.Resource+" "+strings.Join(sortedKeys(bounds[b.Resource]), " or "))
-		}
-		if b.Resource == "partner" {
-			if b.Partner, _ = m["partner"].(string); !slices.Contains(partners, b.Partner) {
-				fault(key+"partner", "the name of one of settings.tenants")
-			}
-		}
-		if slices.ContainsFunc(all, func(o Budget) bool { return o.Bound == b.Bound && o.Partner == b.Partner && known }) {
-			fault(key+"bounds", "something that no budget before it bounds already")
-		}
-		units := whole
-		if b.Kind == lease.RateKind {
-			if units, _ = m["burst"].(float64); units < 1 || units != math.Trunc(units) || units > 1<<20 {
-				fault(key+"burst", "a whole number, 1 or more: how much of the rate may be saved up, and in how many units it is divided")
-				units = 1
-			}
-			b.RatePerUnit = whole / units
+// checkNameAndKind reports the first fault of the keys that say what the budget is.
+func (b *Budget) checkNameAndKind(o object, earlier []Budget) {
+	sameName := func(other Budget) bool { return other.Name == b.Name }
+	kinds := limits[b.Resource]
+	_, known := kinds[b.Kind]
+	switch {
+	case !lease.ValidName(b.Name) || strings.ContainsAny(b.Name, "./:"):
+		o.fault("name", "a name of letters, digits and -_@")
+	case slices.ContainsFunc(earlier, sameName):
+		o.fault("name", fmt.Sprintf("another name than %q, which a budget before it has", b.Name))
+	case kinds == nil:
+		o.fault("bounds", "one of origin, partner, discovery, cold, cache")
+	case !known:
+		names := slices.Sorted(maps.Keys(kinds))
+		o.fault("kind", "for "+b.Resource+" "+strings.Join(names, " or "))
+	}
+}
+
+// readLimit reads what the budget limits, which no earlier one may limit already.
+func (b *Budget) readLimit(o object, earlier []Budget, tenants []string) {
+	limit, known := limits[b.Resource][b.Kind]
+	b.Bound = limit
+	if b.Resource == boundsTenant {
+		b.Partner = o.stringAt("partner")
+		if !slices.Contains(tenants, b.Partner) {
+			o.fault("partner", "the name of one of settings.tenants")
 		}
-		if !(whole > 0) || b.Kind == lease.ConcurrencyKind && whole != math.Trunc(whole) || whole > 1<<20 {
-			fault(key+"whole", map[bool]string{true: "a whole number above 0", false: "a number above 0"}[b.Kind == lease.ConcurrencyKind])
+	}
+	sameLimit := func(other Budget) bool { return other.Bound == b.Bound && other.Partner == b.Partner }
+	if known && slices.ContainsFunc(earlier, sameLimit) {
+		o.fault("bounds", "something that no budget before it bounds already")
+	}
+}
+
+// readUnits reads the size of the budget, and returns its units. At fault they are 1, so that the other keys can be checked.
+func (b *Budget) readUnits(o object) float64 {
+	whole := o.numberAt("whole")
+	units := whole
+	b.RatePerUnit = 1
+	if b.Kind == lease.RateKind {
+		units = o.numberAt("burst")
+		if units < 1 || units != math.Trunc(units) || units > maxUnits {
+			o.fault("burst", "a whole number, 1 or more: how much of the rate may be saved up, and in how many units it is divided")
 			units = 1
 		}
-		apart := defaultApart
-		if v, found := find(m, "apart"); found {
-			if x, ok := v.(float64); ok && x >= 0 && x <= 1 {
-				apart = x
-			} else {
-				fault(key+"apart", "a share from 0 to 1")
-			}
-		}
-		b.Units = int(units)
-		b.ReservedPerNode = int(apart*units/float64(b.MaxNodes) + 1e-9)
-		if b.Resource == "discovery" && b.ReservedPerNode < 1 {
-			fault(key+"apart", "a share that leaves each of fleet.nodes a whole unit of burst: a node without the list serves nothing")
-		}
-		all = append(all, b)
+		b.RatePerUnit = whole / units
+	}
+	expected, valid := "a number above 0", whole > 0 && whole <= maxUnits
+	if b.Kind == lease.ConcurrencyKind {
+		expected, valid = "a whole number above 0", valid && whole == math.Trunc(whole)
+	}
+	if !valid {
+		o.fault("whole", expected)
+		units = 1
 	}
-	return all
+	b.Units = int(units)
+	return units
 }
 
-func sortedKeys[T any](m map[string]T) (all []string) {
-	for k := range m {
-		all = append(all, k)
+// readReserved reads the fraction of the units that is reserved for nodes out of contact, and gives each node its part.
+func (b *Budget) readReserved(o object, units float64) {
+	reserved := defaultReservedFraction
+	optional(o, "apart", reservedForm, &reserved)
+	b.ReservedPerNode = int(reserved*units/float64(b.MaxNodes) + unitRounding)
+	if b.Resource == boundsDiscovery && b.ReservedPerNode < 1 {
+		o.fault("apart", "a share that leaves each of fleet.nodes a whole unit of burst: a node without the list serves nothing")
 	}
-	slices.Sort(all)
-	return all
 }
