--- a/internal/net/dispatch/admission_test.go
+++ b/internal/net/dispatch/admission_test.go
@@ -20,13 +20,13 @@
 		want    admission.Reason
 		outcome Outcome
 	}{
-		{"a second attempt beside an unsafe one", Request{Class: "once", Key: "k"}, endCount,
+		{"a second attempt beside an unsafe one", Request{Class: "once", Key: "k"}, attemptResultCount,
 			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
 		{"a retry of an unsafe one that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
 			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
 		{"a refusal of an unsafe one that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
 			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
-		{"a refusal of an unsafe one that is out", Request{Class: "once", Key: "k"}, endCount,
+		{"a refusal of an unsafe one that is out", Request{Class: "once", Key: "k"}, attemptResultCount,
 			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,16 +34,16 @@
 			x := start(t, ships)
 			ticket := take(t, x, c.in, time.Second)
 			first := ships.take(0)
-			if c.before != endCount {
+			if c.before != attemptResultCount {
 				// As the module would be told, but for its own end of the request.
 				x.mu.Lock()
-				first.settled, first.told = true, true
-				ticket.out--
-				ticket.ran(first.sent)
+				first.finished, first.reported = true, true
+				ticket.inFlight--
+				ticket.noteMayHaveRun(first.startedAt)
 				x.mu.Unlock()
 			}
-			x.do("test", nil, func(routing.Time) { c.order(host{x}, ticket.index) })
-			if n := x.figures.Violations[c.want].Load(); n != 1 {
+			x.withLock("test", nil, func(routing.Time) { c.order(host{x}, ticket.index) })
+			if n := x.metrics.Violations[c.want].Load(); n != 1 {
 				t.Errorf("%d violations by %v, want one", n, c.want)
 			}
 			if s := ships.take(0); s != nil {
@@ -63,14 +63,14 @@
 	x := start(t, ships)
 	ticket := take(t, x, Request{Class: "read", Key: "k"}, time.Second)
 	out := ships.take(0) // stays out, so that the index is not used again
-	x.do("test", nil, func(routing.Time) {
+	x.withLock("test", nil, func(routing.Time) {
 		h := host{x}
 		h.Fail(ticket.index)
 		h.Fail(ticket.index)
 		h.Reject(ticket.index, 0)
 		h.Send(ticket.index, 0, 100)
 	})
-	if n := x.figures.Violations[admission.RequestOver].Load(); n != 3 {
+	if n := x.metrics.Violations[admission.RequestOver].Load(); n != 3 {
 		t.Errorf("%d violations, want three", n)
 	}
 	if a, answered := got(ticket); !answered || a.Outcome != Failed {
@@ -93,13 +93,13 @@
 	first := ships.take(0)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	ticket.out--
-	ticket.ran(first.sent)
-	attempt := admission.Attempt{History: ticket.history(), Now: first.sent.Add(300 * time.Millisecond)}
+	ticket.inFlight--
+	ticket.noteMayHaveRun(first.startedAt)
+	attempt := admission.Attempt{History: ticket.history(), Now: first.startedAt.Add(300 * time.Millisecond)}
 	if why := attempt.Decide(); why != admission.Granted {
 		t.Errorf("inside: %v", why)
 	}
-	attempt.Now = first.sent.Add(500 * time.Millisecond)
+	attempt.Now = first.startedAt.Add(500 * time.Millisecond)
 	if why := attempt.Decide(); why != admission.DedupWindowOver {
 		t.Errorf("after it: %v", why)
 	}
--- a/internal/net/dispatch/alarms.go
+++ b/internal/net/dispatch/alarms.go
@@ -38,13 +38,13 @@
 func (x *Dispatcher) windUp() {
 	if len(x.alarms) > 0 {
 		// The clock rounds down, so this is at most one tick late and never early.
-		x.timer.Reset(max(0, spanOf(x.alarms[0].at-x.clock.now())))
+		x.timer.Reset(max(0, toDuration(x.alarms[0].at-x.clock.now())))
 	}
 }
 
 // ring tells the module of every alarm that is due.
 func (x *Dispatcher) ring() {
-	x.do("alarm", nil, func(now routing.Time) {
+	x.withLock("alarm", nil, func(now routing.Time) {
 		defer x.windUp()
 		for len(x.alarms) > 0 && x.alarms[0].at <= now {
 			x.balancer.Alarm(now, heap.Pop(&x.alarms).(alarm).handle)
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -28,7 +28,7 @@
 	NotConnected                         // the node stopped waiting before a connection was up or had failed
 	Canceled                             // the node itself took it back, at its own end
 	Withheld                             // its lookup was over, or its client gone, before its first byte was written
-	endCount
+	attemptResultCount
 )
 
 // Code is what the module is told of it; this is the only place that says so.
@@ -74,7 +74,7 @@
 	}
 }
 
-var endNames = [endCount]string{"whole", "lacking", "failing", "turned away", "crowded", "unclear", "unreached", "unheard",
+var attemptResultNames = [attemptResultCount]string{"whole", "lacking", "failing", "turned away", "crowded", "unclear", "unreached", "unheard",
 	"unwritten", "lost", "cut short", "spoilt", "silent", "passed", "no room", "overtaken", "withdrawn", "withheld"}
 
-func (e AttemptResult) String() string { return endNames[e] }
+func (e AttemptResult) String() string { return attemptResultNames[e] }
--- a/internal/net/dispatch/clock.go
+++ b/internal/net/dispatch/clock.go
@@ -15,13 +15,13 @@
 
 func (c clock) now() routing.Time { return c.at(time.Now()) }
 
-// stepMost is by how much the wall clock may be off ours before it counts as stepped: it is kept in step by small corrections.
-const stepMost = time.Second
+// minClockStep is by how much the wall clock may be off ours before it counts as stepped: it is kept in step by small corrections.
+const minClockStep = time.Second
 
-// step gives by how much the wall clock was stepped since the start.
-func (c clock) step(now time.Time, wall time.Time) time.Duration {
+// wallOffset gives by how much the wall clock was stepped since the start.
+func (c clock) wallOffset(now time.Time, wall time.Time) time.Duration {
 	by := wall.Sub(c.start.Round(0)) - now.Sub(c.start)
-	if by.Abs() < stepMost {
+	if by.Abs() < minClockStep {
 		return 0
 	}
 	return by
--- a/internal/net/dispatch/clock_test.go
+++ b/internal/net/dispatch/clock_test.go
@@ -14,17 +14,17 @@
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		x := start(t, &fleet{})
 		x.wall = func() time.Time { return time.Now().Round(0).Add(step) }
-		since := func() time.Duration { return spanOf(x.clock.now() - x.shown(x.places["a"]).StartedAt) }
+		since := func() time.Duration { return toDuration(x.clock.now() - x.routingEndpoint(x.places["a"]).StartedAt) }
 		started := boxes[0]
 		started.StartedMs = float64(x.wall().UnixMilli()) - 500
 		x.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+close {
 			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, age)
 		}
-		at := x.shown(x.places["a"]).StartedAt
+		at := x.routingEndpoint(x.places["a"]).StartedAt
 		x.wall = func() time.Time { return time.Now().Round(0) } // stepped back
 		x.UpdateEndpoints(routing.Full, []Endpoint{started, boxes[1], boxes[2], boxes[3]})
-		if again := x.shown(x.places["a"]).StartedAt; again != at {
+		if again := x.routingEndpoint(x.places["a"]).StartedAt; again != at {
 			t.Errorf("stepped by %v: one start is two, at %v and %v", step, at, again)
 		}
 	}
@@ -32,14 +32,14 @@
 	future := boxes[0]
 	future.StartedMs = float64(time.Now().Add(time.Hour).UnixMilli())
 	x.UpdateEndpoints(routing.Incremental, []Endpoint{future})
-	if age := spanOf(x.clock.now() - x.shown(x.places["a"]).StartedAt); age < -close || age > close {
+	if age := toDuration(x.clock.now() - x.routingEndpoint(x.places["a"]).StartedAt); age < -close || age > close {
 		t.Errorf("a start an hour ahead counts as %v ago", age)
 	}
 	x.UpdateEndpoints(routing.Incremental, []Endpoint{boxes[1]}) // the list is live
 	past := boxes[0]
 	past.StartedMs = float64(time.Now().Add(-time.Hour).UnixMilli())
 	x.UpdateEndpoints(routing.Incremental, []Endpoint{past})
-	if age := spanOf(x.clock.now() - x.shown(x.places["a"]).StartedAt); age > close {
+	if age := toDuration(x.clock.now() - x.routingEndpoint(x.places["a"]).StartedAt); age > close {
 		t.Errorf("a cache that has started since the list was last told counts as %v old", age)
 	}
 }
@@ -50,7 +50,7 @@
 	const close = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		x := start(t, &fleet{})
-		since := func() time.Duration { return spanOf(x.clock.now() - x.shown(x.places["new"]).StartedAt) }
+		since := func() time.Duration { return toDuration(x.clock.now() - x.routingEndpoint(x.places["new"]).StartedAt) }
 		wall := func() float64 { return float64(x.wall().UnixMilli()) }
 		started := boxes[0]
 		started.ID, started.Address = "new", "new:1"
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -39,39 +39,39 @@
 
 // Dispatcher is one node's owner of decisions.
 type Dispatcher struct {
-	log     *zap.Logger
-	terms   *config.Settings
-	clock   clock
-	wall    func() time.Time // reads the wall clock
-	carrier Transport
-	lister  EndpointSource
+	log      *zap.Logger
+	settings *config.Settings
+	clock    clock
+	wall     func() time.Time // reads the wall clock
+	carrier  Transport
+	lister   EndpointSource
 
 	mu       sync.Mutex
 	balancer *routing.Balancer
-	decided  time.Time // when the module was told of what it acts on
-	tickets  []*Ticket // by the module's index
+	decided  time.Time         // when the module was told of what it acts on
+	tickets  []*PendingRequest // by the module's index
 	free     []int
-	out      map[string]*Ticket // by the client's id, until all shots have settled
-	places   map[string]int     // box ids to indices
-	boxes    []place            // by index
-	resting  []int              // indices that were given back
-	told     uint64             // places that the list has told of so far
+	out      map[string]*PendingRequest // by the client's id, until all shots have settled
+	places   map[string]int             // box ids to indices
+	boxes    []endpointEntry            // by index
+	resting  []int                      // indices that were given back
+	told     uint64                     // places that the list has told of so far
 	listed   bool
 	live     routing.Time // when the list was last told by its service; 0: not yet
 	alarms   alarms
 	timer    *time.Timer
 	tally    Stats
-	figures  *metrics.Metrics
+	metrics  *metrics.Metrics
 	bans     map[string]Ejection
-	heard    heard
+	heard    listedIDs
 	parted   bool                        // parts of the fleet's budgets bound what is done
 	cuts     map[routing.Limit]time.Time // when what a part of a number at a time allowed has to be over
 }
 
 // New makes the owner; nothing happens before Start.
 func New(t *config.Settings, log *zap.Logger) *Dispatcher {
-	x := &Dispatcher{log: log, terms: t, clock: clock{time.Now()}, wall: wall.Wall, places: map[string]int{},
-		cuts: map[routing.Limit]time.Time{}, out: map[string]*Ticket{}, figures: metrics.New(slices.Collect(maps.Keys(t.Classes)))}
+	x := &Dispatcher{log: log, settings: t, clock: clock{time.Now()}, wall: wall.Wall, places: map[string]int{},
+		cuts: map[routing.Limit]time.Time{}, out: map[string]*PendingRequest{}, metrics: metrics.New(slices.Collect(maps.Keys(t.Classes)))}
 	x.timer = time.AfterFunc(time.Hour, x.ring)
 	x.timer.Stop()
 	return x
@@ -80,14 +80,14 @@
 // Start hands over those who act, and makes the module.
 func (x *Dispatcher) Start(seed uint64, carrier Transport, lister EndpointSource) {
 	x.carrier, x.lister = carrier, lister
-	x.do("start", nil, func(now routing.Time) {
-		x.balancer = routing.New(host{x}, seed, now, x.terms.Routing)
+	x.withLock("start", nil, func(now routing.Time) {
+		x.balancer = routing.New(host{x}, seed, now, x.settings.Routing)
 	})
 }
 
-// do runs f as the only owner. A panic in it must not take the node down with all its lookups: it is
+// withLock runs f as the only owner. A panic in it must not take the node down with all its lookups: it is
 // logged, and the lookup at hand is answered with no promise.
-func (x *Dispatcher) do(what string, t *Ticket, f func(now routing.Time)) {
+func (x *Dispatcher) withLock(what string, t *PendingRequest, f func(now routing.Time)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	defer func() {
@@ -96,7 +96,7 @@
 			x.log.Error("the module panicked", zap.String("during", what), zap.Any("panic", r),
 				zap.Stack("stack"))
 			if t != nil {
-				t.spoiled = true
+				t.panicked = true
 				x.finish(t, Answer{Outcome: Failed})
 			}
 		}
@@ -122,18 +122,18 @@
 // Submit hands a client's lookup to the module. read is when its last byte had come; within is what the
 // client then still gave it. A client may claim any time; beyond the longest time limit of the terms a lookup
 // would only hold what others need.
-func (x *Dispatcher) Submit(in Request, read time.Time, within time.Duration) (*Ticket, error) {
-	ns, known := x.terms.Classes[in.Class]
+func (x *Dispatcher) Submit(in Request, read time.Time, within time.Duration) (*PendingRequest, error) {
+	ns, known := x.settings.Classes[in.Class]
 	if !known {
 		return nil, ErrUnknownClass
 	}
-	partner, known := x.terms.Tenants[in.Tenant]
+	partner, known := x.settings.Tenants[in.Tenant]
 	if !known {
 		partner = -1
 	}
-	t := &Ticket{Request: in, x: x, read: read, answers: make(chan Answer, 1)}
+	t := &PendingRequest{Request: in, dispatcher: x, receivedAt: read, answers: make(chan Answer, 1)}
 	twice := false
-	x.do("lookup", t, func(now routing.Time) {
+	x.withLock("lookup", t, func(now routing.Time) {
 		if _, twice = x.out[in.TraceID]; twice {
 			return
 		}
@@ -146,11 +146,11 @@
 			x.tickets = append(x.tickets, t)
 		}
 		x.tally.Requests++
-		limit := read.Add(min(within, x.terms.MaxDeadline))
+		limit := read.Add(min(within, x.settings.MaxDeadline))
 		if in.Rest != nil {
 			limit = limit.Add(bodyTakes) // its time counts from its last byte; the carrier keeps to that
 		} else {
-			t.limit = read.Add(within)
+			t.clientDeadline = read.Add(within)
 		}
 		x.balancer.Request(now, t.index, routing.Request{Class: ns, Tenant: partner, Key: in.Key,
 			Deadline: x.clock.at(limit), Work: in.Work, Write: in.Write,
@@ -164,7 +164,7 @@
 
 // UpdateEndpoints tells the module what the box list says.
 func (x *Dispatcher) UpdateEndpoints(how routing.UpdateKind, boxes []Endpoint) {
-	x.do("list", nil, func(now routing.Time) {
+	x.withLock("list", nil, func(now routing.Time) {
 		if how == routing.Full || how == routing.Cached {
 			for i := range x.boxes {
 				x.boxes[i].gone = true // unless the list names it
@@ -186,12 +186,12 @@
 			if ban, known := x.bans[b.ID]; known {
 				x.banned(p, ban)
 			}
-			kind, known := x.terms.Models[b.Model]
+			kind, known := x.settings.Models[b.Model]
 			if !known {
 				kind = -1
 			}
-			p.kind, p.origin = kind, x.terms.IsOrigin(kind)
-			list = append(list, x.shown(i))
+			p.model, p.origin = kind, x.settings.IsOrigin(kind)
+			list = append(list, x.routingEndpoint(i))
 		}
 		if how == routing.Full || how == routing.Incremental {
 			x.live = now
@@ -222,9 +222,9 @@
 	memoryPart = 4                      // the module orders a repeat within half of the span; a quarter is left for the way to the server
 )
 
-// beginWithin gives how long after its decision an attempt's first byte may be written, so that none comes after a drain's grace:
+// sendWindow gives how long after its decision an attempt's first byte may be written, so that none comes after a drain's grace:
 // the news of the drain may be on its way when it is decided, and the process may be held up when it is written.
-func beginWithin(grace time.Duration) time.Duration {
+func sendWindow(grace time.Duration) time.Duration {
 	return max(grace/graceLeast, min(grace/gracePart, grace-stallMost-newsMost))
 }
 
@@ -234,32 +234,32 @@
 func (h host) Send(lkp, server int, timeout routing.Time) {
 	t := h.tickets[lkp]
 	s := &Attempt{
-		Request:  &t.Request,
-		Address:  h.boxes[server].address,
-		Endpoint: h.boxes[server].nth,
-		server:   server,
-		sent:     h.decided, // not when this line runs: a process that had no core meanwhile would count spans from too late
-		Timeout:  spanOf(timeout),
-		ticket:   t,
-		number:   t.shots,
+		Request:       &t.Request,
+		Address:       h.boxes[server].address,
+		Endpoint:      h.boxes[server].incarnation,
+		endpointIndex: server,
+		startedAt:     h.decided, // not when this line runs: a process that had no core meanwhile would count spans from too late
+		Timeout:       toDuration(timeout),
+		pending:       t,
+		number:        t.attempts,
 	}
-	if h.terms.DrainGrace > 0 {
+	if h.settings.DrainGrace > 0 {
 		// A dial may take longer than a drain's grace; what was decided before the drain must not go out after it.
-		s.SendBy = s.sent.Add(beginWithin(h.terms.DrainGrace))
+		s.SendBy = s.startedAt.Add(sendWindow(h.settings.DrainGrace))
 	}
-	if by := s.sent.Add(h.terms.DedupWindow(t.Class) / memoryPart); t.shots > 0 && by.After(s.sent) && (s.SendBy.IsZero() || by.Before(s.SendBy)) {
+	if by := s.startedAt.Add(h.settings.DedupWindow(t.Class) / memoryPart); t.attempts > 0 && by.After(s.startedAt) && (s.SendBy.IsZero() || by.Before(s.SendBy)) {
 		s.SendBy = by // a dial may also outlast the span in which the servers know the first shot
 	}
 	if s.Origin = h.boxes[server].origin; h.parted {
 		h.bounded(s)
 	}
-	s.until = s.sent.Add(s.Timeout)
+	s.deadline = s.startedAt.Add(s.Timeout)
 	permitted := h.mayStart(t, s)
-	if t.over.Load() {
+	if t.ended.Load() {
 		return // only a module that panicked can order this
 	}
-	t.shots++
-	t.out++
+	t.attempts++
+	t.inFlight++
 	h.sent(s)
 	h.tally.Attempts++
 	if !permitted {
@@ -270,7 +270,7 @@
 }
 
 func (h host) Reject(lkp int, retryAfter routing.Time) {
-	t, answer := h.tickets[lkp], Answer{Outcome: Rejected, RetryAfter: spanOf(retryAfter)}
+	t, answer := h.tickets[lkp], Answer{Outcome: Rejected, RetryAfter: toDuration(retryAfter)}
 	if !h.mayRefuse(t) {
 		answer = Answer{Outcome: Failed}
 	}
@@ -288,41 +288,41 @@
 func (h host) Subscribe() { h.lister.Subscribe() }
 
 // CloseIdle is carried out by the side that holds the connections.
-func (h host) CloseIdle(server, but int) { h.carrier.CloseIdle(h.boxes[server].nth, but) }
+func (h host) CloseIdle(server, but int) { h.carrier.CloseIdle(h.boxes[server].incarnation, but) }
 
 func (h host) SetAlarm(at routing.Time, handle int) { h.wake(at, handle) }
 
-func spanOf(t routing.Time) time.Duration { return config.Duration(t) }
+func toDuration(t routing.Time) time.Duration { return config.Duration(t) }
 
 // finish gives a lookup its one final answer. Called with the lock held.
-func (x *Dispatcher) finish(t *Ticket, a Answer) {
-	if t.over.Load() {
+func (x *Dispatcher) finish(t *PendingRequest, a Answer) {
+	if t.ended.Load() {
 		return
 	}
 	x.end(t)       // before anybody can hear of it: nothing begins after the final answer
 	t.answers <- a // it has room for this one, and there is no other
-	took := time.Since(t.read)
+	took := time.Since(t.receivedAt)
 	x.tally.count(a, took)
-	x.log.Debug("request ended", zap.String("trace", t.TraceID), zap.Stringer("outcome", a.Outcome), zap.Int("attempts", t.shots),
-		zap.Int("out", t.out), zap.Bool("may have run", t.mayHaveRun), zap.Duration("after", took))
+	x.log.Debug("request ended", zap.String("trace", t.TraceID), zap.Stringer("outcome", a.Outcome), zap.Int("attempts", t.attempts),
+		zap.Int("out", t.inFlight), zap.Bool("may have run", t.mayHaveRun), zap.Duration("after", took))
 }
 
-func (x *Dispatcher) end(t *Ticket) {
-	t.over.Store(true)
+func (x *Dispatcher) end(t *PendingRequest) {
+	t.ended.Store(true)
 	x.forget(t)
 }
 
 // forget frees a lookup's index once it is over and all its shots have settled.
-func (x *Dispatcher) forget(t *Ticket) {
-	if !t.over.Load() || t.out > 0 || t.forgotten {
+func (x *Dispatcher) forget(t *PendingRequest) {
+	if !t.ended.Load() || t.inFlight > 0 || t.released {
 		return
 	}
-	t.forgotten = true
+	t.released = true
 	delete(x.out, t.TraceID)
-	if t.spoiled {
+	if t.panicked {
 		// The module may still hold the lookup to be live, so its index rests for good, but none of its bytes.
-		x.tickets[t.index] = &Ticket{x: x, forgotten: true}
-		x.tickets[t.index].over.Store(true)
+		x.tickets[t.index] = &PendingRequest{dispatcher: x, released: true}
+		x.tickets[t.index].ended.Store(true)
 		return
 	}
 	x.tickets[t.index] = nil
--- a/internal/net/dispatch/dispatcher_test.go
+++ b/internal/net/dispatch/dispatcher_test.go
@@ -19,27 +19,27 @@
 
 // followed is what a random run knows of one lookup.
 type followed struct {
-	*Ticket
+	*PendingRequest
 	mayHaveRun, answered, left bool
 	shots                      int
 }
 
 // check holds a lookup to the rules; it returns what is broken.
 func (f *followed) check() string {
-	f.Ticket.x.mu.Lock() // a shot may be passed meanwhile
-	defer f.Ticket.x.mu.Unlock()
-	a, came := got(f.Ticket)
+	f.PendingRequest.dispatcher.mu.Lock() // a shot may be passed meanwhile
+	defer f.PendingRequest.dispatcher.mu.Unlock()
+	a, came := got(f.PendingRequest)
 	switch {
 	case came && (f.answered || f.left):
 		return "an answer after the end"
 	case came && a.Outcome == Rejected && f.mayHaveRun && f.Class == "once":
 		return "a deferral though it may have run"
-	case f.Ticket.shots > f.shots && (f.answered || f.left):
+	case f.PendingRequest.attempts > f.shots && (f.answered || f.left):
 		return "a shot after the end"
-	case f.Ticket.shots > f.shots && f.mayHaveRun && f.Class == "once":
+	case f.PendingRequest.attempts > f.shots && f.mayHaveRun && f.Class == "once":
 		return "a second shot though the first may have run"
 	}
-	f.answered, f.shots = f.answered || came, f.Ticket.shots
+	f.answered, f.shots = f.answered || came, f.PendingRequest.attempts
 	return ""
 }
 
@@ -49,23 +49,23 @@
 		r, ships := rand.New(rand.NewSource(seed)), &fleet{}
 		x := start(t, ships)
 		var all []*followed
-		of := map[*Ticket]*followed{}
+		of := map[*PendingRequest]*followed{}
 		settle := func() bool {
 			s := ships.take(r.Intn(1000))
 			if s == nil {
 				return false
 			}
-			if broken := of[s.ticket].check(); broken != "" { // up to here, before more becomes known
+			if broken := of[s.pending].check(); broken != "" { // up to here, before more becomes known
 				t.Error(broken)
 			}
-			end := AttemptResult(r.Intn(int(endCount)))
+			end := AttemptResult(r.Intn(int(attemptResultCount)))
 			switch end.Code() {
 			case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.Withheld:
 			default:
-				of[s.ticket].mayHaveRun = true
+				of[s.pending].mayHaveRun = true
 			}
 			s.Finish(end, Answer{Body: []byte("v")})
-			s.Finish(AttemptResult(r.Intn(int(endCount))), Answer{})
+			s.Finish(AttemptResult(r.Intn(int(attemptResultCount))), Answer{})
 			return true
 		}
 		for step := 0; step < 300; step++ {
@@ -74,8 +74,8 @@
 				ns := []string{"read", "once"}[r.Intn(2)]
 				f := &followed{}
 				// The shot may be carried before Take returns, but nobody settles it before that.
-				f.Ticket = take(t, x, Request{Class: ns, Key: strconv.Itoa(r.Intn(20)), Write: r.Intn(4) == 0}, time.Minute)
-				of[f.Ticket] = f
+				f.PendingRequest = take(t, x, Request{Class: ns, Key: strconv.Itoa(r.Intn(20)), Write: r.Intn(4) == 0}, time.Minute)
+				of[f.PendingRequest] = f
 				all = append(all, f)
 			case 2, 3:
 				settle()
@@ -99,10 +99,10 @@
 			}
 			x.mu.Lock()
 			for _, f := range all {
-				if !f.forgotten && used[f.index] {
+				if !f.released && used[f.index] {
 					t.Errorf("seed %d, step %d: two lookups share index %d", seed, step, f.index)
 				}
-				used[f.index] = used[f.index] || !f.forgotten
+				used[f.index] = used[f.index] || !f.released
 			}
 			x.mu.Unlock()
 		}
@@ -265,14 +265,14 @@
 	x := start(t, ships)
 	x.UpdateEndpoints(routing.Full, []Endpoint{boxes[0], boxes[1], boxes[3]})
 	for i := range x.boxes {
-		x.boxes[i].mean = 5 * time.Millisecond
+		x.boxes[i].meanLatency = 5 * time.Millisecond
 	}
-	send := func(in Request) (*Ticket, *Attempt) {
+	send := func(in Request) (*PendingRequest, *Attempt) {
 		return take(t, x, in, time.Second), ships.take(0)
 	}
 	quiet := func() {
 		t.Helper()
-		time.Sleep(4 * passedTimes * 5 * time.Millisecond)
+		time.Sleep(4 * bypassFactor * 5 * time.Millisecond)
 		if s := ships.take(0); s != nil {
 			t.Fatalf("a shot to %s", s.Address)
 		}
@@ -299,7 +299,7 @@
 	if other.ClientState() == admission.Granted { // its connection may come up only now
 		t.Error("a shot may begin after the final answer")
 	}
-	var crossed *Ticket
+	var crossed *PendingRequest
 	crossed, shot := send(Request{Class: "read", Key: "k", ClientGone: func() bool {
 		crossed.Abandon() // the lookup ends while the kernel is asked for its client
 		return false
@@ -326,8 +326,8 @@
 		t.Errorf("tally %+v, %d ids out", y, len(x.out))
 	}
 	for _, p := range x.boxes {
-		if len(p.out) > 0 {
-			t.Errorf("%d shots are still counted at %s", len(p.out), p.id)
+		if len(p.inFlight) > 0 {
+			t.Errorf("%d shots are still counted at %s", len(p.inFlight), p.id)
 		}
 	}
 }
@@ -338,9 +338,9 @@
 	for _, allowed := range []bool{true, false} {
 		ships := &fleet{}
 		x := start(t, ships)
-		x.terms.Routing.Hedging = allowed
+		x.settings.Routing.Hedging = allowed
 		for i := range x.boxes {
-			x.boxes[i].mean = 2 * time.Millisecond
+			x.boxes[i].meanLatency = 2 * time.Millisecond
 		}
 		read := Request{Class: "read", Key: "k"}
 		take(t, x, read, time.Second)
@@ -368,17 +368,17 @@
 		}{{"marked", 100 * time.Millisecond}, {"read", 0}} {
 			ships := &fleet{}
 			x := start(t, ships)
-			x.terms.DrainGrace = grace
+			x.settings.DrainGrace = grace
 			take(t, x, Request{Class: c.namespace, Key: "k"}, time.Second)
 			for n, bound := range []time.Duration{0, c.repeat} {
 				if s := ships.take(0); s == nil {
 					t.Fatalf("%s: no shot %d", c.namespace, n)
 				} else {
-					if of := beginWithin(grace); of > 0 && (bound == 0 || of < bound) {
+					if of := sendWindow(grace); of > 0 && (bound == 0 || of < bound) {
 						bound = of
 					}
-					if bound == 0 != s.SendBy.IsZero() || bound > 0 && s.SendBy.Sub(s.sent) != bound {
-						t.Errorf("%s, grace %v, shot %d: begins by %v after it was ordered, want %v", c.namespace, grace, n, s.SendBy.Sub(s.sent), bound)
+					if bound == 0 != s.SendBy.IsZero() || bound > 0 && s.SendBy.Sub(s.startedAt) != bound {
+						t.Errorf("%s, grace %v, shot %d: begins by %v after it was ordered, want %v", c.namespace, grace, n, s.SendBy.Sub(s.startedAt), bound)
 					}
 					s.Finish(ConnectionLost, Answer{})
 				}
@@ -391,8 +391,8 @@
 func TestConnectionsAreGivenBack(t *testing.T) {
 	ships := &fleet{}
 	x := start(t, ships)
-	x.do("test", nil, func(routing.Time) { host{x}.CloseIdle(1, 0) })
-	if len(ships.hungUp) != 1 || ships.hungUp[0] != x.boxes[1].nth || x.Stats().Panics != 0 {
+	x.withLock("test", nil, func(routing.Time) { host{x}.CloseIdle(1, 0) })
+	if len(ships.hungUp) != 1 || ships.hungUp[0] != x.boxes[1].incarnation || x.Stats().Panics != 0 {
 		t.Errorf("hung up on %v", ships.hungUp)
 	}
 }
@@ -417,7 +417,7 @@
 		for _, write := range []bool{false, true} {
 			take(t, x, Request{Class: "late", Write: write}, time.Second)
 			s := ships.take(0)
-			if s == nil || seen[s.Endpoint] || s.server == out.server || s.Address != fresh[map[bool]int{true: 1}[write]].Address {
+			if s == nil || seen[s.Endpoint] || s.endpointIndex == out.endpointIndex || s.Address != fresh[map[bool]int{true: 1}[write]].Address {
 				t.Fatalf("list %d, write %v: %+v", n, write, s)
 			}
 			seen[s.Endpoint] = true
@@ -433,13 +433,13 @@
 	for _, b := range []Endpoint{same, same, again} {
 		x.UpdateEndpoints(routing.Full, []Endpoint{b})
 	}
-	if p := x.boxes[x.places["a"]]; p.nth != x.told || x.told != uint64(len(boxes)+2*rounds+2) {
+	if p := x.boxes[x.places["a"]]; p.incarnation != x.told || x.told != uint64(len(boxes)+2*rounds+2) {
 		t.Errorf("a restart is another place, the same list isn't: %+v of %d", p, x.told)
 	}
 }
 
 func TestReadyOnceAListIsKnown(t *testing.T) {
-	x := New(start(t, &fleet{}).terms, nil)
+	x := New(start(t, &fleet{}).settings, nil)
 	x.Start(1, &fleet{}, nobody{})
 	x.UpdateEndpoints(routing.Cached, nil)
 	before := x.Ready()
@@ -464,7 +464,7 @@
 func TestOnlyProofsCountAsNotRun(t *testing.T) {
 	proofs := map[AttemptResult]bool{NotFound: true, Shed: true, ConnectionLimit: true, ConnectRefused: true, ConnectTimeout: true, WriteFailed: true, NoResources: true, NotConnected: true,
 		Withheld: true}
-	for end := range endCount {
+	for end := range attemptResultCount {
 		code := end.Code()
 		notRun := code == routing.Rejected || code == routing.ConnectFailed || code == routing.NotSent || code >= routing.NotFound
 		if code == routing.ConnectionBroken {
@@ -493,7 +493,7 @@
 			if s = f.take(0); s != nil {
 				shots++
 				_, _ = io.Copy(io.Discard, s.Rest)
-				s.Sent()
+				s.BodySent()
 				s.Finish(Complete, Answer{Body: []byte("v")})
 			}
 		}
@@ -583,7 +583,7 @@
 func TestShotsUnderAPart(t *testing.T) {
 	f := &fleet{}
 	x := start(t, f)
-	write := func() (*Ticket, *Attempt) {
+	write := func() (*PendingRequest, *Attempt) {
 		ticket := take(t, x, Request{Class: "once", Key: "k", Write: true, Method: "PUT"}, 700*time.Millisecond)
 		return ticket, f.take(0)
 	}
@@ -594,7 +594,7 @@
 	x.SetQuota(routing.OriginConcurrency, "", part, 200*time.Millisecond, 100*time.Millisecond)
 	_, one := write()
 	_, two := write()
-	if one == nil || two == nil || one.SendBy.After(time.Now().Add(partWithin)) || one.Timeout > 300*time.Millisecond || one.Timeout < 200*time.Millisecond {
+	if one == nil || two == nil || one.SendBy.After(time.Now().Add(quotaSendWindow)) || one.Timeout > 300*time.Millisecond || one.Timeout < 200*time.Millisecond {
 		t.Fatalf("under a part of two: %+v, %+v", one, two)
 	}
 	if ticket, s := write(); s != nil {
@@ -602,7 +602,7 @@
 	} else if a, answered := got(ticket); !answered || a.Outcome != Rejected || a.RetryAfter == 0 {
 		t.Errorf("what has no part is deferred at once: %+v, %v", a, answered)
 	}
-	if !x.alone(one) {
+	if !x.concurrencyBounded(one) {
 		t.Error("another may take its place while it goes on")
 	}
 	one.Finish(Complete, Answer{})
--- a/internal/net/dispatch/ejections_test.go
+++ b/internal/net/dispatch/ejections_test.go
@@ -90,7 +90,7 @@
 				if !known || x.boxes[i].gone {
 					continue
 				}
-				box := x.shown(i)
+				box := x.routingEndpoint(i)
 				if ban.RestoredAt == 0 && box.State == routing.Ready || ban.RestoredAt > 0 && box.StartedAt < fromUnix(ban.EjectedAt) {
 					t.Errorf("seed %d, step %d: %s is shown as %+v, ban %+v", seed, step, id, box, ban)
 					return false
@@ -113,7 +113,7 @@
 func TestWhatIsBackStartsCold(t *testing.T) {
 	x := start(t, &fleet{})
 	out := float64(x.clock.start.UnixMilli())
-	since := func() routing.Time { return x.shown(x.places["a"]).StartedAt }
+	since := func() routing.Time { return x.routingEndpoint(x.places["a"]).StartedAt }
 	x.SetEjections([]Ejection{{ID: "a", EjectedAt: out}})
 	if since() != 0 {
 		t.Error("a ban alone is no start")
@@ -137,13 +137,13 @@
 
 // What remembers ids is bounded, and forgets the oldest first.
 func TestHeardIsBounded(t *testing.T) {
-	var h heard
-	for i := range 3 * heardMost {
+	var h listedIDs
+	for i := range 3 * maxListedIDs {
 		h.add(fmt.Sprint(i))
 		h.add(fmt.Sprint(i)) // once
 	}
-	if len(h.ids) != heardMost || len(h.order) != heardMost || h.ids[fmt.Sprint(2*heardMost-1)] ||
-		!h.ids[fmt.Sprint(2*heardMost)] || !h.ids[fmt.Sprint(3*heardMost-1)] {
+	if len(h.ids) != maxListedIDs || len(h.order) != maxListedIDs || h.ids[fmt.Sprint(2*maxListedIDs-1)] ||
+		!h.ids[fmt.Sprint(2*maxListedIDs)] || !h.ids[fmt.Sprint(3*maxListedIDs-1)] {
 		t.Errorf("%d ids are remembered", len(h.ids))
 	}
 }
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -83,7 +83,7 @@
 }
 
 // got gives the answer that has come, if one has.
-func got(t *Ticket) (Answer, bool) {
+func got(t *PendingRequest) (Answer, bool) {
 	select {
 	case a := <-t.answers:
 		return a, true
@@ -94,7 +94,7 @@
 
 var traces atomic.Int64
 
-func take(t *testing.T, x *Dispatcher, in Request, within time.Duration) *Ticket {
+func take(t *testing.T, x *Dispatcher, in Request, within time.Duration) *PendingRequest {
 	t.Helper()
 	in.TraceID = fmt.Sprint("t", traces.Add(1)) // new with every lookup
 	ticket, err := x.Submit(in, time.Now(), within)
--- a/internal/net/dispatch/listed_ids_test.go
+++ b/internal/net/dispatch/listed_ids_test.go
@@ -14,7 +14,7 @@
 	x := start(t, &fleet{})
 	x.log = zap.NewNop()
 	var all []Endpoint
-	for i := range heardMost + 1600 {
+	for i := range maxListedIDs + 1600 {
 		all = append(all, Endpoint{ID: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("a:%d", i), Model: "box"})
 	}
 	x.UpdateEndpoints(routing.Full, all)
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -6,15 +6,15 @@
 )
 
 // Metrics gives the totals since the start.
-func (x *Dispatcher) Metrics() *metrics.Metrics { return x.figures }
+func (x *Dispatcher) Metrics() *metrics.Metrics { return x.metrics }
 
 // AddOpen counts lookups that came, or, with a negative number, that have been answered whole.
-func (x *Dispatcher) AddOpen(by int64) { x.figures.Open.Add(by) }
+func (x *Dispatcher) AddOpen(by int64) { x.metrics.Open.Add(by) }
 
 // CountEnd counts how a client's lookup ended, also of one that was turned away before it was taken. What names no
 // namespace of the terms is not counted.
 func (x *Dispatcher) CountEnd(namespace string, o Outcome) {
-	ends := x.figures.Of(namespace)
+	ends := x.metrics.Of(namespace)
 	if ends == nil {
 		return
 	}
@@ -30,8 +30,8 @@
 
 // Written says that the shot's last byte went out; it counts once.
 func (s *Attempt) Written() {
-	if s.ticket != nil && !s.written.Swap(true) {
-		s.ticket.x.figures.Written.Add(1)
+	if s.pending != nil && !s.counted.Swap(true) {
+		s.pending.dispatcher.metrics.Written.Add(1)
 	}
 }
 
@@ -51,10 +51,10 @@
 			continue
 		}
 		listed++
-		if p.state != routing.Ready || x.balancer.IsEjected(i) {
+		if p.effectiveState != routing.Ready || x.balancer.IsEjected(i) {
 			avoided++
 		}
 	}
-	x.figures.Listed.Store(int64(listed))
-	x.figures.Avoided.Store(int64(avoided))
+	x.metrics.Listed.Store(int64(listed))
+	x.metrics.Avoided.Store(int64(avoided))
 }
--- a/internal/net/dispatch/probes.go
+++ b/internal/net/dispatch/probes.go
@@ -13,7 +13,7 @@
 	defer x.mu.Unlock()
 	all := map[string]string{}
 	for i := range x.boxes {
-		if p := &x.boxes[i]; p.id != "" && !p.gone && !p.origin && p.state == routing.Ready && x.balancer.IsEjected(i) {
+		if p := &x.boxes[i]; p.id != "" && !p.gone && !p.origin && p.effectiveState == routing.Ready && x.balancer.IsEjected(i) {
 			all[p.id] = p.address
 		}
 	}
@@ -22,7 +22,7 @@
 
 // ProbeResult tells the module how another node's trial of a server went, and within which time it tells of the next.
 func (x *Dispatcher) ProbeResult(id, address string, well bool, next time.Duration) {
-	x.do("tried", nil, func(now routing.Time) {
+	x.withLock("tried", nil, func(now routing.Time) {
 		if i, known := x.places[id]; known && !x.boxes[i].gone && x.boxes[i].address == address {
 			x.balancer.ProbeResult(now, i, well, now+config.Ticks(float64(next)/float64(time.Millisecond)))
 		}
--- a/internal/net/dispatch/request.go
+++ b/internal/net/dispatch/request.go
@@ -59,8 +59,8 @@
 	r.from = nil
 }
 
-// Begun says that some of it was read, or tried to be.
-func (r *BodyStream) Begun() bool { return r.begun.Load() }
+// Started says that some of it was read, or tried to be.
+func (r *BodyStream) Started() bool { return r.begun.Load() }
 
 // Whole says that it was read to its end.
 func (r *BodyStream) Whole() bool { return r.whole.Load() }
@@ -89,37 +89,37 @@
 	RetryAfter  time.Duration // 0: no advice
 }
 
-// Ticket stands for a lookup that was taken. Its fields below the first belong to the exchange's owner.
-type Ticket struct {
+// PendingRequest stands for a lookup that was taken. Its fields below the first belong to the exchange's owner.
+type PendingRequest struct {
 	Request
-	x       *Dispatcher
-	read    time.Time
-	limit   time.Time // when the client's time is over; zero: its body still comes
-	answers chan Answer
-
-	over               atomic.Bool // set by the owner, read by whoever is about to write a shot
-	index, shots, out  int
-	forgotten, spoiled bool
-	mayHaveRun         bool // an attempt that has ended may have
-	firstMayHaveRun    time.Time
+	dispatcher     *Dispatcher
+	receivedAt     time.Time
+	clientDeadline time.Time // when the client's time is over; zero: its body still comes
+	answers        chan Answer
+
+	ended                     atomic.Bool // set by the owner, read by whoever is about to write a shot
+	index, attempts, inFlight int
+	released, panicked        bool
+	mayHaveRun                bool // an attempt that has ended may have
+	earliestMayHaveRun        time.Time
 }
 
 // Answers gives the final answer, once.
-func (t *Ticket) Answers() <-chan Answer { return t.answers }
+func (t *PendingRequest) Answers() <-chan Answer { return t.answers }
 
 // Abandon says that the client is gone; shots that are out still settle.
-func (t *Ticket) Abandon() {
-	t.x.do("leave", t, t.left)
+func (t *PendingRequest) Abandon() {
+	t.dispatcher.withLock("leave", t, t.clientGone)
 }
 
-// left ends a lookup whose client is gone. Called with the lock held.
-func (t *Ticket) left(now routing.Time) {
-	if t.over.Load() {
+// clientGone ends a lookup whose client is gone. Called with the lock held.
+func (t *PendingRequest) clientGone(now routing.Time) {
+	if t.ended.Load() {
 		return
 	}
-	t.x.tally.ClientGone++
-	t.x.balancer.ClientGone(now, t.index)
-	t.x.end(t)
+	t.dispatcher.tally.ClientGone++
+	t.dispatcher.balancer.ClientGone(now, t.index)
+	t.dispatcher.end(t)
 }
 
 // Attempt is one sending of a lookup to one server.
@@ -131,17 +131,17 @@
 	Origin   bool          // it goes to the origin
 	SendBy   time.Time     // when its first byte must have been written; zero: any time
 
-	ticket  *Ticket
-	server  int
-	number  int
-	sent    time.Time
-	until   time.Time   // when the node stops waiting for an answer, as it was decided
-	watch   *time.Timer // looks whether others have passed it
-	told    bool        // the module holds it to be over
-	settled bool
-	began   bool        // its last byte is out, or it ended before
-	flows   bool        // its answer has a rest that is not over
-	written atomic.Bool // its last byte has been counted
+	pending       *PendingRequest
+	endpointIndex int
+	number        int
+	startedAt     time.Time
+	deadline      time.Time   // when the node stops waiting for an answer, as it was decided
+	bypassTimer   *time.Timer // looks whether others have passed it
+	reported      bool        // the module holds it to be over
+	finished      bool
+	bodySent      bool        // its last byte is out, or it ended before
+	streaming     bool        // its answer has a rest that is not over
+	counted       atomic.Bool // its last byte has been counted
 }
 
 // ClientState says whether the shot's client still waits for it: Granted, RequestOver or ClientGone. Whoever writes its first byte asks
@@ -151,7 +151,7 @@
 	if s.ClientGone != nil && !faults.Without(faults.ClientLook) && s.ClientGone() {
 		return admission.ClientGone
 	}
-	if s.ticket != nil && s.ticket.over.Load() { // last: the final answer may come while the kernel is asked
+	if s.pending != nil && s.pending.ended.Load() { // last: the final answer may come while the kernel is asked
 		return admission.RequestOver
 	}
 	return admission.Granted
@@ -159,24 +159,24 @@
 
 // AttemptDeadline gives when the node stops waiting for an answer. It counts from the decision, not from when the shot is carried out.
 func (s *Attempt) AttemptDeadline(carried time.Time) time.Time {
-	if s.until.IsZero() {
+	if s.deadline.IsZero() {
 		return carried.Add(s.Timeout)
 	}
-	return s.until
+	return s.deadline
 }
 
 // ClientDeadline gives when the client's time is over; zero where that is not known.
 func (s *Attempt) ClientDeadline() time.Time {
-	if s.ticket == nil {
+	if s.pending == nil {
 		return time.Time{}
 	}
-	return s.ticket.limit
+	return s.pending.clientDeadline
 }
 
 // Deny counts that an attempt was not written, and why.
 func (s *Attempt) Deny(why admission.Reason) {
-	if s.ticket != nil && why != admission.Granted {
-		s.ticket.x.figures.Denied[why].Add(1)
+	if s.pending != nil && why != admission.Granted {
+		s.pending.dispatcher.metrics.Denied[why].Add(1)
 	}
 }
 
@@ -184,87 +184,87 @@
 // the first one with a rest: true says that this is it. The rest may take long, until Over, but nothing is decided
 // about it any more; the server has given its answer.
 func (s *Attempt) Finish(end AttemptResult, answer Answer) (first bool) {
-	t := s.ticket
-	t.x.do("settle", t, func(now routing.Time) {
-		if s.settled {
+	t := s.pending
+	t.dispatcher.withLock("settle", t, func(now routing.Time) {
+		if s.finished {
 			return
 		}
-		s.settled = true
-		first = end == Complete && !t.over.Load()
-		if s.flows = first && answer.Rest != nil; !s.flows {
-			t.out--
-			defer t.x.forget(t)
+		s.finished = true
+		first = end == Complete && !t.ended.Load()
+		if s.streaming = first && answer.Rest != nil; !s.streaming {
+			t.inFlight--
+			defer t.dispatcher.forget(t)
 		}
-		rescued := end == Complete && s.told && !t.over.Load()
+		rescued := end == Complete && s.reported && !t.ended.Load()
 		if end == Complete {
 			// Answered before the module is told, which holds the lookup to be over from here on.
-			t.x.finish(t, answer)
+			t.dispatcher.finish(t, answer)
 		}
 		if rescued {
-			t.x.balancer.ClientGone(now, t.index)
+			t.dispatcher.balancer.ClientGone(now, t.index)
 		}
-		if end == Withheld && !t.over.Load() {
-			t.left(now)
+		if end == Withheld && !t.ended.Load() {
+			t.clientGone(now)
 			t.answers <- Answer{Outcome: Failed} // its handler waits still: the shot noticed first
 		}
-		s.tell(end)
-		t.x.boxes[s.server].settled(s, end)
-		t.x.giveBack(s.server)
+		s.report(end)
+		t.dispatcher.boxes[s.endpointIndex].settled(s, end)
+		t.dispatcher.giveBack(s.endpointIndex)
 	})
 	return first
 }
 
 // Release says that the rest of an answer is through, or broke: until then the lookup's id is out.
 func (s *Attempt) Release() {
-	t := s.ticket
-	t.x.do("over", t, func(routing.Time) {
-		if s.flows {
-			s.flows = false
-			t.out--
-			t.x.forget(t)
+	t := s.pending
+	t.dispatcher.withLock("over", t, func(routing.Time) {
+		if s.streaming {
+			s.streaming = false
+			t.inFlight--
+			t.dispatcher.forget(t)
 		}
 	})
 }
 
-// Sent says that the last byte of a long body has gone out.
-func (s *Attempt) Sent() {
-	s.ticket.x.do("sent", s.ticket, func(routing.Time) { s.begins() })
+// BodySent says that the last byte of a long body has gone out.
+func (s *Attempt) BodySent() {
+	s.pending.dispatcher.withLock("sent", s.pending, func(routing.Time) { s.reportBodySent() })
 }
 
-// begins tells the module, once, that the shot of a long lookup counts from now on. Called with the lock held.
-func (s *Attempt) begins() {
-	if s.Rest != nil && !s.began && !s.told {
-		s.began, s.sent = true, time.Now()
-		s.ticket.x.balancer.BodySent(s.ticket.x.now(), s.ticket.index, s.number)
+// reportBodySent tells the module, once, that the shot of a long lookup counts from now on. Called with the lock held.
+func (s *Attempt) reportBodySent() {
+	if s.Rest != nil && !s.bodySent && !s.reported {
+		s.bodySent, s.startedAt = true, time.Now()
+		s.pending.dispatcher.balancer.BodySent(s.pending.dispatcher.now(), s.pending.index, s.number)
 	}
 }
 
 // Stalled says that the answer has begun and pauses for long: it may be stuck. As with one that others have passed, a
 // replayable read goes elsewhere too, and whichever answer is whole first counts.
 func (s *Attempt) Stalled() {
-	if s.ticket == nil {
+	if s.pending == nil {
 		return
 	}
-	x := s.ticket.x
-	x.do("stall", s.ticket, func(routing.Time) {
-		if !s.settled && !s.Write && x.terms.HedgingAllowed() && x.terms.IsSafe(s.Class) && !x.alone(s) {
-			s.tell(Bypassed)
+	x := s.pending.dispatcher
+	x.withLock("stall", s.pending, func(routing.Time) {
+		if !s.finished && !s.Write && x.settings.HedgingAllowed() && x.settings.IsSafe(s.Class) && !x.concurrencyBounded(s) {
+			s.report(Bypassed)
 		}
 	})
 }
 
-// tell tells the module how the shot ended, once. Called with the lock held.
-func (s *Attempt) tell(end AttemptResult) {
-	if s.told {
+// report tells the module how the shot ended, once. Called with the lock held.
+func (s *Attempt) report(end AttemptResult) {
+	if s.reported {
 		return
 	}
-	s.begins()
-	s.told = true
-	t := s.ticket
+	s.reportBodySent()
+	s.reported = true
+	t := s.pending
 	if end.MayHaveRun() {
-		t.ran(s.sent)
+		t.noteMayHaveRun(s.startedAt)
 	}
-	t.x.tally.Ends[end]++
-	t.x.boxes[s.server].drop(s)
-	t.x.balancer.AttemptDone(t.x.now(), t.index, s.number, end.Code(), end == Complete || t.over.Load())
+	t.dispatcher.tally.Ends[end]++
+	t.dispatcher.boxes[s.endpointIndex].drop(s)
+	t.dispatcher.balancer.AttemptDone(t.dispatcher.now(), t.index, s.number, end.Code(), end == Complete || t.ended.Load())
 }
--- a/internal/net/dispatch/retry_window_test.go
+++ b/internal/net/dispatch/retry_window_test.go
@@ -63,12 +63,12 @@
 					t.Errorf("span %v, stalled for %v, attempt %d may begin by %v after the first, %v", span, carrier.stall, n, by, s.SendBy)
 				}
 			}
-			if grace > 0 && n > 0 && s.SendBy.After(carrier.began.Add(beginWithin(grace))) {
+			if grace > 0 && n > 0 && s.SendBy.After(carrier.began.Add(sendWindow(grace))) {
 				t.Errorf("grace %v, stalled for %v: attempt %d may begin %v after the decision", grace, carrier.stall, n, s.SendBy.Sub(carrier.began))
 			}
 			end := []AttemptResult{ConnectionLost, ConnectionLost, ConnectionLost, Truncated, ServerError, TimedOut, WriteFailed, NotConnected}[r.Intn(8)]
 			if first.IsZero() && end != WriteFailed && end != NotConnected {
-				first = s.sent
+				first = s.startedAt
 			}
 			carrier.stall = 0
 			if r.Intn(2) == 0 {
--- a/internal/net/dispatch/send_by_test.go
+++ b/internal/net/dispatch/send_by_test.go
@@ -31,7 +31,7 @@
 		x.UpdateEndpoints(routing.Full, boxes)
 		take(t, x, Request{Class: "read", Key: "k"}, time.Second)
 		s := ships.take(0)
-		if within := s.SendBy.Sub(s.sent); within <= 0 || news+within+stall > grace {
+		if within := s.SendBy.Sub(s.startedAt); within <= 0 || news+within+stall > grace {
 			t.Errorf("grace %v: a first byte may be decided for up to %v, written up to %v later", grace, within, stall)
 		}
 	}
--- a/internal/net/dispatch/stats.go
+++ b/internal/net/dispatch/stats.go
@@ -9,7 +9,7 @@
 // Stats counts what happened since the last one was taken.
 type Stats struct {
 	Requests, Served, Rejected, Failed, ClientGone, Attempts, Panics int
-	Ends                                                             [endCount]int
+	Ends                                                             [attemptResultCount]int
 	// Took has the resolved lookups' times, in tenths of a millisecond.
 	Latency *hdrhistogram.Histogram
 }
--- a/internal/net/upstream/send.go
+++ b/internal/net/upstream/send.go
@@ -155,7 +155,7 @@
 			_ = on.conn.Close() // by now: the transport's own closing may come after the next shot, where one may be out at a time
 		}
 		late := !shot.SendBy.IsZero() && time.Now().After(shot.SendBy) || !time.Now().Before(until)
-		once := shot.Rest != nil && shot.Rest.Begun()
+		once := shot.Rest != nil && shot.Rest.Started()
 		denied := on.withheld()
 		shot.Deny(denied)
 		again := end == dispatch.WriteFailed || denied == admission.NotQuiet || denied == admission.ConnectionEnding || denied == admission.DeadlineStale
@@ -207,7 +207,7 @@
 				return
 			}
 			if on.conn.last(shot.Written); shot.Rest != nil {
-				shot.Sent()
+				shot.BodySent()
 				limit.Reset(within(shot))
 			}
 		},
