--- a/internal/net/dispatch/admission.go
+++ b/internal/net/dispatch/admission.go
@@ -1,69 +1,71 @@
 package dispatch
 
 import (
-	"time"
-
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// history gives what is known of a request's attempts. Called with the lock held.
-func (t *PendingRequest) history() admission.History {
-	h := admission.History{InFlight: t.inFlight, MayHaveRun: t.mayHaveRun, Safe: t.dispatcher.settings.IsSafe(t.Class),
-		SharedDedup: t.dispatcher.settings.SharedDedup(t.Class)}
-	if window := t.dispatcher.settings.DedupWindow(t.Class); window > 0 && t.mayHaveRun {
-		h.DedupUntil = t.earliestMayHaveRun.Add(window)
+// The balancer's orders are checked against the rules of package admission before they are carried out. One that breaks a
+// rule is a defect of the balancer: it is counted, logged and not carried out.
+
+// history returns what is known of the request's attempts. Called with the lock held.
+func (r *PendingRequest) history() admission.History {
+	settings := r.dispatcher.settings
+	h := admission.History{
+		InFlight:    r.inFlight,
+		MayHaveRun:  r.mayHaveRun,
+		Safe:        settings.IsSafe(r.Class),
+		SharedDedup: settings.SharedDedup(r.Class),
+	}
+	if window := settings.DedupWindow(r.Class); window > 0 && r.mayHaveRun {
+		h.DedupUntil = r.earliestMayHaveRun.Add(window)
 	}
 	return h
 }
 
-// noteMayHaveRun notes that an attempt may have run. Called with the lock held.
-func (t *PendingRequest) noteMayHaveRun(sent time.Time) {
-	if !t.mayHaveRun || sent.Before(t.earliestMayHaveRun) {
-		t.earliestMayHaveRun = sent
+// mayStart checks an attempt that the balancer has ordered.
+func (h host) mayStart(r *PendingRequest, a *Attempt) bool {
+	attempt := admission.Attempt{
+		History:  r.history(),
+		Over:     r.ended.Load(),
+		Now:      h.decisionTime,
+		Hedging:  h.settings.HedgingAllowed() && !h.quotas.boundsConcurrency(a),
+		BodySent: r.Rest != nil && r.Rest.Started(),
 	}
-	t.mayHaveRun = true
-}
-
-// mayStart checks an attempt that the module has ordered against the rules. Called with the lock held.
-func (h host) mayStart(t *PendingRequest, s *Attempt) bool {
-	attempt := admission.Attempt{History: t.history(), Over: t.ended.Load(), Now: h.decided,
-		Hedging:  h.settings.HedgingAllowed() && !h.concurrencyBounded(s),
-		BodySent: t.Rest != nil && t.Rest.Started()}
-	why := attempt.Decide()
-	switch why {
+	reason := attempt.Decide()
+	switch reason {
 	case admission.Granted:
 		return true
 	case admission.BodySent:
-		h.metrics.Denied[why].Add(1) // the module doesn't know how much of a body was read
+		h.metrics.Denied[reason].Add(1) // no defect: the balancer doesn't know how much of a body was read
 	default:
-		h.violated("attempt", t, why)
+		h.reportViolation("attempt", r, reason)
 	}
 	return false
 }
 
-// mayRefuse checks a refusal that the module has ordered.
-func (h host) mayRefuse(t *PendingRequest) bool {
-	why := t.history().MayReject()
-	if why != admission.Granted {
-		h.violated("refusal", t, why)
+// mayReject checks a rejection that the balancer has ordered.
+func (h host) mayReject(r *PendingRequest) bool {
+	reason := r.history().MayReject()
+	if reason != admission.Granted {
+		h.reportViolation("refusal", r, reason)
 	}
-	return why == admission.Granted
+	return reason == admission.Granted
 }
 
-// mayAnswer checks that a final answer that the module has ordered is the only one.
-func (h host) mayAnswer(t *PendingRequest) bool {
-	over := t.ended.Load()
-	if over {
-		h.violated("answer", t, admission.RequestOver)
+// mayAnswer checks that a final answer that the balancer has ordered is the only one.
+func (h host) mayAnswer(r *PendingRequest) bool {
+	ended := r.ended.Load()
+	if ended {
+		h.reportViolation("answer", r, admission.RequestOver)
 	}
-	return !over
+	return !ended
 }
 
-// violated counts and logs what the module ordered against the rules. It is never carried out.
-func (x *Dispatcher) violated(action string, t *PendingRequest, why admission.Reason) {
-	x.metrics.Violations[why].Add(1)
-	x.log.Error("the module ordered what a rule forbids", zap.String("action", action), zap.Stringer("reason", why),
-		zap.String("trace", t.TraceID), zap.Int("attempts", t.attempts), zap.Int("out", t.inFlight))
+// reportViolation counts and logs an order that breaks a rule. Called with the lock held.
+func (d *Dispatcher) reportViolation(action string, r *PendingRequest, reason admission.Reason) {
+	d.metrics.Violations[reason].Add(1)
+	d.log.Error("routing ordered what a rule forbids", zap.String("action", action), zap.Stringer("reason", reason),
+		zap.String("trace", r.TraceID), zap.Int("attempts", r.attempts), zap.Int("in_flight", r.inFlight))
 }
--- a/internal/net/dispatch/admission_test.go
+++ b/internal/net/dispatch/admission_test.go
@@ -31,19 +31,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ships := &fleet{}
-			x := start(t, ships)
-			ticket := take(t, x, c.in, time.Second)
+			d := start(t, ships)
+			ticket := take(t, d, c.in, time.Second)
 			first := ships.take(0)
 			if c.before != attemptResultCount {
 				// As the module would be told, but for its own end of the request.
-				x.mu.Lock()
+				d.mu.Lock()
 				first.finished, first.reported = true, true
 				ticket.inFlight--
 				ticket.noteMayHaveRun(first.startedAt)
-				x.mu.Unlock()
+				d.mu.Unlock()
 			}
-			x.withLock("test", nil, func(routing.Time) { c.order(host{x}, ticket.index) })
-			if n := x.metrics.Violations[c.want].Load(); n != 1 {
+			d.withLock("test", nil, func(routing.Time) { c.order(host{d}, ticket.index) })
+			if n := d.metrics.Violations[c.want].Load(); n != 1 {
 				t.Errorf("%d violations by %v, want one", n, c.want)
 			}
 			if s := ships.take(0); s != nil {
@@ -60,17 +60,17 @@
 // A second final answer, and an attempt after the final one, are counted and go nowhere.
 func TestNothingFollowsTheFinalAnswer(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	ticket := take(t, x, Request{Class: "read", Key: "k"}, time.Second)
+	d := start(t, ships)
+	ticket := take(t, d, Request{Class: "read", Key: "k"}, time.Second)
 	out := ships.take(0) // stays out, so that the index is not used again
-	x.withLock("test", nil, func(routing.Time) {
-		h := host{x}
+	d.withLock("test", nil, func(routing.Time) {
+		h := host{d}
 		h.Fail(ticket.index)
 		h.Fail(ticket.index)
 		h.Reject(ticket.index, 0)
 		h.Send(ticket.index, 0, 100)
 	})
-	if n := x.metrics.Violations[admission.RequestOver].Load(); n != 3 {
+	if n := d.metrics.Violations[admission.RequestOver].Load(); n != 3 {
 		t.Errorf("%d violations, want three", n)
 	}
 	if a, answered := got(ticket); !answered || a.Outcome != Failed {
@@ -88,11 +88,11 @@
 // A keyed request is repeated while its servers remember its key, and not later.
 func TestAKeyedRepeatKeepsToItsWindow(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	ticket := take(t, x, Request{Class: "marked", Key: "k"}, time.Second)
+	d := start(t, ships)
+	ticket := take(t, d, Request{Class: "marked", Key: "k"}, time.Second)
 	first := ships.take(0)
-	x.mu.Lock()
-	defer x.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	ticket.inFlight--
 	ticket.noteMayHaveRun(first.startedAt)
 	attempt := admission.Attempt{History: ticket.history(), Now: first.startedAt.Add(300 * time.Millisecond)}
--- a/internal/net/dispatch/alarms.go
+++ b/internal/net/dispatch/alarms.go
@@ -2,52 +2,61 @@
 
 import (
 	"container/heap"
+	"time"
 
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// alarm is one that the module asked for.
+// alarm is a call that the balancer has asked for.
 type alarm struct {
 	at     routing.Time
 	handle int
 }
 
-// alarms is a heap, the earliest first.
-type alarms []alarm
+// alarmHeap implements heap.Interface, the earliest alarm first.
+type alarmHeap []alarm
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (h alarmHeap) Len() int           { return len(h) }
+func (h alarmHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h alarmHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap; so is Pop.
-func (a *alarms) Push(x any) { *a = append(*a, x.(alarm)) }
+// Push is called by package heap only.
+func (h *alarmHeap) Push(x any) { *h = append(*h, x.(alarm)) }
 
-// Pop takes the last one.
-func (a *alarms) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+// Pop is called by package heap only.
+func (h *alarmHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// wake books an alarm and sets the one timer to the earliest. Called with the lock held.
-func (x *Dispatcher) wake(at routing.Time, handle int) {
-	heap.Push(&x.alarms, alarm{at, handle})
-	x.windUp()
+// alarmQueue runs one timer for all alarms. It is guarded by the Dispatcher's lock.
+type alarmQueue struct {
+	pending alarmHeap
+	timer   *time.Timer // calls Dispatcher.fireAlarms
 }
 
-func (x *Dispatcher) windUp() {
-	if len(x.alarms) > 0 {
-		// The clock rounds down, so this is at most one tick late and never early.
-		x.timer.Reset(max(0, toDuration(x.alarms[0].at-x.clock.now())))
+// add sets an alarm.
+func (q *alarmQueue) add(at routing.Time, handle int, c clock) {
+	heap.Push(&q.pending, alarm{at, handle})
+	q.resetTimer(c)
+}
+
+// resetTimer sets the timer to the earliest alarm. The clock rounds down, so it fires at most a tick late and never
+// early.
+func (q *alarmQueue) resetTimer(c clock) {
+	if len(q.pending) > 0 {
+		q.timer.Reset(max(0, toDuration(q.pending[0].at-c.now())))
 	}
 }
 
-// ring tells the module of every alarm that is due.
-func (x *Dispatcher) ring() {
-	x.withLock("alarm", nil, func(now routing.Time) {
-		defer x.windUp()
-		for len(x.alarms) > 0 && x.alarms[0].at <= now {
-			x.balancer.Alarm(now, heap.Pop(&x.alarms).(alarm).handle)
+// fireAlarms calls the balancer for each alarm that is due.
+func (d *Dispatcher) fireAlarms() {
+	d.withLock("alarm", nil, func(now routing.Time) {
+		defer d.alarms.resetTimer(d.clock)
+		for len(d.alarms.pending) > 0 && d.alarms.pending[0].at <= now {
+			due := heap.Pop(&d.alarms.pending).(alarm)
+			d.balancer.Alarm(now, due.handle)
 		}
 	})
 }
--- /dev/null
+++ b/internal/net/dispatch/answer.go
@@ -0,0 +1,31 @@
+package dispatch
+
+import (
+	"io"
+	"time"
+)
+
+// Outcome is how a request ended for its client.
+type Outcome int
+
+// The outcomes.
+const (
+	Served   Outcome = iota // with a server's answer
+	Rejected                // with the promise that a retry is harmless
+	Failed                  // with no promise about its effect
+)
+
+var outcomeNames = [...]string{Served: "served", Rejected: "refused", Failed: "failed"}
+
+// String returns the outcome's name in logs.
+func (o Outcome) String() string { return outcomeNames[o] }
+
+// Answer is a request's one final answer.
+type Answer struct {
+	Outcome     Outcome
+	Body        []byte        // all of it, or what comes before Rest
+	Rest        io.ReadCloser // of a streamed body, closed by whoever receives the answer; nil: there is none
+	Length      int64         // of a streamed body, in bytes; -1: unknown
+	ContentType string
+	RetryAfter  time.Duration // of a rejected request; 0: no advice
+}
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -5,45 +5,45 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// AttemptResult is the way in which a shot ended, or in which its connection did.
+// AttemptResult is how an attempt ended.
 type AttemptResult int
 
-// Every way there is.
+// The results.
 const (
-	Complete        AttemptResult = iota // 200, and its body read to the end
-	NotFound                             // 404: the server has nothing under the key
-	ServerError                          // 500
-	Shed                                 // 503 or 504 with the mark that it never ran
-	ConnectionLimit                      // the same as the first word on a new connection, which the server ends: it holds too many
-	UnclearStatus                        // any other status, or such a one without the mark: it may have run
-	ConnectRefused                       // the connection was refused
-	ConnectTimeout                       // it did not come up within the connect time-out
-	WriteFailed                          // the connection broke before the last byte was written
-	ConnectionLost                       // it broke after that, before the answer
-	Truncated                            // the connection broke in the middle of the answer
-	Malformed                            // the answer can't be read, doesn't end or is over its bound; the server itself works
-	TimedOut                             // no answer when the node stopped waiting
-	Bypassed                             // none so far, while the server answered later shots: its connection may have fallen silent
-	NoResources                          // no descriptor, dial or goroutine was left: nothing was sent
-	NotConnected                         // the node stopped waiting before a connection was up or had failed
-	Canceled                             // the node itself took it back, at its own end
-	Withheld                             // its lookup was over, or its client gone, before its first byte was written
-	attemptResultCount
+	Complete           AttemptResult = iota // 200, with a body that was read to its end
+	NotFound                                // 404: the server has nothing under the key
+	ServerError                             // 500
+	Shed                                    // 503 or 504, marked as never run
+	ConnectionLimit                         // Shed as the first answer on a new connection, which the server then closes
+	UnclearStatus                           // any other status, or 503 or 504 without the mark: it may have run
+	ConnectRefused                          // the connection was refused
+	ConnectTimeout                          // the connection did not come up within the connect timeout
+	WriteFailed                             // the connection broke before the last byte was written
+	ConnectionLost                          // the connection broke after that and before an answer
+	Truncated                               // the connection broke within the answer
+	Malformed                               // the answer can't be parsed, doesn't end or is too long; the server itself works
+	TimedOut                                // no answer before the attempt's deadline
+	Bypassed                                // no answer yet, while later attempts at the server had theirs or its bytes stopped
+	NoResources                             // no descriptor, dial or goroutine was free: nothing was sent
+	NotConnected                            // the deadline passed before a connection was up or had failed
+	Canceled                                // the node took it back, as it stops
+	Withheld                                // the request had ended, or its client had gone, before the first byte was written
+	attemptResultCount                      // how many there are
 )
 
-// Code is what the module is told of it; this is the only place that says so.
-func (e AttemptResult) Code() routing.Result {
-	if (e == ConnectionLost || e == Truncated) && faults.Without(faults.MayHaveRun) {
+// Code returns the routing.Result that the balancer is told. No other place maps results.
+func (r AttemptResult) Code() routing.Result {
+	if (r == ConnectionLost || r == Truncated) && faults.Without(faults.MayHaveRun) {
 		return routing.ConnectFailed
 	}
-	switch e {
+	switch r {
 	case Complete:
 		return routing.Served
 	case NotFound:
 		return routing.NotFound
 	case ServerError, UnclearStatus, Malformed, ConnectionLost, Truncated:
-		// Servers reset and close single connections and work on; taken for broken servers, most of a fleet would
-		// rest. Of a dead one the next dial tells.
+		// Not ConnectionBroken: servers that work reset single connections, and ejecting each would empty a fleet. The next
+		// dial finds out about a dead server.
 		return routing.ServerError
 	case Shed:
 		return routing.Rejected
@@ -64,9 +64,9 @@
 	}
 }
 
-// MayHaveRun says that nothing proves that the server did not act on the shot.
-func (e AttemptResult) MayHaveRun() bool {
-	switch e.Code() {
+// MayHaveRun reports whether the server may have acted on the attempt: nothing proves that it did not.
+func (r AttemptResult) MayHaveRun() bool {
+	switch r.Code() {
 	case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.Withheld:
 		return false
 	default:
@@ -77,4 +77,5 @@
 var attemptResultNames = [attemptResultCount]string{"whole", "lacking", "failing", "turned away", "crowded", "unclear", "unreached", "unheard",
 	"unwritten", "lost", "cut short", "spoilt", "silent", "passed", "no room", "overtaken", "withdrawn", "withheld"}
 
-func (e AttemptResult) String() string { return attemptResultNames[e] }
+// String returns the result's name in logs.
+func (r AttemptResult) String() string { return attemptResultNames[r] }
--- a/internal/net/dispatch/clock.go
+++ b/internal/net/dispatch/clock.go
@@ -3,34 +3,51 @@
 import (
 	"time"
 
+	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// tick is the unit of the module's clock: a tenth of a millisecond.
+// tick is the unit of routing.Time.
 const tick = time.Millisecond / time.Duration(routing.Millisecond)
 
-// clock is the one clock of a node. It starts at the Unix time and goes on monotonically, so that the start
-// times on the box list, which are Unix times, can be set beside it.
+// minClockStep is the difference from which on the wall clock counts as stepped. Smaller ones are clock discipline.
+const minClockStep = time.Second
+
+// clock is the balancer's clock. It starts at the Unix time of start and goes on monotonically, so that it can be
+// compared with the start times of the endpoint list, which are Unix times.
 type clock struct{ start time.Time }
 
+// now returns the present time.
 func (c clock) now() routing.Time { return c.at(time.Now()) }
 
-// minClockStep is by how much the wall clock may be off ours before it counts as stepped: it is kept in step by small corrections.
-const minClockStep = time.Second
+// at converts a time that has a monotonic reading, rounding down.
+func (c clock) at(t time.Time) routing.Time {
+	unix := c.start.UnixNano() + int64(t.Sub(c.start))
+	return routing.Time(unix / int64(tick))
+}
 
-// wallOffset gives by how much the wall clock was stepped since the start.
+// wallOffset returns by how much the wall clock was stepped since the start; 0 below minClockStep.
 func (c clock) wallOffset(now time.Time, wall time.Time) time.Duration {
-	by := wall.Sub(c.start.Round(0)) - now.Sub(c.start)
-	if by.Abs() < minClockStep {
+	offset := wall.Sub(c.start.Round(0)) - now.Sub(c.start)
+	if offset.Abs() < minClockStep {
 		return 0
 	}
-	return by
+	return offset
 }
 
-func (c clock) at(t time.Time) routing.Time {
-	unix := c.start.UnixNano() + int64(t.Sub(c.start))
-	return routing.Time(unix / int64(tick))
-}
-
-// fromUnix converts a start time of the list; 0 stays 0, which means long ago.
+// fromUnix converts a Unix time in milliseconds; 0 stays 0, which means long ago.
 func fromUnix(ms float64) routing.Time { return routing.Time(ms) * routing.Millisecond }
+
+// fromUnixNow converts a Unix time in milliseconds, as the wall clock tells it now, to the balancer's clock. A time in
+// the future comes of a wrong clock and counts as now. 0 stays 0, which means long ago.
+func (d *Dispatcher) fromUnixNow(ms float64) routing.Time {
+	if ms == 0 {
+		return 0
+	}
+	now := time.Now()
+	at := fromUnix(ms) - config.Ticks(float64(d.clock.wallOffset(now, d.wall()))/float64(time.Millisecond))
+	if received := d.clock.at(now); at > received+config.Ticks(float64(minClockStep/time.Millisecond)) {
+		at = received
+	}
+	return max(1, at)
+}
--- a/internal/net/dispatch/clock_test.go
+++ b/internal/net/dispatch/clock_test.go
@@ -12,34 +12,36 @@
 func TestAStartIsColdWhateverTheClockDid(t *testing.T) {
 	const close = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
-		x := start(t, &fleet{})
-		x.wall = func() time.Time { return time.Now().Round(0).Add(step) }
-		since := func() time.Duration { return toDuration(x.clock.now() - x.routingEndpoint(x.places["a"]).StartedAt) }
+		d := start(t, &fleet{})
+		d.wall = func() time.Time { return time.Now().Round(0).Add(step) }
+		since := func() time.Duration {
+			return toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt)
+		}
 		started := boxes[0]
-		started.StartedMs = float64(x.wall().UnixMilli()) - 500
-		x.UpdateEndpoints(routing.Incremental, []Endpoint{started})
+		started.StartedMs = float64(d.wall().UnixMilli()) - 500
+		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+close {
 			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, age)
 		}
-		at := x.routingEndpoint(x.places["a"]).StartedAt
-		x.wall = func() time.Time { return time.Now().Round(0) } // stepped back
-		x.UpdateEndpoints(routing.Full, []Endpoint{started, boxes[1], boxes[2], boxes[3]})
-		if again := x.routingEndpoint(x.places["a"]).StartedAt; again != at {
+		at := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt
+		d.wall = func() time.Time { return time.Now().Round(0) } // stepped back
+		d.UpdateEndpoints(routing.Full, []Endpoint{started, boxes[1], boxes[2], boxes[3]})
+		if again := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt; again != at {
 			t.Errorf("stepped by %v: one start is two, at %v and %v", step, at, again)
 		}
 	}
-	x := start(t, &fleet{})
+	d := start(t, &fleet{})
 	future := boxes[0]
 	future.StartedMs = float64(time.Now().Add(time.Hour).UnixMilli())
-	x.UpdateEndpoints(routing.Incremental, []Endpoint{future})
-	if age := toDuration(x.clock.now() - x.routingEndpoint(x.places["a"]).StartedAt); age < -close || age > close {
+	d.UpdateEndpoints(routing.Incremental, []Endpoint{future})
+	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age < -close || age > close {
 		t.Errorf("a start an hour ahead counts as %v ago", age)
 	}
-	x.UpdateEndpoints(routing.Incremental, []Endpoint{boxes[1]}) // the list is live
+	d.UpdateEndpoints(routing.Incremental, []Endpoint{boxes[1]}) // the list is live
 	past := boxes[0]
 	past.StartedMs = float64(time.Now().Add(-time.Hour).UnixMilli())
-	x.UpdateEndpoints(routing.Incremental, []Endpoint{past})
-	if age := toDuration(x.clock.now() - x.routingEndpoint(x.places["a"]).StartedAt); age > close {
+	d.UpdateEndpoints(routing.Incremental, []Endpoint{past})
+	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age > close {
 		t.Errorf("a cache that has started since the list was last told counts as %v old", age)
 	}
 }
@@ -49,27 +51,29 @@
 func TestWhatIsPutBackIsColdWhateverTheClockDid(t *testing.T) {
 	const close = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
-		x := start(t, &fleet{})
-		since := func() time.Duration { return toDuration(x.clock.now() - x.routingEndpoint(x.places["new"]).StartedAt) }
-		wall := func() float64 { return float64(x.wall().UnixMilli()) }
+		d := start(t, &fleet{})
+		since := func() time.Duration {
+			return toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["new"]).StartedAt)
+		}
+		wall := func() float64 { return float64(d.wall().UnixMilli()) }
 		started := boxes[0]
 		started.ID, started.Address = "new", "new:1"
 		started.StartedMs = wall() - 600_000
-		x.UpdateEndpoints(routing.Incremental, []Endpoint{started})
-		x.wall = func() time.Time { return time.Now().Round(0).Add(step) }
+		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
+		d.wall = func() time.Time { return time.Now().Round(0).Add(step) }
 		ban := Ejection{ID: "new", EjectedAt: wall()}
-		x.SetEjections([]Ejection{ban})
+		d.SetEjections([]Ejection{ban})
 		ban.RestoredAt = wall() + 1
-		x.SetEjections([]Ejection{ban})
+		d.SetEjections([]Ejection{ban})
 		if age := since(); age < -close || age > close {
 			t.Errorf("stepped by %v: what was just put back counts as %v old", step, age)
 		}
 		ban = Ejection{ID: "new", EjectedAt: wall() - 9_000}
-		x.SetEjections([]Ejection{ban})
+		d.SetEjections([]Ejection{ban})
 		started.StartedMs = wall() - 5_000
-		x.UpdateEndpoints(routing.Incremental, []Endpoint{started})
+		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		ban.RestoredAt = wall()
-		x.SetEjections([]Ejection{ban})
+		d.SetEjections([]Ejection{ban})
 		if age := since(); age < 5*time.Second-close || age > 5*time.Second+close {
 			t.Errorf("stepped by %v: what has started 5 s ago, after it was taken out, counts as %v old", step, age)
 		}
--- a/internal/net/dispatch/dispatcher_test.go
+++ b/internal/net/dispatch/dispatcher_test.go
@@ -47,7 +47,7 @@
 func TestRandomRunsKeepTheRules(t *testing.T) {
 	run := func(seed int64) bool {
 		r, ships := rand.New(rand.NewSource(seed)), &fleet{}
-		x := start(t, ships)
+		d := start(t, ships)
 		var all []*followed
 		of := map[*PendingRequest]*followed{}
 		settle := func() bool {
@@ -74,7 +74,7 @@
 				ns := []string{"read", "once"}[r.Intn(2)]
 				f := &followed{}
 				// The shot may be carried before Take returns, but nobody settles it before that.
-				f.PendingRequest = take(t, x, Request{Class: ns, Key: strconv.Itoa(r.Intn(20)), Write: r.Intn(4) == 0}, time.Minute)
+				f.PendingRequest = take(t, d, Request{Class: ns, Key: strconv.Itoa(r.Intn(20)), Write: r.Intn(4) == 0}, time.Minute)
 				of[f.PendingRequest] = f
 				all = append(all, f)
 			case 2, 3:
@@ -97,14 +97,14 @@
 					return false
 				}
 			}
-			x.mu.Lock()
+			d.mu.Lock()
 			for _, f := range all {
 				if !f.released && used[f.index] {
 					t.Errorf("seed %d, step %d: two lookups share index %d", seed, step, f.index)
 				}
 				used[f.index] = used[f.index] || !f.released
 			}
-			x.mu.Unlock()
+			d.mu.Unlock()
 		}
 		for settle() {
 		}
@@ -114,7 +114,7 @@
 				return false
 			}
 		}
-		return x.InFlight() == 0
+		return d.InFlight() == 0
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
@@ -136,11 +136,11 @@
 // Answer, time-out and the client's leaving come at once: one end for each lookup, and nothing is kept.
 func TestWhatComesAtOnceEndsALookupOnce(t *testing.T) {
 	h := &hasty{}
-	x := start(t, h)
+	d := start(t, h)
 	var clients sync.WaitGroup
 	for i := range 300 {
 		clients.Go(func() {
-			ticket := take(t, x, Request{Class: "read", Key: strconv.Itoa(i % 7)}, time.Second)
+			ticket := take(t, d, Request{Class: "read", Key: strconv.Itoa(i % 7)}, time.Second)
 			if i%3 == 0 {
 				ticket.Abandon()
 				return
@@ -154,41 +154,41 @@
 	}
 	clients.Wait()
 	h.wg.Wait()
-	y := x.Stats()
-	if ends := y.Served + y.Rejected + y.Failed + y.ClientGone; ends != 300 || x.InFlight() != 0 || y.Panics != 0 {
-		t.Errorf("%d ends of 300, %d still known, %d panics", ends, x.InFlight(), y.Panics)
+	y := d.Stats()
+	if ends := y.Served + y.Rejected + y.Failed + y.ClientGone; ends != 300 || d.InFlight() != 0 || y.Panics != 0 {
+		t.Errorf("%d ends of 300, %d still known, %d panics", ends, d.InFlight(), y.Panics)
 	}
 }
 
 // A lookup that waits for another's fetch is answered by its alarm, not before its limit and not long after.
 func TestAlarmsComeInTimeAndNotEarly(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	first := take(t, x, Request{Class: "late", Key: "k"}, time.Minute)
+	d := start(t, ships)
+	first := take(t, d, Request{Class: "late", Key: "k"}, time.Minute)
 	ships.take(0).Finish(NotFound, Answer{})
 	began := time.Now()
-	second := take(t, x, Request{Class: "late", Key: "k"}, 80*time.Millisecond)
+	second := take(t, d, Request{Class: "late", Key: "k"}, 80*time.Millisecond)
 	if a := <-second.Answers(); a.Outcome != Rejected {
 		t.Errorf("got %+v", a)
 	}
 	if took := time.Since(began); took < 79*time.Millisecond || took > 300*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
-	if ships.take(0).Finish(Complete, Answer{}); x.InFlight() != 0 {
-		t.Errorf("%d lookups are still known", x.InFlight())
+	if ships.take(0).Finish(Complete, Answer{}); d.InFlight() != 0 {
+		t.Errorf("%d lookups are still known", d.InFlight())
 	}
 	<-first.Answers()
 }
 
 func TestALimitThatHasPassedIsAnsweredWithoutAShot(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
+	d := start(t, ships)
 	for _, within := range []time.Duration{0, -time.Second} {
-		if a, came := got(take(t, x, Request{Class: "once", Write: true}, within)); !came || a.Outcome != Rejected {
+		if a, came := got(take(t, d, Request{Class: "once", Write: true}, within)); !came || a.Outcome != Rejected {
 			t.Errorf("%v: %+v, %v", within, a, came)
 		}
 	}
-	if ships.take(0) != nil || x.InFlight() != 0 {
+	if ships.take(0) != nil || d.InFlight() != 0 {
 		t.Error("a shot was sent, or a lookup is still known")
 	}
 }
@@ -196,10 +196,10 @@
 // The id of a lookup that is out is turned away with nothing sent on, until all its shots have settled.
 func TestAnIdThatIsOutIsTurnedAway(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	first := take(t, x, Request{Class: "read", Key: "k"}, time.Second)
+	d := start(t, ships)
+	first := take(t, d, Request{Class: "read", Key: "k"}, time.Second)
 	again := func() error {
-		_, err := x.Submit(Request{Class: "read", Key: "l", TraceID: first.TraceID}, time.Now(), time.Second)
+		_, err := d.Submit(Request{Class: "read", Key: "l", TraceID: first.TraceID}, time.Now(), time.Second)
 		return err
 	}
 	shot := ships.take(0)
@@ -211,15 +211,15 @@
 		t.Errorf("while its shot is out: %v", err)
 	}
 	shot.Finish(Complete, Answer{})
-	if err := again(); err != nil || len(x.out) != 1 {
-		t.Errorf("afterwards: %v, %d ids are kept", err, len(x.out))
+	if err := again(); err != nil || len(d.requests.byTraceID) != 1 {
+		t.Errorf("afterwards: %v, %d ids are kept", err, len(d.requests.byTraceID))
 	}
 }
 
 func TestALimitBeyondTheTermsIsCut(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	take(t, x, Request{Class: "late", Key: "k"}, time.Hour)
+	d := start(t, ships)
+	take(t, d, Request{Class: "late", Key: "k"}, time.Hour)
 	if s := ships.take(0); s.Timeout > 750*time.Millisecond || s.Timeout < 700*time.Millisecond {
 		t.Errorf("the shot has %v", s.Timeout)
 	}
@@ -228,32 +228,32 @@
 // A panic of the module answers the lookup at hand with no promise; its index is not used again.
 func TestAPanicAnswersTheLookup(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	whole := x.balancer
-	x.balancer = nil
-	ticket := take(t, x, Request{Class: "read"}, time.Second)
+	d := start(t, ships)
+	whole := d.balancer
+	d.balancer = nil
+	ticket := take(t, d, Request{Class: "read"}, time.Second)
 	if a, came := got(ticket); !came || a.Outcome != Failed {
 		t.Errorf("%+v, %v", a, came)
 	}
-	x.balancer = whole
-	host{x}.Send(ticket.index, 0, routing.Millisecond)
-	if ships.take(0) != nil || len(x.out) != 0 {
-		t.Errorf("a shot after the final answer, or %d ids are kept", len(x.out))
+	d.balancer = whole
+	host{d}.Send(ticket.index, 0, routing.Millisecond)
+	if ships.take(0) != nil || len(d.requests.byTraceID) != 0 {
+		t.Errorf("a shot after the final answer, or %d ids are kept", len(d.requests.byTraceID))
 	}
-	if next := take(t, x, Request{Class: "read"}, time.Second); next.index == ticket.index || ships.take(0) == nil {
+	if next := take(t, d, Request{Class: "read"}, time.Second); next.index == ticket.index || ships.take(0) == nil {
 		t.Errorf("the next lookup has index %d after %d", next.index, ticket.index)
 	}
 }
 
 func TestABoxKeepsItsIndexAtANewAddress(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
+	d := start(t, ships)
 	moved := boxes[3]
 	moved.Address = "elsewhere:1"
-	x.UpdateEndpoints(routing.Incremental, []Endpoint{moved})
-	take(t, x, Request{Class: "read", Write: true}, time.Second)
-	if s := ships.take(0); s.Address != "elsewhere:1" || len(x.boxes) != len(boxes) {
-		t.Errorf("sent to %s; %d indices for %d boxes", s.Address, len(x.boxes), len(boxes))
+	d.UpdateEndpoints(routing.Incremental, []Endpoint{moved})
+	take(t, d, Request{Class: "read", Write: true}, time.Second)
+	if s := ships.take(0); s.Address != "elsewhere:1" || len(d.endpoints.entries) != len(boxes) {
+		t.Errorf("sent to %s; %d indices for %d boxes", s.Address, len(d.endpoints.entries), len(boxes))
 	}
 }
 
@@ -262,13 +262,13 @@
 // a single-use one never. The slow answer still counts, once.
 func TestAReadThatOthersPassGoesElsewhereToo(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	x.UpdateEndpoints(routing.Full, []Endpoint{boxes[0], boxes[1], boxes[3]})
-	for i := range x.boxes {
-		x.boxes[i].meanLatency = 5 * time.Millisecond
+	d := start(t, ships)
+	d.UpdateEndpoints(routing.Full, []Endpoint{boxes[0], boxes[1], boxes[3]})
+	for i := range d.endpoints.entries {
+		d.endpoints.entries[i].meanLatency = 5 * time.Millisecond
 	}
 	send := func(in Request) (*PendingRequest, *Attempt) {
-		return take(t, x, in, time.Second), ships.take(0)
+		return take(t, d, in, time.Second), ships.take(0)
 	}
 	quiet := func() {
 		t.Helper()
@@ -322,10 +322,10 @@
 		quiet() // another shot of what isn't replayable might be an effect twice
 		first.Finish(Complete, Answer{})
 	}
-	if y := x.Stats(); y.Ends[Bypassed] != 1 || y.Panics > 0 || len(x.out) > 0 {
-		t.Errorf("tally %+v, %d ids out", y, len(x.out))
+	if y := d.Stats(); y.Ends[Bypassed] != 1 || y.Panics > 0 || len(d.requests.byTraceID) > 0 {
+		t.Errorf("tally %+v, %d ids out", y, len(d.requests.byTraceID))
 	}
-	for _, p := range x.boxes {
+	for _, p := range d.endpoints.entries {
 		if len(p.inFlight) > 0 {
 			t.Errorf("%d shots are still counted at %s", len(p.inFlight), p.id)
 		}
@@ -337,15 +337,15 @@
 func TestNoSecondCopyWhereNoneIsAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		ships := &fleet{}
-		x := start(t, ships)
-		x.settings.Routing.Hedging = allowed
-		for i := range x.boxes {
-			x.boxes[i].meanLatency = 2 * time.Millisecond
+		d := start(t, ships)
+		d.settings.Routing.Hedging = allowed
+		for i := range d.endpoints.entries {
+			d.endpoints.entries[i].meanLatency = 2 * time.Millisecond
 		}
 		read := Request{Class: "read", Key: "k"}
-		take(t, x, read, time.Second)
+		take(t, d, read, time.Second)
 		slow := ships.take(0)
-		take(t, x, read, time.Second)
+		take(t, d, read, time.Second)
 		ships.take(0).Finish(Complete, Answer{})
 		time.Sleep(50 * time.Millisecond)
 		if other := ships.take(0); (other != nil) != allowed {
@@ -367,9 +367,9 @@
 			repeat    time.Duration // 0: no bound of its own
 		}{{"marked", 100 * time.Millisecond}, {"read", 0}} {
 			ships := &fleet{}
-			x := start(t, ships)
-			x.settings.DrainGrace = grace
-			take(t, x, Request{Class: c.namespace, Key: "k"}, time.Second)
+			d := start(t, ships)
+			d.settings.DrainGrace = grace
+			take(t, d, Request{Class: c.namespace, Key: "k"}, time.Second)
 			for n, bound := range []time.Duration{0, c.repeat} {
 				if s := ships.take(0); s == nil {
 					t.Fatalf("%s: no shot %d", c.namespace, n)
@@ -390,9 +390,9 @@
 // The module's word to give connections back goes to the box that it names.
 func TestConnectionsAreGivenBack(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	x.withLock("test", nil, func(routing.Time) { host{x}.CloseIdle(1, 0) })
-	if len(ships.hungUp) != 1 || ships.hungUp[0] != x.boxes[1].incarnation || x.Stats().Panics != 0 {
+	d := start(t, ships)
+	d.withLock("test", nil, func(routing.Time) { host{d}.CloseIdle(1, 0) })
+	if len(ships.hungUp) != 1 || ships.hungUp[0] != d.endpoints.entries[1].incarnation || d.Stats().Panics != 0 {
 		t.Errorf("hung up on %v", ships.hungUp)
 	}
 }
@@ -401,21 +401,21 @@
 // box gets the index of another whose shots are out, and each has connections of its own.
 func TestPlacesOfBoxesThatWentAreGivenBack(t *testing.T) {
 	ships := &fleet{}
-	x := start(t, ships)
-	take(t, x, Request{Class: "late", Write: true}, time.Second) // at the origin while that is replaced
+	d := start(t, ships)
+	take(t, d, Request{Class: "late", Write: true}, time.Second) // at the origin while that is replaced
 	out := ships.take(0)
 	seen := map[uint64]bool{out.Endpoint: true}
 	const rounds = 768
 	for n := range rounds {
 		fresh := []Endpoint{{ID: fmt.Sprint("c", n), Address: "same:1", Model: "box"}, {ID: fmt.Sprint("z", n), Address: "z:1", Model: "origin"}}
 		if n%2 == 0 {
-			x.UpdateEndpoints(routing.Full, fresh)
+			d.UpdateEndpoints(routing.Full, fresh)
 		} else {
-			x.UpdateEndpoints(routing.Incremental, append(fresh, Endpoint{ID: fmt.Sprint("c", n-1), State: routing.Gone},
+			d.UpdateEndpoints(routing.Incremental, append(fresh, Endpoint{ID: fmt.Sprint("c", n-1), State: routing.Gone},
 				Endpoint{ID: fmt.Sprint("z", n-1), State: routing.Gone}, Endpoint{ID: "never seen", State: routing.Gone}))
 		}
 		for _, write := range []bool{false, true} {
-			take(t, x, Request{Class: "late", Write: write}, time.Second)
+			take(t, d, Request{Class: "late", Write: write}, time.Second)
 			s := ships.take(0)
 			if s == nil || seen[s.Endpoint] || s.endpointIndex == out.endpointIndex || s.Address != fresh[map[bool]int{true: 1}[write]].Address {
 				t.Fatalf("list %d, write %v: %+v", n, write, s)
@@ -425,29 +425,29 @@
 		}
 	}
 	out.Finish(Complete, Answer{})
-	if len(x.places) != 2 || len(x.boxes) > 12 {
-		t.Errorf("%d ids and %d indices are kept", len(x.places), len(x.boxes))
+	if len(d.endpoints.byID) != 2 || len(d.endpoints.entries) > 12 {
+		t.Errorf("%d ids and %d indices are kept", len(d.endpoints.byID), len(d.endpoints.entries))
 	}
 	same, again := boxes[0], boxes[0]
 	again.StartedMs = 5
 	for _, b := range []Endpoint{same, same, again} {
-		x.UpdateEndpoints(routing.Full, []Endpoint{b})
+		d.UpdateEndpoints(routing.Full, []Endpoint{b})
 	}
-	if p := x.boxes[x.places["a"]]; p.incarnation != x.told || x.told != uint64(len(boxes)+2*rounds+2) {
-		t.Errorf("a restart is another place, the same list isn't: %+v of %d", p, x.told)
+	if p := d.endpoints.entries[d.endpoints.byID["a"]]; p.incarnation != d.endpoints.incarnations || d.endpoints.incarnations != uint64(len(boxes)+2*rounds+2) {
+		t.Errorf("a restart is another place, the same list isn't: %+v of %d", p, d.endpoints.incarnations)
 	}
 }
 
 func TestReadyOnceAListIsKnown(t *testing.T) {
-	x := New(start(t, &fleet{}).settings, nil)
-	x.Start(1, &fleet{}, nobody{})
-	x.UpdateEndpoints(routing.Cached, nil)
-	before := x.Ready()
-	x.UpdateEndpoints(routing.Cached, boxes)
-	if before || !x.Ready() {
-		t.Errorf("ready %v before, %v after", before, x.Ready())
-	}
-	if _, err := x.Submit(Request{Class: "none"}, time.Now(), time.Second); !errors.Is(err, ErrUnknownClass) {
+	d := New(start(t, &fleet{}).settings, nil)
+	d.Start(1, &fleet{}, nobody{})
+	d.UpdateEndpoints(routing.Cached, nil)
+	before := d.Ready()
+	d.UpdateEndpoints(routing.Cached, boxes)
+	if before || !d.Ready() {
+		t.Errorf("ready %v before, %v after", before, d.Ready())
+	}
+	if _, err := d.Submit(Request{Class: "none"}, time.Now(), time.Second); !errors.Is(err, ErrUnknownClass) {
 		t.Error(err)
 	}
 }
@@ -480,9 +480,9 @@
 func TestALongBodyGoesToOneServerOnly(t *testing.T) {
 	for begun, want := range map[bool]int{false: 2, true: 1} {
 		f := &fleet{}
-		x := start(t, f)
+		d := start(t, f)
 		in := Request{Class: "read", Write: true, Rest: NewBodyStream(strings.NewReader("rest")), Length: 4, Timeout: 1e9}
-		ticket := take(t, x, in, time.Second)
+		ticket := take(t, d, in, time.Second)
 		s := f.take(0)
 		if begun {
 			_, _ = s.Rest.Read(make([]byte, 1))
@@ -501,7 +501,7 @@
 		if shots != want || !ended || (a.Outcome == Served) == begun {
 			t.Errorf("begun %v: %d shots, ended %v %v", begun, shots, ended, a.Outcome)
 		}
-		if x.InFlight() != 0 {
+		if d.InFlight() != 0 {
 			t.Error("a lookup is left over")
 		}
 	}
@@ -510,8 +510,8 @@
 // A long answer is the lookup's from its first byte on, no other may follow, and the id is out until it is through.
 func TestALongAnswerIsTheOnlyOne(t *testing.T) {
 	f := &fleet{}
-	x := start(t, f)
-	ticket := take(t, x, Request{Class: "read", Key: "k"}, time.Second)
+	d := start(t, f)
+	ticket := take(t, d, Request{Class: "read", Key: "k"}, time.Second)
 	s := f.take(0)
 	s.Stalled() // it goes elsewhere too
 	other := f.take(0)
@@ -525,16 +525,16 @@
 	if a, ended := got(ticket); !ended || a.Rest == nil {
 		t.Errorf("%v %+v", ended, a)
 	}
-	if _, err := x.Submit(ticket.Request, time.Now(), time.Second); !errors.Is(err, ErrDuplicateID) {
+	if _, err := d.Submit(ticket.Request, time.Now(), time.Second); !errors.Is(err, ErrDuplicateID) {
 		t.Errorf("its id is out: %v", err)
 	}
 	other.Release()
 	s.Release()
 	s.Release()
-	if x.InFlight() != 0 {
-		t.Errorf("%d lookups are left", x.InFlight())
+	if d.InFlight() != 0 {
+		t.Errorf("%d lookups are left", d.InFlight())
 	}
-	again := take(t, x, Request{Class: "once", Write: true}, time.Second)
+	again := take(t, d, Request{Class: "once", Write: true}, time.Second)
 	s = f.take(0)
 	if s.Stalled(); f.take(0) != nil {
 		t.Error("what isn't replayable must not go elsewhere")
@@ -548,30 +548,30 @@
 // What the fleet tells of a server reaches the module, by id and address; of another address, or none listed, it doesn't.
 func TestTheFleetsTrials(t *testing.T) {
 	f := &fleet{}
-	x := start(t, f)
+	d := start(t, f)
 	for range 40 { // each range's cache breaks a connection
-		take(t, x, Request{Class: "read", Key: fmt.Sprint(traces.Load())}, time.Second)
+		take(t, d, Request{Class: "read", Key: fmt.Sprint(traces.Load())}, time.Second)
 		if s := f.take(0); s != nil {
 			s.Finish(ConnectRefused, Answer{})
 		}
 	}
-	resting := x.EjectedEndpoints()
+	resting := d.EjectedEndpoints()
 	if len(resting) == 0 || resting["a"] != "" && resting["a"] != "a:1" {
 		t.Fatalf("%v rest", resting)
 	}
 	for id, address := range resting {
-		x.ProbeResult(id, "elsewhere:1", true, 0)
-		x.ProbeResult("unknown", address, true, 0)
-		x.ProbeResult(id, address, true, 0)
+		d.ProbeResult(id, "elsewhere:1", true, 0)
+		d.ProbeResult("unknown", address, true, 0)
+		d.ProbeResult(id, address, true, 0)
 	}
-	if len(x.EjectedEndpoints()) != len(resting) {
+	if len(d.EjectedEndpoints()) != len(resting) {
 		t.Error("news alone ends no rest: a lookup of our own has to")
 	}
-	for n := 0; len(x.EjectedEndpoints()) > 0; n++ {
+	for n := 0; len(d.EjectedEndpoints()) > 0; n++ {
 		if n > 200 {
-			t.Fatalf("%v rest after good news and %d lookups", x.EjectedEndpoints(), n)
+			t.Fatalf("%v rest after good news and %d lookups", d.EjectedEndpoints(), n)
 		}
-		take(t, x, Request{Class: "read", Key: fmt.Sprint(traces.Load())}, time.Second)
+		take(t, d, Request{Class: "read", Key: fmt.Sprint(traces.Load())}, time.Second)
 		if s := f.take(0); s != nil {
 			s.Finish(Complete, Answer{Outcome: Served})
 		}
@@ -582,16 +582,16 @@
 // a number at a time bounds it. Without a part nothing of this holds.
 func TestShotsUnderAPart(t *testing.T) {
 	f := &fleet{}
-	x := start(t, f)
+	d := start(t, f)
 	write := func() (*PendingRequest, *Attempt) {
-		ticket := take(t, x, Request{Class: "once", Key: "k", Write: true, Method: "PUT"}, 700*time.Millisecond)
+		ticket := take(t, d, Request{Class: "once", Key: "k", Write: true, Method: "PUT"}, 700*time.Millisecond)
 		return ticket, f.take(0)
 	}
 	if _, s := write(); s == nil || !s.SendBy.IsZero() || s.Timeout < 600*time.Millisecond {
 		t.Fatalf("without a part: %+v", s)
 	}
 	part := allowance.Quota{Concurrency: true, Burst: 2, ThenBurst: 1}
-	x.SetQuota(routing.OriginConcurrency, "", part, 200*time.Millisecond, 100*time.Millisecond)
+	d.SetQuota(routing.OriginConcurrency, "", part, 200*time.Millisecond, 100*time.Millisecond)
 	_, one := write()
 	_, two := write()
 	if one == nil || two == nil || one.SendBy.After(time.Now().Add(quotaSendWindow)) || one.Timeout > 300*time.Millisecond || one.Timeout < 200*time.Millisecond {
@@ -602,19 +602,19 @@
 	} else if a, answered := got(ticket); !answered || a.Outcome != Rejected || a.RetryAfter == 0 {
 		t.Errorf("what has no part is deferred at once: %+v, %v", a, answered)
 	}
-	if !x.concurrencyBounded(one) {
+	if !d.quotas.boundsConcurrency(one) {
 		t.Error("another may take its place while it goes on")
 	}
 	one.Finish(Complete, Answer{})
 	two.Finish(Complete, Answer{})
-	if u := x.SetQuota(routing.OriginConcurrency, "", part, 0, 0); u.Wanted != 3 || u.Done != 2 || u.InFlight != 0 {
+	if u := d.SetQuota(routing.OriginConcurrency, "", part, 0, 0); u.Wanted != 3 || u.Done != 2 || u.InFlight != 0 {
 		t.Errorf("told of %+v", u)
 	}
 	_, one = write()
 	if _, two = write(); one == nil || two != nil || one.Timeout < 600*time.Millisecond {
 		t.Errorf("after its end what is apart holds: %+v, %+v", one, two)
 	}
-	if u := x.SetQuota(routing.TenantRate, "nobody", part, 0, 0); u != (allowance.Usage{}) {
+	if u := d.SetQuota(routing.TenantRate, "nobody", part, 0, 0); u != (allowance.Usage{}) {
 		t.Error("a partner of no name is bounded")
 	}
 }
--- a/internal/net/dispatch/ejections_test.go
+++ b/internal/net/dispatch/ejections_test.go
@@ -18,14 +18,14 @@
 		seed++
 		r := rand.New(rand.NewSource(seed))
 		f := &fleet{}
-		x := start(t, f)
+		d := start(t, f)
 		ids := []string{"a", "b", "c", "d"}
 		listed := map[string]Endpoint{}
 		for _, b := range boxes {
 			listed[b.ID] = b
 		}
 		banned := map[string]Ejection{}
-		clock := x.clock.start.UnixMilli() - 100000 // what happened then is warm by now
+		clock := d.clock.start.UnixMilli() - 100000 // what happened then is warm by now
 		for step := range 300 {
 			clock++
 			id := ids[r.Intn(len(ids))]
@@ -46,25 +46,25 @@
 			case 2, 3:
 				b.State = []routing.State{routing.Ready, routing.Ready, routing.Draining}[r.Intn(3)]
 				listed[id] = b
-				x.UpdateEndpoints(routing.Incremental, []Endpoint{b})
+				d.UpdateEndpoints(routing.Incremental, []Endpoint{b})
 			case 4: // restarted, perhaps at another address
 				b.StartedMs, b.State, b.Address = float64(clock), routing.Ready, fmt.Sprint(id, ":", r.Intn(3))
 				listed[id] = b
-				x.UpdateEndpoints(routing.Incremental, []Endpoint{b})
+				d.UpdateEndpoints(routing.Incremental, []Endpoint{b})
 			case 5:
 				if delete(listed, id); there {
 					b.State = routing.Gone
-					x.UpdateEndpoints(routing.Incremental, []Endpoint{b})
+					d.UpdateEndpoints(routing.Incremental, []Endpoint{b})
 				}
 			case 6:
 				whole := []Endpoint{}
 				for _, b := range listed {
 					whole = append(whole, b)
 				}
-				x.UpdateEndpoints(routing.Full, whole)
+				d.UpdateEndpoints(routing.Full, whole)
 			default:
 				in := Request{Class: "read", Key: fmt.Sprint("k", r.Intn(50)), TraceID: fmt.Sprint(seed, step)}
-				if _, err := x.Submit(in, x.clock.start, 1e9); err != nil {
+				if _, err := d.Submit(in, d.clock.start, 1e9); err != nil {
 					t.Error(err)
 				}
 			}
@@ -72,7 +72,7 @@
 			for _, ban := range banned {
 				list = append(list, ban)
 			}
-			x.SetEjections(list)
+			d.SetEjections(list)
 			for s := f.take(0); s != nil; s = f.take(0) {
 				id, _, _ := strings.Cut(s.Address, ":")
 				ban := banned[id]
@@ -86,11 +86,11 @@
 				s.Finish(Complete, Answer{})
 			}
 			for id, ban := range banned {
-				i, known := x.places[id]
-				if !known || x.boxes[i].gone {
+				i, known := d.endpoints.byID[id]
+				if !known || d.endpoints.entries[i].gone {
 					continue
 				}
-				box := x.routingEndpoint(i)
+				box := d.routingEndpoint(i)
 				if ban.RestoredAt == 0 && box.State == routing.Ready || ban.RestoredAt > 0 && box.StartedAt < fromUnix(ban.EjectedAt) {
 					t.Errorf("seed %d, step %d: %s is shown as %+v, ban %+v", seed, step, id, box, ban)
 					return false
@@ -111,25 +111,25 @@
 
 // A new start that the list tells of after the return makes the server cold anew; the return alone does so once.
 func TestWhatIsBackStartsCold(t *testing.T) {
-	x := start(t, &fleet{})
-	out := float64(x.clock.start.UnixMilli())
-	since := func() routing.Time { return x.routingEndpoint(x.places["a"]).StartedAt }
-	x.SetEjections([]Ejection{{ID: "a", EjectedAt: out}})
+	d := start(t, &fleet{})
+	out := float64(d.clock.start.UnixMilli())
+	since := func() routing.Time { return d.routingEndpoint(d.endpoints.byID["a"]).StartedAt }
+	d.SetEjections([]Ejection{{ID: "a", EjectedAt: out}})
 	if since() != 0 {
 		t.Error("a ban alone is no start")
 	}
-	x.SetEjections([]Ejection{{ID: "a", EjectedAt: out, RestoredAt: out + 100}})
-	x.UpdateEndpoints(routing.Full, boxes) // which knows nothing yet
+	d.SetEjections([]Ejection{{ID: "a", EjectedAt: out, RestoredAt: out + 100}})
+	d.UpdateEndpoints(routing.Full, boxes) // which knows nothing yet
 	if got := since(); got != fromUnix(out+100) {
 		t.Errorf("since %v, want the return", got)
 	}
-	x.SetEjections(nil) // what is forgotten after its return changes nothing
+	d.SetEjections(nil) // what is forgotten after its return changes nothing
 	if got := since(); got != fromUnix(out+100) {
 		t.Errorf("since %v, want the return", got)
 	}
 	later := boxes[0]
 	later.StartedMs = out + 50
-	x.UpdateEndpoints(routing.Incremental, []Endpoint{later})
+	d.UpdateEndpoints(routing.Incremental, []Endpoint{later})
 	if got := since(); got != fromUnix(out+50) {
 		t.Errorf("since %v, want the start that the list told of", got)
 	}
--- a/internal/net/dispatch/endpoints.go
+++ b/internal/net/dispatch/endpoints.go
@@ -1,139 +1,162 @@
 package dispatch
 
 import (
-	"slices"
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// startToldIn is how late a list may tell of a start: services notice some seconds late.
-const startToldIn = 30 * time.Second
+// maxStartReportDelay bounds how late an endpoint list may report a start: discovery services notice some seconds late.
+const maxStartReportDelay = 30 * time.Second
 
-const (
-	bypassFactor = 2 // mean times of its server after which a read is passed, if a later one was answered meanwhile
-	meanPart     = 8 // an answer counts as an eighth of the mean: a second's worth of them or so
-)
+// Endpoint is an entry of the endpoint list.
+type Endpoint struct {
+	ID, Address, Model string
+	State              routing.State
+	StartedMs          float64 // Unix time in milliseconds; 0: long ago
+}
 
-// endpointEntry is a box as the list last told of it.
+// endpointEntry is an endpoint as the list last described it, and what was seen of it here.
 type endpointEntry struct {
-	id, address       string
-	listedStartMs     float64      // its start, as the list tells it
-	startedAt         routing.Time // the same by our clock, as it was when it was heard of
-	ejectedAt         routing.Time // when it was taken out, likewise; 0: never
-	restoredAt        routing.Time // when it was put back after that, likewise
-	incarnation       uint64       // another number for each box, start and address: what was kept to an earlier one isn't for it
-	inFlight          []*Attempt
-	meanLatency       time.Duration // of the latest whole answers
-	lastAnsweredStart time.Time     // when the latest shot that was answered was sent
-	gone              bool
-	origin            bool
-	model             int
-	listedState       routing.State // what the list says,
-	effectiveState    routing.State // and what the module is shown
-	ejection          Ejection      // the latest
+	id, address    string // an empty id: the entry is free
+	origin         bool
+	model          int
+	gone           bool          // the list does not name it any more
+	listedState    routing.State // in the list
+	effectiveState routing.State // as the balancer is told
+	incarnation    uint64        // a new number after each restart, move and ejection: connections are not shared across
+	listedStartMs  float64       // Endpoint.StartedMs
+	startedAt      routing.Time  // the same by the node's clock, as it was when it was received
+	ejection       Ejection      // the latest by an operator
+	ejectedAt      routing.Time  // its times by the node's clock; 0: never
+	restoredAt     routing.Time
+	endpointLatency
 }
 
-// renew takes over what the list says. A box that starts again or moves keeps its index.
-func (x *Dispatcher) renew(p *endpointEntry, b Endpoint) {
-	if b.State != routing.Gone && (p.id != b.ID || p.address != b.Address || p.listedStartMs != b.StartedMs) {
-		x.told++
-		if p.id != b.ID || p.listedStartMs != b.StartedMs {
-			at := x.started(b.StartedMs)
-			if p.id == b.ID && at > 0 && x.live-at > config.Ticks(float64(startToldIn/time.Millisecond)) {
-				at = x.live // a list that was told since would have had it: its clock is off
-			}
-			p.startedAt = at
-		}
-		p.id, p.address, p.listedStartMs, p.incarnation = b.ID, b.Address, b.StartedMs, x.told
-	}
-	p.gone, p.listedState = b.State == routing.Gone, b.State
+// endpointIndex finds endpoints by the balancer's index and by id. It is guarded by the Dispatcher's lock.
+type endpointIndex struct {
+	entries      []endpointEntry // by index
+	free         []int           // free indices, the next one last
+	byID         map[string]int
+	incarnations uint64 // how many were given out
 }
 
-// started converts a start time of the list, whose clock agrees with ours as it is now. One in the future is an error of a clock: it is not
-// later than the moment at which it is heard of. 0 stays 0, which means long ago.
-func (x *Dispatcher) started(ms float64) routing.Time {
-	if ms == 0 {
-		return 0
-	}
-	now := time.Now()
-	at := fromUnix(ms) - config.Ticks(float64(x.clock.wallOffset(now, x.wall()))/float64(time.Millisecond))
-	if heard := x.clock.at(now); at > heard+config.Ticks(float64(minClockStep/time.Millisecond)) {
-		at = heard
+// allocate gives an endpoint an index. Indices are used again, as endpoints come under new ids all day.
+func (x *endpointIndex) allocate(id string) int {
+	i := len(x.entries)
+	if last := len(x.free) - 1; last >= 0 {
+		i = x.free[last]
+		x.free = x.free[:last]
+	} else {
+		x.entries = append(x.entries, endpointEntry{})
 	}
-	return max(1, at)
+	x.byID[id] = i
+	return i
 }
 
-// index gives one for a new box: boxes come under new ids all day, so those of boxes that went are used anew.
-func (x *Dispatcher) index() int {
-	if last := len(x.resting) - 1; last >= 0 {
-		i := x.resting[last]
-		x.resting = x.resting[:last]
-		return i
+// releaseIfUnused frees an index once its endpoint is gone and no attempt at it is in flight.
+func (x *endpointIndex) releaseIfUnused(i int) {
+	e := &x.entries[i]
+	if !e.gone || len(e.inFlight) > 0 || e.id == "" {
+		return
 	}
-	x.boxes = append(x.boxes, endpointEntry{})
-	return len(x.boxes) - 1
+	delete(x.byID, e.id)
+	*e = endpointEntry{}
+	x.free = append(x.free, i)
 }
 
-// giveBack lets an index rest once its box is gone and all shots to it have settled.
-func (x *Dispatcher) giveBack(i int) {
-	if p := &x.boxes[i]; p.gone && len(p.inFlight) == 0 && p.id != "" {
-		delete(x.places, p.id)
-		*p = endpointEntry{}
-		x.resting = append(x.resting, i)
-	}
+// nextIncarnation returns a number that no endpoint has had.
+func (x *endpointIndex) nextIncarnation() uint64 {
+	x.incarnations++
+	return x.incarnations
 }
 
-// sent puts a shot down at its place. Only where second copies are allowed may another follow while it is out.
-func (x *Dispatcher) sent(s *Attempt) {
-	p := &x.boxes[s.endpointIndex]
-	p.inFlight = append(p.inFlight, s)
-	if !s.Write && x.settings.HedgingAllowed() && x.settings.IsSafe(s.Class) && p.meanLatency > 0 && !x.concurrencyBounded(s) {
-		s.bypassTimer = time.AfterFunc(bypassFactor*p.meanLatency, s.checkBypassed)
-	}
+// UpdateEndpoints applies an update of the endpoint list and passes it on to the balancer.
+func (d *Dispatcher) UpdateEndpoints(kind routing.UpdateKind, listed []Endpoint) {
+	d.withLock("endpoint list", nil, func(now routing.Time) {
+		if kind == routing.Full || kind == routing.Cached {
+			for i := range d.endpoints.entries {
+				d.endpoints.entries[i].gone = true // unless the list names it
+			}
+		}
+		update := make([]routing.Endpoint, 0, len(listed))
+		for _, endpoint := range listed {
+			if i, known := d.updateEndpoint(endpoint); known {
+				update = append(update, d.routingEndpoint(i))
+			}
+		}
+		if kind == routing.Full || kind == routing.Incremental {
+			d.lastLiveUpdate = now
+		}
+		d.balancer.UpdateEndpoints(now, kind, update)
+		for i := range d.endpoints.entries {
+			d.endpoints.releaseIfUnused(i)
+		}
+		d.countEndpoints()
+		if kind != routing.Failed && len(listed) > 0 {
+			d.listReceived = true
+		}
+	})
 }
 
-// passed says whether a shot has waited for several of its server's mean times, while one sent later was answered. An
-// overloaded server takes longer for all, so that it passes few.
-func (p *endpointEntry) passed(s *Attempt) bool {
-	return s.startedAt.Before(p.lastAnsweredStart) && time.Since(s.startedAt) >= bypassFactor*p.meanLatency
+// updateEndpoint applies one entry of the list and returns its index; false where the endpoint is gone and was unknown.
+// Called with the lock held.
+func (d *Dispatcher) updateEndpoint(listed Endpoint) (int, bool) {
+	i, known := d.endpoints.byID[listed.ID]
+	if !known {
+		if listed.State == routing.Gone {
+			return 0, false
+		}
+		i = d.endpoints.allocate(listed.ID)
+	}
+	d.listedIDs.add(listed.ID)
+	e := &d.endpoints.entries[i]
+	d.applyListed(e, listed)
+	if ejection, ejected := d.ejections[listed.ID]; ejected {
+		d.applyEjection(e, ejection)
+	}
+	model, known := d.settings.Models[listed.Model]
+	if !known {
+		model = -1
+	}
+	e.model = model
+	e.origin = d.settings.IsOrigin(model)
+	return i, true
 }
 
-// checkBypassed guards against connections that fall silent, as single ones do while their servers work: the module is told
-// that a replayable read that others have passed was called off. It may just be slow, so it stays out, and its answer
-// resolves the lookup if it comes first.
-func (s *Attempt) checkBypassed() {
-	x := s.pending.dispatcher
-	x.withLock("watch", s.pending, func(routing.Time) {
-		if p := &x.boxes[s.endpointIndex]; !s.reported && p.passed(s) {
-			s.report(Bypassed)
+// applyListed takes over id, address, start and state. An endpoint that restarts or moves gets a new incarnation and
+// keeps its index. Called with the lock held.
+func (d *Dispatcher) applyListed(e *endpointEntry, listed Endpoint) {
+	restarted := e.id != listed.ID || e.listedStartMs != listed.StartedMs
+	if listed.State != routing.Gone && (restarted || e.address != listed.Address) {
+		if restarted {
+			e.startedAt = d.startTime(e, listed)
 		}
-	})
+		e.id = listed.ID
+		e.address = listed.Address
+		e.listedStartMs = listed.StartedMs
+		e.incarnation = d.endpoints.nextIncarnation()
+	}
+	e.gone = listed.State == routing.Gone
+	e.listedState = listed.State
 }
 
-// drop takes a shot off its place.
-func (p *endpointEntry) drop(s *Attempt) {
-	p.inFlight = slices.DeleteFunc(p.inFlight, func(o *Attempt) bool { return o == s })
-	if s.bypassTimer != nil {
-		s.bypassTimer.Stop()
+// startTime returns when a listed endpoint started, by the node's clock. A start that an earlier update should have
+// reported comes of a wrong clock, and counts from that update. Called with the lock held.
+func (d *Dispatcher) startTime(e *endpointEntry, listed Endpoint) routing.Time {
+	at := d.fromUnixNow(listed.StartedMs)
+	overdue := d.lastLiveUpdate-at > config.Ticks(float64(maxStartReportDelay/time.Millisecond))
+	if e.id == listed.ID && at > 0 && overdue {
+		return d.lastLiveUpdate
 	}
+	return at
 }
 
-// settled notes what an answer tells of its server.
-func (p *endpointEntry) settled(s *Attempt, end AttemptResult) {
-	if p.incarnation != s.Endpoint || end != Complete && end != NotFound {
-		return
-	}
-	if end == Complete {
-		p.meanLatency += (time.Since(s.startedAt) - p.meanLatency) / meanPart
-	}
-	if s.startedAt.After(p.lastAnsweredStart) {
-		p.lastAnsweredStart = s.startedAt
-	}
-	for _, o := range p.inFlight {
-		if o.bypassTimer != nil && p.passed(o) {
-			o.bypassTimer.Reset(0)
-		}
-	}
+// routingEndpoint returns an endpoint as the balancer is told of it, and notes the state that it is told. Called with the
+// lock held.
+func (d *Dispatcher) routingEndpoint(i int) routing.Endpoint {
+	e := &d.endpoints.entries[i]
+	e.effectiveState = e.ejectedState()
+	return routing.Endpoint{Server: i, ID: e.id, Model: e.model, State: e.effectiveState, StartedAt: e.effectiveStart()}
 }
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -61,7 +61,7 @@
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 200., "time-limit-ms": 750.}
 	}
 	t.Helper()
-	d, err := config.ParseSettings(map[string]any{"balancers": 1., "models": []any{"box", "origin"},
+	settings, err := config.ParseSettings(map[string]any{"balancers": 1., "models": []any{"box", "origin"},
 		"domain":      map[string]any{"mode": "aside", "origin-kind": 1.},
 		"permissions": map[string]any{"most-shots": 3., "max-retry-after-ms": 400., "parallel-tries": true},
 		"namespaces": []any{namespace("read", "safe"), namespace("once", "unsafe"),
@@ -76,10 +76,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := New(d, zap.NewNop())
-	x.Start(7, carrier, nobody{})
-	x.UpdateEndpoints(routing.Full, boxes)
-	return x
+	d := New(settings, zap.NewNop())
+	d.Start(7, carrier, nobody{})
+	d.UpdateEndpoints(routing.Full, boxes)
+	return d
 }
 
 // got gives the answer that has come, if one has.
@@ -94,10 +94,10 @@
 
 var traces atomic.Int64
 
-func take(t *testing.T, x *Dispatcher, in Request, within time.Duration) *PendingRequest {
+func take(t *testing.T, d *Dispatcher, in Request, within time.Duration) *PendingRequest {
 	t.Helper()
 	in.TraceID = fmt.Sprint("t", traces.Add(1)) // new with every lookup
-	ticket, err := x.Submit(in, time.Now(), within)
+	ticket, err := d.Submit(in, time.Now(), within)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/net/dispatch/host.go
@@ -0,0 +1,64 @@
+package dispatch
+
+import (
+	"time"
+
+	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/routing"
+)
+
+// host implements routing.Host: the balancer's orders. Its methods are called with the lock held.
+type host struct{ *Dispatcher }
+
+// Send starts an attempt, unless a rule of package admission forbids it.
+func (h host) Send(requestIndex, endpointIndex int, timeout routing.Time) {
+	r := h.requests.slots[requestIndex]
+	a := h.newAttempt(r, endpointIndex, toDuration(timeout))
+	permitted := h.mayStart(r, a)
+	if r.ended.Load() {
+		return // a defect of the balancer, which mayStart has reported
+	}
+	r.attempts++
+	r.inFlight++
+	h.trackAttempt(a)
+	h.stats.Attempts++
+	if !permitted {
+		go a.Finish(NoResources, Answer{})
+		return
+	}
+	h.transport.Send(a)
+}
+
+// Reject ends a request with the promise that a retry is harmless. Where that can't be promised the request fails.
+func (h host) Reject(requestIndex int, retryAfter routing.Time) {
+	r := h.requests.slots[requestIndex]
+	answer := Answer{Outcome: Rejected, RetryAfter: toDuration(retryAfter)}
+	if !h.mayReject(r) {
+		answer = Answer{Outcome: Failed}
+	}
+	if h.mayAnswer(r) {
+		h.finish(r, answer)
+	}
+}
+
+// Fail ends a request with no promise about its effect.
+func (h host) Fail(requestIndex int) {
+	r := h.requests.slots[requestIndex]
+	if h.mayAnswer(r) {
+		h.finish(r, Answer{Outcome: Failed})
+	}
+}
+
+// Subscribe starts a watch of the endpoint list.
+func (h host) Subscribe() { h.endpointSource.Subscribe() }
+
+// CloseIdle closes an endpoint's idle connections, except for keep of them.
+func (h host) CloseIdle(endpointIndex, keep int) {
+	h.transport.CloseIdle(h.endpoints.entries[endpointIndex].incarnation, keep)
+}
+
+// SetAlarm has the balancer called at a time, or soon after it.
+func (h host) SetAlarm(at routing.Time, handle int) { h.alarms.add(at, handle, h.clock) }
+
+// toDuration converts a duration of the balancer.
+func toDuration(t routing.Time) time.Duration { return config.Duration(t) }
--- a/internal/net/dispatch/listed_ids_test.go
+++ b/internal/net/dispatch/listed_ids_test.go
@@ -11,23 +11,23 @@
 
 // Every server that is on the list was heard of, however long the list is, and however many have come and gone.
 func TestEachListedServerWasHeardOf(t *testing.T) {
-	x := start(t, &fleet{})
-	x.log = zap.NewNop()
+	d := start(t, &fleet{})
+	d.log = zap.NewNop()
 	var all []Endpoint
 	for i := range maxListedIDs + 1600 {
 		all = append(all, Endpoint{ID: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("a:%d", i), Model: "box"})
 	}
-	x.UpdateEndpoints(routing.Full, all)
+	d.UpdateEndpoints(routing.Full, all)
 	unknown := 0
 	for _, b := range all {
-		if !x.WasListed(b.ID) {
+		if !d.WasListed(b.ID) {
 			unknown++
 		}
 	}
 	if unknown > 0 {
 		t.Errorf("%d of %d listed servers are not known", unknown, len(all))
 	}
-	if x.WasListed("never") {
+	if d.WasListed("never") {
 		t.Error("one that was never listed is known")
 	}
 }
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -1,60 +1,69 @@
 package dispatch
 
 import (
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Metrics gives the totals since the start.
-func (x *Dispatcher) Metrics() *metrics.Metrics { return x.metrics }
+// Metrics returns the totals since the start. They may be read without the lock.
+func (d *Dispatcher) Metrics() *metrics.Metrics { return d.metrics }
 
-// AddOpen counts lookups that came, or, with a negative number, that have been answered whole.
-func (x *Dispatcher) AddOpen(by int64) { x.metrics.Open.Add(by) }
+// AddOpen changes the number of open requests: those that have come and whose answer is not complete.
+func (d *Dispatcher) AddOpen(by int64) { d.metrics.Open.Add(by) }
 
-// CountEnd counts how a client's lookup ended, also of one that was turned away before it was taken. What names no
-// namespace of the terms is not counted.
-func (x *Dispatcher) CountEnd(namespace string, o Outcome) {
-	ends := x.metrics.Of(namespace)
-	if ends == nil {
+// CountEnd counts how a client's request ended, also of one that was refused before Submit. One of an unknown class is
+// not counted.
+func (d *Dispatcher) CountEnd(class string, outcome Outcome) {
+	outcomes := d.metrics.Of(class)
+	if outcomes == nil {
 		return
 	}
-	switch o {
+	switch outcome {
 	case Served:
-		ends.Served.Add(1)
+		outcomes.Served.Add(1)
 	case Rejected:
-		ends.Rejected.Add(1)
+		outcomes.Rejected.Add(1)
 	case Failed:
-		ends.Failed.Add(1)
+		outcomes.Failed.Add(1)
 	}
 }
 
-// Written says that the shot's last byte went out; it counts once.
-func (s *Attempt) Written() {
-	if s.pending != nil && !s.counted.Swap(true) {
-		s.pending.dispatcher.metrics.Written.Add(1)
+// Written reports that the attempt's last byte was written. It is counted once.
+func (a *Attempt) Written() {
+	if a.pending != nil && !a.counted.Swap(true) {
+		a.pending.dispatcher.metrics.Written.Add(1)
 	}
 }
 
-// CountEndpoints counts the box list for the figures: suspects come and go between two lists.
-func (x *Dispatcher) CountEndpoints() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.census()
+// Deny counts, by reason, that the attempt was not written. admission.Granted is not counted.
+func (a *Attempt) Deny(reason admission.Reason) {
+	if a.pending != nil && reason != admission.Granted {
+		a.pending.dispatcher.metrics.Denied[reason].Add(1)
+	}
+}
+
+// CountEndpoints updates the metrics of listed and avoided endpoints. It is called periodically, as endpoints are ejected
+// and restored between two updates of the list.
+func (d *Dispatcher) CountEndpoints() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.countEndpoints()
 }
 
-// census is called with the lock held.
-func (x *Dispatcher) census() {
+// countEndpoints is CountEndpoints with the lock held.
+func (d *Dispatcher) countEndpoints() {
 	listed, avoided := 0, 0
-	for i := range x.boxes {
-		p := &x.boxes[i]
-		if p.id == "" || p.gone || p.origin {
+	for i := range d.endpoints.entries {
+		e := &d.endpoints.entries[i]
+		if e.id == "" || e.gone || e.origin {
 			continue
 		}
 		listed++
-		if p.effectiveState != routing.Ready || x.balancer.IsEjected(i) {
+		if e.effectiveState != routing.Ready || d.balancer.IsEjected(i) {
 			avoided++
 		}
 	}
-	x.metrics.Listed.Store(int64(listed))
-	x.metrics.Avoided.Store(int64(avoided))
+	d.metrics.Listed.Store(int64(listed))
+	d.metrics.Avoided.Store(int64(avoided))
 }
--- /dev/null
+++ b/internal/net/dispatch/outliers.go
@@ -0,0 +1,35 @@
+package dispatch
+
+import (
+	"time"
+
+	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/routing"
+)
+
+// EjectedEndpoints returns the addresses, by id, of listed caches that the balancer has ejected as outliers. The origin
+// is never ejected.
+func (d *Dispatcher) EjectedEndpoints() map[string]string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	addresses := map[string]string{}
+	for i := range d.endpoints.entries {
+		e := &d.endpoints.entries[i]
+		if e.id != "" && !e.gone && !e.origin && e.effectiveState == routing.Ready && d.balancer.IsEjected(i) {
+			addresses[e.id] = e.address
+		}
+	}
+	return addresses
+}
+
+// ProbeResult tells the balancer how another node's probe of an endpoint went, and that the result of the next one
+// follows within next. A result for an endpoint that is not listed at this address is ignored.
+func (d *Dispatcher) ProbeResult(id, address string, succeeded bool, next time.Duration) {
+	d.withLock("probe result", nil, func(now routing.Time) {
+		i, known := d.endpoints.byID[id]
+		if !known || d.endpoints.entries[i].gone || d.endpoints.entries[i].address != address {
+			return
+		}
+		d.balancer.ProbeResult(now, i, succeeded, now+config.Ticks(float64(next)/float64(time.Millisecond)))
+	})
+}
--- /dev/null
+++ b/internal/net/dispatch/pending_request.go
@@ -0,0 +1,98 @@
+package dispatch
+
+import (
+	"sync/atomic"
+	"time"
+
+	"github.com/thistlerudder/thistlerudder/routing"
+)
+
+// PendingRequest is a request that Submit has taken. Unless said otherwise its unexported fields are guarded by the
+// Dispatcher's lock.
+type PendingRequest struct {
+	Request
+	dispatcher     *Dispatcher // never changes
+	receivedAt     time.Time   // never changes
+	clientDeadline time.Time   // set before any attempt; zero: unknown, as the body is streamed
+	answers        chan Answer // buffers the one final answer
+
+	ended              atomic.Bool // no attempt may begin; set with the lock held, read without it
+	index              int         // the balancer's name for it
+	attempts           int         // started so far
+	inFlight           int         // attempts without an end
+	released           bool        // its index and trace id are free
+	panicked           bool        // routing panicked during one of its events
+	mayHaveRun         bool        // an attempt that has finished may have had an effect
+	earliestMayHaveRun time.Time   // start of the first such attempt
+}
+
+// Answers returns the channel that delivers the one final answer.
+func (r *PendingRequest) Answers() <-chan Answer { return r.answers }
+
+// Abandon reports that the client is gone. No answer follows; attempts that are in flight still finish.
+func (r *PendingRequest) Abandon() {
+	r.dispatcher.withLock("client gone", r, r.clientGone)
+}
+
+// clientGone ends a request whose client is gone. Called with the lock held.
+func (r *PendingRequest) clientGone(now routing.Time) {
+	if r.ended.Load() {
+		return
+	}
+	d := r.dispatcher
+	d.stats.ClientGone++
+	d.balancer.ClientGone(now, r.index)
+	d.end(r)
+}
+
+// noteMayHaveRun notes that an attempt, started at startedAt, may have had an effect. Called with the lock held.
+func (r *PendingRequest) noteMayHaveRun(startedAt time.Time) {
+	if !r.mayHaveRun || startedAt.Before(r.earliestMayHaveRun) {
+		r.earliestMayHaveRun = startedAt
+	}
+	r.mayHaveRun = true
+}
+
+// requestTable finds pending requests by the balancer's index and by trace id. It is guarded by the Dispatcher's lock.
+type requestTable struct {
+	slots     []*PendingRequest // by index; nil: free
+	free      []int             // free indices, the next one last
+	byTraceID map[string]*PendingRequest
+}
+
+// contains reports whether a request with this trace id is pending.
+func (t *requestTable) contains(traceID string) bool {
+	_, pending := t.byTraceID[traceID]
+	return pending
+}
+
+// add gives a request its index.
+func (t *requestTable) add(r *PendingRequest) {
+	t.byTraceID[r.TraceID] = r
+	last := len(t.free) - 1
+	if last < 0 {
+		r.index = len(t.slots)
+		t.slots = append(t.slots, r)
+		return
+	}
+	r.index = t.free[last]
+	t.free = t.free[:last]
+	t.slots[r.index] = r
+}
+
+// release forgets a request and frees its index. After a panic the balancer may still know the index, so it is not used
+// again: an empty request that has ended takes its slot.
+func (t *requestTable) release(r *PendingRequest) {
+	delete(t.byTraceID, r.TraceID)
+	if r.panicked {
+		placeholder := &PendingRequest{dispatcher: r.dispatcher, released: true}
+		placeholder.ended.Store(true)
+		t.slots[r.index] = placeholder
+		return
+	}
+	t.slots[r.index] = nil
+	t.free = append(t.free, r.index)
+}
+
+// len returns how many indices are in use.
+func (t *requestTable) len() int { return len(t.slots) - len(t.free) }
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -8,52 +8,58 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// quotaSendWindow is how long a shot may be on its way to its first byte where a part of the fleet's budgets allowed it. A node
-// that stood still must not send then what it decided before: by now its part may be another's.
+// quotaSendWindow is how long after its decision the first byte of an attempt may be written where a quota bounds it. A
+// node that was held up must not use a quota that is another node's by now.
 const quotaSendWindow = 50 * time.Millisecond
 
-// SetQuota tells the module how much of a budget of the fleet is ours: acts may begin for so long, and then what p says for
-// after that. What began has to be over takes later, if it is of a number at a time. It gives what was asked of its bound
-// since the last time.
-func (x *Dispatcher) SetQuota(of routing.Limit, partner string, p allowance.Quota, left, takes time.Duration) (u allowance.Usage) {
-	place, known := x.settings.Tenants[partner]
-	if of == routing.TenantRate && !known {
-		return u
+// quotas bounds attempts by this node's shares of the cluster's limits. It is guarded by the Dispatcher's lock.
+type quotas struct {
+	active           bool                        // any quota was set
+	concurrencyUntil map[routing.Limit]time.Time // when attempts under a concurrency quota have to be over
+}
+
+// SetQuota tells the balancer this node's quota of a limit; tenant names it for a routing.TenantRate. New attempts may
+// use it for validFor, and then what the quota says for afterwards. Under a concurrency quota they must be over
+// attemptTime after that. It returns the use of the limit since the last call; a zero value for an unknown tenant.
+func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, validFor, attemptTime time.Duration) (usage allowance.Usage) {
+	tenantIndex, known := d.settings.Tenants[tenant]
+	if limit == routing.TenantRate && !known {
+		return usage
 	}
-	x.withLock("part", nil, func(now routing.Time) {
-		p.Until = int64(now + config.Ticks(float64(left)/float64(time.Millisecond)))
-		u = x.balancer.SetQuota(now, of, place, p)
-		x.parted = true
-		if p.Concurrency {
-			x.cuts[of] = time.Now().Add(left + takes)
+	d.withLock("quota", nil, func(now routing.Time) {
+		quota.Until = int64(now + config.Ticks(float64(validFor)/float64(time.Millisecond)))
+		usage = d.balancer.SetQuota(now, limit, tenantIndex, quota)
+		d.quotas.active = true
+		if quota.Concurrency {
+			d.quotas.concurrencyUntil[limit] = time.Now().Add(validFor + attemptTime)
 		}
-		if of == routing.CacheConcurrency {
-			x.carrier.SetMaxConns(max(0, int(p.Burst)))
+		if limit == routing.CacheConcurrency {
+			d.transport.SetMaxConns(max(0, int(quota.Burst)))
 		}
 	})
-	return u
+	return usage
 }
 
-// bounded holds a shot that a part may have allowed to the time of that part.
-func (x *Dispatcher) bounded(s *Attempt) {
-	if by := s.startedAt.Add(quotaSendWindow); s.SendBy.IsZero() || by.Before(s.SendBy) {
-		s.SendBy = by
-	}
-	if left := x.cuts[roomOf(s)].Sub(s.startedAt); left > 0 { // else nothing bounds it, or what is apart allowed it
-		s.Timeout = min(s.Timeout, left)
+// bound keeps an attempt to the times of the quota that it may use.
+func (q *quotas) bound(a *Attempt) {
+	a.sendBefore(a.startedAt.Add(quotaSendWindow))
+	remaining := q.concurrencyUntil[concurrencyLimit(a)].Sub(a.startedAt)
+	if remaining > 0 { // else there is no quota, or the reserved share permits the attempt
+		a.Timeout = min(a.Timeout, remaining)
 	}
 }
 
-func roomOf(s *Attempt) routing.Limit {
-	if s.Origin {
+// boundsConcurrency reports whether an attempt counts against a concurrency quota. Such an attempt must be over before
+// another takes its place: a slow one goes on at its server, whatever others do.
+func (q *quotas) boundsConcurrency(a *Attempt) bool {
+	_, bounded := q.concurrencyUntil[concurrencyLimit(a)]
+	return bounded
+}
+
+// concurrencyLimit returns the limit that an attempt counts against.
+func concurrencyLimit(a *Attempt) routing.Limit {
+	if a.Origin {
 		return routing.OriginConcurrency
 	}
 	return routing.CacheConcurrency
 }
-
-// concurrencyBounded says whether a shot has to be over before another one may take its place: where the fleet may do so many at a time,
-// one that is slow goes on at its server and counts, whatever others do.
-func (x *Dispatcher) concurrencyBounded(s *Attempt) bool {
-	_, bounded := x.cuts[roomOf(s)]
-	return bounded
-}
--- a/internal/net/dispatch/retry_window_test.go
+++ b/internal/net/dispatch/retry_window_test.go
@@ -42,15 +42,15 @@
 		if grace > 0 {
 			settings["invariants"] = map[string]any{"stop-sending-within-ms": float64(grace) / 1e6}
 		}
-		d, err := config.ParseSettings(settings)
+		parsed, err := config.ParseSettings(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		carrier := &still{fleet: &fleet{}}
-		x := New(d, zap.NewNop())
-		x.Start(uint64(r.Int63()), carrier, nobody{})
-		x.UpdateEndpoints(routing.Full, boxes)
-		take(t, x, Request{Class: "marked", Key: "k", Write: true}, 3*time.Second)
+		d := New(parsed, zap.NewNop())
+		d.Start(uint64(r.Int63()), carrier, nobody{})
+		d.UpdateEndpoints(routing.Full, boxes)
+		take(t, d, Request{Class: "marked", Key: "k", Write: true}, 3*time.Second)
 		var first time.Time // the earliest that the first attempt that may have run can have begun
 		for n := 0; ; n++ {
 			s := carrier.take(0)
@@ -78,7 +78,7 @@
 			time.Sleep(time.Duration(r.Int63n(int64(span)/3 + 1))) // its dial, its way to the server
 			s.Finish(end, Answer{})
 		}
-		if x.Stats().Panics > 0 || x.InFlight() > 0 {
+		if d.Stats().Panics > 0 || d.InFlight() > 0 {
 			t.Fatal("a panic, or a lookup left over")
 		}
 	}
--- a/internal/net/dispatch/send_by_test.go
+++ b/internal/net/dispatch/send_by_test.go
@@ -19,17 +19,17 @@
 	)
 	for _, grace := range []time.Duration{200, 220, 250, 300, 400, 500, 1000, 2000} {
 		grace *= time.Millisecond
-		d, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
+		settings, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 			"invariants": map[string]any{"stop-sending-within-ms": float64(grace / time.Millisecond)},
 			"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 200., "time-limit-ms": 750.}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ships := &fleet{}
-		x := New(d, zap.NewNop())
-		x.Start(1, ships, nobody{})
-		x.UpdateEndpoints(routing.Full, boxes)
-		take(t, x, Request{Class: "read", Key: "k"}, time.Second)
+		d := New(settings, zap.NewNop())
+		d.Start(1, ships, nobody{})
+		d.UpdateEndpoints(routing.Full, boxes)
+		take(t, d, Request{Class: "read", Key: "k"}, time.Second)
 		s := ships.take(0)
 		if within := s.SendBy.Sub(s.startedAt); within <= 0 || news+within+stall > grace {
 			t.Errorf("grace %v: a first byte may be decided for up to %v, written up to %v later", grace, within, stall)
--- a/internal/net/dispatch/stats.go
+++ b/internal/net/dispatch/stats.go
@@ -6,54 +6,60 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Stats counts what happened since the last one was taken.
+// Range and resolution of the latency histogram.
+const (
+	maxLatency    = time.Minute // longer ones count as this
+	latencyDigits = 2           // significant decimal digits
+)
+
+// Stats counts what happened since the previous Stats were taken.
 type Stats struct {
 	Requests, Served, Rejected, Failed, ClientGone, Attempts, Panics int
-	Ends                                                             [attemptResultCount]int
-	// Took has the resolved lookups' times, in tenths of a millisecond.
-	Latency *hdrhistogram.Histogram
-}
 
-// The histogram covers all time limits up to a minute; two digits tell a good second from a bad one.
-const (
-	longestTook = int64(time.Minute / tick)
-	tookDigits  = 2
-)
+	Ends    [attemptResultCount]int // attempts by AttemptResult
+	Latency *hdrhistogram.Histogram // of served requests, in tenths of a millisecond; nil: none was served
+}
 
-func (y *Stats) count(a Answer, took time.Duration) {
-	switch a.Outcome {
+// count counts a request's final answer, which came after latency.
+func (s *Stats) count(answer Answer, latency time.Duration) {
+	switch answer.Outcome {
 	case Served:
-		if y.Served++; y.Latency == nil {
-			y.Latency = hdrhistogram.New(1, longestTook, tookDigits)
-		}
-		_ = y.Latency.RecordValue(min(int64(took/tick), longestTook)) // within its range
+		s.Served++
+		s.recordLatency(latency)
 	case Rejected:
-		y.Rejected++
+		s.Rejected++
 	case Failed:
-		y.Failed++
+		s.Failed++
+	}
+}
+
+func (s *Stats) recordLatency(latency time.Duration) {
+	if s.Latency == nil {
+		s.Latency = hdrhistogram.New(1, int64(maxLatency/tick), latencyDigits)
 	}
+	_ = s.Latency.RecordValue(int64(min(latency, maxLatency) / tick)) // fails beyond its range only
 }
 
-// Millis gives a quantile of the resolved lookups' times in milliseconds.
-func (y *Stats) Millis(percent float64) float64 {
-	if y.Latency == nil {
+// Millis returns a percentile of the served requests' latencies, in milliseconds; 0 where none was served.
+func (s *Stats) Millis(percentile float64) float64 {
+	if s.Latency == nil {
 		return 0
 	}
-	return float64(y.Latency.ValueAtPercentile(percent)) / float64(time.Millisecond/tick)
+	return float64(s.Latency.ValueAtPercentile(percentile)) / float64(time.Millisecond/tick)
 }
 
-// Stats takes the counts and starts anew.
-func (x *Dispatcher) Stats() Stats {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	y := x.tally
-	x.tally = Stats{}
-	return y
+// Stats returns the counts since the last call.
+func (d *Dispatcher) Stats() Stats {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	taken := d.stats
+	d.stats = Stats{}
+	return taken
 }
 
-// InFlight gives how many lookups are not forgotten yet.
-func (x *Dispatcher) InFlight() int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return len(x.tickets) - len(x.free)
+// InFlight returns how many requests are pending, or have attempts or an answer's stream that go on.
+func (d *Dispatcher) InFlight() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.requests.len()
 }
