--- a/internal/net/dispatch/admission_test.go
+++ b/internal/net/dispatch/admission_test.go
@@ -8,7 +8,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// What a module orders against the rules is counted, and not carried out. The module at hand orders nothing of this, so the test
+// What a balancer orders against the rules is counted, and not carried out. The balancer at hand orders nothing of this, so the test
 // does in its place.
 func TestForbiddenOrdersAreNotCarriedOut(t *testing.T) {
 	const server = 0
@@ -16,7 +16,7 @@
 		name    string
 		in      Request
 		before  AttemptResult // how the first attempt ends; endCount: it is out still
-		order   func(h host, ticket int)
+		order   func(h host, pending int)
 		want    admission.Reason
 		outcome Outcome
 	}{
@@ -30,26 +30,26 @@
 			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ships := &fleet{}
-			d := start(t, ships)
-			ticket := take(t, d, c.in, time.Second)
-			first := ships.take(0)
+			transport := &fakeTransport{}
+			d := startDispatcher(t, transport)
+			pending := submit(t, d, c.in, time.Second)
+			first := transport.take(0)
 			if c.before != attemptResultCount {
-				// As the module would be told, but for its own end of the request.
+				// As the balancer would be told, but for its own end of the request.
 				d.mu.Lock()
 				first.finished, first.reported = true, true
-				ticket.inFlight--
-				ticket.noteMayHaveRun(first.startedAt)
+				pending.inFlight--
+				pending.noteMayHaveRun(first.startedAt)
 				d.mu.Unlock()
 			}
-			d.withLock("test", nil, func(routing.Time) { c.order(host{d}, ticket.index) })
+			d.withLock("test", nil, func(routing.Time) { c.order(host{d}, pending.index) })
 			if n := d.metrics.Violations[c.want].Load(); n != 1 {
 				t.Errorf("%d violations by %v, want one", n, c.want)
 			}
-			if s := ships.take(0); s != nil {
+			if s := transport.take(0); s != nil {
 				t.Error("an attempt was carried out")
 			}
-			a, answered := got(ticket)
+			a, answered := receivedAnswer(pending)
 			if answered != (c.outcome >= 0) || answered && a.Outcome != c.outcome {
 				t.Errorf("answered: %v, %v", answered, a.Outcome)
 			}
@@ -59,27 +59,27 @@
 
 // A second final answer, and an attempt after the final one, are counted and go nowhere.
 func TestNothingFollowsTheFinalAnswer(t *testing.T) {
-	ships := &fleet{}
-	d := start(t, ships)
-	ticket := take(t, d, Request{Class: "read", Key: "k"}, time.Second)
-	out := ships.take(0) // stays out, so that the index is not used again
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	pending := submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
+	out := transport.take(0) // stays out, so that the index is not used again
 	d.withLock("test", nil, func(routing.Time) {
 		h := host{d}
-		h.Fail(ticket.index)
-		h.Fail(ticket.index)
-		h.Reject(ticket.index, 0)
-		h.Send(ticket.index, 0, 100)
+		h.Fail(pending.index)
+		h.Fail(pending.index)
+		h.Reject(pending.index, 0)
+		h.Send(pending.index, 0, 100)
 	})
 	if n := d.metrics.Violations[admission.RequestOver].Load(); n != 3 {
 		t.Errorf("%d violations, want three", n)
 	}
-	if a, answered := got(ticket); !answered || a.Outcome != Failed {
+	if a, answered := receivedAnswer(pending); !answered || a.Outcome != Failed {
 		t.Errorf("answered: %v, %v", answered, a.Outcome)
 	}
-	if _, again := got(ticket); again {
+	if _, again := receivedAnswer(pending); again {
 		t.Error("a second final answer")
 	}
-	if ships.take(0) != nil {
+	if transport.take(0) != nil {
 		t.Error("an attempt after the final answer")
 	}
 	out.Finish(Complete, Answer{})
@@ -87,15 +87,15 @@
 
 // A keyed request is repeated while its servers remember its key, and not later.
 func TestAKeyedRepeatKeepsToItsWindow(t *testing.T) {
-	ships := &fleet{}
-	d := start(t, ships)
-	ticket := take(t, d, Request{Class: "marked", Key: "k"}, time.Second)
-	first := ships.take(0)
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	pending := submit(t, d, Request{Class: "marked", Key: "k"}, time.Second)
+	first := transport.take(0)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ticket.inFlight--
-	ticket.noteMayHaveRun(first.startedAt)
-	attempt := admission.Attempt{History: ticket.history(), Now: first.startedAt.Add(300 * time.Millisecond)}
+	pending.inFlight--
+	pending.noteMayHaveRun(first.startedAt)
+	attempt := admission.Attempt{History: pending.history(), Now: first.startedAt.Add(300 * time.Millisecond)}
 	if why := attempt.Decide(); why != admission.Granted {
 		t.Errorf("inside: %v", why)
 	}
--- a/internal/net/dispatch/clock_test.go
+++ b/internal/net/dispatch/clock_test.go
@@ -12,12 +12,12 @@
 func TestAStartIsColdWhateverTheClockDid(t *testing.T) {
 	const close = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
-		d := start(t, &fleet{})
+		d := startDispatcher(t, &fakeTransport{})
 		d.wall = func() time.Time { return time.Now().Round(0).Add(step) }
 		since := func() time.Duration {
 			return toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt)
 		}
-		started := boxes[0]
+		started := testEndpoints[0]
 		started.StartedMs = float64(d.wall().UnixMilli()) - 500
 		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+close {
@@ -25,20 +25,20 @@
 		}
 		at := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt
 		d.wall = func() time.Time { return time.Now().Round(0) } // stepped back
-		d.UpdateEndpoints(routing.Full, []Endpoint{started, boxes[1], boxes[2], boxes[3]})
+		d.UpdateEndpoints(routing.Full, []Endpoint{started, testEndpoints[1], testEndpoints[2], testEndpoints[3]})
 		if again := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt; again != at {
 			t.Errorf("stepped by %v: one start is two, at %v and %v", step, at, again)
 		}
 	}
-	d := start(t, &fleet{})
-	future := boxes[0]
+	d := startDispatcher(t, &fakeTransport{})
+	future := testEndpoints[0]
 	future.StartedMs = float64(time.Now().Add(time.Hour).UnixMilli())
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{future})
 	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age < -close || age > close {
 		t.Errorf("a start an hour ahead counts as %v ago", age)
 	}
-	d.UpdateEndpoints(routing.Incremental, []Endpoint{boxes[1]}) // the list is live
-	past := boxes[0]
+	d.UpdateEndpoints(routing.Incremental, []Endpoint{testEndpoints[1]}) // the list is live
+	past := testEndpoints[0]
 	past.StartedMs = float64(time.Now().Add(-time.Hour).UnixMilli())
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{past})
 	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age > close {
@@ -51,31 +51,40 @@
 func TestWhatIsPutBackIsColdWhateverTheClockDid(t *testing.T) {
 	const close = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
-		d := start(t, &fleet{})
+		d := startDispatcher(t, &fakeTransport{})
 		since := func() time.Duration {
 			return toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["new"]).StartedAt)
 		}
 		wall := func() float64 { return float64(d.wall().UnixMilli()) }
-		started := boxes[0]
+		started := testEndpoints[0]
 		started.ID, started.Address = "new", "new:1"
 		started.StartedMs = wall() - 600_000
 		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		d.wall = func() time.Time { return time.Now().Round(0).Add(step) }
-		ban := Ejection{ID: "new", EjectedAt: wall()}
-		d.SetEjections([]Ejection{ban})
-		ban.RestoredAt = wall() + 1
-		d.SetEjections([]Ejection{ban})
+		ejection := Ejection{ID: "new", EjectedAt: wall()}
+		d.SetEjections([]Ejection{ejection})
+		ejection.RestoredAt = wall() + 1
+		d.SetEjections([]Ejection{ejection})
 		if age := since(); age < -close || age > close {
 			t.Errorf("stepped by %v: what was just put back counts as %v old", step, age)
 		}
-		ban = Ejection{ID: "new", EjectedAt: wall() - 9_000}
-		d.SetEjections([]Ejection{ban})
+		ejection = Ejection{ID: "new", EjectedAt: wall() - 9_000}
+		d.SetEjections([]Ejection{ejection})
 		started.StartedMs = wall() - 5_000
 		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
-		ban.RestoredAt = wall()
-		d.SetEjections([]Ejection{ban})
+		ejection.RestoredAt = wall()
+		d.SetEjections([]Ejection{ejection})
 		if age := since(); age < 5*time.Second-close || age > 5*time.Second+close {
 			t.Errorf("stepped by %v: what has started 5 s ago, after it was taken out, counts as %v old", step, age)
 		}
 	}
 }
+
+// The clock starts at Unix time, so that the list's start times can be set beside it, and rounds down.
+func TestTheClockAgreesWithTheList(t *testing.T) {
+	start := time.UnixMilli(1_700_000_000_000)
+	c := clock{start}
+	if at := c.at(start.Add(1999 * time.Microsecond)); at != fromUnix(1_700_000_000_001)+9 || fromUnix(0) != 0 {
+		t.Errorf("%d, %d", at, fromUnix(1_700_000_000_001))
+	}
+}
--- a/internal/net/dispatch/ejections_test.go
+++ b/internal/net/dispatch/ejections_test.go
@@ -10,21 +10,21 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Bans, lists, restarts, new addresses and returns in any order: no shot is decided to what is banned or doesn't stand
-// ready on the list, a ban ends by a call back only, and what is back starts cold.
+// Ejections, lists, restarts, new addresses and returns in any order: no attempt is decided to what is ejected or doesn't stand
+// ready on the list, an ejection ends by a call back only, and what is back starts cold.
 func TestBansHoldInAnyOrder(t *testing.T) {
 	seed, all := int64(0), map[string]int{}
 	random := func() bool {
 		seed++
 		r := rand.New(rand.NewSource(seed))
-		f := &fleet{}
-		d := start(t, f)
+		f := &fakeTransport{}
+		d := startDispatcher(t, f)
 		ids := []string{"a", "b", "c", "d"}
 		listed := map[string]Endpoint{}
-		for _, b := range boxes {
+		for _, b := range testEndpoints {
 			listed[b.ID] = b
 		}
-		banned := map[string]Ejection{}
+		ejected := map[string]Ejection{}
 		clock := d.clock.start.UnixMilli() - 100000 // what happened then is warm by now
 		for step := range 300 {
 			clock++
@@ -34,14 +34,14 @@
 				b = Endpoint{ID: id, Address: id + ":1", Model: "box"}
 			}
 			switch r.Intn(9) {
-			case 0: // banned, perhaps again
-				if banned[id].EjectedAt == 0 || banned[id].RestoredAt > 0 {
-					banned[id] = Ejection{ID: id, EjectedAt: float64(clock)}
+			case 0: // ejected, perhaps again
+				if ejected[id].EjectedAt == 0 || ejected[id].RestoredAt > 0 {
+					ejected[id] = Ejection{ID: id, EjectedAt: float64(clock)}
 				}
 			case 1:
-				if ban := banned[id]; ban.EjectedAt > 0 && ban.RestoredAt == 0 {
-					ban.RestoredAt = float64(clock)
-					banned[id] = ban
+				if ejection := ejected[id]; ejection.EjectedAt > 0 && ejection.RestoredAt == 0 {
+					ejection.RestoredAt = float64(clock)
+					ejected[id] = ejection
 				}
 			case 2, 3:
 				b.State = []routing.State{routing.Ready, routing.Ready, routing.Draining}[r.Intn(3)]
@@ -69,30 +69,30 @@
 				}
 			}
 			list := []Ejection{}
-			for _, ban := range banned {
-				list = append(list, ban)
+			for _, ejection := range ejected {
+				list = append(list, ejection)
 			}
 			d.SetEjections(list)
 			for s := f.take(0); s != nil; s = f.take(0) {
 				id, _, _ := strings.Cut(s.Address, ":")
-				ban := banned[id]
-				if at := listed[id]; at.Address != s.Address || at.State != routing.Ready || ban.EjectedAt > 0 && ban.RestoredAt == 0 {
-					t.Errorf("seed %d, step %d: a shot to %s, listed %+v, ban %+v", seed, step, s.Address, at, ban)
+				ejection := ejected[id]
+				if at := listed[id]; at.Address != s.Address || at.State != routing.Ready || ejection.EjectedAt > 0 && ejection.RestoredAt == 0 {
+					t.Errorf("seed %d, step %d: an attempt to %s, listed %+v, ejection %+v", seed, step, s.Address, at, ejection)
 					return false
 				}
-				if all[id]++; ban.RestoredAt > 0 {
+				if all[id]++; ejection.RestoredAt > 0 {
 					all["back"]++
 				}
 				s.Finish(Complete, Answer{})
 			}
-			for id, ban := range banned {
+			for id, ejection := range ejected {
 				i, known := d.endpoints.byID[id]
 				if !known || d.endpoints.entries[i].gone {
 					continue
 				}
 				box := d.routingEndpoint(i)
-				if ban.RestoredAt == 0 && box.State == routing.Ready || ban.RestoredAt > 0 && box.StartedAt < fromUnix(ban.EjectedAt) {
-					t.Errorf("seed %d, step %d: %s is shown as %+v, ban %+v", seed, step, id, box, ban)
+				if ejection.RestoredAt == 0 && box.State == routing.Ready || ejection.RestoredAt > 0 && box.StartedAt < fromUnix(ejection.EjectedAt) {
+					t.Errorf("seed %d, step %d: %s is shown as %+v, ejection %+v", seed, step, id, box, ejection)
 					return false
 				}
 			}
@@ -104,22 +104,22 @@
 	}
 	for _, kind := range []string{"a", "b", "c", "back"} {
 		if all[kind] == 0 {
-			t.Errorf("no shots of the kind %q: %v", kind, all)
+			t.Errorf("no attempts of the kind %q: %v", kind, all)
 		}
 	}
 }
 
 // A new start that the list tells of after the return makes the server cold anew; the return alone does so once.
 func TestWhatIsBackStartsCold(t *testing.T) {
-	d := start(t, &fleet{})
+	d := startDispatcher(t, &fakeTransport{})
 	out := float64(d.clock.start.UnixMilli())
 	since := func() routing.Time { return d.routingEndpoint(d.endpoints.byID["a"]).StartedAt }
 	d.SetEjections([]Ejection{{ID: "a", EjectedAt: out}})
 	if since() != 0 {
-		t.Error("a ban alone is no start")
+		t.Error("an ejection alone is no start")
 	}
 	d.SetEjections([]Ejection{{ID: "a", EjectedAt: out, RestoredAt: out + 100}})
-	d.UpdateEndpoints(routing.Full, boxes) // which knows nothing yet
+	d.UpdateEndpoints(routing.Full, testEndpoints) // which knows nothing yet
 	if got := since(); got != fromUnix(out+100) {
 		t.Errorf("since %v, want the return", got)
 	}
@@ -127,7 +127,7 @@
 	if got := since(); got != fromUnix(out+100) {
 		t.Errorf("since %v, want the return", got)
 	}
-	later := boxes[0]
+	later := testEndpoints[0]
 	later.StartedMs = out + 50
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{later})
 	if got := since(); got != fromUnix(out+50) {
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -13,50 +13,50 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// fleet keeps the shots for the test to settle.
-type fleet struct {
-	mu    sync.Mutex
-	shots []*Attempt
+// fakeTransport keeps the attempts for the test to settle.
+type fakeTransport struct {
+	mu       sync.Mutex
+	attempts []*Attempt
 
-	hungUp []uint64
+	closedIdle []uint64
 }
 
-func (f *fleet) Send(s *Attempt) {
+func (f *fakeTransport) Send(s *Attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shots = append(f.shots, s)
+	f.attempts = append(f.attempts, s)
 }
 
-func (f *fleet) CloseIdle(place uint64, _ int) {
+func (f *fakeTransport) CloseIdle(place uint64, _ int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hungUp = append(f.hungUp, place)
+	f.closedIdle = append(f.closedIdle, place)
 }
 
-func (f *fleet) SetMaxConns(int) {}
+func (f *fakeTransport) SetMaxConns(int) {}
 
-// take gives a shot that is out, by a number that may be any.
-func (f *fleet) take(n int) *Attempt {
+// take gives an attempt that is out, by a number that may be any.
+func (f *fakeTransport) take(n int) *Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.shots) == 0 {
+	if len(f.attempts) == 0 {
 		return nil
 	}
-	i := n % len(f.shots)
-	s := f.shots[i]
-	f.shots = append(f.shots[:i], f.shots[i+1:]...)
+	i := n % len(f.attempts)
+	s := f.attempts[i]
+	f.attempts = append(f.attempts[:i], f.attempts[i+1:]...)
 	return s
 }
 
-type nobody struct{}
+type fakeSource struct{}
 
-func (nobody) Subscribe() {}
+func (fakeSource) Subscribe() {}
 
-var boxes = []Endpoint{{ID: "a", Address: "a:1", Model: "box"}, {ID: "b", Address: "b:1", Model: "box"},
+var testEndpoints = []Endpoint{{ID: "a", Address: "a:1", Model: "box"}, {ID: "b", Address: "b:1", Model: "box"},
 	{ID: "c", Address: "c:1", Model: "box"}, {ID: "z", Address: "z:1", Model: "origin"}}
 
-// start gives an exchange that knows three caches and the origin.
-func start(t *testing.T, carrier Transport) *Dispatcher {
+// startDispatcher gives a dispatcher that knows three caches and the origin.
+func startDispatcher(t *testing.T, transport Transport) *Dispatcher {
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 200., "time-limit-ms": 750.}
 	}
@@ -77,13 +77,13 @@
 		t.Fatal(err)
 	}
 	d := New(settings, zap.NewNop())
-	d.Start(7, carrier, nobody{})
-	d.UpdateEndpoints(routing.Full, boxes)
+	d.Start(7, transport, fakeSource{})
+	d.UpdateEndpoints(routing.Full, testEndpoints)
 	return d
 }
 
-// got gives the answer that has come, if one has.
-func got(t *PendingRequest) (Answer, bool) {
+// receivedAnswer gives the answer that has come, if one has.
+func receivedAnswer(t *PendingRequest) (Answer, bool) {
 	select {
 	case a := <-t.answers:
 		return a, true
@@ -92,14 +92,14 @@
 	}
 }
 
-var traces atomic.Int64
+var traceIDs atomic.Int64
 
-func take(t *testing.T, d *Dispatcher, in Request, within time.Duration) *PendingRequest {
+func submit(t *testing.T, d *Dispatcher, in Request, within time.Duration) *PendingRequest {
 	t.Helper()
-	in.TraceID = fmt.Sprint("t", traces.Add(1)) // new with every lookup
-	ticket, err := d.Submit(in, time.Now(), within)
+	in.TraceID = fmt.Sprint("t", traceIDs.Add(1)) // new with every request
+	pending, err := d.Submit(in, time.Now(), within)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ticket
+	return pending
 }
--- a/internal/net/dispatch/listed_ids_test.go
+++ b/internal/net/dispatch/listed_ids_test.go
@@ -11,7 +11,7 @@
 
 // Every server that is on the list was heard of, however long the list is, and however many have come and gone.
 func TestEachListedServerWasHeardOf(t *testing.T) {
-	d := start(t, &fleet{})
+	d := startDispatcher(t, &fakeTransport{})
 	d.log = zap.NewNop()
 	var all []Endpoint
 	for i := range maxListedIDs + 1600 {
--- a/internal/net/dispatch/retry_window_test.go
+++ b/internal/net/dispatch/retry_window_test.go
@@ -11,15 +11,15 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// still is a server side whose process has no core for a while in the middle of a decision.
-type still struct {
-	*fleet
-	stall time.Duration
-	began time.Time // of the latest stall
+// stallingTransport is a server side whose process has no core for a while in the middle of a decision.
+type stallingTransport struct {
+	*fakeTransport
+	stall     time.Duration
+	stalledAt time.Time // of the latest stall
 }
 
-func (s *still) CloseIdle(uint64, int) {
-	s.began = time.Now()
+func (s *stallingTransport) CloseIdle(uint64, int) {
+	s.stalledAt = time.Now()
 	time.Sleep(s.stall)
 }
 
@@ -46,40 +46,40 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		carrier := &still{fleet: &fleet{}}
+		transport := &stallingTransport{fakeTransport: &fakeTransport{}}
 		d := New(parsed, zap.NewNop())
-		d.Start(uint64(r.Int63()), carrier, nobody{})
-		d.UpdateEndpoints(routing.Full, boxes)
-		take(t, d, Request{Class: "marked", Key: "k", Write: true}, 3*time.Second)
+		d.Start(uint64(r.Int63()), transport, fakeSource{})
+		d.UpdateEndpoints(routing.Full, testEndpoints)
+		submit(t, d, Request{Class: "marked", Key: "k", Write: true}, 3*time.Second)
 		var first time.Time // the earliest that the first attempt that may have run can have begun
 		for n := 0; ; n++ {
-			s := carrier.take(0)
+			s := transport.take(0)
 			if s == nil {
 				break
 			}
 			if !first.IsZero() {
 				repeats++
 				if by := s.SendBy.Sub(first); s.SendBy.IsZero() || by >= span {
-					t.Errorf("span %v, stalled for %v, attempt %d may begin by %v after the first, %v", span, carrier.stall, n, by, s.SendBy)
+					t.Errorf("span %v, stalled for %v, attempt %d may begin by %v after the first, %v", span, transport.stall, n, by, s.SendBy)
 				}
 			}
-			if grace > 0 && n > 0 && s.SendBy.After(carrier.began.Add(sendWindow(grace))) {
-				t.Errorf("grace %v, stalled for %v: attempt %d may begin %v after the decision", grace, carrier.stall, n, s.SendBy.Sub(carrier.began))
+			if grace > 0 && n > 0 && s.SendBy.After(transport.stalledAt.Add(sendWindow(grace))) {
+				t.Errorf("grace %v, stalled for %v: attempt %d may begin %v after the decision", grace, transport.stall, n, s.SendBy.Sub(transport.stalledAt))
 			}
 			end := []AttemptResult{ConnectionLost, ConnectionLost, ConnectionLost, Truncated, ServerError, TimedOut, WriteFailed, NotConnected}[r.Intn(8)]
 			if first.IsZero() && end != WriteFailed && end != NotConnected {
 				first = s.startedAt
 			}
-			carrier.stall = 0
+			transport.stall = 0
 			if r.Intn(2) == 0 {
-				carrier.stall = time.Duration(r.Int63n(int64(span) + 1))
+				transport.stall = time.Duration(r.Int63n(int64(span) + 1))
 				stood++
 			}
 			time.Sleep(time.Duration(r.Int63n(int64(span)/3 + 1))) // its dial, its way to the server
 			s.Finish(end, Answer{})
 		}
 		if d.Stats().Panics > 0 || d.InFlight() > 0 {
-			t.Fatal("a panic, or a lookup left over")
+			t.Fatal("a panic, or a request left over")
 		}
 	}
 	if repeats < 20 || stood < 20 {
--- a/internal/net/dispatch/send_by_test.go
+++ b/internal/net/dispatch/send_by_test.go
@@ -25,14 +25,43 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ships := &fleet{}
+		transport := &fakeTransport{}
 		d := New(settings, zap.NewNop())
-		d.Start(1, ships, nobody{})
-		d.UpdateEndpoints(routing.Full, boxes)
-		take(t, d, Request{Class: "read", Key: "k"}, time.Second)
-		s := ships.take(0)
+		d.Start(1, transport, fakeSource{})
+		d.UpdateEndpoints(routing.Full, testEndpoints)
+		submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
+		s := transport.take(0)
 		if within := s.SendBy.Sub(s.startedAt); within <= 0 || news+within+stall > grace {
 			t.Errorf("grace %v: a first byte may be decided for up to %v, written up to %v later", grace, within, stall)
 		}
 	}
 }
+
+// A retry of a keyed request may wait for its connection for longer than its servers remember the first attempt: it begins within
+// three quarters of that span or not at all, whatever a drain's grace is. Nothing is remembered of a first attempt, or one that reads.
+func TestARepeatBeginsWhileTheFirstIsRemembered(t *testing.T) {
+	for _, grace := range []time.Duration{0, 100 * time.Millisecond, 1500 * time.Millisecond} {
+		for _, c := range []struct {
+			namespace string
+			repeat    time.Duration // 0: no bound of its own
+		}{{"marked", 100 * time.Millisecond}, {"read", 0}} {
+			transport := &fakeTransport{}
+			d := startDispatcher(t, transport)
+			d.settings.DrainGrace = grace
+			submit(t, d, Request{Class: c.namespace, Key: "k"}, time.Second)
+			for n, bound := range []time.Duration{0, c.repeat} {
+				if s := transport.take(0); s == nil {
+					t.Fatalf("%s: no attempt %d", c.namespace, n)
+				} else {
+					if of := sendWindow(grace); of > 0 && (bound == 0 || of < bound) {
+						bound = of
+					}
+					if bound == 0 != s.SendBy.IsZero() || bound > 0 && s.SendBy.Sub(s.startedAt) != bound {
+						t.Errorf("%s, grace %v, attempt %d: begins by %v after it was ordered, want %v", c.namespace, grace, n, s.SendBy.Sub(s.startedAt), bound)
+					}
+					s.Finish(ConnectionLost, Answer{})
+				}
+			}
+		}
+	}
+}
