--- a/internal/net/dispatch/answer.go
+++ b/internal/net/dispatch/answer.go
@@ -15,7 +15,7 @@
 	Failed                  // with no promise about its effect
 )
 
-var outcomeNames = [...]string{Served: "served", Rejected: "refused", Failed: "failed"}
+var outcomeNames = [...]string{Served: "served", Rejected: "rejected", Failed: "failed"}
 
 // String returns the outcome's name in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -74,8 +74,26 @@
 	}
 }
 
-var attemptResultNames = [attemptResultCount]string{"whole", "lacking", "failing", "turned away", "crowded", "unclear", "unreached", "unheard",
-	"unwritten", "lost", "cut short", "spoilt", "silent", "passed", "no room", "overtaken", "withdrawn", "withheld"}
+var attemptResultNames = [attemptResultCount]string{
+	Complete:        "complete",
+	NotFound:        "not_found",
+	ServerError:     "server_error",
+	Shed:            "shed",
+	ConnectionLimit: "connection_limit",
+	UnclearStatus:   "unclear_status",
+	ConnectRefused:  "connect_refused",
+	ConnectTimeout:  "connect_timeout",
+	WriteFailed:     "write_failed",
+	ConnectionLost:  "connection_lost",
+	Truncated:       "truncated",
+	Malformed:       "malformed",
+	TimedOut:        "timed_out",
+	Bypassed:        "bypassed",
+	NoResources:     "no_resources",
+	NotConnected:    "not_connected",
+	Canceled:        "canceled",
+	Withheld:        "withheld",
+}
 
 // String returns the result's name in logs.
 func (r AttemptResult) String() string { return attemptResultNames[r] }
--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -34,24 +34,24 @@
 func TestAResetIsNoEnd(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct{ text, end, want string }{
-		{ok + "Content-Length: 9\r\n\r\nshort", "reset", "cut short"},
-		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", "reset", "cut short"},
-		{ok + "\r\nshort", "reset", "cut short"},
-		{ok + "\r\n", "reset", "cut short"},
-		{"HTTP/1.0 200 OK\r\n\r\nshort", "reset", "cut short"},
-		{ok + "Connection: close\r\n\r\nshort", "reset", "cut short"},
-		{ok + "\r\nshort", "over unread bytes", "cut short"},
-		{ok + "\r\nshort", "reset later", "cut short"},
-		{"HTTP/1.1 404 Not Found\r\n\r\nshort", "reset", "cut short"},
-		{"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\nshort", "reset", "cut short"},
-		{ok + "A: b\r\n", "reset", "lost"},
-		{ok + "Content-Len", "reset", "spoilt"},
-		{ok + "Content-Length: 9\r\n\r\nshort", "ended, then reset", "cut short"},
-		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", "ended, then reset", "cut short"},
-		{ok + "\r\nwhole", "ended, then reset", "whole"},
-		{ok + "Content-Length: 5\r\n\r\nwhole", "reset later", "whole"},
-		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", "reset later", "whole"},
-		{ok + "\r\nwhole", "ended", "whole"},
+		{ok + "Content-Length: 9\r\n\r\nshort", "reset", "truncated"},
+		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", "reset", "truncated"},
+		{ok + "\r\nshort", "reset", "truncated"},
+		{ok + "\r\n", "reset", "truncated"},
+		{"HTTP/1.0 200 OK\r\n\r\nshort", "reset", "truncated"},
+		{ok + "Connection: close\r\n\r\nshort", "reset", "truncated"},
+		{ok + "\r\nshort", "over unread bytes", "truncated"},
+		{ok + "\r\nshort", "reset later", "truncated"},
+		{"HTTP/1.1 404 Not Found\r\n\r\nshort", "reset", "truncated"},
+		{"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\nshort", "reset", "truncated"},
+		{ok + "A: b\r\n", "reset", "connection_lost"},
+		{ok + "Content-Len", "reset", "malformed"},
+		{ok + "Content-Length: 9\r\n\r\nshort", "ended, then reset", "truncated"},
+		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", "ended, then reset", "truncated"},
+		{ok + "\r\nwhole", "ended, then reset", "complete"},
+		{ok + "Content-Length: 5\r\n\r\nwhole", "reset later", "complete"},
+		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", "reset later", "complete"},
+		{ok + "\r\nwhole", "ended", "complete"},
 	} {
 		t.Run(c.end+" "+strconv.Quote(c.text), func(t *testing.T) {
 			t.Parallel()
@@ -99,7 +99,7 @@
 					sh = shot(l.Addr().String(), "PUT", "value")
 				}
 				end, a := side(t).send(sh)
-				if end.String() != c.want || (string(a.Body) == "whole") != (c.want == "whole") {
+				if end.String() != c.want || (string(a.Body) == "whole") != (c.want == "complete") {
 					t.Errorf("%v %q, want %s", end, a.Body, c.want)
 				}
 			}
--- a/internal/net/upstream/servers_test.go
+++ b/internal/net/upstream/servers_test.go
@@ -245,34 +245,34 @@
 
 func TestEachAnswerHasItsEnd(t *testing.T) {
 	answers := map[string]string{ // what the server writes before it closes
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv":                                                     "whole",
-		"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n":                                               "lacking",
-		"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n":                                                    "failing",
-		"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n":                                  "turned away",
-		"HTTP/1.1 504 Over\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n":                                  "turned away",
-		"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n":             "crowded",
-		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n":                                                    "unclear",
-		"HTTP/1.1 504 Over\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n":                                  "unclear",
-		"HTTP/1.1 302 Found\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n":                                "unclear",
-		"HTTP/1.1 299 New\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n":                                   "unclear",
-		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort":                                                 "cut short",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nshort":                                   "cut short",
-		"HTTP/1.1 200 OK\r\nA: b\r\n":                                                                       "lost",
-		"":                                                                                                  "lost",
-		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv": "whole",
-		"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff==\r\nContent-Length: 1\r\n\r\nv":                    "whole",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n":                                       "spoilt",
-		"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000):                       "spoilt",
-		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n":                                             "spoilt",
-		"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nv":                                                    "spoilt",
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nv":                                "spoilt",
-		"HTTP/1.1 200 OK\r\n\r\nv":                                                                          "whole",
-		"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: x\r\n\r\n":                                  "spoilt",
-		"HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n":                                   "spoilt",
-		"HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", headersMost+5000) + "\r\n\r":                    "spoilt",
-		strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 2000):                                                  "spoilt",
-		"what is this\r\n\r\n":                                                                              "spoilt",
-		"HTTP/1.1 200 OK\r\nbroken\r\n\r\n":                                                                 "spoilt",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv":                                                     "complete",
+		"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n":                                               "not_found",
+		"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n":                                                    "server_error",
+		"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n":                                  "shed",
+		"HTTP/1.1 504 Over\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n":                                  "shed",
+		"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n":             "connection_limit",
+		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n":                                                    "unclear_status",
+		"HTTP/1.1 504 Over\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n":                                  "unclear_status",
+		"HTTP/1.1 302 Found\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n":                                "unclear_status",
+		"HTTP/1.1 299 New\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n":                                   "unclear_status",
+		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort":                                                 "truncated",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nshort":                                   "truncated",
+		"HTTP/1.1 200 OK\r\nA: b\r\n":                                                                       "connection_lost",
+		"":                                                                                                  "connection_lost",
+		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv": "complete",
+		"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff==\r\nContent-Length: 1\r\n\r\nv":                    "complete",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n":                                       "malformed",
+		"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000):                       "malformed",
+		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n":                                             "malformed",
+		"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nv":                                                    "malformed",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nv":                                "malformed",
+		"HTTP/1.1 200 OK\r\n\r\nv":                                                                          "complete",
+		"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: x\r\n\r\n":                                  "malformed",
+		"HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n":                                   "malformed",
+		"HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", headersMost+5000) + "\r\n\r":                    "malformed",
+		strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 2000):                                                  "malformed",
+		"what is this\r\n\r\n":                                                                              "malformed",
+		"HTTP/1.1 200 OK\r\nbroken\r\n\r\n":                                                                 "malformed",
 	}
 	for text, want := range answers {
 		address := raw(t, func(c net.Conn, _ *http.Request, _ int) {
@@ -280,7 +280,7 @@
 			c.Close()
 		})
 		end, answer := side(t).send(shot(address, "GET", ""))
-		if end.String() != want || (string(answer.Body) == "v") != (want == "whole") {
+		if end.String() != want || (string(answer.Body) == "v") != (want == "complete") {
 			t.Errorf("%.60q: %v %q, want %s", text, end, answer.Body, want)
 		}
 	}
