--- a/internal/net/upstream/answer_stream.go
+++ b/internal/net/upstream/answer_stream.go
@@ -15,161 +15,90 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-const (
-	firstBytes = 4 << 10         // of a long answer, taken before it is passed on
-	waitPart   = 2               // half of a shot's time is left for an answer of no told length to turn out short
-	silentMost = 5 * time.Second // a long answer that brings nothing for so long is over
-)
-
-// gather takes a body whole. A good answer that is long is left where it stands, after its first bytes: one that says
-// so, one of no told length that goes on beyond the bound, or does so while its shot's time runs out.
-func (s *Client) gather(resp *http.Response, good bool, until time.Time) (body []byte, long bool, err error) {
-	size, told := firstBytes, resp.ContentLength >= 0
-	if told {
-		size = int(min(resp.ContentLength, s.bounds.MaxBuffered)) + 1 // one more, so that the last read tells of the end
+// maxStreamSilence ends a streamed answer whose server sends nothing for so long.
+const maxStreamSilence = 5 * time.Second
+
+// errStreamClosed is the cause of an exchange whose answer's stream was closed by its reader.
+var errStreamClosed = errors.New("the client has left")
+
+// streamAnswer delivers a long answer, and waits until its reader has closed it. The timers stop, as the answer has come
+// in time: how long it takes is up to the server and the client.
+func (x *exchange) streamAnswer(resp *http.Response, answer dispatch.Answer) (dispatch.AttemptResult, dispatch.Answer, error) {
+	x.stopWaiting()
+	if x.ctx.Err() != nil {
+		return x.resultOfCancel(), dispatch.Answer{}, context.Cause(x.ctx)
 	}
-	by := time.Now()
-	by = by.Add(until.Sub(by) / waitPart)
-	body = make([]byte, 0, size)
-	for {
-		n, err := resp.Body.Read(body[len(body):cap(body)])
-		body = body[:len(body)+n]
-		over := int64(len(body)) > s.bounds.MaxBuffered
-		switch {
-		case errors.Is(err, io.EOF) && !over:
-			return body, false, nil
-		case err != nil && !errors.Is(err, io.EOF):
-			return nil, false, err
-		case over && !good:
-			return nil, false, errTooLong
-		case good && n > 0 && (over || resp.ContentLength > s.bounds.MaxBuffered || !told && time.Now().After(by)):
-			return body, true, nil
-		}
-		if len(body) == cap(body) {
-			body = append(body, 0)[:len(body)]
-		}
+	stream := &answerStream{
+		source:    resp.Body,
+		remaining: x.client.limits.MaxStreamed - int64(len(answer.Body)),
+		cancel:    x.cancel,
+		onError:   x.logStreamError,
+		closed:    make(chan struct{}),
 	}
-}
-
-// pass hands a long answer on, and waits until it is through.
-func (s *Client) pass(ctx context.Context, shot *dispatch.Attempt, resp *http.Response, answer dispatch.Answer,
-	end context.CancelCauseFunc) (dispatch.AttemptResult, dispatch.Answer, error) {
-	f := &flow{from: resp.Body, end: end, left: s.bounds.MaxStreamed - int64(len(answer.Body)), over: make(chan struct{}),
-		broke: func(err error) {
-			if !errors.Is(context.Cause(ctx), errLeft) {
-				s.log.Info("a long answer broke off", zap.String("server", shot.Address),
-					zap.String("trace", shot.TraceID), zap.Error(err))
-			}
-		}}
-	f.silent = time.AfterFunc(time.Hour, f.look)
-	f.silent.Stop()
-	answer.Rest = f
-	if !shot.Finish(dispatch.Complete, answer) {
-		return dispatch.Complete, dispatch.Answer{}, nil // somebody else's answer came first
+	stream.silence = time.AfterFunc(time.Hour, stream.checkSilence)
+	stream.silence.Stop()
+	answer.Rest = stream
+	if !x.attempt.Finish(dispatch.Complete, answer) {
+		return dispatch.Complete, dispatch.Answer{}, nil // the request has another final answer
 	}
-	<-f.over
+	<-stream.closed
 	return dispatch.Complete, dispatch.Answer{}, nil
 }
 
-// flow is what is left of a long answer. A server that gives nothing is not waited for without end; a client that takes
-// nothing holds up its own answer only, since nothing is read meanwhile.
-type flow struct {
-	from   io.Reader
-	end    context.CancelCauseFunc
-	left   int64
-	silent *time.Timer
-	since  atomic.Int64 // clock.Moment at which the present read began; 0: none waits
-	broke  func(error)  // told when it does
-
-	closed sync.Once
-	over   chan struct{}
+// logStreamError logs that a server broke off a streamed answer.
+func (x *exchange) logStreamError(err error) {
+	if errors.Is(context.Cause(x.ctx), errStreamClosed) {
+		return // the reader's doing
+	}
+	x.client.log.Info("a long answer broke off", zap.String("server", x.attempt.Address),
+		zap.String("trace", x.attempt.TraceID), zap.Error(err))
 }
 
-var errLeft = errors.New("the client has left")
+// answerStream is the part of a long answer that is forwarded as it comes. A server that sends nothing is given up after
+// maxStreamSilence. A client that takes nothing only holds up its own answer, as nothing is read meanwhile. Read must
+// not be called concurrently; Close may be called at any time.
+type answerStream struct {
+	source    io.Reader
+	remaining int64 // bytes until the answer is too long
+	cancel    context.CancelCauseFunc
+	onError   func(error) // called when a Read fails, not for io.EOF
+	silence   *time.Timer
+	readBegan atomic.Int64 // clock.Moment at which the present Read began; 0: none waits
+
+	closeOnce sync.Once
+	closed    chan struct{}
+}
 
-// Read gives io.EOF only where the server has ended the answer as it should.
-func (f *flow) Read(b []byte) (int, error) {
-	f.since.Store(int64(clock.Now()))
-	f.silent.Reset(silentMost)
-	n, err := f.from.Read(b)
-	f.since.Store(0)
-	f.silent.Stop()
-	if f.left -= int64(n); f.left < 0 {
+// Read implements io.Reader. It returns io.EOF only where the server has ended the answer as it should.
+func (s *answerStream) Read(b []byte) (int, error) {
+	s.readBegan.Store(int64(clock.Now()))
+	s.silence.Reset(maxStreamSilence)
+	n, err := s.source.Read(b)
+	s.readBegan.Store(0)
+	s.silence.Stop()
+	s.remaining -= int64(n)
+	if s.remaining < 0 {
 		err = errTooLong
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		f.broke(err)
+		s.onError(err)
 	}
 	return n, err
 }
 
-// look ends a flow whose read has waited for too long.
-func (f *flow) look() {
-	if since := f.since.Load(); since != 0 && clock.Moment(since).Since() >= silentMost {
-		f.end(errHalf)
+// checkSilence cancels the exchange if a Read has waited for too long.
+func (s *answerStream) checkSilence() {
+	began := s.readBegan.Load()
+	if began != 0 && clock.Moment(began).Since() >= maxStreamSilence {
+		s.cancel(errStalled)
 	}
 }
 
-// Close ends the server's connection where the answer is not whole. It may come while Read waits.
-func (f *flow) Close() error {
-	f.closed.Do(func() {
-		f.end(errLeft)
-		close(f.over)
+// Close implements io.Closer. It closes the server's connection unless the answer is complete.
+func (s *answerStream) Close() error {
+	s.closeOnce.Do(func() {
+		s.cancel(errStreamClosed)
+		close(s.closed)
 	})
 	return nil
 }
-
-// pauses learns how long servers pause within answers that end well: how long one has to be silent before it is likely
-// stuck differs from fleet to fleet.
-type pauses struct {
-	mu      sync.Mutex
-	longest time.Duration
-}
-
-const (
-	pauseLeast  = 50 * time.Millisecond // no answer is held to be stuck sooner
-	pauseFactor = 2                     // of the longest pause seen: so long is unusual,
-	stuckFactor = 4                     // and this many times that is the end of it
-	pauseFade   = 64                    // the longest is forgotten over some hundred answers
-	pauseMost   = 250 * time.Millisecond
-)
-
-func (p *pauses) seen(pause time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if pause > p.longest {
-		p.longest = min(pause, pauseMost)
-	} else {
-		p.longest -= (p.longest - pause) / pauseFade
-	}
-}
-
-func (p *pauses) patience() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return max(pauseLeast, pauseFactor*p.longest)
-}
-
-// watch looks after an answer from its first byte on: one that pauses for unusually long may be stuck, and is given up
-// when it goes on pausing.
-func (s *Client) watch(shot *dispatch.Attempt, on *carried, halt func(error)) *time.Timer {
-	var t *time.Timer
-	told := false
-	t = time.AfterFunc(time.Hour, func() {
-		patience, quiet := s.pauses.patience(), on.conn.quiet()
-		switch most := stuckFactor * patience; {
-		case quiet >= most:
-			halt(errHalf)
-		case quiet < patience:
-			t.Reset(patience - quiet)
-		default:
-			if !told {
-				told = true
-				shot.Stalled()
-			}
-			t.Reset(most - quiet)
-		}
-	})
-	t.Stop()
-	return t
-}
--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -94,11 +94,11 @@
 				}
 			}()
 			for range 10 {
-				sh := shot(l.Addr().String(), "GET", "")
+				sh := newAttempt(l.Addr().String(), "GET", "")
 				if c.end == "over unread bytes" {
-					sh = shot(l.Addr().String(), "PUT", "value")
+					sh = newAttempt(l.Addr().String(), "PUT", "value")
 				}
-				end, a := side(t).send(sh)
+				end, a := newTestClient(t).send(sh)
 				if end.String() != c.want || (string(a.Body) == "whole") != (c.want == "complete") {
 					t.Errorf("%v %q, want %s", end, a.Body, c.want)
 				}
@@ -110,7 +110,7 @@
 // waitFor waits until bytes lie unread.
 func waitFor(c net.Conn) {
 	own := newConn(c.(socket), nil)
-	for by := time.Now().Add(time.Second); !there(own) && time.Now().Before(by); {
+	for by := time.Now().Add(time.Second); !unread(own) && time.Now().Before(by); {
 		time.Sleep(100 * time.Microsecond)
 	}
 }
@@ -120,7 +120,7 @@
 func TestAResetThatAWriteHasMetIsNoEnd(t *testing.T) {
 	near, far := tcp(t)
 	c := newConn(near, func() {})
-	c.take(false, &outgoing{})
+	c.acquire(false, &outgoingRequest{})
 	if _, err := c.Write([]byte("head")); err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 			break
 		}
 	}
-	if !c.failed.Load() {
+	if !c.writeFailed.Load() {
 		t.Fatal("no write has met the reset")
 	}
 	_, err := io.ReadAll(c)
@@ -146,7 +146,7 @@
 	for _, resets := range []bool{true, false} {
 		near, far := tcp(t)
 		c := newConn(near, func() {})
-		c.take(false, &outgoing{})
+		c.acquire(false, &outgoingRequest{})
 		wrote := make(chan error, 1)
 		go func() {
 			_, err := c.Write(make([]byte, 32<<20)) // more than the kernel holds
@@ -187,15 +187,15 @@
 				t.Parallel()
 				var mu sync.Mutex
 				seen, conns := map[string]int{}, make(chan net.Conn, 100)
-				address := raw(t, func(c net.Conn, r *http.Request, nth int) {
+				address := rawServer(t, func(c net.Conn, r *http.Request, nth int) {
 					mu.Lock()
 					seen[r.Header.Get("X-Trace-Id")]++
 					mu.Unlock()
 					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(r.Header.Get("X-Trace-Id")), r.Header.Get("X-Trace-Id"))
 					conns <- c
 				})
-				s := side(t)
-				last := latest(s)
+				s := newTestClient(t)
+				last := latestConn(s)
 				line := func() { // of the connection that answered last
 					c := <-conns
 					_, _ = io.WriteString(c, half)
@@ -208,7 +208,7 @@
 				}
 				for i := range 20 {
 					trace := fmt.Sprint("t", i)
-					sh := shot(address, "GET", "")
+					sh := newAttempt(address, "GET", "")
 					sh.TraceID = trace
 					if i > 0 {
 						switch moment {
@@ -216,7 +216,7 @@
 							line()
 							time.Sleep(5 * time.Millisecond)
 						case "closed":
-							s.dialer.hangUp(hostOf(0)+":80", 0)
+							s.dialer.closeIdle(poolHost(0)+":80", 0)
 							line()
 						case "being closed": // chosen, and not closed yet
 							c := *last
@@ -255,18 +255,18 @@
 // The time by which a request has to begin may pass while the kernel is asked for the client.
 func TestARequestTooLateByTheEndOfTheLookIsNotWritten(t *testing.T) {
 	var came atomic.Int64
-	address := raw(t, func(c net.Conn, _ *http.Request, _ int) {
+	address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		came.Add(1)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 	})
 	for left, want := range map[time.Duration]dispatch.AttemptResult{10 * time.Millisecond: dispatch.NotConnected, 5 * time.Second: dispatch.Complete} {
-		sh := shot(address, "PUT", "v")
+		sh := newAttempt(address, "PUT", "v")
 		sh.SendBy = time.Now().Add(left)
 		sh.ClientGone = func() bool {
 			time.Sleep(15 * time.Millisecond)
 			return false
 		}
-		if end, _ := side(t).send(sh); end != want {
+		if end, _ := newTestClient(t).send(sh); end != want {
 			t.Errorf("%v left: %v, want %v", left, end, want)
 		}
 	}
@@ -278,11 +278,11 @@
 // A server hears what is left of a shot's time, also where its connection came up late.
 func TestAServerHearsWhatIsLeft(t *testing.T) {
 	told := make(chan string, 10)
-	address := raw(t, func(c net.Conn, r *http.Request, _ int) {
+	address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 		told <- r.Header.Get("X-Expires-In")
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 	})
-	s, dials := side(t), 0
+	s, dials := newTestClient(t), 0
 	dial := s.transport.DialContext
 	s.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 		time.Sleep(100 * time.Millisecond)
@@ -291,7 +291,7 @@
 		}
 		return dial(ctx, network, to)
 	}
-	sh := shot(address, "GET", "")
+	sh := newAttempt(address, "GET", "")
 	sh.Timeout = 2 * time.Second
 	if end, _ := s.send(sh); end != dispatch.Complete {
 		t.Fatal(end)
@@ -327,7 +327,7 @@
 		MaxStreamed: 1 << 10}, zap.NewNop())
 	defer s.Close()
 	began := time.Now()
-	sh := shot(address, "GET", "")
+	sh := newAttempt(address, "GET", "")
 	sh.Timeout = 200 * time.Millisecond
 	if end, _ := s.send(sh); end != dispatch.NotConnected || time.Since(began) < sh.Timeout || time.Since(began) > 2*time.Second {
 		t.Errorf("%v after %v", end, time.Since(began))
@@ -353,7 +353,7 @@
 	}
 	for by := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		s.dialer.mu.Lock()
-		open, dialing := s.dialer.open, s.dialer.dialing
+		open, dialing := s.dialer.openConns, s.dialer.dials
 		s.dialer.mu.Unlock()
 		if open == 0 && dialing == 0 {
 			break
@@ -367,12 +367,12 @@
 // its shot's own time, and leaves no goroutine and no connection.
 func TestAnswersThatGoOnByByte(t *testing.T) {
 	before := runtime.NumGoroutine()
-	s := side(t)
+	s := newTestClient(t)
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nX-More: \x00x", "\x00HTTP/1.1 103 Hints\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n\x00x",
 		"HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n\x001\r\nx\r\n", "HTTP/1.1 500 Oops\r\n\r\n\x00x"} {
 		ended := make(chan bool, 1)
-		address := raw(t, func(c net.Conn, _ *http.Request, _ int) {
+		address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 			first, again, _ := strings.Cut(text, "\x00")
 			_, err := io.WriteString(c, first)
 			for ; err == nil; time.Sleep(2 * time.Millisecond) {
@@ -381,7 +381,7 @@
 			ended <- true
 		})
 		began := time.Now()
-		sh := shot(address, "GET", "")
+		sh := newAttempt(address, "GET", "")
 		sh.Timeout = 300 * time.Millisecond
 		end, a := s.send(sh)
 		if took := time.Since(began); end != dispatch.TimedOut && end != dispatch.Malformed || took > 3*time.Second || len(a.Body) > 0 {
--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -1,10 +1,10 @@
-// Package upstream carries shots to the cache servers and the origin over http.Transport, and finds out how
-// each one ended.
+// Package upstream carries attempts to the cache servers and the origin over http.Transport, and finds out how each one
+// ended. It bounds descriptors and dials, and makes sure that no request is written twice, or written after the client
+// has gone.
 package upstream
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -15,91 +15,94 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Limits is what the servers' side may take.
+// Limits bounds what a Client may use.
 type Limits struct {
-	Descriptors    int           // connections to servers, open or being made
-	MaxAttempts    int           // out at once; a shot beyond them isn't sent
+	Descriptors    int           // connections to servers, dials included
+	MaxAttempts    int           // in flight; one beyond them is not sent
 	ConnectTimeout time.Duration // a connection that isn't up by then is given up
-	IdleTimeout    time.Duration // a server closes a connection that was idle for so long
-	MaxBuffered    int64         // of an answer that is held whole, in bytes,
-	MaxStreamed    int64         // and of one that is passed on as it comes
+	IdleTimeout    time.Duration // after which a server closes an idle connection
+	MaxBuffered    int64         // bytes of an answer that is read whole before it counts
+	MaxStreamed    int64         // bytes of an answer that is forwarded as it comes
 }
 
 const (
-	idlePart     = 0.7      // share of the servers' idle limit after which we close, lest a shot cross theirs
-	headersMost  = 16 << 10 // bytes of an answer's headers; real ones take some hundred
-	bufferSize   = 4 << 10  // bytes of each connection's two buffers
-	dialsPart    = 4        // a quarter of the descriptors may be dials, the rest can go on
-	dialsEach    = 32       // to one server: more at once wouldn't come up any sooner
-	earlyPart    = 8        // of a shot's time, where the rig wants it told to be over too early
-	keepIdlePart = 2        // half of the descriptors may lie idle, so that a dial finds one
+	idleTimeoutFactor = 0.7      // of the servers' idle timeout: we close first, so that no request crosses their close
+	maxIdleDivisor    = 2        // half of the descriptors may be idle connections, so that a dial finds a free one
+	maxHeaderBytes    = 16 << 10 // of an answer's headers; real ones take some hundred bytes
+	bufferBytes       = 4 << 10  // of each connection's read and write buffer
 )
 
-// Client is the server side of a node.
+// earlyFinishDivisor is the part of an attempt's time after which the fault "one attempt" reports it as timed out.
+const earlyFinishDivisor = 8
+
+// Client implements dispatch.Transport. Its methods may be called from any goroutine and do not block.
 type Client struct {
 	log       *zap.Logger
 	transport *http.Transport
 	dialer    *dialer
-	bounds    Limits
-	out       atomic.Int64
-	pauses    pauses
-	context   context.Context
+	limits    Limits
+	inFlight  atomic.Int64
+	stalls    stallDetector
+	context   context.Context // ends with Close
 	stop      context.CancelFunc
 }
 
-// New makes the server side.
-func New(b Limits, log *zap.Logger) *Client {
-	d := &dialer{Dialer: net.Dialer{Timeout: b.ConnectTimeout, KeepAlive: -1}, most: b.Descriptors, each: dialsEach, to: map[string]int{},
-		kept: map[string]map[*conn]bool{}}
-	s := &Client{log: log, dialer: d, bounds: b, transport: &http.Transport{
+// New returns a Client that has no connections yet.
+func New(limits Limits, log *zap.Logger) *Client {
+	d := newDialer(limits)
+	c := &Client{log: log, dialer: d, limits: limits, transport: &http.Transport{
 		Proxy:                  nil, // never one from the environment
 		DialContext:            d.dial,
 		DisableCompression:     true,
-		MaxIdleConns:           max(1, b.Descriptors/keepIdlePart),
-		MaxIdleConnsPerHost:    max(1, b.Descriptors/keepIdlePart),
-		IdleConnTimeout:        time.Duration(float64(b.IdleTimeout) * idlePart),
-		MaxResponseHeaderBytes: headersMost,
-		ReadBufferSize:         bufferSize,
-		WriteBufferSize:        bufferSize,
+		MaxIdleConns:           max(1, limits.Descriptors/maxIdleDivisor),
+		MaxIdleConnsPerHost:    max(1, limits.Descriptors/maxIdleDivisor),
+		IdleConnTimeout:        time.Duration(float64(limits.IdleTimeout) * idleTimeoutFactor),
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		ReadBufferSize:         bufferBytes,
+		WriteBufferSize:        bufferBytes,
 	}}
-	s.context, s.stop = context.WithCancel(context.Background())
-	return s
+	c.context, c.stop = context.WithCancel(context.Background())
+	return c
 }
 
-// Close takes back what is out.
-func (s *Client) Close() {
-	s.stop()
-	s.transport.CloseIdleConnections()
+// Close cancels the attempts in flight and closes the idle connections.
+func (c *Client) Close() {
+	c.stop()
+	c.transport.CloseIdleConnections()
 }
 
-// Resize changes how many descriptors connections to servers may take; idle ones beyond that are closed.
-func (s *Client) Resize(descriptors int) { s.dialer.resize(descriptors) }
+// Resize changes how many descriptors connections may take. Idle connections beyond that are closed.
+func (c *Client) Resize(descriptors int) { c.dialer.resize(descriptors) }
 
-// CloseIdle closes the connections to a place that carry nothing, but for so many, without making its caller wait.
-func (s *Client) CloseIdle(place uint64, but int) { go s.dialer.hangUp(placeOf(place), but) }
+// CloseIdle closes an endpoint's idle connections, except for keep of them, in a goroutine of its own.
+func (c *Client) CloseIdle(incarnation uint64, keep int) {
+	go c.dialer.closeIdle(poolKey(incarnation), keep)
+}
 
-// SetMaxConns bounds the connections to each cache, those being made included.
-func (s *Client) SetMaxConns(n int) { s.dialer.bound(n) }
+// SetMaxConns bounds the connections to each cache server, dials included.
+func (c *Client) SetMaxConns(n int) { c.dialer.setMaxConnsPerCache(n) }
 
-// Send sends a shot and settles it, without making its caller wait.
-func (s *Client) Send(shot *dispatch.Attempt) {
+// Send carries an attempt, and finishes and releases it, in a goroutine of its own.
+func (c *Client) Send(a *dispatch.Attempt) {
 	go func() {
-		defer s.out.Add(-1)
-		end, answer := dispatch.NoResources, dispatch.Answer{}
-		// A panic must not take the node down, and a shot that settled nowhere would keep its lookup for ever.
+		defer c.inFlight.Add(-1)
+		result := dispatch.NoResources
+		answer := dispatch.Answer{}
+		// An attempt that is never finished would keep its request for good, so a panic finishes it too.
 		defer func() {
 			if r := recover(); r != nil {
-				s.log.Error("a shot panicked", zap.Any("panic", r), zap.Stack("stack"))
-				end, answer = dispatch.ConnectionLost, dispatch.Answer{}
+				c.log.Error("attempt panicked", zap.Any("panic", r), zap.Stack("stack"))
+				result = dispatch.ConnectionLost
+				answer = dispatch.Answer{}
 			}
-			shot.Finish(end, answer)
-			shot.Release()
+			a.Finish(result, answer)
+			a.Release()
 		}()
 		if faults.Without(faults.OneAttempt) {
-			time.AfterFunc(shot.Timeout/earlyPart, func() { shot.Finish(dispatch.TimedOut, dispatch.Answer{}) })
+			time.AfterFunc(a.Timeout/earlyFinishDivisor, func() { a.Finish(dispatch.TimedOut, dispatch.Answer{}) })
 		}
-		if s.out.Add(1) <= int64(s.bounds.MaxAttempts) {
-			end, answer = s.send(shot)
+		if c.inFlight.Add(1) <= int64(c.limits.MaxAttempts) {
+			result, answer = c.send(a)
 		}
 	}()
 }
--- a/internal/net/upstream/client_test.go
+++ b/internal/net/upstream/client_test.go
@@ -23,20 +23,20 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-func side(t *testing.T) *Client {
+func newTestClient(t *testing.T) *Client {
 	s := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, MaxBuffered: 1 << 10, MaxStreamed: 1 << 10},
 		zap.NewNop())
 	t.Cleanup(s.Close)
 	return s
 }
 
-func shot(address, method string, body string) *dispatch.Attempt {
+func newAttempt(address, method string, body string) *dispatch.Attempt {
 	return &dispatch.Attempt{Request: &dispatch.Request{Method: method, Target: "/read/k", TraceID: "t", Body: []byte(body)},
 		Address: address, Timeout: 500 * time.Millisecond}
 }
 
-// latest follows which connection was made last.
-func latest(s *Client) **conn {
+// latestConn follows which connection was made last.
+func latestConn(s *Client) **conn {
 	var last *conn
 	dial := s.transport.DialContext
 	s.transport.DialContext = func(ctx context.Context, network, place string) (net.Conn, error) {
@@ -47,14 +47,14 @@
 	return &last
 }
 
-// there says that bytes, or the connection's end, have come and wait to be read.
-func there(c *conn) bool {
-	there, _ := c.waiting()
+// unread says that bytes, or the connection's end, have come and wait to be read.
+func unread(c *conn) bool {
+	there, _ := c.hasUnreadInput()
 	return there
 }
 
-// raw serves connections by hand; f gets each request on each.
-func raw(t *testing.T, f func(c net.Conn, r *http.Request, nth int)) string {
+// rawServer serves connections by hand; f gets each request on each.
+func rawServer(t *testing.T, f func(c net.Conn, r *http.Request, nth int)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 // kept one, has not run, and tells nothing of its server.
 func TestAShotTooLateForADrainIsNotWritten(t *testing.T) {
 	var served atomic.Int64
-	s, server := side(t), raw(t, func(c net.Conn, r *http.Request, nth int) {
+	s, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
 		served.Add(1)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
@@ -94,7 +94,7 @@
 		left time.Duration
 		want dispatch.AttemptResult
 	}{{-time.Millisecond, dispatch.NotConnected}, {time.Second, dispatch.Complete}, {-time.Millisecond, dispatch.NotConnected}} {
-		late := shot(server, "GET", "")
+		late := newAttempt(server, "GET", "")
 		late.SendBy = time.Now().Add(c.left)
 		if end, _ := s.send(late); end != c.want {
 			t.Errorf("shot %d ended %v, want %v", i, end, c.want)
@@ -120,7 +120,7 @@
 		c := newConn(raw.(socket), func() {})
 		defer c.Close()
 		if first == "take" {
-			c.take(false, &outgoing{})
+			c.acquire(false, &outgoingRequest{})
 			if c.retire() {
 				t.Error("given back with a request on it")
 			}
@@ -129,7 +129,7 @@
 		if !c.retire() {
 			t.Error("not given back")
 		}
-		c.take(true, &outgoing{})
+		c.acquire(true, &outgoingRequest{})
 		if n, err := c.Write([]byte("x")); n != 0 || err == nil {
 			t.Errorf("%d bytes written on what is about to be closed: %v", n, err)
 		}
@@ -141,7 +141,7 @@
 func TestHangUpClosesWhatIsIdle(t *testing.T) {
 	var opened, served atomic.Int64
 	hold, begun := make(chan struct{}), make(chan struct{})
-	s, server := side(t), raw(t, func(c net.Conn, r *http.Request, nth int) {
+	s, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
 		if nth == 0 {
 			opened.Add(1)
 		}
@@ -152,7 +152,7 @@
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	send := func(target string) dispatch.AttemptResult {
-		sent := shot(server, "GET", "")
+		sent := newAttempt(server, "GET", "")
 		sent.Target = target
 		end, _ := s.send(sent)
 		return end
@@ -161,7 +161,7 @@
 		t.Helper()
 		for end := time.Now().Add(time.Second); ; time.Sleep(time.Millisecond) {
 			s.dialer.mu.Lock()
-			got := s.dialer.open
+			got := s.dialer.openConns
 			s.dialer.mu.Unlock()
 			if got == want {
 				return
@@ -199,7 +199,7 @@
 
 // A full queue turns a shot away on a kept connection too, and may end that; only a new one tells of too many.
 func TestOnlyANewConnectionIsOneTooMany(t *testing.T) {
-	s, server := side(t), raw(t, func(c net.Conn, _ *http.Request, nth int) {
+	s, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			return
@@ -208,7 +208,7 @@
 		c.Close()
 	})
 	for _, want := range []dispatch.AttemptResult{dispatch.Complete, dispatch.Shed} {
-		if end, _ := s.send(shot(server, "GET", "")); end != want {
+		if end, _ := s.send(newAttempt(server, "GET", "")); end != want {
 			t.Errorf("the shot ended %v, want %v", end, want)
 		}
 	}
@@ -216,29 +216,29 @@
 
 // Of connections that idle those used longest ago are closed first: the transport takes the latest.
 func TestHangUpLeavesTheLatest(t *testing.T) {
-	s, server := side(t), raw(t, func(c net.Conn, _ *http.Request, _ int) {
+	s, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		time.Sleep(20 * time.Millisecond)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
 	var all sync.WaitGroup
 	for range 3 {
-		all.Go(func() { s.send(shot(server, "GET", "")) })
+		all.Go(func() { s.send(newAttempt(server, "GET", "")) })
 	}
 	all.Wait()
-	s.send(shot(server, "GET", ""))
-	place := hostOf(0) + ":80"
+	s.send(newAttempt(server, "GET", ""))
+	place := poolHost(0) + ":80"
 	s.dialer.mu.Lock()
 	var latest *conn
-	for c := range s.dialer.kept[place] {
-		if since, _ := c.idleSince(); latest == nil || since.After(latest.idle) {
+	for c := range s.dialer.connsByKey[place] {
+		if since, _ := c.idleSince(); latest == nil || since.After(latest.lastUsed) {
 			latest = c
 		}
 	}
 	s.dialer.mu.Unlock()
-	s.dialer.hangUp(place, 1)
+	s.dialer.closeIdle(place, 1)
 	s.dialer.mu.Lock()
 	defer s.dialer.mu.Unlock()
-	if kept := s.dialer.kept[place]; len(kept) != 1 || !kept[latest] {
+	if kept := s.dialer.connsByKey[place]; len(kept) != 1 || !kept[latest] {
 		t.Errorf("%d connections are left, want the latest", len(kept))
 	}
 }
@@ -269,17 +269,17 @@
 		"HTTP/1.1 200 OK\r\n\r\nv":                                                                          "complete",
 		"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: x\r\n\r\n":                                  "malformed",
 		"HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n":                                   "malformed",
-		"HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", headersMost+5000) + "\r\n\r":                    "malformed",
+		"HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", maxHeaderBytes+5000) + "\r\n\r":                 "malformed",
 		strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 2000):                                                  "malformed",
 		"what is this\r\n\r\n":                                                                              "malformed",
 		"HTTP/1.1 200 OK\r\nbroken\r\n\r\n":                                                                 "malformed",
 	}
 	for text, want := range answers {
-		address := raw(t, func(c net.Conn, _ *http.Request, _ int) {
+		address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 			_, _ = io.WriteString(c, text)
 			c.Close()
 		})
-		end, answer := side(t).send(shot(address, "GET", ""))
+		end, answer := newTestClient(t).send(newAttempt(address, "GET", ""))
 		if end.String() != want || (string(answer.Body) == "v") != (want == "complete") {
 			t.Errorf("%.60q: %v %q, want %s", text, end, answer.Body, want)
 		}
@@ -291,9 +291,9 @@
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "HTTP/1.1 200 OK\r\nX-More: ",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n"} {
 		began := time.Now()
-		address := raw(t, func(c net.Conn, _ *http.Request, _ int) { _, _ = io.WriteString(c, text) })
-		end, _ := side(t).send(shot(address, "GET", ""))
-		if took := time.Since(began); end != dispatch.Malformed || took < stuckFactor*pauseLeast || took > 2*stuckFactor*pauseLeast {
+		address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) { _, _ = io.WriteString(c, text) })
+		end, _ := newTestClient(t).send(newAttempt(address, "GET", ""))
+		if took := time.Since(began); end != dispatch.Malformed || took < abortThresholdFactor*minStallThreshold || took > 2*abortThresholdFactor*minStallThreshold {
 			t.Errorf("%q: %v after %v", text, end, took)
 		}
 	}
@@ -304,15 +304,15 @@
 func TestAShotThatFailsLeavesNoOpenConnection(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n", "HTTP/1.1 500 Oops\r\nContent-Length: 2000\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "what is this\r\n\r\n"} {
-		address := raw(t, func(c net.Conn, _ *http.Request, _ int) { _, _ = io.WriteString(c, text) })
-		s := side(t)
-		last := latest(s)
+		address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) { _, _ = io.WriteString(c, text) })
+		s := newTestClient(t)
+		last := latestConn(s)
 		open := 0
 		for range 4 {
-			end, _ := s.send(shot(address, "GET", ""))
+			end, _ := s.send(newAttempt(address, "GET", ""))
 			c := *last
 			c.mu.Lock()
-			if !c.gone {
+			if !c.closing {
 				open++
 			}
 			c.mu.Unlock()
@@ -334,7 +334,7 @@
 	for _, behind := range []string{second, "\x00noise\r\n\r\n", second[:20]} {
 		for _, later := range []time.Duration{-1, 0, 5 * time.Millisecond} { // -1: in one write with the answer
 			got, written := make(chan bool), make(chan bool)
-			address := raw(t, func(c net.Conn, r *http.Request, _ int) {
+			address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 				answer := head + r.Header.Get("X-Trace-Id")
 				if later < 0 {
 					_, _ = io.WriteString(c, answer+behind)
@@ -346,10 +346,10 @@
 				}
 				written <- true
 			})
-			s := side(t)
-			last := latest(s)
+			s := newTestClient(t)
+			last := latestConn(s)
 			for i := range 30 {
-				sh := shot(address, "GET", "")
+				sh := newAttempt(address, "GET", "")
 				sh.TraceID = string(rune('a' + i%26))
 				if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != sh.TraceID {
 					t.Fatalf("%q after %v, shot %d: %v %q", behind, later, i, end, a.Body)
@@ -367,10 +367,10 @@
 
 // beyond says that more than so many bytes have come, read or not, or that the connection is closed for it.
 func beyond(c *conn, bytes int64) bool {
-	there, _ := c.waiting()
+	there, _ := c.hasUnreadInput()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return there || c.gone || c.read > bytes
+	return there || c.closing || c.bytesRead > bytes
 }
 
 // The same where the transport's reading can't be ahead: bytes that lie there when a request is about to be written,
@@ -378,26 +378,26 @@
 func TestBytesBeforeARequestAreNotItsAnswer(t *testing.T) {
 	near, far := tcp(t)
 	c := newConn(near, func() {})
-	c.take(false, &outgoing{})
+	c.acquire(false, &outgoingRequest{})
 	_, _ = far.Write([]byte("early"))
-	for end := time.Now().Add(time.Second); !there(c) && time.Now().Before(end); {
+	for end := time.Now().Add(time.Second); !unread(c) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if n, err := c.Write([]byte("request")); n != 0 || err == nil || c.written.Load() != 0 || !c.request.early {
+	if n, err := c.Write([]byte("request")); n != 0 || err == nil || c.bytesWritten.Load() != 0 || !c.request.unsolicited {
 		t.Errorf("unread bytes: wrote %d, %v", n, err)
 	}
-	c.take(false, &outgoing{})
+	c.acquire(false, &outgoingRequest{})
 	_, _ = c.Read(make([]byte, 9))
 	if n, err := c.Write([]byte("request")); n != 0 || err == nil {
 		t.Errorf("bytes read before: wrote %d, %v", n, err)
 	}
-	c.take(false, &outgoing{})
-	if n, err := c.Write([]byte("request")); n != 7 || err != nil || c.request.early {
+	c.acquire(false, &outgoingRequest{})
+	if n, err := c.Write([]byte("request")); n != 7 || err != nil || c.request.unsolicited {
 		t.Errorf("a clean connection: wrote %d, %v", n, err)
 	}
-	c.take(false, &outgoing{})
+	c.acquire(false, &outgoingRequest{})
 	far.Close() // with the request unread, so that it is a reset
-	for end := time.Now().Add(time.Second); !there(c) && time.Now().Before(end); {
+	for end := time.Now().Add(time.Second); !unread(c) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if n, err := c.Write([]byte("request")); n != 0 || err == nil {
@@ -426,12 +426,12 @@
 
 // A server at the address of one that has gone gets no connection that was made to the old one.
 func TestEachPlaceHasItsOwnConnections(t *testing.T) {
-	address := raw(t, func(c net.Conn, _ *http.Request, nth int) {
+	address := rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", nth)
 	})
-	s := side(t)
+	s := newTestClient(t)
 	for i, want := range []string{"0", "1", "0", "2", "1"} { // requests before it on its connection
-		sh := shot(address, "GET", "")
+		sh := newAttempt(address, "GET", "")
 		sh.Endpoint = []uint64{1, 1, 2, 1, 2}[i]
 		if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != want {
 			t.Errorf("shot %d: %v %q, want %s", i, end, a.Body, want)
@@ -441,10 +441,10 @@
 
 // A connection that breaks before the shot is written says nothing of the server: the shot goes on another.
 func TestAStaleConnectionCostsNothing(t *testing.T) {
-	address := raw(t, func(c net.Conn, _ *http.Request, _ int) {
+	address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 	})
-	s, dials := side(t), 0
+	s, dials := newTestClient(t), 0
 	dial := s.transport.DialContext
 	s.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 		if dials++; dials%2 == 0 {
@@ -457,7 +457,7 @@
 		return c, err
 	}
 	for i := range 5 {
-		if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Complete {
+		if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Complete {
 			t.Fatalf("shot %d: %v", i, end)
 		}
 	}
@@ -485,14 +485,14 @@
 	for _, c := range []struct{ method, body, key string }{
 		{"GET", "", ""}, {"GET", "", "id"}, {"PUT", "v", "id"}, {"PUT", "", "id"}, {"PUT", "v", ""}} {
 		var seen atomic.Int64
-		address := raw(t, func(conn net.Conn, r *http.Request, nth int) {
+		address := rawServer(t, func(conn net.Conn, r *http.Request, nth int) {
 			if seen.Add(1); nth == 0 {
 				_, _ = io.WriteString(conn, "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")
 				return
 			}
 			conn.Close()
 		})
-		s, sh := side(t), shot(address, c.method, c.body)
+		s, sh := newTestClient(t), newAttempt(address, c.method, c.body)
 		sh.IdempotencyKey = c.key
 		first, _ := s.send(sh)
 		second, _ := s.send(sh)
@@ -510,13 +510,13 @@
 		body, _ = io.ReadAll(r.Body)
 	}))
 	defer server.Close()
-	if side(t).transport.Proxy != nil { // the environment's never holds for loopback, so a proxy there would show nothing
+	if newTestClient(t).transport.Proxy != nil { // the environment's never holds for loopback, so a proxy there would show nothing
 		t.Error("a proxy may come between")
 	}
 	for _, c := range []struct{ method, body string }{{"PUT", "a\x00b"}, {"PUT", ""}, {"GET", ""}} {
-		sh := shot(server.Listener.Addr().String(), c.method, c.body)
+		sh := newAttempt(server.Listener.Addr().String(), c.method, c.body)
 		sh.Target, sh.TraceID, sh.IdempotencyKey = "/read/a%2Fb;x//c%20?q=%41&&z", "tRaCe", "Key 1"
-		if end, _ := side(t).send(sh); end != dispatch.Complete {
+		if end, _ := newTestClient(t).send(sh); end != dispatch.Complete {
 			t.Fatal(end)
 		}
 		h := seen.Header
@@ -548,7 +548,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if end, _ := side(t).send(shot(l.Addr().String(), "GET", "")); end != dispatch.ConnectRefused {
+	if end, _ := newTestClient(t).send(newAttempt(l.Addr().String(), "GET", "")); end != dispatch.ConnectRefused {
 		t.Errorf("refused: %v", end)
 	}
 	// The peer takes a few bytes, or none, and breaks: the last byte was never written. Once it has all, it may run.
@@ -558,7 +558,7 @@
 		want         dispatch.AttemptResult
 	}{{"PUT", "value", 10, dispatch.WriteFailed}, {"GET", "", 10, dispatch.WriteFailed}, {"GET", "", 0, dispatch.WriteFailed},
 		{"PUT", "value", 1 << 10, dispatch.ConnectionLost}, {"GET", "", 1 << 10, dispatch.ConnectionLost}} {
-		s := side(t)
+		s := newTestClient(t)
 		s.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 			near, far := tcp(t)
 			go func() {
@@ -568,7 +568,7 @@
 			}()
 			return newConn(narrow{near, c.taken}, func() {}), nil
 		}
-		if end, _ := s.send(shot("pipe:1", c.method, c.body)); end != c.want {
+		if end, _ := s.send(newAttempt("pipe:1", c.method, c.body)); end != c.want {
 			t.Errorf("%s broken after %d bytes: %v", c.method, c.taken, end)
 		}
 	}
@@ -577,22 +577,22 @@
 func TestASilentServerEndsByTheShotsOwnTime(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	address := raw(t, func(c net.Conn, r *http.Request, _ int) {
+	address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 		if r.Method == "PUT" {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nha") // silent in the middle
 		}
 		<-release
 	})
 	for _, method := range []string{"GET", "PUT"} {
-		s, sh, began := side(t), shot(address, method, ""), time.Now()
-		sh.Timeout = pauseLeast / 2
+		s, sh, began := newTestClient(t), newAttempt(address, method, ""), time.Now()
+		sh.Timeout = minStallThreshold / 2
 		if end, _ := s.send(sh); end != dispatch.TimedOut || time.Since(began) > time.Second {
 			t.Errorf("%s: %v after %v", method, end, time.Since(began))
 		}
 	}
-	s := side(t)
+	s := newTestClient(t)
 	time.AfterFunc(20*time.Millisecond, s.Close)
-	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Canceled {
+	if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Canceled {
 		t.Errorf("at the node's own end: %v", end)
 	}
 }
@@ -605,7 +605,7 @@
 // A shot beyond the bound, and one whose carrying panics, are settled all the same.
 func TestEveryShotIsSettled(t *testing.T) {
 	for want, spoil := range map[dispatch.AttemptResult]func(*Client){
-		dispatch.NoResources:    func(s *Client) { s.bounds.MaxAttempts = 0 },
+		dispatch.NoResources:    func(s *Client) { s.limits.MaxAttempts = 0 },
 		dispatch.ConnectionLost: func(s *Client) { s.transport = nil },
 	} {
 		d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
@@ -613,7 +613,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, s := dispatch.New(d, zap.NewNop()), side(t)
+		x, s := dispatch.New(d, zap.NewNop()), newTestClient(t)
 		x.Start(1, s, nobody{})
 		x.UpdateEndpoints(routing.Full, []dispatch.Endpoint{{ID: "a", Address: "127.0.0.1:1"}})
 		whole := s.transport
@@ -645,12 +645,12 @@
 		}
 		var came atomic.Int64
 		taken, leave := make(chan bool), func() {}
-		address := raw(t, func(conn net.Conn, _ *http.Request, _ int) {
+		address := rawServer(t, func(conn net.Conn, _ *http.Request, _ int) {
 			came.Add(1)
 			leave()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 		})
-		x, s, dials := dispatch.New(d, zap.NewNop()), side(t), 0
+		x, s, dials := dispatch.New(d, zap.NewNop()), newTestClient(t), 0
 		dial := s.transport.DialContext
 		s.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 			<-taken
@@ -704,48 +704,48 @@
 
 // Dials that shots gave up on live on: they are bounded in time and number, and give their descriptors back.
 func TestDialsAreBounded(t *testing.T) {
-	address, s := deaf(t), side(t)
+	address, s := deaf(t), newTestClient(t)
 	var d dialer
-	d.most, d.each, d.to = 8, 1, map[string]int{}
+	d.maxConns, d.maxDialsPerServer, d.dialsByAddress = 8, 1, map[string]int{}
 	d.Timeout = 100 * time.Millisecond
 	s.transport.DialContext = d.dial
 	began, first := time.Now(), make(chan dispatch.AttemptResult)
 	go func() {
-		end, _ := s.send(shot(address, "GET", ""))
+		end, _ := s.send(newAttempt(address, "GET", ""))
 		first <- end
 	}()
 	time.Sleep(30 * time.Millisecond)
-	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.NoResources {
+	if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.NoResources {
 		t.Errorf("a second dial to one server: %v", end)
 	}
 	if end := <-first; end != dispatch.ConnectTimeout || time.Since(began) > 450*time.Millisecond {
 		t.Errorf("%v after %v", end, time.Since(began))
 	}
-	hurried := shot(address, "GET", "")
+	hurried := newAttempt(address, "GET", "")
 	hurried.Timeout = 20 * time.Millisecond
 	if end, _ := s.send(hurried); end != dispatch.NotConnected {
 		t.Errorf("with less time than a dial has: %v", end)
 	}
 	time.Sleep(150 * time.Millisecond) // that dial lives on for its own time
 	d.mu.Lock()
-	open, dialing, to := d.open, d.dialing, len(d.to)
+	open, dialing, to := d.openConns, d.dials, len(d.dialsByAddress)
 	d.mu.Unlock()
 	if open != 0 || dialing != 0 || to != 0 {
 		t.Errorf("still counted: %d open, %d dials to %d servers", open, dialing, to)
 	}
 	for _, a := range []string{"1", "2"} {
-		if !d.begin(a, "", false) {
+		if !d.startDial(a, "", false) {
 			t.Errorf("no dial to %s", a)
 		}
 	}
-	if d.begin("3", "", false) {
+	if d.startDial("3", "", false) {
 		t.Error("a third dial in all")
 	}
 }
 
 func TestDescriptorsAreBoundedAndComeBack(t *testing.T) {
-	address := raw(t, func(net.Conn, *http.Request, int) {})
-	s := side(t)
+	address := rawServer(t, func(net.Conn, *http.Request, int) {})
+	s := newTestClient(t)
 	dial := func() (net.Conn, error) { return s.transport.DialContext(t.Context(), "tcp", address) }
 	var conns []net.Conn
 	for range 8 {
@@ -755,7 +755,7 @@
 		}
 		conns = append(conns, c)
 	}
-	if _, err := dial(); !errors.Is(err, errNoRoom) {
+	if _, err := dial(); !errors.Is(err, errNoResources) {
 		t.Errorf("a ninth: %v", err)
 	}
 	for _, c := range conns {
@@ -784,7 +784,7 @@
 	}
 	server.Start()
 	defer server.Close()
-	if end, _ := side(t).send(shot(server.Listener.Addr().String(), "GET", "")); end != dispatch.Complete {
+	if end, _ := newTestClient(t).send(newAttempt(server.Listener.Addr().String(), "GET", "")); end != dispatch.Complete {
 		t.Fatal(end)
 	}
 	select {
--- a/internal/net/upstream/denial_test.go
+++ b/internal/net/upstream/denial_test.go
@@ -12,20 +12,20 @@
 func TestADenialIsOfItsOwnRequest(t *testing.T) {
 	near, _ := tcp(t)
 	c := newConn(near, func() {})
-	first, second := &outgoing{}, &outgoing{refused: admission.NotQuiet}
-	c.take(false, first)
+	first, second := &outgoingRequest{}, &outgoingRequest{refused: admission.NotQuiet}
+	c.acquire(false, first)
 	if _, err := c.Write([]byte("first")); err != nil {
 		t.Fatal(err)
 	}
-	c.take(false, second)
-	if why := c.withheld(first); why != admission.Granted {
+	c.acquire(false, second)
+	if why := c.denial(first); why != admission.Granted {
 		t.Errorf("the first request, which was written, was withheld: %v", why)
 	}
 	_, err := c.Write([]byte("second"))
-	if why := (denial{}); !errors.As(err, &why) || why.reason != admission.NotQuiet || c.withheld(second) != admission.NotQuiet {
+	if why := (denialError{}); !errors.As(err, &why) || why.reason != admission.NotQuiet || c.denial(second) != admission.NotQuiet {
 		t.Errorf("the second request: %v", err)
 	}
-	if why := c.withheld(first); why != admission.Granted {
+	if why := c.denial(first); why != admission.Granted {
 		t.Errorf("the first request counts as withheld when the second was: %v", why)
 	}
 }
--- a/internal/net/upstream/dialer.go
+++ b/internal/net/upstream/dialer.go
@@ -11,153 +11,184 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-var errNoRoom = errors.New("no descriptor or dial left")
+const (
+	maxDialsDivisor   = 4  // a quarter of the descriptors may be dials, so that the rest can go on
+	maxDialsPerServer = 32 // more at once would not come up any sooner
+)
+
+// errNoResources is the error of a dial that was not begun.
+var errNoResources = errors.New("no descriptor or dial left")
 
-// dialer bounds what connections towards the servers take: descriptors in all, and dials that are under
-// way, in all and to each server. A dial lives on when the shot that wanted it is given up, so a server
-// that vanished would otherwise gather one for each shot sent to it.
+// dialer makes connections and bounds what they take: descriptors in all, and dials under way, in all and to each
+// address. A dial goes on when the attempt that wanted it is given up, so a server that has vanished would otherwise
+// gather one for each attempt. Connections are known by their pool key, see poolKey. Its methods may be called from any
+// goroutine.
 type dialer struct {
 	net.Dialer
-	each int
-
-	mu      sync.Mutex
-	most    int
-	open    int // dials under way included
-	dialing int
-	to      map[string]int
-	kept    map[string]map[*conn]bool // open connections by place
-	bounded bool                      // atCache holds:
-	atCache int                       // connections to each cache, those being made included
-	quiet   quietPeriods
+	maxDialsPerServer int
+	quietPeriods      quietPeriods
+
+	mu               sync.Mutex // guards everything below
+	maxConns         int
+	openConns        int // dials included
+	dials            int
+	dialsByAddress   map[string]int
+	connsByKey       map[string]map[*conn]bool
+	cacheBounded     bool // maxConnsPerCache holds
+	maxConnsPerCache int  // dials included
+}
+
+// newDialer returns a dialer with no connections.
+func newDialer(limits Limits) *dialer {
+	return &dialer{
+		Dialer:            net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1},
+		maxDialsPerServer: maxDialsPerServer,
+		maxConns:          limits.Descriptors,
+		dialsByAddress:    map[string]int{},
+		connsByKey:        map[string]map[*conn]bool{},
+	}
 }
 
-func (d *dialer) dial(ctx context.Context, network, place string) (net.Conn, error) {
-	to, ok := ctx.Value(toAddress{}).(target)
+// dial is an http.Transport's DialContext. The address comes with the context, see dialTarget; where it doesn't, the key
+// is the address. It returns errNoResources where a bound is reached.
+func (d *dialer) dial(ctx context.Context, network, key string) (net.Conn, error) {
+	target, ok := ctx.Value(dialTargetKey{}).(dialTarget)
 	if !ok {
-		to.address = place
+		target.address = key
 	}
-	address := to.address
-	if !d.begin(address, place, to.cache) {
-		return nil, errNoRoom
+	if !d.startDial(target.address, key, target.cache) {
+		return nil, errNoResources
 	}
-	c, err := kernel.Dialing(d.DialContext)(ctx, network, address)
-	d.end(address, err != nil)
+	c, err := kernel.Dialing(d.DialContext)(ctx, network, target.address)
+	d.finishDial(target.address, err != nil)
 	if err != nil {
 		return nil, err
 	}
 	own := newConn(c.(socket), nil)
-	own.cache = to.cache
-	own.onUnsolicited = func(after time.Duration) { d.quiet.unsolicited(place, after) }
-	own.closed = sync.OnceFunc(func() { d.change(-1, place, own) })
-	d.change(0, place, own)
+	own.toCache = target.cache
+	own.onUnsolicited = func(sinceLastRead time.Duration) { d.quietPeriods.observe(key, sinceLastRead) }
+	own.onClose = sync.OnceFunc(func() { d.removeConn(key, own) })
+	d.addConn(key, own)
 	return own, nil
 }
 
-// hangUp closes the connections to a place that carry nothing, but for so many, those idle for longest first, as the
-// transport takes the latest. One may be taken for a shot in the same moment: then nothing can be written to it any
-// more, and the shot goes on another.
-func (d *dialer) hangUp(place string, but int) {
+// startDial counts a dial and its descriptor, if the bounds permit them.
+func (d *dialer) startDial(address, key string, cache bool) bool {
 	d.mu.Lock()
-	var free, idle []*conn
-	for c := range d.kept[place] {
-		if _, busy := c.idleSince(); !busy {
-			free = append(free, c)
-		}
-	}
-	slices.SortFunc(free, func(x, y *conn) int {
-		of, _ := x.idleSince()
-		than, _ := y.idleSince()
-		return of.Compare(than)
-	})
-	for _, c := range free[:max(0, len(free)-but)] {
-		if c.retire() {
-			idle = append(idle, c)
-		}
+	defer d.mu.Unlock()
+	if cache && d.cacheBounded && len(d.connsByKey[key])+d.dialsByAddress[address] >= d.maxConnsPerCache {
+		return false
 	}
-	d.mu.Unlock()
-	for _, c := range idle {
-		_ = c.Close() // a second closing, by the transport, does nothing
+	if d.openConns >= d.maxConns || d.dials >= max(1, d.maxConns/maxDialsDivisor) || d.dialsByAddress[address] >= d.maxDialsPerServer {
+		return false
 	}
+	d.openConns++
+	d.dials++
+	d.dialsByAddress[address]++
+	return true
 }
 
-// bound holds the connections to each cache to so many from now on. The part of the fleet's budget that is given up goes to others, so
-// what idles beyond it is closed before this returns.
-func (d *dialer) bound(most int) {
+// finishDial ends the count of a dial, and of its descriptor if it failed.
+func (d *dialer) finishDial(address string, failed bool) {
 	d.mu.Lock()
-	d.bounded, d.atCache = true, most
-	var idle []*conn
-	for _, kept := range d.kept {
-		beyond := len(kept) - most
-		for c := range kept {
-			if beyond > 0 && c.cache && c.retire() {
-				idle = append(idle, c)
-				beyond--
-			}
-		}
+	defer d.mu.Unlock()
+	d.dials--
+	d.dialsByAddress[address]--
+	if d.dialsByAddress[address] == 0 {
+		delete(d.dialsByAddress, address)
 	}
-	d.mu.Unlock()
-	for _, c := range idle {
-		_ = c.Close()
+	if failed {
+		d.openConns--
 	}
 }
 
-// resize changes how many connections there may be, and closes as many idle ones as there are too many.
-func (d *dialer) resize(most int) {
+// addConn notes a connection whose descriptor startDial has counted.
+func (d *dialer) addConn(key string, c *conn) {
 	d.mu.Lock()
-	d.most = most
-	beyond := d.open - most
-	var idle []*conn
-	for _, kept := range d.kept {
-		for c := range kept {
-			if len(idle) < beyond && c.retire() {
-				idle = append(idle, c)
-			}
-		}
-	}
-	d.mu.Unlock()
-	for _, c := range idle {
-		_ = c.Close()
+	defer d.mu.Unlock()
+	if d.connsByKey[key] == nil {
+		d.connsByKey[key] = map[*conn]bool{}
 	}
+	d.connsByKey[key][c] = true
 }
 
-func (d *dialer) begin(address, place string, cache bool) bool {
+// removeConn forgets a closed connection and its descriptor.
+func (d *dialer) removeConn(key string, c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if cache && d.bounded && len(d.kept[place])+d.to[address] >= d.atCache {
-		return false
-	}
-	if d.open >= d.most || d.dialing >= max(1, d.most/dialsPart) || d.to[address] >= d.each {
-		return false
+	d.openConns--
+	delete(d.connsByKey[key], c)
+	if len(d.connsByKey[key]) == 0 {
+		delete(d.connsByKey, key)
 	}
-	d.open++
-	d.dialing++
-	d.to[address]++
-	return true
 }
 
-func (d *dialer) end(address string, failed bool) {
+// closeIdle closes the idle connections of a key, except for keep of them: the longest idle first, as the transport
+// takes the latest. One may be acquired in the same moment; then nothing can be written to it any more, and its request
+// goes on another.
+func (d *dialer) closeIdle(key string, keep int) {
 	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.dialing--
-	if d.to[address]--; d.to[address] == 0 {
-		delete(d.to, address)
+	var idle, retired []*conn
+	for c := range d.connsByKey[key] {
+		if _, inUse := c.idleSince(); !inUse {
+			idle = append(idle, c)
+		}
 	}
-	if failed {
-		d.open--
+	slices.SortFunc(idle, func(a, b *conn) int {
+		aSince, _ := a.idleSince()
+		bSince, _ := b.idleSince()
+		return aSince.Compare(bSince)
+	})
+	for _, c := range idle[:max(0, len(idle)-keep)] {
+		if c.retire() {
+			retired = append(retired, c)
+		}
 	}
+	d.mu.Unlock()
+	closeAll(retired)
 }
 
-// change keeps count of the open connections, and of whose they are: one more (0, as begin has counted it) or one less.
-func (d *dialer) change(by int, place string, c *conn) {
+// setMaxConnsPerCache bounds the connections to each cache from now on. Idle ones beyond the bound are closed before it
+// returns, since the quota that is given up goes to other nodes.
+func (d *dialer) setMaxConnsPerCache(n int) {
 	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.open += by
-	if by == 0 {
-		if d.kept[place] == nil {
-			d.kept[place] = map[*conn]bool{}
+	d.cacheBounded = true
+	d.maxConnsPerCache = n
+	var retired []*conn
+	for _, conns := range d.connsByKey {
+		excess := len(conns) - n
+		for c := range conns {
+			if excess > 0 && c.toCache && c.retire() {
+				retired = append(retired, c)
+				excess--
+			}
+		}
+	}
+	d.mu.Unlock()
+	closeAll(retired)
+}
+
+// resize changes how many connections there may be, and closes as many idle ones as there are too many.
+func (d *dialer) resize(maxConns int) {
+	d.mu.Lock()
+	d.maxConns = maxConns
+	excess := d.openConns - maxConns
+	var retired []*conn
+	for _, conns := range d.connsByKey {
+		for c := range conns {
+			if len(retired) < excess && c.retire() {
+				retired = append(retired, c)
+			}
 		}
-		d.kept[place][c] = true
-	} else if delete(d.kept[place], c); len(d.kept[place]) == 0 {
-		delete(d.kept, place)
+	}
+	d.mu.Unlock()
+	closeAll(retired)
+}
+
+// closeAll closes retired connections. It is called without the dialer's lock, which removeConn takes. The transport's own
+// later close does nothing.
+func closeAll(retired []*conn) {
+	for _, c := range retired {
+		_ = c.Close()
 	}
 }
--- a/internal/net/upstream/failing_test.go
+++ b/internal/net/upstream/failing_test.go
@@ -43,13 +43,13 @@
 		{kernel.Peek, syscall.ENOMEM, forGood, unsent},
 	} {
 		var reached atomic.Int64
-		s, server := side(t), raw(t, func(c net.Conn, r *http.Request, nth int) {
+		s, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
 			reached.Add(1)
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		})
 		s.dialer.Timeout = time.Second // a connect that a busy machine holds up is not what is looked at here
 		kernel.FailTimes(c.call, c.err, c.times)
-		end, _ := s.send(shot(server, "GET", ""))
+		end, _ := s.send(newAttempt(server, "GET", ""))
 		kernel.Fail(nil)
 		if !slices.Contains(c.want, end.Code()) {
 			t.Errorf("%s, %v, %d times: %v (%v), want one of %v", c.call, c.err, c.times, end, end.Code(), c.want)
@@ -62,7 +62,7 @@
 		}
 		for by := time.Now().Add(time.Second); ; time.Sleep(time.Millisecond) {
 			s.dialer.mu.Lock()
-			open := s.dialer.open
+			open := s.dialer.openConns
 			s.dialer.mu.Unlock()
 			if open == 0 {
 				break
@@ -77,13 +77,13 @@
 // A read that fails by this machine in the middle of an answer is no word on the server either.
 func TestAReadThatFailsAmidAnAnswerIsNotTheServers(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
-	s, server := side(t), raw(t, func(c net.Conn, r *http.Request, nth int) {
+	s, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok")
 		time.Sleep(30 * time.Millisecond) // the first half is read
 		kernel.FailTimes(kernel.Read, syscall.EIO, 1<<30)
 		fmt.Fprint(c, "ok")
 	})
-	if end, _ := s.send(shot(server, "GET", "")); end.Code() != routing.Canceled || !end.MayHaveRun() {
+	if end, _ := s.send(newAttempt(server, "GET", "")); end.Code() != routing.Canceled || !end.MayHaveRun() {
 		t.Errorf("%v (%v), want one that tells nothing of the server and is in doubt", end, end.Code())
 	}
 }
--- a/internal/net/upstream/local_errors.go
+++ b/internal/net/upstream/local_errors.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// localErrors are the errors of making a connection, of reading and of writing that come from this machine, as socket(2), connect(2),
-// read(2), recv(2) and send(2) document them. They tell nothing of the server. What its machine, or a router on the way to it, answered is not among them: ECONNREFUSED, ECONNRESET,
-// EHOSTUNREACH, EHOSTDOWN, ETIMEDOUT.
+// localErrors are the errors of socket(2), connect(2), read(2), recv(2) and send(2) that have their cause on this machine
+// and say nothing about the server. Not among them is what the server's machine or a router answered: ECONNREFUSED,
+// ECONNRESET, EHOSTUNREACH, EHOSTDOWN, ETIMEDOUT.
 var localErrors = []syscall.Errno{
 	syscall.EACCES, syscall.EPERM, // a local firewall or policy
 	syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, // no local port is free, or the routing cache is full
@@ -17,10 +17,10 @@
 	syscall.EIO,
 }
 
-// local says that a call failed for a reason of this machine.
-func local(err error) bool {
-	for _, one := range localErrors {
-		if errors.Is(err, one) {
+// isLocalError reports whether a call failed for a reason of this machine.
+func isLocalError(err error) bool {
+	for _, local := range localErrors {
+		if errors.Is(err, local) {
 			return true
 		}
 	}
--- a/internal/net/upstream/local_errors_test.go
+++ b/internal/net/upstream/local_errors_test.go
@@ -20,13 +20,13 @@
 		syscall.ECONNREFUSED: dispatch.ConnectRefused, syscall.EHOSTUNREACH: dispatch.ConnectRefused, syscall.EHOSTDOWN: dispatch.ConnectRefused,
 		syscall.ETIMEDOUT: dispatch.ConnectTimeout, syscall.ECONNRESET: dispatch.WriteFailed,
 	} {
-		s := side(t)
+		s := newTestClient(t)
 		s.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", err) }
-		if end, _ := s.send(shot("127.0.0.1:9", "GET", "")); end != want {
+		if end, _ := s.send(newAttempt("127.0.0.1:9", "GET", "")); end != want {
 			t.Errorf("%v: %v, want %v", err, end, want)
 		}
-		if s.dialer.open != 0 || s.dialer.dialing != 0 {
-			t.Errorf("%v: %d descriptors and %d dials are still counted", err, s.dialer.open, s.dialer.dialing)
+		if s.dialer.openConns != 0 || s.dialer.dials != 0 {
+			t.Errorf("%v: %d descriptors and %d dials are still counted", err, s.dialer.openConns, s.dialer.dials)
 		}
 	}
 	if errors.Is(syscall.EAGAIN, os.ErrDeadlineExceeded) {
--- a/internal/net/upstream/quiet_period.go
+++ b/internal/net/upstream/quiet_period.go
@@ -10,78 +10,76 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
+// A server that answers a request twice sends the second answer some milliseconds after the first. Once the next request
+// is written on the connection, nothing tells the second answer from the next request's, so a connection has to be quiet
+// for a period before it is used again.
 const (
-	// quietLeast is how long a connection has brought nothing before the next request goes out on it. A server that answers a
-	// request twice sends its second answer some milliseconds after the first; once the next request is out, nothing tells it from
-	// that request's answer.
-	quietLeast = 10 * time.Millisecond
-	// quietMost bounds that span where second answers were seen to come later.
-	quietMost = 60 * time.Millisecond
-	// quietFactor is the margin beyond the latest second answer that was seen.
-	quietFactor = 2
-	// quietKept is how long a second answer that was seen to come later than usual is heeded.
-	quietKept = 2 * time.Minute
-	// quietPart is the part of a request's time that it waits for a connection to be quiet at most. Beyond it another connection
-	// is tried.
-	quietPart = 4
+	minQuietPeriod    = 10 * time.Millisecond
+	maxQuietPeriod    = 60 * time.Millisecond
+	quietPeriodFactor = 2               // margin beyond the latest second answer that was seen
+	quietPeriodTTL    = 2 * time.Minute // for which a longer period is remembered
+	quietWaitDivisor  = 4               // a request waits for at most a quarter of its time; then another connection is tried
 )
 
-// quietPeriods learn how late each place's server sends bytes that belong to no request. Only those that did so lately are kept.
+// quietPeriods learns which endpoints, by pool key, need more than minQuietPeriod. Its methods may be called from any
+// goroutine.
 type quietPeriods struct {
-	mu sync.Mutex
-	of map[string]quietPeriod
+	mu    sync.Mutex
+	byKey map[string]quietPeriod
 }
 
-// quietPeriod is what was learned of one place.
+// quietPeriod is what one endpoint needs.
 type quietPeriod struct {
-	span time.Duration
-	seen time.Time // when bytes that late were seen last
+	duration   time.Duration
+	observedAt time.Time
 }
 
-func (p quietPeriod) over(now time.Time) bool { return now.Sub(p.seen) > quietKept }
+// expired reports whether the period is too old to be heeded.
+func (p quietPeriod) expired(now time.Time) bool { return now.Sub(p.observedAt) > quietPeriodTTL }
 
-// unsolicited notes bytes that came on an idle connection to a place, so long after the latest byte of an answer.
-func (q *quietPeriods) unsolicited(place string, after time.Duration) {
-	span := min(quietFactor*after, quietMost)
-	if after > quietMost || span <= quietLeast {
+// observe learns from unsolicited bytes that have come so long after the previous bytes.
+func (q *quietPeriods) observe(key string, sinceLastRead time.Duration) {
+	duration := min(quietPeriodFactor*sinceLastRead, maxQuietPeriod)
+	if sinceLastRead > maxQuietPeriod || duration <= minQuietPeriod {
 		return // too late to be waited for, or waited for in any case
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(q.of, func(_ string, p quietPeriod) bool { return p.over(now) })
-	if q.of == nil {
-		q.of = map[string]quietPeriod{}
+	maps.DeleteFunc(q.byKey, func(_ string, p quietPeriod) bool { return p.expired(now) })
+	if q.byKey == nil {
+		q.byKey = map[string]quietPeriod{}
 	}
-	if span >= q.of[place].span {
-		q.of[place] = quietPeriod{span, now}
+	if duration >= q.byKey[key].duration {
+		q.byKey[key] = quietPeriod{duration, now}
 	}
 }
 
-// wanted gives how long a connection to a place has to be quiet before it is used again.
-func (q *quietPeriods) wanted(place string) time.Duration {
+// required returns how long a connection has to be quiet before it is used again.
+func (q *quietPeriods) required(key string) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if p, known := q.of[place]; known && !p.over(time.Now()) {
-		return p.span
+	if p, known := q.byKey[key]; known && !p.expired(time.Now()) {
+		return p.duration
 	}
-	return quietLeast
+	return minQuietPeriod
 }
 
-// awaitQuiet waits until a connection that is used again has brought nothing for a span. Where that would take more than a part of
-// the time up to by, or the context ends meanwhile, the request is refused here.
-func (c *conn) awaitQuiet(ctx context.Context, request *outgoing, span time.Duration, by time.Time) {
+// awaitQuiet waits until a connection that is used again has been quiet for a period. It refuses the request if that
+// would take too much of the time until deadline, or if ctx ends meanwhile.
+func (c *conn) awaitQuiet(ctx context.Context, request *outgoingRequest, period time.Duration, deadline time.Time) {
 	c.mu.Lock()
-	latest := c.latest
+	lastRead := c.lastRead
 	c.mu.Unlock()
 	if faults.Without(faults.QuietPeriod) {
 		return
 	}
-	wait, left := span-time.Since(latest), time.Until(by)
-	if latest.IsZero() || wait <= 0 || left <= 0 {
+	wait := period - time.Since(lastRead)
+	left := time.Until(deadline)
+	if lastRead.IsZero() || wait <= 0 || left <= 0 {
 		return // quiet, or too late in any case
 	}
-	if wait > left/quietPart {
+	if wait > left/quietWaitDivisor {
 		c.refuse(request, admission.NotQuiet)
 		return
 	}
@@ -90,6 +88,6 @@
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		c.refuse(request, admission.NodeLeaving) // or the time is over: the transport says which
+		c.refuse(request, admission.NodeLeaving) // or the deadline has passed: ctx's cause says which
 	}
 }
--- a/internal/net/upstream/unsolicited_test.go
+++ b/internal/net/upstream/unsolicited_test.go
@@ -17,13 +17,13 @@
 func TestASecondAnswerIsNotTheNextRequests(t *testing.T) {
 	const (
 		rounds = 60
-		inTime = quietLeast * 8 / 10 // a stand-in that has no core writes its second answer later than it is to; that is not judged
+		inTime = minQuietPeriod * 8 / 10 // a stand-in that has no core writes its second answer later than it is to; that is not judged
 	)
 	for _, after := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 7 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
 			var late sync.Map // ids whose second answer came later than it was to
-			address := raw(t, func(c net.Conn, r *http.Request, _ int) {
+			address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 				trace := r.Header.Get("X-Trace-Id")
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(trace), trace)
 				time.Sleep(2 * after) // the work: the second answer to the request before comes meanwhile
@@ -36,10 +36,10 @@
 					}
 				})
 			})
-			s := side(t)
+			s := newTestClient(t)
 			wrong, judged := 0, 0
 			for i := range rounds {
-				sh := shot(address, "GET", "")
+				sh := newAttempt(address, "GET", "")
 				sh.TraceID = fmt.Sprintf("trace-%d", i)
 				end, answer := s.send(sh)
 				if end != dispatch.Complete {
@@ -62,14 +62,14 @@
 // A server that answers once keeps its connection: requests in a row go out on the same one.
 func TestRequestsInARowShareAConnection(t *testing.T) {
 	var opened atomic.Int64
-	s, address := side(t), raw(t, func(c net.Conn, _ *http.Request, nth int) {
+	s, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
 			opened.Add(1)
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	for i := range 20 {
-		if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Complete {
+		if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Complete {
 			t.Fatalf("request %d ended %v", i, end)
 		}
 	}
@@ -81,17 +81,17 @@
 // Where a connection can't be known to be quiet in time, the request goes on another, and holds nothing against the server.
 func TestARequestWithLittleTimeDoesNotWaitForQuiet(t *testing.T) {
 	var opened atomic.Int64
-	s, address := side(t), raw(t, func(c net.Conn, _ *http.Request, nth int) {
+	s, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
 			opened.Add(1)
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	if end, _ := s.send(shot(address, "GET", "")); end != dispatch.Complete {
+	if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Complete {
 		t.Fatal(end)
 	}
-	hurried := shot(address, "GET", "")
-	hurried.Timeout = 2 * quietLeast
+	hurried := newAttempt(address, "GET", "")
+	hurried.Timeout = 2 * minQuietPeriod
 	if end, _ := s.send(hurried); end != dispatch.Complete {
 		t.Errorf("ended %v", end)
 	}
@@ -106,22 +106,22 @@
 	var q quietPeriods
 	wants := func(when, place string, want time.Duration) {
 		t.Helper()
-		if got := q.wanted(place); got != want {
+		if got := q.required(place); got != want {
 			t.Errorf("%s: %s waits for %v, want %v", when, place, got, want)
 		}
 	}
-	wants("at first", "a", quietLeast)
-	q.unsolicited("a", time.Millisecond)
-	wants("after a soon one", "a", quietLeast)
-	q.unsolicited("a", late)
-	wants("after a late one", "a", quietFactor*late)
-	wants("after another's late one", "b", quietLeast)
-	q.unsolicited("a", time.Second)
-	wants("after one that nobody can wait for", "a", quietFactor*late)
-	q.of["a"] = quietPeriod{quietFactor * late, time.Now().Add(-quietKept - time.Second)}
-	wants("long after", "a", quietLeast)
-	q.unsolicited("b", late)
-	if len(q.of) != 1 {
-		t.Errorf("%d places are kept, want the one that did so lately", len(q.of))
+	wants("at first", "a", minQuietPeriod)
+	q.observe("a", time.Millisecond)
+	wants("after a soon one", "a", minQuietPeriod)
+	q.observe("a", late)
+	wants("after a late one", "a", quietPeriodFactor*late)
+	wants("after another's late one", "b", minQuietPeriod)
+	q.observe("a", time.Second)
+	wants("after one that nobody can wait for", "a", quietPeriodFactor*late)
+	q.byKey["a"] = quietPeriod{quietPeriodFactor * late, time.Now().Add(-quietPeriodTTL - time.Second)}
+	wants("long after", "a", minQuietPeriod)
+	q.observe("b", late)
+	if len(q.byKey) != 1 {
+		t.Errorf("%d places are kept, want the one that did so lately", len(q.byKey))
 	}
 }
