--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -116,7 +116,7 @@
 }
 
 // The kernel tells of a reset once. Where a write has taken its word, as of a long upload that the server answers early, the next read
-// must not find an end that would make an answer of no told length whole.
+// must not find an end that would make an answer of unknown length whole.
 func TestAResetThatAWriteHasMetIsNoEnd(t *testing.T) {
 	near, far := tcp(t)
 	c := newConn(near, func() {})
@@ -195,7 +195,7 @@
 					conns <- c
 				})
 				s := newTestClient(t)
-				last := latestConn(s)
+				last := trackLatestConn(s)
 				line := func() { // of the connection that answered last
 					c := <-conns
 					_, _ = io.WriteString(c, half)
@@ -275,7 +275,7 @@
 	}
 }
 
-// A server hears what is left of a shot's time, also where its connection came up late.
+// A server hears what is left of an attempt's time, also where its connection came up late.
 func TestAServerHearsWhatIsLeft(t *testing.T) {
 	told := make(chan string, 10)
 	address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
@@ -302,7 +302,7 @@
 	}
 }
 
-// A connection that comes up long after its shot was given up: the shot ends in its own time, nothing is written to it, whoever comes
+// A connection that comes up long after its attempt was given up: the attempt ends in its own time, nothing is written to it, whoever comes
 // next may have it, and its descriptor comes back.
 func TestAConnectionThatComesUpLate(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -364,7 +364,7 @@
 }
 
 // Answers that go on without an end, byte by byte, so that no pause tells: heads, provisional answers, bodies with a length. Each ends in
-// its shot's own time, and leaves no goroutine and no connection.
+// its attempt's own time, and leaves no goroutine and no connection.
 func TestAnswersThatGoOnByByte(t *testing.T) {
 	before := runtime.NumGoroutine()
 	s := newTestClient(t)
--- a/internal/net/upstream/client_test.go
+++ b/internal/net/upstream/client_test.go
@@ -35,12 +35,12 @@
 		Address: address, Timeout: 500 * time.Millisecond}
 }
 
-// latestConn follows which connection was made last.
-func latestConn(s *Client) **conn {
+// trackLatestConn follows which connection was made last.
+func trackLatestConn(s *Client) **conn {
 	var last *conn
 	dial := s.transport.DialContext
-	s.transport.DialContext = func(ctx context.Context, network, place string) (net.Conn, error) {
-		c, err := dial(ctx, network, place)
+	s.transport.DialContext = func(ctx context.Context, network, key string) (net.Conn, error) {
+		c, err := dial(ctx, network, key)
 		last, _ = c.(*conn)
 		return c, err
 	}
@@ -82,7 +82,7 @@
 	return l.Addr().String()
 }
 
-// A dial may outlast a drain's grace: a shot that comes to its connection too late is not written, on a new one or a
+// A dial may outlast a drain's grace: an attempt that comes to its connection too late is not written, on a new one or a
 // kept one, has not run, and tells nothing of its server.
 func TestAShotTooLateForADrainIsNotWritten(t *testing.T) {
 	var served atomic.Int64
@@ -101,7 +101,7 @@
 		}
 	}
 	if n := served.Load(); n != 1 {
-		t.Errorf("%d shots were written, want one", n)
+		t.Errorf("%d attempts were written, want one", n)
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-// Giving connections back closes those that carry nothing, leaves those that do, and loses no shot that takes one in
+// CloseIdle closes connections that carry nothing, leaves those that do, and loses no attempt that takes one in
 // the same moment.
 func TestHangUpClosesWhatIsIdle(t *testing.T) {
 	var opened, served atomic.Int64
@@ -189,15 +189,15 @@
 	for range 200 {
 		s.CloseIdle(0, 0)
 		if end := send("/quick"); end != dispatch.Complete {
-			t.Fatalf("a shot ended %v", end)
+			t.Fatalf("an attempt ended %v", end)
 		}
 	}
 	if n := served.Load() - before; n != 200 {
-		t.Errorf("%d shots reached the server, want 200; %d connections", n, opened.Load())
+		t.Errorf("%d attempts reached the server, want 200; %d connections", n, opened.Load())
 	}
 }
 
-// A full queue turns a shot away on a kept connection too, and may end that; only a new one tells of too many.
+// A full queue turns an attempt away on a kept connection too, and may end that; only a new one tells of too many.
 func TestOnlyANewConnectionIsOneTooMany(t *testing.T) {
 	s, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
@@ -209,7 +209,7 @@
 	})
 	for _, want := range []dispatch.AttemptResult{dispatch.Complete, dispatch.Shed} {
 		if end, _ := s.send(newAttempt(server, "GET", "")); end != want {
-			t.Errorf("the shot ended %v, want %v", end, want)
+			t.Errorf("the attempt ended %v, want %v", end, want)
 		}
 	}
 }
@@ -226,19 +226,19 @@
 	}
 	all.Wait()
 	s.send(newAttempt(server, "GET", ""))
-	place := poolHost(0) + ":80"
+	key := poolHost(0) + ":80"
 	s.dialer.mu.Lock()
 	var latest *conn
-	for c := range s.dialer.connsByKey[place] {
+	for c := range s.dialer.connsByKey[key] {
 		if since, _ := c.idleSince(); latest == nil || since.After(latest.lastUsed) {
 			latest = c
 		}
 	}
 	s.dialer.mu.Unlock()
-	s.dialer.closeIdle(place, 1)
+	s.dialer.closeIdle(key, 1)
 	s.dialer.mu.Lock()
 	defer s.dialer.mu.Unlock()
-	if kept := s.dialer.connsByKey[place]; len(kept) != 1 || !kept[latest] {
+	if kept := s.dialer.connsByKey[key]; len(kept) != 1 || !kept[latest] {
 		t.Errorf("%d connections are left, want the latest", len(kept))
 	}
 }
@@ -286,7 +286,7 @@
 	}
 }
 
-// An answer that has begun and doesn't end is given up before the shot's own time is over.
+// An answer that has begun and doesn't end is given up before the attempt's own time is over.
 func TestAnAnswerThatDoesNotEndIsSpoilt(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "HTTP/1.1 200 OK\r\nX-More: ",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n"} {
@@ -299,14 +299,14 @@
 	}
 }
 
-// A shot that ends without a whole answer is off its connection by then: where second copies are not allowed the next one may be
+// An attempt that ends without a whole answer is off its connection by then: where hedging is off the next one may be
 // written at once, and the first would still be out.
 func TestAShotThatFailsLeavesNoOpenConnection(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n", "HTTP/1.1 500 Oops\r\nContent-Length: 2000\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "what is this\r\n\r\n"} {
 		address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) { _, _ = io.WriteString(c, text) })
 		s := newTestClient(t)
-		last := latestConn(s)
+		last := trackLatestConn(s)
 		open := 0
 		for range 4 {
 			end, _ := s.send(newAttempt(address, "GET", ""))
@@ -321,13 +321,13 @@
 			}
 		}
 		if open > 0 {
-			t.Errorf("%q: of 4 connections %d were open when the shot had ended", text, open)
+			t.Errorf("%q: of 4 connections %d were open when the attempt had ended", text, open)
 		}
 	}
 }
 
 // What a server sends behind an answer must not be taken for the next one's, whether it comes with the answer, when
-// the transport has already handed the connection on, or later; the answer before it counts. The next shot is sent
+// the transport has already handed the connection on, or later; the answer before it counts. The next attempt is sent
 // once all has arrived: bytes that come when it is out can't be told from its answer.
 func TestBytesBehindAnAnswerSpoilTheConnection(t *testing.T) {
 	const head, second = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
@@ -347,12 +347,12 @@
 				written <- true
 			})
 			s := newTestClient(t)
-			last := latestConn(s)
+			last := trackLatestConn(s)
 			for i := range 30 {
 				sh := newAttempt(address, "GET", "")
 				sh.TraceID = string(rune('a' + i%26))
 				if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != sh.TraceID {
-					t.Fatalf("%q after %v, shot %d: %v %q", behind, later, i, end, a.Body)
+					t.Fatalf("%q after %v, attempt %d: %v %q", behind, later, i, end, a.Body)
 				}
 				got <- true
 				<-written
@@ -439,7 +439,7 @@
 	}
 }
 
-// A connection that breaks before the shot is written says nothing of the server: the shot goes on another.
+// A connection that breaks before the attempt is written says nothing of the server: the attempt goes on another.
 func TestAStaleConnectionCostsNothing(t *testing.T) {
 	address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
@@ -602,7 +602,7 @@
 
 func (nobody) Subscribe() {}
 
-// A shot beyond the bound, and one whose carrying panics, are settled all the same.
+// An attempt beyond the bound, and one whose carrying panics, are settled all the same.
 func TestEveryShotIsSettled(t *testing.T) {
 	for want, spoil := range map[dispatch.AttemptResult]func(*Client){
 		dispatch.NoResources:    func(s *Client) { s.limits.MaxAttempts = 0 },
@@ -630,8 +630,8 @@
 	}
 }
 
-// The look whether a shot is wanted comes with its first byte, on each connection that is tried: nothing is written after the
-// lookup's end, the server is not held to have failed, and a shot that has begun goes on.
+// The look whether an attempt is wanted comes with its first byte, on each connection that is tried: nothing is written after the
+// request's end, the server is not held to have failed, and an attempt that has begun goes on.
 func TestAShotIsNotBegunAfterItsLookupsEnd(t *testing.T) {
 	for _, c := range []struct {
 		when string // the client leaves
@@ -702,7 +702,7 @@
 	}
 }
 
-// Dials that shots gave up on live on: they are bounded in time and number, and give their descriptors back.
+// Dials that attempts gave up on live on: they are bounded in time and number, and give their descriptors back.
 func TestDialsAreBounded(t *testing.T) {
 	address, s := deaf(t), newTestClient(t)
 	var d dialer
@@ -773,7 +773,7 @@
 	}
 }
 
-// A shot must not cross the server's close of an idle connection, so the node closes it first.
+// An attempt must not cross the server's close of an idle connection, so the node closes it first.
 func TestIdleConnectionsAreClosedBeforeTheServersLimit(t *testing.T) {
 	closed := make(chan bool, 1)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
--- a/internal/net/upstream/conn_test.go
+++ b/internal/net/upstream/conn_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A place is given back once its descriptor is free, so that there are never more than places.
+// A connection is counted until its descriptor is closed, so that there are never more than the bound.
 func TestAPlaceIsGivenBackAfterItsDescriptor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,7 +24,7 @@
 	own := newConn(c.(socket), func() {
 		given++
 		if raw.Control(func(uintptr) {}) == nil {
-			t.Error("the place is given back while the descriptor is open")
+			t.Error("the connection is no longer counted while its descriptor is open")
 		}
 	})
 	if err := own.Close(); err != nil || given != 1 {
