--- a/internal/net/admission/admission_test.go
+++ b/internal/net/admission/admission_test.go
@@ -8,7 +8,7 @@
 // Each fact that speaks against a first byte is a reason by itself, and none is one without it.
 func TestSend(t *testing.T) {
 	now := time.Now()
-	sound := Send{Now: now, Gathered: time.Millisecond, SendBy: now.Add(time.Millisecond), Deadline: now.Add(time.Second), Told: time.Second}
+	sound := Send{Now: now, GatherTime: time.Millisecond, SendBy: now.Add(time.Millisecond), ClientDeadline: now.Add(time.Second), DeclaredTimeout: time.Second}
 	for want, change := range map[Reason]func(*Send){
 		Granted:          func(*Send) {},
 		NotQuiet:         func(s *Send) { s.Refused = NotQuiet },
@@ -17,8 +17,8 @@
 		ClientGone:       func(s *Send) { s.Client = ClientGone },
 		RequestOver:      func(s *Send) { s.Client = RequestOver },
 		TooLate:          func(s *Send) { s.SendBy = now.Add(-1) },
-		DeadlineStale:    func(s *Send) { s.Told += 2 * deadlineSlack },
-		FactsStale:       func(s *Send) { s.Gathered = MaxFactAge },
+		DeadlineStale:    func(s *Send) { s.DeclaredTimeout += 2 * maxDeadlineExcess },
+		FactsStale:       func(s *Send) { s.GatherTime = MaxFactAge },
 		FactsUnknown:     func(s *Send) { s.Unknown = true },
 	} {
 		s := sound
@@ -27,7 +27,7 @@
 		}
 	}
 	if got := (Send{Now: now}).Decide(); got != Granted {
-		t.Errorf("with no times told: %v", got)
+		t.Errorf("with no times: %v", got)
 	}
 }
 
@@ -37,10 +37,10 @@
 	for _, c := range []struct {
 		name            string
 		is              Attempt
-		attempt, refuse Reason
+		attempt, reject Reason
 	}{
 		{"the first", Attempt{}, Granted, Granted},
-		{"after the final answer", Attempt{Over: true}, RequestOver, Granted},
+		{"after the final answer", Attempt{Ended: true}, RequestOver, Granted},
 		{"a body that was sent in part", Attempt{BodySent: true}, BodySent, Granted},
 		{"beside another", Attempt{History: History{InFlight: 1, Safe: true}}, AttemptInFlight, Granted},
 		{"a hedge", Attempt{History: History{InFlight: 1, Safe: true}, Hedging: true}, Granted, Granted},
@@ -56,8 +56,8 @@
 		if got := c.is.Decide(); got != c.attempt {
 			t.Errorf("%s: attempt %v, want %v", c.name, got, c.attempt)
 		}
-		if got := c.is.MayReject(); got != c.refuse {
-			t.Errorf("%s: refusal %v, want %v", c.name, got, c.refuse)
+		if got := c.is.MayReject(); got != c.reject {
+			t.Errorf("%s: rejection %v, want %v", c.name, got, c.reject)
 		}
 	}
 }
--- a/internal/net/dispatch/admission.go
+++ b/internal/net/dispatch/admission.go
@@ -28,7 +28,7 @@
 func (h host) mayStart(r *PendingRequest, a *Attempt) bool {
 	attempt := admission.Attempt{
 		History:  r.history(),
-		Over:     r.ended.Load(),
+		Ended:    r.ended.Load(),
 		Now:      h.decisionTime,
 		Hedging:  h.settings.HedgingAllowed() && !h.quotas.boundsConcurrency(a),
 		BodySent: r.Rest != nil && r.Rest.Started(),
--- a/internal/net/upstream/conn_write.go
+++ b/internal/net/upstream/conn_write.go
@@ -74,11 +74,11 @@
 			Unsolicited:      request.unsolicited || c.closing,
 			Unknown:          unknown,
 			Client:           client,
-			Gathered:         now.Sub(began),
+			GatherTime:       now.Sub(began),
 			Now:              now,
 			SendBy:           request.sendBy,
-			Deadline:         request.clientDeadline,
-			Told:             request.declaredTimeout,
+			ClientDeadline:   request.clientDeadline,
+			DeclaredTimeout:  request.declaredTimeout,
 		}.Decide()
 		if denied != admission.FactsStale {
 			break
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -140,7 +140,7 @@
 		timeout = max(0, left)
 	}
 	if !clientDeadline.IsZero() {
-		timeout = admission.Deadline(timeout, time.Until(clientDeadline))
+		timeout = admission.DeclaredTimeout(timeout, time.Until(clientDeadline))
 	}
 	x.conn.setDeclaredTimeout(x.outgoing, timeout, clientDeadline)
 	if faults.Without(faults.ToldDeadline) {
