--- a/internal/net/metrics/metrics.go
+++ b/internal/net/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics keeps totals since the start of the process. They are counted where things happen and read by
-// whoever asks, without a lock, so that a node under full load can still be looked at.
+// Package metrics counts a node's totals since the start of its process. They are atomics, counted where things happen
+// and read without a lock, so that a node under full load can still be looked at.
 package metrics
 
 import (
@@ -9,35 +9,36 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// Outcomes is how lookups of one namespace have ended.
+// Outcomes counts how the requests of one class have ended.
 type Outcomes struct{ Served, Rejected, Failed atomic.Int64 }
 
-// Metrics are one node's totals, and what it has in hand.
+// Metrics holds one node's totals and gauges. The zero value is not ready for use, see New.
 type Metrics struct {
-	Written atomic.Int64 // shots whose last byte went out
-	Open    atomic.Int64 // lookups taken and not answered whole
-	Listed  atomic.Int64 // caches on the box list
-	Avoided atomic.Int64 // those of them that get nothing at present
-
-	// Denied counts attempts whose first byte was not written, Violations what the module ordered against the rules and the
-	// exchange did not carry out. Both by reason.
-	Denied, Violations [admission.Reasons]atomic.Int64
-
-	names  []string
-	counts map[string]*Outcomes
+	Written atomic.Int64 // attempts whose last byte was written
+	Open    atomic.Int64 // gauge: requests that have come and whose answer is not complete
+	Listed  atomic.Int64 // gauge: cache servers on the endpoint list
+	Avoided atomic.Int64 // gauge: those of them that get no requests at present
+
+	// Denied counts attempts whose first byte was not written, by reason.
+	Denied [admission.Reasons]atomic.Int64
+	// Violations counts orders of package routing that a rule forbids, and that were not carried out, by reason.
+	Violations [admission.Reasons]atomic.Int64
+
+	classes  []string // in order
+	outcomes map[string]*Outcomes
 }
 
-// New makes the figures for these namespaces: no others are ever counted, so that no client can make names.
-func New(namespaces []string) *Metrics {
-	f := &Metrics{names: slices.Sorted(slices.Values(namespaces)), counts: map[string]*Outcomes{}}
-	for _, name := range f.names {
-		f.counts[name] = &Outcomes{}
+// New returns Metrics for these classes. No other class is ever counted, so clients can't add any.
+func New(classes []string) *Metrics {
+	m := &Metrics{classes: slices.Sorted(slices.Values(classes)), outcomes: map[string]*Outcomes{}}
+	for _, class := range m.classes {
+		m.outcomes[class] = &Outcomes{}
 	}
-	return f
+	return m
 }
 
-// Of gives the counts of a namespace; nil where there is none of that name.
-func (f *Metrics) Of(namespace string) *Outcomes { return f.counts[namespace] }
+// Of returns the counts of a class; nil where there is no such class.
+func (m *Metrics) Of(class string) *Outcomes { return m.outcomes[class] }
 
-// Classes gives their names in order.
-func (f *Metrics) Classes() []string { return f.names }
+// Classes returns the names of the classes in order. The caller must not change them.
+func (m *Metrics) Classes() []string { return m.classes }
