--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -8,7 +8,7 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult int
 
-// The results.
+// The results. Those up to UnclearStatus come with a complete answer.
 const (
 	Complete           AttemptResult = iota // 200, with a body that was read to its end
 	NotFound                                // 404: the server has nothing under the key
@@ -31,6 +31,9 @@
 	attemptResultCount                      // how many there are
 )
 
+// Answered reports whether a complete answer came, whatever its status.
+func (r AttemptResult) Answered() bool { return r <= UnclearStatus }
+
 // Code returns the routing.Result that the balancer is told. No other place maps results.
 func (r AttemptResult) Code() routing.Result {
 	if (r == ConnectionLost || r == Truncated) && faults.Without(faults.MayHaveRun) {
--- a/internal/net/upstream/attempt.go
+++ b/internal/net/upstream/attempt.go
@@ -18,7 +18,7 @@
 	sentAt := time.Now()
 	deadline := a.AttemptDeadline(sentAt)
 	for try := 1; ; try++ {
-		x, result, answer, err := c.exchange(a, deadline)
+		x, result, answer, err := c.roundTrip(a, deadline)
 		if err != nil && x.conn != nil && x.conn.retire() {
 			_ = x.conn.Close() // now: the transport's own close may come after the next attempt has begun
 		}
@@ -29,7 +29,7 @@
 		if mayTryAgain(result, denied) && try < maxConnTries && c.context.Err() == nil && !late && !bodyStarted {
 			continue
 		}
-		if result <= dispatch.UnclearStatus && (a.Rest == nil || a.Rest.Whole()) {
+		if result.Answered() && (a.Rest == nil || a.Rest.Whole()) {
 			a.Written() // an answer proves it, also where the transport's buffer was empty before the last byte
 		}
 		if err != nil {
@@ -50,8 +50,8 @@
 	return result == dispatch.WriteFailed
 }
 
-// exchange sends an attempt's request on one connection. The returned exchange is closed.
-func (c *Client) exchange(a *dispatch.Attempt, deadline time.Time) (*exchange, dispatch.AttemptResult, dispatch.Answer, error) {
+// roundTrip sends an attempt's request on one connection. The returned exchange is closed.
+func (c *Client) roundTrip(a *dispatch.Attempt, deadline time.Time) (*exchange, dispatch.AttemptResult, dispatch.Answer, error) {
 	x := c.newExchange(a, deadline)
 	defer x.close()
 	result, answer, err := x.run()
