--- a/internal/net/dispatch/checks_test.go
+++ b/internal/net/dispatch/admission_test.go
@@ -8,7 +8,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// What a module orders against the rules is counted, and not carried out. The module at hand orders nothing of this, so the test
+// What a balancer orders against the rules is counted, and not carried out. The balancer at hand orders nothing of this, so the test
 // does in its place.
 func TestForbiddenOrdersAreNotCarriedOut(t *testing.T) {
 	const server = 0
@@ -16,40 +16,40 @@
 		name    string
 		in      Request
 		before  AttemptResult // how the first attempt ends; endCount: it is out still
-		order   func(h host, ticket int)
+		order   func(h host, pending int)
 		want    admission.Reason
 		outcome Outcome
 	}{
-		{"a second attempt beside an unsafe one", Request{Class: "once", Key: "k"}, endCount,
+		{"a second attempt beside an unsafe one", Request{Class: "once", Key: "k"}, attemptResultCount,
 			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
 		{"a retry of an unsafe one that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
 			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
 		{"a refusal of an unsafe one that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
 			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
-		{"a refusal of an unsafe one that is out", Request{Class: "once", Key: "k"}, endCount,
+		{"a refusal of an unsafe one that is out", Request{Class: "once", Key: "k"}, attemptResultCount,
 			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ships := &fleet{}
-			x := start(t, ships)
-			ticket := take(t, x, c.in, time.Second)
-			first := ships.take(0)
-			if c.before != endCount {
-				// As the module would be told, but for its own end of the request.
-				x.mu.Lock()
-				first.settled, first.told = true, true
-				ticket.out--
-				ticket.ran(first.sent)
-				x.mu.Unlock()
+			transport := &fakeTransport{}
+			d := startDispatcher(t, transport)
+			pending := submit(t, d, c.in, time.Second)
+			first := transport.take(0)
+			if c.before != attemptResultCount {
+				// As the balancer would be told, but for its own end of the request.
+				d.mu.Lock()
+				first.finished, first.reported = true, true
+				pending.inFlight--
+				pending.noteMayHaveRun(first.startedAt)
+				d.mu.Unlock()
 			}
-			x.do("test", nil, func(routing.Time) { c.order(host{x}, ticket.index) })
-			if n := x.figures.Violations[c.want].Load(); n != 1 {
+			d.withLock("test", nil, func(routing.Time) { c.order(host{d}, pending.index) })
+			if n := d.metrics.Violations[c.want].Load(); n != 1 {
 				t.Errorf("%d violations by %v, want one", n, c.want)
 			}
-			if s := ships.take(0); s != nil {
+			if s := transport.take(0); s != nil {
 				t.Error("an attempt was carried out")
 			}
-			a, answered := got(ticket)
+			a, answered := receivedAnswer(pending)
 			if answered != (c.outcome >= 0) || answered && a.Outcome != c.outcome {
 				t.Errorf("answered: %v, %v", answered, a.Outcome)
 			}
@@ -59,27 +59,27 @@
 
 // A second final answer, and an attempt after the final one, are counted and go nowhere.
 func TestNothingFollowsTheFinalAnswer(t *testing.T) {
-	ships := &fleet{}
-	x := start(t, ships)
-	ticket := take(t, x, Request{Class: "read", Key: "k"}, time.Second)
-	out := ships.take(0) // stays out, so that the index is not used again
-	x.do("test", nil, func(routing.Time) {
-		h := host{x}
-		h.Fail(ticket.index)
-		h.Fail(ticket.index)
-		h.Reject(ticket.index, 0)
-		h.Send(ticket.index, 0, 100)
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	pending := submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
+	out := transport.take(0) // stays out, so that the index is not used again
+	d.withLock("test", nil, func(routing.Time) {
+		h := host{d}
+		h.Fail(pending.index)
+		h.Fail(pending.index)
+		h.Reject(pending.index, 0)
+		h.Send(pending.index, 0, 100)
 	})
-	if n := x.figures.Violations[admission.RequestOver].Load(); n != 3 {
+	if n := d.metrics.Violations[admission.RequestOver].Load(); n != 3 {
 		t.Errorf("%d violations, want three", n)
 	}
-	if a, answered := got(ticket); !answered || a.Outcome != Failed {
+	if a, answered := receivedAnswer(pending); !answered || a.Outcome != Failed {
 		t.Errorf("answered: %v, %v", answered, a.Outcome)
 	}
-	if _, again := got(ticket); again {
+	if _, again := receivedAnswer(pending); again {
 		t.Error("a second final answer")
 	}
-	if ships.take(0) != nil {
+	if transport.take(0) != nil {
 		t.Error("an attempt after the final answer")
 	}
 	out.Finish(Complete, Answer{})
@@ -87,19 +87,19 @@
 
 // A keyed request is repeated while its servers remember its key, and not later.
 func TestAKeyedRepeatKeepsToItsWindow(t *testing.T) {
-	ships := &fleet{}
-	x := start(t, ships)
-	ticket := take(t, x, Request{Class: "marked", Key: "k"}, time.Second)
-	first := ships.take(0)
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	ticket.out--
-	ticket.ran(first.sent)
-	attempt := admission.Attempt{History: ticket.history(), Now: first.sent.Add(300 * time.Millisecond)}
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	pending := submit(t, d, Request{Class: "marked", Key: "k"}, time.Second)
+	first := transport.take(0)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	pending.inFlight--
+	pending.noteMayHaveRun(first.startedAt)
+	attempt := admission.Attempt{History: pending.history(), Now: first.startedAt.Add(300 * time.Millisecond)}
 	if why := attempt.Decide(); why != admission.Granted {
 		t.Errorf("inside: %v", why)
 	}
-	attempt.Now = first.sent.Add(500 * time.Millisecond)
+	attempt.Now = first.startedAt.Add(500 * time.Millisecond)
 	if why := attempt.Decide(); why != admission.DedupWindowOver {
 		t.Errorf("after it: %v", why)
 	}
--- /dev/null
+++ b/internal/net/dispatch/dispatcher_test.go
@@ -0,0 +1,135 @@
+package dispatch
+
+import (
+	"errors"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/thistlerudder/thistlerudder/routing"
+)
+
+// doubleFinisher settles each attempt twice at once, from two goroutines.
+type doubleFinisher struct {
+	fakeTransport
+	wg sync.WaitGroup
+}
+
+func (h *doubleFinisher) Send(s *Attempt) {
+	for _, end := range []AttemptResult{Complete, TimedOut} {
+		h.wg.Go(func() { s.Finish(end, Answer{}) })
+	}
+}
+
+// Answer, time-out and the client's leaving come at once: one end for each request, and nothing is kept.
+func TestWhatComesAtOnceEndsALookupOnce(t *testing.T) {
+	h := &doubleFinisher{}
+	d := startDispatcher(t, h)
+	var clients sync.WaitGroup
+	for i := range 300 {
+		clients.Go(func() {
+			pending := submit(t, d, Request{Class: "read", Key: strconv.Itoa(i % 7)}, time.Second)
+			if i%3 == 0 {
+				pending.Abandon()
+				return
+			}
+			select {
+			case <-pending.Answers():
+			case <-time.After(5 * time.Second):
+				t.Errorf("request %d had no answer", i)
+			}
+		})
+	}
+	clients.Wait()
+	h.wg.Wait()
+	y := d.Stats()
+	if ends := y.Served + y.Rejected + y.Failed + y.ClientGone; ends != 300 || d.InFlight() != 0 || y.Panics != 0 {
+		t.Errorf("%d ends of 300, %d still known, %d panics", ends, d.InFlight(), y.Panics)
+	}
+}
+
+// A request that waits for another's fetch is answered by its alarm, not before its limit and not long after.
+func TestAlarmsComeInTimeAndNotEarly(t *testing.T) {
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	first := submit(t, d, Request{Class: "late", Key: "k"}, time.Minute)
+	transport.take(0).Finish(NotFound, Answer{})
+	began := time.Now()
+	second := submit(t, d, Request{Class: "late", Key: "k"}, 80*time.Millisecond)
+	if a := <-second.Answers(); a.Outcome != Rejected {
+		t.Errorf("got %+v", a)
+	}
+	if took := time.Since(began); took < 79*time.Millisecond || took > 300*time.Millisecond {
+		t.Errorf("answered after %v", took)
+	}
+	if transport.take(0).Finish(Complete, Answer{}); d.InFlight() != 0 {
+		t.Errorf("%d requests are still known", d.InFlight())
+	}
+	<-first.Answers()
+}
+
+func TestALimitThatHasPassedIsAnsweredWithoutAShot(t *testing.T) {
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	for _, within := range []time.Duration{0, -time.Second} {
+		if a, came := receivedAnswer(submit(t, d, Request{Class: "once", Write: true}, within)); !came || a.Outcome != Rejected {
+			t.Errorf("%v: %+v, %v", within, a, came)
+		}
+	}
+	if transport.take(0) != nil || d.InFlight() != 0 {
+		t.Error("an attempt was sent, or a request is still known")
+	}
+}
+
+// The id of a request that is in flight is rejected with nothing sent, until all its attempts have settled.
+func TestAnIdThatIsOutIsTurnedAway(t *testing.T) {
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	first := submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
+	again := func() error {
+		_, err := d.Submit(Request{Class: "read", Key: "l", TraceID: first.TraceID}, time.Now(), time.Second)
+		return err
+	}
+	attempt := transport.take(0)
+	if err := again(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
+		t.Errorf("while it is out: %v", err)
+	}
+	first.Abandon()
+	if err := again(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
+		t.Errorf("while its attempt is out: %v", err)
+	}
+	attempt.Finish(Complete, Answer{})
+	if err := again(); err != nil || len(d.requests.byTraceID) != 1 {
+		t.Errorf("afterwards: %v, %d ids are kept", err, len(d.requests.byTraceID))
+	}
+}
+
+func TestALimitBeyondTheTermsIsCut(t *testing.T) {
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	submit(t, d, Request{Class: "late", Key: "k"}, time.Hour)
+	if s := transport.take(0); s.Timeout > 750*time.Millisecond || s.Timeout < 700*time.Millisecond {
+		t.Errorf("the attempt has %v", s.Timeout)
+	}
+}
+
+// A panic of routing answers the request at hand with no promise; its index is not used again.
+func TestAPanicAnswersTheLookup(t *testing.T) {
+	transport := &fakeTransport{}
+	d := startDispatcher(t, transport)
+	whole := d.balancer
+	d.balancer = nil
+	pending := submit(t, d, Request{Class: "read"}, time.Second)
+	if a, came := receivedAnswer(pending); !came || a.Outcome != Failed {
+		t.Errorf("%+v, %v", a, came)
+	}
+	d.balancer = whole
+	host{d}.Send(pending.index, 0, routing.Millisecond)
+	if transport.take(0) != nil || len(d.requests.byTraceID) != 0 {
+		t.Errorf("an attempt after the final answer, or %d ids are kept", len(d.requests.byTraceID))
+	}
+	if next := submit(t, d, Request{Class: "read"}, time.Second); next.index == pending.index || transport.take(0) == nil {
+		t.Errorf("the next request has index %d after %d", next.index, pending.index)
+	}
+}
--- /dev/null
+++ b/internal/net/dispatch/endpoints.go
@@ -0,0 +1,162 @@
+package dispatch
+
+import (
+	"time"
+
+	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/routing"
+)
+
+// maxStartReportDelay bounds how late an endpoint list may report a start: discovery services notice some seconds late.
+const maxStartReportDelay = 30 * time.Second
+
+// Endpoint is an entry of the endpoint list.
+type Endpoint struct {
+	ID, Address, Model string
+	State              routing.State
+	StartedMs          float64 // Unix time in milliseconds; 0: long ago
+}
+
+// endpointEntry is an endpoint as the list last described it, and what was seen of it here.
+type endpointEntry struct {
+	id, address    string // an empty id: the entry is free
+	origin         bool
+	model          int
+	gone           bool          // the list does not name it any more
+	listedState    routing.State // in the list
+	effectiveState routing.State // as the balancer is told
+	incarnation    uint64        // a new number after each restart, move and ejection: connections are not shared across
+	listedStartMs  float64       // Endpoint.StartedMs
+	startedAt      routing.Time  // the same by the node's clock, as it was when it was received
+	ejection       Ejection      // the latest by an operator
+	ejectedAt      routing.Time  // its times by the node's clock; 0: never
+	restoredAt     routing.Time
+	endpointLatency
+}
+
+// endpointIndex finds endpoints by the balancer's index and by id. It is guarded by the Dispatcher's lock.
+type endpointIndex struct {
+	entries      []endpointEntry // by index
+	free         []int           // free indices, the next one last
+	byID         map[string]int
+	incarnations uint64 // how many were given out
+}
+
+// allocate gives an endpoint an index. Indices are used again, as endpoints come under new ids all day.
+func (x *endpointIndex) allocate(id string) int {
+	i := len(x.entries)
+	if last := len(x.free) - 1; last >= 0 {
+		i = x.free[last]
+		x.free = x.free[:last]
+	} else {
+		x.entries = append(x.entries, endpointEntry{})
+	}
+	x.byID[id] = i
+	return i
+}
+
+// releaseIfUnused frees an index once its endpoint is gone and no attempt at it is in flight.
+func (x *endpointIndex) releaseIfUnused(i int) {
+	e := &x.entries[i]
+	if !e.gone || len(e.inFlight) > 0 || e.id == "" {
+		return
+	}
+	delete(x.byID, e.id)
+	*e = endpointEntry{}
+	x.free = append(x.free, i)
+}
+
+// nextIncarnation returns a number that no endpoint has had.
+func (x *endpointIndex) nextIncarnation() uint64 {
+	x.incarnations++
+	return x.incarnations
+}
+
+// UpdateEndpoints applies an update of the endpoint list and passes it on to the balancer.
+func (d *Dispatcher) UpdateEndpoints(kind routing.UpdateKind, listed []Endpoint) {
+	d.withLock("endpoint list", nil, func(now routing.Time) {
+		if kind == routing.Full || kind == routing.Cached {
+			for i := range d.endpoints.entries {
+				d.endpoints.entries[i].gone = true // unless the list names it
+			}
+		}
+		update := make([]routing.Endpoint, 0, len(listed))
+		for _, endpoint := range listed {
+			if i, known := d.updateEndpoint(endpoint); known {
+				update = append(update, d.routingEndpoint(i))
+			}
+		}
+		if kind == routing.Full || kind == routing.Incremental {
+			d.lastLiveUpdate = now
+		}
+		d.balancer.UpdateEndpoints(now, kind, update)
+		for i := range d.endpoints.entries {
+			d.endpoints.releaseIfUnused(i)
+		}
+		d.countEndpoints()
+		if kind != routing.Failed && len(listed) > 0 {
+			d.listReceived = true
+		}
+	})
+}
+
+// updateEndpoint applies one entry of the list and returns its index; false where the endpoint is gone and was unknown.
+// Called with the lock held.
+func (d *Dispatcher) updateEndpoint(listed Endpoint) (int, bool) {
+	i, known := d.endpoints.byID[listed.ID]
+	if !known {
+		if listed.State == routing.Gone {
+			return 0, false
+		}
+		i = d.endpoints.allocate(listed.ID)
+	}
+	d.listedIDs.add(listed.ID)
+	e := &d.endpoints.entries[i]
+	d.applyListed(e, listed)
+	if ejection, ejected := d.ejections[listed.ID]; ejected {
+		d.applyEjection(e, ejection)
+	}
+	model, known := d.settings.Models[listed.Model]
+	if !known {
+		model = -1
+	}
+	e.model = model
+	e.origin = d.settings.IsOrigin(model)
+	return i, true
+}
+
+// applyListed takes over id, address, start and state. An endpoint that restarts or moves gets a new incarnation and
+// keeps its index. Called with the lock held.
+func (d *Dispatcher) applyListed(e *endpointEntry, listed Endpoint) {
+	restarted := e.id != listed.ID || e.listedStartMs != listed.StartedMs
+	if listed.State != routing.Gone && (restarted || e.address != listed.Address) {
+		if restarted {
+			e.startedAt = d.startTime(e, listed)
+		}
+		e.id = listed.ID
+		e.address = listed.Address
+		e.listedStartMs = listed.StartedMs
+		e.incarnation = d.endpoints.nextIncarnation()
+	}
+	e.gone = listed.State == routing.Gone
+	e.listedState = listed.State
+}
+
+// startTime returns when a listed endpoint started, by the node's clock. A start that an earlier update should have
+// reported comes of a wrong clock, and counts from that update. Called with the lock held.
+func (d *Dispatcher) startTime(e *endpointEntry, listed Endpoint) routing.Time {
+	at := d.fromUnixNow(listed.StartedMs)
+	overdue := d.lastLiveUpdate-at > config.Ticks(float64(maxStartReportDelay/time.Millisecond))
+	if e.id == listed.ID && at > 0 && overdue {
+		return d.lastLiveUpdate
+	}
+	return at
+}
+
+// routingEndpoint returns an endpoint as the balancer is told of it, and notes the state that it is told. Called with the
+// lock held.
+func (d *Dispatcher) routingEndpoint(i int) routing.Endpoint {
+	e := &d.endpoints.entries[i]
+	e.effectiveState = e.ejectedState()
+	return routing.Endpoint{Server: i, ID: e.id, Model: e.model, State: e.effectiveState, StartedAt: e.effectiveStart()}
+}
--- /dev/null
+++ b/internal/net/dispatch/metrics.go
@@ -0,0 +1,69 @@
+package dispatch
+
+import (
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
+	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
+	"github.com/thistlerudder/thistlerudder/routing"
+)
+
+// Metrics returns the totals since the start. They may be read without the lock.
+func (d *Dispatcher) Metrics() *metrics.Metrics { return d.metrics }
+
+// AddOpen changes the number of open requests: those that have come and whose answer is not complete.
+func (d *Dispatcher) AddOpen(by int64) { d.metrics.Open.Add(by) }
+
+// CountEnd counts how a client's request ended, also of one that was refused before Submit. One of an unknown class is
+// not counted.
+func (d *Dispatcher) CountEnd(class string, outcome Outcome) {
+	outcomes := d.metrics.Of(class)
+	if outcomes == nil {
+		return
+	}
+	switch outcome {
+	case Served:
+		outcomes.Served.Add(1)
+	case Rejected:
+		outcomes.Rejected.Add(1)
+	case Failed:
+		outcomes.Failed.Add(1)
+	}
+}
+
+// Written reports that the attempt's last byte was written. It is counted once.
+func (a *Attempt) Written() {
+	if a.pending != nil && !a.counted.Swap(true) {
+		a.pending.dispatcher.metrics.Written.Add(1)
+	}
+}
+
+// Deny counts, by reason, that the attempt was not written. admission.Granted is not counted.
+func (a *Attempt) Deny(reason admission.Reason) {
+	if a.pending != nil && reason != admission.Granted {
+		a.pending.dispatcher.metrics.Denied[reason].Add(1)
+	}
+}
+
+// CountEndpoints updates the metrics of listed and avoided endpoints. It is called periodically, as endpoints are ejected
+// and restored between two updates of the list.
+func (d *Dispatcher) CountEndpoints() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.countEndpoints()
+}
+
+// countEndpoints is CountEndpoints with the lock held.
+func (d *Dispatcher) countEndpoints() {
+	listed, avoided := 0, 0
+	for i := range d.endpoints.entries {
+		e := &d.endpoints.entries[i]
+		if e.id == "" || e.gone || e.origin {
+			continue
+		}
+		listed++
+		if e.effectiveState != routing.Ready || d.balancer.IsEjected(i) {
+			avoided++
+		}
+	}
+	d.metrics.Listed.Store(int64(listed))
+	d.metrics.Avoided.Store(int64(avoided))
+}
