--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -35,11 +35,11 @@
 
 // wallFiles may use them, each for what it says.
 var wallFiles = map[string]string{
-	"internal/clock/clock.go":        "the one place that reads the wall clock",
-	"internal/net/dispatch/clock.go": "start times on the list are Unix times",
-	"internal/net/ejection/bans.go":  "bans are kept beside start times on the list, as Unix times",
-	"internal/cluster/client.go":     "tells processes apart, by no order",
-	"internal/cluster/tasks.go":      "periods of the roll-up are the wall clock's",
+	"internal/clock/clock.go":           "the one place that reads the wall clock",
+	"internal/net/dispatch/clock.go":    "start times on the list are Unix times",
+	"internal/net/ejection/registry.go": "bans are kept beside start times on the list, as Unix times",
+	"internal/cluster/client.go":        "tells processes apart, by no order",
+	"internal/cluster/tasks.go":         "periods of the roll-up are the wall clock's",
 }
 
 // The wall clock may be stepped, so that no span is measured by it: only the files above may take a time apart.
