--- a/cmd/thistlerudder/descriptors_test.go
+++ b/cmd/thistlerudder/descriptors_test.go
@@ -206,7 +206,7 @@
 	next.change("b", "Terminating")
 	next.change("c", "Terminating")
 	p.configure(t, next.address, more)
-	reload("after the outage", "the box list comes from another address now")
+	reload("after the outage", "switched to another discovery service")
 	drained(next, "c", 4*time.Second, "at a reload")
 	held := idle.open.Load()
 	close(done)
--- a/internal/net/discovery/bench_test.go
+++ b/internal/net/discovery/bench_test.go
@@ -39,7 +39,7 @@
 			page := pageOf(caches, true, 0, 1764640000123)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, _, boxes, err := parse(page); err != nil || len(boxes) != caches {
+				if list, err := parseList(page); err != nil || len(list.endpoints) != caches {
 					b.Fatal(err)
 				}
 			}
@@ -49,7 +49,7 @@
 	}
 }
 
-func exchangeOf(b *testing.B) *dispatch.Dispatcher {
+func newDispatcher(b *testing.B) *dispatch.Dispatcher {
 	t, err := config.ParseSettings(map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 		"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 200., "time-limit-ms": 750.}}})
 	if err != nil {
@@ -64,14 +64,14 @@
 func BenchmarkWhole(b *testing.B) {
 	for _, caches := range listSizes {
 		b.Run(fmt.Sprint("caches=", caches), func(b *testing.B) {
-			x := exchangeOf(b)
-			_, _, boxes, err := parse(pageOf(caches, true, 0, 1764640000123))
+			x := newDispatcher(b)
+			list, err := parseList(pageOf(caches, true, 0, 1764640000123))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				x.UpdateEndpoints(routing.Full, boxes)
+				x.UpdateEndpoints(routing.Full, list.endpoints)
 			}
 		})
 	}
@@ -81,12 +81,12 @@
 func BenchmarkChange(b *testing.B) {
 	for _, caches := range listSizes {
 		b.Run(fmt.Sprint("caches=", caches), func(b *testing.B) {
-			x := exchangeOf(b)
-			_, _, boxes, err := parse(pageOf(caches, true, 0, 1764640000123))
+			x := newDispatcher(b)
+			list, err := parseList(pageOf(caches, true, 0, 1764640000123))
 			if err != nil {
 				b.Fatal(err)
 			}
-			x.UpdateEndpoints(routing.Full, boxes)
+			x.UpdateEndpoints(routing.Full, list.endpoints)
 			var pages [64][]byte
 			for i := range pages {
 				pages[i] = pageOf(1, false, i*caches/len(pages), 1764640000124+int64(i))
@@ -94,12 +94,12 @@
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				_, _, changed, err := parse(pages[i%len(pages)])
+				change, err := parseList(pages[i%len(pages)])
 				if err != nil {
 					b.Fatal(err)
 				}
-				changed[0].StartedMs += float64(i) // another start each time
-				x.UpdateEndpoints(routing.Incremental, changed)
+				change.endpoints[0].StartedMs += float64(i) // another start each time
+				x.UpdateEndpoints(routing.Incremental, change.endpoints)
 				i++
 			}
 		})
--- a/internal/net/discovery/client_test.go
+++ b/internal/net/discovery/client_test.go
@@ -92,12 +92,12 @@
 func TestTheWholeListThenWatchesWithoutAPause(t *testing.T) {
 	s, x, _ := follow(t, 4, `{"version":7,"full":true,"servers":[`+box+`]}`, `{"version":9,"full":false,"servers":[`+box+`]}`,
 		`{"version":9,"full":false,"servers":[]}`)
-	want := []string{path, path + "?from=7&hold_ms=WATCH", path + "?from=9&hold_ms=WATCH", path + "?from=9&hold_ms=WATCH"}
+	want := []string{listPath, listPath + "?from=7&hold_ms=WATCH", listPath + "?from=9&hold_ms=WATCH", listPath + "?from=9&hold_ms=WATCH"}
 	if got := drawn(s.calls()); got != strings.Join(want, " ") || !x.Ready() {
 		t.Errorf("asked %s; ready %v", got, x.Ready())
 	}
 	for i := 1; i < len(s.at); i++ {
-		if s.at[i].Sub(s.at[i-1]) > 200*time.Millisecond || i == 3 && s.at[i].Sub(s.at[i-1]) < pause {
+		if s.at[i].Sub(s.at[i-1]) > 200*time.Millisecond || i == 3 && s.at[i].Sub(s.at[i-1]) < emptyWatchPause {
 			t.Errorf("call %d came %v after the one before", i, s.at[i].Sub(s.at[i-1]))
 		}
 	}
@@ -146,7 +146,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go f.Run(ctx)
-	for end := time.Now().Add(8 * time.Second); logs.FilterMessage("box list").Len() < 2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(8 * time.Second); logs.FilterMessage("endpoint list updated").Len() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no list after the silent watch")
 		}
@@ -156,7 +156,7 @@
 	if took := time.Since(silent); calls < 4 || took > hold+2*time.Second {
 		t.Errorf("known %v after the watch began, at call %d; its wait was %v", took, calls, hold)
 	}
-	if lost := logs.FilterMessage("box list lost, the old one stands").Len(); lost != 1 {
+	if lost := logs.FilterMessage("endpoint list update failed, keeping the last list").Len(); lost != 1 {
 		t.Errorf("%d calls were given up, want the silent one", lost)
 	}
 	server.CloseClientConnections()
@@ -202,8 +202,8 @@
 // A watch that was turned away, again and again, goes on from the version that was had, with a call that is answered at once.
 func TestAWatchThatWasTurnedAwayIsResumed(t *testing.T) {
 	s, x, _ := follow(t, 5, `{"version":7,"full":true,"servers":[`+box+`]}`, "", "", `{"version":7,"full":false,"servers":[]}`)
-	again := fmt.Sprintf("%s?from=7&hold_ms=%d", path, holdLeast.Milliseconds())
-	want := []string{path, path + "?from=7&hold_ms=WATCH", again, again, path + "?from=7&hold_ms=WATCH"}
+	again := fmt.Sprintf("%s?from=7&hold_ms=%d", listPath, resumeWait.Milliseconds())
+	want := []string{listPath, listPath + "?from=7&hold_ms=WATCH", again, again, listPath + "?from=7&hold_ms=WATCH"}
 	if got := drawn(s.calls()); got != strings.Join(want, " ") || !x.Ready() {
 		t.Errorf("asked %s; ready %v", got, x.Ready())
 	}
@@ -216,7 +216,7 @@
 func TestOnlyAWatchThatWasTurnedAwayIsResumed(t *testing.T) {
 	for _, page := range []string{"no list", `{"version":3,"full":false,"servers":[]}`} {
 		s, _, _ := follow(t, 4, `{"version":7,"full":true,"servers":[`+box+`]}`, "", page)
-		if got := s.calls(); got[2] == path || got[3] != path {
+		if got := s.calls(); got[2] == listPath || got[3] != listPath {
 			t.Errorf("%s: asked %v", page, got)
 		}
 	}
@@ -224,7 +224,7 @@
 
 func TestAGapAsksForTheWholeList(t *testing.T) {
 	s, _, _ := follow(t, 3, `{"version":7,"full":true,"servers":[`+box+`]}`, `{"version":3,"full":false,"servers":[`+box+`]}`)
-	if got := s.calls(); got[2] != path {
+	if got := s.calls(); got[2] != listPath {
 		t.Errorf("asked %v", got)
 	}
 }
@@ -237,7 +237,7 @@
 		t.Run(page, func(t *testing.T) {
 			t.Parallel()
 			s, x, logs := follow(t, 2, page)
-			if x.Ready() || logs.FilterMessage("box list lost, the old one stands").Len() != 1 {
+			if x.Ready() || logs.FilterMessage("endpoint list update failed, keeping the last list").Len() != 1 {
 				t.Errorf("%s: ready %v, log %v", page, x.Ready(), logs.All())
 			}
 			if s.at[1].Sub(s.at[0]) < 100*time.Millisecond {
@@ -277,7 +277,7 @@
 		}
 	}
 	f.mu.Lock()
-	before := f.from
+	before := f.source
 	f.mu.Unlock()
 	f.SwitchTo(t.Context(), "127.0.0.1:1") // refused; the next move takes its place
 	f.SwitchTo(t.Context(), at[1])
@@ -287,29 +287,26 @@
 		}
 	}
 	got := drawn(next.calls()[2:])
-	if want := path + " " + path + "?from=2&hold_ms=WATCH " + path + "?from=3&hold_ms=WATCH"; got != want {
+	if want := listPath + " " + listPath + "?from=2&hold_ms=WATCH " + listPath + "?from=3&hold_ms=WATCH"; got != want {
 		t.Errorf("asked %s", got)
 	}
 	if next.at[3].Sub(next.at[2]) > 200*time.Millisecond || len(old.calls()) != 2 {
 		t.Errorf("the watch came after %v; the old address was asked %d times", next.at[3].Sub(next.at[2]), len(old.calls()))
 	}
-	if f.tell(before, true, nil) || logs.FilterMessage("box list").Len() != 2 {
+	if f.publish(before, endpointList{full: true}) || logs.FilterMessage("endpoint list updated").Len() != 2 {
 		t.Error("the old address still has a say")
 	}
-	if logs.FilterMessage("box list lost, the old one stands").Len() != 0 {
+	if logs.FilterMessage("endpoint list update failed, keeping the last list").Len() != 0 {
 		t.Error("the module was told of a failure")
 	}
 }
 
 func TestKnownIsToldAsPersisted(t *testing.T) {
-	_, full, boxes, err := parse(
-		[]byte(
-			`{"version":41,"full":true,"new":1,"servers":[` + box + `,{"id":"b","state":"Gone","started_ms":1700000000123}]}`,
-		),
-	)
-	if err != nil || !full || len(boxes) != 2 || boxes[0].Address != "127.0.0.1:1" || boxes[1].State != routing.Gone ||
-		boxes[1].StartedMs != 1700000000123 {
-		t.Errorf("%v %v %v", full, boxes, err)
+	list, err := parseList([]byte(`{"version":41,"full":true,"new":1,"servers":[` + box + `,{"id":"b","state":"Gone","started_ms":1700000000123}]}`))
+	endpoints := list.endpoints
+	if err != nil || !list.full || len(endpoints) != 2 || endpoints[0].Address != "127.0.0.1:1" || endpoints[1].State != routing.Gone ||
+		endpoints[1].StartedMs != 1700000000123 {
+		t.Errorf("%+v %v", list, err)
 	}
 	_, x, _ := follow(t, 1)
 	f := New(x, "127.0.0.1:1", time.Second, zap.NewNop())
--- a/internal/net/discovery/faults_test.go
+++ b/internal/net/discovery/faults_test.go
@@ -56,7 +56,7 @@
 	have := func(want int64) (n int) {
 		for _, f := range all {
 			f.mu.Lock()
-			if f.from.version == want {
+			if f.source.version == want {
 				n++
 			}
 			f.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 	service.CloseClientConnections()
 	service.Close()
-	for end := time.Now().Add(connectIn + time.Second); runtime.NumGoroutine() > before+2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(connectTimeout + time.Second); runtime.NumGoroutine() > before+2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
 		}
--- a/internal/net/discovery/hedge.go
+++ b/internal/net/discovery/hedge.go
@@ -1,95 +1,133 @@
 package discovery
 
-// This file holds calls for the list beside ones that may never be answered.
-
 import (
 	"context"
 	"slices"
 	"time"
+)
+
+const (
+	// maxConcurrentPolls bounds the polls in flight: the oldest, the newest and one between.
+	maxConcurrentPolls = 3
 
-	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
+	// maxQueueTime is how long a service keeps a call in its queue before it answers or rejects it.
+	maxQueueTime = 2100 * time.Millisecond
+
+	// overloadWindow is how long after a rejection the service counts as overloaded: two poll intervals.
+	overloadWindow = 4 * time.Second
 )
 
-// list is what a call gave.
-type list struct {
-	version int64
-	full    bool
-	boxes   []dispatch.Endpoint
+// hedgedPolls is the set of polls in flight for one list. All its fields but results belong to one goroutine.
+type hedgedPolls struct {
+	client   *Client
+	source   *source
+	inFlight []*inFlightPoll // oldest first
+	results  chan pollResult
+	delayed  <-chan time.Time // start of a poll that was put off; nil: none
+	began    time.Time        // when the poll began that a delayed one waits for
 }
 
-// hedge calls for the list, once more beside what is out with each word from again, and gives the first one that comes;
-// an error only when no call is out any more. Of too many the second oldest is given up: the oldest may stand first in the
-// service's line, and the latest may be the first since the service is back. Beside a call that may be silent for an outage the
-// whole list is asked for: a service may count anew after one. Where calls were turned away lately one that is out is more likely in
-// the service's line, and a second would take a place that another node lacks: the first word beside it is put off for as long as
-// a line lasts.
-func hedge[T any](ctx context.Context, f *Client, at *source, again <-chan T) (list, error) {
+type inFlightPoll struct{ cancel context.CancelFunc }
+
+type pollResult struct {
+	poll *inFlightPoll
+	list endpointList
+	err  error
+}
+
+// hedgedPoll polls src, adds a further poll with each value from trigger, and returns the first list. It returns an error once
+// no poll is in flight. A poll may never be answered, so none waits for the end of another.
+func (c *Client) hedgedPoll(ctx context.Context, src *source, trigger <-chan struct{}) (endpointList, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	type call struct{ leave context.CancelFunc }
-	type answer struct {
-		of  *call
-		got list
-		err error
-	}
-	answers := make(chan answer)
-	var out []*call
-	var late <-chan time.Time // a word that was put off
-	began := time.Now()
-	begin := func() {
-		query := ""
-		if len(out) == 0 {
-			query = at.query()
-		}
-		if len(out) == callsMost {
-			out[1].leave()
-			out = slices.Delete(out, 1, 2)
-		}
-		ctx, leave := context.WithCancel(ctx)
-		c := &call{leave}
-		out = append(out, c)
-		go func() {
-			defer leave()
-			got, err := f.ask(ctx, at.address, query, answerIn)
-			if err == nil && !got.full && query == "" {
-				err = errNotWhole
-			} else if err == nil && !got.full && got.version < at.version {
-				err = errGap
-			}
-			select {
-			case answers <- answer{c, got, err}:
-			case <-ctx.Done():
-			}
-		}()
-	}
-	begin()
+	polls := &hedgedPolls{client: c, source: src, results: make(chan pollResult), began: time.Now()}
+	polls.start(ctx)
 	for {
 		select {
 		case <-ctx.Done():
-			return list{}, ctx.Err()
-		case <-again:
-			if wait := lineIn - time.Since(began); late == nil && len(out) == 1 && wait > 0 && time.Since(at.crowded) < crowdIn {
-				late = time.After(wait)
-				continue
+			return endpointList{}, ctx.Err()
+		case <-trigger:
+			polls.startOrDelay(ctx)
+		case <-polls.delayed:
+			polls.delayed = nil
+			polls.start(ctx)
+		case result := <-polls.results:
+			if result.err == nil {
+				return result.list, nil
 			}
-			begin()
-		case <-late:
-			late = nil
-			begin()
-		case a := <-answers:
-			if a.err == nil {
-				return a.got, nil
-			}
-			at.fails(a.err)
-			if i := slices.Index(out, a.of); i >= 0 {
-				out = slices.Delete(out, i, i+1)
-			}
-			if len(out) == 0 && late == nil {
-				return list{}, a.err
-			} else if len(out) == 0 {
-				late, began = nil, time.Now()
-				begin()
+			if polls.fail(ctx, result) {
+				return endpointList{}, result.err
 			}
 		}
 	}
 }
+
+// startOrDelay starts a further poll. If the service is overloaded, the first poll is probably in its queue, and a second would
+// take a slot there that another node lacks: the second is put off until the first must have left the queue.
+func (h *hedgedPolls) startOrDelay(ctx context.Context) {
+	wait := maxQueueTime - time.Since(h.began)
+	overloaded := time.Since(h.source.lastRejection) < overloadWindow
+	if h.delayed == nil && len(h.inFlight) == 1 && wait > 0 && overloaded {
+		h.delayed = time.After(wait)
+		return
+	}
+	h.start(ctx)
+}
+
+// start begins a poll. Only the first may resume: beside a poll that is silent the service may have restarted and count versions
+// anew, so the others request the full list.
+func (h *hedgedPolls) start(ctx context.Context) {
+	query := ""
+	if len(h.inFlight) == 0 {
+		query = h.source.pollQuery()
+	}
+	h.dropSecondOldest()
+	ctx, cancel := context.WithCancel(ctx)
+	poll := &inFlightPoll{cancel: cancel}
+	h.inFlight = append(h.inFlight, poll)
+	go h.run(ctx, poll, query)
+}
+
+// dropSecondOldest cancels the second oldest of too many polls: the oldest may be first in the service's queue, and the newest may be the first
+// since the service is back.
+func (h *hedgedPolls) dropSecondOldest() {
+	if len(h.inFlight) < maxConcurrentPolls {
+		return
+	}
+	h.inFlight[1].cancel()
+	h.inFlight = slices.Delete(h.inFlight, 1, 2)
+}
+
+func (h *hedgedPolls) run(ctx context.Context, poll *inFlightPoll, query string) {
+	defer poll.cancel()
+	list, err := h.client.poll(ctx, h.source.address, query, pollTimeout)
+	switch {
+	case err != nil || list.full:
+	case query == "":
+		err = errIncompleteList
+	case list.version < h.source.version:
+		err = errVersionGap
+	}
+	select {
+	case h.results <- pollResult{poll: poll, list: list, err: err}:
+	case <-ctx.Done():
+	}
+}
+
+// fail records a failed poll and reports whether none is left. A delayed poll starts at once when it would be the only one.
+func (h *hedgedPolls) fail(ctx context.Context, result pollResult) (done bool) {
+	h.source.recordFailure(result.err)
+	if i := slices.Index(h.inFlight, result.poll); i >= 0 {
+		h.inFlight = slices.Delete(h.inFlight, i, i+1)
+	}
+	if len(h.inFlight) > 0 {
+		return false
+	}
+	if h.delayed == nil {
+		return true
+	}
+	h.delayed = nil
+	h.began = time.Now()
+	h.start(ctx)
+	return false
+}
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -2,46 +2,63 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// page is an answer of the discovery service.
-type page struct {
-	Version *int64  `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []entry `json:"servers"`
+// endpointList is what one answer of the discovery service says.
+type endpointList struct {
+	version   int64
+	full      bool // all endpoints; otherwise only those that changed since the version in the query
+	endpoints []dispatch.Endpoint
 }
 
-type entry struct {
-	ID      string  `json:"id"`
-	Address string  `json:"addr"`
-	Machine string  `json:"kind"`
-	State   string  `json:"state"`
-	Started float64 `json:"started_ms"`
+// response is the body of an answer.
+type response struct {
+	Version *int64          `json:"version"`
+	Full    bool            `json:"full"`
+	Servers []responseEntry `json:"servers"`
 }
 
-var states = map[string]routing.State{"Ready": routing.Ready, "Terminating": routing.Draining, "Gone": routing.Gone}
+type responseEntry struct {
+	ID        string  `json:"id"`
+	Address   string  `json:"addr"`
+	Model     string  `json:"kind"`
+	State     string  `json:"state"`
+	StartedMs float64 `json:"started_ms"`
+}
+
+var errNoVersion = errors.New("endpoint list: expected a version that is a whole number")
+
+var statesByName = map[string]routing.State{"Ready": routing.Ready, "Terminating": routing.Draining, "Gone": routing.Gone}
 
-// parse reads a page whole or not at all: half a list would look like servers gone.
-func parse(body []byte) (version int64, full bool, boxes []dispatch.Endpoint, err error) {
-	var p page
-	if err := json.Unmarshal(body, &p); err != nil {
-		return 0, false, nil, err
+// parseList reads a body. One faulty entry rejects the list: endpoints missing from a full list would count as gone.
+func parseList(body []byte) (endpointList, error) {
+	var r response
+	if err := json.Unmarshal(body, &r); err != nil {
+		return endpointList{}, err
 	}
-	if p.Version == nil {
-		return 0, false, nil, fmt.Errorf("version: expected a whole number")
+	if r.Version == nil {
+		return endpointList{}, errNoVersion
 	}
-	for _, e := range p.Servers {
-		state, known := states[e.State]
-		if !known || e.ID == "" || (e.Address == "" && state != routing.Gone) {
-			return 0, false, nil, fmt.Errorf("server %q: expected an id, an address and a known state, not %q",
-				e.ID, e.State)
+	list := endpointList{version: *r.Version, full: r.Full}
+	for _, entry := range r.Servers {
+		endpoint, err := entry.endpoint()
+		if err != nil {
+			return endpointList{}, err
 		}
-		boxes = append(boxes, dispatch.Endpoint{ID: e.ID, Address: e.Address, Model: e.Machine, State: state,
-			StartedMs: e.Started})
+		list.endpoints = append(list.endpoints, endpoint)
+	}
+	return list, nil
+}
+
+func (e responseEntry) endpoint() (dispatch.Endpoint, error) {
+	state, known := statesByName[e.State]
+	if !known || e.ID == "" || (e.Address == "" && state != routing.Gone) {
+		return dispatch.Endpoint{}, fmt.Errorf("server %q: expected an id, an address and a known state, got state %q", e.ID, e.State)
 	}
-	return *p.Version, p.Full, boxes, nil
+	return dispatch.Endpoint{ID: e.ID, Address: e.Address, Model: e.Model, State: state, StartedMs: e.StartedMs}, nil
 }
--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -30,6 +30,8 @@
 	signalIn  = 4 * time.Second // from a signal to move
 	silentIn  = 2 * time.Second // from the end of a silent watch's wait
 	busy      = 400 * time.Millisecond
+
+	healthyPollTime = 1 * time.Second // for a poll of the full list and its connect, where the service is well
 )
 
 // The sums beside the constants, with what a busy machine takes: raising any of the constants, here or in the module, breaks one.
@@ -41,30 +43,30 @@
 		sum  time.Duration
 		in   time.Duration
 	}{
-		{"a call begins, whatever has become of those before, and is answered", most + listIn + busy, answersIn},
-		{"it is turned away, and the next one is answered", most + most + listIn + busy, turnsIn},
-		{"one beside a call that may be in line is put off, and answered", lineIn + listIn + busy, answersIn},
-		{"the same, turned away: the next word isn't put off", max(lineIn, most+most) + listIn + busy, turnsIn},
-		{"a gap, a lost watch, a start", spread + listIn + busy, answersIn},
-		{"the same, turned away", spread + most + listIn + busy, turnsIn},
-		{"a silent watch, from the end of its wait", afterHold + spread + listIn + busy, silentIn},
-		{"a move whose first call is silent, and the second and third turned away", 3*moveWait + listIn, signalIn},
-		{"a resumed watch that has nothing to tell", holdLeast, pause},
-		{"news between two watches", pause + busy/4, 200 * time.Millisecond},
+		{"a call begins, whatever has become of those before, and is answered", most + healthyPollTime + busy, answersIn},
+		{"it is turned away, and the next one is answered", most + most + healthyPollTime + busy, turnsIn},
+		{"one beside a call that may be in line is put off, and answered", maxQueueTime + healthyPollTime + busy, answersIn},
+		{"the same, turned away: the next word isn't put off", max(maxQueueTime, most+most) + healthyPollTime + busy, turnsIn},
+		{"a gap, a lost watch, a start", spread + healthyPollTime + busy, answersIn},
+		{"the same, turned away", spread + most + healthyPollTime + busy, turnsIn},
+		{"a silent watch, from the end of its wait", watchGrace + spread + healthyPollTime + busy, silentIn},
+		{"a move whose first call is silent, and the second and third turned away", 3*maxSwitchRetryWait + healthyPollTime, signalIn},
+		{"a resumed watch that has nothing to tell", resumeWait, emptyWatchPause},
+		{"news between two watches", emptyWatchPause + busy/4, 200 * time.Millisecond},
 	} {
 		if c.sum > c.in {
 			t.Errorf("%s: %v, want %v at most", c.what, c.sum, c.in)
 		}
 	}
 	// A call must not wait for a connection behind connects that hang.
-	if connects := int(math.Ceil(float64(connectIn) / float64(spread/2))); connects+2 > connsMost {
-		t.Errorf("%d connects may hang at once, and a move's and a watch's connection come on top: %d are too few", connects, connsMost)
+	if connects := int(math.Ceil(float64(connectTimeout) / float64(spread/2))); connects+2 > maxConnsPerHost {
+		t.Errorf("%d connects may hang at once, and a move's and a watch's connection come on top: %d are too few", connects, maxConnsPerHost)
 	}
-	if listIn < connectIn {
-		t.Errorf("a list takes %v at most, and its connect %v", listIn, connectIn)
+	if healthyPollTime < connectTimeout {
+		t.Errorf("a list takes %v at most, and its connect %v", healthyPollTime, connectTimeout)
 	}
-	if callsMost < 3 {
-		t.Errorf("of %d calls the oldest keeps its place, the latest begins, and one is given up", callsMost)
+	if maxConcurrentPolls < 3 {
+		t.Errorf("of %d calls the oldest keeps its place, the latest begins, and one is given up", maxConcurrentPolls)
 	}
 }
 
@@ -192,7 +194,7 @@
 	dial := f.transport.DialContext
 	f.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if o.hangs.Load() {
-			ctx, cancel := context.WithTimeout(ctx, connectIn)
+			ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 			defer cancel()
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -210,7 +212,7 @@
 func (e *ear) With([]zapcore.Field) zapcore.Core { return e }
 func (e *ear) Sync() error                       { return nil }
 func (e *ear) Check(entry zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if entry.Message == "box list" {
+	if entry.Message == "endpoint list updated" {
 		return c.AddCore(entry, e)
 	}
 	return c
@@ -260,7 +262,7 @@
 							dial := f.transport.DialContext
 							f.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 								if address == o.address && o.hangs.Load() {
-									ctx, cancel := context.WithTimeout(ctx, connectIn)
+									ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 									defer cancel()
 									<-ctx.Done()
 									return nil, ctx.Err()
@@ -295,7 +297,7 @@
 						if took > in {
 							t.Errorf("%s, %s, %d turned away, an outage of %v: a list %v after its end, want %v at most", how, when, turns, lasts, took, in)
 						}
-						if top := o.top.Load(); top > callsMost+2 {
+						if top := o.top.Load(); top > maxConcurrentPolls+2 {
 							t.Errorf("%s, %s: %d calls at once", how, when, top)
 						}
 						mu.Lock()
@@ -346,7 +348,7 @@
 	if n := calls.Load(); n < 4 || n > 9 {
 		t.Errorf("%d calls in 1.8 s", n)
 	}
-	if top := top.Load(); top > callsMost+1 { // one that is given up may be seen to end a little late
+	if top := top.Load(); top > maxConcurrentPolls+1 { // one that is given up may be seen to end a little late
 		t.Errorf("%d calls at once", top)
 	}
 	time.Sleep(50 * time.Millisecond)
--- a/internal/net/discovery/overload_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -371,7 +371,7 @@
 						version = 9
 					}
 					return http.StatusOK, fmt.Sprintf(whole, version), 0
-				case strings.HasSuffix(query, fmt.Sprintf("&hold_ms=%d", holdLeast.Milliseconds())):
+				case strings.HasSuffix(query, fmt.Sprintf("&hold_ms=%d", resumeWait.Milliseconds())):
 					resumed = true
 					return http.StatusOK, fmt.Sprintf(`{"version":7,"full":false,"servers":[%s]}`, changed), 0
 				case !resumed:
@@ -387,7 +387,7 @@
 			ctx, stop := context.WithCancel(t.Context())
 			defer func() {
 				stop()
-				time.Sleep(checkIn)
+				time.Sleep(maxVerifyDelay)
 			}()
 			go f.Run(ctx)
 			time.Sleep(5 * time.Second)
@@ -396,7 +396,7 @@
 				t.Errorf("resumed %v; %d orders, want one for the list and one for the watch", resumed, before)
 			}
 			mu.Unlock()
-			time.Sleep(5 * checkIn)
+			time.Sleep(5 * maxVerifyDelay)
 			mu.Lock()
 			defer mu.Unlock() // before the wait for its end
 			if o.n.Load() != 2 {
@@ -406,11 +406,11 @@
 				t.Fatalf("the whole list was asked for at %v; want one at first, one turned away, one of another version and one", wholes)
 			}
 			for i, at := range wholes[1:] {
-				if apart := at - wholes[i]; apart < checkIn/2 || apart > checkIn+time.Second {
+				if apart := at - wholes[i]; apart < maxVerifyDelay/2 || apart > maxVerifyDelay+time.Second {
 					t.Errorf("asked again after %v", apart)
 				}
 			}
-			if n := logs.FilterField(zap.Bool("whole", true)).Len(); n != 2 {
+			if n := logs.FilterField(zap.Bool("full", true)).Len(); n != 2 {
 				t.Errorf("%d whole lists were told, want the first and the one that has the watch's version", n)
 			}
 		})
@@ -429,7 +429,7 @@
 		second        time.Duration // and the begin of one more, at most
 	}{
 		{map[string]any{"registry-mode": "ask"}, false, time.Hour, config.Duration(routing.MaxPollWait) / 2, config.Duration(routing.MaxPollWait), 2 * config.Duration(routing.MaxPollWait)},
-		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.Duration(routing.MaxPollWait), lineIn, 2 * config.Duration(routing.MaxPollWait)},
+		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.Duration(routing.MaxPollWait), maxQueueTime, 2 * config.Duration(routing.MaxPollWait)},
 		{map[string]any{"registry-mode": "ask"}, true, 1900 * time.Millisecond, config.Duration(routing.MaxPollWait), 1900 * time.Millisecond, 2 * 1900 * time.Millisecond},
 		{map[string]any{"registry-mode": "push", "invariants": map[string]any{"stop-sending-within-ms": 1500.}}, true, time.Hour,
 			500 * time.Millisecond, time.Second, 1500 * time.Millisecond},
@@ -494,7 +494,7 @@
 					mu.Lock()
 					defer mu.Unlock()
 					asked = append(asked, query)
-					resumed := strings.HasSuffix(query, fmt.Sprintf("from=7&hold_ms=%d", holdLeast.Milliseconds()))
+					resumed := strings.HasSuffix(query, fmt.Sprintf("from=7&hold_ms=%d", resumeWait.Milliseconds()))
 					watched := strings.Contains(query, "from=7") && !resumed
 					switch {
 					case !had:
@@ -560,7 +560,7 @@
 			stop()
 			synctest.Wait()
 			for i := range at[1:] {
-				if gap := at[i+1].Sub(at[i]); gap > moveWait+10*time.Millisecond {
+				if gap := at[i+1].Sub(at[i]); gap > maxSwitchRetryWait+10*time.Millisecond {
 					t.Errorf("call %d came %v after the one before", i+1, gap)
 				}
 			}
--- a/internal/net/discovery/source.go
+++ b/internal/net/discovery/source.go
@@ -1,39 +1,46 @@
 package discovery
 
-// This file holds what is known of a discovery service, and with what a call for the list begins.
-
 import (
 	"errors"
-	"fmt"
 	"time"
 )
 
-// source is where the list comes from, and how far it was had from there.
+const (
+	// resumeWindow is how long after its last answer a service that has only rejected polls is taken to count versions as
+	// before. One that restarts and counts anew is silent or refuses connections for that long.
+	resumeWindow = 6 * time.Second
+
+	// resumeWait is the wait of a watch that resumes: the service answers at once, even if nothing has changed.
+	resumeWait = 1 * time.Millisecond
+)
+
+// source is a discovery service and the state of its endpoint list.
 type source struct {
-	address string
-	nth     int // one more with each move: what an earlier source says no longer counts
-	version int64
-	had     bool      // a watch goes on from that version
-	heard   time.Time // when it last answered, were it to turn a call away
-	crowded time.Time // when it last turned a call away
-	resumes bool      // it has only turned calls away since it was heard, so that what changed counts from that version on
+	address       string
+	generation    int   // increases with each switch; results of an earlier generation are discarded
+	version       int64 // of the last list
+	watching      bool  // the next call is a watch from version
+	resumable     bool  // since the last list every failure was a rejection (503), so changes since version can be requested
+	lastAnswer    time.Time
+	lastRejection time.Time // the last 503, which also counts as an answer
 }
 
-// query is that of a call for the list. A service that only turned calls away is asked for what changed since: that begins the
-// watch too, so a node takes one place in its line and not one for the list and the next for the watch.
-func (s *source) query() string {
-	if s.resumes && time.Since(s.heard) < resumeIn {
-		return fmt.Sprintf("?from=%d&hold_ms=%d", s.version, holdLeast.Milliseconds())
+// pollQuery returns the query of a poll: empty for the full list, or that of a watch which resumes from the last version.
+// Resuming costs an overloaded service one call in place of two, the full list and then a watch.
+func (s *source) pollQuery() string {
+	if s.resumable && time.Since(s.lastAnswer) < resumeWindow {
+		return watchQuery(s.version, resumeWait)
 	}
 	return ""
 }
 
-// fails notes how a call ended.
-func (s *source) fails(err error) {
-	crowded := errors.Is(err, errTooMany)
-	s.resumes = s.resumes && crowded
-	if crowded {
-		s.crowded = time.Now()
-		s.heard = s.crowded
+// recordFailure updates the state after a failed call.
+func (s *source) recordFailure(err error) {
+	if !errors.Is(err, errOverloaded) {
+		s.resumable = false
+		return
 	}
+	now := time.Now()
+	s.lastRejection = now
+	s.lastAnswer = now
 }
--- a/internal/net/discovery/switch.go
+++ b/internal/net/discovery/switch.go
@@ -1,99 +1,87 @@
 package discovery
 
-// This file holds the way to another discovery service, and the check on one that may count anew.
-
 import (
 	"context"
-	"math/rand/v2"
 	"time"
 
 	"go.uber.org/zap"
-
-	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// SwitchTo goes over to another source without a gap: the old one is followed until the new one has given its whole
-// list, however long that takes, and has no say from then on. The new one may count versions anew. A move that is
-// still under way leads to an address of the past and ends.
-func (f *Client) SwitchTo(ctx context.Context, address string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.stay()
-	ctx, f.stay = context.WithCancel(ctx)
-	go f.move(ctx, address)
+// maxSwitchRetryWait is the longest time between two polls of a new service: three fit into the 4 s that a switch may take.
+const maxSwitchRetryWait = 1 * time.Second
+
+// SwitchTo moves the client to the discovery service at address without a gap: the current one is followed until the new one has given a
+// full list, however long that takes, and is ignored from then on. The versions of the two are unrelated. A switch that is still under
+// way is abandoned. SwitchTo does not block; the switch ends with ctx.
+func (c *Client) SwitchTo(ctx context.Context, address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cancelSwitch()
+	ctx, c.cancelSwitch = context.WithCancel(ctx)
+	go c.switchTo(ctx, address)
 }
 
-func (f *Client) move(ctx context.Context, address string) {
-	ctx, arrived := context.WithCancel(ctx)
-	defer arrived()
-	again := make(chan struct{})
-	go func() {
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(moveWait/2 + rand.N(moveWait/2)): // spread, since all nodes may be told of it at once
-			}
-			select {
-			case <-ctx.Done():
-				return
-			case again <- struct{}{}:
-			}
-		}
-	}()
+func (c *Client) switchTo(ctx context.Context, address string) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	retry := make(chan struct{})
+	go c.tickSwitchRetries(ctx, retry)
 	for {
-		got, err := hedge(ctx, f, &source{address: address}, again) // nothing is put off for an earlier crowd: 4 s are all it has
-		if err == nil && f.arrive(ctx, source{address: address, version: got.version, had: true, heard: time.Now(), resumes: true}, got.boxes) {
-			f.log.Info("the box list comes from another address now", zap.String("discovery", address))
+		candidate := source{address: address} // never rejected so far: no poll is delayed, since a switch is urgent
+		list, err := c.hedgedPoll(ctx, &candidate, retry)
+		if err == nil && c.completeSwitch(ctx, address, list) {
+			c.log.Info("switched to another discovery service", zap.String("discovery", address))
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		f.log.Warn("the new address gives no box list yet, the old one stands", zap.String("discovery", address),
+		c.log.Warn("new discovery service has no endpoint list yet, keeping the current service", zap.String("discovery", address),
 			zap.Error(err))
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-retry:
 		}
 	}
 }
 
-// check has the whole list once beside a watch that was resumed. It guards against a service that turned calls away all through a
-// restart and counts anew: its versions may look like those before it, and what changed in between was never told.
-func (f *Client) check(ctx context.Context, of source) {
+// tickSwitchRetries sends to retry at random intervals, since all nodes may be told to switch at once.
+func (c *Client) tickSwitchRetries(ctx context.Context, retry chan<- struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(checkIn/2 + rand.N(checkIn/2)): // spread, lest it make a crowd
+		case <-time.After(maxSwitchRetryWait/2 + c.randomDuration(maxSwitchRetryWait/2)):
 		}
-		got, err := f.ask(ctx, of.address, "", answerIn)
-		f.mu.Lock()
-		same := err == nil && got.full && ctx.Err() == nil && of.nth == f.from.nth && got.version == f.from.version
-		if same { // a list of any other version could be older than what the watch brings just now
-			f.note(f.from, true, got.boxes)
-		}
-		if f.mu.Unlock(); same {
+		select {
+		case <-ctx.Done():
 			return
+		case retry <- struct{}{}:
 		}
 	}
 }
 
-// arrive makes a source the one that counts, with its first list.
-func (f *Client) arrive(ctx context.Context, at source, boxes []dispatch.Endpoint) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// completeSwitch makes the service at address the current one, with its first list. It reports false if the switch was abandoned.
+func (c *Client) completeSwitch(ctx context.Context, address string, list endpointList) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if ctx.Err() != nil {
 		return false
 	}
-	at.nth = f.from.nth + 1
-	f.note(at, true, boxes)
-	f.leave()
+	next := source{
+		address:    address,
+		generation: c.source.generation + 1,
+		version:    list.version,
+		watching:   true,
+		resumable:  true,
+		lastAnswer: time.Now(),
+	}
+	c.publishLocked(next, list)
+	c.cancelFollow()
 	select {
-	case f.moved <- struct{}{}:
-	default: // one is enough
+	case c.switched <- struct{}{}:
+	default: // one is pending, which is enough
 	}
 	return true
 }
--- a/internal/net/node/node_test.go
+++ b/internal/net/node/node_test.go
@@ -93,7 +93,7 @@
 	if err := <-ended; err != nil || time.Since(began) > 1300*time.Millisecond {
 		t.Errorf("ended after %v: %v", time.Since(began), err)
 	}
-	for _, line := range []string{"the list in the configuration can't be read, not up until the first one comes", "serving", "box list", "left"} {
+	for _, line := range []string{"the list in the configuration can't be read, not up until the first one comes", "serving", "endpoint list updated", "left"} {
 		if logs.FilterMessage(line).Len() != 1 {
 			t.Errorf("no line %q", line)
 		}
