--- a/internal/net/discovery/overload_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -5,7 +5,10 @@
 	"context"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net/http"
+	"os"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -264,6 +267,39 @@
 	}
 }
 
+// seedVariable sets the seed of a test's draws, to replay a run; else each run has another one.
+const seedVariable = "THISTLERUDDER_DISCOVERY_SEED"
+
+// testSeed returns the seed of this run, and prints it if the test fails.
+func testSeed(t *testing.T) uint64 {
+	t.Helper()
+	seed := rand.Uint64()
+	if text := os.Getenv(seedVariable); text != "" {
+		given, err := strconv.ParseUint(text, 10, 64)
+		if err != nil {
+			t.Fatalf("%s: %v", seedVariable, err)
+		}
+		seed = given
+	}
+	t.Cleanup(func() {
+		if t.Failed() {
+			t.Logf("replay with %s=%d", seedVariable, seed)
+		}
+	})
+	return seed
+}
+
+// seededDurations returns a source of a client's draws that may be used by several goroutines.
+func seededDurations(seed, stream uint64) func(time.Duration) time.Duration {
+	var mu sync.Mutex
+	r := rand.New(rand.NewPCG(seed, stream))
+	return func(limit time.Duration) time.Duration {
+		mu.Lock()
+		defer mu.Unlock()
+		return time.Duration(r.Int64N(int64(limit)))
+	}
+}
+
 // Watches that fall silent all at once end at times of their own, so that each node has its list again within 2 s of its watch's wait, also
 // where the service takes some tenths of a second for each call.
 func TestSilentWatchesDoNotEndTogether(t *testing.T) {
@@ -274,6 +310,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	drawSeed := testSeed(t)
 	late, worst := 0, time.Duration(0)
 	const days, partMost = 120, 200 // so that a few by chance, of waits that are drawn, are told from a crowd
 	for seed := range uint64(days) {
@@ -288,6 +325,7 @@
 				x := dispatch.New(terms, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 20*time.Second, zap.NewNop())
 				f.transport.RegisterProtocol("http", c)
+				f.randomDuration = seededDurations(drawSeed, seed*1000+uint64(n))
 				x.Start(seed*1000+uint64(n), nil, f)
 				if err := f.LoadCached([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, box))); err != nil {
 					t.Error(err)
@@ -298,9 +336,10 @@
 			stop()
 			wg.Wait()
 			synctest.Wait()
-			for _, c := range callers {
+			for n, c := range callers {
 				if worst = max(worst, c.behind); c.behind > most {
 					late++
+					t.Logf("day %d, node %d: the list %v after a silent watch's wait", seed, n, c.behind)
 				}
 				if c.behind == 0 {
 					t.Error("a watch did not fall silent")
