--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -37,7 +37,7 @@
 var wallFiles = map[string]string{
 	"internal/clock/clock.go":           "the one place that reads the wall clock",
 	"internal/net/dispatch/clock.go":    "start times on the list are Unix times",
-	"internal/net/ejection/registry.go": "bans are kept beside start times on the list, as Unix times",
+	"internal/net/ejection/registry.go": "ejections are kept beside start times on the list, as Unix times",
 	"internal/cluster/client.go":        "tells processes apart, by no order",
 	"internal/cluster/tasks.go":         "periods of the roll-up are the wall clock's",
 }
--- a/internal/net/ejection/faults_test.go
+++ b/internal/net/ejection/faults_test.go
@@ -13,7 +13,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// What the other process of a node was told is read again where reading it failed for want of descriptors or by the disk: the ban is in
+// An ejection by the other process of a node is read again after a read failed for lack of descriptors or by the disk: it is in
 // force in both.
 func TestABanIsReadAgainAfterAFailure(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
@@ -25,13 +25,13 @@
 		for range 3 {
 			other.Refresh()
 		}
-		if ids := other.out(); !slices.Equal(ids, []string{"a"}) {
+		if ids := other.ejected(); !slices.Equal(ids, []string{"a"}) {
 			t.Errorf("%v: out are %v, want a", err, ids)
 		}
 	}
 }
 
-// A call that comes while the file can't be read is refused, and loses nothing of what the other process was told: written from what
+// A call while the file cannot be read fails, and loses no ejection of the other process: written from what
 // this process knew, the file would lack it.
 func TestAChangeKeepsWhatCannotBeRead(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
@@ -46,15 +46,15 @@
 		kernel.Fail(nil)
 		must(t, other.Eject("c"))
 		one.Refresh()
-		for _, each := range []*reader{one, other} {
-			if ids := each.out(); !slices.Equal(ids, []string{"a", "c"}) {
+		for _, each := range []*process{one, other} {
+			if ids := each.ejected(); !slices.Equal(ids, []string{"a", "c"}) {
 				t.Errorf("%v: out are %v, want a and c", err, ids)
 			}
 		}
 	}
 }
 
-// A call whose reading is only interrupted goes through, and keeps what the other process was told.
+// A call whose reading is only interrupted goes through, and keeps the ejections of the other process.
 func TestAnInterruptedReadIsMadeAgain(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	folder := t.TempDir()
@@ -62,7 +62,7 @@
 	must(t, one.Eject("a"))
 	kernel.FailTimes(kernel.ReadFile, syscall.EINTR, 3)
 	must(t, other.Eject("b"))
-	if ids := other.out(); !slices.Equal(ids, []string{"a", "b"}) {
+	if ids := other.ejected(); !slices.Equal(ids, []string{"a", "b"}) {
 		t.Errorf("out are %v, want a and b", ids)
 	}
 }
--- /dev/null
+++ b/internal/net/ejection/file.go
@@ -0,0 +1,141 @@
+package ejection
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/kernel"
+)
+
+const (
+	fileSuffix = ".bans"
+	lockSuffix = ".lock" // after fileSuffix
+
+	maxFileBytes         = 1 << 20 // more than maxEntries take
+	readErrorLogInterval = 5 * time.Second
+	lockTimeout          = 500 * time.Millisecond // an operator's call is answered within 1 s
+	lockRetryInterval    = 5 * time.Millisecond
+)
+
+var (
+	// errNoEntries says that there is no file, or that it holds something else.
+	errNoEntries      = errors.New("ejections: the file has no valid entries")
+	errFileTooLong    = fmt.Errorf("ejections: the file is longer than %d bytes", maxFileBytes)
+	errTooManyEntries = fmt.Errorf("ejections: the file has more than %d entries", maxEntries)
+)
+
+// fileVersion tells one state of the file from the next: each write makes a new file.
+type fileVersion struct {
+	inode    uint64
+	size     int64
+	modified time.Time
+}
+
+func versionOf(path string) (fileVersion, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return fileVersion{}, err
+	}
+	version := fileVersion{size: info.Size(), modified: info.ModTime()}
+	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
+		version.inode = stat.Ino
+	}
+	return version, nil
+}
+
+// read returns the entries of the file, errNoEntries if it has none, or another error if it cannot be read at present.
+func (r *Registry) read() ([]Entry, error) {
+	version, err := versionOf(r.path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, errNoEntries
+	}
+	var text []byte
+	if err == nil && version.size <= maxFileBytes {
+		text, err = kernel.FileText(r.path)
+	}
+	if err != nil {
+		r.logReadError(err) // lastRead stays, so that the next Refresh reads the file again
+		return nil, fmt.Errorf("ejections: file cannot be read: %w", err)
+	}
+	knownInvalid := r.lastRead == version
+	r.lastRead = version
+	entries, err := parse(text, version.size)
+	if err != nil {
+		if !knownInvalid {
+			r.log.Error("ejections file is invalid, keeping the ejections in memory", zap.Error(err))
+		}
+		return nil, errNoEntries
+	}
+	return entries, nil
+}
+
+// parse returns the entries of a file's text; size is the file's, whose text is not read if it is too long.
+func parse(text []byte, size int64) ([]Entry, error) {
+	if size > maxFileBytes {
+		return nil, errFileTooLong
+	}
+	var entries []Entry
+	if err := json.Unmarshal(text, &entries); err != nil {
+		return nil, err
+	}
+	if len(entries) > maxEntries {
+		return nil, errTooManyEntries
+	}
+	return entries, nil
+}
+
+func (r *Registry) logReadError(err error) {
+	now := time.Now()
+	if now.Sub(r.readErrorLogged) < readErrorLogInterval {
+		return
+	}
+	r.readErrorLogged = now
+	r.log.Error("ejections file cannot be read, keeping the ejections in memory", zap.Error(err))
+}
+
+// write replaces the file. A process killed at any moment leaves the old or the new one.
+func (r *Registry) write(entries []Entry) error {
+	if r.path == "" {
+		return nil
+	}
+	text, err := json.Marshal(entries)
+	if err != nil {
+		return err
+	}
+	if err := kernel.PutFile(r.path, text); err != nil {
+		return err
+	}
+	if r.lastRead, err = versionOf(r.path); err != nil {
+		r.logReadError(err) // the file is written; the next Refresh reads it
+	}
+	return nil
+}
+
+// lock keeps other processes from writing until the returned function is called or this process ends.
+func lock(path string) (unlock func(), err error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+		err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+		if err == nil {
+			return func() { _ = file.Close() }, nil
+		}
+		if !retriable(err) || time.Now().After(deadline) {
+			_ = file.Close()
+			return nil, fmt.Errorf("ejections: file is locked: %w", err)
+		}
+	}
+}
+
+func retriable(err error) bool {
+	return errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, syscall.EINTR)
+}
--- a/internal/net/ejection/registry_test.go
+++ b/internal/net/ejection/registry_test.go
@@ -15,28 +15,28 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// reader is a process: a book and what it was told.
-type reader struct {
+// process is one process of a node: its registry and what the registry last passed on.
+type process struct {
 	*Registry
-	mu   sync.Mutex
-	told []Entry
+	mu       sync.Mutex
+	notified []Entry
 }
 
-func open(folder string, log *zap.Logger) *reader {
-	r := &reader{}
+func open(folder string, log *zap.Logger) *process {
+	r := &process{}
 	r.Registry = Open(folder, "n", func(entries []Entry) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.told = entries
+		r.notified = entries
 	}, log)
 	return r
 }
 
-// out gives the ids that are out, as told, in order.
-func (r *reader) out() (ids []string) {
+// ejected returns the ids that are ejected, as last passed on, in order.
+func (r *process) ejected() (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.told {
+	for _, e := range r.notified {
 		if e.RestoredAt == 0 {
 			ids = append(ids, e.ID)
 		}
@@ -60,16 +60,16 @@
 		time.Sleep(2 * time.Millisecond)
 		must(t, b.Eject("a"))
 		must(t, b.Eject("b"))
-		if got := b.out(); !slices.Equal(got, []string{"a", "b"}) || b.entries[0].EjectedAt != first {
+		if got := b.ejected(); !slices.Equal(got, []string{"a", "b"}) || b.entries[0].EjectedAt != first {
 			t.Errorf("%v, out since %d and then %d", got, first, b.entries[0].EjectedAt)
 		}
 		must(t, b.Restore("a"))
 		must(t, b.Restore("never out"))
-		if got := b.out(); !slices.Equal(got, []string{"b"}) || !b.Contains("a") || b.Contains("never out") {
+		if got := b.ejected(); !slices.Equal(got, []string{"b"}) || !b.Contains("a") || b.Contains("never out") {
 			t.Errorf("%v %+v", got, b.entries)
 		}
 		must(t, b.Eject("a"))
-		if got := b.out(); !slices.Equal(got, []string{"a", "b"}) {
+		if got := b.ejected(); !slices.Equal(got, []string{"a", "b"}) {
 			t.Errorf("%v", got)
 		}
 	}
@@ -81,14 +81,14 @@
 	one, other := open(folder, zap.NewNop()), open(folder, zap.NewNop())
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	for _, r := range []*reader{one, other} {
+	for _, r := range []*process{one, other} {
 		go r.Follow(ctx, 2*time.Millisecond)
 	}
 	var calls sync.WaitGroup
 	var want []string
 	for i := range 40 {
 		id := fmt.Sprintf("s%02d", i)
-		r := []*reader{one, other}[i%2]
+		r := []*process{one, other}[i%2]
 		calls.Go(func() {
 			if err := r.Eject(id); err != nil {
 				t.Error(err)
@@ -105,14 +105,14 @@
 	}
 	calls.Wait()
 	time.Sleep(50 * time.Millisecond)
-	for _, r := range []*reader{one, other, open(folder, zap.NewNop())} {
-		if got := r.out(); !slices.Equal(got, want) {
+	for _, r := range []*process{one, other, open(folder, zap.NewNop())} {
+		if got := r.ejected(); !slices.Equal(got, want) {
 			t.Errorf("%v, want %v", got, want)
 		}
 	}
 }
 
-// A file cut at any byte, or of noise, invents no ban and takes none back, and one line tells of it.
+// A file that is truncated at any byte, or is no list, adds no ejection and ends none, and is logged once.
 func TestAFileThatCannotBeReadIsNone(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "n.bans")
@@ -122,7 +122,7 @@
 	}
 	whole, err := os.ReadFile(path)
 	must(t, err)
-	spoilt := [][]byte{[]byte("noise"), []byte(`{"id":"x"}`), []byte(`[{"id":7}]`), bytes.Repeat([]byte(" "), fileMost+1)}
+	spoilt := [][]byte{[]byte("noise"), []byte(`{"id":"x"}`), []byte(`[{"id":7}]`), bytes.Repeat([]byte(" "), maxFileBytes+1)}
 	for i := range len(whole) {
 		spoilt = append(spoilt, whole[:i])
 	}
@@ -133,31 +133,31 @@
 		fresh := open(folder, zap.New(core))
 		fresh.Refresh()
 		fresh.Refresh()
-		if len(fresh.out()) != 0 || logs.FilterMessage("the bans can't be read, those known stand").Len() != 1 {
-			t.Fatalf("%.40q: %v, %d lines", text, fresh.out(), logs.Len())
+		if len(fresh.ejected()) != 0 || logs.FilterMessage("ejections file is invalid, keeping the ejections in memory").Len() != 1 {
+			t.Fatalf("%.40q: %v, %d lines", text, fresh.ejected(), logs.Len())
 		}
-		if b.Refresh(); !slices.Equal(b.out(), []string{"a", "b"}) {
-			t.Fatalf("%.40q takes bans back: %v", text, b.out())
+		if b.Refresh(); !slices.Equal(b.ejected(), []string{"a", "b"}) {
+			t.Fatalf("%.40q ends ejections: %v", text, b.ejected())
 		}
 	}
 	must(t, b.Eject("c")) // and the next call writes it whole again
-	if got := open(folder, zap.NewNop()).out(); !slices.Equal(got, []string{"a", "b", "c"}) {
+	if got := open(folder, zap.NewNop()).ejected(); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("%v", got)
 	}
 }
 
-// A list that can't be written is not changed at all, and the caller is told.
+// A list that cannot be written is not changed, and the caller gets an error.
 func TestWhatCannotBeKeptHasNotHappened(t *testing.T) {
 	folder := t.TempDir()
 	b := open(folder, zap.NewNop())
 	must(t, b.Eject("a"))
 	must(t, os.Mkdir(filepath.Join(folder, "n.bans.new"), 0o700))
-	if err := b.Eject("b"); err == nil || !slices.Equal(b.out(), []string{"a"}) {
-		t.Errorf("%v: %v", err, b.out())
+	if err := b.Eject("b"); err == nil || !slices.Equal(b.ejected(), []string{"a"}) {
+		t.Errorf("%v: %v", err, b.ejected())
 	}
 	must(t, os.Remove(filepath.Join(folder, "n.bans.new")))
-	for i := range most + 1 {
-		if err := b.Eject(fmt.Sprint("s", i)); (err != nil) != (i >= most-1) {
+	for i := range maxEntries + 1 {
+		if err := b.Eject(fmt.Sprint("s", i)); (err != nil) != (i >= maxEntries-1) {
 			t.Fatalf("call %d: %v", i, err)
 		}
 	}
--- a/internal/net/handover/faults_test.go
+++ b/internal/net/handover/faults_test.go
@@ -9,7 +9,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// A look at the seats that fails tells nothing of the others: taken for nobody, it would give this process the parts of the limits that
+// A count of the members that fails changes nothing: taken for none, it would give this process the share of the limits that
 // another one uses.
 func TestALookThatFailsTellsNothing(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
@@ -38,12 +38,12 @@
 	}
 }
 
-// A seat is found where a lock was interrupted.
-func TestASeatIsFoundThoughALockWasInterrupted(t *testing.T) {
+// A slot is found where a lock was interrupted.
+func TestASlotIsFoundThoughALockWasInterrupted(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	kernel.FailTimes(kernel.Lock, syscall.EINTR, 3)
 	s, err := Join(t.TempDir(), "n")
-	if err != nil || s.nth != 0 {
-		t.Errorf("seat %d, %v", s.nth, err)
+	if err != nil || s.slot != 0 {
+		t.Errorf("slot %d, %v", s.slot, err)
 	}
 }
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -111,16 +111,16 @@
 	}
 }
 
-func TestSeatsAreSeenAndGivenUp(t *testing.T) {
+func TestMembersAreCountedAndLeave(t *testing.T) {
 	folder := t.TempDir()
-	sit := func(name string) *Membership {
+	join := func(name string) *Membership {
 		s, err := Join(folder, name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
-	one, stranger := sit("n"), sit("another node")
+	one, stranger := join("n"), join("another node")
 	if one.Others() != 0 || stranger.Others() != 0 {
 		t.Error("nobody else is there")
 	}
@@ -128,11 +128,11 @@
 	defer stop()
 	told := make(chan int, 10)
 	go one.Follow(ctx, 0, time.Millisecond, func(n int) { told <- n })
-	other := sit("n")
+	other := join("n")
 	if n := <-told; n != 1 || other.Others() != 1 {
 		t.Errorf("%d and %d others, want one each", n, other.Others())
 	}
-	third := sit("n")
+	third := join("n")
 	if n := <-told; n != 2 {
 		t.Errorf("%d others, want two", n)
 	}
@@ -140,11 +140,11 @@
 	other.Leave()
 	for n := <-told; n != 0; n = <-told {
 	}
-	if again := sit("n"); again.nth != 1 {
-		t.Errorf("seat %d, want the one that was given up", again.nth)
+	if again := join("n"); again.slot != 1 {
+		t.Errorf("slot %d, want the one that was left", again.slot)
 	}
 	if s, err := Join("", "n"); err != nil || s.Others() != 0 {
-		t.Error("without a folder nobody is seen")
+		t.Error("without a folder no member is seen")
 	}
 	if _, err := Join(folder+"/none", "n"); err == nil {
 		t.Error("a folder that isn't there must be told")
--- a/internal/net/handover/membership.go
+++ b/internal/net/handover/membership.go
@@ -13,83 +13,99 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// seats is how many processes of one node may serve at once; two do, and a few more may overlap when one is killed.
-const seats = 8
+const (
+	// maxProcesses is how many processes of one node may serve at once: two during an upgrade, more when some are killed.
+	maxProcesses = 8
 
-// Membership is one process's place among those that serve as one node. It is a lock on one byte of a file, which ends with
-// its owner however that ends; a number in a file would outlive it.
+	fileSuffix = ".seats"
+)
+
+// ErrTooManyProcesses says that no further process can join.
+var ErrTooManyProcesses = fmt.Errorf("handover: %d processes of this node serve already", maxProcesses)
+
+// Membership is one process's entry among those that serve as one node: a lock on one byte of a file that they share. The kernel releases
+// it however the process ends. The methods may be called from several goroutines.
 type Membership struct {
-	nth int64
+	slot int64 // the byte that is locked
 
-	mu   sync.Mutex
-	file *os.File // nil: this process knows of no other
-	seen int      // others, at the latest look that went through
+	mu         sync.Mutex
+	file       *os.File // nil: not a member, or no folder
+	lastOthers int      // result of the last count that succeeded
 }
 
-// Join takes a seat. Without a folder there is nobody to be seen.
+// Join makes this process a member, by the file name.seats in folder. Without a folder it is the only one. The Membership is never nil;
+// with an error it counts no others.
 func Join(folder, name string) (*Membership, error) {
 	if folder == "" {
 		return &Membership{}, nil
 	}
-	f, err := os.OpenFile(filepath.Join(folder, name+".seats"), os.O_CREATE|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(filepath.Join(folder, name+fileSuffix), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return &Membership{}, err
 	}
-	for nth := range int64(seats) {
-		if kernel.FileLock(f.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: nth, Len: 1}) == nil {
-			return &Membership{file: f, nth: nth}, nil
+	for slot := range int64(maxProcesses) {
+		if kernel.FileLock(file.Fd(), unix.F_OFD_SETLK, slotLock(slot)) == nil {
+			return &Membership{file: file, slot: slot}, nil
 		}
 	}
-	_ = f.Close()
-	return &Membership{}, fmt.Errorf("%d processes serve already", seats)
+	_ = file.Close()
+	return &Membership{}, ErrTooManyProcesses
+}
+
+// slotLock describes a write lock on the byte of a slot.
+func slotLock(slot int64) *unix.Flock_t {
+	return &unix.Flock_t{Type: unix.F_WRLCK, Start: slot, Len: 1}
 }
 
-// Others counts the other processes that serve. It only asks: a lock tried and given back would be seen as one.
-func (s *Membership) Others() (n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.file == nil {
+// Others returns the number of other members, or that of the last count if this one fails. It only queries the locks: a lock that is taken
+// to test it would count as a member elsewhere.
+func (m *Membership) Others() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.file == nil {
 		return 0
 	}
-	for nth := range int64(seats) {
-		at := unix.Flock_t{Type: unix.F_WRLCK, Start: nth, Len: 1}
-		if nth == s.nth {
+	others := 0
+	for slot := range int64(maxProcesses) {
+		if slot == m.slot {
 			continue
 		}
-		if kernel.FileLock(s.file.Fd(), unix.F_OFD_GETLK, &at) != nil {
-			return s.seen // nothing is known: what was stands
+		lock := slotLock(slot)
+		if kernel.FileLock(m.file.Fd(), unix.F_OFD_GETLK, lock) != nil {
+			return m.lastOthers
 		}
-		if at.Type != unix.F_UNLCK {
-			n++
+		if lock.Type != unix.F_UNLCK {
+			others++
 		}
 	}
-	s.seen = n
-	return n
+	m.lastOthers = others
+	return others
 }
 
-// Follow tells whenever the number of others has changed from what it was, until the context ends.
-func (s *Membership) Follow(ctx context.Context, was int, every time.Duration, tell func(others int)) {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+// Follow counts the other members at each interval and calls onChange when the number differs from the last, at first from last, until ctx
+// ends.
+func (m *Membership) Follow(ctx context.Context, last int, interval time.Duration, onChange func(others int)) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		if n := s.Others(); n != was {
-			was = n
-			tell(n)
+		if others := m.Others(); others != last {
+			last = others
+			onChange(others)
 		}
 	}
 }
 
-// Leave gives the seat up.
-func (s *Membership) Leave() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.file != nil {
-		_ = s.file.Close()
-		s.file = nil
+// Leave ends the membership. It may be called more than once.
+func (m *Membership) Leave() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.file != nil {
+		_ = m.file.Close()
+		m.file = nil
 	}
 }
--- a/internal/net/handover/socket.go
+++ b/internal/net/handover/socket.go
@@ -1,5 +1,5 @@
-// Package handover is how a node's process takes the place of another without a gap: the clients' socket that the
-// platform passes on, who else serves under the same name, and which part of the limits is ours meanwhile.
+// Package handover lets a process of a node take over from another without a gap: it opens the clients' socket that the platform passes on,
+// and counts the processes that serve as the same node, among which the node's limits are split.
 package handover
 
 import (
@@ -10,24 +10,25 @@
 	"syscall"
 )
 
-var errNoSocket = errors.New("expected a listening TCP socket, as $BALANCER_PASSED_SOCKET says")
+// ErrNoSocket says that a descriptor is not a listening TCP socket.
+var ErrNoSocket = errors.New("expected a listening TCP socket, as $BALANCER_PASSED_SOCKET says")
 
-// Socket gives the listener at a descriptor that this process was started with. The socket lives on with whoever else
-// holds it when the listener is closed, and so does its queue.
+// Socket returns the listener on a descriptor that this process was started with, or ErrNoSocket. Other processes that have the socket keep it,
+// and its queue, when the listener is closed.
 func Socket(descriptor int) (net.Listener, error) {
 	listening, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil || listening == 0 {
-		return nil, errors.Join(fmt.Errorf("descriptor %d: %w", descriptor, errNoSocket), err)
+		return nil, errors.Join(fmt.Errorf("descriptor %d: %w", descriptor, ErrNoSocket), err)
 	}
-	f := os.NewFile(uintptr(descriptor), "clients' socket")
-	defer f.Close() // the listener has a descriptor of its own
-	l, err := net.FileListener(f)
+	file := os.NewFile(uintptr(descriptor), "clients' socket")
+	defer file.Close() // the listener has a descriptor of its own
+	listener, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d: %w: %w", descriptor, errNoSocket, err)
+		return nil, fmt.Errorf("descriptor %d: %w: %w", descriptor, ErrNoSocket, err)
 	}
-	if _, ok := l.(*net.TCPListener); !ok {
-		_ = l.Close()
-		return nil, fmt.Errorf("descriptor %d: %w", descriptor, errNoSocket)
+	if _, ok := listener.(*net.TCPListener); !ok {
+		_ = listener.Close()
+		return nil, fmt.Errorf("descriptor %d: %w", descriptor, ErrNoSocket)
 	}
-	return l, nil
+	return listener, nil
 }
