--- a/cmd/thistlerudder/descriptors_test.go
+++ b/cmd/thistlerudder/descriptors_test.go
@@ -197,7 +197,7 @@
 	idle.fill(p.listen, most/2, func(i int) bool { return i%3 == 0 }) // in it
 	old.change("b", "Terminating")
 	operators("in the outage")
-	reload("in the outage", "configuration read anew")
+	reload("in the outage", "configuration reloaded")
 	late(30)
 	idle.fill(p.listen, most/2, func(int) bool { return false }) // at its end
 	old.up()
--- a/cmd/thistlerudder/ready_test.go
+++ b/cmd/thistlerudder/ready_test.go
@@ -272,7 +272,7 @@
 		taken := listenAt(t, p.listen)
 		defer taken.Close()
 		p.start(t)
-		if !waitFor(readyIn, func() bool { return strings.Contains(p.log.String(), "an address is in use, waiting for it") }) {
+		if !waitFor(readyIn, func() bool { return strings.Contains(p.log.String(), "address is in use, waiting for it") }) {
 			t.Errorf("no line of its waiting:\n%s", tail(p.log.String()))
 		}
 		p.stop(t)
--- a/internal/net/acceptor/acceptor.go
+++ b/internal/net/acceptor/acceptor.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	pauseFirst = time.Millisecond      // before the first retry; it doubles with each further error in a row
-	pauseMost  = 16 * time.Millisecond // well under the shortest deadline of a request
-	logEvery   = time.Second           // between two lines of the log
+	minRetryWait = time.Millisecond      // before the first retry; it doubles with each further error in a row
+	maxRetryWait = 16 * time.Millisecond // well under the shortest deadline of a request
+	logInterval  = time.Second           // between two lines of the log
 )
 
 // Listener retries accept until it succeeds, the listener is closed, or the socket itself is unusable.
@@ -43,7 +43,7 @@
 // Accept gives the next connection. An error says that there will be no further one: the listener was closed, or its descriptor
 // is not a listening socket.
 func (l *Listener) Accept() (net.Conn, error) {
-	for pause := pauseFirst; ; pause = min(2*pause, pauseMost) {
+	for pause := minRetryWait; ; pause = min(2*pause, maxRetryWait) {
 		c, err := l.accept()
 		if err == nil || permanent(err) {
 			return c, err
@@ -80,7 +80,7 @@
 func (l *Listener) report(err error) {
 	l.errors++
 	now := time.Now()
-	if now.Sub(l.logged) < logEvery {
+	if now.Sub(l.logged) < logInterval {
 		return
 	}
 	l.log.Warn("accept failed and is tried again", zap.Error(err), zap.Int("errors", l.errors), zap.Stringer("address", l.Addr()))
--- a/internal/net/acceptor/acceptor_test.go
+++ b/internal/net/acceptor/acceptor_test.go
@@ -49,7 +49,7 @@
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with %v before it was closed", err)
-	case <-time.After(5 * pauseMost):
+	case <-time.After(5 * maxRetryWait):
 	}
 	_ = l.Close()
 	select {
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	headersMost = 4 << 10                // bytes of a call's head
-	headersIn   = 10 * time.Second       // for a head; who holds a place for longer gives way sooner anyway
-	answerIn    = 2 * time.Second        // for an answer to be written: it is small, and owed in one
-	bodyMost    = 64 << 10               // bytes of a body, which no call needs, that are read and ignored
-	bodyIn      = 300 * time.Millisecond // for those
-	idMost      = 256                    // bytes of an id; those on the list are far shorter
+	maxHeaderBytes    = 4 << 10                // bytes of a call's head
+	headerTimeout     = 10 * time.Second       // for a head; who holds a place for longer gives way sooner anyway
+	writeTimeout      = 2 * time.Second        // for an answer to be written: it is small, and owed in one
+	maxDiscardedBytes = 64 << 10               // bytes of a body, which no call needs, that are read and ignored
+	discardTimeout    = 300 * time.Millisecond // for those
+	maxIDBytes        = 256                    // bytes of an id; those on the list are far shorter
 )
 
 // ErrUnknownServer says that the list never told of a server.
@@ -45,21 +45,21 @@
 	Fleet() map[string]any
 }
 
-// Admin is the operators' address.
-type Admin struct {
+// Server is the operators' address.
+type Server struct {
 	log     *zap.Logger
 	node    Node
-	figures *metrics.Metrics
+	metrics *metrics.Metrics
 	server  *http.Server
-	places  *places
+	conns   *connLimiter
 }
 
 // New makes the address; most is how many connections it may hold.
-func New(n Node, f *metrics.Metrics, most int, log *zap.Logger) *Admin {
-	a := &Admin{log: log, node: n, figures: f, places: newPlaces(most)}
-	a.server = &http.Server{Handler: a, MaxHeaderBytes: headersMost, ReadHeaderTimeout: headersIn,
-		ReadTimeout: headersIn, WriteTimeout: headersIn + answerIn, ErrorLog: zap.NewStdLog(log),
-		ConnState: a.places.state,
+func New(n Node, f *metrics.Metrics, most int, log *zap.Logger) *Server {
+	a := &Server{log: log, node: n, metrics: f, conns: newPlaces(most)}
+	a.server = &http.Server{Handler: a, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
+		ReadTimeout: headerTimeout, WriteTimeout: headerTimeout + writeTimeout, ErrorLog: zap.NewStdLog(log),
+		ConnState: a.conns.state,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connection{}, c)
 		}}
@@ -70,19 +70,19 @@
 type connection struct{}
 
 // Serve answers until Close.
-func (a *Admin) Serve(l net.Listener) {
-	if err := a.server.Serve(a.places.over(acceptor.New(l, a.log))); !errors.Is(err, http.ErrServerClosed) {
+func (a *Server) Serve(l net.Listener) {
+	if err := a.server.Serve(a.conns.over(acceptor.New(l, a.log))); !errors.Is(err, http.ErrServerClosed) {
 		a.log.Error("the operators' address fails", zap.Error(err))
 	}
 }
 
 // Close ends the service at once.
-func (a *Admin) Close() { _ = a.server.Close() }
+func (a *Server) Close() { _ = a.server.Close() }
 
 // ServeHTTP answers one call.
-func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if c, ok := r.Context().Value(connection{}).(net.Conn); ok {
-		a.places.called(c)
+		a.conns.called(c)
 	}
 	control := http.NewResponseController(w)
 	_ = control.EnableFullDuplex() // a body is not waited for
@@ -95,8 +95,8 @@
 	if r.ContentLength != 0 {
 		// A connection closed with bytes unread is reset, and the answer with it.
 		_ = control.Flush()
-		_ = control.SetReadDeadline(time.Now().Add(bodyIn))
-		_, _ = io.CopyN(io.Discard, r.Body, bodyMost)
+		_ = control.SetReadDeadline(time.Now().Add(discardTimeout))
+		_, _ = io.CopyN(io.Discard, r.Body, maxDiscardedBytes)
 	}
 }
 
@@ -108,7 +108,7 @@
 	backPath    = "/maintenance/exit/"
 )
 
-func (a *Admin) answer(h http.Header, r *http.Request) (int, string) {
+func (a *Server) answer(h http.Header, r *http.Request) (int, string) {
 	path := r.URL.EscapedPath()
 	wanted := http.MethodGet
 	var act func() (int, string)
@@ -131,7 +131,7 @@
 	return act()
 }
 
-func (a *Admin) status() (int, string) {
+func (a *Server) status() (int, string) {
 	if a.node.Serving() {
 		return http.StatusOK, "clients are served\n"
 	}
@@ -139,9 +139,9 @@
 }
 
 // order hands on one call about a server.
-func (a *Admin) order(escaped, done string, do func(string) error) (int, string) {
+func (a *Server) order(escaped, done string, do func(string) error) (int, string) {
 	id, err := url.PathUnescape(escaped) // once
-	if err != nil || id == "" || len(id) > idMost {
+	if err != nil || id == "" || len(id) > maxIDBytes {
 		return http.StatusNotFound, "no such server\n"
 	}
 	switch err := do(id); {
@@ -156,15 +156,15 @@
 }
 
 // page gives the figures, a line each.
-func (a *Admin) page() string {
+func (a *Server) page() string {
 	var b strings.Builder
-	for _, name := range a.figures.Classes() {
-		ends := a.figures.Of(name)
+	for _, name := range a.metrics.Classes() {
+		ends := a.metrics.Of(name)
 		fmt.Fprintf(&b, "operations.%s.fulfilled=%d\noperations.%s.throttled=%d\noperations.%s.faulted=%d\n",
 			name, ends.Served.Load(), name, ends.Rejected.Load(), name, ends.Failed.Load())
 	}
-	fmt.Fprintf(&b, "relayed=%d\nopen_requests=%d\nregistry_entries=%d\nout_of_rotation=%d\n", a.figures.Written.Load(),
-		a.figures.Open.Load(), a.figures.Listed.Load(), a.figures.Avoided.Load())
+	fmt.Fprintf(&b, "relayed=%d\nopen_requests=%d\nregistry_entries=%d\nout_of_rotation=%d\n", a.metrics.Written.Load(),
+		a.metrics.Open.Load(), a.metrics.Listed.Load(), a.metrics.Avoided.Load())
 	a.reasons(&b)
 	fleet := a.node.Fleet()
 	for _, name := range slices.Sorted(maps.Keys(fleet)) {
@@ -174,12 +174,12 @@
 }
 
 // reasons writes why attempts were withheld and which rules the module's orders would have broken, a line for each reason that came up.
-func (a *Admin) reasons(to *strings.Builder) {
+func (a *Server) reasons(to *strings.Builder) {
 	for reason := admission.Granted + 1; reason < admission.Reasons; reason++ {
-		if n := a.figures.Denied[reason].Load(); n > 0 {
+		if n := a.metrics.Denied[reason].Load(); n > 0 {
 			fmt.Fprintf(to, "attempts.withheld.%v=%d\n", reason, n)
 		}
-		if n := a.figures.Violations[reason].Load(); n > 0 {
+		if n := a.metrics.Violations[reason].Load(); n > 0 {
 			fmt.Fprintf(to, "rules.violated.%v=%d\n", reason, n)
 		}
 	}
--- a/internal/net/admin/admin_test.go
+++ b/internal/net/admin/admin_test.go
@@ -104,10 +104,10 @@
 		{line("POST /maintenance/enter/full"), 500, "", "out full"},
 		{line("POST /maintenance/enter/"), 404, "", ""},
 		{line("POST /maintenance/enter"), 404, "", ""},
-		{line("POST /maintenance/enter/" + strings.Repeat("x", idMost+1)), 404, "", ""},
+		{line("POST /maintenance/enter/" + strings.Repeat("x", maxIDBytes+1)), 404, "", ""},
 		{"POST /maintenance/enter/s%2F1%25 HTTP/1.1\r\nHost: n\r\nContent-Length: 5\r\n\r\nhello", 200, "", "out s/1%"},
 		{"POST /maintenance/enter/s%2F1%25 HTTP/1.1\r\nHost: n\r\nContent-Length: 900000\r\n\r\nhello", 200, "", "out s/1%"},
-		{"GET /status HTTP/1.1\r\nHost: n\r\nX: " + strings.Repeat("x", 3*headersMost) + "\r\n\r\n", 431, "", ""},
+		{"GET /status HTTP/1.1\r\nHost: n\r\nX: " + strings.Repeat("x", 3*maxHeaderBytes) + "\r\n\r\n", 431, "", ""},
 		{"no HTTP at all\r\n\r\n", 400, "", ""},
 	} {
 		n.calls = nil
--- a/internal/net/admin/conns_test.go
+++ b/internal/net/admin/conns_test.go
@@ -32,10 +32,10 @@
 		fmt.Fprint(c, "GET /status HTTP/1.1\r\nHost: n\r\nContent-Length: 100\r\n\r\n")
 	}
 	highest := 0
-	for end := time.Now().Add(bodyIn / 2); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		a.places.mu.Lock()
-		highest = max(highest, len(a.places.held))
-		a.places.mu.Unlock()
+	for end := time.Now().Add(discardTimeout / 2); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		a.conns.mu.Lock()
+		highest = max(highest, len(a.conns.conns))
+		a.conns.mu.Unlock()
 	}
 	if highest != most {
 		t.Errorf("%d connections are held, want %d", highest, most)
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(began.Add(callers / most * 3 * bodyIn))
+	_ = c.SetDeadline(began.Add(callers / most * 3 * discardTimeout))
 	_, _ = io.WriteString(c, "GET /status HTTP/1.1\r\nHost: n\r\n\r\n")
 	answer := make([]byte, len("HTTP/1.1 200"))
 	if _, err := io.ReadFull(c, answer); err != nil || string(answer) != fmt.Sprintf("HTTP/1.1 %d", http.StatusOK) {
--- a/internal/net/node/admin.go
+++ b/internal/net/node/admin.go
@@ -15,80 +15,84 @@
 )
 
 const (
-	censusEvery = 200 * time.Millisecond // operators are owed figures 0.5 s old at most
-	bansEvery   = 10 * time.Millisecond  // what the other process was told: a small part of any drain's grace
+	endpointCountInterval = 200 * time.Millisecond // metrics are due 0.5 s old at most
+	ejectionsInterval     = 10 * time.Millisecond  // a small part of a drain's grace
 )
 
-// census keeps the figures of the box list fresh.
-func census(ctx context.Context, x *dispatch.Dispatcher) {
-	every := time.NewTicker(censusEvery)
-	defer every.Stop()
+// countEndpoints keeps the metrics of the endpoint list fresh until ctx ends.
+func countEndpoints(ctx context.Context, d *dispatch.Dispatcher) {
+	ticker := time.NewTicker(endpointCountInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
-			x.CountEndpoints()
+		case <-ticker.C:
+			d.CountEndpoints()
 		}
 	}
 }
 
-// operated is what operators' calls are about.
-type operated struct {
-	exchange *dispatch.Dispatcher
-	front    *frontend.Server
-	bans     *ejection.Registry
-	fleet    *cluster.Member // nil: there is none
+// adminNode is the node as the admin server sees it.
+type adminNode struct {
+	dispatcher *dispatch.Dispatcher
+	frontend   *frontend.Server
+	ejections  *ejection.Registry
+	member     *cluster.Member // nil: the node has no cluster
 }
 
-func (o operated) Fleet() map[string]any {
-	if o.fleet == nil {
+// Fleet returns the metrics of the node's cluster; nil if it has none.
+func (n adminNode) Fleet() map[string]any {
+	if n.member == nil {
 		return nil
 	}
-	return o.fleet.Metrics()
+	return n.member.Metrics()
 }
 
-func (o operated) Serving() bool { return o.exchange.Ready() && !o.front.Draining() }
+// Serving reports whether the node takes clients.
+func (n adminNode) Serving() bool { return n.dispatcher.Ready() && !n.frontend.Draining() }
 
-func (o operated) Eject(id string) error { return o.order(id, o.bans.Eject) }
+// Eject ejects a server, or returns admin.ErrUnknownServer.
+func (n adminNode) Eject(id string) error { return n.change(id, n.ejections.Eject) }
 
-func (o operated) Restore(id string) error { return o.order(id, o.bans.Restore) }
+// Restore ends the ejection of a server, or returns admin.ErrUnknownServer.
+func (n adminNode) Restore(id string) error { return n.change(id, n.ejections.Restore) }
 
-func (o operated) order(id string, do func(string) error) error {
-	if !o.exchange.WasListed(id) && !o.bans.Contains(id) {
+func (n adminNode) change(id string, change func(string) error) error {
+	if !n.dispatcher.WasListed(id) && !n.ejections.Contains(id) {
 		return admin.ErrUnknownServer
 	}
-	return do(id)
+	return change(id)
 }
 
-// bansOf opens the node's list of bans, for the exchange to follow.
-func bansOf(folder, name string, x *dispatch.Dispatcher, log *zap.Logger) *ejection.Registry {
+// openEjections opens the node's ejections, which the dispatcher follows.
+func openEjections(folder, name string, d *dispatch.Dispatcher, log *zap.Logger) *ejection.Registry {
 	return ejection.Open(folder, name, func(entries []ejection.Entry) {
 		all := make([]dispatch.Ejection, 0, len(entries))
 		for _, e := range entries {
 			all = append(all, dispatch.Ejection{ID: e.ID, EjectedAt: float64(e.EjectedAt), RestoredAt: float64(e.RestoredAt)})
 		}
-		x.SetEjections(all)
+		d.SetEjections(all)
 	}, log)
 }
 
-// fileName begins the names of what one node keeps: other nodes may be given the same folder.
+// fileName returns the prefix of the node's file names: several nodes may share a folder.
 func fileName(listen string) string {
 	return "thistlerudder-" + strings.NewReplacer(":", "_", "/", "_").Replace(listen)
 }
 
-// fleetSide is what the fleet's tasks need of this node.
-type fleetSide struct{ *dispatch.Dispatcher }
+// localNode is the node as the cluster's tasks see it.
+type localNode struct{ *dispatch.Dispatcher }
 
-// Metrics gives the totals of all namespaces.
-func (s fleetSide) Metrics() map[string]int64 {
-	f := s.Dispatcher.Metrics()
-	all := map[string]int64{"shots": f.Written.Load(), "open": f.Open.Load()}
-	for _, name := range f.Classes() {
-		ends := f.Of(name)
-		all["resolved"] += ends.Served.Load()
-		all["deferred"] += ends.Rejected.Load()
-		all["abandoned"] += ends.Failed.Load()
+// Metrics returns the totals of all classes. The cluster stores and reports the keys.
+func (n localNode) Metrics() map[string]int64 {
+	m := n.Dispatcher.Metrics()
+	totals := map[string]int64{"shots": m.Written.Load(), "open": m.Open.Load()}
+	for _, name := range m.Classes() {
+		class := m.Of(name)
+		totals["resolved"] += class.Served.Load()
+		totals["deferred"] += class.Rejected.Load()
+		totals["abandoned"] += class.Failed.Load()
 	}
-	return all
+	return totals
 }
--- a/internal/net/node/admin_test.go
+++ b/internal/net/node/admin_test.go
@@ -186,7 +186,7 @@
 	if n := load(100); n["a"] != 0 {
 		t.Errorf("a is out and listed anew: %v", n)
 	}
-	time.Sleep(censusEvery)
+	time.Sleep(endpointCountInterval)
 	if out, listed := figure(s.Admin, "out_of_rotation"), figure(s.Admin, "registry_entries"); out != 1 || listed != 2 {
 		t.Errorf("out_of_rotation=%d of registry_entries=%d", out, listed)
 	}
--- a/internal/net/node/answers_test.go
+++ b/internal/net/node/answers_test.go
@@ -68,7 +68,7 @@
 							broken++
 						}
 					}
-					if size > bodyMost && how == "resets" && broken == 0 {
+					if size > maxBufferedBodyBytes && how == "resets" && broken == 0 {
 						t.Error("no answer has begun") // all were turned away
 					}
 					g := &gated{world: w, station: s}
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -316,8 +316,8 @@
 		s.t.Fatal(err)
 	}
 	s.x = dispatch.New(d, zap.NewNop())
-	carrier := upstream.New(upstream.Limits{Descriptors: 32, MaxAttempts: 32, ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, MaxBuffered: bodyMost,
-		MaxStreamed: longMost}, zap.NewNop())
+	carrier := upstream.New(upstream.Limits{Descriptors: 32, MaxAttempts: 32, ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, MaxBuffered: maxBufferedBodyBytes,
+		MaxStreamed: maxStreamedBodyBytes}, zap.NewNop())
 	s.t.Cleanup(carrier.Close)
 	s.x.Start(1, &steered{Client: carrier, tries: map[string]int{}, steer: s.steer}, unlisted{})
 	list := []dispatch.Endpoint{{ID: "z", Address: "z:1", Model: "origin"}}
@@ -325,7 +325,7 @@
 		list = append(list, dispatch.Endpoint{ID: id, Address: id + ":1", Model: "box"})
 	}
 	s.x.UpdateEndpoints(routing.Full, list)
-	front := frontend.New(s.x, frontend.Limits{Descriptors: 16, OverflowConns: 2, MaxDeadline: d.MaxDeadline, MaxBuffered: bodyMost, MaxStreamed: longMost}, zap.NewNop())
+	front := frontend.New(s.x, frontend.Limits{Descriptors: 16, OverflowConns: 2, MaxDeadline: d.MaxDeadline, MaxBuffered: maxBufferedBodyBytes, MaxStreamed: maxStreamedBodyBytes}, zap.NewNop())
 	l := loopback(s.t)
 	return l.Addr().String(), func() { go func() { _ = front.Serve(l) }() }
 }
@@ -359,7 +359,7 @@
 		s.await(s.fetching, "the other's fetch")
 	}
 	c := s.dial(address)
-	half := xs[:map[string]int{itsBody: bodyMost, muchOfIt: len(xs), bothOf: len(xs)}[w.place]]
+	half := xs[:map[string]int{itsBody: maxBufferedBodyBytes, muchOfIt: len(xs), bothOf: len(xs)}[w.place]]
 	written := make(chan bool)
 	go func() {
 		defer close(written)
--- a/internal/net/node/left_test.go
+++ b/internal/net/node/left_test.go
@@ -152,7 +152,7 @@
 // end these as well where a connection is late.
 func TestALookupWhoseClientLeftIsNotSentOn(t *testing.T) {
 	const behind = "\x00" // stands for more bytes behind the lookup
-	half := strings.Repeat("x", bodyMost)
+	half := strings.Repeat("x", maxBufferedBodyBytes)
 	for _, c := range []struct {
 		place, hold, miss string
 		deaf, queue       bool
--- a/internal/net/node/limits.go
+++ b/internal/net/node/limits.go
@@ -11,106 +11,142 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
+// Bounds on bodies, in bytes.
 const (
-	bodyMost       = 64 << 10 // bytes of a body that is held whole, so that it can be sent again
-	longMost       = 32 << 20 // bytes of one that is passed on as it comes; the operators' bound
-	reservePart    = 16       // a sixteenth of the descriptors is for the list, the log and the runtime,
-	reserveMost    = 64       // and more than this is never needed,
-	reserveOwn     = 16       // nor less than this beside what is open at the start: reserved below says for what
-	openUsually    = 8        // at the start, where that can't be seen: standard streams, the poller, what cores we may use
-	inheritedMost  = 32       // of those, as far as they can be counted; more would leave a small node nothing
-	operatorsMost  = 32       // connections at the operators' address, its listener included: few call at once, but
-	operatorsLeast = 12       // some hold one for seconds;
-	operatorsPart  = 3        // yet never over a third of what is left where a process has few,
-	operatorsFew   = 3        // nor under this
-	fleetOwn       = 12       // of a node in a fleet: its address, its log and snapshots, what it asks; and for each voter
-	fleetVoter     = 8        // the library's connections and an asking, to it and from it;
-	fleetNodes     = 64       // one for each node that may ask it, and for so many at the least,
-	fleetPart      = 2        // yet never over half of what is left
-	fleetLeast     = 8        // connections from fellows: fewer hold not even voters
-	beyondPart     = 8        // an eighth of the clients' may be connections that are turned away
-	clientsLeast   = 2        // below these a process can't work at all: where a limit is lower still, it runs short
-	serversLeast   = 2
-	memoryPart     = 0.7 // share of the memory limit for the Go heap; stacks and the kernel's part come on top
-	gcPercent      = 300 // with the memory limit as the real bound, fewer collections
+	maxBufferedBodyBytes = 64 << 10 // up to this a body is buffered, so that it can be sent again
+	maxStreamedBodyBytes = 32 << 20
 )
 
-// limits is how a node's limits are split.
+// The reserve of descriptors that no connection may take; process.reserved says for what.
+const (
+	reserveDivisor          = 16 // a sixteenth of the descriptors,
+	maxDividedReserve       = 64 // up to this,
+	ownReserve              = 16 // and at least this beside what is open at the start
+	assumedOpenDescriptors  = 8  // at the start, where that is unknown: standard streams, the poller, the CPU limits
+	maxInheritedDescriptors = 32 // counted at most; more would leave a small node nothing
+)
+
+// Connections of the admin address, its listener included. Callers are few but may keep a connection for seconds.
+const (
+	maxAdminConns       = 32
+	preferredAdminConns = 12
+	adminDivisor        = 3 // at most a third of the descriptors that are left,
+	minAdminConns       = 3 // but at least this
+)
+
+// Descriptors of a node in a cluster.
+const (
+	clusterReserve = 12 // its listener, its log and snapshots, its own calls
+	connsPerVoter  = 8  // consensus connections and calls, in both directions
+	minNodeConns   = 64 // one for each node that may call a voter, and at least this,
+	clusterDivisor = 2  // but at most half of the descriptors that are left
+	minPeerConns   = 8  // fewer would not serve the voters
+)
+
+// Connections of clients and to servers, each half of what is left.
+const (
+	overflowDivisor = 8 // an eighth of the clients' half is for connections that are only rejected
+	minClientConns  = 2 // a process needs these to work at all, even where the limit is lower
+	minServerConns  = 2
+)
+
+const (
+	heapShare = 0.7 // of the memory limit; the rest is for stacks and the kernel
+	gcPercent = 300 // fewer collections, since the memory limit is the effective bound
+)
+
+// limits is a process's share of the node's limits.
 type limits struct {
-	clients, beyond, servers int
-	operators                int // connections at the operators' address, if there is one
-	fellows                  int // connections from fellows, where the node has some
-	cores                    int
-	memory                   int64
+	clientConns   int
+	overflowConns int // client connections that are only rejected
+	serverConns   int
+	adminConns    int // 0 or less: no admin address
+	peerConns     int // from other nodes of the cluster; 0: no cluster
+	cores         int
+	memoryBytes   int64
 }
 
-// process is what this process was started with.
+// process is the state in which this process was started.
 type process struct {
-	most int // descriptors that the system lets it have; 0: not known
-	open int // descriptors that were open at its start; 0: not known
+	maxDescriptors  int // the system's limit; 0: unknown
+	openDescriptors int // 0: unknown
 }
 
-// thisProcess looks at it, before anything is opened. Go has raised the limit as far as it may be.
-func thisProcess() (p process) {
-	var l unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err == nil && l.Cur < math.MaxInt32 {
-		p.most = int(l.Cur)
+// inspectProcess is called before the process opens anything. The Go runtime has raised the soft limit to the hard one.
+func inspectProcess() process {
+	var p process
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < math.MaxInt32 {
+		p.maxDescriptors = int(limit.Cur)
 	}
-	if open, err := os.ReadDir("/proc/self/fd"); err == nil {
-		p.open = len(open) - 1 // but for the one by which we look
+	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
+		p.openDescriptors = len(entries) - 1 // without the one that reads the directory
 	}
 	return p
 }
 
-// reserved gives how many of the descriptors nobody else may take, whatever clients do: those that are open at the start
-// (standard streams, the poller, what else was inherited), and reserveOwn: the clients' listener, the seat, four connections
-// to discovery (three calls at a time, and a connect that one left behind) and four more to another during a move, the
-// configuration at a reload, the bans' file and its lock, an operator's connection that is accepted and waits for its place,
-// and the poller's where it was not there yet.
+// reserved returns how many of the descriptors no connection may take: those open at the start (standard streams, the poller, what else was
+// inherited), and ownReserve for the clients' listener, the membership file, four connections to the discovery service (three polls and a
+// connect left behind) and four more during a switch to another, the configuration at a reload, the ejections file and its lock, an admin
+// connection that is accepted and waits, and the poller if it was not open yet.
 func (p process) reserved(descriptors int) int {
-	open := p.open
+	open := p.openDescriptors
 	if open <= 0 {
-		open = openUsually
+		open = assumedOpenDescriptors
 	}
-	return max(min(reserveMost, descriptors/reservePart), min(open, inheritedMost)+reserveOwn)
+	return max(min(maxDividedReserve, descriptors/reserveDivisor), min(open, maxInheritedDescriptors)+ownReserve)
 }
 
-// split gives our part where several processes serve as one node, and shares that out. The system's limit holds for each
-// process; where it is lower than the configuration's, that one can't be had, and whoever found out last would run short:
-// accepting then pauses for up to a second, and neither the list nor a file can be read.
+// split returns the share of one of several processes that serve as the node s. The system's limit on descriptors holds for each process;
+// where it is lower than the share of the configured one it applies, or the last to open a descriptor would fail: accept pauses, and
+// neither the endpoint list nor a file can be read.
 func (p process) split(s *config.Node, processes int) limits {
 	descriptors := s.Descriptors / processes
-	if p.most > 0 {
-		descriptors = min(descriptors, p.most)
+	if p.maxDescriptors > 0 {
+		descriptors = min(descriptors, p.maxDescriptors)
 	}
-	rest := max(0, descriptors-p.reserved(descriptors))
-	operators := 0
-	if s.Admin != "" {
-		operators = max(operatorsFew, min(operatorsMost, max(descriptors/reservePart, operatorsLeast), rest/operatorsPart))
-		rest -= operators
+	free := max(0, descriptors-p.reserved(descriptors))
+	adminDescriptors := adminShare(s, descriptors, free)
+	free -= adminDescriptors
+	clusterDescriptors, peerConns := clusterShare(s, free)
+	free -= clusterDescriptors
+	clientHalf := free / 2
+	overflow := clientHalf / overflowDivisor
+	return limits{
+		adminConns:    adminDescriptors - 1, // the listener takes one
+		peerConns:     peerConns,
+		clientConns:   max(minClientConns, clientHalf-overflow),
+		overflowConns: overflow,
+		serverConns:   max(minServerConns, free-clientHalf),
+		cores:         int(max(1, math.Ceil(s.Cores))),
+		memoryBytes:   int64(float64(s.MemoryMB) * heapShare * (1 << 20) / float64(processes)),
 	}
-	fellows := 0
-	if s.Fleet != nil {
-		voters := fleetVoter * len(s.Fleet.Voters)
-		part := min(fleetOwn+voters+max(s.Settings.Routing.Nodes, fleetNodes), rest/fleetPart)
-		fellows = max(fleetLeast, part-fleetOwn-voters/2) // the other half leads from here
-		rest -= part
+}
+
+// adminShare returns the descriptors of the admin address, its listener included.
+func adminShare(s *config.Node, descriptors, free int) int {
+	if s.Admin == "" {
+		return 0
 	}
-	half := rest / 2
-	beyond := half / beyondPart
-	return limits{
-		operators: operators - 1, // and the listener
-		fellows:   fellows,
-		clients:   max(clientsLeast, half-beyond),
-		beyond:    beyond,
-		servers:   max(serversLeast, rest-half),
-		cores:     int(max(1, math.Ceil(s.Cores))),
-		memory:    int64(float64(s.MemoryMB) * memoryPart * (1 << 20) / float64(processes)),
+	preferred := max(descriptors/reserveDivisor, preferredAdminConns)
+	return max(minAdminConns, min(maxAdminConns, preferred, free/adminDivisor))
+}
+
+// clusterShare returns the descriptors of the cluster, and how many connections from other nodes are among them.
+func clusterShare(s *config.Node, free int) (descriptors, peerConns int) {
+	if s.Fleet == nil {
+		return 0, 0
 	}
+	voterConns := connsPerVoter * len(s.Fleet.Voters)
+	nodeConns := max(s.Settings.Routing.Nodes, minNodeConns)
+	descriptors = min(clusterReserve+voterConns+nodeConns, free/clusterDivisor)
+	outgoing := voterConns / 2
+	return descriptors, max(minPeerConns, descriptors-clusterReserve-outgoing)
 }
 
+// apply sets the limits of the Go runtime.
 func (l limits) apply() {
 	runtime.GOMAXPROCS(l.cores)
-	debug.SetMemoryLimit(l.memory)
+	debug.SetMemoryLimit(l.memoryBytes)
 	debug.SetGCPercent(gcPercent)
 }
--- a/internal/net/node/limits_test.go
+++ b/internal/net/node/limits_test.go
@@ -24,27 +24,27 @@
 	} {
 		for _, admin := range []string{"", "127.0.0.1:1"} {
 			s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: admin, Settings: &config.Settings{}}
-			p := process{most: c.most, open: c.open}
+			p := process{maxDescriptors: c.most, openDescriptors: c.open}
 			l := p.split(s, c.processes)
-			taken := l.clients + l.beyond + l.servers
+			taken := l.clientConns + l.overflowConns + l.serverConns
 			if admin != "" {
-				if taken += l.operators + 1; l.operators < operatorsFew-1 {
+				if taken += l.adminConns + 1; l.adminConns < minAdminConns-1 {
 					t.Errorf("%s: %+v, too few for operators", name, l)
 				}
 			}
-			if left := c.descriptors - taken; left < min(c.open, inheritedMost)+reserveOwn || l.clients < clientsLeast || l.servers < serversLeast {
+			if left := c.descriptors - taken; left < min(c.open, maxInheritedDescriptors)+ownReserve || l.clientConns < minClientConns || l.serverConns < minServerConns {
 				t.Errorf("%s, operators' address %q: %+v leaves %d of %d", name, admin, l, left, c.descriptors)
 			}
 		}
 	}
 	if err := quick.Check(func(sockets, most uint16, open, processes uint8) bool {
 		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: 64 + int(sockets), Admin: "127.0.0.1:1", Settings: &config.Settings{}}
-		p, n := process{most: 64 + int(most), open: 3 + int(open)%30}, 1+int(processes)%2
+		p, n := process{maxDescriptors: 64 + int(most), openDescriptors: 3 + int(open)%30}, 1+int(processes)%2
 		l := p.split(s, n)
-		whole := min(s.Descriptors/n, p.most)
-		least := p.open + reserveOwn + operatorsFew + clientsLeast + serversLeast
-		left := whole - l.clients - l.beyond - l.servers - l.operators - 1
-		return left >= p.open+reserveOwn || whole < least
+		whole := min(s.Descriptors/n, p.maxDescriptors)
+		least := p.openDescriptors + ownReserve + minAdminConns + minClientConns + minServerConns
+		left := whole - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1
+		return left >= p.openDescriptors+ownReserve || whole < least
 	}, &quick.Config{MaxCount: 2000}); err != nil {
 		t.Error(err)
 	}
@@ -52,8 +52,8 @@
 
 // What a process was started with is seen before it opens anything.
 func TestAProcessSeesItsLimit(t *testing.T) {
-	p := thisProcess()
-	if p.most < 16 || p.open < 3 || p.open >= p.most {
+	p := inspectProcess()
+	if p.maxDescriptors < 16 || p.openDescriptors < 3 || p.openDescriptors >= p.maxDescriptors {
 		t.Errorf("%+v", p)
 	}
 }
@@ -66,22 +66,22 @@
 		least                     int // connections from fellows
 	}{
 		"as usual":         {1024, 1, 300, 300},
-		"few nodes":        {1024, 1, 5, fleetNodes},
-		"the nodes untold": {1024, 1, 0, fleetNodes},
+		"few nodes":        {1024, 1, 5, minNodeConns},
+		"the nodes untold": {1024, 1, 0, minNodeConns},
 		"few descriptors":  {256, 1, 300, 64},
 		"by halves":        {512, 2, 300, 64},
 		"very few":         {128, 1, 300, 12},
 	} {
 		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Settings: &config.Settings{Routing: routing.Config{Nodes: c.nodes}},
 			Fleet: &config.Cluster{Voters: voters}}
-		l := process{open: 10}.split(s, c.processes)
-		toFellows := fleetOwn + fleetVoter*len(voters)/2
-		left := c.sockets/c.processes - l.clients - l.beyond - l.servers - l.operators - 1 - l.fellows - toFellows
-		if l.fellows < c.least || left < 10+reserveOwn || l.clients < 10 || l.servers < 10 {
+		l := process{openDescriptors: 10}.split(s, c.processes)
+		toFellows := clusterReserve + connsPerVoter*len(voters)/2
+		left := c.sockets/c.processes - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1 - l.peerConns - toFellows
+		if l.peerConns < c.least || left < 10+ownReserve || l.clientConns < 10 || l.serverConns < 10 {
 			t.Errorf("%s: %+v leaves %d", name, l, left)
 		}
 		s.Fleet = nil
-		if without := (process{open: 10}).split(s, c.processes); without.fellows != 0 || without.clients <= l.clients {
+		if without := (process{openDescriptors: 10}).split(s, c.processes); without.peerConns != 0 || without.clientConns <= l.clientConns {
 			t.Errorf("%s, without a fleet: %+v", name, without)
 		}
 	}
@@ -92,7 +92,7 @@
 	for nodes := 1; nodes <= 4096; nodes++ {
 		s := &config.Node{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Settings: &config.Settings{Routing: routing.Config{Nodes: nodes}},
 			Fleet: &config.Cluster{Voters: make([]config.Voter, 3)}}
-		if l := (process{most: 20_000, open: 10}).split(s, 1); l.fellows < nodes+12 {
+		if l := (process{maxDescriptors: 20_000, openDescriptors: 10}).split(s, 1); l.peerConns < nodes+12 {
 			t.Fatalf("%d nodes: %+v", nodes, l)
 		}
 	}
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts the parts of a real node together, splits its limits among them, and ends it well.
+// Package node assembles a node from its parts, splits its limits among them, and shuts it down without losing requests.
 package node
 
 import (
@@ -9,7 +9,6 @@
 	"os"
 	"runtime/debug"
 	"sync"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
@@ -19,179 +18,200 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admin"
 	"github.com/thistlerudder/thistlerudder/internal/net/discovery"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
+	"github.com/thistlerudder/thistlerudder/internal/net/ejection"
 	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 	"github.com/thistlerudder/thistlerudder/internal/net/handover"
 	"github.com/thistlerudder/thistlerudder/internal/net/upstream"
 )
 
-const seatEvery = 20 * time.Millisecond // until a newcomer's part of the limits is given up
+// membershipInterval bounds how long a process uses the share of the limits that belongs to one that has just joined.
+const membershipInterval = 20 * time.Millisecond
 
-// The process whose place we take may still be leaving under our addresses: that takes it the longest time limit and 0.6 s.
-const (
-	freeSlack = 2 * time.Second // beyond that limit: then somebody else has the address
-	freeEvery = 10 * time.Millisecond
-)
-
-// listen opens an address, and waits for one that is in use as long as our predecessor may need it.
-func listen(ctx context.Context, address string, longest time.Duration, log *zap.Logger) (net.Listener, error) {
-	for began, told := time.Now(), false; ; {
-		l, err := net.Listen("tcp", address)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > longest+freeSlack {
-			return l, err
-		}
-		if !told {
-			told = true
-			log.Warn("an address is in use, waiting for it", zap.String("address", address), zap.Error(err))
-		}
-		select {
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		case <-time.After(freeEvery):
-		}
-	}
-}
-
-// clientsSocket takes the one that was passed on, or opens one.
-func clientsSocket(ctx context.Context, s *config.Node, log *zap.Logger) (net.Listener, error) {
-	if s.PassedSocket != 0 {
-		return handover.Socket(s.PassedSocket)
-	}
-	l, err := listen(ctx, s.Listen, s.MaxDeadline, log)
-	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
-	}
-	return l, nil
-}
-
-// Run serves until the context ends, then answers what it has taken, and returns. At each signal it reads its
-// configuration anew.
+// Run serves until ctx ends, answers the requests it has taken, and returns. At each signal it reloads its configuration.
 func Run(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger) error {
-	err := serve(ctx, s, signals, log)
-	if errors.Is(err, context.Canceled) { // told to end before it served
+	err := openAndOperate(ctx, s, signals, log)
+	if errors.Is(err, context.Canceled) { // ctx ended before the node served
 		return nil
 	}
 	return err
 }
 
-func serve(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger) error {
+func openAndOperate(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger) error {
 	log = log.With(zap.String("node", s.Name))
-	o := opened{process: thisProcess()}
-	if o.most > 0 && o.most < s.Descriptors {
-		log.Warn("the system's limit on descriptors is lower than limits.sockets, and holds",
-			zap.Int("limit", o.most), zap.Int("limits.sockets", s.Descriptors))
+	r := resources{process: inspectProcess()}
+	if r.maxDescriptors > 0 && r.maxDescriptors < s.Descriptors {
+		log.Warn("descriptor limit of the system is lower than limits.sockets and applies",
+			zap.Int("limit", r.maxDescriptors), zap.Int("limits.sockets", s.Descriptors))
 	}
 	var err error
-	if s.Admin != "" { // first: once the clients' socket is open nobody in its queue may wait for another's end
-		if o.operators, err = listen(ctx, s.Admin, s.MaxDeadline, log); err != nil {
+	if s.Admin != "" { // before the clients' socket, whose queue must not wait for a predecessor's end
+		r.adminListener, err = listen(ctx, s.Admin, s.MaxDeadline, log)
+		if err != nil {
 			return fmt.Errorf("admin_addr: expected an address to listen on: %w", err)
 		}
-		defer o.operators.Close()
+		defer r.adminListener.Close()
 	}
-	if o.clients, err = clientsSocket(ctx, s, log); err != nil {
+	r.clientListener, err = listenForClients(ctx, s, log)
+	if err != nil {
 		return err
 	}
-	return operate(ctx, s, signals, log, o, func(own cluster.LocalNode) cluster.LocalNode { return own })
+	return operate(ctx, s, signals, log, r, func(own cluster.LocalNode) cluster.LocalNode { return own })
 }
 
-// opened is what a process was started with, and the sockets that it listens on. Without the clients', which only the rig's build
-// asks for, its node is hollow: no client reaches it, and the process keeps its own limits.
-type opened struct {
+// resources are what the process was started with and the sockets it listens on.
+type resources struct {
 	process
-	clients, operators net.Listener
+	clientListener net.Listener // nil: a hollow node, which takes no requests and leaves the process's limits alone
+	adminListener  net.Listener // nil: no admin address
+}
+
+// node is a node and its parts.
+type node struct {
+	resources
+	config     *config.Node
+	limits     limits // at the start; resize splits them anew
+	log        *zap.Logger
+	dispatcher *dispatch.Dispatcher
+	upstream   *upstream.Client
+	endpoints  *discovery.Client
+	frontend   *frontend.Server
+	ejections  *ejection.Registry
+	member     *cluster.Member // nil: the node has no cluster
 }
 
-// operate serves on what was opened. own gives what the fleet's tasks need of the node.
-func operate(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger, o opened,
-	own func(cluster.LocalNode) cluster.LocalNode,
+// operate runs a node on open resources until ctx ends. wrapLocal may replace what the cluster's tasks use of the node.
+func operate(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger, r resources,
+	wrapLocal func(cluster.LocalNode) cluster.LocalNode,
 ) error {
-	folder, name := os.Getenv("TMPDIR"), fileName(s.Listen)
-	seat, err := handover.Join(folder, name)
+	folder := os.Getenv("TMPDIR")
+	name := fileName(s.Listen)
+	membership, err := handover.Join(folder, name)
 	if err != nil {
-		log.Warn("other processes of this node can't be seen", zap.Error(err))
+		log.Warn("cannot count the other processes of this node", zap.Error(err))
 	}
-	defer seat.Leave()
-	others := seat.Others()
-	l := o.split(s, 1+others)
-	if o.clients != nil {
+	defer membership.Leave()
+	others := membership.Others()
+	l := r.split(s, 1+others)
+	if r.clientListener != nil {
 		l.apply()
 	}
-	x := dispatch.New(s.Settings, log.Named("exchange"))
-	carrier := upstream.New(
-		upstream.Limits{Descriptors: l.servers, MaxAttempts: l.servers + l.clients, ConnectTimeout: s.ConnectTimeout,
-			IdleTimeout: s.IdleTimeout, MaxBuffered: bodyMost, MaxStreamed: longMost},
-		log.Named("servers"),
+
+	n := newNode(s, r, l, log)
+	defer n.upstream.Close()
+	n.startDispatcher(folder, name)
+	background, stop := context.WithCancel(context.Background())
+	defer stop()
+	n.startBackground(background, signals)
+	leaveCluster := n.joinCluster(wrapLocal)
+	defer leaveCluster()
+	if r.adminListener != nil {
+		server := n.serveAdmin(background)
+		defer server.Close()
+	}
+	go membership.Follow(background, others, membershipInterval, n.resize)
+	if r.clientListener == nil {
+		<-ctx.Done()
+		return nil
+	}
+	return n.serveClients(ctx, others, leaveCluster)
+}
+
+func newNode(s *config.Node, r resources, l limits, log *zap.Logger) *node {
+	n := &node{resources: r, config: s, limits: l, log: log}
+	n.dispatcher = dispatch.New(s.Settings, log.Named("dispatch"))
+	n.upstream = upstream.New(
+		upstream.Limits{
+			Descriptors:    l.serverConns,
+			MaxAttempts:    l.serverConns + l.clientConns,
+			ConnectTimeout: s.ConnectTimeout,
+			IdleTimeout:    s.IdleTimeout,
+			MaxBuffered:    maxBufferedBodyBytes,
+			MaxStreamed:    maxStreamedBodyBytes,
+		},
+		log.Named("upstream"),
 	)
-	defer carrier.Close()
-	list := discovery.New(x, s.Discovery, s.PollInterval, log.Named("boxlist"))
-	front := frontend.New(
-		x,
+	n.endpoints = discovery.New(n.dispatcher, s.Discovery, s.PollInterval, log.Named("discovery"))
+	n.frontend = frontend.New(
+		n.dispatcher,
 		frontend.Limits{
-			Descriptors:   l.clients,
-			OverflowConns: l.beyond,
+			Descriptors:   l.clientConns,
+			OverflowConns: l.overflowConns,
 			MaxDeadline:   s.MaxDeadline,
 			MaxRetryAfter: s.MaxRetryAfter,
-			MaxBuffered:   bodyMost,
-			MaxStreamed:   longMost,
+			MaxBuffered:   maxBufferedBodyBytes,
+			MaxStreamed:   maxStreamedBodyBytes,
 		},
-		log.Named("clients"),
+		log.Named("frontend"),
 	)
+	return n
+}
 
-	x.Start(s.Seed, carrier, list)
-	book := bansOf(folder, name, x, log.Named("bans")) // before any list
-	if err := list.LoadCached(s.CachedEndpoints); err != nil {
-		log.Warn("the list in the configuration can't be read, not up until the first one comes",
-			zap.Error(err))
+// startDispatcher starts the dispatcher and loads what earlier processes left: the ejections, before any list, and the cached list.
+func (n *node) startDispatcher(folder, name string) {
+	n.dispatcher.Start(n.config.Seed, n.upstream, n.endpoints)
+	n.ejections = openEjections(folder, name, n.dispatcher, n.log.Named("ejection"))
+	if err := n.endpoints.LoadCached(n.config.CachedEndpoints); err != nil {
+		n.log.Warn("cached endpoint list is invalid, not ready before the first list", zap.Error(err))
 	}
-	following, stop := context.WithCancel(context.Background())
-	defer stop()
-	go list.Run(following)
-	go renew(following, signals, s, list, log.Named("renew"))
-	go report(following, x, front, log.Named("report"))
-	var fleet *cluster.Member
-	leave := func() {}
-	if s.Fleet != nil {
-		fleet = cluster.Start(s.Fleet, own(fleetSide{x}), s.MaxDeadline, l.fellows, log.Named("fleet"))
-		leave = sync.OnceFunc(fleet.Close)
-	}
-	defer leave() // once, however often it is called; the later call waits for the first
-	if o.operators != nil {
-		desk := admin.New(operated{x, front, book, fleet}, x.Metrics(), l.operators, log.Named("admin"))
-		defer desk.Close()
-		go desk.Serve(o.operators)
-		go census(following, x)
-		go book.Follow(following, bansEvery)
+}
+
+func (n *node) startBackground(ctx context.Context, signals <-chan os.Signal) {
+	go n.endpoints.Run(ctx)
+	go reloadOnSignal(ctx, signals, n.config, n.endpoints, n.log.Named("reload"))
+	go report(ctx, n.dispatcher, n.frontend, n.log.Named("report"))
+}
+
+// joinCluster starts the node's cluster membership, if it is configured. The returned function ends it; further calls wait for the first.
+func (n *node) joinCluster(wrapLocal func(cluster.LocalNode) cluster.LocalNode) (leave func()) {
+	if n.config.Fleet == nil {
+		return func() {}
 	}
-	go seat.Follow(following, others, seatEvery, func(others int) {
-		l := o.split(s, 1+others)
-		log.Info("another number of processes serve as this node", zap.Int("others", others),
-			zap.Int("client descriptors", l.clients), zap.Int("server descriptors", l.servers))
-		if o.clients == nil {
-			return
-		}
-		l.apply()
-		front.Resize(l.clients, l.beyond)
-		carrier.Resize(l.servers)
-		debug.FreeOSMemory() // the others' part of the memory
-	})
-	if o.clients == nil {
-		<-ctx.Done()
-		return nil
+	local := wrapLocal(localNode{n.dispatcher})
+	n.member = cluster.Start(n.config.Fleet, local, n.config.MaxDeadline, n.limits.peerConns, n.log.Named("cluster"))
+	return sync.OnceFunc(n.member.Close)
+}
+
+// serveAdmin starts the admin server, and what only its callers need.
+func (n *node) serveAdmin(ctx context.Context) *admin.Server {
+	server := admin.New(adminNode{n.dispatcher, n.frontend, n.ejections, n.member}, n.dispatcher.Metrics(), n.limits.adminConns,
+		n.log.Named("admin"))
+	go server.Serve(n.adminListener)
+	go countEndpoints(ctx, n.dispatcher)
+	go n.ejections.Follow(ctx, ejectionsInterval)
+	return server
+}
+
+// resize splits the limits anew when other processes of this node start or end.
+func (n *node) resize(others int) {
+	l := n.split(n.config, 1+others)
+	n.log.Info("number of processes of this node changed", zap.Int("others", others),
+		zap.Int("client descriptors", l.clientConns), zap.Int("server descriptors", l.serverConns))
+	if n.clientListener == nil {
+		return
 	}
+	l.apply()
+	n.frontend.Resize(l.clientConns, l.overflowConns)
+	n.upstream.Resize(l.serverConns)
+	debug.FreeOSMemory() // the memory limit may be half of what it was
+}
+
+// serveClients serves until ctx ends, and then shuts down gracefully.
+func (n *node) serveClients(ctx context.Context, others int, leaveCluster func()) error {
 	served := make(chan error, 1)
-	go func() { served <- front.Serve(o.clients) }()
-	log.Info("serving", zap.String("listen", s.Listen), zap.Int("client descriptors", l.clients),
-		zap.Int("server descriptors", l.servers), zap.Int("memory MB", s.MemoryMB),
+	go func() { served <- n.frontend.Serve(n.clientListener) }()
+	n.log.Info("serving", zap.String("listen", n.config.Listen), zap.Int("client descriptors", n.limits.clientConns),
+		zap.Int("server descriptors", n.limits.serverConns), zap.Int("memory MB", n.config.MemoryMB),
 		zap.Int("other processes", others))
 	select {
 	case err := <-served:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	go leave() // side by side: the next process waits for the fleet's address, and clients for neither
-	log.Info("leaving: connections still come for a while, each ends with its next answer")
-	if err := front.Shutdown(s.PassedSocket != 0); err != nil {
-		log.Warn("left with lookups unanswered", zap.Error(err), zap.Int("out", x.InFlight()))
+	go leaveCluster() // at the same time: the next process waits for the cluster's address, and clients for neither
+	n.log.Info("shutting down, draining client connections")
+	if err := n.frontend.Shutdown(n.config.PassedSocket != 0); err != nil {
+		n.log.Warn("shutdown ended with requests unanswered", zap.Error(err), zap.Int("in flight", n.dispatcher.InFlight()))
 	}
-	log.Info("left")
+	n.log.Info("shutdown complete")
 	return nil
 }
--- a/internal/net/node/node_test.go
+++ b/internal/net/node/node_test.go
@@ -93,7 +93,7 @@
 	if err := <-ended; err != nil || time.Since(began) > 1300*time.Millisecond {
 		t.Errorf("ended after %v: %v", time.Since(began), err)
 	}
-	for _, line := range []string{"the list in the configuration can't be read, not up until the first one comes", "serving", "endpoint list updated", "left"} {
+	for _, line := range []string{"cached endpoint list is invalid, not ready before the first list", "serving", "endpoint list updated", "shutdown complete"} {
 		if logs.FilterMessage(line).Len() != 1 {
 			t.Errorf("no line %q", line)
 		}
@@ -103,11 +103,11 @@
 func TestLimitsAreSplitWithAReserve(t *testing.T) {
 	for _, sockets := range []int{64, 128, 1024, 4096, 100000} {
 		l := process{}.split(&config.Node{Cores: 0.5, MemoryMB: 192, Descriptors: sockets, Settings: &config.Settings{}}, 1)
-		if reserve := sockets - l.clients - l.beyond - l.servers; reserve < 16 || l.clients < 16 || l.beyond < 2 ||
-			l.servers < 16 {
+		if reserve := sockets - l.clientConns - l.overflowConns - l.serverConns; reserve < 16 || l.clientConns < 16 || l.overflowConns < 2 ||
+			l.serverConns < 16 {
 			t.Errorf("%d: %+v leaves %d", sockets, l, reserve)
 		}
-		if l.cores != 1 || l.memory >= 192<<20 || l.memory < 100<<20 {
+		if l.cores != 1 || l.memoryBytes >= 192<<20 || l.memoryBytes < 100<<20 {
 			t.Errorf("%+v", l)
 		}
 	}
--- a/internal/net/node/reload.go
+++ b/internal/net/node/reload.go
@@ -14,61 +14,55 @@
 )
 
 const (
-	rereadFirst = 20 * time.Millisecond // before a configuration that could not be read is tried again; it doubles with each try
-	rereadMost  = 500 * time.Millisecond
+	minReloadRetryWait = 20 * time.Millisecond // doubles with each retry
+	maxReloadRetryWait = 500 * time.Millisecond
 )
 
-// renew reads the configuration anew at each signal. A faulty file changes nothing. The box list goes over to
-// another discovery service; what can't change while the node runs is only told.
-func renew(
-	ctx context.Context,
-	signals <-chan os.Signal,
-	s *config.Node,
-	list *discovery.Client,
-	log *zap.Logger,
-) {
+// reloadOnSignal reads the configuration again at each signal until ctx ends. An invalid one changes nothing. Another discovery service takes
+// effect; changes that cannot while the node runs are logged.
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, s *config.Node, endpoints *discovery.Client, log *zap.Logger) {
 	for address := s.Discovery; ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
 		}
-		next, err := reread(ctx, signals, s, log)
+		next, err := readConfig(ctx, signals, s, log)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			log.Error("the new configuration is faulty, the old one stands", zap.Error(err))
+			log.Error("new configuration is invalid, keeping the old one", zap.Error(err))
 			continue
 		}
 		if keys := s.ImmutableChanges(next); len(keys) > 0 {
-			log.Warn("what changed under these keys holds from the next start", zap.Strings("keys", keys))
+			log.Warn("changes to these keys apply at the next start", zap.Strings("keys", keys))
 		}
-		log.Info("configuration read anew", zap.Bool("another discovery service", next.Discovery != address))
+		log.Info("configuration reloaded", zap.Bool("another discovery service", next.Discovery != address))
 		if next.Discovery != address {
 			address = next.Discovery
-			list.SwitchTo(ctx, address)
+			endpoints.SwitchTo(ctx, address)
 		}
 	}
 }
 
-// reread reads the configuration, again where the file itself could not be read: that passes, and whoever signalled does not signal
-// twice. A further signal ends a wait between two tries.
-func reread(ctx context.Context, signals <-chan os.Signal, s *config.Node, log *zap.Logger) (*config.Node, error) {
-	for pause := rereadFirst; ; pause = min(2*pause, rereadMost) {
+// readConfig reads the configuration, and retries while the file cannot be read: that passes, and whoever sent the signal sends it once.
+// A further signal ends the wait for a retry.
+func readConfig(ctx context.Context, signals <-chan os.Signal, s *config.Node, log *zap.Logger) (*config.Node, error) {
+	for wait := minReloadRetryWait; ; wait = min(2*wait, maxReloadRetryWait) {
 		next, err := s.Reload()
-		var unread *fs.PathError
-		if !errors.As(err, &unread) {
+		var unreadable *fs.PathError
+		if !errors.As(err, &unreadable) {
 			return next, err
 		}
-		if pause == rereadFirst {
-			log.Error("the new configuration can't be read, the old one stands until it can be", zap.Error(err))
+		if wait == minReloadRetryWait {
+			log.Error("new configuration cannot be read, keeping the old one and retrying", zap.Error(err))
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-signals:
-		case <-time.After(pause):
+		case <-time.After(wait):
 		}
 	}
 }
--- a/internal/net/node/reload_test.go
+++ b/internal/net/node/reload_test.go
@@ -62,7 +62,7 @@
 		t.Fatal("two wait")
 	default: // the one that waits is for both
 	}
-	go renew(t.Context(), signals, s, list, zap.New(core))
+	go reloadOnSignal(t.Context(), signals, s, list, zap.New(core))
 	until := func(what string, there func() bool) {
 		t.Helper()
 		for end := time.Now().Add(5 * time.Second); !there(); time.Sleep(time.Millisecond) {
@@ -75,7 +75,7 @@
 	write(0, 2)
 	signals <- syscall.SIGHUP
 	until("half a file is not told of", func() bool {
-		return logs.FilterMessage("the new configuration is faulty, the old one stands").Len() == 1
+		return logs.FilterMessage("new configuration is invalid, keeping the old one").Len() == 1
 	})
 	before := asked[2].Load()
 	until("half a file changed something", func() bool { return asked[2].Load() > before })
@@ -117,7 +117,7 @@
 	x.Start(1, nil, list)
 	go list.Run(t.Context())
 	signals := make(chan os.Signal, 1)
-	go renew(t.Context(), signals, s, list, zap.New(core))
+	go reloadOnSignal(t.Context(), signals, s, list, zap.New(core))
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/node/report.go
+++ b/internal/net/node/report.go
@@ -11,34 +11,53 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
 )
 
-const reportEvery = 5 * time.Second // on-call staff see a trouble grow; nothing is logged for each lookup
+const reportInterval = 5 * time.Second
 
-// report logs what happened since the last line.
-func report(ctx context.Context, x *dispatch.Dispatcher, front *frontend.Server, log *zap.Logger) {
-	every := time.NewTicker(reportEvery)
-	defer every.Stop()
+// report logs a summary of the requests since the last one at each interval, until ctx ends; nothing is logged for each request.
+func report(ctx context.Context, d *dispatch.Dispatcher, front *frontend.Server, log *zap.Logger) {
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
-		y := x.Stats()
-		ends := make([]zap.Field, 0, len(y.Ends))
-		for end, n := range y.Ends {
-			if n > 0 {
-				ends = append(ends, zap.Int(dispatch.AttemptResult(end).String(), n))
-			}
+		log.Info("so far", reportFields(d, front)...)
+	}
+}
+
+// reportFields returns the fields of one summary. Operators' scripts read their names.
+func reportFields(d *dispatch.Dispatcher, front *frontend.Server) []zap.Field {
+	stats := d.Stats()
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	return []zap.Field{
+		zap.Int("lookups", stats.Requests),
+		zap.Int("resolved", stats.Served),
+		zap.Int("deferred", stats.Rejected),
+		zap.Int("abandoned", stats.Failed),
+		zap.Int("left", stats.ClientGone),
+		zap.Int("shots", stats.Attempts),
+		zap.Dict("ends", attemptResults(stats)...),
+		zap.Float64("median ms", stats.Millis(50)),
+		zap.Float64("p99 ms", stats.Millis(99)),
+		zap.Int("out", d.InFlight()),
+		zap.Int("connections", front.Open()),
+		zap.Int("goroutines", runtime.NumGoroutine()),
+		zap.Uint64("heap KB", memory.HeapAlloc>>10),
+		zap.Uint64("sys KB", memory.Sys>>10),
+		zap.Int("panics", stats.Panics),
+	}
+}
+
+// attemptResults returns the number of attempts by result, for each result that occurred.
+func attemptResults(stats dispatch.Stats) []zap.Field {
+	results := make([]zap.Field, 0, len(stats.Ends))
+	for result, n := range stats.Ends {
+		if n > 0 {
+			results = append(results, zap.Int(dispatch.AttemptResult(result).String(), n))
 		}
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		log.Info("so far",
-			zap.Int("lookups", y.Requests), zap.Int("resolved", y.Served), zap.Int("deferred", y.Rejected),
-			zap.Int("abandoned", y.Failed), zap.Int("left", y.ClientGone),
-			zap.Int("shots", y.Attempts), zap.Dict("ends", ends...),
-			zap.Float64("median ms", y.Millis(50)), zap.Float64("p99 ms", y.Millis(99)),
-			zap.Int("out", x.InFlight()), zap.Int("connections", front.Open()),
-			zap.Int("goroutines", runtime.NumGoroutine()), zap.Uint64("heap KB", m.HeapAlloc>>10),
-			zap.Uint64("sys KB", m.Sys>>10), zap.Int("panics", y.Panics))
 	}
+	return results
 }
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -237,7 +237,7 @@
 }
 
 // markOf gives the mark of a log line.
-var markOf = map[string]string{"endpoint list updated": markList, "configuration read anew": markFile, "a lease is lost": markLost}
+var markOf = map[string]string{"endpoint list updated": markList, "configuration reloaded": markFile, "a lease is lost": markLost}
 
 func (c *heard) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	m := Mark{Node: c.n, What: markOf[e.Message]}
