--- a/internal/net/acceptor/acceptor.go
+++ b/internal/net/acceptor/acceptor.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	minRetryWait = time.Millisecond      // before the first retry; it doubles with each further error in a row
+	minRetryWait = time.Millisecond      // doubles with each error in a row
 	maxRetryWait = 16 * time.Millisecond // well under the shortest deadline of a request
-	logInterval  = time.Second           // between two lines of the log
+	logInterval  = time.Second           // minimum between two log lines
 )
 
 // Listener retries accept until it succeeds, the listener is closed, or the socket itself is unusable.
@@ -26,24 +26,26 @@
 	log    *zap.Logger
 	closed chan struct{}
 	close  func() error
-	logged time.Time // by Accept only, which has one caller at a time
-	errors int       // since the last line of the log, likewise
+
+	// Used by Accept only, which has one caller at a time.
+	lastLogged time.Time
+	errorCount int // since lastLogged
 }
 
-// New wraps a listener.
+// New returns l with retries.
 func New(l net.Listener, log *zap.Logger) *Listener {
-	own := &Listener{Listener: l, log: log, closed: make(chan struct{})}
-	own.close = sync.OnceValue(func() error {
-		close(own.closed)
+	wrapped := &Listener{Listener: l, log: log, closed: make(chan struct{})}
+	wrapped.close = sync.OnceValue(func() error {
+		close(wrapped.closed)
 		return l.Close()
 	})
-	return own
+	return wrapped
 }
 
-// Accept gives the next connection. An error says that there will be no further one: the listener was closed, or its descriptor
+// Accept returns the next connection. An error means that there will be no further one: the listener was closed, or its descriptor
 // is not a listening socket.
 func (l *Listener) Accept() (net.Conn, error) {
-	for pause := minRetryWait; ; pause = min(2*pause, maxRetryWait) {
+	for wait := minRetryWait; ; wait = min(2*wait, maxRetryWait) {
 		c, err := l.accept()
 		if err == nil || permanent(err) {
 			return c, err
@@ -52,12 +54,12 @@
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
-		case <-time.After(pause):
+		case <-time.After(wait):
 		}
 	}
 }
 
-// accept makes one call.
+// accept makes one attempt.
 func (l *Listener) accept() (net.Conn, error) {
 	if err := kernel.Failure(kernel.Accept); err != nil {
 		return nil, err
@@ -65,32 +67,33 @@
 	return l.Listener.Accept()
 }
 
-// permanent says that accept will not succeed again on this socket. accept(2) documents these of the descriptor and the call; all
+// permanent reports whether accept cannot succeed again on this socket. accept(2) documents these of the descriptor and the call; all
 // other errors belong to one connection or to the state of the machine.
 func permanent(err error) bool {
-	for _, one := range []error{net.ErrClosed, syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK} {
-		if errors.Is(err, one) {
+	for _, target := range []error{net.ErrClosed, syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// report logs errors, not each of them.
+// report counts an error, and logs the count at most once per logInterval.
 func (l *Listener) report(err error) {
-	l.errors++
+	l.errorCount++
 	now := time.Now()
-	if now.Sub(l.logged) < logInterval {
+	if now.Sub(l.lastLogged) < logInterval {
 		return
 	}
-	l.log.Warn("accept failed and is tried again", zap.Error(err), zap.Int("errors", l.errors), zap.Stringer("address", l.Addr()))
-	l.logged, l.errors = now, 0
+	l.log.Warn("accept failed, retrying", zap.Error(err), zap.Int("errors", l.errorCount), zap.Stringer("address", l.Addr()))
+	l.lastLogged = now
+	l.errorCount = 0
 }
 
 // Close closes the socket, and ends the wait before a retry.
 func (l *Listener) Close() error { return l.close() }
 
-// SyscallConn gives the socket's descriptor, where the wrapped listener has one.
+// SyscallConn returns the socket's descriptor, where the wrapped listener has one.
 func (l *Listener) SyscallConn() (syscall.RawConn, error) {
 	socket, ok := l.Listener.(syscall.Conn)
 	if !ok {
--- a/internal/net/admin/accept_test.go
+++ b/internal/net/admin/accept_test.go
@@ -51,7 +51,7 @@
 	f := metrics.New(nil)
 	f.Denied[admission.ClientGone].Add(2)
 	f.Violations[admission.MayHaveRun].Add(1)
-	page := New(&stub{}, f, 2, zap.NewNop()).page()
+	page := New(&stub{}, f, 2, zap.NewNop()).metricsPage()
 	for _, line := range []string{"attempts.withheld.client_gone=2\n", "rules.violated.may_have_run=1\n"} {
 		if !strings.Contains(page, line) {
 			t.Errorf("%q lacks %q", page, line)
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin answers operators at an address of their own. It decides nothing: it tells how the node does, and hands
-// on which servers are to be taken out or used again.
+// Package admin serves operators at an address of their own: the node's status and metrics, and calls that eject or restore a server. It decides
+// nothing; the Node does.
 package admin
 
 import (
@@ -7,45 +7,42 @@
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"net"
 	"net/http"
 	"net/url"
-	"slices"
 	"strings"
 	"time"
 
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/net/acceptor"
-	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 )
 
 const (
-	maxHeaderBytes    = 4 << 10                // bytes of a call's head
-	headerTimeout     = 10 * time.Second       // for a head; who holds a place for longer gives way sooner anyway
-	writeTimeout      = 2 * time.Second        // for an answer to be written: it is small, and owed in one
-	maxDiscardedBytes = 64 << 10               // bytes of a body, which no call needs, that are read and ignored
-	discardTimeout    = 300 * time.Millisecond // for those
-	maxIDBytes        = 256                    // bytes of an id; those on the list are far shorter
+	maxHeaderBytes    = 4 << 10
+	headerTimeout     = 10 * time.Second       // connLimiter ends slow callers sooner when others wait
+	writeTimeout      = 2 * time.Second        // beyond headerTimeout; answers are small and due within 1 s
+	maxDiscardedBytes = 64 << 10               // of a body, which no call needs
+	discardTimeout    = 300 * time.Millisecond // for reading that
+	maxIDBytes        = 256
 )
 
-// ErrUnknownServer says that the list never told of a server.
+// ErrUnknownServer says that a server was never on the endpoint list.
 var ErrUnknownServer = errors.New("no such server was ever listed")
 
-// Node is what calls are about.
+// Node is what the calls are about.
 type Node interface {
-	// Serving says whether clients are taken.
+	// Serving reports whether the node takes clients.
 	Serving() bool
-	// Eject takes a server out, and PutBack uses it again. Both have happened when they return nil.
+	// Eject sends nothing new to a server; Restore ends that. Either is stored and in force when it returns nil.
 	Eject(id string) error
 	Restore(id string) error
-	// Fleet gives figures of the node's fleet by name; none where it has none.
+	// Fleet returns the metrics of the node's cluster by name; none if it has no cluster.
 	Fleet() map[string]any
 }
 
-// Server is the operators' address.
+// Server serves the admin address.
 type Server struct {
 	log     *zap.Logger
 	node    Node
@@ -54,93 +51,110 @@
 	conns   *connLimiter
 }
 
-// New makes the address; most is how many connections it may hold.
-func New(n Node, f *metrics.Metrics, most int, log *zap.Logger) *Server {
-	a := &Server{log: log, node: n, metrics: f, conns: newPlaces(most)}
-	a.server = &http.Server{Handler: a, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
-		ReadTimeout: headerTimeout, WriteTimeout: headerTimeout + writeTimeout, ErrorLog: zap.NewStdLog(log),
-		ConnState: a.conns.state,
+// New returns a server that holds at most maxConns connections at a time.
+func New(n Node, m *metrics.Metrics, maxConns int, log *zap.Logger) *Server {
+	s := &Server{log: log, node: n, metrics: m, conns: newConnLimiter(maxConns)}
+	s.server = &http.Server{
+		Handler:           s,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       headerTimeout,
+		WriteTimeout:      headerTimeout + writeTimeout,
+		ErrorLog:          zap.NewStdLog(log),
+		ConnState:         s.conns.connState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connection{}, c)
-		}}
-	a.server.SetKeepAlivesEnabled(false)
-	return a
+			return context.WithValue(ctx, connKey{}, c)
+		},
+	}
+	s.server.SetKeepAlivesEnabled(false)
+	return s
 }
 
-type connection struct{}
+// connKey is the context key of a request's connection.
+type connKey struct{}
 
-// Serve answers until Close.
-func (a *Server) Serve(l net.Listener) {
-	if err := a.server.Serve(a.conns.over(acceptor.New(l, a.log))); !errors.Is(err, http.ErrServerClosed) {
-		a.log.Error("the operators' address fails", zap.Error(err))
+// Serve serves until Close.
+func (s *Server) Serve(l net.Listener) {
+	err := s.server.Serve(s.conns.listener(acceptor.New(l, s.log)))
+	if !errors.Is(err, http.ErrServerClosed) {
+		s.log.Error("admin server failed", zap.Error(err))
 	}
 }
 
 // Close ends the service at once.
-func (a *Server) Close() { _ = a.server.Close() }
+func (s *Server) Close() { _ = s.server.Close() }
 
 // ServeHTTP answers one call.
-func (a *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if c, ok := r.Context().Value(connection{}).(net.Conn); ok {
-		a.conns.called(c)
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if c, ok := r.Context().Value(connKey{}).(net.Conn); ok {
+		s.conns.requestRead(c)
 	}
 	control := http.NewResponseController(w)
-	_ = control.EnableFullDuplex() // a body is not waited for
-	status, text := a.answer(w.Header(), r)
+	_ = control.EnableFullDuplex() // do not wait for a body
+	status, text := s.answer(w.Header(), r)
 	w.Header().Set("Connection", "close")
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, text)
 	if r.ContentLength != 0 {
-		// A connection closed with bytes unread is reset, and the answer with it.
-		_ = control.Flush()
-		_ = control.SetReadDeadline(time.Now().Add(discardTimeout))
-		_, _ = io.CopyN(io.Discard, r.Body, maxDiscardedBytes)
+		discardBody(control, r)
 	}
 }
 
-// The paths and the words of the operators' page stand here and nowhere else.
+// discardBody reads a body: closing a connection with unread bytes would reset it, and lose the answer.
+func discardBody(control *http.ResponseController, r *http.Request) {
+	_ = control.Flush()
+	_ = control.SetReadDeadline(time.Now().Add(discardTimeout))
+	_, _ = io.CopyN(io.Discard, r.Body, maxDiscardedBytes)
+}
+
+// The paths of the operators' calls.
 const (
 	statusPath  = "/status"
-	figuresPath = "/status/metrics"
-	outPath     = "/maintenance/enter/"
-	backPath    = "/maintenance/exit/"
+	metricsPath = "/status/metrics"
+	ejectPath   = "/maintenance/enter/" // and the server's id
+	restorePath = "/maintenance/exit/"
 )
 
-func (a *Server) answer(h http.Header, r *http.Request) (int, string) {
-	path := r.URL.EscapedPath()
-	wanted := http.MethodGet
-	var act func() (int, string)
-	switch {
-	case path == statusPath:
-		act = a.status
-	case path == figuresPath:
-		act = func() (int, string) { return http.StatusOK, a.page() }
-	case strings.HasPrefix(path, outPath):
-		wanted, act = http.MethodPost, func() (int, string) { return a.order(path[len(outPath):], "out", a.node.Eject) }
-	case strings.HasPrefix(path, backPath):
-		wanted, act = http.MethodPost, func() (int, string) { return a.order(path[len(backPath):], "in use", a.node.Restore) }
-	default:
+// answer returns the status and the body for a call, and sets headers particular to it.
+func (s *Server) answer(header http.Header, r *http.Request) (status int, text string) {
+	method, handle := s.route(r.URL.EscapedPath())
+	if handle == nil {
 		return http.StatusNotFound, "no such path\n"
 	}
-	if r.Method != wanted {
-		h.Set("Allow", wanted)
-		return http.StatusMethodNotAllowed, "expected " + wanted + "\n"
+	if r.Method != method {
+		header.Set("Allow", method)
+		return http.StatusMethodNotAllowed, "expected " + method + "\n"
 	}
-	return act()
+	return handle()
 }
 
-func (a *Server) status() (int, string) {
-	if a.node.Serving() {
+// route returns the method and the handler of a path; a nil handler if there is none.
+func (s *Server) route(path string) (method string, handle func() (status int, text string)) {
+	switch {
+	case path == statusPath:
+		return http.MethodGet, s.status
+	case path == metricsPath:
+		return http.MethodGet, func() (int, string) { return http.StatusOK, s.metricsPage() }
+	case strings.HasPrefix(path, ejectPath):
+		return http.MethodPost, func() (int, string) { return s.change(path[len(ejectPath):], "out", s.node.Eject) }
+	case strings.HasPrefix(path, restorePath):
+		return http.MethodPost, func() (int, string) { return s.change(path[len(restorePath):], "in use", s.node.Restore) }
+	}
+	return "", nil
+}
+
+func (s *Server) status() (int, string) {
+	if s.node.Serving() {
 		return http.StatusOK, "clients are served\n"
 	}
 	return http.StatusServiceUnavailable, "no clients are served\n"
 }
 
-// order hands on one call about a server.
-func (a *Server) order(escaped, done string, do func(string) error) (int, string) {
-	id, err := url.PathUnescape(escaped) // once
+// change ejects or restores the server with an escaped id; state is what it is afterwards.
+func (s *Server) change(escapedID, state string, do func(id string) error) (int, string) {
+	id, err := url.PathUnescape(escapedID) // once
 	if err != nil || id == "" || len(id) > maxIDBytes {
 		return http.StatusNotFound, "no such server\n"
 	}
@@ -148,39 +162,9 @@
 	case errors.Is(err, ErrUnknownServer):
 		return http.StatusNotFound, err.Error() + "\n"
 	case err != nil:
-		a.log.Error("an operator's call was not carried out", zap.String("box", id), zap.Error(err))
+		s.log.Error("operator's change of a server failed", zap.String("server", id), zap.Error(err))
 		return http.StatusInternalServerError, err.Error() + "\n"
 	}
-	a.log.Info("by an operator's call", zap.String("box", id), zap.String("is", done))
-	return http.StatusOK, id + " is " + done + "\n"
-}
-
-// page gives the figures, a line each.
-func (a *Server) page() string {
-	var b strings.Builder
-	for _, name := range a.metrics.Classes() {
-		ends := a.metrics.Of(name)
-		fmt.Fprintf(&b, "operations.%s.fulfilled=%d\noperations.%s.throttled=%d\noperations.%s.faulted=%d\n",
-			name, ends.Served.Load(), name, ends.Rejected.Load(), name, ends.Failed.Load())
-	}
-	fmt.Fprintf(&b, "relayed=%d\nopen_requests=%d\nregistry_entries=%d\nout_of_rotation=%d\n", a.metrics.Written.Load(),
-		a.metrics.Open.Load(), a.metrics.Listed.Load(), a.metrics.Avoided.Load())
-	a.reasons(&b)
-	fleet := a.node.Fleet()
-	for _, name := range slices.Sorted(maps.Keys(fleet)) {
-		fmt.Fprintf(&b, "fleet.%s=%v\n", name, fleet[name])
-	}
-	return b.String()
-}
-
-// reasons writes why attempts were withheld and which rules the module's orders would have broken, a line for each reason that came up.
-func (a *Server) reasons(to *strings.Builder) {
-	for reason := admission.Granted + 1; reason < admission.Reasons; reason++ {
-		if n := a.metrics.Denied[reason].Load(); n > 0 {
-			fmt.Fprintf(to, "attempts.withheld.%v=%d\n", reason, n)
-		}
-		if n := a.metrics.Violations[reason].Load(); n > 0 {
-			fmt.Fprintf(to, "rules.violated.%v=%d\n", reason, n)
-		}
-	}
+	s.log.Info("operator changed a server", zap.String("server", id), zap.String("is", state))
+	return http.StatusOK, id + " is " + state + "\n"
 }
--- a/internal/net/admin/conns.go
+++ b/internal/net/admin/conns.go
@@ -8,93 +8,100 @@
 	"time"
 )
 
-// requestTimeout is how long each connection may wait for its call: a true one brings it at once, but a node under full load
-// may take a while to hear it.
-const requestTimeout = 50 * time.Millisecond
+const (
+	// requestTimeout is how long each connection may wait for its request, even if others need the connection: a caller sends it at
+	// once, but a busy node may take a while to read it.
+	requestTimeout = 50 * time.Millisecond
 
-// connLimiter bounds the connections that operators hold. Callers may hold one for seconds without a whole call; when such
-// have taken all places, the one that has waited longest goes, so that a true call is never kept waiting by them.
+	// retryInterval is the longest time between two checks for a free connection.
+	retryInterval = requestTimeout / 10
+)
+
+// connLimiter bounds the number of connections. Callers may keep one for seconds without a whole request; if all are taken, the one that has
+// waited longest for its request is closed for a new one.
 type connLimiter struct {
-	most int
+	max int
 
 	mu      sync.Mutex
-	waiting *list.List                 // of waiter, those without a whole call, the longest waiting first
-	conns   map[net.Conn]*list.Element // nil: its call has come
-}
-
-func newPlaces(most int) *connLimiter {
-	return &connLimiter{most: most, waiting: list.New(), conns: map[net.Conn]*list.Element{}}
+	waiting *list.List                 // of waitingConn: those whose request is not read yet, oldest first
+	conns   map[net.Conn]*list.Element // all connections; nil once the request is read
 }
 
-type waiter struct {
+type waitingConn struct {
 	conn  net.Conn
 	since time.Time
 }
 
-type placed struct {
-	net.Listener
-	*connLimiter
+func newConnLimiter(limit int) *connLimiter {
+	return &connLimiter{max: limit, waiting: list.New(), conns: map[net.Conn]*list.Element{}}
 }
 
-func (p *connLimiter) over(l net.Listener) net.Listener { return placed{l, p} }
+// listener returns l with its connections limited.
+func (l *connLimiter) listener(inner net.Listener) net.Listener { return limitedListener{inner, l} }
+
+type limitedListener struct {
+	net.Listener
+	limiter *connLimiter
+}
 
-// Accept takes the next connection, and ends the longest waiting one for it if need be.
-func (p placed) Accept() (net.Conn, error) {
-	c, err := p.Listener.Accept()
+// Accept returns the next connection once the limit allows for it.
+func (l limitedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	for {
-		wait := p.enter(c)
+		wait := l.limiter.add(conn)
 		if wait <= 0 {
-			return c, nil
+			return conn, nil
 		}
-		time.Sleep(wait) // the next ones are in the kernel's queue meanwhile
+		time.Sleep(wait) // further connections stay in the kernel's queue
 	}
 }
 
-// enter gives a connection a place, or says how long it has to wait for one at the most.
-func (p *connLimiter) enter(c net.Conn) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.conns) >= p.most {
-		first := p.waiting.Front()
-		if first == nil {
-			return requestTimeout / 10 // each has brought its call, and goes once it is answered: a place beyond is nobody's to take
+// add counts a connection in, closing the longest waiting one if need be, or returns the time to the next attempt.
+func (l *connLimiter) add(conn net.Conn) (wait time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.conns) >= l.max {
+		oldest := l.waiting.Front()
+		if oldest == nil {
+			return retryInterval // all requests are read; their connections close once they are answered
 		}
-		longest := first.Value.(waiter)
+		longest := oldest.Value.(waitingConn)
 		if age := time.Since(longest.since); age < requestTimeout {
-			return min(requestTimeout-age, requestTimeout/10)
+			return min(requestTimeout-age, retryInterval)
 		}
-		p.leave(longest.conn)
+		l.remove(longest.conn)
 		_ = longest.conn.Close()
 	}
-	p.conns[c] = p.waiting.PushBack(waiter{c, time.Now()})
+	l.conns[conn] = l.waiting.PushBack(waitingConn{conn, time.Now()})
 	return 0
 }
 
-// called says that a connection has brought a whole call, and now keeps its place.
-func (p *connLimiter) called(c net.Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if e := p.conns[c]; e != nil {
-		p.waiting.Remove(e)
-		p.conns[c] = nil
+// requestRead keeps a connection, whose request has been read, from being closed for another.
+func (l *connLimiter) requestRead(conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if element := l.conns[conn]; element != nil {
+		l.waiting.Remove(element)
+		l.conns[conn] = nil
 	}
 }
 
-// state follows the server's connections.
-func (p *connLimiter) state(c net.Conn, s http.ConnState) {
-	if s == http.StateClosed {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.leave(c)
+// connState removes the connections that the HTTP server has closed.
+func (l *connLimiter) connState(conn net.Conn, state http.ConnState) {
+	if state == http.StateClosed {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.remove(conn)
 	}
 }
 
-func (p *connLimiter) leave(c net.Conn) {
-	if e := p.conns[c]; e != nil {
-		p.waiting.Remove(e)
+// remove is called with mu locked.
+func (l *connLimiter) remove(conn net.Conn) {
+	if element := l.conns[conn]; element != nil {
+		l.waiting.Remove(element)
 	}
-	delete(p.conns, c)
+	delete(l.conns, conn)
 }
--- /dev/null
+++ b/internal/net/admin/metrics.go
@@ -0,0 +1,53 @@
+package admin
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
+)
+
+// metricsPage returns the metrics, a line each. Operators' scripts read the names.
+func (s *Server) metricsPage() string {
+	var page strings.Builder
+	s.writeClasses(&page)
+	fmt.Fprintf(&page, "relayed=%d\n", s.metrics.Written.Load())
+	fmt.Fprintf(&page, "open_requests=%d\n", s.metrics.Open.Load())
+	fmt.Fprintf(&page, "registry_entries=%d\n", s.metrics.Listed.Load())
+	fmt.Fprintf(&page, "out_of_rotation=%d\n", s.metrics.Avoided.Load())
+	s.writeReasons(&page)
+	s.writeCluster(&page)
+	return page.String()
+}
+
+// writeClasses writes the results of the requests of each class.
+func (s *Server) writeClasses(page *strings.Builder) {
+	for _, name := range s.metrics.Classes() {
+		class := s.metrics.Of(name)
+		fmt.Fprintf(page, "operations.%s.fulfilled=%d\n", name, class.Served.Load())
+		fmt.Fprintf(page, "operations.%s.throttled=%d\n", name, class.Rejected.Load())
+		fmt.Fprintf(page, "operations.%s.faulted=%d\n", name, class.Failed.Load())
+	}
+}
+
+// writeReasons writes why attempts were withheld and which rules decisions would have violated, a line for each reason that occurred.
+func (s *Server) writeReasons(page *strings.Builder) {
+	for reason := admission.Granted + 1; reason < admission.Reasons; reason++ {
+		if n := s.metrics.Denied[reason].Load(); n > 0 {
+			fmt.Fprintf(page, "attempts.withheld.%v=%d\n", reason, n)
+		}
+		if n := s.metrics.Violations[reason].Load(); n > 0 {
+			fmt.Fprintf(page, "rules.violated.%v=%d\n", reason, n)
+		}
+	}
+}
+
+// writeCluster writes the metrics of the node's cluster, by name.
+func (s *Server) writeCluster(page *strings.Builder) {
+	cluster := s.node.Fleet()
+	for _, name := range slices.Sorted(maps.Keys(cluster)) {
+		fmt.Fprintf(page, "fleet.%s=%v\n", name, cluster[name])
+	}
+}
