--- a/internal/net/frontend/body_test.go
+++ b/internal/net/frontend/body_test.go
@@ -15,7 +15,7 @@
 	_, ships, address := serve(t, 8, true)
 	answerAll(t, ships, []byte("v"))
 	for _, before := range []int{0, 1} {
-		for _, rest := range []time.Duration{headersIn - 150*time.Millisecond, headersIn - 10*time.Millisecond} {
+		for _, rest := range []time.Duration{headerTimeout - 150*time.Millisecond, headerTimeout - 10*time.Millisecond} {
 			t.Run(fmt.Sprint(before, " requests before, rests ", rest), func(t *testing.T) {
 				t.Parallel()
 				c, err := net.Dial("tcp", address)
--- a/internal/net/frontend/closing_test.go
+++ b/internal/net/frontend/closing_test.go
@@ -63,17 +63,17 @@
 		{"an old version", "GET /read/k HTTP/1.0\r\n\r\n", "505", nil},
 		{"an unknown coding", put + "Transfer-Encoding: gzip\r\n\r\n", "501", nil},
 		{"an unknown expectation", head + "Expect: wonders\r\n\r\n", "417", nil},
-		{"a long head", head + "X-Long: " + strings.Repeat("x", 2*headersMost) + "\r\n\r\n", "431", nil},
+		{"a long head", head + "X-Long: " + strings.Repeat("x", 2*maxHeaderBytes) + "\r\n\r\n", "431", nil},
 		{"a long body", put + "Content-Length: 99999\r\n\r\n", "413", nil},
 		{"a long chunked body", put + "Transfer-Encoding: chunked\r\n\r\nfff\r\n", "413", nil},
 		{"a broken chunk", put + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "400", nil},
 		{"two lengths", put + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400", nil},
 		{"half a body", put + "Content-Length: 60\r\n\r\nhalf", "408", nil},
 		{"its client's wish", head + "Connection: close\r\n\r\n", "200", nil},
-		{"too many in hand", head + "Connection: close\r\n\r\n", "503", func(c *Server) { c.most.Store(0) }},
-		{"too many connections", head + "\r\n", "200", func(c *Server) { c.room.resize(0) }},
-		{"SIGTERM", head + "\r\n", "200", func(c *Server) { c.leaving.Store(true) }},
-		{"SIGTERM, a long body", put + "Content-Length: 99999\r\n\r\n", "413", func(c *Server) { c.leaving.Store(true) }},
+		{"too many in hand", head + "Connection: close\r\n\r\n", "503", func(c *Server) { c.maxInFlight.Store(0) }},
+		{"too many connections", head + "\r\n", "200", func(c *Server) { c.conns.resize(0) }},
+		{"SIGTERM", head + "\r\n", "200", func(c *Server) { c.draining.Store(true) }},
+		{"SIGTERM, a long body", put + "Content-Length: 99999\r\n\r\n", "413", func(c *Server) { c.draining.Store(true) }},
 	} {
 		for _, goesOn := range []bool{false, true} {
 			t.Run(fmt.Sprint(row.name, ", its client goes on: ", goesOn), func(t *testing.T) {
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := bound(l, 8, func(time.Duration) {}, zap.NewNop())
+	b := newLimitedListener(l, 8, func(time.Duration) {}, zap.NewNop())
 	t.Cleanup(func() { b.Close() })
 	for _, woken := range []bool{false, true} {
 		far := dial(t, l.Addr().String())
@@ -156,7 +156,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		own, buffer := near.(*placed), make([]byte, 9)
+		own, buffer := near.(*clientConn), make([]byte, 9)
 		_ = own.raw.Control(func(fd uintptr) { // else the kernel would hold the ends of answers back
 			if set, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY); set == 0 || err != nil {
 				t.Errorf("TCP_NODELAY is %d, %v", set, err)
@@ -172,14 +172,14 @@
 		for !readable(own) {
 			time.Sleep(time.Millisecond)
 		}
-		own.woken.Store(woken)
-		_ = own.SetReadDeadline(past)
+		own.closeRequested.Store(woken)
+		_ = own.SetReadDeadline(pastDeadline)
 		read("GET ")
 		if woken { // it has been given time for the rest
 			time.AfterFunc(30*time.Millisecond, func() { fmt.Fprint(far, "/up") })
 			read("/up")
-			own.woken.Store(true)
-			_ = own.SetReadDeadline(past)
+			own.closeRequested.Store(true)
+			_ = own.SetReadDeadline(pastDeadline)
 		}
 		read("")
 		own.Close()
@@ -201,9 +201,9 @@
 			span := 20 * time.Millisecond
 			switch kind {
 			case "was idle for long":
-				c.server.IdleTimeout = span
+				c.httpServer.IdleTimeout = span
 			case "took long for its head":
-				c.server.ReadHeaderTimeout = span
+				c.httpServer.ReadHeaderTimeout = span
 			}
 			go func() { _ = c.Serve(l) }()
 			sent := answerAll(t, ships, []byte("v"))
@@ -221,12 +221,12 @@
 				near := span - time.Millisecond + time.Duration(i%20)*100*time.Microsecond
 				if kind == "makes way" {
 					near = time.Duration(i%10) * 20 * time.Microsecond
-					c.room.mu.Lock()
-					for _, e := range c.room.places {
-						e.Value.(*place).since = time.Now().Add(-time.Hour)
+					c.conns.mu.Lock()
+					for _, e := range c.conns.idleByConn {
+						e.Value.(*idleConn).since = time.Now().Add(-time.Hour)
 					}
-					c.room.mu.Unlock()
-					go c.room.makeWay(1, 0)
+					c.conns.mu.Unlock()
+					go c.conns.closeIdle(1, 0)
 				}
 				time.Sleep(near)
 				_, wrote := fmt.Fprint(conn, text)
@@ -292,8 +292,8 @@
 	text := "GET /read/k HTTP/1.1\r\nHost: h\r\n" + id + "\r\n" + within + "\r\n\r\n"
 	fmt.Fprint(conn, text, text[:30])
 	conn.receive(t)
-	for end := time.Now().Add(4 * unused); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		c.room.makeWay(1, 0)
+	for end := time.Now().Add(4 * usedConnTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		c.conns.closeIdle(1, 0)
 	}
 	fmt.Fprint(conn, text[30:])
 	if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
@@ -302,7 +302,7 @@
 }
 
 // readable says whether something lies unread at a connection.
-func readable(p *placed) bool {
-	there, _ := shows(p.raw, unix.POLLIN)
+func readable(p *clientConn) bool {
+	there, _ := pollNow(p.raw, unix.POLLIN)
 	return there
 }
--- a/internal/net/frontend/conn_tracker_test.go
+++ b/internal/net/frontend/conn_tracker_test.go
@@ -115,7 +115,7 @@
 func TestLeavingLeavesNobodyInTheKernelsQueue(t *testing.T) {
 	for _, early := range []bool{false, true} {
 		c, ships, l := front(t, 8, true)
-		c.bounds.MaxDeadline = 2 * time.Second // the queue is given up after half of it
+		c.limits.MaxDeadline = 2 * time.Second // the queue is given up after half of it
 		h := held{l, make(chan struct{})}
 		left := make(chan error, 1)
 		begin := func() { go func() { _ = c.Serve(h) }() }
@@ -130,13 +130,13 @@
 		}
 		conn := dial(t, l.Addr().String())
 		conn.send("GET /read/k", id, "X-Expires-In: 1900m")
-		time.Sleep(time.Until(began.Add(comingFor + 60*time.Millisecond)))
+		time.Sleep(time.Until(began.Add(drainAcceptTime + 60*time.Millisecond)))
 		close(h.until)
 		go func() { (<-ships).Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")}) }()
 		if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
 			t.Errorf("told to leave early %v: %d %q", early, r.StatusCode, body)
 		}
-		if err := <-left; err != nil || time.Since(began) > c.bounds.MaxDeadline+700*time.Millisecond {
+		if err := <-left; err != nil || time.Since(began) > c.limits.MaxDeadline+700*time.Millisecond {
 			t.Errorf("left after %v: %v", time.Since(began), err)
 		}
 	}
@@ -147,18 +147,18 @@
 func TestALookupThatCrossesMakingWayIsServed(t *testing.T) {
 	c, ships, l := front(t, 8, true)
 	// The server's word that a lookup has come is held until its connection has been chosen.
-	told, lookups := c.server.ConnState, 0
-	c.server.ConnState = func(at net.Conn, s http.ConnState) {
+	told, lookups := c.httpServer.ConnState, 0
+	c.httpServer.ConnState = func(at net.Conn, s http.ConnState) {
 		if s == http.StateActive {
 			if lookups++; lookups == 2 {
-				c.room.mu.Lock()
-				for _, e := range c.room.places {
-					p := e.Value.(*place)
+				c.conns.mu.Lock()
+				for _, e := range c.conns.idleByConn {
+					p := e.Value.(*idleConn)
 					p.since = time.Now().Add(-time.Hour) // idle for long, and nothing heard since
-					p.conn.(*placed).heard.Store(0)
+					p.conn.(*clientConn).lastRead.Store(0)
 				}
-				c.room.mu.Unlock()
-				c.room.makeWay(1, 0)
+				c.conns.mu.Unlock()
+				c.conns.closeIdle(1, 0)
 			}
 		}
 		told(at, s)
--- a/internal/net/frontend/flood_test.go
+++ b/internal/net/frontend/flood_test.go
@@ -130,7 +130,7 @@
 	end := time.Now().Add(2 * time.Second)
 	users.Go(func() {
 		for ; time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			most.Store(max(most.Load(), c.listener.Load().taken.Load()))
+			most.Store(max(most.Load(), c.listener.Load().conns.Load()))
 			lines.Store(max(lines.Load(), int64(runtime.NumGoroutine())))
 		}
 	})
@@ -161,11 +161,11 @@
 	crowd.Wait()
 	for by := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		left, held := runtime.NumGoroutine(), descriptors(t)
-		if c.Open() == 0 && c.listener.Load().lingers() == 0 && left <= goroutines+4 && held <= open+4 {
+		if c.Open() == 0 && c.listener.Load().lingeringCount() == 0 && left <= goroutines+4 && held <= open+4 {
 			break
 		}
 		if time.Now().After(by) {
-			t.Errorf("afterwards %d open, %d linger, %d goroutines of %d, %d descriptors of %d", c.Open(), c.listener.Load().lingers(),
+			t.Errorf("afterwards %d open, %d linger, %d goroutines of %d, %d descriptors of %d", c.Open(), c.listener.Load().lingeringCount(),
 				left, goroutines, held, open)
 			break
 		}
@@ -229,7 +229,7 @@
 		_ = conn.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 		conn.send("GET /read/k", fmt.Sprint("X-Trace-Id: s", i), within)
 		slow = append(slow, conn)
-		time.Sleep(unused / 2)
+		time.Sleep(usedConnTimeout / 2)
 	}
 	conn := dial(t, address)
 	conn.send("GET /read/k", id, within)
@@ -288,7 +288,7 @@
 				if !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
 					t.Errorf("client %d: %v", i, err)
 				}
-				if time.Since(began) > comingFor-100*time.Millisecond { // clients come for so long
+				if time.Since(began) > drainAcceptTime-100*time.Millisecond { // clients come for so long
 					return
 				}
 				next, err := net.Dial("tcp", address)
--- a/internal/net/frontend/framing_test.go
+++ b/internal/net/frontend/framing_test.go
@@ -51,12 +51,12 @@
 			rest = rest[n:]
 		}
 		for i, sound := range want {
-			if got := f.sound(); got != sound {
+			if got := f.nextUnambiguous(); got != sound {
 				t.Errorf("seed %d: head %d of %q is said to be sound: %v", seed, i, text.String(), got)
 				return false
 			}
 		}
-		if f.sound() {
+		if f.nextUnambiguous() {
 			t.Errorf("seed %d: a head that never came", seed)
 		}
 		return !t.Failed()
--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -15,44 +15,44 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// call is one lookup at its client's connection, from its head to the last byte of its answer.
-type call struct {
+// handler is one lookup at its client's connection, from its head to the last byte of its answer.
+type handler struct {
 	*Server
-	w       http.ResponseWriter
-	r       *http.Request
-	control *http.ResponseController
-	conn    *placed // nil: not one of ours
-	sound   bool    // its head gives its body's end in one way
+	w           http.ResponseWriter
+	r           *http.Request
+	control     *http.ResponseController
+	conn        *clientConn // nil: not one of ours
+	unambiguous bool        // its head gives its body's end in one way
 
-	rest      *dispatch.BodyStream // what of a long body had not come when the lookup was taken
-	namespace string
-	outcome   dispatch.Outcome // as the client sees it
-	open      bool             // counted as such
-	answered  bool
-	broken    bool // the answer has begun and can't be finished
+	bodyStream *dispatch.BodyStream // what of a long body had not come when the lookup was taken
+	class      string
+	outcome    dispatch.Outcome // as the client sees it
+	counted    bool             // counted as such
+	answered   bool
+	truncated  bool // the answer has begun and can't be finished
 }
 
-// end counts the lookup, and sees to it that a client can tell an answer that is not whole. A panic would end the
+// finish counts the lookup, and sees to it that a client can tell an answer that is not whole. A panic would end the
 // connection without an answer, so it is answered too.
-func (a *call) end() {
+func (a *handler) finish() {
 	if p := recover(); p != nil {
 		a.log.Error("a lookup's handler panicked", zap.Any("panic", p), zap.Stack("stack"))
 		a.outcome = dispatch.Failed
-		if a.broken = a.answered; !a.answered {
-			plain(a.w, http.StatusInternalServerError, "internal error")
+		if a.truncated = a.answered; !a.answered {
+			writePlain(a.w, http.StatusInternalServerError, "internal error")
 		}
 	}
-	if a.open {
-		a.exchange.AddOpen(-1)
-		a.exchange.CountEnd(a.namespace, a.outcome)
+	if a.counted {
+		a.dispatcher.AddOpen(-1)
+		a.dispatcher.CountEnd(a.class, a.outcome)
 	}
-	if a.rest != nil {
-		defer a.rest.Close()
+	if a.bodyStream != nil {
+		defer a.bodyStream.Close()
 	}
 	if a.w.Header().Get("Connection") == "close" {
 		a.r.Body = http.NoBody // for what is left unread net/http would hold the place for half a second; see placed.Close
 	}
-	if a.broken {
+	if a.truncated {
 		panic(http.ErrAbortHandler) // ends the connection in the middle
 	}
 	a.drain()
@@ -60,61 +60,61 @@
 
 // drain reads what still comes of a long body when its lookup is answered: a client that is cut off while it writes may
 // never read its answer.
-func (a *call) drain() {
-	if a.rest == nil || a.rest.Whole() {
+func (a *handler) drain() {
+	if a.bodyStream == nil || a.bodyStream.Whole() {
 		return
 	}
 	_ = a.control.Flush()
-	buffer := buffers.Get().(*[]byte)
-	defer buffers.Put(buffer)
+	buffer := bufferPool.Get().(*[]byte)
+	defer bufferPool.Put(buffer)
 	for {
-		if _, err := a.rest.Read(*buffer); err != nil {
+		if _, err := a.bodyStream.Read(*buffer); err != nil {
 			return
 		}
 	}
 }
 
-// buffers are for bodies on their way through.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
+// bufferPool are for bodies on their way through.
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
 // serve takes the lookup and answers it.
-func (a *call) serve() {
-	a.namespace, _ = parts(origin(a.r.RequestURI))
-	a.exchange.AddOpen(1)
-	a.open = true
-	full := a.inHand.Add(1) > a.most.Load()
-	defer a.inHand.Add(-1)
-	in, status, err := a.body()
+func (a *handler) serve() {
+	a.class, _ = classAndKey(originForm(a.r.RequestURI))
+	a.dispatcher.AddOpen(1)
+	a.counted = true
+	full := a.inFlight.Add(1) > a.maxInFlight.Load()
+	defer a.inFlight.Add(-1)
+	in, status, err := a.readBody()
 	read := time.Now()
 	if err != nil {
-		a.w.Header().Set("Connection", "close") // what follows is not to be read as another lookup,
-		_ = a.control.SetReadDeadline(past)     // nor waited for: net/http would do so to the end of the body
-		a.turnAway(status, err)
+		a.w.Header().Set("Connection", "close")     // what follows is not to be read as another lookup,
+		_ = a.control.SetReadDeadline(pastDeadline) // nor waited for: net/http would do so to the end of the body
+		a.reject(status, err)
 		return
 	}
 	if in.Rest != nil {
-		a.rest = in.Rest
+		a.bodyStream = in.Rest
 		a.w.Header().Set("Connection", "close") // what is left of the body may be in the way
 	}
 	if full {
-		a.log.Debug("request refused for want of room", zap.String("trace", a.trace()))
+		a.log.Debug("request refused for want of room", zap.String("trace", a.traceID()))
 		a.outcome = dispatch.Rejected
-		answer(a.w, dispatch.Answer{Outcome: dispatch.Rejected, RetryAfter: min(beyondAdvice, a.bounds.MaxRetryAfter)})
+		writeAnswer(a.w, dispatch.Answer{Outcome: dispatch.Rejected, RetryAfter: min(overflowRetryAfter, a.limits.MaxRetryAfter)})
 		return
 	}
-	within, err := decode(a.r, &in)
+	within, err := parseRequest(a.r, &in)
 	if err != nil {
-		a.turnAway(http.StatusBadRequest, err)
+		a.reject(http.StatusBadRequest, err)
 		return
 	}
-	in.ClientGone = a.conn.gone
-	t, err := a.exchange.Submit(in, read, within)
+	in.ClientGone = a.conn.clientGone
+	t, err := a.dispatcher.Submit(in, read, within)
 	if errors.Is(err, dispatch.ErrDuplicateID) {
-		a.turnAway(http.StatusConflict, err)
+		a.reject(http.StatusConflict, err)
 		return
 	}
 	if err != nil {
-		a.turnAway(http.StatusBadRequest, err)
+		a.reject(http.StatusBadRequest, err)
 		return
 	}
 	left := a.r.Context().Done()
@@ -123,9 +123,9 @@
 	}
 	select {
 	case ans := <-t.Answers():
-		a.answer(ans)
+		a.writeAnswer(ans)
 	case <-left:
-		a.log.Debug("a client left", zap.String("trace", a.trace()))
+		a.log.Debug("a client left", zap.String("trace", a.traceID()))
 		t.Abandon()
 		select {
 		case ans := <-t.Answers(): // it came in the same moment
@@ -135,27 +135,27 @@
 		default:
 		}
 		a.answered = true
-		if a.rest != nil && !a.rest.Whole() {
-			plain(a.w, http.StatusRequestTimeout, errSlow.Error()) // a client that still listens is told why
+		if a.bodyStream != nil && !a.bodyStream.Whole() {
+			writePlain(a.w, http.StatusRequestTimeout, errBodyTooSlow.Error()) // a client that still listens is told why
 			return
 		}
 		// Nobody should hear this; but an empty 200 would be an answer that no server made.
-		plain(a.w, http.StatusBadGateway, "the client has left")
+		writePlain(a.w, http.StatusBadGateway, "the client has left")
 	}
 }
 
-func (a *call) trace() string { return a.r.Header.Get("X-Trace-Id") }
+func (a *handler) traceID() string { return a.r.Header.Get("X-Trace-Id") }
 
-// turnAway answers a request that can't be taken.
-func (a *call) turnAway(status int, why error) {
-	a.log.Debug("request turned away", zap.String("trace", a.trace()), zap.Int("status", status), zap.Error(why))
-	plain(a.w, status, why.Error())
+// reject answers a request that can't be taken.
+func (a *handler) reject(status int, why error) {
+	a.log.Debug("request turned away", zap.String("trace", a.traceID()), zap.Int("status", status), zap.Error(why))
+	writePlain(a.w, status, why.Error())
 }
 
-// answer writes the final answer.
-func (a *call) answer(ans dispatch.Answer) {
+// writeAnswer writes the final answer.
+func (a *handler) writeAnswer(ans dispatch.Answer) {
 	a.answered = true
-	if a.leaving.Load() {
+	if a.draining.Load() {
 		a.w.Header().Set("Connection", "close")
 	}
 	a.outcome = ans.Outcome
@@ -163,20 +163,20 @@
 		panic(http.ErrAbortHandler)
 	}
 	if ans.Rest == nil {
-		answer(a.w, ans)
+		writeAnswer(a.w, ans)
 		return
 	}
-	if err := a.pass(ans); err != nil {
-		a.log.Info("a long answer is not passed on whole", zap.Error(err), zap.String("trace", a.trace()))
-		a.outcome, a.broken = dispatch.Failed, true
+	if err := a.streamAnswer(ans); err != nil {
+		a.log.Info("a long answer is not passed on whole", zap.Error(err), zap.String("trace", a.traceID()))
+		a.outcome, a.truncated = dispatch.Failed, true
 	}
 }
 
-var errLength = errors.New("the answer is not as long as it was said to be")
+var errAnswerLength = errors.New("the answer is not as long as it was said to be")
 
-// pass passes a long answer on as it comes. Nothing is held back, and what can't be finished is left unfinished: neither
+// streamAnswer passes a long answer on as it comes. Nothing is held back, and what can't be finished is left unfinished: neither
 // the last chunk nor the length told is ever made up.
-func (a *call) pass(ans dispatch.Answer) error {
+func (a *handler) streamAnswer(ans dispatch.Answer) error {
 	defer ans.Rest.Close()
 	// A client that leaves ends the server's connection too, rather than have the rest brought for nobody.
 	defer context.AfterFunc(a.r.Context(), func() { _ = ans.Rest.Close() })()
@@ -185,17 +185,17 @@
 		a.w.Header().Set("Content-Length", strconv.FormatInt(ans.Length, 10))
 	}
 	if ans.ContentType == "" {
-		ans.ContentType = anyBytes
+		ans.ContentType = defaultContentType
 	}
 	a.w.Header().Set("Content-Type", ans.ContentType)
 	a.w.WriteHeader(http.StatusOK)
-	buffer := buffers.Get().(*[]byte)
-	defer buffers.Put(buffer)
+	buffer := bufferPool.Get().(*[]byte)
+	defer bufferPool.Put(buffer)
 	for next, sent, end := ans.Body, int64(0), error(nil); ; {
 		if sent += int64(len(next)); ans.Length >= 0 && sent > ans.Length {
-			return errLength
+			return errAnswerLength
 		}
-		_ = a.control.SetWriteDeadline(time.Now().Add(takenIn))
+		_ = a.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := a.w.Write(next); err != nil {
 			return err
 		}
@@ -204,7 +204,7 @@
 		}
 		switch {
 		case end != nil && ans.Length >= 0 && sent < ans.Length:
-			return errLength
+			return errAnswerLength
 		case end != nil:
 			return nil
 		}
--- a/internal/net/frontend/poll_test.go
+++ b/internal/net/frontend/poll_test.go
@@ -16,28 +16,28 @@
 	t.Run("interrupted", func(t *testing.T) {
 		b, p, far := pair(t)
 		far.Close()
-		waitFor(t, p.gone)
+		waitFor(t, p.clientGone)
 		kernel.FailTimes(kernel.Poll, syscall.EINTR, 3)
-		if !p.gone() {
+		if !p.clientGone() {
 			t.Error("a client that has gone was held to be there")
 		}
-		b.came.Store(0)
-		b.taken.Store(0)
+		b.lastAccept.Store(0)
+		b.conns.Store(0)
 		dial(t, b.Addr().String())
-		waitFor(t, b.queued)
+		waitFor(t, b.hasQueued)
 		kernel.FailTimes(kernel.Poll, syscall.EINTR, 3)
-		if !b.queued() {
+		if !b.hasQueued() {
 			t.Error("a socket with a connection in its queue was held to be empty")
 		}
 	})
 	t.Run("out of memory", func(t *testing.T) {
 		b, p, _ := pair(t)
-		b.came.Store(0)
+		b.lastAccept.Store(0)
 		kernel.FailTimes(kernel.Poll, syscall.ENOMEM, 1<<30)
-		if p.gone() {
+		if p.clientGone() {
 			t.Error("a client that is there was held to have gone")
 		}
-		if !b.queued() {
+		if !b.hasQueued() {
 			t.Error("a queue that nobody could look at was held to be empty")
 		}
 	})
--- a/internal/net/frontend/read_ahead.go
+++ b/internal/net/frontend/read_ahead.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	aheadFrom  = 4 << 10 // bytes behind a lookup from which its client's end may stand behind a full window
-	aheadMost  = 4 << 20 // bytes read ahead of a connection: more than a kernel holds back,
-	aheadAll   = 8 << 20 // and of all; beyond them nothing is
-	aheadPause = time.Millisecond
-	aheadQuiet = 2  // pauses with nothing more, after which all that was on its way has come: some round trips
-	aheadTurns = 10 // pauses at the most
+	readAheadThreshold  = 4 << 10 // bytes behind a lookup from which its client's end may stand behind a full window
+	maxReadAheadPerConn = 4 << 20 // bytes read ahead of a connection: more than a kernel holds back,
+	maxReadAheadTotal   = 8 << 20 // and of all; beyond them nothing is
+	readAheadPause      = time.Millisecond
+	maxQuietPauses      = 2  // pauses with nothing more, after which all that was on its way has come: some round trips
+	maxReadAheadPauses  = 10 // pauses at the most
 )
 
-// ahead is what was read of a connection to see its end behind it, and nobody has taken yet.
-type ahead struct {
-	mu   sync.Mutex // one reads from the kernel at a time
-	left []byte
-	of   *atomic.Int64 // counts that of all connections; nil: nothing is read ahead
+// readAhead is what was read of a connection to see its end behind it, and nobody has taken yet.
+type readAhead struct {
+	mu     sync.Mutex // one reads from the kernel at a time
+	unread []byte
+	total  *atomic.Int64 // counts that of all connections; nil: nothing is read ahead
 }
 
-// drop counts bytes as gone. Called with the lock held.
-func (a *ahead) drop(n int) {
-	if a.left = a.left[n:]; len(a.left) == 0 {
-		a.left = nil
+// consume counts bytes as gone. Called with the lock held.
+func (a *readAhead) consume(n int) {
+	if a.unread = a.unread[n:]; len(a.unread) == 0 {
+		a.unread = nil
 	}
 	if n > 0 {
-		a.of.Add(int64(-n))
+		a.total.Add(int64(-n))
 	}
 }
 
-// next gives what there is without waiting, what was read ahead before all else. The kernel's bytes are taken under the lock, so that
+// readNow gives what there is without waiting, what was read ahead before all else. The kernel's bytes are taken under the lock, so that
 // it makes no difference who reads them.
-func (p *placed) next(fd uintptr, b []byte) (n int, err error) {
-	p.ahead.mu.Lock()
-	defer p.ahead.mu.Unlock()
-	if len(p.ahead.left) > 0 {
-		n = copy(b, p.ahead.left)
-		p.ahead.drop(n)
+func (p *clientConn) readNow(fd uintptr, b []byte) (n int, err error) {
+	p.readAhead.mu.Lock()
+	defer p.readAhead.mu.Unlock()
+	if len(p.readAhead.unread) > 0 {
+		n = copy(b, p.readAhead.unread)
+		p.readAhead.consume(n)
 		return n, nil
 	}
 	return kernel.ReadSocket(fd, b)
 }
 
-// take waits for bytes.
-func (p *placed) take(b []byte) (n int, err error) {
+// readWait waits for bytes.
+func (p *clientConn) readWait(b []byte) (n int, err error) {
 	over := p.raw.Read(func(fd uintptr) bool {
-		n, err = p.next(fd, b)
+		n, err = p.readNow(fd, b)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	switch {
@@ -69,33 +69,33 @@
 	return n, nil
 }
 
-// lookBehind reads ahead where much lies behind a lookup: its client's end comes only once the bytes before it have been taken. It says
+// readAheadForEnd reads ahead where much lies behind a lookup: its client's end comes only once the bytes before it have been taken. It says
 // whether it did.
-func (p *placed) lookBehind() (did bool) {
-	if p.ahead.of == nil {
+func (p *clientConn) readAheadForEnd() (did bool) {
+	if p.readAhead.total == nil {
 		return false
 	}
-	buffer := buffers.Get().(*[]byte)
-	defer buffers.Put(buffer)
+	buffer := bufferPool.Get().(*[]byte)
+	defer bufferPool.Put(buffer)
 	quiet := 0
-	for range aheadTurns {
+	for range maxReadAheadPauses {
 		more := false
 		_ = p.raw.Control(func(fd uintptr) {
-			p.ahead.mu.Lock()
-			defer p.ahead.mu.Unlock()
+			p.readAhead.mu.Lock()
+			defer p.readAhead.mu.Unlock()
 			if !did {
-				n, err := kernel.PeekSocket(fd, (*buffer)[:aheadFrom])
-				did = err == nil && n == aheadFrom
+				n, err := kernel.PeekSocket(fd, (*buffer)[:readAheadThreshold])
+				did = err == nil && n == readAheadThreshold
 			}
-			for did && len(p.ahead.left) < aheadMost {
+			for did && len(p.readAhead.unread) < maxReadAheadPerConn {
 				size := int64(len(*buffer))
-				if p.ahead.of.Add(size) > aheadAll {
-					p.ahead.of.Add(-size)
+				if p.readAhead.total.Add(size) > maxReadAheadTotal {
+					p.readAhead.total.Add(-size)
 					return
 				}
 				n, _ := kernel.ReadSocket(fd, *buffer)
-				p.ahead.left = append(p.ahead.left, (*buffer)[:n]...)
-				p.ahead.of.Add(int64(n) - size)
+				p.readAhead.unread = append(p.readAhead.unread, (*buffer)[:n]...)
+				p.readAhead.total.Add(int64(n) - size)
 				if n == 0 {
 					return
 				}
@@ -105,21 +105,21 @@
 		if quiet++; more {
 			quiet = 0
 		}
-		if !did || quiet == aheadQuiet {
+		if !did || quiet == maxQuietPauses {
 			break
 		}
-		time.Sleep(aheadPause)
+		time.Sleep(readAheadPause)
 	}
 	return did
 }
 
-// forgo lets go of what was read ahead, and says how much that was.
-func (p *placed) forgo() int {
-	p.ahead.mu.Lock()
-	defer p.ahead.mu.Unlock()
-	n := len(p.ahead.left)
+// dropReadAhead lets go of what was read ahead, and says how much that was.
+func (p *clientConn) dropReadAhead() int {
+	p.readAhead.mu.Lock()
+	defer p.readAhead.mu.Unlock()
+	n := len(p.readAhead.unread)
 	if n > 0 {
-		p.ahead.drop(n)
+		p.readAhead.consume(n)
 	}
 	return n
 }
--- a/internal/net/frontend/read_ahead_test.go
+++ b/internal/net/frontend/read_ahead_test.go
@@ -15,12 +15,12 @@
 )
 
 // pair gives a connection as a node has it, and its client's end.
-func pair(t *testing.T) (*bounded, *placed, *net.TCPConn) {
+func pair(t *testing.T) (*limitedListener, *clientConn, *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := bound(l, 8, func(time.Duration) {}, zap.NewNop())
+	b := newLimitedListener(l, 8, func(time.Duration) {}, zap.NewNop())
 	t.Cleanup(func() { b.Close() })
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -31,13 +31,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { near.Close(); far.Close() })
-	return b, near.(*placed), far.(*net.TCPConn)
+	return b, near.(*clientConn), far.(*net.TCPConn)
 }
 
 // taken reads a connection's bytes, whatever they are.
-type taken struct{ *placed }
+type taken struct{ *clientConn }
 
-func (c taken) Read(b []byte) (int, error) { return c.take(b) }
+func (c taken) Read(b []byte) (int, error) { return c.readWait(b) }
 
 // Bytes are read in order and once, whoever looks for the client's end meanwhile; what was read ahead is bounded and counted.
 func TestBytesReadAheadComeInOrder(t *testing.T) {
@@ -63,9 +63,9 @@
 				case <-over:
 					return
 				default:
-					near.gone()
+					near.clientGone()
 				}
-				if held := b.ahead.Load(); held > aheadAll+64<<10 || held < 0 {
+				if held := b.readAhead.Load(); held > maxReadAheadTotal+64<<10 || held < 0 {
 					t.Errorf("%d bytes are held", held)
 				}
 			}
@@ -77,8 +77,8 @@
 		}
 		close(over)
 		looks.Wait()
-		if !near.gone() || b.ahead.Load() != 0 {
-			t.Errorf("gone %v, %d bytes held", near.gone(), b.ahead.Load())
+		if !near.clientGone() || b.readAhead.Load() != 0 {
+			t.Errorf("gone %v, %d bytes held", near.clientGone(), b.readAhead.Load())
 		}
 	}
 }
@@ -97,14 +97,14 @@
 		if ends {
 			far.Close()
 		}
-		if near.gone() != ends {
+		if near.clientGone() != ends {
 			t.Errorf("ends %v, and is taken for the other", ends)
 		}
-		if held := b.ahead.Load(); held == 0 || held > aheadMost+64<<10 {
+		if held := b.readAhead.Load(); held == 0 || held > maxReadAheadPerConn+64<<10 {
 			t.Errorf("%d bytes are held", held)
 		}
 		_ = near.SetReadDeadline(time.Now().Add(-time.Second))
-		if _, err := near.take(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := near.readWait(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("beyond its deadline: %v", err)
 		}
 		if n, err := near.Read(make([]byte, 1)); n != 1 || err != nil {
@@ -116,7 +116,7 @@
 			t.Errorf("beyond its deadline, of nothing: %d, %v", n, err)
 		}
 		near.Close()
-		if held := b.ahead.Load(); held != 0 {
+		if held := b.readAhead.Load(); held != 0 {
 			t.Errorf("%d bytes are held after the close", held)
 		}
 		<-wrote
--- a/internal/net/frontend/server_test.go
+++ b/internal/net/frontend/server_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	c := New(x, Limits{Descriptors: descriptors, OverflowConns: 4, MaxDeadline: limit, MaxRetryAfter: limit, MaxBuffered: 64, MaxStreamed: 64}, zap.NewNop())
-	t.Cleanup(func() { c.server.Close() })
+	t.Cleanup(func() { c.httpServer.Close() })
 	return c, ships, l.(*net.TCPListener)
 }
 
@@ -165,7 +165,7 @@
 
 func TestBadInputIsAnsweredAndSentNowhere(t *testing.T) {
 	_, ships, address := serve(t, 30, true)
-	long := strings.Repeat("x", 2*headersMost)
+	long := strings.Repeat("x", 2*maxHeaderBytes)
 	for _, c := range []struct {
 		status  int
 		first   string
@@ -296,23 +296,23 @@
 	conn.send("GET /read/k", id, within)
 	s := <-ships
 	conn.Close()
-	left := func() bool { return c.exchange.Stats().ClientGone == 1 }
+	left := func() bool { return c.dispatcher.Stats().ClientGone == 1 }
 	for end := time.Now().Add(2 * time.Second); !left(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nobody noticed")
 		}
 	}
-	if c.exchange.InFlight() != 1 {
+	if c.dispatcher.InFlight() != 1 {
 		t.Error("forgotten with a shot out")
 	}
-	if s.Finish(dispatch.NotFound, dispatch.Answer{}); c.exchange.InFlight() != 0 || len(ships) != 0 {
-		t.Errorf("%d known, %d more shots", c.exchange.InFlight(), len(ships))
+	if s.Finish(dispatch.NotFound, dispatch.Answer{}); c.dispatcher.InFlight() != 0 || len(ships) != 0 {
+		t.Errorf("%d known, %d more shots", c.dispatcher.InFlight(), len(ships))
 	}
 }
 
 func TestAPanicIsAnswered(t *testing.T) {
 	c, _, address := serve(t, 8, true)
-	c.exchange = nil
+	c.dispatcher = nil
 	conn := dial(t, address)
 	conn.send("GET /read/k", id, within)
 	if r, _ := conn.receive(t); r.StatusCode != http.StatusInternalServerError {
@@ -370,14 +370,14 @@
 		}
 		conns = append(conns, conn)
 		quiet := func() int {
-			c.room.mu.Lock()
-			defer c.room.mu.Unlock()
-			return c.room.quiet.Len()
+			c.conns.mu.Lock()
+			defer c.conns.mu.Unlock()
+			return c.conns.idle.Len()
 		}
 		for quiet() <= i && i < 2 { // the server marks it as idle some time after the answer
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(unused / 10)
+		time.Sleep(usedConnTimeout / 10)
 	}
 	_ = conns[0].SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := conns[0].in.ReadByte(); err != io.EOF || c.Open() > 3 {
@@ -468,7 +468,7 @@
 		})
 	}
 	late.Wait()
-	time.Sleep(comingFor - time.Since(began) + 50*time.Millisecond)
+	time.Sleep(drainAcceptTime - time.Since(began) + 50*time.Millisecond)
 	out.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 	if r, _ := busy.receive(t); r.StatusCode != 200 || !r.Close {
 		t.Errorf("what was out: %d, close %v", r.StatusCode, r.Close)
@@ -521,7 +521,7 @@
 	if _, err := conn.in.ReadByte(); err != io.EOF {
 		t.Errorf("behind the answer: %v", err)
 	}
-	if s.Finish(dispatch.NotFound, dispatch.Answer{}); len(ships) > 0 || c.exchange.InFlight() != 0 {
-		t.Errorf("%d more shots, %d out", len(ships), c.exchange.InFlight())
+	if s.Finish(dispatch.NotFound, dispatch.Answer{}); len(ships) > 0 || c.dispatcher.InFlight() != 0 {
+		t.Errorf("%d more shots, %d out", len(ships), c.dispatcher.InFlight())
 	}
 }
