--- a/internal/net/discovery/crowd_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -5,7 +5,10 @@
 	"context"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net/http"
+	"os"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -264,6 +267,39 @@
 	}
 }
 
+// seedVariable sets the seed of a test's draws, to replay a run; else each run has another one.
+const seedVariable = "THISTLERUDDER_DISCOVERY_SEED"
+
+// testSeed returns the seed of this run, and prints it if the test fails.
+func testSeed(t *testing.T) uint64 {
+	t.Helper()
+	seed := rand.Uint64()
+	if text := os.Getenv(seedVariable); text != "" {
+		given, err := strconv.ParseUint(text, 10, 64)
+		if err != nil {
+			t.Fatalf("%s: %v", seedVariable, err)
+		}
+		seed = given
+	}
+	t.Cleanup(func() {
+		if t.Failed() {
+			t.Logf("replay with %s=%d", seedVariable, seed)
+		}
+	})
+	return seed
+}
+
+// seededDurations returns a source of a client's draws that may be used by several goroutines.
+func seededDurations(seed, stream uint64) func(time.Duration) time.Duration {
+	var mu sync.Mutex
+	r := rand.New(rand.NewPCG(seed, stream))
+	return func(limit time.Duration) time.Duration {
+		mu.Lock()
+		defer mu.Unlock()
+		return time.Duration(r.Int64N(int64(limit)))
+	}
+}
+
 // Watches that fall silent all at once end at times of their own, so that each node has its list again within 2 s of its watch's wait, also
 // where the service takes some tenths of a second for each call.
 func TestSilentWatchesDoNotEndTogether(t *testing.T) {
@@ -274,6 +310,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	drawSeed := testSeed(t)
 	late, worst := 0, time.Duration(0)
 	const days, partMost = 120, 200 // so that a few by chance, of waits that are drawn, are told from a crowd
 	for seed := range uint64(days) {
@@ -288,6 +325,7 @@
 				x := dispatch.New(terms, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 20*time.Second, zap.NewNop())
 				f.transport.RegisterProtocol("http", c)
+				f.randomDuration = seededDurations(drawSeed, seed*1000+uint64(n))
 				x.Start(seed*1000+uint64(n), nil, f)
 				if err := f.LoadCached([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, box))); err != nil {
 					t.Error(err)
@@ -298,9 +336,10 @@
 			stop()
 			wg.Wait()
 			synctest.Wait()
-			for _, c := range callers {
+			for n, c := range callers {
 				if worst = max(worst, c.behind); c.behind > most {
 					late++
+					t.Logf("day %d, node %d: the list %v after a silent watch's wait", seed, n, c.behind)
 				}
 				if c.behind == 0 {
 					t.Error("a watch did not fall silent")
@@ -371,7 +410,7 @@
 						version = 9
 					}
 					return http.StatusOK, fmt.Sprintf(whole, version), 0
-				case strings.HasSuffix(query, fmt.Sprintf("&hold_ms=%d", holdLeast.Milliseconds())):
+				case strings.HasSuffix(query, fmt.Sprintf("&hold_ms=%d", resumeWait.Milliseconds())):
 					resumed = true
 					return http.StatusOK, fmt.Sprintf(`{"version":7,"full":false,"servers":[%s]}`, changed), 0
 				case !resumed:
@@ -387,7 +426,7 @@
 			ctx, stop := context.WithCancel(t.Context())
 			defer func() {
 				stop()
-				time.Sleep(checkIn)
+				time.Sleep(maxVerifyDelay)
 			}()
 			go f.Run(ctx)
 			time.Sleep(5 * time.Second)
@@ -396,7 +435,7 @@
 				t.Errorf("resumed %v; %d orders, want one for the list and one for the watch", resumed, before)
 			}
 			mu.Unlock()
-			time.Sleep(5 * checkIn)
+			time.Sleep(5 * maxVerifyDelay)
 			mu.Lock()
 			defer mu.Unlock() // before the wait for its end
 			if o.n.Load() != 2 {
@@ -406,11 +445,11 @@
 				t.Fatalf("the whole list was asked for at %v; want one at first, one turned away, one of another version and one", wholes)
 			}
 			for i, at := range wholes[1:] {
-				if apart := at - wholes[i]; apart < checkIn/2 || apart > checkIn+time.Second {
+				if apart := at - wholes[i]; apart < maxVerifyDelay/2 || apart > maxVerifyDelay+time.Second {
 					t.Errorf("asked again after %v", apart)
 				}
 			}
-			if n := logs.FilterField(zap.Bool("whole", true)).Len(); n != 2 {
+			if n := logs.FilterField(zap.Bool("full", true)).Len(); n != 2 {
 				t.Errorf("%d whole lists were told, want the first and the one that has the watch's version", n)
 			}
 		})
@@ -429,7 +468,7 @@
 		second        time.Duration // and the begin of one more, at most
 	}{
 		{map[string]any{"registry-mode": "ask"}, false, time.Hour, config.Duration(routing.MaxPollWait) / 2, config.Duration(routing.MaxPollWait), 2 * config.Duration(routing.MaxPollWait)},
-		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.Duration(routing.MaxPollWait), lineIn, 2 * config.Duration(routing.MaxPollWait)},
+		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.Duration(routing.MaxPollWait), maxQueueTime, 2 * config.Duration(routing.MaxPollWait)},
 		{map[string]any{"registry-mode": "ask"}, true, 1900 * time.Millisecond, config.Duration(routing.MaxPollWait), 1900 * time.Millisecond, 2 * 1900 * time.Millisecond},
 		{map[string]any{"registry-mode": "push", "invariants": map[string]any{"stop-sending-within-ms": 1500.}}, true, time.Hour,
 			500 * time.Millisecond, time.Second, 1500 * time.Millisecond},
@@ -494,7 +533,7 @@
 					mu.Lock()
 					defer mu.Unlock()
 					asked = append(asked, query)
-					resumed := strings.HasSuffix(query, fmt.Sprintf("from=7&hold_ms=%d", holdLeast.Milliseconds()))
+					resumed := strings.HasSuffix(query, fmt.Sprintf("from=7&hold_ms=%d", resumeWait.Milliseconds()))
 					watched := strings.Contains(query, "from=7") && !resumed
 					switch {
 					case !had:
@@ -560,7 +599,7 @@
 			stop()
 			synctest.Wait()
 			for i := range at[1:] {
-				if gap := at[i+1].Sub(at[i]); gap > moveWait+10*time.Millisecond {
+				if gap := at[i+1].Sub(at[i]); gap > maxSwitchRetryWait+10*time.Millisecond {
 					t.Errorf("call %d came %v after the one before", i+1, gap)
 				}
 			}
--- /dev/null
+++ b/internal/net/ejection/registry.go
@@ -0,0 +1,164 @@
+// Package ejection keeps the servers that operators have ejected. The entries lie in one file that the processes of a node share, so that
+// an ejection holds for all of them and outlives each.
+package ejection
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"path/filepath"
+	"slices"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+const (
+	maxEntries = 1024 // ten times a fleet
+
+	// restoredRetention is how long the entry of a restored server is kept: longer than any slow start.
+	restoredRetention = 5 * time.Minute
+)
+
+// ErrTooMany says that the registry is full.
+var ErrTooMany = fmt.Errorf("ejections: limit of %d servers reached", maxEntries)
+
+// Entry is a server that is ejected, or was until lately.
+type Entry struct {
+	ID         string `json:"id"`
+	EjectedAt  int64  `json:"out"`            // Unix time in milliseconds
+	RestoredAt int64  `json:"back,omitempty"` // Unix time in milliseconds; 0: still ejected
+}
+
+// Registry is the set of ejections. Its methods may be called from several goroutines.
+type Registry struct {
+	log      *zap.Logger
+	path     string // empty: in memory only
+	onChange func([]Entry)
+
+	mu              sync.Mutex
+	entries         []Entry
+	lastRead        fileVersion // the file as last read, valid or not
+	readErrorLogged time.Time
+}
+
+// Open reads the entries from the file name.bans in folder. It calls onChange with all entries whenever they change, in order of the
+// changes, and before it returns if there are any. Without a folder the entries end with the process.
+func Open(folder, name string, onChange func([]Entry), log *zap.Logger) *Registry {
+	r := &Registry{log: log, onChange: onChange}
+	if folder == "" {
+		log.Warn("no folder for the ejections file, ejections end with this process")
+		return r
+	}
+	r.path = filepath.Join(folder, name+fileSuffix)
+	r.Refresh()
+	return r
+}
+
+// Eject ejects a server; ejecting it again changes nothing. When it returns nil the ejection is stored and in force in this process. It
+// returns ErrTooMany, or the error of reading, locking or writing the file; then nothing has changed.
+func (r *Registry) Eject(id string) error {
+	return r.change(func(entries []Entry) ([]Entry, error) {
+		i := slices.IndexFunc(entries, func(e Entry) bool { return e.ID == id })
+		if i >= 0 && entries[i].RestoredAt == 0 {
+			return entries, nil
+		}
+		if i >= 0 {
+			entries = slices.Delete(entries, i, i+1)
+		}
+		if len(entries) >= maxEntries {
+			return nil, ErrTooMany
+		}
+		return append(entries, Entry{ID: id, EjectedAt: time.Now().UnixMilli()}), nil
+	})
+}
+
+// Restore ends the ejection of a server, if there is one. Its errors are those of Eject.
+func (r *Registry) Restore(id string) error {
+	return r.change(func(entries []Entry) ([]Entry, error) {
+		for i := range entries {
+			if entries[i].ID == id && entries[i].RestoredAt == 0 {
+				entries[i].RestoredAt = time.Now().UnixMilli()
+			}
+		}
+		return entries, nil
+	})
+}
+
+// Contains reports whether a server is ejected, or was until lately.
+func (r *Registry) Contains(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.ContainsFunc(r.entries, func(e Entry) bool { return e.ID == id })
+}
+
+// Follow calls Refresh at each interval until ctx ends.
+func (r *Registry) Follow(ctx context.Context, interval time.Duration) {
+	if r.path == "" {
+		return
+	}
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			r.Refresh()
+		}
+	}
+}
+
+// Refresh reads the file if another process has written it.
+func (r *Registry) Refresh() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if version, err := versionOf(r.path); err != nil || version == r.lastRead {
+		return
+	}
+	entries, err := r.read()
+	if err != nil || slices.Equal(entries, r.entries) {
+		return
+	}
+	r.entries = entries
+	r.onChange(slices.Clone(entries))
+}
+
+// change applies edit to the entries of the file, or to those in memory where the file has none, and stores the result.
+func (r *Registry) change(edit func([]Entry) ([]Entry, error)) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.path != "" {
+		unlock, err := lock(r.path + lockSuffix)
+		if err != nil {
+			return err
+		}
+		defer unlock()
+		entries, err := r.read()
+		switch {
+		case err == nil:
+			r.entries = entries
+		case !errors.Is(err, errNoEntries):
+			return err // a write would lose the changes of the other process
+		}
+	}
+	entries, err := edit(withoutExpired(r.entries))
+	if err != nil {
+		return err
+	}
+	if err := r.write(entries); err != nil {
+		return err
+	}
+	r.entries = entries
+	r.onChange(slices.Clone(entries))
+	return nil
+}
+
+// withoutExpired returns a copy without the servers that were restored long ago.
+func withoutExpired(entries []Entry) []Entry {
+	oldest := time.Now().Add(-restoredRetention).UnixMilli()
+	return slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool {
+		return e.RestoredAt != 0 && e.RestoredAt < oldest
+	})
+}
--- /dev/null
+++ b/internal/net/node/admin.go
@@ -0,0 +1,98 @@
+package node
+
+import (
+	"context"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/cluster"
+	"github.com/thistlerudder/thistlerudder/internal/net/admin"
+	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
+	"github.com/thistlerudder/thistlerudder/internal/net/ejection"
+	"github.com/thistlerudder/thistlerudder/internal/net/frontend"
+)
+
+const (
+	endpointCountInterval = 200 * time.Millisecond // metrics are due 0.5 s old at most
+	ejectionsInterval     = 10 * time.Millisecond  // a small part of a drain's grace
+)
+
+// countEndpoints keeps the metrics of the endpoint list fresh until ctx ends.
+func countEndpoints(ctx context.Context, d *dispatch.Dispatcher) {
+	ticker := time.NewTicker(endpointCountInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			d.CountEndpoints()
+		}
+	}
+}
+
+// adminNode is the node as the admin server sees it.
+type adminNode struct {
+	dispatcher *dispatch.Dispatcher
+	frontend   *frontend.Server
+	ejections  *ejection.Registry
+	member     *cluster.Member // nil: the node has no cluster
+}
+
+// Fleet returns the metrics of the node's cluster; nil if it has none.
+func (n adminNode) Fleet() map[string]any {
+	if n.member == nil {
+		return nil
+	}
+	return n.member.Metrics()
+}
+
+// Serving reports whether the node takes clients.
+func (n adminNode) Serving() bool { return n.dispatcher.Ready() && !n.frontend.Draining() }
+
+// Eject ejects a server, or returns admin.ErrUnknownServer.
+func (n adminNode) Eject(id string) error { return n.change(id, n.ejections.Eject) }
+
+// Restore ends the ejection of a server, or returns admin.ErrUnknownServer.
+func (n adminNode) Restore(id string) error { return n.change(id, n.ejections.Restore) }
+
+func (n adminNode) change(id string, change func(string) error) error {
+	if !n.dispatcher.WasListed(id) && !n.ejections.Contains(id) {
+		return admin.ErrUnknownServer
+	}
+	return change(id)
+}
+
+// openEjections opens the node's ejections, which the dispatcher follows.
+func openEjections(folder, name string, d *dispatch.Dispatcher, log *zap.Logger) *ejection.Registry {
+	return ejection.Open(folder, name, func(entries []ejection.Entry) {
+		all := make([]dispatch.Ejection, 0, len(entries))
+		for _, e := range entries {
+			all = append(all, dispatch.Ejection{ID: e.ID, EjectedAt: float64(e.EjectedAt), RestoredAt: float64(e.RestoredAt)})
+		}
+		d.SetEjections(all)
+	}, log)
+}
+
+// fileName returns the prefix of the node's file names: several nodes may share a folder.
+func fileName(listen string) string {
+	return "thistlerudder-" + strings.NewReplacer(":", "_", "/", "_").Replace(listen)
+}
+
+// localNode is the node as the cluster's tasks see it.
+type localNode struct{ *dispatch.Dispatcher }
+
+// Metrics returns the totals of all classes. The cluster stores and reports the keys.
+func (n localNode) Metrics() map[string]int64 {
+	m := n.Dispatcher.Metrics()
+	totals := map[string]int64{"shots": m.Written.Load(), "open": m.Open.Load()}
+	for _, name := range m.Classes() {
+		class := m.Of(name)
+		totals["resolved"] += class.Served.Load()
+		totals["deferred"] += class.Rejected.Load()
+		totals["abandoned"] += class.Failed.Load()
+	}
+	return totals
+}
--- /dev/null
+++ b/internal/net/node/reload.go
@@ -0,0 +1,68 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+	"os"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/internal/net/discovery"
+)
+
+const (
+	minReloadRetryWait = 20 * time.Millisecond // doubles with each retry
+	maxReloadRetryWait = 500 * time.Millisecond
+)
+
+// reloadOnSignal reads the configuration again at each signal until ctx ends. An invalid one changes nothing. Another discovery service takes
+// effect; changes that cannot while the node runs are logged.
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, s *config.Node, endpoints *discovery.Client, log *zap.Logger) {
+	for address := s.Discovery; ; {
+		select {
+		case <-ctx.Done():
+			return
+		case <-signals:
+		}
+		next, err := readConfig(ctx, signals, s, log)
+		if ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			log.Error("new configuration is invalid, keeping the old one", zap.Error(err))
+			continue
+		}
+		if keys := s.ImmutableChanges(next); len(keys) > 0 {
+			log.Warn("changes to these keys apply at the next start", zap.Strings("keys", keys))
+		}
+		log.Info("configuration reloaded", zap.Bool("another discovery service", next.Discovery != address))
+		if next.Discovery != address {
+			address = next.Discovery
+			endpoints.SwitchTo(ctx, address)
+		}
+	}
+}
+
+// readConfig reads the configuration, and retries while the file cannot be read: that passes, and whoever sent the signal sends it once.
+// A further signal ends the wait for a retry.
+func readConfig(ctx context.Context, signals <-chan os.Signal, s *config.Node, log *zap.Logger) (*config.Node, error) {
+	for wait := minReloadRetryWait; ; wait = min(2*wait, maxReloadRetryWait) {
+		next, err := s.Reload()
+		var unreadable *fs.PathError
+		if !errors.As(err, &unreadable) {
+			return next, err
+		}
+		if wait == minReloadRetryWait {
+			log.Error("new configuration cannot be read, keeping the old one and retrying", zap.Error(err))
+		}
+		select {
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		case <-signals:
+		case <-time.After(wait):
+		}
+	}
+}
