--- a/routing/request.go
+++ b/routing/request.go
@@ -88,7 +88,7 @@
 
 // locate sets the request's point: that of its key, or a random one.
 func (b *Balancer) locate(r *requestState) {
-	r.point = b.draw() * binCount // drawn with a key too, which keeps the random sequence the same
+	r.point = b.draw() * binCount // drawn for every request, so that keys do not shift the random sequence
 	if r.Key == "" {
 		return
 	}
