--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -28,11 +28,11 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// headers is what IP and TCP add to a segment: 20 bytes each, and 12 for timestamps.
-const headers = 52
+// headerBytes is the size of the IP and TCP headers of a segment: 20 bytes each, and 12 for timestamps.
+const headerBytes = 52
 
-// sent tells what the kernel sent and received on a connection: segments with their headers.
-func sent(b *testing.B, c net.Conn) (out, in float64) {
+// bytesOnWire returns what the kernel has sent and received on a connection: segments with their headers.
+func bytesOnWire(b *testing.B, c net.Conn) (out, in float64) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		b.Fatal(err)
@@ -41,13 +41,13 @@
 	if other := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); other != nil || err != nil {
 		b.Fatal(other, err)
 	}
-	return float64(info.Bytes_sent) + headers*float64(info.Segs_out), float64(info.Bytes_received) + headers*float64(info.Segs_in)
+	return float64(info.Bytes_sent) + headerBytes*float64(info.Segs_out), float64(info.Bytes_received) + headerBytes*float64(info.Segs_in)
 }
 
-// claimant is one node's connection to the leader of a fleet of three voters, and the lease of its name.
-func claimant(b *testing.B) (c *Client, conn net.Conn, a lease.Request) {
-	all := fleetOf(b, 3)
-	nodes := founded(b, all)
+// leaderClient returns a node's connection to the leader of three voters, and the request that renews the lease of its name.
+func leaderClient(b *testing.B) (c *Client, conn net.Conn, a lease.Request) {
+	all := clusterConfigs(b, 3)
+	nodes := startCluster(b, all)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	s, err := nodes[0].client.Status()
 	if err != nil {
@@ -67,27 +67,27 @@
 	return c, conn, lease.Request{Operation: lease.OpRenew, Name: nodeLease(h.Name), Holder: h, Token: x.Token}
 }
 
-// weigh repeats a call, and tells its bytes on the wire, headers included.
-func weigh(b *testing.B, conn net.Conn, call func() error) {
+// measureCall repeats a call and reports its bytes on the wire, headers included.
+func measureCall(b *testing.B, conn net.Conn, call func() error) {
 	if err := call(); err != nil {
 		b.Fatal(err)
 	}
-	out, in := sent(b, conn)
+	out, in := bytesOnWire(b, conn)
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := call(); err != nil {
 			b.Fatal(err)
 		}
 	}
-	moreOut, moreIn := sent(b, conn)
+	moreOut, moreIn := bytesOnWire(b, conn)
 	b.ReportMetric((moreOut-out)/float64(b.N), "out-B/op")
 	b.ReportMetric((moreIn-in)/float64(b.N), "in-B/op")
 }
 
 // BenchmarkARenewal is one node's renewal on the wire.
 func BenchmarkARenewal(b *testing.B) {
-	c, conn, a := claimant(b)
-	weigh(b, conn, func() error {
+	c, conn, a := leaderClient(b)
+	measureCall(b, conn, func() error {
 		x, err := c.send(a)
 		if err == nil {
 			err = x.Err
@@ -96,24 +96,24 @@
 	})
 }
 
-// BenchmarkAWait is one asking for a task that another holds: answered in vain.
+// BenchmarkAWait is one request for a task that another holds, which is refused.
 func BenchmarkAWait(b *testing.B) {
-	c, conn, a := claimant(b)
+	c, conn, a := leaderClient(b)
 	if x, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: a.Holder}); err != nil || x.Err != nil {
 		b.Fatal(err, x.Err)
 	}
 	other := lease.Holder{Name: "edge-r07-z21-00043", Process: 4243, Start: a.Holder.Start}
-	weigh(b, conn, func() error {
+	measureCall(b, conn, func() error {
 		_, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: other})
 		return err
 	})
 }
 
-// BenchmarkAReport tells the leader of so many resting servers, and hears of their trials.
+// BenchmarkAReport reports a number of ejected servers to the leader, and gets the results of their probes.
 func BenchmarkAReport(b *testing.B) {
 	for _, resting := range []int{1, 10, 70, 248, 1000} {
 		b.Run(fmt.Sprint("resting=", resting), func(b *testing.B) {
-			c, conn, _ := claimant(b)
+			c, conn, _ := leaderClient(b)
 			r := &EjectionReport{map[string]string{}}
 			for i := range resting {
 				r.Servers[fmt.Sprintf("cache-07-21-%05d", i)] = fmt.Sprintf("10.0.%d.%d:8080", i>>8, i&255)
@@ -131,7 +131,7 @@
 					b.Fatal(err)
 				}
 			}
-			weigh(b, conn, func() error {
+			measureCall(b, conn, func() error {
 				var news []lease.ProbeStatus
 				err := c.callCurrent("Fleet.Rest", r, &news)
 				if err == nil && len(news) != resting {
@@ -143,12 +143,12 @@
 	}
 }
 
-// BenchmarkAnAsking is one asking for parts of so many budgets: in vain, and with news of all.
+// BenchmarkAnAsking is one quota request for a number of budgets: without updates, and with updates of all.
 func BenchmarkAnAsking(b *testing.B) {
 	for _, news := range []bool{false, true} {
 		for _, budgets := range []int{1, 2, 4, 8} {
 			b.Run(fmt.Sprintf("news=%v/budgets=%d", news, budgets), func(b *testing.B) {
-				c, conn, a := claimant(b)
+				c, conn, a := leaderClient(b)
 				ask := budget.Request{Lease: a.Name, Token: a.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), Declared: map[string]lease.BudgetConfig{}}
 				for i := range budgets {
 					name := fmt.Sprint("origin-rate-", i)
@@ -179,7 +179,7 @@
 						ask.Held[i].Token = 1 // an earlier one
 					}
 				}
-				weigh(b, conn, func() error {
+				measureCall(b, conn, func() error {
 					x = QuotaResponse{}
 					err := c.callCurrentWithin("Fleet.Part", &ask, &x, time.Second)
 					if err == nil && news != (len(x.Updates) == budgets) {
@@ -192,7 +192,7 @@
 	}
 }
 
-// relay passes connections on to an address, and counts bytes both ways, without headers.
+// relay forwards connections to an address, and counts bytes both ways, without headers.
 func relay(b *testing.B, to string) (at string, t *traffic) {
 	t = new(traffic)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -226,7 +226,7 @@
 	return l.Addr().String(), t
 }
 
-// traffic counts what a relay has passed on. A write is a message or a few that came together.
+// traffic counts what a relay has forwarded. A write is a message or a few that came together.
 type traffic struct{ bytes, writes atomic.Int64 }
 
 type counted struct {
@@ -241,10 +241,10 @@
 	return n, err
 }
 
-// BenchmarkPeace is a second of three voters that agree on nothing, in one process with leases of 3 s: what heartbeats and
-// renewals of their own names take, and their processor time. Bytes go through relays, whose processor time is in it.
+// BenchmarkPeace is a second of three idle voters in one process with leases of 3 s: the bytes of heartbeats and of renewals of
+// their names, and the processor time. Bytes go through relays, whose processor time is included.
 func BenchmarkPeace(b *testing.B) {
-	all := fleetOf(b, 3)
+	all := clusterConfigs(b, 3)
 	var relays []*traffic
 	routes := map[string]string{}
 	for _, f := range all {
@@ -255,7 +255,7 @@
 	for _, f := range all {
 		f.Lease, f.MaxDelay, f.Routes = 3*time.Second, 50*time.Millisecond, routes
 	}
-	nodes := founded(b, all)
+	nodes := startCluster(b, all)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	sum := func() (bytes, writes int64) {
 		for _, x := range relays {
@@ -276,13 +276,13 @@
 	b.ReportMetric(100*(processorTime()-used).Seconds()/span, "%core")
 }
 
-// keepers hold so many leases of 3 s, each over a connection of its own, and count what is lost.
-func keepers(b *testing.B, holders int) (lost *atomic.Int64) {
-	all := fleetOf(b, 3)
+// startHolders holds a number of leases of 3 s, each over its own connection, and counts those that are lost.
+func startHolders(b *testing.B, holders int) (lost *atomic.Int64) {
+	all := clusterConfigs(b, 3)
 	for _, f := range all {
 		f.Lease, f.MaxDelay = 3*time.Second, 50*time.Millisecond
 	}
-	nodes := founded(b, all)
+	nodes := startCluster(b, all)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	ctx, stop := context.WithCancel(context.Background())
 	lost = new(atomic.Int64)
@@ -311,12 +311,12 @@
 	return lost
 }
 
-// BenchmarkHolders renews so many leases at the rate at which their holders do, once a second each, and tells the processor
-// time of holders and voters together.
+// BenchmarkHolders renews a number of leases at their holders' rate, once a second each, and reports the processor time of
+// holders and voters together.
 func BenchmarkHolders(b *testing.B) {
 	for _, holders := range []int{50, 100, 200, 400, 800, 900, 1000} {
 		b.Run(fmt.Sprint("holders=", holders), func(b *testing.B) {
-			lost := keepers(b, holders)
+			lost := startHolders(b, holders)
 			used := processorTime()
 			began := time.Now()
 			for b.Loop() {
@@ -329,12 +329,12 @@
 	}
 }
 
-// BenchmarkStall stops voters and holders, which are one process, for a third of a lease: all calls are given up, another voter
-// leads, and all holders come anew. It tells how many lose their leases over that. Run it with -benchtime 1x.
+// BenchmarkStall suspends voters and holders, which are one process, for a third of a lease: all calls time out, another voter
+// leads, and all holders reconnect. It reports how many lose their leases. Run it with -benchtime 1x.
 func BenchmarkStall(b *testing.B) {
 	for _, holders := range []int{100, 200, 400, 500, 600, 800} {
 		b.Run(fmt.Sprint("holders=", holders), func(b *testing.B) {
-			lost := keepers(b, holders)
+			lost := startHolders(b, holders)
 			for b.Loop() {
 				pid := os.Getpid()
 				if err := exec.Command("sh", "-c", fmt.Sprintf("kill -STOP %d; sleep 1; kill -CONT %d", pid, pid)).Run(); err != nil {
--- a/internal/cluster/connections_test.go
+++ b/internal/cluster/connections_test.go
@@ -18,21 +18,21 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// slow is a node whose metrics wait until the test lets them go.
-type slow struct {
-	figures
+// slowNode is a node whose metrics wait until the test lets them go.
+type slowNode struct {
+	stubNode
 	asked chan struct{}
 	told  chan struct{}
 }
 
-func (s slow) Metrics() map[string]int64 {
+func (s slowNode) Metrics() map[string]int64 {
 	s.asked <- struct{}{}
 	<-s.told
-	return s.figures
+	return s.stubNode
 }
 
-// answering is a listener that answers calls about metrics.
-func answering(t *testing.T, limit int, minIdle time.Duration, own LocalNode) (p *transport.Listener, d transport.Dialer, at string) {
+// metricsListener is a listener that answers calls about metrics.
+func metricsListener(t *testing.T, limit int, minIdle time.Duration, own LocalNode) (p *transport.Listener, d transport.Dialer, at string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 // their calls through, and the limit holds.
 func TestANodesOldConnectionIsEvictedForANewOne(t *testing.T) {
 	const nodes = 40
-	p, d, at := answering(t, nodes, 20*time.Millisecond, figures{"resolved": 7})
+	p, d, at := metricsListener(t, nodes, 20*time.Millisecond, stubNode{"resolved": 7})
 	var mu sync.Mutex
 	var opened []*rpc.Client
 	defer func() {
@@ -99,8 +99,8 @@
 // A connection with a call in progress isn't evicted, nor one for consensus, nor a voter's for its quorum rounds, however long
 // each has been so. Where there are no others a further one is closed at once.
 func TestAConnectionInUseIsNotEvicted(t *testing.T) {
-	s := slow{figures{"resolved": 7}, make(chan struct{}), make(chan struct{})}
-	p, d, at := answering(t, 4, time.Millisecond, s)
+	s := slowNode{stubNode{"resolved": 7}, make(chan struct{}), make(chan struct{})}
+	p, d, at := metricsListener(t, 4, time.Millisecond, s)
 	dial := func(purpose, to string) net.Conn {
 		t.Helper()
 		c, err := d.Dial(at, purpose, to, 5*time.Second)
@@ -165,13 +165,13 @@
 	}
 }
 
-// counter stands for a voter: it names the leader, or grants a token, and lets one request wait.
-type counter struct {
+// countingVoter stands for a voter: it names the leader, or grants a token, and lets one request wait.
+type countingVoter struct {
 	leader      string // empty: it leads itself
 	asked, told chan struct{}
 }
 
-func (v *counter) Ask(a *LeaseRequest, x *LeaseResponse) error {
+func (v *countingVoter) Ask(a *LeaseRequest, x *LeaseResponse) error {
 	switch {
 	case a.Name == "slow":
 		v.asked <- struct{}{}
@@ -187,7 +187,7 @@
 
 // A connection that leads to no leader is closed with the last call on it, which gets its response, and not half a lease later.
 func TestADroppedConnectionIsClosedWithItsLastCall(t *testing.T) {
-	serve := func(v *counter) (p *transport.Listener, at string) {
+	serve := func(v *countingVoter) (p *transport.Listener, at string) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -203,8 +203,8 @@
 		t.Cleanup(p.Close)
 		return p, l.Addr().String()
 	}
-	leads, at := serve(&counter{})
-	v := &counter{at, make(chan struct{}), make(chan struct{})}
+	leads, at := serve(&countingVoter{})
+	v := &countingVoter{at, make(chan struct{}), make(chan struct{})}
 	other, otherAt := serve(v)
 	c := NewClient(&config.Cluster{Name: "f", Node: "n", Lease: 10 * time.Minute, MaxDelay: 10 * time.Second,
 		Voters: []config.Voter{{Name: "a", Address: otherAt}}}, zap.NewNop())
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -20,7 +20,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// update writes the golden files anew. A file that changes breaks peers of another version, or stored data.
+// update rewrites the golden files. A file that changes breaks peers of another version, or stored data.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // golden compares bytes with a file under testdata/golden.
@@ -46,7 +46,7 @@
 	return want
 }
 
-// goldenForm writes a value as it crosses a socket or stands in a file, compares that with the golden file, and reads it again.
+// goldenForm encodes a value as it is sent or stored, compares that with the golden file, and decodes it again.
 func goldenForm(t *testing.T, name string, value any) {
 	t.Helper()
 	written, err := json.Marshal(value)
@@ -153,7 +153,7 @@
 	}
 }
 
-// Peers know refusals by these names. The text is for people: one that a peer of another version writes otherwise still comes
+// Peers recognise errors by these names. The text is for people: one that a peer of another version writes otherwise still comes
 // back as the same error.
 func TestRefusalsKeepTheirNames(t *testing.T) {
 	all := []error{lease.ErrHeld, lease.ErrLeaseExpired, lease.ErrDuplicate, lease.ErrStaleTerm, lease.ErrLimitExceeded, lease.ErrMalformed, lease.ErrNotFounded,
--- /dev/null
+++ b/internal/cluster/leadership_test.go
@@ -0,0 +1,74 @@
+package cluster
+
+import (
+	"context"
+	"fmt"
+	"reflect"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+)
+
+// A leader's disk stalls for longer than an entry may wait in the library's queue, and the leader goes on leading: what was
+// requested meanwhile is granted once it writes again, and not only under the next leader.
+func TestALeaderTooBusyForAnEntry(t *testing.T) {
+	nodes := startCluster(t, clusterConfigs(t, 4))
+	var leader *Voter
+	eventually(t, "nobody leads", func() bool {
+		for _, n := range nodes[:3] {
+			v := n.voter()
+			v.mu.Lock()
+			leads := v.leases.IsLeader()
+			v.mu.Unlock()
+			if leads {
+				leader = v
+			}
+		}
+		return leader != nil
+	})
+	for _, n := range nodes { // the leases of their names
+		eventually(t, "a node doesn't hold the lease of its name", func() bool {
+			leader.mu.Lock()
+			defer leader.mu.Unlock()
+			_, has := leader.state.Leases[nodeLease(n.config.Node)]
+			return has
+		})
+	}
+	term := func() uint64 {
+		leader.mu.Lock()
+		defer leader.mu.Unlock()
+		return leader.state.Term
+	}
+	was := term()
+	db := *(**bbolt.DB)(reflect.ValueOf(leader.store.BoltStore).Elem().FieldByName("conn").Addr().UnsafePointer())
+	tx, err := db.Begin(true) // the library's writes wait for it
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	var had atomic.Int32
+	var all sync.WaitGroup
+	for i := range 8 {
+		all.Go(func() {
+			nodes[3].client.Hold(ctx, fmt.Sprint("busy", i), func(ctx context.Context, _ *HeldLease) bool {
+				had.Add(1)
+				<-ctx.Done()
+				return false
+			})
+		})
+	}
+	time.Sleep(nodes[0].config.Lease * 3 / 5)
+	if err := tx.Rollback(); err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, "requests to a busy leader are never granted", func() bool { return had.Load() >= 8 })
+	if now := term(); now != was {
+		t.Logf("term %d came after %d: this run shows nothing", now, was)
+	}
+	stop()
+	all.Wait()
+}
--- a/internal/cluster/rollup_test.go
+++ b/internal/cluster/rollup_test.go
@@ -19,11 +19,11 @@
 	var offset atomic.Int64
 	wallClock = func() time.Time { return clock.Wall().Add(time.Duration(offset.Load())) }
 	core, logs := observer.New(zap.InfoLevel)
-	all := fleetOf(t, 3)
+	all := clusterConfigs(t, 3)
 	var nodes []*Member
 	for _, f := range all {
 		f.Tasks = []string{config.TaskRollUp}
-		nodes = append(nodes, Start(f, figures{"resolved": 1}, time.Second, 256, zap.New(core)))
+		nodes = append(nodes, Start(f, stubNode{"resolved": 1}, time.Second, 256, zap.New(core)))
 	}
 	t.Cleanup(func() {
 		var closing sync.WaitGroup
--- /dev/null
+++ b/internal/cluster/voter_folder_test.go
@@ -0,0 +1,94 @@
+package cluster
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
+)
+
+// A folder that is another node's, or damaged, is refused with what was expected, and nothing in it changes.
+func TestFoldersThatCantBeUsed(t *testing.T) {
+	for want, spoil := range map[string]func(folder string) error{
+		`is of node "x" in fleet "f", not of node "n0" in fleet "f"`: func(folder string) error {
+			_, err := voterstore.OpenIdentity(folder, "f", "x")
+			return err
+		},
+		`is of node "n0" in fleet "g", not of node "n0" in fleet "f"`: func(folder string) error {
+			_, err := voterstore.OpenIdentity(folder, "g", "n0")
+			return err
+		},
+		"voter.json is missing beside log.db": func(folder string) error {
+			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, voterstore.LogFile), []byte("x"), 0o600))
+		},
+		"expected fleet, node and id": func(folder string) error {
+			return errors.Join(os.MkdirAll(folder, 0o700), os.WriteFile(filepath.Join(folder, voterstore.IdentityFile), []byte("{}"), 0o600))
+		},
+		"log.db is damaged": func(folder string) error {
+			_, err := voterstore.OpenIdentity(folder, "f", "n0")
+			return errors.Join(err, os.WriteFile(filepath.Join(folder, voterstore.LogFile), make([]byte, 5000), 0o600))
+		},
+		"expected a folder that can be written": func(folder string) error {
+			return os.WriteFile(folder, nil, 0o600)
+		},
+	} {
+		f := clusterConfigs(t, 3)[0]
+		if err := spoil(f.Folder); err != nil {
+			t.Fatal(err)
+		}
+		before, _ := os.ReadFile(filepath.Join(f.Folder, voterstore.IdentityFile))
+		n := Start(f, stubNode{}, time.Second, 256, zap.NewNop())
+		eventually(t, want, func() bool { return strings.Contains(n.status().VoterError, want) || n.voterID() != "" })
+		s := n.status()
+		n.Close()
+		if after, _ := os.ReadFile(filepath.Join(f.Folder, voterstore.IdentityFile)); s.Voter || string(after) != string(before) {
+			t.Errorf("%s: %+v, and the identity was %q, is %q", want, s, before, after)
+		}
+	}
+}
+
+// A log that was truncated at any of many places is either read whole or refused; the process goes on either way.
+func TestALogCutShort(t *testing.T) {
+	nodes := startCluster(t, clusterConfigs(t, 3))
+	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
+	path := filepath.Join(nodes[0].config.Folder, voterstore.LogFile)
+	for _, n := range nodes {
+		n.Close()
+	}
+	whole, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	refused := 0
+	for cut := 0; cut < len(whole); cut += 997 {
+		short := filepath.Join(t.TempDir(), "log")
+		if err := os.WriteFile(short, whole[:cut], 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if voterstore.CheckLog(short) != nil {
+			refused++
+		}
+	}
+	if err := voterstore.CheckLog(path); err != nil || refused < 10 {
+		t.Errorf("the whole log: %v; %d cut ones refused", err, refused)
+	}
+}
+
+// A voter whose files can't grow ends; its node goes on, and so do the other voters.
+func TestAFolderThatIsFull(t *testing.T) {
+	nodes := startCluster(t, clusterConfigs(t, 3))
+	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
+	nodes[0].voter().once.fail(syscall.EFBIG)
+	eventually(t, "it votes on", func() bool { return strings.Contains(nodes[0].status().VoterError, "file too large") })
+	eventually(t, "the others don't elect a leader", func() bool {
+		s, err := nodes[1].client.Status()
+		return err == nil && s.IsLeader && s.Node != nodes[0].config.Node
+	})
+}
--- a/internal/cluster/voter_restart_test.go
+++ b/internal/cluster/voter_restart_test.go
@@ -12,8 +12,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
-// Two of three folders can't be written for a while, or fail in their sync after the write. When they can be again, the voters come back by
-// themselves, with what they had promised, and the fleet agrees again.
+// Two of three folders can't be written for a while, or fail in their sync after the write. When they can be written again, the voters
+// restart by themselves with what they had stored, and leases are granted again.
 func TestAVoterComesBackWhenItsFolderCanBeWritten(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -21,7 +21,7 @@
 		after bool // the write is made, and its sync fails
 	}{{"no space", syscall.ENOSPC, false}, {"an error of the disk", syscall.EIO, false}, {"an error of the sync", syscall.EIO, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			nodes := founded(t, fleetOf(t, 3))
+			nodes := startCluster(t, clusterConfigs(t, 3))
 			leased := func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 }
 			eventually(t, "no leader", leased)
 			before, _ := nodes[0].client.Status()
@@ -51,10 +51,10 @@
 			select {
 			case token := <-done:
 				if token <= before.LastToken {
-					t.Errorf("token %d after %d: what was promised is forgotten", token, before.LastToken)
+					t.Errorf("token %d after %d: what was stored is lost", token, before.LastToken)
 				}
 			case <-ctx.Done():
-				t.Fatal("no lease is given out")
+				t.Fatal("no lease is granted")
 			}
 		})
 	}
