--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -158,7 +158,7 @@
 				var x QuotaResponse
 				eventually(b, "no parts", func() bool {
 					x = QuotaResponse{}
-					if err := c.callCurrentWithin("Fleet.Part", &ask, &x, time.Second); err != nil {
+					if err := c.callCurrentTimeout("Fleet.Part", &ask, &x, time.Second); err != nil {
 						b.Fatal(err)
 					}
 					for _, n := range x.Updates {
@@ -181,7 +181,7 @@
 				}
 				measureCall(b, conn, func() error {
 					x = QuotaResponse{}
-					err := c.callCurrentWithin("Fleet.Part", &ask, &x, time.Second)
+					err := c.callCurrentTimeout("Fleet.Part", &ask, &x, time.Second)
 					if err == nil && news != (len(x.Updates) == budgets) {
 						err = fmt.Errorf("%d news", len(x.Updates))
 					}
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -139,10 +139,10 @@
 
 // callAddress makes one call to an address, on a connection of its own.
 func (c *Client) callAddress(address, method string, args, reply any) error {
-	return c.callAddressWithin(address, method, args, reply, c.callTimeout())
+	return c.callAddressTimeout(address, method, args, reply, c.callTimeout())
 }
 
-func (c *Client) callAddressWithin(address, method string, args, reply any, timeout time.Duration) error {
+func (c *Client) callAddressTimeout(address, method string, args, reply any, timeout time.Duration) error {
 	conn, err := c.dialer.Dial(address, transport.PurposeRPC, "", c.callTimeout())
 	if err != nil {
 		return err
@@ -154,10 +154,10 @@
 
 // callCurrent makes one call on the connection that is kept, wherever it leads: unlike send it doesn't look for the leader.
 func (c *Client) callCurrent(method string, args, reply any) error {
-	return c.callCurrentWithin(method, args, reply, c.callTimeout())
+	return c.callCurrentTimeout(method, args, reply, c.callTimeout())
 }
 
-func (c *Client) callCurrentWithin(method string, args, reply any, timeout time.Duration) error {
+func (c *Client) callCurrentTimeout(method string, args, reply any, timeout time.Duration) error {
 	conn, _, err := c.connection()
 	if err != nil {
 		return err
--- a/internal/cluster/client_operator.go
+++ b/internal/cluster/client_operator.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		if status.Voter && status.Leader == status.ID && status.ID != "" {
-			return c.callAddressWithin(address, method, args, reply, timeout)
+			return c.callAddressTimeout(address, method, args, reply, timeout)
 		}
 		if status.LeaderAddress != "" {
 			candidates = append([]string{status.LeaderAddress}, candidates...)
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"net/rpc"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -166,7 +167,7 @@
 type raftLogWriter struct{ *zap.Logger }
 
 func (w raftLogWriter) Write(line []byte) (int, error) {
-	w.Warn(string(line[:max(0, len(line)-1)]))
+	w.Warn("consensus library", zap.String("line", strings.TrimSuffix(string(line), "\n")))
 	return len(line), nil
 }
 
