--- a/internal/cluster/borrow.go
+++ b/internal/cluster/borrow.go
@@ -53,7 +53,7 @@
 		client = jsonrpc.NewClient(conn)
 	}
 	var lent LentQuotas
-	if err := call(client, "Fleet.Lend", &struct{}{}, &lent, lendInterval); err != nil {
+	if err := call(client, methodLendQuotas, &struct{}{}, &lent, lendInterval); err != nil {
 		_ = client.Close()
 		return nil, lent
 	}
--- a/internal/cluster/client_operator.go
+++ b/internal/cluster/client_operator.go
@@ -26,7 +26,7 @@
 		}
 		tried = append(tried, address)
 		var status Status
-		if err := c.callAddress(address, "Fleet.Status", &struct{}{}, &status); err != nil {
+		if err := c.callAddress(address, methodStatus, &struct{}{}, &status); err != nil {
 			failures = append(failures, fmt.Errorf("%s: %w", address, err))
 			continue
 		}
@@ -49,22 +49,22 @@
 
 // Status returns the cluster's status as the leader has it.
 func (c *Client) Status() (status Status, err error) {
-	return status, c.CallLeader("Fleet.Status", &struct{}{}, &status, c.callTimeout())
+	return status, c.CallLeader(methodStatus, &struct{}{}, &status, c.callTimeout())
 }
 
 // Watch waits until the log has gone beyond a revision, at most for maxWatchDuration, and returns the status then.
 func (c *Client) Watch(revision uint64) (status Status, err error) {
-	return status, c.CallLeader("Fleet.Watch", &revision, &status, maxWatchDuration+c.callTimeout())
+	return status, c.CallLeader(methodWatch, &revision, &status, maxWatchDuration+c.callTimeout())
 }
 
 // Change adds or removes a voter, and returns its id.
 func (c *Client) Change(change MembershipChange) (id string, err error) {
-	return id, c.CallLeader("Fleet.Change", &change, &id, membershipTimeout+c.callTimeout())
+	return id, c.CallLeader(methodChangeMembership, &change, &id, membershipTimeout+c.callTimeout())
 }
 
 // SetLimit changes the limit of a budget, and returns the budget then.
 func (c *Client) SetLimit(name string, limit float64) (state BudgetState, err error) {
-	return state, c.CallLeader("Fleet.SetWhole", &LimitChange{Name: name, Limit: limit}, &state, membershipTimeout+c.callTimeout())
+	return state, c.CallLeader(methodSetLimit, &LimitChange{Name: name, Limit: limit}, &state, membershipTimeout+c.callTimeout())
 }
 
 // FoundCluster founds a cluster with the voters of the configuration; its first fencing token is the one after lastToken. It
@@ -75,7 +75,7 @@
 		return err
 	}
 	if !bootstrapped {
-		if err := c.callAddress(voters[0].Address, "Fleet.Bootstrap", &BootstrapRequest{Voters: voters}, &struct{}{}); err != nil {
+		if err := c.callAddress(voters[0].Address, methodBootstrap, &BootstrapRequest{Voters: voters}, &struct{}{}); err != nil {
 			return err
 		}
 	}
@@ -86,7 +86,7 @@
 func (c *Client) checkNewVoters() (voters []VoterInfo, bootstrapped bool, err error) {
 	for _, v := range c.config.Voters {
 		var status Status
-		if err := c.callAddress(v.Address, "Fleet.Status", &struct{}{}, &status); err != nil {
+		if err := c.callAddress(v.Address, methodStatus, &struct{}{}, &status); err != nil {
 			return nil, false, fmt.Errorf("fleet.voters: %s at %s: %w", v.Name, v.Address, err)
 		}
 		interrupted, err := c.checkNewVoter(v, status)
@@ -118,7 +118,7 @@
 func (c *Client) commitFirstEntry(lastToken uint64) error {
 	timeout := 20*c.callTimeout() + 4*c.config.Lease
 	for end := time.Now().Add(timeout); ; time.Sleep(c.config.MaxDelay) {
-		err := c.CallLeader("Fleet.Found", &BootstrapRequest{LastToken: lastToken}, &struct{}{}, c.callTimeout())
+		err := c.CallLeader(methodFound, &BootstrapRequest{LastToken: lastToken}, &struct{}{}, c.callTimeout())
 		if err == nil || errors.Is(err, lease.ErrAlreadyFounded) {
 			return nil
 		}
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -143,10 +143,10 @@
 }
 
 // Remaining returns for how long the lease is certainly held.
-func (h *HeldLease) Remaining() time.Duration { return max(0, toDuration(h.End()-now())) }
+func (h *HeldLease) Remaining() time.Duration { return max(0, toDuration(h.Expiry()-now())) }
 
-// End returns until when the lease is held, by this process's clock.
-func (h *HeldLease) End() lease.Time {
+// Expiry returns until when the lease is held, by this process's clock.
+func (h *HeldLease) Expiry() lease.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.claimant.Expiry()
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -82,7 +82,7 @@
 		return "", fmt.Errorf("%s is a voter already, as %s: remove that one first", change.Add, servers[at].ID)
 	}
 	var status Status
-	if err := s.member.client.callAddress(change.Address, "Fleet.Status", &struct{}{}, &status); err != nil {
+	if err := s.member.client.callAddress(change.Address, methodStatus, &struct{}{}, &status); err != nil {
 		return "", fmt.Errorf("%s: %w", change.Address, err)
 	}
 	switch {
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -58,7 +58,7 @@
 	q := &nodeQuotas{member: m, lease: held}
 	q.alarm = newAlarm(q.onAlarm)
 	q.mu.Lock()
-	q.client = budget.NewQuotaClient(q, now(), nodeLease(m.config.Node), held.Token(), m.config.Weight, configs, held.End(),
+	q.client = budget.NewQuotaClient(q, now(), nodeLease(m.config.Node), held.Token(), m.config.Weight, configs, held.Expiry(),
 		toLeaseTime(m.actMargin()))
 	q.mu.Unlock()
 	m.mu.Lock()
@@ -86,7 +86,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.closed {
-		q.client.ExtendLease(q.lease.End())
+		q.client.ExtendLease(q.lease.Expiry())
 		q.client.Alarm(now())
 	}
 }
@@ -107,7 +107,7 @@
 	number := q.lastRequest
 	go func() {
 		var reply QuotaResponse
-		err := q.member.client.callCurrentTimeout("Fleet.Part", &r, &reply, toDuration(r.Wait)+q.member.client.callTimeout())
+		err := q.member.client.callCurrentTimeout(methodQuotas, &r, &reply, toDuration(r.Wait)+q.member.client.callTimeout())
 		q.handleOutcome(number, reply, err)
 	}()
 }
@@ -119,7 +119,7 @@
 	if q.closed || q.lastRequest != number {
 		return
 	}
-	q.client.ExtendLease(q.lease.End())
+	q.client.ExtendLease(q.lease.Expiry())
 	if err != nil {
 		q.member.log.Debug("quota request failed", zap.Error(err))
 		q.client.HandleTimeout(now())
--- a/internal/cluster/quorum.go
+++ b/internal/cluster/quorum.go
@@ -50,7 +50,7 @@
 		return false
 	}
 	var vote TermVote
-	if err := call(client, "Fleet.Term", &struct{}{}, &vote, v.callTimeout); err != nil {
+	if err := call(client, methodTerm, &struct{}{}, &vote, v.callTimeout); err != nil {
 		v.dropPeer(s.ID, client)
 		return false
 	}
--- a/internal/cluster/service.go
+++ b/internal/cluster/service.go
@@ -14,9 +14,28 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
+// The names of the RPC methods on the wire. Each is a method of rpcService.
 const (
-	serviceName      = "Fleet" // of the RPC methods on the wire
-	maxCallsPerConn  = 256     // in progress; beyond, nothing more is read from the connection
+	serviceName = "Fleet"
+
+	methodLease            = serviceName + ".Ask"
+	methodStatus           = serviceName + ".Status"
+	methodWatch            = serviceName + ".Watch"
+	methodMetrics          = serviceName + ".Figures"
+	methodTerm             = serviceName + ".Term"
+	methodBootstrap        = serviceName + ".Bootstrap"
+	methodFound            = serviceName + ".Found"
+	methodChangeMembership = serviceName + ".Change"
+	methodReportEjections  = serviceName + ".Rest"
+	methodDueProbes        = serviceName + ".Due"
+	methodProbeResult      = serviceName + ".Result"
+	methodQuotas           = serviceName + ".Part"
+	methodLendQuotas       = serviceName + ".Lend"
+	methodSetLimit         = serviceName + ".SetWhole"
+)
+
+const (
+	maxCallsPerConn  = 256 // in progress; beyond, nothing more is read from the connection
 	maxWatchDuration = 30 * time.Second
 )
 
--- a/internal/cluster/task_probe.go
+++ b/internal/cluster/task_probe.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		var statuses []lease.ProbeStatus
-		if err := m.client.callCurrent("Fleet.Rest", &EjectionReport{Servers: ejected}, &statuses); err != nil {
+		if err := m.client.callCurrent(methodReportEjections, &EjectionReport{Servers: ejected}, &statuses); err != nil {
 			m.log.Debug("ejection report failed", zap.Error(err))
 			continue
 		}
@@ -64,7 +64,7 @@
 		}
 		var due []lease.Probe
 		token := held.Token()
-		if m.client.callCurrent("Fleet.Due", &token, &due) != nil {
+		if m.client.callCurrent(methodDueProbes, &token, &due) != nil {
 			continue
 		}
 		for _, probe := range due {
@@ -79,7 +79,7 @@
 			probing.Go(func() {
 				defer func() { <-slots }()
 				healthy := m.probeServer(ctx, client, probe)
-				_ = m.client.callCurrent("Fleet.Result", &ProbeReport{Token: token, ID: probe.ID, Healthy: healthy}, &struct{}{})
+				_ = m.client.callCurrent(methodProbeResult, &ProbeReport{Token: token, ID: probe.ID, Healthy: healthy}, &struct{}{})
 			})
 		}
 	}
--- a/internal/cluster/task_rollup.go
+++ b/internal/cluster/task_rollup.go
@@ -127,7 +127,7 @@
 		collecting.Go(func() {
 			defer func() { <-slots }()
 			var totals map[string]int64
-			err := m.client.callAddress(nodes[name], "Fleet.Figures", &struct{}{}, &totals)
+			err := m.client.callAddress(nodes[name], methodMetrics, &struct{}{}, &totals)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
