--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -15,9 +15,9 @@
 	return string(binary.LittleEndian.AppendUint64(nil, xxhash.Sum64String(fmt.Sprint(i)))[:6])
 }
 
-// BenchmarkAnswer is what a relay with a ring of ten minutes of purges does for one child that is a quarter of a second behind
+// BenchmarkRespond is what a relay with a ring of ten minutes of purges does for one child that is a quarter of a second behind
 // at 120 a second, and what the changes take in a message.
-func BenchmarkAnswer(b *testing.B) {
+func BenchmarkRespond(b *testing.B) {
 	const ring, behind = 72_000, 30
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -26,7 +26,7 @@
 	var at Position
 	for i := range ring {
 		if i == ring-behind {
-			at = l.Place()
+			at = l.Position()
 		}
 		if err := l.Add(event(uint64(i+1), hashed(i))); err != nil {
 			b.Fatal(err)
@@ -34,14 +34,14 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	a := Request{Position: at, Most: 64 << 10}
+	a := Request{Position: at, MaxBytes: 64 << 10}
 	b.ReportAllocs()
 	for b.Loop() {
 		if x := l.Respond(a, 0); len(x.Changes) != behind {
 			b.Fatal(len(x.Changes))
 		}
 	}
-	text, _ := json.Marshal(Pack(l.Respond(a, 0).Changes))
+	text, _ := json.Marshal(Encode(l.Respond(a, 0).Changes))
 	b.ReportMetric(float64(len(text))/behind, "wire-B/change")
 	b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/ring, "heap-B/change")
 }
@@ -49,49 +49,49 @@
 // BenchmarkFollow is what a child does with such an answer: read, look whether it is whole, take it over.
 func BenchmarkFollow(b *testing.B) {
 	const each = 30
-	d := &desk{}
-	f := NewFollower(d, 0, usualTerms, nil, Unsafe{})
+	d := &recordingHost{}
+	f := NewFollower(d, 0, defaultConfig, nil, Unsafe{})
 	l := sourceOf(b, 7, 1<<20)
-	d.meet(b, f, l)
+	d.followUntilCurrent(b, f, l)
 	b.ReportAllocs()
 	for b.Loop() {
 		for range each {
-			if err := l.Add(event(l.Place().Revision+1, "01234567")); err != nil {
+			if err := l.Add(event(l.Position().Revision+1, "01234567")); err != nil {
 				b.Fatal(err)
 			}
 		}
 		now := d.next(f)
-		x := l.Respond(d.ask, 0)
+		x := l.Respond(d.request, 0)
 		var err error
-		if x.Changes, err = Unpack(Pack(x.Changes)); err != nil {
+		if x.Changes, err = Decode(Encode(x.Changes)); err != nil {
 			b.Fatal(err)
 		}
-		if err := f.HandleResponse(now, d.ask.ID, x); err != nil {
+		if err := f.HandleResponse(now, d.request.ID, x); err != nil {
 			b.Fatal(err)
 		}
 		d.applied = d.applied[:0]
 	}
 }
 
-// BenchmarkAll plays ten seconds of peace at the operators' size, 23 regions with 826 nodes each, in simulated time, and tells the
+// BenchmarkFleet plays ten seconds of peace at the operators' size, 23 regions with 826 nodes each, in simulated time, and tells the
 // times from a change to all nodes, and to the last. Run it with -benchtime 1x.
-func BenchmarkAll(b *testing.B) {
+func BenchmarkFleet(b *testing.B) {
 	for _, regions := range []int{3, 10, 23} {
 		b.Run(fmt.Sprint("nodes=", regions*826), func(b *testing.B) {
 			for b.Loop() {
 				s := newSimulation(regions, 826)
 				s.run(5000 * ms)
-				before, asked := len(s.agreed), s.asked
-				s.took.Reset()
+				before, asked := len(s.agreed), s.requests
+				s.latencies.Reset()
 				s.run(15_000 * ms)
 				worst := Time(0)
-				for _, l := range s.last[before : len(s.last)-2*purgeRate] {
+				for _, l := range s.lastNodeLatency[before : len(s.lastNodeLatency)-2*purgeRate] {
 					worst = max(worst, l)
 				}
-				b.ReportMetric(float64(s.took.ValueAtQuantile(50))/float64(ms), "p50-ms")
-				b.ReportMetric(float64(s.took.ValueAtQuantile(99))/float64(ms), "p99-ms")
+				b.ReportMetric(float64(s.latencies.ValueAtQuantile(50))/float64(ms), "p50-ms")
+				b.ReportMetric(float64(s.latencies.ValueAtQuantile(99))/float64(ms), "p99-ms")
 				b.ReportMetric(float64(worst)/float64(ms), "last-ms")
-				b.ReportMetric(float64(s.asked-asked)/10/float64(len(s.nodes)), "asks/s/node")
+				b.ReportMetric(float64(s.requests-asked)/10/float64(len(s.nodes)), "asks/s/node")
 				b.ReportMetric(float64(s.oldest)/float64(ms), "age-ms")
 			}
 		})
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -13,22 +13,26 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// desk is a follower's host: it keeps what it was told.
-type desk struct {
+// recordingHost is a follower's host: it keeps what it was told.
+type recordingHost struct {
 	parents []int
-	ask     Request
+	request Request
 	applied []Change
 	missed  [][3]uint64
 	wakeAt  Time
 }
 
-func (d *desk) Send(parent int, a Request)   { d.parents, d.ask = append(d.parents, parent), a }
-func (d *desk) Apply(c Change)               { d.applied = append(d.applied, c) }
-func (d *desk) Replace()                     {}
-func (d *desk) Missed(e, after, upTo uint64) { d.missed = append(d.missed, [3]uint64{e, after, upTo}) }
-func (d *desk) SetAlarm(at Time)             { d.wakeAt = at }
-func (d *desk) next(f *Follower) (now Time)  { f.Alarm(d.wakeAt); return d.wakeAt }
-func (d *desk) last() int                    { return d.parents[len(d.parents)-1] }
+func (d *recordingHost) Send(parent int, a Request) {
+	d.parents, d.request = append(d.parents, parent), a
+}
+func (d *recordingHost) Apply(c Change) { d.applied = append(d.applied, c) }
+func (d *recordingHost) StateReplaced() {}
+func (d *recordingHost) EventsMissed(e, after, upTo uint64) {
+	d.missed = append(d.missed, [3]uint64{e, after, upTo})
+}
+func (d *recordingHost) SetAlarm(at Time)            { d.wakeAt = at }
+func (d *recordingHost) next(f *Follower) (now Time) { f.Alarm(d.wakeAt); return d.wakeAt }
+func (d *recordingHost) last() int                   { return d.parents[len(d.parents)-1] }
 func event(revision uint64, key string) Change {
 	return Change{Revision: revision, Topic: "purge", Key: key, Event: true}
 }
@@ -36,13 +40,13 @@
 	return Change{Revision: revision, Topic: "configuration", Key: key, Value: []byte(v)}
 }
 
-var usualTerms = Config{Parents: 5, Home: 2, Every: 250 * lease.Millisecond, Again: 100 * lease.Millisecond, Stale: 4700 * lease.Millisecond, Most: 7700}
+var defaultConfig = Config{Parents: 5, HomeParents: 2, MinInterval: 250 * lease.Millisecond, RetryBackoff: 100 * lease.Millisecond, MaxAge: 4700 * lease.Millisecond, MaxResponseBytes: 7700}
 
 // sourceOf has these changes, in an epoch.
 func sourceOf(t testing.TB, epoch uint64, ring int, all ...Change) *Log {
 	t.Helper()
 	l := NewLog(ring)
-	l.Found(epoch)
+	l.StartEpoch(epoch)
 	for i, c := range all {
 		c.Revision = uint64(i + 1)
 		if err := l.Add(c); err != nil {
@@ -52,24 +56,24 @@
 	return l
 }
 
-// meet lets a child ask a log until it is told nothing new, and gives how often it asked.
-func (d *desk) meet(t testing.TB, f *Follower, l *Log) (asked int) {
+// followUntilCurrent lets a child ask a log until it is told nothing new, and gives how often it asked.
+func (d *recordingHost) followUntilCurrent(t testing.TB, f *Follower, l *Log) (asked int) {
 	t.Helper()
 	for {
 		now := d.next(f)
 		asked++
-		was, staged := f.Place(), f.staged != nil
-		x, taken := l.Respond(d.ask, 0), 0
+		was, staged := f.Position(), f.staged != nil
+		x, taken := l.Respond(d.request, 0), 0
 		for _, c := range x.Changes {
 			taken += size(c)
 		}
-		if len(x.Changes) > 1 && taken > d.ask.Most {
-			t.Fatalf("%d bytes of changes at once, %d at the most", taken, d.ask.Most)
+		if len(x.Changes) > 1 && taken > d.request.MaxBytes {
+			t.Fatalf("%d bytes of changes at once, %d at the most", taken, d.request.MaxBytes)
 		}
-		if err := f.HandleResponse(now, d.ask.ID, x); err != nil {
+		if err := f.HandleResponse(now, d.request.ID, x); err != nil {
 			t.Fatal(err)
 		}
-		if f.Place() == was && !staged && f.staged == nil || asked > 1000 {
+		if f.Position() == was && !staged && f.staged == nil || asked > 1000 {
 			return asked
 		}
 	}
@@ -78,23 +82,23 @@
 // Two that differ under one revision, as after a fleet was founded twice from one token: a child of the one that comes to the
 // other finds out, has that one's state, and is told that it may have missed any event. Without the chain it never has it.
 func TestTwoThatDifferUnderOneRevision(t *testing.T) {
-	for _, u := range []Unsafe{{}, {Chain: true}} {
+	for _, u := range []Unsafe{{}, {IgnoreChain: true}} {
 		one := sourceOf(t, 7, 1<<10, value(0, "a", "1"), value(0, "b", "2"), event(0, "x"))
 		other := sourceOf(t, 7, 1<<10, value(0, "a", "1"), value(0, "b", "9"), event(0, "y"), event(0, "z"))
 		one.unsafe, other.unsafe = u, u
-		d := &desk{}
-		f := NewFollower(d, 0, usualTerms, nil, u)
-		d.meet(t, f, one)
-		if f.Place() != one.Place() {
-			t.Fatalf("at %+v, want %+v", f.Place(), one.Place())
+		d := &recordingHost{}
+		f := NewFollower(d, 0, defaultConfig, nil, u)
+		d.followUntilCurrent(t, f, one)
+		if f.Position() != one.Position() {
+			t.Fatalf("at %+v, want %+v", f.Position(), one.Position())
 		}
 		d.missed = nil
-		d.meet(t, f, other)
+		d.followUntilCurrent(t, f, other)
 		right := reflect.DeepEqual(f.State(), other.State())
-		if want := [][3]uint64{{7, 0, 4}}; !u.Chain && (!right || f.Place() != other.Place() || !reflect.DeepEqual(d.missed, want)) {
-			t.Errorf("at %+v with %v, missed %v; want %+v with %v, missed %v", f.Place(), f.State(), d.missed, other.Place(), other.State(), want)
+		if want := [][3]uint64{{7, 0, 4}}; !u.IgnoreChain && (!right || f.Position() != other.Position() || !reflect.DeepEqual(d.missed, want)) {
+			t.Errorf("at %+v with %v, missed %v; want %+v with %v, missed %v", f.Position(), f.State(), d.missed, other.Position(), other.State(), want)
 		}
-		if u.Chain && right {
+		if u.IgnoreChain && right {
 			t.Error("the chain is of no use")
 		}
 	}
@@ -112,20 +116,20 @@
 		"of another epoch":             func(x *Response) { x.Epoch++ },
 		"another chain":                func(x *Response) { x.Chain++ },
 		"no topic":                     func(x *Response) { x.Changes[0].Topic = "" },
-		"a value over its bound":       func(x *Response) { x.Changes[0].Value = make([]byte, valueMost+1) },
+		"a value over its bound":       func(x *Response) { x.Changes[0].Value = make([]byte, maxValueBytes+1) },
 		"an age below nothing":         func(x *Response) { x.Age = -1 },
-		"state of an earlier epoch":    func(x *Response) { x.Buckets, x.Epoch, x.Settled = map[int][]Change{}, 6, true },
-		"state of an earlier revision": func(x *Response) { x.Buckets, x.Revision, x.Settled = map[int][]Change{}, 2, true },
+		"state of an earlier epoch":    func(x *Response) { x.Buckets, x.Epoch, x.Complete = map[int][]Change{}, 6, true },
+		"state of an earlier revision": func(x *Response) { x.Buckets, x.Revision, x.Complete = map[int][]Change{}, 2, true },
 		"a key in another's bucket": func(x *Response) {
-			x.Buckets = map[int][]Change{bucketOf(keyOf(value(0, "a", ""))) ^ 1: {value(1, "a", "1")}}
+			x.Buckets = map[int][]Change{bucketOf(stateKey(value(0, "a", ""))) ^ 1: {value(1, "a", "1")}}
 		},
-		"an event as state":                func(x *Response) { x.Buckets = map[int][]Change{bucketOf(keyOf(event(0, "x"))): {event(1, "x")}} },
+		"an event as state":                func(x *Response) { x.Buckets = map[int][]Change{bucketOf(stateKey(event(0, "x"))): {event(1, "x")}} },
 		"a ring that doesn't lead there":   func(x *Response) { x.Buckets, x.Ring = map[int][]Change{}, []Change{event(1, "x")} },
-		"below the floor, and yet changes": func(x *Response) { x.Below = true },
+		"below the floor, and yet changes": func(x *Response) { x.BelowFloor = true },
 	} {
-		d := &desk{}
-		f := NewFollower(d, 0, usualTerms, nil, Unsafe{})
-		d.meet(t, f, l)
+		d := &recordingHost{}
+		f := NewFollower(d, 0, defaultConfig, nil, Unsafe{})
+		d.followUntilCurrent(t, f, l)
 		more := l.clone()
 		for i, c := range []Change{event(0, "y"), value(0, "a", "3")} {
 			c.Revision = uint64(4 + i)
@@ -134,27 +138,27 @@
 			}
 		}
 		now := d.next(f)
-		x := more.Respond(d.ask, 0)
+		x := more.Respond(d.request, 0)
 		if x.Changes = append([]Change(nil), x.Changes...); len(x.Changes) != 2 {
 			t.Fatal(x)
 		}
 		spoil(&x)
-		place, state, told, parent := f.Place(), maps.Clone(f.State()), len(d.applied), d.last()
+		place, state, told, parent := f.Position(), maps.Clone(f.State()), len(d.applied), d.last()
 		age, _ := f.Age(now)
-		err := f.HandleResponse(now, d.ask.ID, x)
+		err := f.HandleResponse(now, d.request.ID, x)
 		if !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrEpoch) {
 			t.Errorf("%s: %v", what, err)
 		}
 		after, _ := f.Age(now)
-		if f.Place() != place || !reflect.DeepEqual(f.State(), state) || len(d.applied) != told || age != after || f.staged != nil {
-			t.Errorf("%s: from %+v to %+v, state %v, %d told, age %d to %d", what, place, f.Place(), f.State(), len(d.applied)-told, age, after)
+		if f.Position() != place || !reflect.DeepEqual(f.State(), state) || len(d.applied) != told || age != after || f.staged != nil {
+			t.Errorf("%s: from %+v to %+v, state %v, %d told, age %d to %d", what, place, f.Position(), f.State(), len(d.applied)-told, age, after)
 		}
 		if d.next(f); d.last() == parent {
 			t.Errorf("%s: the same parent is asked again", what)
 		}
-		d.meet(t, f, more)
-		if f.Place() != more.Place() {
-			t.Errorf("%s: at %+v afterwards, want %+v", what, f.Place(), more.Place())
+		d.followUntilCurrent(t, f, more)
+		if f.Position() != more.Position() {
+			t.Errorf("%s: at %+v afterwards, want %+v", what, f.Position(), more.Position())
 		}
 	}
 }
@@ -162,12 +166,12 @@
 // A child far behind takes as much as it says at a time, from its own place; what it takes holds up no sibling and drops nothing.
 func TestASlowChild(t *testing.T) {
 	l := sourceOf(t, 7, 1<<20)
-	slow, quick := &desk{}, &desk{}
-	terms := usualTerms
-	terms.Most = 1000
-	s, q := NewFollower(slow, 0, terms, nil, Unsafe{}), NewFollower(quick, 0, usualTerms, nil, Unsafe{})
-	slow.meet(t, s, l)
-	quick.meet(t, q, l)
+	slow, quick := &recordingHost{}, &recordingHost{}
+	terms := defaultConfig
+	terms.MaxResponseBytes = 1000
+	s, q := NewFollower(slow, 0, terms, nil, Unsafe{}), NewFollower(quick, 0, defaultConfig, nil, Unsafe{})
+	slow.followUntilCurrent(t, s, l)
+	quick.followUntilCurrent(t, q, l)
 	const many = 2000
 	each := size(event(1, fmt.Sprintf("%016d", 0)))
 	for i := range many {
@@ -175,15 +179,15 @@
 			t.Fatal(err)
 		}
 		if i%500 == 499 {
-			if asked, want := quick.meet(t, q, l), 500/(usualTerms.Most/each)+2; asked > want {
+			if asked, want := quick.followUntilCurrent(t, q, l), 500/(defaultConfig.MaxResponseBytes/each)+2; asked > want {
 				t.Errorf("the quick one asked %d times for 500, want %d", asked, want)
 			}
 		}
 	}
-	if asked, want := slow.meet(t, s, l), many/(terms.Most/each)+2; asked > want {
+	if asked, want := slow.followUntilCurrent(t, s, l), many/(terms.MaxResponseBytes/each)+2; asked > want {
 		t.Errorf("the slow one asked %d times, want %d", asked, want)
 	}
-	for _, d := range []*desk{slow, quick} {
+	for _, d := range []*recordingHost{slow, quick} {
 		for i, c := range d.applied {
 			if c.Revision != uint64(i+1) || len(d.applied) != many {
 				t.Fatalf("change %d of %d is %d", i, len(d.applied), c.Revision)
@@ -196,7 +200,7 @@
 func TestBackAfterDays(t *testing.T) {
 	l := sourceOf(t, 7, 200)
 	add := func(c Change) {
-		c.Revision = l.Place().Revision + 1
+		c.Revision = l.Position().Revision + 1
 		if err := l.Add(c); err != nil {
 			t.Fatal(err)
 		}
@@ -204,27 +208,27 @@
 	for i := range 400 {
 		add(value(0, fmt.Sprint("key-", i), fmt.Sprint(i)))
 	}
-	saved := Saved{l.Place(), maps.Clone(l.State())}
+	saved := Snapshot{l.Position(), maps.Clone(l.State())}
 	for i := range 300 {
 		add(event(0, fmt.Sprint(i)))
 	}
 	add(value(0, "key-7", "other"))
-	add(Change{Topic: "configuration", Key: "key-8", Gone: true})
-	d := &desk{}
-	f := NewFollower(d, 0, usualTerms, &saved, Unsafe{})
+	add(Change{Topic: "configuration", Key: "key-8", Deleted: true})
+	d := &recordingHost{}
+	f := NewFollower(d, 0, defaultConfig, &saved, Unsafe{})
 	now := d.next(f)
-	x := l.Respond(d.ask, 0)
-	if !x.Below {
+	x := l.Respond(d.request, 0)
+	if !x.BelowFloor {
 		t.Fatalf("%+v", x)
 	}
-	_ = f.HandleResponse(now, d.ask.ID, x)
+	_ = f.HandleResponse(now, d.request.ID, x)
 	now = d.next(f)
-	if x = l.Respond(d.ask, 0); !x.Settled || len(x.Buckets) != 2 {
+	if x = l.Respond(d.request, 0); !x.Complete || len(x.Buckets) != 2 {
 		t.Errorf("%d buckets, want the two that differ", len(x.Buckets))
 	}
-	_ = f.HandleResponse(now, d.ask.ID, x)
-	if want := [][3]uint64{{7, 400, 702}}; f.Place() != l.Place() || !reflect.DeepEqual(f.State(), l.State()) || !reflect.DeepEqual(d.missed, want) {
-		t.Errorf("at %+v, missed %v; want %+v, %v", f.Place(), d.missed, l.Place(), want)
+	_ = f.HandleResponse(now, d.request.ID, x)
+	if want := [][3]uint64{{7, 400, 702}}; f.Position() != l.Position() || !reflect.DeepEqual(f.State(), l.State()) || !reflect.DeepEqual(d.missed, want) {
+		t.Errorf("at %+v, missed %v; want %+v, %v", f.Position(), d.missed, l.Position(), want)
 	}
 	if _, known := f.Age(now); !known {
 		t.Error("no age")
@@ -234,8 +238,8 @@
 // Its own region's relays come first, in turn; then others; and after ten seconds there it looks for its own again.
 func TestParentsInTurn(t *testing.T) {
 	l := sourceOf(t, 7, 200, event(0, "x"))
-	d := &desk{}
-	f := NewFollower(d, 0, usualTerms, nil, Unsafe{})
+	d := &recordingHost{}
+	f := NewFollower(d, 0, defaultConfig, nil, Unsafe{})
 	alive := map[int]bool{3: true}
 	var began Time
 	for now := d.next(f); now < 30_000*lease.Millisecond; now = d.next(f) {
@@ -243,9 +247,9 @@
 			if began == 0 {
 				began = now
 			}
-			_ = f.HandleResponse(now, d.ask.ID, l.Respond(d.ask, 0))
+			_ = f.HandleResponse(now, d.request.ID, l.Respond(d.request, 0))
 		} else {
-			f.HandleTimeout(now, d.ask.ID)
+			f.HandleTimeout(now, d.request.ID)
 		}
 	}
 	if fmt.Sprint(d.parents[:4]) != "[0 1 2 3]" || began > 2000*lease.Millisecond {
@@ -262,7 +266,7 @@
 	}
 	all := len(d.parents)
 	for now := d.next(f); now < 60_000*lease.Millisecond; now = d.next(f) {
-		f.HandleTimeout(now, d.ask.ID)
+		f.HandleTimeout(now, d.request.ID)
 	}
 	if asked := len(d.parents) - all; asked > 40 {
 		t.Errorf("%d askings in 30 s where nobody answers", asked)
@@ -272,12 +276,12 @@
 func changes(t *rapid.T) (all []Change) {
 	for i := range rapid.IntRange(0, 20).Draw(t, "many") {
 		c := Change{Revision: uint64(i + rapid.SampledFrom([]int{1, 1, 1, 7}).Draw(t, "revision")), Topic: rapid.StringMatching(`[a-c]{1,3}`).Draw(t, "topic"),
-			Key: rapid.StringN(0, 40, nameMost).Draw(t, "key"), Event: rapid.Bool().Draw(t, "event")}
+			Key: rapid.StringN(0, 40, maxNameBytes).Draw(t, "key"), Event: rapid.Bool().Draw(t, "event")}
 		if v := rapid.SliceOfN(rapid.Byte(), 0, 50).Draw(t, "value"); len(v) > 0 {
 			c.Value = v
 		}
 		if !c.Event && c.Value == nil {
-			c.Gone = rapid.Bool().Draw(t, "gone")
+			c.Deleted = rapid.Bool().Draw(t, "gone")
 		}
 		all = append(all, c)
 	}
@@ -288,21 +292,21 @@
 func TestPackedIsReadAsItWas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := changes(t)
-		b := Pack(all)
-		got, err := Unpack(b)
+		b := Encode(all)
+		got, err := Decode(b)
 		if err != nil || !reflect.DeepEqual(got, all) {
 			t.Fatalf("%v %v, want %v", got, err, all)
 		}
-		if again := Pack(got); !bytes.Equal(again, b) {
+		if again := Encode(got); !bytes.Equal(again, b) {
 			t.Fatalf("%x, want %x", again, b)
 		}
 		cut := rapid.IntRange(0, len(b)).Draw(t, "cut")
-		if got, err := Unpack(b[:cut]); err == nil && len(got) > len(all) || err != nil && !errors.Is(err, ErrMalformed) {
+		if got, err := Decode(b[:cut]); err == nil && len(got) > len(all) || err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatalf("cut at %d: %d changes, %v", cut, len(got), err)
 		}
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "by"))
-		if _, err := Unpack(b); err != nil && !errors.Is(err, ErrMalformed) {
+		if _, err := Decode(b); err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
 		}
 	})
--- a/changelog/cluster_test.go
+++ b/changelog/cluster_test.go
@@ -14,12 +14,12 @@
 // whom, what is late, lost or garbled, who starts again with what, and how the clocks run.
 
 const (
-	step     = 24 // units of true time
-	slowRate = 18 // of a slow clock in a step, at the bound of drift
-	fastRate = 30
-	drift    = 0.25
-	every    = 18 // between two askings: a step at the least
-	oneMost  = 20 // bytes of an answer: about one change
+	step           = 24 // units of true time
+	slowRate       = 18 // of a slow clock in a step, at the bound of drift
+	fastRate       = 30
+	drift          = 0.25
+	minInterval    = 18 // between two askings: a step at the least
+	oneChangeBytes = 20 // bytes of an answer: about one change
 )
 
 // agreed is one change of the truth, and when it was.
@@ -34,93 +34,93 @@
 	confirmed Time // when it last led for sure
 }
 
-// flight is an asking on its way, and then its answer.
-type flight struct {
+// message is an asking on its way, and then its answer.
+type message struct {
 	from, parent int
-	ask          Request
-	answer       *Response
+	request      Request
+	response     *Response
 }
 
 // child is a relay or a node, with what it was told.
 type child struct {
-	w      *world
-	n      int
-	f      *Follower
-	wakeAt Time
-	last   Position
-	told   []uint64    // revisions of events in its epoch,
-	missed [][2]uint64 // and what it was told that it missed
-	epoch  uint64      // of both
+	cluster  *testCluster
+	n        int
+	follower *Follower
+	wakeAt   Time
+	last     Position
+	events   []uint64    // revisions of events in its epoch,
+	missed   [][2]uint64 // and what it was told that it missed
+	epoch    uint64      // of both
 }
 
 type bounds struct{ steps, agrees, lost, late, deposed, founded, restarts, garbled int }
 
-type world struct {
-	unsafe   Unsafe
-	ring     int // bytes of the sources' and the relays'
-	now      Time
-	leader   int
-	sources  [2]source
-	truths   map[uint64][]agreed
-	children []*child // the relays come first
-	flying   []flight
-	left     bounds
-	fault    string
-	events   int // told to nodes, in all
-	gaps     int // and told to be missed
+type testCluster struct {
+	unsafe        Unsafe
+	ring          int // bytes of the sources' and the relays'
+	now           Time
+	leader        int
+	sources       [2]source
+	agreedByEpoch map[uint64][]agreed
+	children      []*child // the relays come first
+	messages      []message
+	left          bounds
+	fault         string
+	eventsApplied int // told to nodes, in all
+	eventsMissed  int // and told to be missed
 }
 
 const relays = 2
 
-func newWorld(u Unsafe, ring, nodes int, left bounds) *world {
-	w := &world{unsafe: u, ring: ring, truths: map[uint64][]agreed{1: nil}, left: left}
+func newTestCluster(u Unsafe, ring, nodes int, left bounds) *testCluster {
+	w := &testCluster{unsafe: u, ring: ring, agreedByEpoch: map[uint64][]agreed{1: nil}, left: left}
 	for i := range w.sources {
 		w.sources[i].Log = NewLog(ring)
 		w.sources[i].unsafe = u
 	}
-	w.sources[0].Found(1)
+	w.sources[0].StartEpoch(1)
 	for n := range relays + nodes {
-		c := &child{w: w, n: n}
+		c := &child{cluster: w, n: n}
 		w.children = append(w.children, c)
 		c.start(nil)
 	}
 	return w
 }
 
-// local is a child's clock: nodes and the second relay have slow ones.
-func (c *child) local() Time {
+// localNow is a child's clock: nodes and the second relay have slow ones.
+func (c *child) localNow() Time {
 	if c.n == 0 {
-		return c.w.now / step * fastRate
+		return c.cluster.now / step * fastRate
 	}
-	return c.w.now / step * slowRate
+	return c.cluster.now / step * slowRate
 }
 
 func (c *child) start(file *Follower) {
-	t := Config{Parents: 2, Home: 2, Every: every, Again: every, Stale: 4 * step, Most: oneMost, Drift: drift, Seed: uint64(c.n)}
+	t := Config{Parents: 2, HomeParents: 2, MinInterval: minInterval, RetryBackoff: minInterval, MaxAge: 4 * step, MaxResponseBytes: oneChangeBytes, MaxDrift: drift, Seed: uint64(c.n)}
 	if c.n < relays {
-		t.Ring = c.w.ring
+		t.RingBytes = c.cluster.ring
 	}
-	var saved *Saved
+	var saved *Snapshot
 	if file != nil {
-		saved = &Saved{file.place, file.state}
+		saved = &Snapshot{file.position, file.state}
 	} else {
-		c.told, c.missed, c.epoch = nil, nil, 0
+		c.events, c.missed, c.epoch = nil, nil, 0
 	}
-	c.f = NewFollower(c, c.local(), t, saved, c.w.unsafe)
-	c.last = c.f.place
+	c.follower = NewFollower(c, c.localNow(), t, saved, c.cluster.unsafe)
+	c.last = c.follower.position
 }
 
 // A child is its follower's host.
 
 func (c *child) Send(parent int, a Request) {
-	c.w.flying = append(c.w.flying, flight{from: c.n, parent: parent, ask: a})
+	c.cluster.messages = append(c.cluster.messages, message{from: c.n, parent: parent, request: a})
 }
 func (c *child) SetAlarm(at Time) { c.wakeAt = at }
-func (c *child) Replace()         {}
+func (c *child) StateReplaced()   {}
 
-func (c *child) began(epoch uint64) {
+func (c *child) startEpoch(epoch uint64) {
 	if c.epoch != epoch {
-		c.told, c.missed, c.epoch = nil, nil, epoch
+		c.events, c.missed, c.epoch = nil, nil, epoch
 	}
 }
 
@@ -128,49 +128,49 @@
 	if !x.Event {
 		return
 	}
-	c.began(c.f.place.Epoch)
-	if n := len(c.told); n > 0 && c.told[n-1] >= x.Revision {
-		c.w.fault = fmt.Sprintf("child %d is told of event %d after %d", c.n, x.Revision, c.told[n-1])
+	c.startEpoch(c.follower.position.Epoch)
+	if n := len(c.events); n > 0 && c.events[n-1] >= x.Revision {
+		c.cluster.fault = fmt.Sprintf("child %d is told of event %d after %d", c.n, x.Revision, c.events[n-1])
 	}
-	c.told = append(c.told, x.Revision)
+	c.events = append(c.events, x.Revision)
 	if c.n >= relays {
-		c.w.events++
+		c.cluster.eventsApplied++
 	}
 }
 
-func (c *child) Missed(epoch, after, upTo uint64) {
-	if l := c.w.sources[c.w.leader].floor; c.last.Epoch == epoch && l.Epoch == epoch && c.last.Revision >= l.Revision && after < upTo {
+func (c *child) EventsMissed(epoch, after, upTo uint64) {
+	if l := c.cluster.sources[c.cluster.leader].floor; c.last.Epoch == epoch && l.Epoch == epoch && c.last.Revision >= l.Revision && after < upTo {
 		c.fail("at %d is told to have missed events up to %d, which the leader keeps from %d on", c.last.Revision, upTo, l.Revision)
 	}
-	if c.began(epoch); c.n >= relays {
-		c.w.gaps++
+	if c.startEpoch(epoch); c.n >= relays {
+		c.cluster.eventsMissed++
 	}
 	c.missed = append(c.missed, [2]uint64{after, upTo})
 }
 
 // The changes that come to be, over and over: events, keys in two buckets, one that goes.
 var pattern = []Change{{Topic: "p", Key: "x", Event: true}, {Topic: "c", Key: "a", Value: []byte("1")}, {Topic: "c", Key: "b", Value: []byte("2")},
-	{Topic: "p", Key: "y", Event: true}, {Topic: "c", Key: "a", Value: []byte("3")}, {Topic: "c", Key: "b", Gone: true}}
+	{Topic: "p", Key: "y", Event: true}, {Topic: "c", Key: "a", Value: []byte("3")}, {Topic: "c", Key: "b", Deleted: true}}
 
-func (w *world) agree() {
+func (w *testCluster) agree() {
 	l := w.sources[w.leader].Log
-	c := pattern[l.place.Revision%uint64(len(pattern))]
-	c.Revision = l.place.Revision + 1
+	c := pattern[l.position.Revision%uint64(len(pattern))]
+	c.Revision = l.position.Revision + 1
 	if err := l.Add(c); err != nil {
 		w.fault = err.Error()
 	}
-	w.truths[l.place.Epoch] = append(w.truths[l.place.Epoch], agreed{c, w.now})
+	w.agreedByEpoch[l.position.Epoch] = append(w.agreedByEpoch[l.position.Epoch], agreed{c, w.now})
 }
 
 // stateAt gives the truth at a place.
-func (w *world) stateAt(p Position) map[string]Change {
+func (w *testCluster) stateAt(p Position) map[string]Change {
 	state := map[string]Change{}
-	for _, a := range w.truths[p.Epoch][:min(int(p.Revision), len(w.truths[p.Epoch]))] {
+	for _, a := range w.agreedByEpoch[p.Epoch][:min(int(p.Revision), len(w.agreedByEpoch[p.Epoch]))] {
 		if a.Event {
 			continue
 		}
-		if delete(state, keyOf(a.Change)); !a.Gone {
-			state[keyOf(a.Change)] = a.Change
+		if delete(state, stateKey(a.Change)); !a.Deleted {
+			state[stateKey(a.Change)] = a.Change
 		}
 	}
 	return state
@@ -183,7 +183,7 @@
 }
 
 // moves gives all that may happen now.
-func (w *world) moves() (all []move) {
+func (w *testCluster) moves() (all []move) {
 	add := func(what string, n int) { all = append(all, move{what, n}) }
 	if w.left.steps > 0 {
 		add("tick", 0)
@@ -197,12 +197,12 @@
 	if w.left.founded > 0 {
 		add("found", 0)
 	}
-	for i, m := range w.flying {
-		if m.answer == nil {
+	for i, m := range w.messages {
+		if m.response == nil {
 			add("hear", i)
 		} else {
 			add("tell", i)
-			if w.left.garbled > 0 && len(m.answer.Changes) > 0 {
+			if w.left.garbled > 0 && len(m.response.Changes) > 0 {
 				add("garble", i)
 			}
 		}
@@ -210,14 +210,14 @@
 		if w.left.lost > 0 {
 			add("lose", i)
 		}
-		if w.left.late > 0 && c.f.out && c.f.id == m.ask.ID {
+		if w.left.late > 0 && c.follower.inFlight && c.follower.requestID == m.request.ID {
 			add("late", i)
 		}
 	}
 	if w.left.restarts > 0 {
 		for n := range w.children {
 			add("restart", n)
-			if n >= relays || w.unsafe.Ring {
+			if n >= relays || w.unsafe.RelayWithoutRing {
 				add("resume", n)
 			}
 		}
@@ -226,13 +226,13 @@
 }
 
 // play lets it happen, and checks all rules.
-func (w *world) play(m move) {
-	take := func() flight {
-		x := w.flying[m.n]
-		w.flying = slices.Delete(w.flying, m.n, m.n+1)
+func (w *testCluster) play(m move) {
+	take := func() message {
+		x := w.messages[m.n]
+		w.messages = slices.Delete(w.messages, m.n, m.n+1)
 		return x
 	}
-	if m.n >= len(w.flying) && m.what != "restart" && m.what != "resume" && m.what != "tick" && m.what != "agree" && m.what != "depose" && m.what != "found" {
+	if m.n >= len(w.messages) && m.what != "restart" && m.what != "resume" && m.what != "tick" && m.what != "agree" && m.what != "depose" && m.what != "found" {
 		return // of a history that is given, where nothing is on its way any more
 	}
 	switch m.what {
@@ -241,8 +241,8 @@
 		w.now += step
 		w.sources[w.leader].confirmed = w.now
 		for _, c := range w.children {
-			if c.local() >= c.wakeAt {
-				c.f.Alarm(c.local())
+			if c.localNow() >= c.wakeAt {
+				c.follower.Alarm(c.localNow())
 			}
 		}
 	case "agree":
@@ -256,50 +256,50 @@
 		w.sources[w.leader].Log = was.clone()
 	case "found": // whose leader lost its folder; the other one may speak of the epoch before yet
 		w.left.founded--
-		epoch := max(w.sources[0].place.Epoch, w.sources[1].place.Epoch) + 1
+		epoch := max(w.sources[0].position.Epoch, w.sources[1].position.Epoch) + 1
 		was := w.sources[w.leader].clone()
-		w.sources[w.leader].Found(epoch)
-		w.truths[epoch] = nil
+		w.sources[w.leader].StartEpoch(epoch)
+		w.agreedByEpoch[epoch] = nil
 		w.sources[1-w.leader] = source{was, w.now}
 	case "hear":
-		x := &w.flying[m.n]
+		x := &w.messages[m.n]
 		var a Response
 		if x.from >= relays {
-			p := w.children[x.parent].f
-			a = p.Serve(w.children[x.parent].local(), x.ask)
+			p := w.children[x.parent].follower
+			a = p.Serve(w.children[x.parent].localNow(), x.request)
 		} else {
 			s := w.sources[x.parent]
 			age := Time(0)
-			if x.parent != w.leader && !w.unsafe.Parent {
+			if x.parent != w.leader && !w.unsafe.IgnoreParentAge {
 				age = w.now - s.confirmed
 			}
-			a = s.Respond(x.ask, age)
+			a = s.Respond(x.request, age)
 		}
-		x.answer = &a
+		x.response = &a
 	case "garble":
 		w.left.garbled--
-		a := *w.flying[m.n].answer
+		a := *w.messages[m.n].response
 		a.Changes = a.Changes[1:]
-		w.flying[m.n].answer = &a
+		w.messages[m.n].response = &a
 	case "tell":
 		x := take()
 		c := w.children[x.from]
-		_ = c.f.HandleResponse(c.local(), x.ask.ID, *x.answer)
+		_ = c.follower.HandleResponse(c.localNow(), x.request.ID, *x.response)
 	case "lose":
 		w.left.lost--
 		x := take()
 		c := w.children[x.from]
-		c.f.HandleTimeout(c.local(), x.ask.ID)
+		c.follower.HandleTimeout(c.localNow(), x.request.ID)
 	case "late":
 		w.left.late--
-		x := w.flying[m.n]
+		x := w.messages[m.n]
 		c := w.children[x.from]
-		c.f.HandleTimeout(c.local(), x.ask.ID)
+		c.follower.HandleTimeout(c.localNow(), x.request.ID)
 	case "restart", "resume":
 		w.left.restarts--
 		c := w.children[m.n]
-		w.flying = slices.DeleteFunc(w.flying, func(x flight) bool { return x.from == c.n })
-		was := c.f
+		w.messages = slices.DeleteFunc(w.messages, func(x message) bool { return x.from == c.n })
+		was := c.follower
 		if m.what == "restart" {
 			was = nil
 		}
@@ -311,19 +311,19 @@
 }
 
 func (c *child) fail(format string, args ...any) {
-	if c.w.fault == "" {
-		c.w.fault = fmt.Sprintf("child %d: ", c.n) + fmt.Sprintf(format, args...)
+	if c.cluster.fault == "" {
+		c.cluster.fault = fmt.Sprintf("child %d: ", c.n) + fmt.Sprintf(format, args...)
 	}
 }
 
 // check looks at the rules.
 func (c *child) check() {
-	p := c.f.place
+	p := c.follower.position
 	if p.Epoch < c.last.Epoch || p.Epoch == c.last.Epoch && p.Revision < c.last.Revision {
 		c.fail("from %+v back to %+v", c.last, p)
 	}
 	c.last = p
-	truth := c.w.truths[p.Epoch]
+	truth := c.cluster.agreedByEpoch[p.Epoch]
 	if int(p.Revision) > len(truth) {
 		c.fail("at %+v, which was never agreed", p)
 		return
@@ -332,7 +332,7 @@
 		if !a.Event {
 			continue
 		}
-		told := c.epoch == p.Epoch && slices.Contains(c.told, a.Revision)
+		told := c.epoch == p.Epoch && slices.Contains(c.events, a.Revision)
 		for _, m := range c.missed {
 			told = told || c.epoch == p.Epoch && m[0] < a.Revision && a.Revision <= m[1]
 		}
@@ -340,78 +340,78 @@
 			c.fail("at %d event %d was neither told nor told to be missed", p.Revision, a.Revision)
 		}
 	}
-	if want := c.w.stateAt(p); !maps.EqualFunc(c.f.state, want, func(x, y Change) bool {
-		return x.Revision == y.Revision && x.Topic == y.Topic && x.Key == y.Key && bytes.Equal(x.Value, y.Value) && x.Event == y.Event && x.Gone == y.Gone
+	if want := c.cluster.stateAt(p); !maps.EqualFunc(c.follower.state, want, func(x, y Change) bool {
+		return x.Revision == y.Revision && x.Topic == y.Topic && x.Key == y.Key && bytes.Equal(x.Value, y.Value) && x.Event == y.Event && x.Deleted == y.Deleted
 	}) {
-		c.fail("state %v at %d, expected %v", c.f.state, p.Revision, want)
+		c.fail("state %v at %d, expected %v", c.follower.state, p.Revision, want)
 	}
-	if age, known := c.f.Age(c.local()); known {
-		for epoch, all := range c.w.truths {
+	if age, known := c.follower.Age(c.localNow()); known {
+		for epoch, all := range c.cluster.agreedByEpoch {
 			for _, a := range all {
-				if a.at < c.w.now-age && (epoch > p.Epoch || epoch == p.Epoch && a.Revision > p.Revision) {
-					c.fail("%d old at most, and %d of epoch %d is missing, agreed %d ago", age, a.Revision, epoch, c.w.now-a.at)
+				if a.at < c.cluster.now-age && (epoch > p.Epoch || epoch == p.Epoch && a.Revision > p.Revision) {
+					c.fail("%d old at most, and %d of epoch %d is missing, agreed %d ago", age, a.Revision, epoch, c.cluster.now-a.at)
 				}
 			}
 		}
 	}
-	if most := max(c.f.terms.Ring, 0); c.f.bytes > most || len(c.f.ring)*overhead > most {
-		c.fail("%d bytes of a ring, %d at the most", c.f.bytes, most)
+	if most := max(c.follower.config.RingBytes, 0); c.follower.ringBytes > most || len(c.follower.ring)*changeOverhead > most {
+		c.fail("%d bytes of a ring, %d at the most", c.follower.ringBytes, most)
 	}
 }
 
 func (l *Log) clone() *Log {
 	o := *l
-	o.ring, o.chain, o.state = slices.Clone(l.ring), slices.Clone(l.chain), maps.Clone(l.state)
+	o.ring, o.chains, o.state = slices.Clone(l.ring), slices.Clone(l.chains), maps.Clone(l.state)
 	return &o
 }
 
-func (w *world) clone() *world {
+func (w *testCluster) clone() *testCluster {
 	o := *w
-	o.truths = map[uint64][]agreed{}
-	for e, all := range w.truths {
-		o.truths[e] = slices.Clone(all)
+	o.agreedByEpoch = map[uint64][]agreed{}
+	for e, all := range w.agreedByEpoch {
+		o.agreedByEpoch[e] = slices.Clone(all)
 	}
 	for i := range o.sources {
 		o.sources[i].Log = w.sources[i].clone()
 	}
-	o.flying = slices.Clone(w.flying) // answers are never written to
+	o.messages = slices.Clone(w.messages) // answers are never written to
 	o.children = nil
 	for _, c := range w.children {
 		x := *c
-		x.w, x.told, x.missed = &o, slices.Clone(c.told), slices.Clone(c.missed)
-		f := *c.f
-		f.Log, f.host, f.staged = c.f.clone(), &x, maps.Clone(c.f.staged)
-		x.f = &f
+		x.cluster, x.events, x.missed = &o, slices.Clone(c.events), slices.Clone(c.missed)
+		f := *c.follower
+		f.Log, f.host, f.staged = c.follower.clone(), &x, maps.Clone(c.follower.staged)
+		x.follower = &f
 		o.children = append(o.children, &x)
 	}
 	return &o
 }
 
-// print tells states apart.
-func (w *world) print(h *xxhash.Digest) uint64 {
+// fingerprint tells states apart.
+func (w *testCluster) fingerprint(h *xxhash.Digest) uint64 {
 	h.Reset()
 	p := func(args ...any) { _, _ = fmt.Fprintln(h, args...) }
 	p(w.now, w.leader, w.left)
-	for _, epoch := range slices.Sorted(maps.Keys(w.truths)) {
-		for _, a := range w.truths[epoch] { // what it is follows from its revision
+	for _, epoch := range slices.Sorted(maps.Keys(w.agreedByEpoch)) {
+		for _, a := range w.agreedByEpoch[epoch] { // what it is follows from its revision
 			p(epoch, a.at)
 		}
 	}
 	for _, s := range w.sources {
-		p(s.place, s.floor, s.confirmed)
+		p(s.position, s.floor, s.confirmed)
 	}
 	for _, c := range w.children {
-		f, staged := c.f, []string(nil) // the state follows from the place: that was checked
+		f, staged := c.follower, []string(nil) // the state follows from the place: that was checked
 		for _, key := range slices.Sorted(maps.Keys(f.staged)) {
 			staged = append(staged, fmt.Sprint(key, f.staged[key].Revision))
 		}
-		p(f.staged == nil, c.wakeAt, c.told, c.missed, c.epoch, f.place, f.floor, staged, f.ready, f.parent, f.away, f.out, f.sent, f.next, f.failed, f.drawn,
-			f.known, f.asOf, f.age)
+		p(f.staged == nil, c.wakeAt, c.events, c.missed, c.epoch, f.position, f.floor, staged, f.ready, f.parent, f.awaySince, f.inFlight, f.sentAt, f.nextRequest, f.failures, f.draws,
+			f.ageKnown, f.ageAt, f.parentAge)
 	}
-	for _, m := range w.flying {
-		p(m.from, m.parent, w.children[m.from].f.id-m.ask.ID, m.ask.Position, m.ask.Digests)
-		if m.answer != nil {
-			p(*m.answer)
+	for _, m := range w.messages {
+		p(m.from, m.parent, w.children[m.from].follower.requestID-m.request.ID, m.request.Position, m.request.Digests)
+		if m.response != nil {
+			p(*m.response)
 		}
 	}
 	return h.Sum64()
--- a/changelog/encoding.go
+++ b/changelog/encoding.go
@@ -5,108 +5,149 @@
 	"fmt"
 )
 
-// Changes stand in one field of a message: 8 bytes for a purge by six of its key's hash, where names beside the values would take ten times that.
-// What can't be read is refused whole, with where it went wrong.
+// Changes are encoded as a version byte, and for each change a byte of flags and the fields that they announce. What is the same as
+// in the change before is left out: a purge by six bytes of its key takes 8 bytes, a tenth of its form with named fields.
 
 const (
-	packed   = 1         // version
-	packMost = 512 << 10 // bytes in one message, before any are read
+	encodingVersion = 1
+	maxEncodedBytes = 512 << 10
+)
 
-	flagEvent, flagGone, flagTopic, flagValue, flagRevision = 1, 2, 4, 8, 16 // of the kind; which parts follow
+// The flags of a change. The last three say which fields follow beside the key.
+const (
+	flagEvent = 1 << iota
+	flagDeleted
+	flagTopic
+	flagValue
+	flagRevision
+	flagEnd // above all flags
 )
 
-// Pack writes changes down.
-func Pack(all []Change) []byte {
-	b := []byte{packed}
-	put := func(s string) {
-		b = append(binary.AppendUvarint(b, uint64(len(s))), s...)
-	}
-	var was Change
-	for _, c := range all {
-		flags := byte(0)
-		set := func(flag byte, is bool) {
-			if is {
-				flags |= flag
-			}
-		}
-		set(flagEvent, c.Event)
-		set(flagGone, c.Gone)
-		set(flagTopic, c.Topic != was.Topic)
-		set(flagValue, len(c.Value) > 0)
-		set(flagRevision, c.Revision != was.Revision+1)
-		if b = append(b, flags); flags&flagRevision != 0 {
+// Encode encodes changes for one field of a message.
+func Encode(changes []Change) []byte {
+	b := []byte{encodingVersion}
+	var before Change
+	for _, c := range changes {
+		flags := flagsOf(c, before)
+		b = append(b, flags)
+		if flags&flagRevision != 0 {
 			b = binary.AppendUvarint(b, c.Revision)
 		}
 		if flags&flagTopic != 0 {
-			put(c.Topic)
+			b = appendText(b, c.Topic)
 		}
-		if put(c.Key); flags&flagValue != 0 {
-			put(string(c.Value))
+		b = appendText(b, c.Key)
+		if flags&flagValue != 0 {
+			b = appendText(b, string(c.Value))
 		}
-		was = c
+		before = c
 	}
 	return b
 }
 
-// Unpack reads them.
-func Unpack(b []byte) (all []Change, err error) {
-	if len(b) == 0 || b[0] != packed || len(b) > packMost {
-		return nil, fmt.Errorf("%w: %d packed bytes, expected version %d and %d at the most", ErrMalformed, len(b), packed, packMost)
+// flagsOf returns the flags of a change that follows another one.
+func flagsOf(c, before Change) (flags byte) {
+	set := func(flag byte, condition bool) {
+		if condition {
+			flags |= flag
+		}
 	}
-	whole := len(b)
-	cut := func(what string) error {
-		return fmt.Errorf("%w: %s of change %d ends at byte %d", ErrMalformed, what, len(all), whole-len(b))
+	set(flagEvent, c.Event)
+	set(flagDeleted, c.Deleted)
+	set(flagTopic, c.Topic != before.Topic)
+	set(flagValue, len(c.Value) > 0)
+	set(flagRevision, c.Revision != before.Revision+1)
+	return flags
+}
+
+func appendText(b []byte, s string) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+}
+
+// Decode decodes changes. What can't be decoded is refused as a whole, with an error that wraps ErrMalformed.
+func Decode(b []byte) ([]Change, error) {
+	if len(b) == 0 || b[0] != encodingVersion || len(b) > maxEncodedBytes {
+		return nil, fmt.Errorf("%w: %d encoded bytes, expected version %d and at most %d", ErrMalformed, len(b), encodingVersion, maxEncodedBytes)
 	}
-	number := func() (uint64, bool) {
-		n, size := binary.Uvarint(b)
-		if size <= 0 {
-			return 0, false
+	d := decoder{rest: b[1:], length: len(b)}
+	for len(d.rest) > 0 {
+		if err := d.change(); err != nil {
+			return nil, err
 		}
-		b = b[size:]
-		return n, true
 	}
-	text := func(most uint64) (string, bool) {
-		n, ok := number()
-		if !ok || n > most || n > uint64(len(b)) {
-			return "", false
-		}
-		s := string(b[:n])
-		b = b[n:]
-		return s, true
+	return d.changes, nil
+}
+
+// decoder reads changes one after the other.
+type decoder struct {
+	rest    []byte
+	length  int // of the whole input
+	changes []Change
+	before  Change // the latest of changes
+}
+
+// change decodes the next change.
+func (d *decoder) change() error {
+	flags := d.rest[0]
+	d.rest = d.rest[1:]
+	if flags >= flagEnd {
+		return d.fail("flags")
 	}
-	var was Change
-	for b = b[1:]; len(b) > 0; {
-		flags, ok := b[0], true
-		b = b[1:]
-		if flags >= flagRevision<<1 {
-			return nil, cut("kind")
-		}
-		c := Change{Revision: was.Revision + 1, Topic: was.Topic, Event: flags&flagEvent != 0, Gone: flags&flagGone != 0}
-		if flags&flagRevision != 0 {
-			if c.Revision, ok = number(); !ok {
-				return nil, cut("revision")
-			}
-		}
-		if flags&flagTopic != 0 {
-			if c.Topic, ok = text(nameMost); !ok {
-				return nil, cut("topic")
-			}
-		}
-		if c.Key, ok = text(nameMost); !ok {
-			return nil, cut("key")
+	c := Change{
+		Revision: d.before.Revision + 1,
+		Topic:    d.before.Topic,
+		Event:    flags&flagEvent != 0,
+		Deleted:  flags&flagDeleted != 0,
+	}
+	ok := true
+	if flags&flagRevision != 0 {
+		if c.Revision, ok = d.number(); !ok {
+			return d.fail("revision")
 		}
-		if flags&flagValue != 0 {
-			value, ok := text(valueMost)
-			if !ok {
-				return nil, cut("value")
-			}
-			c.Value = []byte(value)
+	}
+	if flags&flagTopic != 0 {
+		if c.Topic, ok = d.text(maxNameBytes); !ok {
+			return d.fail("topic")
 		}
-		if err := c.Check(); err != nil {
-			return nil, err
+	}
+	if c.Key, ok = d.text(maxNameBytes); !ok {
+		return d.fail("key")
+	}
+	if flags&flagValue != 0 {
+		value, ok := d.text(maxValueBytes)
+		if !ok {
+			return d.fail("value")
 		}
-		all = append(all, c)
-		was = c
+		c.Value = []byte(value)
+	}
+	if err := c.Check(); err != nil {
+		return err
+	}
+	d.changes = append(d.changes, c)
+	d.before = c
+	return nil
+}
+
+// fail returns the error of a field that can't be decoded.
+func (d *decoder) fail(field string) error {
+	return fmt.Errorf("%w: %s of change %d, before byte %d", ErrMalformed, field, len(d.changes), d.length-len(d.rest))
+}
+
+func (d *decoder) number() (uint64, bool) {
+	n, size := binary.Uvarint(d.rest)
+	if size <= 0 {
+		return 0, false
+	}
+	d.rest = d.rest[size:]
+	return n, true
+}
+
+func (d *decoder) text(maxBytes uint64) (string, bool) {
+	n, ok := d.number()
+	if !ok || n > maxBytes || n > uint64(len(d.rest)) {
+		return "", false
 	}
-	return all, nil
+	s := string(d.rest[:n])
+	d.rest = d.rest[n:]
+	return s, true
 }
--- a/changelog/fleet_test.go
+++ b/changelog/fleet_test.go
@@ -15,32 +15,32 @@
 // that fall silent. What is agreed goes through the package's own code to each node.
 
 const (
-	ms        = lease.Millisecond
-	longPoll  = 500 * ms // an asking waits for news
-	callMost  = 800 * ms // and is given up
-	gather    = 50 * ms  // the leader brings what came in so long to the log in one entry
-	nearWay   = 2 * ms   // one way in a region, about
-	farWay    = 80 * ms  // and between two
-	purgeRate = 120      // a second
-	none      = -2       // no region; the leader is in -1
-	changeGap = 7200 * ms
+	ms               = lease.Millisecond
+	longPoll         = 500 * ms // an asking waits for news
+	callTimeout      = 800 * ms // and is given up
+	commitInterval   = 50 * ms  // the leader brings what came in so long to the log in one entry
+	regionDelay      = 2 * ms   // one way in a region, about
+	crossRegionDelay = 80 * ms  // and between two
+	purgeRate        = 120      // a second
+	none             = -2       // no region; the leader is in -1
+	changeGap        = 7200 * ms
 )
 
-type moment struct {
+type simEvent struct {
 	at Time
 	n  int // order of those at one time
 	do func()
 }
 
-type moments []moment
+type eventQueue []simEvent
 
-func (q moments) Len() int { return len(q) }
-func (q moments) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
 }
-func (q moments) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *moments) Push(x any)   { *q = append(*q, x.(moment)) }
-func (q *moments) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
@@ -48,50 +48,50 @@
 
 // poll is an asking that waits at a parent.
 type poll struct {
-	from  *member
-	ask   Request
-	until Time
+	from     *machine
+	request  Request
+	deadline Time
 }
 
-// member is the leader, a relay or a node.
-type member struct {
-	s       *simulation
-	name    string
-	region  int
-	log     *Log      // the leader's
-	f       *Follower // else
-	parents []*member
-	waits   []poll
-	down    bool
-	wake    Time
-	from    uint64 // the revision after which a change is awaited here
-	missed  uint64
+// machine is the leader, a relay or a node.
+type machine struct {
+	sim      *simulation
+	name     string
+	region   int
+	log      *Log      // the leader's
+	follower *Follower // else
+	parents  []*machine
+	polls    []poll
+	down     bool
+	wake     Time
+	from     uint64 // the revision after which a change is awaited here
+	missed   uint64
 }
 
 type simulation struct {
-	now     Time
-	queue   moments
-	n       int
-	leader  *member
-	relays  []*member
-	nodes   []*member
-	cut     int // region that is cut off
-	agreed  []Time
-	took    *hdrhistogram.Histogram // of each change to each node, in tenths of a millisecond
-	last    []Time                  // to the last node, by revision
-	oldest  Time                    // age at any node that is up, as sampled
-	asked   int
-	changes int
+	now             Time
+	queue           eventQueue
+	n               int
+	leader          *machine
+	relays          []*machine
+	nodes           []*machine
+	cut             int // region that is cut off
+	agreed          []Time
+	latencies       *hdrhistogram.Histogram // of each change to each node, in tenths of a millisecond
+	lastNodeLatency []Time                  // to the last node, by revision
+	oldest          Time                    // age at any node that is up, as sampled
+	requests        int
+	changes         int
 }
 
 func (s *simulation) at(t Time, do func()) {
 	s.n++
-	heap.Push(&s.queue, moment{t, s.n, do})
+	heap.Push(&s.queue, simEvent{t, s.n, do})
 }
 
 func (s *simulation) run(until Time) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
-		m := heap.Pop(&s.queue).(moment)
+		m := heap.Pop(&s.queue).(simEvent)
 		s.now = m.at
 		m.do()
 	}
@@ -104,71 +104,71 @@
 	return h.Sum64()
 }
 
-// way gives how long a message takes, and whether it gets there.
-func (s *simulation) way(a, b *member) (Time, bool) {
+// delay gives how long a message takes, and whether it gets there.
+func (s *simulation) delay(a, b *machine) (Time, bool) {
 	if a.down || b.down {
 		return 0, false
 	}
-	base := nearWay
+	base := regionDelay
 	if a.region != b.region {
 		if a.region == s.cut || b.region == s.cut {
 			return 0, false
 		}
-		base = farWay
+		base = crossRegionDelay
 	}
 	s.n++
 	return base/2 + Time(hashOf(a.name, b.name, s.n)%uint64(base)), true
 }
 
-func (m *member) SetAlarm(at Time) {
-	m.wake = max(at, m.s.now)
-	m.s.at(m.wake, func() {
-		if m.s.now == m.wake && !m.down {
-			m.f.Alarm(m.s.now)
+func (m *machine) SetAlarm(at Time) {
+	m.wake = max(at, m.sim.now)
+	m.sim.at(m.wake, func() {
+		if m.sim.now == m.wake && !m.down {
+			m.follower.Alarm(m.sim.now)
 		}
 	})
 }
 
-func (m *member) Send(parent int, a Request) {
-	s, f := m.s, m.f
-	s.asked++
+func (m *machine) Send(parent int, a Request) {
+	s, f := m.sim, m.follower
+	s.requests++
 	to := m.parents[parent]
-	if way, there := s.way(m, to); there {
-		s.at(s.now+way, func() { to.hear(m, a) })
+	if way, there := s.delay(m, to); there {
+		s.at(s.now+way, func() { to.receive(m, a) })
 	}
-	s.at(s.now+callMost, func() {
-		if m.f == f && !m.down {
+	s.at(s.now+callTimeout, func() {
+		if m.follower == f && !m.down {
 			f.HandleTimeout(s.now, a.ID)
 		}
 	})
 }
 
-func (m *member) hear(from *member, a Request) {
+func (m *machine) receive(from *machine, a Request) {
 	if m.down {
 		return
 	}
 	if !m.tell(from, a, false) {
-		m.waits = append(m.waits, poll{from, a, m.s.now + longPoll})
-		m.s.at(m.s.now+longPoll, m.news)
+		m.polls = append(m.polls, poll{from, a, m.sim.now + longPoll})
+		m.sim.at(m.sim.now+longPoll, m.news)
 	}
 }
 
 // tell answers an asking, if there is news or it has waited long enough.
-func (m *member) tell(from *member, a Request, late bool) bool {
-	s := m.s
+func (m *machine) tell(from *machine, a Request, late bool) bool {
+	s := m.sim
 	var x Response
 	if m.log != nil {
 		x = m.log.Respond(a, 0)
 	} else {
-		x = m.f.Serve(s.now, a)
+		x = m.follower.Serve(s.now, a)
 	}
-	if x.Err == nil && !x.Below && x.Buckets == nil && len(x.Changes) == 0 && !late {
+	if x.Err == nil && !x.BelowFloor && x.Buckets == nil && len(x.Changes) == 0 && !late {
 		return false
 	}
-	f := from.f
-	if way, there := s.way(m, from); there {
+	f := from.follower
+	if way, there := s.delay(m, from); there {
 		s.at(s.now+way, func() {
-			if from.f == f && !from.down {
+			if from.follower == f && !from.down {
 				_ = f.HandleResponse(s.now, a.ID, x)
 				from.news()
 			}
@@ -178,58 +178,58 @@
 }
 
 // news looks at all that wait.
-func (m *member) news() {
-	if m.down || len(m.waits) == 0 {
+func (m *machine) news() {
+	if m.down || len(m.polls) == 0 {
 		return
 	}
-	waits := m.waits
-	m.waits = nil
+	waits := m.polls
+	m.polls = nil
 	for _, p := range waits {
-		if !m.tell(p.from, p.ask, m.s.now >= p.until) {
-			m.waits = append(m.waits, p)
+		if !m.tell(p.from, p.request, m.sim.now >= p.deadline) {
+			m.polls = append(m.polls, p)
 		}
 	}
 }
 
-func (m *member) Apply(c Change) {
-	if m.region < 0 || m.f.terms.Ring > 0 || c.Revision <= m.from {
+func (m *machine) Apply(c Change) {
+	if m.region < 0 || m.follower.config.RingBytes > 0 || c.Revision <= m.from {
 		return
 	}
-	took := m.s.now - m.s.agreed[c.Revision-1]
-	_ = m.s.took.RecordValue(int64(took))
-	m.s.last[c.Revision-1] = max(m.s.last[c.Revision-1], took)
+	took := m.sim.now - m.sim.agreed[c.Revision-1]
+	_ = m.sim.latencies.RecordValue(int64(took))
+	m.sim.lastNodeLatency[c.Revision-1] = max(m.sim.lastNodeLatency[c.Revision-1], took)
 }
-func (m *member) Replace() {}
-func (m *member) Missed(_, after, upTo uint64) {
+func (m *machine) StateReplaced() {}
+func (m *machine) EventsMissed(_, after, upTo uint64) {
 	if after > 0 {
 		m.missed += upTo - after
 	}
 }
 
-func (m *member) start() {
-	t := Config{Parents: len(m.parents), Home: min(2, len(m.parents)), Every: 250 * ms, Again: 100 * ms, Stale: 2350 * ms, Most: usualTerms.Most, Drift: 0.01,
+func (m *machine) start() {
+	t := Config{Parents: len(m.parents), HomeParents: min(2, len(m.parents)), MinInterval: 250 * ms, RetryBackoff: 100 * ms, MaxAge: 2350 * ms, MaxResponseBytes: defaultConfig.MaxResponseBytes, MaxDrift: 0.01,
 		Seed: hashOf(m.name)}
-	if m.log == nil && m.parents[0] == m.s.leader {
-		t.Every, t.Again, t.Ring, t.Most = 50*ms, 25*ms, 10<<20, 1<<20
+	if m.log == nil && m.parents[0] == m.sim.leader {
+		t.MinInterval, t.RetryBackoff, t.RingBytes, t.MaxResponseBytes = 50*ms, 25*ms, 10<<20, 1<<20
 	}
-	m.from = uint64(len(m.s.agreed))
-	m.f = NewFollower(m, m.s.now, t, nil, Unsafe{})
+	m.from = uint64(len(m.sim.agreed))
+	m.follower = NewFollower(m, m.sim.now, t, nil, Unsafe{})
 }
 
 func newSimulation(regions, each int) *simulation {
-	s := &simulation{cut: none, took: hdrhistogram.New(1, int64(1000_000*ms), 2)}
-	s.leader = &member{s: s, name: "leader", region: -1, log: NewLog(10 << 20)}
-	s.leader.log.Found(1)
+	s := &simulation{cut: none, latencies: hdrhistogram.New(1, int64(1000_000*ms), 2)}
+	s.leader = &machine{sim: s, name: "leader", region: -1, log: NewLog(10 << 20)}
+	s.leader.log.StartEpoch(1)
 	for r := range regions {
 		for i := range 2 {
-			s.relays = append(s.relays, &member{s: s, name: fmt.Sprint("relay-", r, "-", i), region: r, parents: []*member{s.leader}})
+			s.relays = append(s.relays, &machine{sim: s, name: fmt.Sprint("relay-", r, "-", i), region: r, parents: []*machine{s.leader}})
 		}
 	}
 	for r := range regions {
 		for i := range each {
-			m := &member{s: s, name: fmt.Sprint("node-", r, "-", i), region: r}
+			m := &machine{sim: s, name: fmt.Sprint("node-", r, "-", i), region: r}
 			turn := int(hashOf(m.name) % uint64(len(s.relays)))
-			m.parents = []*member{s.relays[2*r+turn%2], s.relays[2*r+1-turn%2]}
+			m.parents = []*machine{s.relays[2*r+turn%2], s.relays[2*r+1-turn%2]}
 			for k := range s.relays {
 				if o := s.relays[(turn+k)%len(s.relays)]; o.region != r {
 					m.parents = append(m.parents, o)
@@ -244,7 +244,7 @@
 	for i, m := range s.nodes {
 		s.at(Time(i)%(500*ms), m.start)
 	}
-	s.at(gather, s.agree)
+	s.at(commitInterval, s.agree)
 	s.at(100*ms, s.look)
 	return s
 }
@@ -252,30 +252,30 @@
 // agree brings one entry to the log.
 func (s *simulation) agree() {
 	add := func(c Change) {
-		c.Revision = s.leader.log.Place().Revision + 1
+		c.Revision = s.leader.log.Position().Revision + 1
 		if err := s.leader.log.Add(c); err != nil {
 			panic(err)
 		}
-		s.agreed, s.last = append(s.agreed, s.now), append(s.last, 0)
+		s.agreed, s.lastNodeLatency = append(s.agreed, s.now), append(s.lastNodeLatency, 0)
 	}
-	for range purgeRate * int(gather) / int(1000*ms) {
+	for range purgeRate * int(commitInterval) / int(1000*ms) {
 		add(Change{Topic: "purge", Key: hashed(len(s.agreed)), Event: true})
 	}
-	if s.changes++; s.changes%int(changeGap/gather) == 0 {
+	if s.changes++; s.changes%int(changeGap/commitInterval) == 0 {
 		add(Change{Topic: "configuration", Key: fmt.Sprint("part-", s.changes%25), Value: make([]byte, 2000)})
 	}
 	s.leader.news()
-	s.at(s.now+gather, s.agree)
+	s.at(s.now+commitInterval, s.agree)
 }
 
 // look samples the ages of all nodes that are up.
 func (s *simulation) look() {
 	s.oldest = 0
 	for _, m := range s.nodes {
-		if m.f == nil { // not started yet
+		if m.follower == nil { // not started yet
 			continue
 		}
-		age, known := m.f.Age(s.now)
+		age, known := m.follower.Age(s.now)
 		if !known {
 			age = 1 << 40
 		}
@@ -354,10 +354,10 @@
 				end = c.end(s)
 			}
 			before := len(s.agreed)
-			s.took.Reset()
+			s.latencies.Reset()
 			oldest, back := s.strain(begin, end, c.lasts, 20_000*ms, bound)
 			worst, late := Time(0), 0
-			for _, l := range s.last[before : len(s.last)-2*purgeRate] {
+			for _, l := range s.lastNodeLatency[before : len(s.lastNodeLatency)-2*purgeRate] {
 				if worst = max(worst, l); l > bound {
 					late++
 				}
@@ -367,7 +367,7 @@
 				missed += m.missed
 			}
 			t.Logf("%d changes to %d nodes: p50 %d, p99 %d ms; worst at a last node %d ms, %d past the bound; oldest view %d ms; back %d ms after the end; missed %d",
-				len(s.agreed)-before, len(s.nodes), s.took.ValueAtQuantile(50)/int64(ms), s.took.ValueAtQuantile(99)/int64(ms), worst/ms, late, oldest/ms, back/ms, missed)
+				len(s.agreed)-before, len(s.nodes), s.latencies.ValueAtQuantile(50)/int64(ms), s.latencies.ValueAtQuantile(99)/int64(ms), worst/ms, late, oldest/ms, back/ms, missed)
 			if oldest > c.oldest || back > c.back || missed > 0 {
 				t.Errorf("oldest view %d ms, want %d at the most; back after %d ms, want %d; %d events missed", oldest/ms, c.oldest/ms, back/ms, c.back/ms, missed)
 			}
--- a/changelog/follower.go
+++ b/changelog/follower.go
@@ -9,246 +9,285 @@
 )
 
 const (
-	againMost = 16                         // times the first wait, once all parents have failed again and again
-	homeAfter = 10_000 * lease.Millisecond // on another region's relay, until its own are tried again
+	// maxBackoffFactor limits the backoff to so many times Config.RetryBackoff.
+	maxBackoffFactor = 16
+	// homeRetryInterval is how long a follower stays with a parent of another region before it tries its own region's again.
+	homeRetryInterval = 10_000 * lease.Millisecond
 )
 
-// Host is all that a Follower can do. None of the methods may block or call back.
+// Host performs the actions of a Follower. Its methods must neither block nor call back.
 type Host interface {
-	// Send sends an asking to a parent, by its place in the child's order; Answered or Unanswered tells how it went.
-	Send(parent int, a Request)
-	// Apply tells of the next change.
+	// Send sends a request to a parent, by its index. HandleResponse or HandleTimeout reports the outcome.
+	Send(parent int, r Request)
+	// Apply passes on the next change.
 	Apply(c Change)
-	// Replace tells that the state is another one as a whole: State has it.
-	Replace()
-	// Missed tells that events of an epoch after one revision up to another may not have been told, and won't be.
-	Missed(epoch, after, upTo uint64)
-	// SetAlarm asks for Alarm at that time or soon after.
+	// StateReplaced notifies that the state as a whole is another one, which Follower.State returns.
+	StateReplaced()
+	// EventsMissed notifies that events of an epoch, after one revision and up to another, may never be passed to Apply.
+	EventsMissed(epoch, after, upTo uint64)
+	// SetAlarm schedules a call of Follower.Alarm at that time or soon after; it replaces an earlier alarm.
 	SetAlarm(at Time)
 }
 
-// Config is how a child goes about it.
+// Config configures a Follower.
 type Config struct {
-	Parents int     // how many there are,
-	Home    int     // and how many of them are its own region's, the first ones
-	Every   Time    // least between two askings
-	Again   Time    // and after a parent that failed, spread by as much; it doubles once all have
-	Stale   Time    // age past which it asks another parent
-	Most    int     // bytes of an answer
-	Ring    int     // bytes of the ring that it keeps for others, 0: it serves none
-	Drift   float64 // how far its clock may be from its true rate
-	Seed    uint64
-}
-
-// Follower is a child's side: a node's, or a relay's towards the leader. It has one asking out at a time. It is not safe for
+	Parents          int     // number of parents
+	HomeParents      int     // how many of them, the first ones, are in the follower's own region
+	MinInterval      Time    // between two requests
+	RetryBackoff     Time    // after a parent that failed, plus as much jitter; it doubles once all have failed
+	MaxAge           Time    // of a parent's contents, beyond which the follower switches to another parent
+	MaxResponseBytes int     // see Request.MaxBytes
+	RingBytes        int     // size of the ring kept for children, 0: the follower has none
+	MaxDrift         float64 // how far the rate of the follower's clock may be off, as a fraction
+	Seed             uint64  // of the jitter
+}
+
+// Follower keeps a Log up to date from one of several parents. It has one request in flight at a time. It is not safe for
 // concurrent use.
 type Follower struct {
 	*Log
-	host  Host
-	terms Config
+	host   Host
+	config Config
 
-	parent int
-	away   Time // since when it is on a parent that isn't its own region's
-	id     uint64
-	out    bool
-	sent   Time // of the latest asking,
-	next   Time // and when another may follow
-	failed int  // in a row
-	drawn  uint64
+	parent    int
+	awaySince Time // when the follower switched to a parent of another region
+	requestID uint64
+	inFlight  bool
+	sentAt    Time // of the latest request
+	// nextRequest is the earliest time of the next request.
+	nextRequest Time
+	failures    int // in a row
+	draws       uint64
 
-	staged map[string]Change // the state to come, where the place is below a parent's floor
+	staged map[string]Change // a state that is being fetched, nil if none is
 
-	known bool // whether an age was ever told
-	asOf  Time // our clock when the asking was sent that the age was told to,
-	age   Time // and what the parent said of its own
+	ageKnown  bool
+	ageAt     Time // by the follower's clock, when the request was sent whose response had parentAge
+	parentAge Time
 }
 
-// Saved is a state and a place as they were written down once: a node's, which keeps no ring for others.
-type Saved struct {
+// Snapshot is a stored state and its position. It has no ring, so a follower with children can't start from it.
+type Snapshot struct {
 	Position
 	State map[string]Change
 }
 
-// NewFollower makes one that knows what was saved, or nothing, and asks at the first alarm.
-func NewFollower(host Host, now Time, t Config, saved *Saved, u Unsafe) *Follower {
-	f := &Follower{Log: NewLog(t.Ring), host: host, terms: t, next: now}
+// NewFollower returns a follower that starts from a snapshot, or from nothing, and sends its first request at the first alarm.
+func NewFollower(host Host, now Time, config Config, snapshot *Snapshot, u Unsafe) *Follower {
+	f := &Follower{Log: NewLog(config.RingBytes), host: host, config: config, nextRequest: now}
 	f.unsafe = u
-	if saved != nil && (t.Ring == 0 || u.Ring) {
-		f.settle(maps.Clone(saved.State), Response{Position: saved.Position})
+	if snapshot != nil && (config.RingBytes == 0 || u.RelayWithoutRing) {
+		f.install(maps.Clone(snapshot.State), Response{Position: snapshot.Position})
 	}
 	host.SetAlarm(now)
 	return f
 }
 
-// Age gives an upper bound on how long ago what isn't known here may have been agreed, in true time; false: there is none.
+// Age returns an upper bound, in true time, on how long ago anything may have been agreed that the follower doesn't have; false
+// if there is none.
 func (f *Follower) Age(now Time) (Time, bool) {
-	if !f.known {
+	if !f.ageKnown {
 		return 0, false
 	}
-	return f.age + f.long(now-f.asOf), true
+	return f.parentAge + f.trueDuration(now-f.ageAt), true
 }
 
-// long turns a span of our clock into the most that it may be in true time.
-func (f *Follower) long(span Time) Time {
-	if f.unsafe.Drift {
-		return span
+// trueDuration returns the longest true time that may have passed while the follower's clock advanced by d.
+func (f *Follower) trueDuration(d Time) Time {
+	if f.unsafe.IgnoreDrift {
+		return d
 	}
-	return Time(float64(span)/(1-f.terms.Drift)) + 1
+	return Time(float64(d)/(1-f.config.MaxDrift)) + 1
 }
 
-// draw gives the next number in [0, 1) of this child's own chance.
-func (f *Follower) draw() float64 {
-	f.drawn++
-	h := fnv.New64a()
+// random returns the follower's next random number in [0, 1).
+func (f *Follower) random() float64 {
+	f.draws++
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:8], f.terms.Seed)
-	binary.LittleEndian.PutUint64(b[8:], f.drawn)
+	binary.LittleEndian.PutUint64(b[:8], f.config.Seed)
+	binary.LittleEndian.PutUint64(b[8:], f.draws)
+	h := fnv.New64a()
 	_, _ = h.Write(b[:])
 	return float64(h.Sum64()%(1<<20)) / (1 << 20)
 }
 
-func (f *Follower) ask(now Time) {
-	if f.parent >= f.terms.Home && now-f.away >= homeAfter {
-		f.parent, f.away = 0, now
+func (f *Follower) send(now Time) {
+	if f.parent >= f.config.HomeParents && now-f.awaySince >= homeRetryInterval {
+		f.parent = 0
+		f.awaySince = now
 	}
-	f.id++
-	f.out, f.sent, f.next = true, now, now+f.terms.Every
-	a := Request{ID: f.id, Position: f.place, Most: f.terms.Most, Ring: f.terms.Ring > 0}
-	if f.place.Epoch == 0 && f.staged == nil {
+	if f.position.Epoch == 0 && f.staged == nil {
 		f.staged = map[string]Change{}
 	}
+	f.requestID++
+	f.inFlight = true
+	f.sentAt = now
+	f.nextRequest = now + f.config.MinInterval
+	req := Request{ID: f.requestID, Position: f.position, MaxBytes: f.config.MaxResponseBytes, NeedRing: f.config.RingBytes > 0}
 	if f.staged != nil {
-		a.Digests = digestsOf(f.staged)
+		req.Digests = bucketDigests(f.staged)
 	}
-	f.host.Send(f.parent, a)
+	f.host.Send(f.parent, req)
 }
 
-// another goes on with the next parent.
-func (f *Follower) another(now Time) {
-	if f.parent = (f.parent + 1) % f.terms.Parents; f.parent == f.terms.Home {
-		f.away = now
+// switchParent goes on with the next parent, after a backoff.
+func (f *Follower) switchParent(now Time) {
+	f.parent = (f.parent + 1) % f.config.Parents
+	if f.parent == f.config.HomeParents {
+		f.awaySince = now
 	}
-	f.failed++
-	wait := f.terms.Again * Time(min(1<<min(f.failed/(f.terms.Parents+1), 8), againMost))
-	f.next = max(f.next, now+wait+Time(f.draw()*float64(wait)))
-	f.wake()
+	f.failures++
+	backoff := f.backoff()
+	jitter := Time(f.random() * float64(backoff))
+	f.nextRequest = max(f.nextRequest, now+backoff+jitter)
+	f.scheduleAlarm()
 }
 
-func (f *Follower) wake() { f.host.SetAlarm(f.next) }
+// backoff returns the time to wait after a failure, without jitter.
+func (f *Follower) backoff() Time {
+	rounds := f.failures / (f.config.Parents + 1) // in which all parents have failed
+	factor := min(1<<min(rounds, 8), maxBackoffFactor)
+	return f.config.RetryBackoff * Time(factor)
+}
+
+func (f *Follower) scheduleAlarm() { f.host.SetAlarm(f.nextRequest) }
 
-// Alarm comes at or after a time asked for with Wake.
+// Alarm must be called at or soon after the time that Host.SetAlarm named.
 func (f *Follower) Alarm(now Time) {
-	if !f.out && now >= f.next {
-		f.ask(now)
-	} else if !f.out {
-		f.wake()
+	switch {
+	case f.inFlight:
+		return
+	case now >= f.nextRequest:
+		f.send(now)
+	default:
+		f.scheduleAlarm()
 	}
 }
 
-// HandleTimeout tells that an asking came to nothing, or that its parent was silent for too long.
+// HandleTimeout reports that a request failed, or that its parent was silent for too long.
 func (f *Follower) HandleTimeout(now Time, id uint64) {
-	if !f.out || id != f.id {
+	if !f.inFlight || id != f.requestID {
 		return
 	}
-	f.out = false
-	f.another(now)
+	f.inFlight = false
+	f.switchParent(now)
 }
 
-// HandleResponse tells what came of an asking. What can't be is refused, whole; the error says so, and the connection is to be closed.
-func (f *Follower) HandleResponse(now Time, id uint64, x Response) error {
-	if !f.unsafe.Late && (!f.out || id != f.id) {
-		return nil // an earlier one's: it says nothing of what was agreed before this one was sent
+// HandleResponse takes the response to a request. It returns an error if the response doesn't verify; the follower is then
+// unchanged but for its parent, and the caller should close the connection. Responses to earlier requests are ignored.
+func (f *Follower) HandleResponse(now Time, id uint64, resp Response) error {
+	current := f.inFlight && id == f.requestID
+	if !current && !f.unsafe.AcceptLate {
+		return nil // it doesn't have what was agreed before the current request was sent
 	}
-	f.out = false
-	if x.Err != nil {
-		f.another(now)
+	f.inFlight = false
+	if resp.Err != nil {
+		f.switchParent(now)
 		return nil
 	}
-	if err := x.sound(f.place, f.unsafe); err != nil && !f.unsafe.Garbled {
-		f.another(now)
+	if err := resp.verify(f.position, f.unsafe); err != nil && !f.unsafe.AcceptGarbled {
+		f.switchParent(now)
+		return err
+	}
+	if err := f.apply(resp); err != nil {
+		f.switchParent(now)
 		return err
 	}
+	f.failures = 0
+	if !resp.isPartial() || f.unsafe.AgeFromPartial {
+		f.updateAge(now, resp.Age)
+	}
+	if age, known := f.Age(now); known && resp.Age > f.config.MaxAge && age > f.config.MaxAge {
+		f.switchParent(now)
+		return nil
+	}
+	f.scheduleAlarm()
+	return nil
+}
+
+// apply takes in the contents of a response.
+func (f *Follower) apply(resp Response) error {
 	switch {
-	case x.Below:
+	case resp.BelowFloor:
 		if f.staged == nil {
 			f.staged = maps.Clone(f.state)
 		}
-	case x.Buckets != nil:
-		f.stage(x)
-	default:
-		f.staged = nil // a parent whose ring reaches back to us
-		for _, c := range x.Changes {
-			if err := f.Add(c); err != nil && !f.unsafe.Garbled {
-				f.another(now)
-				return err
-			}
-			f.host.Apply(c)
-		}
-		if f.unsafe.Garbled {
-			f.place = x.Position
-		}
+		return nil
+	case resp.Buckets != nil:
+		f.stage(resp)
+		return nil
 	}
-	f.failed = 0
-	if whole := !x.Below && (x.Buckets == nil || x.Settled) && !x.More; whole || f.unsafe.Partial {
-		f.fresh(now, x.Age)
+	return f.applyChanges(resp)
+}
+
+func (f *Follower) applyChanges(resp Response) error {
+	f.staged = nil // this parent's ring reaches back far enough
+	for _, c := range resp.Changes {
+		if err := f.Add(c); err != nil && !f.unsafe.AcceptGarbled {
+			return err
+		}
+		f.host.Apply(c)
 	}
-	if age, known := f.Age(now); known && x.Age > f.terms.Stale && age > f.terms.Stale {
-		f.another(now)
-		return nil
+	if f.unsafe.AcceptGarbled {
+		f.position = resp.Position
 	}
-	f.wake()
 	return nil
 }
 
-// fresh takes an age over, if it is less than what is known.
-func (f *Follower) fresh(now, age Time) {
-	if f.unsafe.Parent {
+// updateAge takes over the parent's age if that gives a lower bound than the present one.
+func (f *Follower) updateAge(now, age Time) {
+	if f.unsafe.IgnoreParentAge {
 		age = 0
 	}
-	from := f.sent // all that the parent had then is in its answer
-	if f.unsafe.Answer {
+	from := f.sentAt // the response has everything that the parent had at that time
+	if f.unsafe.AgeFromResponse {
 		from = now
 	}
-	if was, known := f.Age(now); !known || age+f.long(now-from) < was {
-		f.known, f.asOf, f.age = true, from, age
+	if before, known := f.Age(now); !known || age+f.trueDuration(now-from) < before {
+		f.ageKnown = true
+		f.ageAt = from
+		f.parentAge = age
 	}
 }
 
-// stage takes whole buckets, and once there are all makes them the state in one step.
-func (f *Follower) stage(x Response) {
-	if f.staged == nil || f.unsafe.Torn {
+// stage takes in buckets of a state. Once all are there it replaces the present state in one step.
+func (f *Follower) stage(resp Response) {
+	if f.staged == nil || f.unsafe.ApplyTorn {
 		f.staged = maps.Clone(f.state)
 	}
-	for b, all := range x.Buckets {
+	for b, changes := range resp.Buckets {
 		maps.DeleteFunc(f.staged, func(key string, _ Change) bool { return bucketOf(key) == b })
-		for _, c := range all {
-			f.staged[keyOf(c)] = c
+		for _, c := range changes {
+			f.staged[stateKey(c)] = c
 		}
 	}
-	if f.unsafe.Torn {
+	if f.unsafe.ApplyTorn {
 		f.state = maps.Clone(f.staged)
-		f.host.Replace()
+		f.host.StateReplaced()
 	}
-	if !x.Settled {
-		return
+	if resp.Complete {
+		f.installStaged(resp)
 	}
-	if f.place.Epoch != x.Epoch {
-		f.known = false
+}
+
+func (f *Follower) installStaged(resp Response) {
+	if f.position.Epoch != resp.Epoch {
+		f.ageKnown = false
 	}
-	from := min(x.From, f.place.Revision)
-	f.settle(f.staged, x)
+	from := min(resp.From, f.position.Revision)
+	f.install(f.staged, resp)
 	f.staged = nil
-	f.host.Replace()
-	if !f.unsafe.Missed && from < x.Revision {
-		f.host.Missed(x.Epoch, from, x.Revision)
+	f.host.StateReplaced()
+	if from < resp.Revision && !f.unsafe.HideMissed {
+		f.host.EventsMissed(resp.Epoch, from, resp.Revision)
 	}
 }
 
-// Serve answers a child of ours: with what a parent has told us, and how old that is.
-func (f *Follower) Serve(now Time, a Request) Response {
+// Serve answers a child of the follower, with what the follower has and how old that is.
+func (f *Follower) Serve(now Time, r Request) Response {
 	age, known := f.Age(now)
 	if !known {
 		return Response{Err: ErrNotReady}
 	}
-	return f.Respond(a, age)
+	return f.Respond(r, age)
 }
--- a/changelog/history_test.go
+++ b/changelog/history_test.go
@@ -10,22 +10,22 @@
 	"pgregory.net/rapid"
 )
 
-const statesMost = 400_000 // far beyond what the bounds below reach: an exploration that stops there is none of all histories
+const maxStates = 400_000 // far beyond what the bounds below reach: an exploration that stops there is none of all histories
 
 // explore plays all that can happen within the bounds, and gives the first history that breaks a rule.
 func explore(u Unsafe, before []move, b bounds) (states int, history []move, fault string) {
 	type node struct {
-		w    *world
+		w    *testCluster
 		from int
 		by   move
 	}
-	w := newWorld(u, ringSmall, 1, bounds{steps: 99, agrees: 99, deposed: 9})
+	w := newTestCluster(u, smallRing, 1, bounds{steps: 99, agrees: 99, deposed: 9})
 	for _, m := range before {
 		w.play(m)
 	}
 	w.left = b
 	all, seen, h := []node{{w: w, from: -1}}, map[uint64]bool{}, xxhash.New()
-	for at := 0; at < len(all) && at < statesMost; at++ {
+	for at := 0; at < len(all) && at < maxStates; at++ {
 		now := all[at].w
 		for _, m := range now.moves() {
 			next := now.clone()
@@ -36,7 +36,7 @@
 				}
 				return len(seen), history, next.fault
 			}
-			if p := next.print(h); !seen[p] {
+			if p := next.fingerprint(h); !seen[p] {
 				seen[p] = true
 				all = append(all, node{next, at, m})
 			}
@@ -46,14 +46,14 @@
 	return len(seen), nil, ""
 }
 
-const ringSmall = 45 // bytes: two changes
+const smallRing = 45 // bytes: two changes
 
 var usual = []string{"tick", "agree", "hear", "tell"}
 
-// walk plays a history of chance, with more of everything than can be explored.
-func walk(u Unsafe, seed uint64, moves int) (w *world, history []move) {
+// playRandom plays a history of chance, with more of everything than can be explored.
+func playRandom(u Unsafe, seed uint64, moves int) (w *testCluster, history []move) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	w = newWorld(u, []int{0, ringSmall, 90, 1000}[rnd.IntN(4)], 1+rnd.IntN(2),
+	w = newTestCluster(u, []int{0, smallRing, 90, 1000}[rnd.IntN(4)], 1+rnd.IntN(2),
 		bounds{steps: 1 << 20, agrees: 60, lost: 20, late: 20, deposed: 4, founded: 2, restarts: 6, garbled: 6})
 	switch rnd.IntN(4) {
 	case 0: // nothing fails
@@ -77,7 +77,7 @@
 
 func TestHistoriesOfChance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if w, history := walk(Unsafe{}, rapid.Uint64().Draw(t, "seed"), 400); w.fault != "" {
+		if w, history := playRandom(Unsafe{}, rapid.Uint64().Draw(t, "seed"), 400); w.fault != "" {
 			t.Fatalf("%s after %v", w.fault, history)
 		}
 	})
@@ -87,11 +87,11 @@
 func TestHistoriesShowSomething(t *testing.T) {
 	told, missed := 0, 0
 	for seed := range uint64(100) {
-		w, history := walk(Unsafe{}, seed, 400)
+		w, history := playRandom(Unsafe{}, seed, 400)
 		if w.fault != "" {
 			t.Fatalf("seed %d: %s after %v", seed, w.fault, history)
 		}
-		told, missed = told+w.events, missed+w.gaps
+		told, missed = told+w.eventsApplied, missed+w.eventsMissed
 	}
 	t.Logf("%d events told, %d gaps told", told, missed)
 	if told < 300 || missed < 300 {
@@ -99,8 +99,8 @@
 	}
 }
 
-var safeguards = map[string]Unsafe{"garbled": {Garbled: true}, "epoch": {Epoch: true}, "missed": {Missed: true}, "count-from-answer": {Answer: true},
-	"parent's age": {Parent: true}, "partial": {Partial: true}, "late": {Late: true}, "torn": {Torn: true}, "ring": {Ring: true}, "drift": {Drift: true}}
+var safeguards = map[string]Unsafe{"garbled": {AcceptGarbled: true}, "epoch": {AcceptOldEpoch: true}, "missed": {HideMissed: true}, "count-from-answer": {AgeFromResponse: true},
+	"parent's age": {IgnoreParentAge: true}, "partial": {AgeFromPartial: true}, "late": {AcceptLate: true}, "torn": {ApplyTorn: true}, "ring": {RelayWithoutRing: true}, "drift": {IgnoreDrift: true}}
 
 // With any one safeguard taken out some history breaks a rule: otherwise the histories above prove nothing.
 func TestEachSafeguardIsNeeded(t *testing.T) {
@@ -108,7 +108,7 @@
 		t.Run(without, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(5_000) {
-				if w, history := walk(u, seed, 400); w.fault != "" {
+				if w, history := playRandom(u, seed, 400); w.fault != "" {
 					t.Logf("seed %d, %d moves: %s", seed, len(history), w.fault)
 					return
 				}
@@ -162,7 +162,7 @@
 			t.Parallel()
 			states, history, fault := explore(Unsafe{}, followed(3), b)
 			t.Log(states, "states")
-			if fault != "" || states >= statesMost {
+			if fault != "" || states >= maxStates {
 				t.Errorf("%d states; %s after %v", states, fault, history)
 			}
 		})
