--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -10,13 +10,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hashed is a purged key as it is sent: six bytes of its hash.
+// hashed returns a purged key as it is sent: six bytes of its hash.
 func hashed(i int) string {
 	return string(binary.LittleEndian.AppendUint64(nil, xxhash.Sum64String(fmt.Sprint(i)))[:6])
 }
 
-// BenchmarkRespond is what a relay with a ring of ten minutes of purges does for one child that is a quarter of a second behind
-// at 120 a second, and what the changes take in a message.
+// BenchmarkRespond measures a relay with a ring of ten minutes of purges, and one child that is a quarter of a second behind at
+// 120 a second, and the bytes that the changes take in a message.
 func BenchmarkRespond(b *testing.B) {
 	const ring, behind = 72_000, 30
 	var before, after runtime.MemStats
@@ -46,7 +46,7 @@
 	b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/ring, "heap-B/change")
 }
 
-// BenchmarkFollow is what a child does with such an answer: read, look whether it is whole, take it over.
+// BenchmarkFollow measures a child that decodes, verifies and applies such a response.
 func BenchmarkFollow(b *testing.B) {
 	const each = 30
 	d := &recordingHost{}
@@ -73,8 +73,8 @@
 	}
 }
 
-// BenchmarkFleet plays ten seconds of peace at the operators' size, 23 regions with 826 nodes each, in simulated time, and tells the
-// times from a change to all nodes, and to the last. Run it with -benchtime 1x.
+// BenchmarkFleet simulates ten seconds without faults, up to the operators' size of 23 regions with 826 nodes each, and reports the
+// latencies of a change to all nodes, and to the last. Run it with -benchtime 1x.
 func BenchmarkFleet(b *testing.B) {
 	for _, regions := range []int{3, 10, 23} {
 		b.Run(fmt.Sprint("nodes=", regions*826), func(b *testing.B) {
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -13,7 +13,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// recordingHost is a follower's host: it keeps what it was told.
+// recordingHost is a follower's Host that records what it is called with.
 type recordingHost struct {
 	parents []int
 	request Request
@@ -42,7 +42,7 @@
 
 var defaultConfig = Config{Parents: 5, HomeParents: 2, MinInterval: 250 * lease.Millisecond, RetryBackoff: 100 * lease.Millisecond, MaxAge: 4700 * lease.Millisecond, MaxResponseBytes: 7700}
 
-// sourceOf has these changes, in an epoch.
+// sourceOf returns the log of an epoch's source with these changes.
 func sourceOf(t testing.TB, epoch uint64, ring int, all ...Change) *Log {
 	t.Helper()
 	l := NewLog(ring)
@@ -56,7 +56,7 @@
 	return l
 }
 
-// followUntilCurrent lets a child ask a log until it is told nothing new, and gives how often it asked.
+// followUntilCurrent lets a follower poll a log until there is nothing new, and returns the number of requests.
 func (d *recordingHost) followUntilCurrent(t testing.TB, f *Follower, l *Log) (asked int) {
 	t.Helper()
 	for {
@@ -68,7 +68,7 @@
 			taken += size(c)
 		}
 		if len(x.Changes) > 1 && taken > d.request.MaxBytes {
-			t.Fatalf("%d bytes of changes at once, %d at the most", taken, d.request.MaxBytes)
+			t.Fatalf("%d bytes of changes at once, want at most %d", taken, d.request.MaxBytes)
 		}
 		if err := f.HandleResponse(now, d.request.ID, x); err != nil {
 			t.Fatal(err)
@@ -79,9 +79,9 @@
 	}
 }
 
-// Two that differ under one revision, as after a fleet was founded twice from one token: a child of the one that comes to the
-// other finds out, has that one's state, and is told that it may have missed any event. Without the chain it never has it.
-func TestTwoThatDifferUnderOneRevision(t *testing.T) {
+// Two logs that differ at one revision, as after a cluster was founded twice from one token: a child of the one that switches to
+// the other detects it, takes over the other's state, and reports that any event may be missed. Without the chain it never does.
+func TestLogsThatDifferAtOneRevision(t *testing.T) {
 	for _, u := range []Unsafe{{}, {IgnoreChain: true}} {
 		one := sourceOf(t, 7, 1<<10, value(0, "a", "1"), value(0, "b", "2"), event(0, "x"))
 		other := sourceOf(t, 7, 1<<10, value(0, "a", "1"), value(0, "b", "9"), event(0, "y"), event(0, "z"))
@@ -99,13 +99,13 @@
 			t.Errorf("at %+v with %v, missed %v; want %+v with %v, missed %v", f.Position(), f.State(), d.missed, other.Position(), other.State(), want)
 		}
 		if u.IgnoreChain && right {
-			t.Error("the chain is of no use")
+			t.Error("want a wrong state without the chain")
 		}
 	}
 }
 
-// What can't be is refused by name; place, state and what others would be told stay as they were, and the next parent is asked.
-func TestGarbageChangesNothing(t *testing.T) {
+// A malformed response is refused with its fault; position, state and age stay as they were, and the next parent is polled.
+func TestMalformedResponseChangesNothing(t *testing.T) {
 	l := sourceOf(t, 7, 1<<10, value(0, "a", "1"), value(0, "b", "2"), event(0, "x"))
 	for what, spoil := range map[string]func(x *Response){
 		"the first change is missing":  func(x *Response) { x.Changes = x.Changes[1:] },
@@ -151,10 +151,10 @@
 		}
 		after, _ := f.Age(now)
 		if f.Position() != place || !reflect.DeepEqual(f.State(), state) || len(d.applied) != told || age != after || f.staged != nil {
-			t.Errorf("%s: from %+v to %+v, state %v, %d told, age %d to %d", what, place, f.Position(), f.State(), len(d.applied)-told, age, after)
+			t.Errorf("%s: from %+v to %+v, state %v, %d applied, age %d to %d", what, place, f.Position(), f.State(), len(d.applied)-told, age, after)
 		}
 		if d.next(f); d.last() == parent {
-			t.Errorf("%s: the same parent is asked again", what)
+			t.Errorf("%s: the same parent is polled again", what)
 		}
 		d.followUntilCurrent(t, f, more)
 		if f.Position() != more.Position() {
@@ -163,8 +163,8 @@
 	}
 }
 
-// A child far behind takes as much as it says at a time, from its own place; what it takes holds up no sibling and drops nothing.
-func TestASlowChild(t *testing.T) {
+// A child far behind takes as much at a time as it requests, from its own position; that delays no sibling and loses nothing.
+func TestSlowChild(t *testing.T) {
 	l := sourceOf(t, 7, 1<<20)
 	slow, quick := &recordingHost{}, &recordingHost{}
 	terms := defaultConfig
@@ -196,8 +196,8 @@
 	}
 }
 
-// Who comes back from before the ring has the state that differs, bucket by bucket, in one step, and is told what it missed.
-func TestBackAfterDays(t *testing.T) {
+// A child from before the ring fetches the buckets of state that differ, installs them in one step, and reports what it missed.
+func TestChildFromBeforeTheRing(t *testing.T) {
 	l := sourceOf(t, 7, 200)
 	add := func(c Change) {
 		c.Revision = l.Position().Revision + 1
@@ -235,8 +235,8 @@
 	}
 }
 
-// Its own region's relays come first, in turn; then others; and after ten seconds there it looks for its own again.
-func TestParentsInTurn(t *testing.T) {
+// A follower tries its own region's relays first, then others; after ten seconds there it tries its own again.
+func TestParentOrder(t *testing.T) {
 	l := sourceOf(t, 7, 200, event(0, "x"))
 	d := &recordingHost{}
 	f := NewFollower(d, 0, defaultConfig, nil, Unsafe{})
@@ -253,7 +253,7 @@
 		}
 	}
 	if fmt.Sprint(d.parents[:4]) != "[0 1 2 3]" || began > 2000*lease.Millisecond {
-		t.Errorf("%v, the first answer after %d ms", d.parents[:4], began/lease.Millisecond)
+		t.Errorf("%v, the first response after %d ms", d.parents[:4], began/lease.Millisecond)
 	}
 	home := 0
 	for _, p := range d.parents[4:] {
@@ -262,14 +262,14 @@
 		}
 	}
 	if home != 2 {
-		t.Errorf("it looked for its own %d times in 30 s, want 2: %v", home, d.parents)
+		t.Errorf("it tried its own region %d times in 30 s, want 2: %v", home, d.parents)
 	}
 	all := len(d.parents)
 	for now := d.next(f); now < 60_000*lease.Millisecond; now = d.next(f) {
 		f.HandleTimeout(now, d.request.ID)
 	}
 	if asked := len(d.parents) - all; asked > 40 {
-		t.Errorf("%d askings in 30 s where nobody answers", asked)
+		t.Errorf("%d requests in 30 s without any response", asked)
 	}
 }
 
@@ -288,7 +288,8 @@
 	return all
 }
 
-// What is packed is read as it was; what is cut short or has a byte changed is read otherwise or refused by name, never more.
+// Encoded changes are decoded as they were; input that is cut short or has a byte changed is decoded otherwise or refused with
+// ErrMalformed.
 func TestPackedIsReadAsItWas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := changes(t)
--- a/changelog/cluster_test.go
+++ b/changelog/cluster_test.go
@@ -9,48 +9,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A small fleet for the tests: a leader and one that was or will be, two relays, and nodes. Agreement is taken as given: what
-// the leader agrees on is so at once, and one that leads no more can't confirm it. What is explored is all beside it: who asks
-// whom, what is late, lost or garbled, who starts again with what, and how the clocks run.
+// A model of a small cluster: a leader and its predecessor or successor, two relays, and nodes. Consensus is taken as given: a
+// change of the leader is agreed at once, and an earlier leader can't confirm its leadership. The tests explore the rest: requests to
+// any parent, responses that are late, lost or garbled, restarts with and without a snapshot, and clock drift.
 
 const (
 	step           = 24 // units of true time
 	slowRate       = 18 // of a slow clock in a step, at the bound of drift
 	fastRate       = 30
 	drift          = 0.25
-	minInterval    = 18 // between two askings: a step at the least
-	oneChangeBytes = 20 // bytes of an answer: about one change
+	minInterval    = 18 // between two requests: at least one step
+	oneChangeBytes = 20 // MaxBytes of a request: about one change
 )
 
-// agreed is one change of the truth, and when it was.
+// agreed is an agreed change, and when that was.
 type agreed struct {
 	Change
 	at Time
 }
 
-// source is one who leads, or thinks so.
+// source is a leader, or an earlier one that doesn't know it.
 type source struct {
 	*Log
-	confirmed Time // when it last led for sure
+	confirmed Time // when it was last the leader for certain
 }
 
-// message is an asking on its way, and then its answer.
+// message is a request in flight, and then its response.
 type message struct {
 	from, parent int
 	request      Request
 	response     *Response
 }
 
-// child is a relay or a node, with what it was told.
+// child is a relay or a node, and what its follower's host was notified of.
 type child struct {
 	cluster  *testCluster
 	n        int
 	follower *Follower
 	wakeAt   Time
 	last     Position
-	events   []uint64    // revisions of events in its epoch,
-	missed   [][2]uint64 // and what it was told that it missed
-	epoch    uint64      // of both
+	events   []uint64    // revisions of the events applied in epoch,
+	missed   [][2]uint64 // and the ranges of revisions reported as missed
+	epoch    uint64      // of events and missed
 }
 
 type bounds struct{ steps, agrees, lost, late, deposed, founded, restarts, garbled int }
@@ -66,8 +66,8 @@
 	messages      []message
 	left          bounds
 	fault         string
-	eventsApplied int // told to nodes, in all
-	eventsMissed  int // and told to be missed
+	eventsApplied int // at nodes, in all
+	eventsMissed  int // ranges reported as missed at nodes
 }
 
 const relays = 2
@@ -87,7 +87,7 @@
 	return w
 }
 
-// localNow is a child's clock: nodes and the second relay have slow ones.
+// localNow returns a child's clock: those of the nodes and the second relay are slow.
 func (c *child) localNow() Time {
 	if c.n == 0 {
 		return c.cluster.now / step * fastRate
@@ -110,7 +110,7 @@
 	c.last = c.follower.position
 }
 
-// A child is its follower's host.
+// A child is the Host of its follower.
 
 func (c *child) Send(parent int, a Request) {
 	c.cluster.messages = append(c.cluster.messages, message{from: c.n, parent: parent, request: a})
@@ -130,7 +130,7 @@
 	}
 	c.startEpoch(c.follower.position.Epoch)
 	if n := len(c.events); n > 0 && c.events[n-1] >= x.Revision {
-		c.cluster.fault = fmt.Sprintf("child %d is told of event %d after %d", c.n, x.Revision, c.events[n-1])
+		c.cluster.fault = fmt.Sprintf("child %d is passed event %d after %d", c.n, x.Revision, c.events[n-1])
 	}
 	c.events = append(c.events, x.Revision)
 	if c.n >= relays {
@@ -140,7 +140,7 @@
 
 func (c *child) EventsMissed(epoch, after, upTo uint64) {
 	if l := c.cluster.sources[c.cluster.leader].floor; c.last.Epoch == epoch && l.Epoch == epoch && c.last.Revision >= l.Revision && after < upTo {
-		c.fail("at %d is told to have missed events up to %d, which the leader keeps from %d on", c.last.Revision, upTo, l.Revision)
+		c.fail("at %d: events up to %d reported as missed, though the leader has them from %d on", c.last.Revision, upTo, l.Revision)
 	}
 	if c.startEpoch(epoch); c.n >= relays {
 		c.cluster.eventsMissed++
@@ -148,7 +148,7 @@
 	c.missed = append(c.missed, [2]uint64{after, upTo})
 }
 
-// The changes that come to be, over and over: events, keys in two buckets, one that goes.
+// The changes that are agreed, over and over: events, keys in two buckets, and one that is deleted.
 var pattern = []Change{{Topic: "p", Key: "x", Event: true}, {Topic: "c", Key: "a", Value: []byte("1")}, {Topic: "c", Key: "b", Value: []byte("2")},
 	{Topic: "p", Key: "y", Event: true}, {Topic: "c", Key: "a", Value: []byte("3")}, {Topic: "c", Key: "b", Deleted: true}}
 
@@ -162,7 +162,7 @@
 	w.agreedByEpoch[l.position.Epoch] = append(w.agreedByEpoch[l.position.Epoch], agreed{c, w.now})
 }
 
-// stateAt gives the truth at a place.
+// stateAt returns the agreed state at a position.
 func (w *testCluster) stateAt(p Position) map[string]Change {
 	state := map[string]Change{}
 	for _, a := range w.agreedByEpoch[p.Epoch][:min(int(p.Revision), len(w.agreedByEpoch[p.Epoch]))] {
@@ -176,13 +176,13 @@
 	return state
 }
 
-// move is one thing that may happen.
+// move is one thing that can happen.
 type move struct {
 	what string
 	n    int
 }
 
-// moves gives all that may happen now.
+// moves returns everything that can happen now.
 func (w *testCluster) moves() (all []move) {
 	add := func(what string, n int) { all = append(all, move{what, n}) }
 	if w.left.steps > 0 {
@@ -225,7 +225,7 @@
 	return all
 }
 
-// play lets it happen, and checks all rules.
+// play makes it happen, and checks all invariants.
 func (w *testCluster) play(m move) {
 	take := func() message {
 		x := w.messages[m.n]
@@ -233,7 +233,7 @@
 		return x
 	}
 	if m.n >= len(w.messages) && m.what != "restart" && m.what != "resume" && m.what != "tick" && m.what != "agree" && m.what != "depose" && m.what != "found" {
-		return // of a history that is given, where nothing is on its way any more
+		return // of a given history, in which no such message is in flight any more
 	}
 	switch m.what {
 	case "tick":
@@ -254,7 +254,7 @@
 		w.sources[w.leader].confirmed = w.now
 		w.leader = 1 - w.leader
 		w.sources[w.leader].Log = was.clone()
-	case "found": // whose leader lost its folder; the other one may speak of the epoch before yet
+	case "found": // the leader lost its stored state; the other one may still serve the epoch before
 		w.left.founded--
 		epoch := max(w.sources[0].position.Epoch, w.sources[1].position.Epoch) + 1
 		was := w.sources[w.leader].clone()
@@ -316,7 +316,7 @@
 	}
 }
 
-// check looks at the rules.
+// check checks the invariants.
 func (c *child) check() {
 	p := c.follower.position
 	if p.Epoch < c.last.Epoch || p.Epoch == c.last.Epoch && p.Revision < c.last.Revision {
@@ -337,7 +337,7 @@
 			told = told || c.epoch == p.Epoch && m[0] < a.Revision && a.Revision <= m[1]
 		}
 		if !told {
-			c.fail("at %d event %d was neither told nor told to be missed", p.Revision, a.Revision)
+			c.fail("at %d: event %d was neither applied nor reported as missed", p.Revision, a.Revision)
 		}
 	}
 	if want := c.cluster.stateAt(p); !maps.EqualFunc(c.follower.state, want, func(x, y Change) bool {
@@ -349,13 +349,13 @@
 		for epoch, all := range c.cluster.agreedByEpoch {
 			for _, a := range all {
 				if a.at < c.cluster.now-age && (epoch > p.Epoch || epoch == p.Epoch && a.Revision > p.Revision) {
-					c.fail("%d old at most, and %d of epoch %d is missing, agreed %d ago", age, a.Revision, epoch, c.cluster.now-a.at)
+					c.fail("age is at most %d, but revision %d of epoch %d is missing, agreed %d ago", age, a.Revision, epoch, c.cluster.now-a.at)
 				}
 			}
 		}
 	}
 	if most := max(c.follower.config.RingBytes, 0); c.follower.ringBytes > most || len(c.follower.ring)*changeOverhead > most {
-		c.fail("%d bytes of a ring, %d at the most", c.follower.ringBytes, most)
+		c.fail("%d bytes of a ring, want at most %d", c.follower.ringBytes, most)
 	}
 }
 
@@ -374,7 +374,7 @@
 	for i := range o.sources {
 		o.sources[i].Log = w.sources[i].clone()
 	}
-	o.messages = slices.Clone(w.messages) // answers are never written to
+	o.messages = slices.Clone(w.messages) // responses are never modified
 	o.children = nil
 	for _, c := range w.children {
 		x := *c
@@ -387,13 +387,13 @@
 	return &o
 }
 
-// fingerprint tells states apart.
+// fingerfingerprint returns a hash of everything that tells states apart.
 func (w *testCluster) fingerprint(h *xxhash.Digest) uint64 {
 	h.Reset()
 	p := func(args ...any) { _, _ = fmt.Fprintln(h, args...) }
 	p(w.now, w.leader, w.left)
 	for _, epoch := range slices.Sorted(maps.Keys(w.agreedByEpoch)) {
-		for _, a := range w.agreedByEpoch[epoch] { // what it is follows from its revision
+		for _, a := range w.agreedByEpoch[epoch] { // the change itself follows from its revision
 			p(epoch, a.at)
 		}
 	}
@@ -401,7 +401,7 @@
 		p(s.position, s.floor, s.confirmed)
 	}
 	for _, c := range w.children {
-		f, staged := c.follower, []string(nil) // the state follows from the place: that was checked
+		f, staged := c.follower, []string(nil) // the state follows from the position: that was checked
 		for _, key := range slices.Sorted(maps.Keys(f.staged)) {
 			staged = append(staged, fmt.Sprint(key, f.staged[key].Revision))
 		}
--- a/changelog/fleet_test.go
+++ b/changelog/fleet_test.go
@@ -11,24 +11,24 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// A whole fleet in simulated time: a leader, two relays a region, nodes; askings that wait for news, ways of some length, parents
-// that fall silent. What is agreed goes through the package's own code to each node.
+// A whole fleet in simulated time: a leader, two relays in each region, and nodes; long polls, network delays, and parents that fall
+// silent. Each agreed change goes through the package's own code to each node.
 
 const (
 	ms               = lease.Millisecond
-	longPoll         = 500 * ms // an asking waits for news
-	callTimeout      = 800 * ms // and is given up
-	commitInterval   = 50 * ms  // the leader brings what came in so long to the log in one entry
-	regionDelay      = 2 * ms   // one way in a region, about
-	crossRegionDelay = 80 * ms  // and between two
-	purgeRate        = 120      // a second
+	longPoll         = 500 * ms // that a request waits for changes
+	callTimeout      = 800 * ms // after which the child gives a request up
+	commitInterval   = 50 * ms  // changes within it share one entry of the leader's log
+	regionDelay      = 2 * ms   // about, one way, within a region
+	crossRegionDelay = 80 * ms  // about, one way, between regions
+	purgeRate        = 120      // purges a second
 	none             = -2       // no region; the leader is in -1
 	changeGap        = 7200 * ms
 )
 
 type simEvent struct {
 	at Time
-	n  int // order of those at one time
+	n  int // order among events at the same time
 	do func()
 }
 
@@ -46,7 +46,7 @@
 	return last
 }
 
-// poll is an asking that waits at a parent.
+// poll is a request that waits at a parent.
 type poll struct {
 	from     *machine
 	request  Request
@@ -58,13 +58,13 @@
 	sim      *simulation
 	name     string
 	region   int
-	log      *Log      // the leader's
-	follower *Follower // else
+	log      *Log      // of the leader,
+	follower *Follower // of the others
 	parents  []*machine
 	polls    []poll
 	down     bool
-	wake     Time
-	from     uint64 // the revision after which a change is awaited here
+	alarmAt     Time
+	from     uint64 // only changes after this revision are measured
 	missed   uint64
 }
 
@@ -75,11 +75,11 @@
 	leader          *machine
 	relays          []*machine
 	nodes           []*machine
-	cut             int // region that is cut off
+	cut             int // region without network, or none
 	agreed          []Time
 	latencies       *hdrhistogram.Histogram // of each change to each node, in tenths of a millisecond
-	lastNodeLatency []Time                  // to the last node, by revision
-	oldest          Time                    // age at any node that is up, as sampled
+	lastNodeLatency []Time                  // of each change to the last node, by revision
+	oldest          Time                    // largest age of all nodes that are up, as sampled
 	requests        int
 	changes         int
 }
@@ -104,7 +104,7 @@
 	return h.Sum64()
 }
 
-// delay gives how long a message takes, and whether it gets there.
+// delay returns how long a message takes, and whether it arrives.
 func (s *simulation) delay(a, b *machine) (Time, bool) {
 	if a.down || b.down {
 		return 0, false
@@ -121,9 +121,9 @@
 }
 
 func (m *machine) SetAlarm(at Time) {
-	m.wake = max(at, m.sim.now)
-	m.sim.at(m.wake, func() {
-		if m.sim.now == m.wake && !m.down {
+	m.alarmAt = max(at, m.sim.now)
+	m.sim.at(m.alarmAt, func() {
+		if m.sim.now == m.alarmAt && !m.down {
 			m.follower.Alarm(m.sim.now)
 		}
 	})
@@ -147,14 +147,14 @@
 	if m.down {
 		return
 	}
-	if !m.tell(from, a, false) {
+	if !m.respond(from, a, false) {
 		m.polls = append(m.polls, poll{from, a, m.sim.now + longPoll})
-		m.sim.at(m.sim.now+longPoll, m.news)
+		m.sim.at(m.sim.now+longPoll, m.servePolls)
 	}
 }
 
-// tell answers an asking, if there is news or it has waited long enough.
-func (m *machine) tell(from *machine, a Request, late bool) bool {
+// respond answers a request if there is anything new or it has waited long enough.
+func (m *machine) respond(from *machine, a Request, late bool) bool {
 	s := m.sim
 	var x Response
 	if m.log != nil {
@@ -170,22 +170,22 @@
 		s.at(s.now+way, func() {
 			if from.follower == f && !from.down {
 				_ = f.HandleResponse(s.now, a.ID, x)
-				from.news()
+				from.servePolls()
 			}
 		})
 	}
 	return true
 }
 
-// news looks at all that wait.
-func (m *machine) news() {
+// servePolls answers the requests that wait, as far as there is anything new.
+func (m *machine) servePolls() {
 	if m.down || len(m.polls) == 0 {
 		return
 	}
 	waits := m.polls
 	m.polls = nil
 	for _, p := range waits {
-		if !m.tell(p.from, p.request, m.sim.now >= p.deadline) {
+		if !m.respond(p.from, p.request, m.sim.now >= p.deadline) {
 			m.polls = append(m.polls, p)
 		}
 	}
@@ -245,11 +245,11 @@
 		s.at(Time(i)%(500*ms), m.start)
 	}
 	s.at(commitInterval, s.agree)
-	s.at(100*ms, s.look)
+	s.at(100*ms, s.sampleAges)
 	return s
 }
 
-// agree brings one entry to the log.
+// agree appends the next entry to the log.
 func (s *simulation) agree() {
 	add := func(c Change) {
 		c.Revision = s.leader.log.Position().Revision + 1
@@ -264,12 +264,12 @@
 	if s.changes++; s.changes%int(changeGap/commitInterval) == 0 {
 		add(Change{Topic: "configuration", Key: fmt.Sprint("part-", s.changes%25), Value: make([]byte, 2000)})
 	}
-	s.leader.news()
+	s.leader.servePolls()
 	s.at(s.now+commitInterval, s.agree)
 }
 
-// look samples the ages of all nodes that are up.
-func (s *simulation) look() {
+// sampleAges samples the ages of all nodes that are up.
+func (s *simulation) sampleAges() {
 	s.oldest = 0
 	for _, m := range s.nodes {
 		if m.follower == nil { // not started yet
@@ -283,12 +283,12 @@
 			s.oldest = max(s.oldest, age)
 		}
 	}
-	s.at(s.now+100*ms, s.look)
+	s.at(s.now+100*ms, s.sampleAges)
 }
 
-// strain lets a fault come and go, and gives how old the oldest view was within a time from its beginning, by node that may be
-// judged, and how long after its end all were within a bound again.
-func (s *simulation) strain(begin, end func(), lasts, watch, bound Time) (oldest, back Time) {
+// runFault begins and ends a fault, and returns the largest age of all nodes, and how long after the end all nodes were within the
+// bound again.
+func (s *simulation) runFault(begin, end func(), lasts, watch, bound Time) (oldest, back Time) {
 	begin()
 	from := s.now
 	for s.now < from+lasts {
@@ -306,8 +306,8 @@
 	return oldest, back
 }
 
-// The bounds of docs/design-changes.md hold in simulated time: in peace, and when relays and the leader fall silent, a region is cut
-// off, and all of a region start together.
+// The bounds of docs/design-changes.md hold in simulated time: without faults, when relays or the leader fall silent, when a region is
+// cut off, and when all nodes of a region restart at once.
 func TestAFleetKeepsItsBounds(t *testing.T) {
 	regions, each := 4, 30
 	if testing.Short() {
@@ -355,7 +355,7 @@
 			}
 			before := len(s.agreed)
 			s.latencies.Reset()
-			oldest, back := s.strain(begin, end, c.lasts, 20_000*ms, bound)
+			oldest, back := s.runFault(begin, end, c.lasts, 20_000*ms, bound)
 			worst, late := Time(0), 0
 			for _, l := range s.lastNodeLatency[before : len(s.lastNodeLatency)-2*purgeRate] {
 				if worst = max(worst, l); l > bound {
--- a/changelog/history_test.go
+++ b/changelog/history_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-const maxStates = 400_000 // far beyond what the bounds below reach: an exploration that stops there is none of all histories
+const maxStates = 400_000 // far beyond what the bounds below reach; an exploration that stops there is incomplete
 
-// explore plays all that can happen within the bounds, and gives the first history that breaks a rule.
+// explore plays all histories within the bounds, and returns the first one that violates an invariant.
 func explore(u Unsafe, before []move, b bounds) (states int, history []move, fault string) {
 	type node struct {
 		w    *testCluster
@@ -41,7 +41,7 @@
 				all = append(all, node{next, at, m})
 			}
 		}
-		all[at].w = nil // its children are made
+		all[at].w = nil // all its successors are made
 	}
 	return len(seen), nil, ""
 }
@@ -50,15 +50,15 @@
 
 var usual = []string{"tick", "agree", "hear", "tell"}
 
-// playRandom plays a history of chance, with more of everything than can be explored.
+// playRandom plays a random history, with larger bounds than can be explored.
 func playRandom(u Unsafe, seed uint64, moves int) (w *testCluster, history []move) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	w = newTestCluster(u, []int{0, smallRing, 90, 1000}[rnd.IntN(4)], 1+rnd.IntN(2),
 		bounds{steps: 1 << 20, agrees: 60, lost: 20, late: 20, deposed: 4, founded: 2, restarts: 6, garbled: 6})
 	switch rnd.IntN(4) {
-	case 0: // nothing fails
+	case 0: // no faults
 		w.left = bounds{steps: 1 << 20, agrees: 60}
-	case 1: // relays and nodes start again and again
+	case 1: // many restarts of relays and nodes
 		w.left = bounds{steps: 1 << 20, agrees: 60, restarts: 40}
 	}
 	for range moves {
@@ -83,7 +83,7 @@
 	})
 }
 
-// Much happens in such histories: events reach nodes, and are missed. The seeds are fixed, so that the sums are.
+// The random histories have enough in them: events are applied at nodes, and reported as missed. The seeds are fixed, so the sums are too.
 func TestHistoriesShowSomething(t *testing.T) {
 	told, missed := 0, 0
 	for seed := range uint64(100) {
@@ -93,16 +93,16 @@
 		}
 		told, missed = told+w.eventsApplied, missed+w.eventsMissed
 	}
-	t.Logf("%d events told, %d gaps told", told, missed)
+	t.Logf("%d events applied, %d gaps reported", told, missed)
 	if told < 300 || missed < 300 {
-		t.Errorf("%d events told, %d gaps in 100 histories: they show nothing", told, missed)
+		t.Errorf("%d events applied, %d gaps reported in 100 histories: they prove nothing", told, missed)
 	}
 }
 
 var safeguards = map[string]Unsafe{"garbled": {AcceptGarbled: true}, "epoch": {AcceptOldEpoch: true}, "missed": {HideMissed: true}, "count-from-answer": {AgeFromResponse: true},
 	"parent's age": {IgnoreParentAge: true}, "partial": {AgeFromPartial: true}, "late": {AcceptLate: true}, "torn": {ApplyTorn: true}, "ring": {RelayWithoutRing: true}, "drift": {IgnoreDrift: true}}
 
-// With any one safeguard taken out some history breaks a rule: otherwise the histories above prove nothing.
+// With any one safeguard disabled some history violates an invariant: otherwise the histories above prove nothing.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for without, u := range safeguards {
 		t.Run(without, func(t *testing.T) {
@@ -113,12 +113,12 @@
 					return
 				}
 			}
-			t.Error("no history breaks a rule without it")
+			t.Error("no history violates an invariant without it")
 		})
 	}
 }
 
-// The same with a safeguard taken out, where such short histories can show it.
+// With a safeguard disabled, the same exploration finds a violation, where such short histories can have one.
 func TestSmallHistoriesShowWhatIsMissing(t *testing.T) {
 	for without, b := range map[string]bounds{"garbled": {steps: 1, agrees: 2, garbled: 1}, "count-from-answer": {steps: 2, agrees: 1},
 		"parent's age": {steps: 3, agrees: 1, deposed: 1}, "partial": {steps: 2, agrees: 2}, "late": {steps: 3, agrees: 1, late: 1},
@@ -133,11 +133,11 @@
 	}
 }
 
-// followed brings the children to where they follow, a few changes in.
+// followed brings the children up to date with a few changes.
 func followed(agrees int) (all []move) {
 	pass := func() {
 		all = append(all, move{what: "tick"})
-		for range 1 + relays { // whatever is on its way arrives, the first asked first
+		for range 1 + relays { // messages arrive in the order of the requests
 			all = append(all, move{what: "hear"}, move{what: "tell"})
 		}
 	}
@@ -151,7 +151,7 @@
 	return all
 }
 
-// All histories of a small fleet within bounds, from where its node follows: two relays, a node, a ring of two changes.
+// All histories within bounds of a cluster that is up to date: two relays, a node, a ring of two changes.
 func TestAllSmallHistories(t *testing.T) {
 	for _, b := range []bounds{{steps: 3, agrees: 1}, {steps: 2, agrees: 2, late: 1}, {steps: 2, agrees: 1, deposed: 1}, {steps: 2, agrees: 1, founded: 1},
 		{steps: 2, agrees: 2, restarts: 1}, {steps: 2, agrees: 2, lost: 1, garbled: 1}} {
