--- a/changelog/fleet_test.go
+++ b/changelog/fleet_test.go
@@ -63,7 +63,7 @@
 	parents  []*machine
 	polls    []poll
 	down     bool
-	alarmAt     Time
+	alarmAt  Time
 	from     uint64 // only changes after this revision are measured
 	missed   uint64
 }
