--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads the two clocks that the program goes by. Spans are measured by the monotonic clock alone: the wall clock may be
-// stepped at any moment, by seconds or by an hour, and only times that are told to others, or come from them, are its readings.
+// Package clock reads the monotonic clock and the wall clock. Durations are measured by the monotonic clock alone, since the wall
+// clock may be stepped at any moment. Wall clock times are only for exchange with other processes and for stored data.
 package clock
 
 import (
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// origin is a reading of both clocks at the start of the process.
+// origin has a reading of both clocks from the start of the process.
 var origin = time.Now()
 
-// Wall gives the wall clock's time, with no monotonic reading in it.
+// Wall returns the wall clock's time, without a monotonic reading.
 func Wall() time.Time { return time.Now().Round(0) }
 
-// Moment is a reading of the monotonic clock that fits an atomic integer. Zero is never.
+// Moment is a reading of the monotonic clock that fits an atomic integer, in nanoseconds. Zero means never.
 type Moment int64
 
-// Now gives the present moment.
+// Now returns the present moment.
 func Now() Moment { return Moment(time.Since(origin)) + 1 }
 
-// Since gives how long ago a moment was; one that never was is as long ago as can be.
+// Since returns the time that has passed since a moment, math.MaxInt64 for zero.
 func (m Moment) Since() time.Duration {
 	if m == 0 {
 		return math.MaxInt64
@@ -27,13 +27,13 @@
 	return time.Duration(Now() - m)
 }
 
-// Time gives the moment as a time that compares with others by the monotonic clock. One that never was is long ago.
+// Time returns the moment as a time that compares with others by the monotonic clock. Zero is a year before the process's start.
 func (m Moment) Time() time.Time {
 	if m == 0 {
-		return origin.Add(-longAgo)
+		return origin.Add(-farPast)
 	}
 	return origin.Add(time.Duration(m - 1))
 }
 
-// longAgo is beyond any span that is measured.
-const longAgo = 24 * 365 * time.Hour
+// farPast is longer than any duration that is measured.
+const farPast = 24 * 365 * time.Hour
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,7 +14,7 @@
 
 func TestMoments(t *testing.T) {
 	if never := Moment(0); never.Since() < time.Hour || !never.Time().Before(time.Now().Add(-time.Hour)) {
-		t.Error("what never was is not long ago")
+		t.Error("the zero moment is not long ago")
 	}
 	before := time.Now()
 	m := Now()
@@ -30,10 +30,10 @@
 	}
 }
 
-// wallCalls are the ways by which a time loses its monotonic reading, or is read as the wall clock's.
+// wallCalls are the methods by which a time loses its monotonic reading, or is read as the wall clock's.
 var wallCalls = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "Truncate"}
 
-// wallFiles may use them, each for what it says.
+// wallFiles may use them, for the reasons given.
 var wallFiles = map[string]string{
 	"internal/clock/clock.go":        "the one place that reads the wall clock",
 	"internal/net/dispatch/clock.go": "start times on the list are Unix times",
@@ -42,7 +42,7 @@
 	"internal/cluster/tasks.go":      "periods of the roll-up are the wall clock's",
 }
 
-// The wall clock may be stepped, so that no span is measured by it: only the files above may take a time apart.
+// The wall clock may be stepped, so that no duration may be measured by it: only the files above may use its readings.
 func TestTheWallClockMeasuresNoSpan(t *testing.T) {
 	const root = "../.."
 	for _, folder := range []string{"internal/net", "internal/cluster", "internal/clock", "internal/config", "routing", "lease", "budget", "changelog", "cmd"} {
@@ -63,8 +63,8 @@
 				return err
 			}
 			ast.Inspect(file, func(n ast.Node) bool {
-				if s, is := n.(*ast.SelectorExpr); is && slices.Contains(wallCalls, s.Sel.Name) && !isOs(s) {
-					t.Errorf("%s: %s: a span that goes by the wall clock", files.Position(s.Pos()), s.Sel.Name)
+				if s, is := n.(*ast.SelectorExpr); is && slices.Contains(wallCalls, s.Sel.Name) && !isPackageOS(s) {
+					t.Errorf("%s: %s: a duration measured by the wall clock", files.Position(s.Pos()), s.Sel.Name)
 				}
 				return true
 			})
@@ -76,8 +76,8 @@
 	}
 }
 
-// isOs says that a selector is of package os, which cuts files by the same word.
-func isOs(s *ast.SelectorExpr) bool {
+// isPackageOS reports whether a selector is of package os, which has a Truncate of its own.
+func isPackageOS(s *ast.SelectorExpr) bool {
 	of, is := s.X.(*ast.Ident)
 	return is && of.Name == "os"
 }
--- a/internal/kernel/fail_off.go
+++ b/internal/kernel/fail_off.go
@@ -4,8 +4,8 @@
 
 import "net"
 
-// failure says how a call is to fail; in a release none is.
-func failure(Call) error { return nil }
+// injectedFailure returns the error to inject into a call. A release injects none.
+func injectedFailure(Call) error { return nil }
 
-// whole gives the connection as it is.
-func whole(c net.Conn) net.Conn { return c }
+// wrapConn returns the connection as it is.
+func wrapConn(c net.Conn) net.Conn { return c }
--- a/internal/kernel/fail_on.go
+++ b/internal/kernel/fail_on.go
@@ -11,7 +11,8 @@
 	"syscall"
 )
 
-// Documented are the errors of each call that its manual page documents, but for those of a faulty caller (EBADF, EFAULT, EINVAL, ENOTSOCK).
+// Documented has the errors that each call's manual page documents, but for those that a caller's mistake causes (EBADF, EFAULT, EINVAL,
+// ENOTSOCK).
 var Documented = map[Call][]syscall.Errno{
 	Read:     {syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EIO},
 	Peek:     {syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EIO},
@@ -25,18 +26,18 @@
 	Accept: {syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM},
 }
 
-var failing atomic.Pointer[func(Call) error]
+var injected atomic.Pointer[func(Call) error]
 
-// Fail lets f say how each call fails from now on, nil where it does not; a nil f ends that.
+// Fail injects the errors that f returns, nil for none, into all calls from now on. A nil f ends the injection.
 func Fail(f func(Call) error) {
 	if f == nil {
-		failing.Store(nil)
+		injected.Store(nil)
 		return
 	}
-	failing.Store(&f)
+	injected.Store(&f)
 }
 
-// FailTimes lets the next so many calls of one kind fail, until a Fail ends that.
+// FailTimes injects an error into the next calls of one kind, a number of times, until the next call of Fail.
 func FailTimes(of Call, err error, times int64) {
 	var left atomic.Int64
 	left.Store(times)
@@ -48,8 +49,8 @@
 	})
 }
 
-func failure(call Call) error {
-	if f := failing.Load(); f != nil {
+func injectedFailure(call Call) error {
+	if f := injected.Load(); f != nil {
 		return (*f)(call)
 	}
 	return nil
@@ -73,20 +74,20 @@
 	})
 }
 
-// failingConn fails in reading and writing as their calls of the kernel would.
+// failingConn injects errors into reads and writes.
 type failingConn struct{ net.Conn }
 
-func whole(c net.Conn) net.Conn { return failingConn{c} }
+func wrapConn(c net.Conn) net.Conn { return failingConn{c} }
 
 func (c failingConn) Read(b []byte) (int, error) {
-	if err := failure(Read); err != nil {
+	if err := injectedFailure(Read); err != nil {
 		return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 	}
 	return c.Conn.Read(b)
 }
 
 func (c failingConn) Write(b []byte) (int, error) {
-	if err := failure(Write); err != nil {
+	if err := injectedFailure(Write); err != nil {
 		return 0, &net.OpError{Op: "write", Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 	}
 	return c.Conn.Write(b)
--- a/internal/kernel/fail_test.go
+++ b/internal/kernel/fail_test.go
@@ -10,14 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// What was interrupted is made again, however often, and a few times where memory lacked; another error is given at once.
-func TestCallsThatPassAreMadeAgain(t *testing.T) {
+// An interrupted call is retried without limit, one that lacked memory a few times; any other error is returned at once.
+func TestTransientErrorsAreRetried(t *testing.T) {
 	t.Cleanup(func() { Fail(nil) })
 	near, far, raw := pair(t)
 	if _, err := far.Write(make([]byte, 64)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool { there, _ := poll(raw, unix.POLLIN); return there != 0 })
+	waitFor(t, func() bool { there, _ := poll(raw, unix.POLLIN); return there != 0 })
 	path := t.TempDir() + "/f"
 	calls := map[Call]func() error{
 		Peek: func() (err error) {
@@ -39,19 +39,19 @@
 			t.Errorf("%s: %v after an interruption", call, err)
 		}
 		for _, lack := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
-			FailTimes(call, lack, shortTries)
+			FailTimes(call, lack, maxTransientRetries)
 			if err := do(); err != nil {
-				t.Errorf("%s: %v after a moment's lack", call, err)
+				t.Errorf("%s: %v after a transient lack", call, err)
 			}
-			FailTimes(call, lack, shortTries+1)
+			FailTimes(call, lack, maxTransientRetries+1)
 			if err := do(); !errors.Is(err, lack) {
-				t.Errorf("%s: %v, want the lack that lasts, %v", call, err, lack)
+				t.Errorf("%s: %v after the retries, want %v", call, err, lack)
 			}
 		}
 		if call == Poll {
 			FailTimes(call, syscall.EAGAIN, 1<<40)
 			if err := do(); !errors.Is(err, syscall.EAGAIN) {
-				t.Errorf("%s: %v, want an end to a lack that lasts", call, err)
+				t.Errorf("%s: %v, want EAGAIN after the retries", call, err)
 			}
 		}
 		FailTimes(call, syscall.EIO, 1)
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// pair gives both ends of a connection on loopback, and the first one's descriptor.
+// pair returns both ends of a connection on loopback, and the first one's descriptor.
 func pair(t *testing.T) (near *net.TCPConn, far net.Conn, raw syscall.RawConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,8 +36,8 @@
 	return near, far, raw
 }
 
-// A socket's bytes are peeked at and then read; with none there both say EAGAIN, and its end is 0 bytes.
-func TestSocketsAreReadWithoutWaiting(t *testing.T) {
+// Bytes can be peeked at and then read; without any both return EAGAIN, and 0 bytes at the end of the stream.
+func TestSocketReadsDoNotWait(t *testing.T) {
 	_, far, raw := pair(t)
 	buffer := make([]byte, 8)
 	var n int
@@ -56,14 +56,14 @@
 	if _, err := far.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool { there, _ := poll(raw, unix.POLLIN); return there != 0 })
+	waitFor(t, func() bool { there, _ := poll(raw, unix.POLLIN); return there != 0 })
 	for _, f := range []func(uintptr, []byte) (int, error){PeekSocket, ReadSocket} {
 		if control(f); n != 2 || err != nil {
 			t.Errorf("%d bytes, %v, want two", n, err)
 		}
 	}
 	far.Close()
-	until(t, func() bool { there, _ := poll(raw, unix.POLLRDHUP); return there != 0 })
+	waitFor(t, func() bool { there, _ := poll(raw, unix.POLLRDHUP); return there != 0 })
 	if control(ReadSocket); n != 0 || err != nil {
 		t.Errorf("%d bytes, %v, want the end", n, err)
 	}
@@ -74,17 +74,17 @@
 	return there, err
 }
 
-func until(t *testing.T, holds func() bool) {
+func waitFor(t *testing.T, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never holds")
+			t.Fatal("condition not met within a second")
 		}
 	}
 }
 
-// A file is replaced as a whole, and one that can't be is named.
-func TestFilesAreReplacedWhole(t *testing.T) {
+// PutFile replaces a file and leaves no temporary one; a path that can't be written is an error.
+func TestPutFileReplacesAtomically(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	for _, text := range []string{"one", "two"} {
 		if err := PutFile(path, []byte(text)); err != nil {
@@ -95,7 +95,7 @@
 		}
 	}
 	if _, err := os.Stat(path + ".new"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("what is written beside stays: %v", err)
+		t.Errorf("the temporary file is left over: %v", err)
 	}
 	if err := PutFile(filepath.Join(path, "below"), nil); err == nil {
 		t.Error("a file below a file was written")
