--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -69,13 +69,13 @@
 	closed             bool
 }
 
-// NewQuotaClient returns a client without any quota, under a lease held until leaseEnd, and sends its first request. configs
+// NewQuotaClient returns a client without any quota, under the node's lease, which is held until leaseEnd, and sends its first request. configs
 // are the budgets of the node's own configuration, by name. maxRequestDuration bounds how long a request under a
 // concurrency budget takes.
-func NewQuotaClient(host ClientHost, now Time, lease string, token uint64, weight float64, configs map[string]lease.BudgetConfig, leaseEnd, maxRequestDuration Time) *QuotaClient {
+func NewQuotaClient(host ClientHost, now Time, leaseName string, token uint64, weight float64, configs map[string]lease.BudgetConfig, leaseEnd, maxRequestDuration Time) *QuotaClient {
 	c := &QuotaClient{
 		host:               host,
-		lease:              lease,
+		lease:              leaseName,
 		token:              token,
 		weight:             weight,
 		leaseEnd:           leaseEnd,
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -42,16 +42,16 @@
 }
 
 // class returns a class by its name, which must be one of Classes.
-func (t *Settings) class(name string) routing.Class { return t.Routing.Classes[t.Classes[name]] }
+func (s *Settings) class(name string) routing.Class { return s.Routing.Classes[s.Classes[name]] }
 
 // IsSafe reports whether requests of a class may be executed any number of times.
-func (t *Settings) IsSafe(namespace string) bool {
-	return t.class(namespace).Idempotence == routing.Safe
+func (s *Settings) IsSafe(class string) bool {
+	return s.class(class).Idempotence == routing.Safe
 }
 
 // DedupWindow returns the time in which servers drop repeats of a request with an idempotency key, 0 for classes without.
-func (t *Settings) DedupWindow(namespace string) time.Duration {
-	if c := t.class(namespace); c.Idempotence == routing.IdempotentByKey {
+func (s *Settings) DedupWindow(class string) time.Duration {
+	if c := s.class(class); c.Idempotence == routing.IdempotentByKey {
 		return Duration(c.DedupWindow)
 	}
 	return 0
@@ -59,18 +59,18 @@
 
 // SharedDedup reports whether all servers together drop repeats of a request of this class by its idempotency key; else
 // each server knows only the keys that it has seen itself.
-func (t *Settings) SharedDedup(namespace string) bool {
-	c := t.class(namespace)
+func (s *Settings) SharedDedup(class string) bool {
+	c := s.class(class)
 	return c.Idempotence == routing.IdempotentByKey && c.SharedDedup
 }
 
 // IsOrigin reports whether a kind of machine, an index of Models, is the origin's.
-func (t *Settings) IsOrigin(kind int) bool {
-	return t.originKindSet && t.Routing.CacheAside && kind == t.Routing.OriginKind
+func (s *Settings) IsOrigin(kind int) bool {
+	return s.originKindSet && s.Routing.CacheAside && kind == s.Routing.OriginKind
 }
 
 // HedgingAllowed reports whether two attempts of a request may be in flight at once. The default is no.
-func (t *Settings) HedgingAllowed() bool { return t.Routing.Hedging }
+func (s *Settings) HedgingAllowed() bool { return s.Routing.Hedging }
 
 const (
 	modeCacheAside = "aside" // domain.mode: caches are filled from an origin
@@ -83,32 +83,32 @@
 func ParseSettings(settings map[string]any) (*Settings, error) {
 	var faults []error
 	o := object{settings, "settings.", &faults}
-	t := &Settings{
+	s := &Settings{
 		Routing:        routing.DefaultConfig(),
 		ConnectTimeout: defaultConnectTimeout,
 		IdleTimeout:    defaultIdleTimeout,
 		PollInterval:   defaultPollInterval,
 	}
-	t.readGeneral(o)
-	t.readClasses(o)
-	t.readTenants(o)
-	t.Models = map[string]int{}
+	s.readGeneral(o)
+	s.readClasses(o)
+	s.readTenants(o)
+	s.Models = map[string]int{}
 	for i, m := range items(settings["models"]) {
-		t.Models[fmt.Sprint(m)] = i
+		s.Models[fmt.Sprint(m)] = i
 	}
-	t.readTimeouts(o)
-	return t, errors.Join(faults...)
+	s.readTimeouts(o)
+	return s, errors.Join(faults...)
 }
 
 // readGeneral reads the keys that hold for all classes and tenants.
-func (t *Settings) readGeneral(o object) {
-	c := &t.Routing
+func (s *Settings) readGeneral(o object) {
+	c := &s.Routing
 	optional(o, "balancers", positiveInteger, &c.Nodes)
 	var mode string
 	optional(o, "domain.mode", text, &mode)
 	c.CacheAside = mode == modeCacheAside
 	if v, found := find(o.values, "domain.origin-kind"); found {
-		_, t.originKindSet = integer.parse(v)
+		_, s.originKindSet = integer.parse(v)
 	}
 	optional(o, "domain.origin-kind", integer, &c.OriginKind)
 	optional(o, "permissions.most-shots", positiveInteger, &c.MaxAttempts)
@@ -123,12 +123,12 @@
 	if advice, found := find(o.values, "permissions.retry-after"); found && advice == false {
 		c.MaxRetryAfter = 0
 	}
-	t.MaxRetryAfter = Duration(c.MaxRetryAfter)
+	s.MaxRetryAfter = Duration(c.MaxRetryAfter)
 }
 
-func (t *Settings) readClasses(o object) {
+func (s *Settings) readClasses(o object) {
 	classes, indices := objects(o, "namespaces")
-	t.Classes = indices
+	s.Classes = indices
 	for _, x := range classes {
 		c := routing.DefaultClass()
 		var group string
@@ -142,34 +142,34 @@
 		optional(x, "late-utility", fraction, &c.LateUtility)
 		optional(x, "utility", nonNegative, &utility)
 		c.SharedDedup = group == groupAll
-		t.MaxDeadline = max(t.MaxDeadline, Duration(deadline))
-		t.Routing.Classes = append(t.Routing.Classes, c)
+		s.MaxDeadline = max(s.MaxDeadline, Duration(deadline))
+		s.Routing.Classes = append(s.Routing.Classes, c)
 	}
 	if len(classes) == 0 {
 		o.fault("namespaces", "a list of one namespace at least")
 	}
 }
 
-func (t *Settings) readTenants(o object) {
+func (s *Settings) readTenants(o object) {
 	tenants, indices := objects(o, "tenants")
-	t.Tenants = indices
+	s.Tenants = indices
 	for _, x := range tenants {
 		c := routing.DefaultTenant()
 		optional(x, "quota-rps", nonNegative, &c.Quota)
-		t.Routing.Tenants = append(t.Routing.Tenants, c)
+		s.Routing.Tenants = append(s.Routing.Tenants, c)
 	}
 }
 
-func (t *Settings) readTimeouts(o object) {
-	optionalTimeout(o, "permissions.connect-timeout-ms", &t.ConnectTimeout)
-	optionalTimeout(o, "permissions.conn-idle-ms", &t.IdleTimeout)
-	optionalTimeout(o, "invariants.ask-within-ms", &t.PollInterval)
-	optionalTimeout(o, "invariants.stop-sending-within-ms", &t.DrainGrace)
+func (s *Settings) readTimeouts(o object) {
+	optionalTimeout(o, "permissions.connect-timeout-ms", &s.ConnectTimeout)
+	optionalTimeout(o, "permissions.conn-idle-ms", &s.IdleTimeout)
+	optionalTimeout(o, "invariants.ask-within-ms", &s.PollInterval)
+	optionalTimeout(o, "invariants.stop-sending-within-ms", &s.DrainGrace)
 	// The grace of a drain begins once the node is notified of it. A polled endpoint list notifies the node when it is sent, a
 	// pushed one as soon as the discovery service has it, so that routing has to allow for the delay. Without the key, the
 	// stricter of the two holds.
-	if mode, _ := find(o.values, "registry-mode"); mode != modePolled && t.DrainGrace > 0 {
-		t.Routing.PushedGrace = routing.Time(t.DrainGrace / tick)
+	if mode, _ := find(o.values, "registry-mode"); mode != modePolled && s.DrainGrace > 0 {
+		s.Routing.PushedGrace = routing.Time(s.DrainGrace / tick)
 	}
 }
 
