--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -27,7 +27,7 @@
 	bypassTimer   *time.Timer // checks whether later attempts at the endpoint were answered; nil: never
 	reported      bool        // the balancer takes it to be over
 	finished      bool        // Finish was called
-	bodySent      bool        // of a streamed body: the balancer was told that its last byte is out
+	bodySent      bool        // of a streamed body: the balancer knows that its last byte was written
 	streaming     bool        // it gave the final answer, whose Rest is still being read
 	counted       atomic.Bool // in the metric of written attempts
 }
@@ -124,7 +124,7 @@
 	d := r.dispatcher
 	answeredAfterReport := result == Complete && a.reported && !r.ended.Load()
 	if result == Complete {
-		d.finish(r, answer) // before the balancer is told, which takes the request to be over from then on
+		d.finish(r, answer) // before the report, as the balancer takes the request to be over from then on
 	}
 	if answeredAfterReport {
 		d.balancer.ClientGone(now, r.index) // it still waits for other attempts
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -34,7 +34,7 @@
 // Answered reports whether a complete answer came, whatever its status.
 func (r AttemptResult) Answered() bool { return r <= UnclearStatus }
 
-// Code returns the routing.Result that the balancer is told. No other place maps results.
+// Code returns the routing.Result that is reported to the balancer. Results are mapped nowhere else.
 func (r AttemptResult) Code() routing.Result {
 	if (r == ConnectionLost || r == Truncated) && faults.Without(faults.MayHaveRun) {
 		return routing.ConnectFailed
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -64,7 +64,7 @@
 
 	mu             sync.Mutex // guards everything below
 	balancer       *routing.Balancer
-	decisionTime   time.Time // of the latest event that the balancer was told of
+	decisionTime   time.Time // of the latest event that was reported to the balancer
 	requests       requestTable
 	endpoints      endpointIndex
 	ejections      map[string]Ejection // the latest of each endpoint, by its id
--- a/internal/net/dispatch/endpoints.go
+++ b/internal/net/dispatch/endpoints.go
@@ -24,7 +24,7 @@
 	model          int
 	gone           bool          // the list does not name it any more
 	listedState    routing.State // in the list
-	effectiveState routing.State // as the balancer is told
+	effectiveState routing.State // as reported to the balancer
 	incarnation    uint64        // a new number after each restart, move and ejection: connections are not shared across
 	listedStartMs  float64       // Endpoint.StartedMs
 	startedAt      routing.Time  // the same by the node's clock, as it was when it was received
@@ -153,7 +153,7 @@
 	return at
 }
 
-// routingEndpoint returns an endpoint as the balancer is told of it, and notes the state that it is told. Called with the
+// routingEndpoint returns an endpoint as it is reported to the balancer, and notes the reported state. Called with the
 // lock held.
 func (d *Dispatcher) routingEndpoint(i int) routing.Endpoint {
 	e := &d.endpoints.entries[i]
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -21,7 +21,8 @@
 // SetQuota tells the balancer this node's quota of a limit; tenant names it for a routing.TenantRate. New attempts may
 // use it for validFor, and then what the quota says for afterwards. Under a concurrency quota they must be over
 // attemptTime after that. It returns the use of the limit since the last call; a zero value for an unknown tenant.
-func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, validFor, attemptTime time.Duration) (usage allowance.Usage) {
+func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, validFor, attemptTime time.Duration) (
+	usage allowance.Usage) {
 	tenantIndex, known := d.settings.Tenants[tenant]
 	if limit == routing.TenantRate && !known {
 		return usage
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -13,7 +13,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// maxDeadlineLag is by how much the deadline that a server is told may exceed what is left of the attempt's time.
+// maxDeadlineLag is by how much the time that a server is told to have may exceed what is left of the attempt's time.
 const maxDeadlineLag = 50 * time.Millisecond
 
 // errTimedOut is the cause of an exchange that is canceled at its deadline.
