--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -25,7 +25,7 @@
 type Transport interface {
 	// Send starts an attempt. The transport calls Attempt.Finish and then Attempt.Release for it, from another goroutine.
 	Send(*Attempt)
-	// CloseIdle closes the idle connections to an endpoint, named by its incarnation (Attempt.Endpoint), except for keep of
+	// CloseIdle closes the idle connections to an endpoint, named by its incarnation as in Attempt, except for keep of
 	// them.
 	CloseIdle(incarnation uint64, keep int)
 	// SetMaxConns bounds the connections to each cache server, dials included. There is no bound until it is called.
@@ -64,7 +64,7 @@
 
 	mu             sync.Mutex // guards everything below
 	balancer       *routing.Balancer
-	decisionTime   time.Time // of the latest event that the balancer was told of
+	decisionTime   time.Time // of the latest event that was reported to the balancer
 	requests       requestTable
 	endpoints      endpointIndex
 	ejections      map[string]Ejection // the latest of each endpoint, by its id
