--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -5,7 +5,6 @@
 	"errors"
 	"io"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -15,203 +14,235 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// handler is one lookup at its client's connection, from its head to the last byte of its answer.
+// overflowRetryAfter is the Retry-After of requests that are rejected for lack of capacity.
+const overflowRetryAfter = 250 * time.Millisecond
+
+// handler serves one request, from its head to the last byte of its answer.
 type handler struct {
 	*Server
 	w           http.ResponseWriter
 	r           *http.Request
 	control     *http.ResponseController
-	conn        *clientConn // nil: not one of ours
-	unambiguous bool        // its head gives its body's end in one way
+	conn        *clientConn // nil: not accepted by a limitedListener
+	unambiguous bool        // the head gives the body's length in one way
 
-	bodyStream *dispatch.BodyStream // what of a long body had not come when the lookup was taken
+	bodyStream *dispatch.BodyStream // the rest of a long body; nil: the body was short
 	class      string
 	outcome    dispatch.Outcome // as the client sees it
-	counted    bool             // counted as such
+	counted    bool             // among the open requests
 	answered   bool
-	truncated  bool // the answer has begun and can't be finished
+	truncated  bool // the answer was begun and cannot be completed
 }
 
-// finish counts the lookup, and sees to it that a client can tell an answer that is not whole. A panic would end the
-// connection without an answer, so it is answered too.
-func (a *handler) finish() {
+// finish counts the request, and breaks the connection of an answer that was not completed, so that the client can tell. After a panic it
+// answers if it can, since net/http would close the connection without an answer.
+func (h *handler) finish() {
 	if p := recover(); p != nil {
-		a.log.Error("a lookup's handler panicked", zap.Any("panic", p), zap.Stack("stack"))
-		a.outcome = dispatch.Failed
-		if a.truncated = a.answered; !a.answered {
-			writePlain(a.w, http.StatusInternalServerError, "internal error")
+		h.log.Error("request handler panicked", zap.Any("panic", p), zap.Stack("stack"))
+		h.outcome = dispatch.Failed
+		h.truncated = h.answered
+		if !h.answered {
+			writePlain(h.w, http.StatusInternalServerError, "internal error")
 		}
 	}
-	if a.counted {
-		a.dispatcher.AddOpen(-1)
-		a.dispatcher.CountEnd(a.class, a.outcome)
+	if h.counted {
+		h.dispatcher.AddOpen(-1)
+		h.dispatcher.CountEnd(h.class, h.outcome)
 	}
-	if a.bodyStream != nil {
-		defer a.bodyStream.Close()
+	if h.bodyStream != nil {
+		defer h.bodyStream.Close()
 	}
-	if a.w.Header().Get("Connection") == "close" {
-		a.r.Body = http.NoBody // for what is left unread net/http would hold the place for half a second; see placed.Close
+	if h.w.Header().Get("Connection") == "close" {
+		// net/http would keep the connection for half a second over an unread body; clientConn.Close takes care of that.
+		h.r.Body = http.NoBody
 	}
-	if a.truncated {
-		panic(http.ErrAbortHandler) // ends the connection in the middle
+	if h.truncated {
+		panic(http.ErrAbortHandler) // closes the connection
 	}
-	a.drain()
+	h.drainBody()
 }
 
-// drain reads what still comes of a long body when its lookup is answered: a client that is cut off while it writes may
-// never read its answer.
-func (a *handler) drain() {
-	if a.bodyStream == nil || a.bodyStream.Whole() {
+// drainBody reads the rest of a long body once its request is answered: a client that is cut off while it writes may never read the answer.
+func (h *handler) drainBody() {
+	if h.bodyStream == nil || h.bodyStream.Whole() {
 		return
 	}
-	_ = a.control.Flush()
+	_ = h.control.Flush()
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
 	for {
-		if _, err := a.bodyStream.Read(*buffer); err != nil {
+		if _, err := h.bodyStream.Read(*buffer); err != nil {
 			return
 		}
 	}
 }
 
-// bufferPool are for bodies on their way through.
-var bufferPool = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
-
-// serve takes the lookup and answers it.
-func (a *handler) serve() {
-	a.class, _ = classAndKey(originForm(a.r.RequestURI))
-	a.dispatcher.AddOpen(1)
-	a.counted = true
-	full := a.inFlight.Add(1) > a.maxInFlight.Load()
-	defer a.inFlight.Add(-1)
-	in, status, err := a.readBody()
-	read := time.Now()
+const copyBufferBytes = 16 << 10
+
+// bufferPool has buffers for bodies that are streamed or discarded.
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
+
+// serve handles the request.
+func (h *handler) serve() {
+	h.class, _ = classAndKey(originForm(h.r.RequestURI))
+	h.dispatcher.AddOpen(1)
+	h.counted = true
+	overLimit := h.inFlight.Add(1) > h.maxInFlight.Load()
+	defer h.inFlight.Add(-1)
+	request, status, err := h.readBody()
+	bodyRead := time.Now()
 	if err != nil {
-		a.w.Header().Set("Connection", "close")     // what follows is not to be read as another lookup,
-		_ = a.control.SetReadDeadline(pastDeadline) // nor waited for: net/http would do so to the end of the body
-		a.reject(status, err)
+		h.rejectBody(status, err)
 		return
 	}
-	if in.Rest != nil {
-		a.bodyStream = in.Rest
-		a.w.Header().Set("Connection", "close") // what is left of the body may be in the way
+	if request.Rest != nil {
+		h.bodyStream = request.Rest
+		h.w.Header().Set("Connection", "close") // the rest of the body may stand before the next request
 	}
-	if full {
-		a.log.Debug("request refused for want of room", zap.String("trace", a.traceID()))
-		a.outcome = dispatch.Rejected
-		writeAnswer(a.w, dispatch.Answer{Outcome: dispatch.Rejected, RetryAfter: min(overflowRetryAfter, a.limits.MaxRetryAfter)})
+	if overLimit {
+		h.rejectOverLimit()
 		return
 	}
-	within, err := parseRequest(a.r, &in)
+	timeout, err := parseRequest(h.r, &request)
 	if err != nil {
-		a.reject(http.StatusBadRequest, err)
-		return
-	}
-	in.ClientGone = a.conn.clientGone
-	t, err := a.dispatcher.Submit(in, read, within)
-	if errors.Is(err, dispatch.ErrDuplicateID) {
-		a.reject(http.StatusConflict, err)
+		h.reject(http.StatusBadRequest, err)
 		return
 	}
+	request.ClientGone = h.conn.clientGone
+	ticket, err := h.dispatcher.Submit(request, bodyRead, timeout)
 	if err != nil {
-		a.reject(http.StatusBadRequest, err)
+		h.reject(submitStatus(err), err)
 		return
 	}
-	left := a.r.Context().Done()
+	h.await(ticket)
+}
+
+func submitStatus(err error) int {
+	if errors.Is(err, dispatch.ErrDuplicateID) {
+		return http.StatusConflict
+	}
+	return http.StatusBadRequest
+}
+
+// await writes the dispatcher's answer, or abandons the request once its client has gone.
+func (h *handler) await(ticket *dispatch.Ticket) {
+	clientGone := h.r.Context().Done()
 	if faults.Without(faults.ClientLook) {
-		left = nil
+		clientGone = nil
 	}
 	select {
-	case ans := <-t.Answers():
-		a.writeAnswer(ans)
-	case <-left:
-		a.log.Debug("a client left", zap.String("trace", a.traceID()))
-		t.Abandon()
-		select {
-		case ans := <-t.Answers(): // it came in the same moment
-			if ans.Rest != nil {
-				_ = ans.Rest.Close()
-			}
-		default:
-		}
-		a.answered = true
-		if a.bodyStream != nil && !a.bodyStream.Whole() {
-			writePlain(a.w, http.StatusRequestTimeout, errBodyTooSlow.Error()) // a client that still listens is told why
-			return
+	case answer := <-ticket.Answers():
+		h.writeAnswer(answer)
+	case <-clientGone:
+		h.abandon(ticket)
+	}
+}
+
+// abandon gives up a request whose client has gone.
+func (h *handler) abandon(ticket *dispatch.Ticket) {
+	h.log.Debug("client closed its connection", zap.String("trace", h.traceID()))
+	ticket.Abandon()
+	select {
+	case answer := <-ticket.Answers(): // came at the same moment
+		if answer.Rest != nil {
+			_ = answer.Rest.Close()
 		}
-		// Nobody should hear this; but an empty 200 would be an answer that no server made.
-		writePlain(a.w, http.StatusBadGateway, "the client has left")
+	default:
+	}
+	h.answered = true
+	if h.bodyStream != nil && !h.bodyStream.Whole() {
+		writePlain(h.w, http.StatusRequestTimeout, errBodyTooSlow.Error()) // the client may have been too slow, and still read
+		return
 	}
+	// Nobody should read this, but without it net/http would write an empty 200, which no server answered.
+	writePlain(h.w, http.StatusBadGateway, "the client has left")
+}
+
+func (h *handler) traceID() string { return h.r.Header.Get("X-Trace-Id") }
+
+// reject answers a request that cannot be dispatched.
+func (h *handler) reject(status int, reason error) {
+	h.log.Debug("request rejected", zap.String("trace", h.traceID()), zap.Int("status", status), zap.Error(reason))
+	writePlain(h.w, status, reason.Error())
 }
 
-func (a *handler) traceID() string { return a.r.Header.Get("X-Trace-Id") }
+// rejectBody rejects a request whose body was not read to its end.
+func (h *handler) rejectBody(status int, reason error) {
+	h.w.Header().Set("Connection", "close")     // the rest must not be read as another request,
+	_ = h.control.SetReadDeadline(pastDeadline) // nor waited for, as net/http would
+	h.reject(status, reason)
+}
 
-// reject answers a request that can't be taken.
-func (a *handler) reject(status int, why error) {
-	a.log.Debug("request turned away", zap.String("trace", a.traceID()), zap.Int("status", status), zap.Error(why))
-	writePlain(a.w, status, why.Error())
+func (h *handler) rejectOverLimit() {
+	h.log.Debug("request rejected, concurrency limit reached", zap.String("trace", h.traceID()))
+	h.outcome = dispatch.Rejected
+	writeAnswer(h.w, dispatch.Answer{Outcome: dispatch.Rejected, RetryAfter: min(overflowRetryAfter, h.limits.MaxRetryAfter)})
 }
 
 // writeAnswer writes the final answer.
-func (a *handler) writeAnswer(ans dispatch.Answer) {
-	a.answered = true
-	if a.draining.Load() {
-		a.w.Header().Set("Connection", "close")
+func (h *handler) writeAnswer(answer dispatch.Answer) {
+	h.answered = true
+	if h.draining.Load() {
+		h.w.Header().Set("Connection", "close")
 	}
-	a.outcome = ans.Outcome
+	h.outcome = answer.Outcome
 	if faults.Without(faults.AnswerOwed) && time.Now().Nanosecond()/1000%100 == 0 {
 		panic(http.ErrAbortHandler)
 	}
-	if ans.Rest == nil {
-		writeAnswer(a.w, ans)
+	if answer.Rest == nil {
+		writeAnswer(h.w, answer)
 		return
 	}
-	if err := a.streamAnswer(ans); err != nil {
-		a.log.Info("a long answer is not passed on whole", zap.Error(err), zap.String("trace", a.traceID()))
-		a.outcome, a.truncated = dispatch.Failed, true
+	if err := h.streamAnswer(answer); err != nil {
+		h.log.Info("streamed answer was not completed", zap.Error(err), zap.String("trace", h.traceID()))
+		h.outcome = dispatch.Failed
+		h.truncated = true
 	}
 }
 
-var errAnswerLength = errors.New("the answer is not as long as it was said to be")
+var errAnswerLength = errors.New("the answer's body does not have the announced length")
 
-// streamAnswer passes a long answer on as it comes. Nothing is held back, and what can't be finished is left unfinished: neither
-// the last chunk nor the length told is ever made up.
-func (a *handler) streamAnswer(ans dispatch.Answer) error {
-	defer ans.Rest.Close()
-	// A client that leaves ends the server's connection too, rather than have the rest brought for nobody.
-	defer context.AfterFunc(a.r.Context(), func() { _ = ans.Rest.Close() })()
-	_ = a.control.SetReadDeadline(time.Time{}) // it may take longer than any lookup
-	if ans.Length >= 0 {
-		a.w.Header().Set("Content-Length", strconv.FormatInt(ans.Length, 10))
-	}
-	if ans.ContentType == "" {
-		ans.ContentType = defaultContentType
-	}
-	a.w.Header().Set("Content-Type", ans.ContentType)
-	a.w.WriteHeader(http.StatusOK)
+// streamAnswer writes a long answer as it comes. One that breaks stays incomplete for the client too: neither the last chunk nor the announced
+// length is made up.
+func (h *handler) streamAnswer(answer dispatch.Answer) error {
+	defer answer.Rest.Close()
+	// A client that goes ends the server's connection too, which would otherwise bring the rest for nobody.
+	defer context.AfterFunc(h.r.Context(), func() { _ = answer.Rest.Close() })()
+	_ = h.control.SetReadDeadline(time.Time{}) // a stream may take longer than any request's deadline
+	writeStreamHeader(h.w, answer)
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
-	for next, sent, end := ans.Body, int64(0), error(nil); ; {
-		if sent += int64(len(next)); ans.Length >= 0 && sent > ans.Length {
+	next := answer.Body
+	sent := int64(0)
+	var readErr error // of the read that brought next; io.EOF at the end
+	for {
+		sent += int64(len(next))
+		if answer.Length >= 0 && sent > answer.Length {
 			return errAnswerLength
 		}
-		_ = a.control.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := a.w.Write(next); err != nil {
-			return err
-		}
-		if err := a.control.Flush(); err != nil {
+		if err := h.writeFlushed(next); err != nil {
 			return err
 		}
 		switch {
-		case end != nil && ans.Length >= 0 && sent < ans.Length:
+		case readErr != nil && answer.Length >= 0 && sent < answer.Length:
 			return errAnswerLength
-		case end != nil:
+		case readErr != nil:
 			return nil
 		}
-		n, err := ans.Rest.Read(*buffer)
-		if err != nil && !errors.Is(err, io.EOF) {
-			return err
+		var n int
+		n, readErr = answer.Rest.Read(*buffer)
+		if readErr != nil && !errors.Is(readErr, io.EOF) {
+			return readErr
 		}
-		next, end = (*buffer)[:n], err
+		next = (*buffer)[:n]
+	}
+}
+
+// writeFlushed writes a part of a streamed answer through to the connection. The client has writeTimeout to take it.
+func (h *handler) writeFlushed(part []byte) error {
+	_ = h.control.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := h.w.Write(part); err != nil {
+		return err
 	}
+	return h.control.Flush()
 }
--- a/internal/net/frontend/server.go
+++ b/internal/net/frontend/server.go
@@ -1,4 +1,4 @@
-// Package frontend is the side of a node that clients talk to, on net/http's server.
+// Package frontend serves clients over HTTP, on net/http's server: it bounds connections, requests and bodies, and hands requests to the dispatcher.
 package frontend
 
 import (
@@ -15,34 +15,34 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Limits is what the clients' side may take.
+// Limits bounds what clients may use.
 type Limits struct {
-	Descriptors   int           // connections, and lookups in hand; those beyond are deferred
-	OverflowConns int           // connections for such deferrals; the next wait for a free place
-	MaxDeadline   time.Duration // the longest time limit of a lookup
-	MaxRetryAfter time.Duration // the longest retry-after that clients heed, 0: none is to be given
-	MaxBuffered   int64         // of a lookup that is held whole, in bytes,
-	MaxStreamed   int64         // and of one that is passed on as it comes
+	Descriptors   int           // connections, and requests in flight; further ones are rejected
+	OverflowConns int           // connections for those rejections; further ones wait in the kernel's queue
+	MaxDeadline   time.Duration // the longest deadline of a request
+	MaxRetryAfter time.Duration // the longest Retry-After that clients heed; 0: none is sent
+	MaxBuffered   int64         // bytes of a body that is buffered;
+	MaxStreamed   int64         // bytes of one that is forwarded as it comes
 }
 
+// Timeouts and limits of net/http's server.
 const (
-	maxHeaderBytes        = 12 << 10                // bytes of a lookup's head; real ones take some hundred
-	headerTimeout         = 2600 * time.Millisecond // for headers: true clients take up to 2 s, an answer is owed within 3 s
-	bodyTimeoutFromAccept = 2600 * time.Millisecond // after the connection came, for a body: an answer is owed within 3 s
-	bodyTimeout           = 2 * time.Second         // after the headers, where that is later;
-	minBodyBytesPerSecond = 48 << 10                // and a second more for so many bytes: true clients send 64 kB in one
-	maxBodyPause          = 2 * time.Second         // for the next bytes of a long one
-	writeTimeout          = 10 * time.Second        // for a client to take some of its answer
-	writeTimeoutSlack     = 10 * time.Second        // beyond the longest limit: by then a lookup and its answer are through
-	idleTimeout           = 60 * time.Second        // a connection between lookups
-	drainAcceptTime       = 500 * time.Millisecond  // new connections go on coming for up to 0.4 s after SIGTERM
-	drainIdleTime         = 300 * time.Millisecond  // kept connections end by their next answer; only idle ones are closed later
-	drainPollInterval     = 10 * time.Millisecond   // between looks at who may go meanwhile
-	drainSlack            = 100 * time.Millisecond  // beyond the longest limit, for the last answers to be written
-	overflowRetryAfter    = 250 * time.Millisecond  // retry-after of a deferral for want of room here
+	maxHeaderBytes    = 12 << 10                // clients send some hundred
+	headerTimeout     = 2600 * time.Millisecond // clients take up to 2 s, and an answer is due within 3 s
+	writeTimeout      = 10 * time.Second        // for each part of a streamed answer
+	writeTimeoutSlack = 10 * time.Second        // of an answer, beyond the longest deadline
+	idleTimeout       = 60 * time.Second
 )
 
-// Server is the client side of a node.
+// Graceful shutdown.
+const (
+	drainAcceptTime   = 500 * time.Millisecond // new connections come for up to 0.4 s after SIGTERM
+	drainIdleTime     = 300 * time.Millisecond // before idle connections are closed; others close with their next answer
+	drainPollInterval = 10 * time.Millisecond
+	drainSlack        = 100 * time.Millisecond // for the last answers to be written, beyond the longest deadline
+)
+
+// Server is the clients' side of a node. Its methods may be called from several goroutines; Serve is called once.
 type Server struct {
 	log         *zap.Logger
 	dispatcher  *dispatch.Dispatcher
@@ -50,103 +50,133 @@
 	limits      Limits
 	conns       *connTracker
 	listener    atomic.Pointer[limitedListener]
-	maxInFlight atomic.Int64 // lookups in hand; those beyond are deferred
-	inFlight    atomic.Int64 // lookups
+	maxInFlight atomic.Int64 // requests; further ones are rejected
+	inFlight    atomic.Int64
 	draining    atomic.Bool
 }
 
-// New makes the client side.
-func New(x *dispatch.Dispatcher, b Limits, log *zap.Logger) *Server {
-	c := &Server{log: log, dispatcher: x, limits: b, conns: newConnTracker(b.Descriptors)}
-	c.maxInFlight.Store(int64(b.Descriptors))
-	c.httpServer = &http.Server{Handler: c, MaxHeaderBytes: 2 * maxHeaderBytes, ReadHeaderTimeout: headerTimeout, DisableGeneralOptionsHandler: true,
-		ReadTimeout: headerTimeout, WriteTimeout: b.MaxDeadline + writeTimeoutSlack, IdleTimeout: idleTimeout,
-		ErrorLog: zap.NewStdLog(log), ConnState: c.conns.connState,
+// New returns a server that hands requests to d.
+func New(d *dispatch.Dispatcher, limits Limits, log *zap.Logger) *Server {
+	s := &Server{log: log, dispatcher: d, limits: limits, conns: newConnTracker(limits.Descriptors)}
+	s.maxInFlight.Store(int64(limits.Descriptors))
+	s.httpServer = &http.Server{
+		Handler:                      s,
+		MaxHeaderBytes:               2 * maxHeaderBytes, // clientConn rejects longer heads before
+		ReadHeaderTimeout:            headerTimeout,
+		DisableGeneralOptionsHandler: true,
+		ReadTimeout:                  headerTimeout,
+		WriteTimeout:                 limits.MaxDeadline + writeTimeoutSlack,
+		IdleTimeout:                  idleTimeout,
+		ErrorLog:                     zap.NewStdLog(log),
+		ConnState:                    s.conns.connState,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
-		}}
-	return c
+		},
+	}
+	return s
 }
 
-// connKey is the key under which a lookup's context has its connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Serve answers clients until Leave has ended, or the listener fails.
-func (c *Server) Serve(l net.Listener) error {
-	b := newLimitedListener(l, c.limits.Descriptors+c.limits.OverflowConns, func(waited time.Duration) { c.conns.closeIdle(1, waited) }, c.log)
-	c.listener.Store(b)
-	err := c.httpServer.Serve(b)
-	if errors.Is(err, http.ErrServerClosed) || c.draining.Load() {
+// Serve serves clients until Shutdown has ended, or the listener fails.
+func (s *Server) Serve(l net.Listener) error {
+	onFull := func(waited time.Duration) { s.conns.closeIdle(1, waited) }
+	limited := newLimitedListener(l, s.limits.Descriptors+s.limits.OverflowConns, onFull, s.log)
+	s.listener.Store(limited)
+	err := s.httpServer.Serve(limited)
+	if errors.Is(err, http.ErrServerClosed) || s.draining.Load() {
 		return nil
 	}
 	return err
 }
 
-// Resize changes how many connections are taken, and lookups; those that are open beyond make way as they can.
-func (c *Server) Resize(descriptors, beyond int) {
-	c.maxInFlight.Store(int64(descriptors))
-	if b := c.listener.Load(); b != nil {
-		b.maxConns.Store(int64(descriptors + beyond))
+// Resize changes the limits on connections and requests. Connections beyond them are closed as they become idle.
+func (s *Server) Resize(descriptors, overflowConns int) {
+	s.maxInFlight.Store(int64(descriptors))
+	if l := s.listener.Load(); l != nil {
+		l.maxConns.Store(int64(descriptors + overflowConns))
 	}
-	c.conns.resize(descriptors)
+	s.conns.resize(descriptors)
 }
 
-// Shutdown ends the service without losing a lookup: connections go on coming for a while, so it goes on
-// accepting them, ends each with its next answer, and only then closes the listener and waits for the rest. Where
-// another process has the clients' socket too, the next connections are its own at once.
-func (c *Server) Shutdown(succeeded bool) error {
-	c.draining.Store(true)
-	began, last := time.Now(), time.Duration(0)
-	// Not by Shutdown or SetKeepAlivesEnabled: they close idle connections even while a lookup on them is being read.
-	for end := drainAcceptTime + c.limits.MaxDeadline + drainSlack; ; time.Sleep(drainPollInterval) {
-		l, span := c.listener.Load(), time.Since(began) // Serve may begin only now
-		// Closed with connections in its queue, a socket would reset them.
-		if l != nil && (succeeded || span >= drainAcceptTime && (!l.hasQueued() || span >= drainAcceptTime+c.limits.MaxDeadline/2)) {
-			_ = l.Close()
+// Shutdown ends the service without losing a request. Connections go on coming for a while, so it goes on accepting them, closes each with its
+// next answer, and only then closes the listener and waits for the rest. If another process serves the socket too (succeeded), it takes the new
+// connections at once. Shutdown returns an error if connections were still open after the longest deadline.
+//
+// It does not use Shutdown or SetKeepAlivesEnabled of http.Server, which close idle connections even while a request on them is being read.
+func (s *Server) Shutdown(succeeded bool) error {
+	s.draining.Store(true)
+	began := time.Now()
+	lastOpen := time.Duration(0) // when a connection was last open
+	end := drainAcceptTime + s.limits.MaxDeadline + drainSlack
+	for ; ; time.Sleep(drainPollInterval) {
+		listener := s.listener.Load() // nil until Serve begins
+		elapsed := time.Since(began)
+		if listener != nil && (succeeded || s.queueDrained(listener, elapsed)) {
+			_ = listener.Close()
 		}
-		if !succeeded || span >= drainIdleTime {
-			c.conns.closeIdle(c.conns.count(), span)
-		}
-		open, lingers := c.conns.count(), 0
-		if l != nil {
-			lingers = l.lingeringCount()
-			open = max(open, int(l.conns.Load())-lingers) // one may be on its way from the listener
+		if !succeeded || elapsed >= drainIdleTime {
+			s.conns.closeIdle(s.conns.count(), elapsed)
 		}
+		open, lingering := s.openConns(listener)
 		if open > 0 {
-			last = span
+			lastOpen = elapsed
 		}
 		switch {
-		case open == 0 && span >= drainAcceptTime && (lingers == 0 || span >= last+minLinger || span >= end):
-			return c.httpServer.Close()
-		case span >= end:
-			_ = c.httpServer.Close()
+		case open == 0 && elapsed >= drainAcceptTime && (lingering == 0 || elapsed >= lastOpen+minLinger || elapsed >= end):
+			return s.httpServer.Close()
+		case elapsed >= end:
+			_ = s.httpServer.Close()
 			return fmt.Errorf("%d connections were still open", open)
 		}
 	}
 }
 
-// Draining says whether no more clients are to come.
-func (c *Server) Draining() bool { return c.draining.Load() }
+// queueDrained reports whether the listener may be closed: with connections in its queue, the kernel would reset them.
+func (s *Server) queueDrained(l *limitedListener, elapsed time.Duration) bool {
+	return elapsed >= drainAcceptTime && (!l.hasQueued() || elapsed >= drainAcceptTime+s.limits.MaxDeadline/2)
+}
+
+// openConns returns the number of open connections, without those that linger, and of these.
+func (s *Server) openConns(l *limitedListener) (open, lingering int) {
+	open = s.conns.count()
+	if l == nil {
+		return open, 0
+	}
+	lingering = l.lingeringCount()
+	accepted := int(l.conns.Load()) - lingering // may include one that net/http does not have yet
+	return max(open, accepted), lingering
+}
+
+// Draining reports whether Shutdown was called.
+func (s *Server) Draining() bool { return s.draining.Load() }
 
-// Open gives how many connections clients have.
-func (c *Server) Open() int { return c.conns.count() }
+// Open returns the number of client connections.
+func (s *Server) Open() int { return s.conns.count() }
 
-// ServeHTTP answers one lookup.
-func (c *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a := &handler{Server: c, w: w, r: r, control: http.NewResponseController(w), outcome: dispatch.Failed}
-	a.conn, _ = r.Context().Value(connKey{}).(*clientConn)
-	a.unambiguous = a.conn != nil && a.conn.framing.nextUnambiguous()
-	if c.conns.overLimit() || c.draining.Load() {
+// ServeHTTP serves one request.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h := &handler{Server: s, w: w, r: r, control: http.NewResponseController(w), outcome: dispatch.Failed}
+	h.conn, _ = r.Context().Value(connKey{}).(*clientConn)
+	h.unambiguous = h.conn != nil && h.conn.framing.nextUnambiguous()
+	if s.conns.overLimit() || s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if r.URL.Path == "/up" {
-		if c.dispatcher.Ready() && !c.draining.Load() {
-			writePlain(w, http.StatusOK, "up")
-		} else {
-			writePlain(w, http.StatusServiceUnavailable, "not up")
-		}
+	if r.URL.Path == readinessPath {
+		s.serveReadiness(w)
+		return
+	}
+	defer h.finish()
+	h.serve()
+}
+
+const readinessPath = "/up"
+
+func (s *Server) serveReadiness(w http.ResponseWriter) {
+	if s.dispatcher.Ready() && !s.draining.Load() {
+		writePlain(w, http.StatusOK, "up")
 		return
 	}
-	defer a.finish()
-	a.serve()
+	writePlain(w, http.StatusServiceUnavailable, "not up")
 }
