--- a/internal/net/frontend/conn_tracker.go
+++ b/internal/net/frontend/conn_tracker.go
@@ -28,9 +28,6 @@
 	usedConnTimeout = 50 * time.Millisecond
 )
 
-// pastDeadline is a deadline that wakes whoever waits for a read.
-var pastDeadline = time.Now().Add(-time.Hour)
-
 // connTracker counts the clients' connections and knows which carry no lookup. Clients keep connections that they
 // don't use, and some never send anything; when such have taken all places, the longest quiet one makes way
 // for a new one, which would otherwise wait unanswered. Those that were used come first, then those that never said
--- a/internal/net/frontend/read_ahead.go
+++ b/internal/net/frontend/read_ahead.go
@@ -14,98 +14,88 @@
 )
 
 const (
-	readAheadThreshold  = 4 << 10 // bytes behind a lookup from which its client's end may stand behind a full window
-	maxReadAheadPerConn = 4 << 20 // bytes read ahead of a connection: more than a kernel holds back,
-	maxReadAheadTotal   = 8 << 20 // and of all; beyond them nothing is
+	readAheadThreshold  = 4 << 10 // unread bytes from which a client's end may be stuck behind a full window
+	maxReadAheadPerConn = 4 << 20 // bytes; more than a kernel buffers
+	maxReadAheadTotal   = 8 << 20 // bytes of all connections
 	readAheadPause      = time.Millisecond
-	maxQuietPauses      = 2  // pauses with nothing more, after which all that was on its way has come: some round trips
-	maxReadAheadPauses  = 10 // pauses at the most
+	maxQuietPauses      = 2 // pauses without new bytes, some round trips, after which all that was under way has come
+	maxReadAheadPauses  = 10
 )
 
-// readAhead is what was read of a connection to see its end behind it, and nobody has taken yet.
+// readAhead is what was read of a connection to see its end, before its reader wanted it.
 type readAhead struct {
-	mu     sync.Mutex // one reads from the kernel at a time
+	mu     sync.Mutex // held while reading from the kernel, so that bytes stay in order
 	unread []byte
-	total  *atomic.Int64 // counts that of all connections; nil: nothing is read ahead
+	total  *atomic.Int64 // bytes of all connections; nil: nothing is read ahead
 }
 
-// consume counts bytes as gone. Called with the lock held.
+// consume counts n bytes out. It is called with mu locked.
 func (a *readAhead) consume(n int) {
-	if a.unread = a.unread[n:]; len(a.unread) == 0 {
-		a.unread = nil
+	a.unread = a.unread[n:]
+	if len(a.unread) == 0 {
+		a.unread = nil // frees the memory
 	}
 	if n > 0 {
 		a.total.Add(int64(-n))
 	}
 }
 
-// readNow gives what there is without waiting, what was read ahead before all else. The kernel's bytes are taken under the lock, so that
-// it makes no difference who reads them.
-func (p *clientConn) readNow(fd uintptr, b []byte) (n int, err error) {
-	p.readAhead.mu.Lock()
-	defer p.readAhead.mu.Unlock()
-	if len(p.readAhead.unread) > 0 {
-		n = copy(b, p.readAhead.unread)
-		p.readAhead.consume(n)
+// readNow returns bytes without waiting: those that were read ahead, or else the kernel's.
+func (c *clientConn) readNow(fd uintptr, b []byte) (n int, err error) {
+	c.readAhead.mu.Lock()
+	defer c.readAhead.mu.Unlock()
+	if len(c.readAhead.unread) > 0 {
+		n = copy(b, c.readAhead.unread)
+		c.readAhead.consume(n)
 		return n, nil
 	}
 	return kernel.ReadSocket(fd, b)
 }
 
-// readWait waits for bytes.
-func (p *clientConn) readWait(b []byte) (n int, err error) {
-	over := p.raw.Read(func(fd uintptr) bool {
-		n, err = p.readNow(fd, b)
+// readWait waits for bytes, the end, or the read deadline.
+func (c *clientConn) readWait(b []byte) (n int, err error) {
+	waitErr := c.raw.Read(func(fd uintptr) bool {
+		n, err = c.readNow(fd, b)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	switch {
-	case over != nil:
-		return 0, over
+	case waitErr != nil:
+		return 0, waitErr
 	case err != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: p.LocalAddr(), Addr: p.RemoteAddr(), Err: os.NewSyscallError("read", err)}
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
 	case n == 0 && len(b) > 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// readAheadForEnd reads ahead where much lies behind a lookup: its client's end comes only once the bytes before it have been taken. It says
-// whether it did.
-func (p *clientConn) readAheadForEnd() (did bool) {
-	if p.readAhead.total == nil {
+// readAheadForEnd reads ahead if much lies behind a request: the client's end comes only once the bytes before it have been read. It reports whether it
+// did.
+func (c *clientConn) readAheadForEnd() (did bool) {
+	if c.readAhead.total == nil {
 		return false
 	}
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
-	quiet := 0
+	quietPauses := 0
 	for range maxReadAheadPauses {
 		more := false
-		_ = p.raw.Control(func(fd uintptr) {
-			p.readAhead.mu.Lock()
-			defer p.readAhead.mu.Unlock()
+		_ = c.raw.Control(func(fd uintptr) {
+			c.readAhead.mu.Lock()
+			defer c.readAhead.mu.Unlock()
 			if !did {
 				n, err := kernel.PeekSocket(fd, (*buffer)[:readAheadThreshold])
 				did = err == nil && n == readAheadThreshold
 			}
-			for did && len(p.readAhead.unread) < maxReadAheadPerConn {
-				size := int64(len(*buffer))
-				if p.readAhead.total.Add(size) > maxReadAheadTotal {
-					p.readAhead.total.Add(-size)
-					return
-				}
-				n, _ := kernel.ReadSocket(fd, *buffer)
-				p.readAhead.unread = append(p.readAhead.unread, (*buffer)[:n]...)
-				p.readAhead.total.Add(int64(n) - size)
-				if n == 0 {
-					return
-				}
-				more = true
+			if did {
+				more = c.readAhead.fill(fd, *buffer)
 			}
 		})
-		if quiet++; more {
-			quiet = 0
+		quietPauses++
+		if more {
+			quietPauses = 0
 		}
-		if !did || quiet == maxQuietPauses {
+		if !did || quietPauses == maxQuietPauses {
 			break
 		}
 		time.Sleep(readAheadPause)
@@ -113,13 +103,32 @@
 	return did
 }
 
-// dropReadAhead lets go of what was read ahead, and says how much that was.
-func (p *clientConn) dropReadAhead() int {
-	p.readAhead.mu.Lock()
-	defer p.readAhead.mu.Unlock()
-	n := len(p.readAhead.unread)
+// fill reads what the kernel has, up to the bounds, and reports whether that was anything. It is called with mu locked.
+func (a *readAhead) fill(fd uintptr, buffer []byte) (more bool) {
+	size := int64(len(buffer))
+	for len(a.unread) < maxReadAheadPerConn {
+		if a.total.Add(size) > maxReadAheadTotal {
+			a.total.Add(-size)
+			return more
+		}
+		n, _ := kernel.ReadSocket(fd, buffer)
+		a.unread = append(a.unread, buffer[:n]...)
+		a.total.Add(int64(n) - size)
+		if n == 0 {
+			return more
+		}
+		more = true
+	}
+	return more
+}
+
+// dropReadAhead discards what was read ahead, and returns how many bytes that was.
+func (c *clientConn) dropReadAhead() int {
+	c.readAhead.mu.Lock()
+	defer c.readAhead.mu.Unlock()
+	n := len(c.readAhead.unread)
 	if n > 0 {
-		p.readAhead.consume(n)
+		c.readAhead.consume(n)
 	}
 	return n
 }
