--- a/internal/net/frontend/conn_tracker.go
+++ b/internal/net/frontend/conn_tracker.go
@@ -10,154 +10,178 @@
 	"github.com/thistlerudder/thistlerudder/internal/clock"
 )
 
+// How long a connection must have been quiet before it may be closed for a new one.
 const (
-	// newConnTimeout is how long a new connection may say nothing before it may have to make way: clients open one when they
-	// have a lookup, so this is ample for the first byte, also where a node comes to read it late.
+	// newConnTimeout holds for a connection that never had a request: clients open one when they have a request, so this is ample for the first
+	// byte, also if the node reads it late.
 	newConnTimeout = 300 * time.Millisecond
-	// stalledRequestTimeout is how long one that has begun its lookup may pause. True ones take up to two seconds to write, and
-	// bring some bytes all along; others in a crowd begin and never go on.
+
+	// stalledRequestTimeout holds within a request. Clients take up to 2 s to write one, and send some bytes all along.
 	stalledRequestTimeout = 1 * time.Second
-	// minQuietTime is how long either may be quiet when others have waited for a place for a while, unless it advances.
+
+	// minQuietTime bounds both from below as waitFactor times the others' wait is taken off, unless the request makes progress.
 	minQuietTime = 100 * time.Millisecond
-	// waitFactor is how much of these spans the others' wait takes off.
-	waitFactor = 5
-	// progressTime is the span between a lookup's first bytes and its latest that tells a slow client from one that
-	// wrote half a lookup at once.
+	waitFactor   = 5
+
+	// progressTime from a request's first bytes to its latest tells a slow client from one that wrote half a request at once.
 	progressTime = 100 * time.Millisecond
-	// usedConnTimeout is how long a kept one must have been idle: a client that is busy sends the next lookup at once.
+
+	// usedConnTimeout holds for a connection between requests: a busy client sends the next one at once.
 	usedConnTimeout = 50 * time.Millisecond
 )
 
-// connTracker counts the clients' connections and knows which carry no lookup. Clients keep connections that they
-// don't use, and some never send anything; when such have taken all places, the longest quiet one makes way
-// for a new one, which would otherwise wait unanswered. Those that were used come first, then those that never said
-// anything, then those that have stopped in the middle of a lookup; who is writing one stays. A close that crosses a
-// lookup is allowed: the client sends it again.
+// connTracker counts the client connections and knows which carry no request. Clients keep connections that they do not use, and some never send
+// anything; if such have reached the limit, the one that has been quiet longest is closed for a new one. Those that had a request go first, then those
+// that never sent anything, then those that stalled within a request. A close may cross a request: the client sends it again.
 type connTracker struct {
 	maxOpen int
 
 	mu         sync.Mutex
 	open       int
-	idle       *list.List // of *place, the longest quiet first
+	idle       *list.List // of *idleConn, the longest idle first
 	idleByConn map[net.Conn]*list.Element
 }
 
-// idleConn is a connection that carries no lookup.
+// idleConn is a connection that carries no request, as far as net/http knows.
 type idleConn struct {
 	conn         net.Conn
-	unused       bool // it never had one
-	requestBegun bool // it came with the beginning of the next one
+	unused       bool // it never had a request
+	requestBegun bool // the beginning of the next request came with the last one
 	since        time.Time
 }
 
-func newConnTracker(most int) *connTracker {
-	return &connTracker{maxOpen: most, idle: list.New(), idleByConn: map[net.Conn]*list.Element{}}
+func newConnTracker(maxOpen int) *connTracker {
+	return &connTracker{maxOpen: maxOpen, idle: list.New(), idleByConn: map[net.Conn]*list.Element{}}
 }
 
-// connState follows the server's connections.
-func (r *connTracker) connState(c net.Conn, s http.ConnState) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if e := r.idleByConn[c]; e != nil {
-		r.idle.Remove(e)
-		delete(r.idleByConn, c)
+// connState follows the HTTP server's connections.
+func (t *connTracker) connState(conn net.Conn, state http.ConnState) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.removeIdle(conn)
+	client, isClient := conn.(*clientConn)
+	if isClient {
+		client.stateChanged.Store(int64(clock.Now()))
 	}
-	if own, ours := c.(*clientConn); ours {
-		own.stateChanged.Store(int64(clock.Now()))
-	}
-	switch s {
+	switch state {
 	case http.StateNew:
-		if r.open++; r.open > r.maxOpen {
-			r.closeIdleLocked(1, 0)
+		t.open++
+		if t.open > t.maxOpen {
+			t.closeIdleLocked(1, 0)
 		}
-		r.idleByConn[c] = r.idle.PushBack(&idleConn{conn: c, unused: true, since: time.Now()})
+		t.addIdle(&idleConn{conn: conn, unused: true, since: time.Now()})
 	case http.StateIdle:
-		own, ours := c.(*clientConn)
-		r.idleByConn[c] = r.idle.PushBack(&idleConn{conn: c, requestBegun: ours && own.framing.midRequest(), since: time.Now()})
+		requestBegun := isClient && client.framing.midRequest()
+		t.addIdle(&idleConn{conn: conn, requestBegun: requestBegun, since: time.Now()})
 	case http.StateClosed, http.StateHijacked:
-		r.open--
+		t.open--
+	}
+}
+
+func (t *connTracker) addIdle(idle *idleConn) {
+	t.idleByConn[idle.conn] = t.idle.PushBack(idle)
+}
+
+func (t *connTracker) removeIdle(conn net.Conn) {
+	if element := t.idleByConn[conn]; element != nil {
+		t.idle.Remove(element)
+		delete(t.idleByConn, conn)
 	}
 }
 
-// closeIdle ends so many connections, those that were quiet longest, as far as they may be ended. waited is for how long
-// a place has been wanted.
-func (r *connTracker) closeIdle(most int, waited time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.closeIdleLocked(most, waited)
+// closeIdle closes up to n idle connections, as far as they may be closed. waited is how long a new connection has waited.
+func (t *connTracker) closeIdle(n int, waited time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closeIdleLocked(n, waited)
 }
 
-// closeIdleLocked doesn't close a connection: the server calls it idle until it has read the next lookup's headers, and
-// a lookup that was read must be answered. It wakes the server's read instead. The server then closes the
-// connection itself if nothing has come, and answers if something has.
-func (r *connTracker) closeIdleLocked(most int, waited time.Duration) {
-	for ; most > 0; most-- {
-		e := r.nextToClose(time.Now(), waited)
-		if e == nil {
+// closeIdleLocked does not close a connection itself: to net/http it is idle until the head of the next request is read, and a request that was read
+// must be answered. It wakes the server's read, which closes the connection if nothing has come and serves it if something has.
+func (t *connTracker) closeIdleLocked(n int, waited time.Duration) {
+	for ; n > 0; n-- {
+		element := t.nextToClose(time.Now(), waited)
+		if element == nil {
 			return
 		}
-		p := e.Value.(*idleConn)
-		r.idle.Remove(e)
-		delete(r.idleByConn, p.conn)
-		if own, ours := p.conn.(*clientConn); ours {
-			own.closeRequested.Store(true)
+		conn := element.Value.(*idleConn).conn
+		t.removeIdle(conn)
+		if client, isClient := conn.(*clientConn); isClient {
+			client.closeRequested.Store(true)
 		}
-		_ = p.conn.SetReadDeadline(pastDeadline)
+		_ = conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// nextToClose gives the connection that makes way before all others, if there is one that may have to.
-func (r *connTracker) nextToClose(now time.Time, waited time.Duration) (best *list.Element) {
-	rank, longest := 0, time.Duration(0)
-	for e := r.idle.Front(); e != nil; e = e.Next() {
-		if its, quiet := e.Value.(*idleConn).closeRank(now, waited); its > rank || its == rank && its > 0 && quiet > longest {
-			best, rank, longest = e, its, quiet
+// nextToClose returns the connection to close first; nil if none may be closed.
+func (t *connTracker) nextToClose(now time.Time, waited time.Duration) *list.Element {
+	var best *list.Element
+	bestRank := notClosable
+	longest := time.Duration(0)
+	for element := t.idle.Front(); element != nil; element = element.Next() {
+		rank, quiet := element.Value.(*idleConn).closeRank(now, waited)
+		if rank > bestRank || rank == bestRank && rank != notClosable && quiet > longest {
+			best = element
+			bestRank = rank
+			longest = quiet
 		}
 	}
 	return best
 }
 
-// closeRank says for how long a connection has brought nothing, and ranks it: the highest makes way first, 0 not at all.
-func (p *idleConn) closeRank(now time.Time, waited time.Duration) (rank int, since time.Duration) {
-	since = now.Sub(p.since)
-	begun := p.requestBegun // its next lookup, which the server does not tell before its headers are read
-	pause := max(minQuietTime, stalledRequestTimeout-waitFactor*waited)
-	if c, ours := p.conn.(*clientConn); ours {
-		if heard := clock.Moment(c.lastRead.Load()).Time(); heard.After(p.since) {
-			begun, since = true, now.Sub(heard)
-			if heard.Sub(clock.Moment(c.firstRead.Load()).Time()) >= progressTime {
-				pause = stalledRequestTimeout
+// closeRank orders idle connections: the highest is closed first.
+type closeRank int
+
+const (
+	notClosable closeRank = iota
+	stalledRequest
+	neverUsed
+	betweenRequests
+)
+
+// closeRank returns a connection's rank, and how long it has been quiet.
+func (c *idleConn) closeRank(now time.Time, waited time.Duration) (rank closeRank, quiet time.Duration) {
+	quiet = now.Sub(c.since)
+	requestBegun := c.requestBegun
+	stallTimeout := max(minQuietTime, stalledRequestTimeout-waitFactor*waited)
+	if client, isClient := c.conn.(*clientConn); isClient {
+		// net/http does not tell of a request before its head is read.
+		if lastRead := clock.Moment(client.lastRead.Load()).Time(); lastRead.After(c.since) {
+			requestBegun = true
+			quiet = now.Sub(lastRead)
+			if lastRead.Sub(clock.Moment(client.firstRead.Load()).Time()) >= progressTime {
+				stallTimeout = stalledRequestTimeout
 			}
 		}
 	}
 	switch {
-	case begun && since >= pause:
-		return 1, since
-	case !begun && p.unused && since >= max(minQuietTime, newConnTimeout-waitFactor*waited):
-		return 2, since
-	case !begun && !p.unused && since >= usedConnTimeout:
-		return 3, since
+	case requestBegun && quiet >= stallTimeout:
+		return stalledRequest, quiet
+	case !requestBegun && c.unused && quiet >= max(minQuietTime, newConnTimeout-waitFactor*waited):
+		return neverUsed, quiet
+	case !requestBegun && !c.unused && quiet >= usedConnTimeout:
+		return betweenRequests, quiet
 	}
-	return 0, since
+	return notClosable, quiet
 }
 
-// resize changes how many connections there should be.
-func (r *connTracker) resize(most int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.maxOpen = most
-	r.closeIdleLocked(r.open-most, 0)
+// resize changes the limit.
+func (t *connTracker) resize(maxOpen int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.maxOpen = maxOpen
+	t.closeIdleLocked(t.open-maxOpen, 0)
 }
 
-// overLimit says whether there are more connections than there should be.
-func (r *connTracker) overLimit() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.open > r.maxOpen
+// overLimit reports whether more connections are open than the limit.
+func (t *connTracker) overLimit() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.open > t.maxOpen
 }
 
-func (r *connTracker) count() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.open
+func (t *connTracker) count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.open
 }
--- a/internal/net/frontend/framing.go
+++ b/internal/net/frontend/framing.go
@@ -6,24 +6,24 @@
 	"sync"
 )
 
-// framing follows the lookups on a connection as their bytes come, to see what net/http does not show: a head that
-// gives its body's length beside a coding may hide another lookup in that body, and net/http drops the length before a
-// handler sees it. Bodies are passed over, so that nothing in them counts.
+// framing follows the requests on a connection as their bytes come, to see what net/http does not show to a handler: a head that gives both a length
+// and a transfer coding may hide another request in its body. Bodies are skipped, so that nothing in them counts. All methods but nextUnambiguous are
+// for whoever reads the connection.
 type framing struct {
 	state     framingState
-	line      []byte // the beginning of the present one
+	line      []byte // the beginning of the present line
 	lines     int    // of the present head
 	size      int    // of the present head, in bytes
-	length    int64  // told in the head, then what is left of a body or a chunk
+	length    int64  // from the head, then what is left of a body or a chunk
 	hasLength bool
 	chunked   bool
-	malformed bool // a head that can't be followed
+	malformed bool
 
 	mu      sync.Mutex
-	pending []bool // for heads that came and that no handler has asked for: whether one is sound
+	pending []bool // heads that no handler has asked for yet, oldest first: whether each is unambiguous
 }
 
-// framingState is where in a lookup the next byte stands.
+// framingState is where in a request the next byte stands.
 type framingState int
 
 const (
@@ -33,12 +33,12 @@
 	inChunk
 	inChunkEnd
 	inTrailer
-	unknown // what comes can't be told apart any more
+	unknown // the framing is lost for the rest of the connection
 )
 
 const (
-	maxLineBytes    = 64 // bytes of a line that are looked at: names, lengths and chunk sizes are shorter
-	maxPendingHeads = 64 // heads that come ahead of their handlers; net/http buffers 4 KiB
+	maxLineBytes    = 64 // of a line that are parsed: the names, lengths and chunk sizes that matter are shorter
+	maxPendingHeads = 64 // net/http buffers 4 KiB
 )
 
 // read follows the next bytes.
@@ -48,48 +48,66 @@
 		case unknown:
 			return
 		case inBody, inChunk:
-			n := min(f.length, int64(len(b)))
-			b, f.length = b[n:], f.length-n
-			if f.length == 0 && f.state == inBody {
-				f.startHead()
-			} else if f.length == 0 {
-				f.state = inChunkEnd
-			}
+			b = f.skip(b)
 		default:
-			n := bytes.IndexByte(b, '\n')
-			if n < 0 {
-				f.size += len(b)
-				f.appendLine(b)
-				return
-			}
-			f.appendLine(b[:n])
-			b = b[n+1:]
-			f.size += n + 1
-			f.endLine(bytes.TrimSuffix(f.line, []byte("\r")))
-			f.line = f.line[:0]
+			b = f.readLine(b)
 		}
 	}
 }
 
+// skip follows bytes of a body or a chunk, and returns those after it.
+func (f *framing) skip(b []byte) []byte {
+	n := min(f.length, int64(len(b)))
+	f.length -= n
+	if f.length == 0 {
+		if f.state == inBody {
+			f.startHead()
+		} else {
+			f.state = inChunkEnd
+		}
+	}
+	return b[n:]
+}
+
+// readLine follows bytes up to the end of a line, and returns those after it.
+func (f *framing) readLine(b []byte) []byte {
+	n := bytes.IndexByte(b, '\n')
+	if n < 0 {
+		f.size += len(b)
+		f.appendLine(b)
+		return nil
+	}
+	f.appendLine(b[:n])
+	f.size += n + 1
+	f.endLine(bytes.TrimSuffix(f.line, []byte("\r")))
+	f.line = f.line[:0]
+	return b[n+1:]
+}
+
 func (f *framing) appendLine(b []byte) {
 	f.line = append(f.line, b[:min(len(b), maxLineBytes-len(f.line))]...)
 }
 
-// startHead makes ready for the next one.
 func (f *framing) startHead() {
-	f.state, f.lines, f.size, f.length, f.hasLength, f.chunked, f.malformed = inHead, 0, 0, 0, false, false, false
+	f.state = inHead
+	f.lines = 0
+	f.size = 0
+	f.length = 0
+	f.hasLength = false
+	f.chunked = false
+	f.malformed = false
 }
 
-// headTooLong says that the present head is longer than any true one.
+// headTooLong reports whether the present head is longer than maxHeaderBytes.
 func (f *framing) headTooLong() bool { return f.state == inHead && f.size > maxHeaderBytes }
 
-// midRequest says that a lookup has begun to come and has not come whole; for who reads the connection.
+// midRequest reports whether a request has begun and has not come to its end.
 func (f *framing) midRequest() bool { return f.state != inHead || f.lines > 0 || len(f.line) > 0 }
 
-// midHead says that a head has begun to come and has not come whole; for who reads the connection.
+// midHead reports whether a head has begun and has not come to its end.
 func (f *framing) midHead() bool { return f.state == inHead && f.midRequest() }
 
-// endLine takes a whole line.
+// endLine follows a complete line.
 func (f *framing) endLine(line []byte) {
 	switch f.state {
 	case inHead:
@@ -99,18 +117,10 @@
 			f.endHead()
 		}
 	case inChunkLine:
-		size, _, _ := bytes.Cut(line, []byte(";"))
-		n, err := strconv.ParseInt(string(bytes.TrimSpace(size)), 16, 64)
-		switch {
-		case err != nil || n < 0:
-			f.state = unknown
-		case n == 0:
-			f.state = inTrailer
-		default:
-			f.state, f.length = inChunk, n
-		}
+		f.startChunk(line)
 	case inChunkEnd:
-		if f.state = inChunkLine; len(line) > 0 {
+		f.state = inChunkLine
+		if len(line) > 0 {
 			f.state = unknown
 		}
 	case inTrailer:
@@ -120,7 +130,21 @@
 	}
 }
 
-// parseField takes a line of a head.
+func (f *framing) startChunk(line []byte) {
+	size, _, _ := bytes.Cut(line, []byte(";"))
+	n, err := strconv.ParseInt(string(bytes.TrimSpace(size)), 16, 64)
+	switch {
+	case err != nil || n < 0:
+		f.state = unknown
+	case n == 0:
+		f.state = inTrailer
+	default:
+		f.state = inChunk
+		f.length = n
+	}
+}
+
+// parseField follows a line of a head.
 func (f *framing) parseField(line []byte) {
 	f.lines++
 	name, value, _ := bytes.Cut(line, []byte(":"))
@@ -128,20 +152,21 @@
 	case "content-length":
 		n, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 		f.malformed = f.malformed || err != nil || n < 0 || f.hasLength && n != f.length
-		f.hasLength, f.length = true, n
+		f.hasLength = true
+		f.length = n
 	case "transfer-encoding":
 		f.chunked = true
 	}
 }
 
 func (f *framing) endHead() {
-	sound := !f.malformed && !(f.hasLength && f.chunked)
+	unambiguous := !f.malformed && !(f.hasLength && f.chunked)
 	f.mu.Lock()
-	f.pending = append(f.pending, sound)
-	sound = sound && len(f.pending) <= maxPendingHeads
+	f.pending = append(f.pending, unambiguous)
+	tooMany := len(f.pending) > maxPendingHeads
 	f.mu.Unlock()
 	switch {
-	case !sound:
+	case !unambiguous || tooMany:
 		f.state = unknown
 	case f.chunked:
 		f.state = inChunkLine
@@ -152,8 +177,7 @@
 	}
 }
 
-// nextUnambiguous says whether the next head, in the order in which they came, gives its body's end in one way. Each handler
-// asks once.
+// nextUnambiguous reports whether the next head, in the order in which they came, gives its body's length in one way. Each handler calls it once.
 func (f *framing) nextUnambiguous() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
