--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -38,7 +38,7 @@
 	// Eject sends nothing new to a server; Restore ends that. Either is stored and in force when it returns nil.
 	Eject(id string) error
 	Restore(id string) error
-	// Fleet returns the metrics of the node's cluster by name; none if it has no cluster.
+	// ClusterMetrics returns the metrics of the node's cluster by name; none if it has no cluster.
 	Fleet() map[string]any
 }
 
--- a/internal/net/node/admin.go
+++ b/internal/net/node/admin.go
@@ -41,7 +41,7 @@
 	member     *cluster.Member // nil: the node has no cluster
 }
 
-// Fleet returns the metrics of the node's cluster; nil if it has none.
+// ClusterMetrics returns the metrics of the node's cluster; nil if it has none.
 func (n adminNode) Fleet() map[string]any {
 	if n.member == nil {
 		return nil
