--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -39,7 +39,7 @@
 	Eject(id string) error
 	Restore(id string) error
 	// ClusterMetrics returns the metrics of the node's cluster by name; none if it has no cluster.
-	Fleet() map[string]any
+	ClusterMetrics() map[string]any
 }
 
 // Server serves the admin address.
--- a/internal/net/admin/admin_test.go
+++ b/internal/net/admin/admin_test.go
@@ -43,9 +43,9 @@
 	return ErrUnknownServer
 }
 
-func (s *stub) Fleet() map[string]any   { return nil }
-func (s *stub) Eject(id string) error   { return s.order("out", id) }
-func (s *stub) Restore(id string) error { return s.order("back", id) }
+func (s *stub) ClusterMetrics() map[string]any { return nil }
+func (s *stub) Eject(id string) error          { return s.order("out", id) }
+func (s *stub) Restore(id string) error        { return s.order("back", id) }
 
 func desk(t *testing.T, n Node, f *metrics.Metrics, most int) string {
 	t.Helper()
--- a/internal/net/admin/metrics.go
+++ b/internal/net/admin/metrics.go
@@ -46,7 +46,7 @@
 
 // writeCluster writes the metrics of the node's cluster, by name.
 func (s *Server) writeCluster(page *strings.Builder) {
-	cluster := s.node.Fleet()
+	cluster := s.node.ClusterMetrics()
 	for _, name := range slices.Sorted(maps.Keys(cluster)) {
 		fmt.Fprintf(page, "fleet.%s=%v\n", name, cluster[name])
 	}
--- a/internal/net/node/admin.go
+++ b/internal/net/node/admin.go
@@ -42,7 +42,7 @@
 }
 
 // ClusterMetrics returns the metrics of the node's cluster; nil if it has none.
-func (n adminNode) Fleet() map[string]any {
+func (n adminNode) ClusterMetrics() map[string]any {
 	if n.member == nil {
 		return nil
 	}
