--- a/internal/net/discovery/client_test.go
+++ b/internal/net/discovery/client_test.go
@@ -20,17 +20,17 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-const box = `{"id":"a","addr":"127.0.0.1:1","kind":"box","state":"Ready","started_ms":0}`
+const endpointJSON = `{"id":"a","addr":"127.0.0.1:1","kind":"box","state":"Ready","started_ms":0}`
 
-// service answers each call with the next of its pages; an empty one is a failure, and the last one waits.
-type service struct {
+// scriptedService answers each call with the next of its pages; an empty one is a failure, and the last one waits.
+type scriptedService struct {
 	mu    sync.Mutex
 	pages []string
 	asked []string
 	at    []time.Time
 }
 
-func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *scriptedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.asked, s.at = append(s.asked, r.URL.RequestURI()), append(s.at, time.Now())
 	if len(s.pages) == 0 {
@@ -47,16 +47,16 @@
 	fmt.Fprint(w, page)
 }
 
-func (s *service) calls() []string {
+func (s *scriptedService) calls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.asked...)
 }
 
 // follow runs a follower against the pages until so many calls were made.
-func follow(t *testing.T, calls int, pages ...string) (*service, *dispatch.Dispatcher, *observer.ObservedLogs) {
+func follow(t *testing.T, calls int, pages ...string) (*scriptedService, *dispatch.Dispatcher, *observer.ObservedLogs) {
 	t.Helper()
-	s := &service{pages: pages}
+	s := &scriptedService{pages: pages}
 	server := httptest.NewServer(s)
 	d, err := config.ParseSettings(
 		map[string]any{
@@ -90,10 +90,10 @@
 }
 
 func TestTheWholeListThenWatchesWithoutAPause(t *testing.T) {
-	s, x, _ := follow(t, 4, `{"version":7,"full":true,"servers":[`+box+`]}`, `{"version":9,"full":false,"servers":[`+box+`]}`,
+	s, x, _ := follow(t, 4, `{"version":7,"full":true,"servers":[`+endpointJSON+`]}`, `{"version":9,"full":false,"servers":[`+endpointJSON+`]}`,
 		`{"version":9,"full":false,"servers":[]}`)
 	want := []string{listPath, listPath + "?from=7&hold_ms=WATCH", listPath + "?from=9&hold_ms=WATCH", listPath + "?from=9&hold_ms=WATCH"}
-	if got := drawn(s.calls()); got != strings.Join(want, " ") || !x.Ready() {
+	if got := normalizeWaits(s.calls()); got != strings.Join(want, " ") || !x.Ready() {
 		t.Errorf("asked %s; ready %v", got, x.Ready())
 	}
 	for i := 1; i < len(s.at); i++ {
@@ -118,7 +118,7 @@
 		mu.Unlock()
 		switch nth {
 		case 1:
-			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, box, `]}`)
+			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, endpointJSON, `]}`)
 		case 2: // a watch that ends in time, in its service's
 			time.Sleep(hold + late)
 			fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
@@ -129,7 +129,7 @@
 			<-r.Context().Done()
 		case 4:
 			time.Sleep(takes)
-			fmt.Fprint(w, `{"version":2,"full":true,"servers":[`, strings.Replace(box, "Ready", "Terminating", 1), `]}`)
+			fmt.Fprint(w, `{"version":2,"full":true,"servers":[`, strings.Replace(endpointJSON, "Ready", "Terminating", 1), `]}`)
 		default:
 			<-r.Context().Done()
 		}
@@ -171,7 +171,7 @@
 		if calls.Add(1) != 2 {
 			<-r.Context().Done()
 		}
-		fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, box, `]}`)
+		fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, endpointJSON, `]}`)
 	}))
 	defer server.Close()
 	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
@@ -194,17 +194,17 @@
 	server.CloseClientConnections()
 }
 
-// drawn joins calls, with WATCH for a wait that is drawn between half of the longest and all of it: 5 to 10 s here.
-func drawn(calls []string) string {
+// normalizeWaits joins calls, with WATCH for a wait that is drawn between half of the longest and all of it: 5 to 10 s here.
+func normalizeWaits(calls []string) string {
 	return regexp.MustCompile(`hold_ms=(5\d\d\d|[6-9]\d\d\d|10000)\b`).ReplaceAllString(strings.Join(calls, " "), "hold_ms=WATCH")
 }
 
 // A watch that was turned away, again and again, goes on from the version that was had, with a call that is answered at once.
 func TestAWatchThatWasTurnedAwayIsResumed(t *testing.T) {
-	s, x, _ := follow(t, 5, `{"version":7,"full":true,"servers":[`+box+`]}`, "", "", `{"version":7,"full":false,"servers":[]}`)
+	s, x, _ := follow(t, 5, `{"version":7,"full":true,"servers":[`+endpointJSON+`]}`, "", "", `{"version":7,"full":false,"servers":[]}`)
 	again := fmt.Sprintf("%s?from=7&hold_ms=%d", listPath, resumeWait.Milliseconds())
 	want := []string{listPath, listPath + "?from=7&hold_ms=WATCH", again, again, listPath + "?from=7&hold_ms=WATCH"}
-	if got := drawn(s.calls()); got != strings.Join(want, " ") || !x.Ready() {
+	if got := normalizeWaits(s.calls()); got != strings.Join(want, " ") || !x.Ready() {
 		t.Errorf("asked %s; ready %v", got, x.Ready())
 	}
 	if took := s.at[4].Sub(s.at[3]); took > 200*time.Millisecond {
@@ -215,7 +215,7 @@
 // After anything but a 503 the service may count anew: the whole list is asked for, as after an older version.
 func TestOnlyAWatchThatWasTurnedAwayIsResumed(t *testing.T) {
 	for _, page := range []string{"no list", `{"version":3,"full":false,"servers":[]}`} {
-		s, _, _ := follow(t, 4, `{"version":7,"full":true,"servers":[`+box+`]}`, "", page)
+		s, _, _ := follow(t, 4, `{"version":7,"full":true,"servers":[`+endpointJSON+`]}`, "", page)
 		if got := s.calls(); got[2] == listPath || got[3] != listPath {
 			t.Errorf("%s: asked %v", page, got)
 		}
@@ -223,7 +223,7 @@
 }
 
 func TestAGapAsksForTheWholeList(t *testing.T) {
-	s, _, _ := follow(t, 3, `{"version":7,"full":true,"servers":[`+box+`]}`, `{"version":3,"full":false,"servers":[`+box+`]}`)
+	s, _, _ := follow(t, 3, `{"version":7,"full":true,"servers":[`+endpointJSON+`]}`, `{"version":3,"full":false,"servers":[`+endpointJSON+`]}`)
 	if got := s.calls(); got[2] != listPath {
 		t.Errorf("asked %v", got)
 	}
@@ -233,7 +233,7 @@
 func TestABadListLeavesTheOldOne(t *testing.T) {
 	for _, page := range []string{"", "no list", `{"full":true,"servers":[]}`, `{"version":1,"full":true,"servers":[{"id":"a","addr":"x","state":"Odd"}]}`,
 		`{"version":1,"full":true,"servers":[{"addr":"x","state":"Ready"}]}`, `{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}`,
-		`{"version":1,"full":false,"servers":[` + box + `]}`} {
+		`{"version":1,"full":false,"servers":[` + endpointJSON + `]}`} {
 		t.Run(page, func(t *testing.T) {
 			t.Parallel()
 			s, x, logs := follow(t, 2, page)
@@ -250,10 +250,10 @@
 // A move goes on with the old list until the new address has given one, whatever its versions; then the old address
 // has no say, and the next watch is due at the new one without a pause.
 func TestAMoveLeavesNoGap(t *testing.T) {
-	old := &service{pages: []string{`{"version":70,"full":true,"servers":[` + box + `]}`}}
-	next := &service{pages: []string{"", "no list", `{"version":2,"full":true,"servers":[` + box + `]}`, `{"version":3,"full":false,"servers":[]}`}}
+	old := &scriptedService{pages: []string{`{"version":70,"full":true,"servers":[` + endpointJSON + `]}`}}
+	next := &scriptedService{pages: []string{"", "no list", `{"version":2,"full":true,"servers":[` + endpointJSON + `]}`, `{"version":3,"full":false,"servers":[]}`}}
 	var at [2]string
-	for i, s := range []*service{old, next} {
+	for i, s := range []*scriptedService{old, next} {
 		server := httptest.NewServer(s)
 		t.Cleanup(func() {
 			server.CloseClientConnections()
@@ -286,7 +286,7 @@
 			t.Fatal("no watch at the new address: ", next.calls())
 		}
 	}
-	got := drawn(next.calls()[2:])
+	got := normalizeWaits(next.calls()[2:])
 	if want := listPath + " " + listPath + "?from=2&hold_ms=WATCH " + listPath + "?from=3&hold_ms=WATCH"; got != want {
 		t.Errorf("asked %s", got)
 	}
@@ -302,7 +302,7 @@
 }
 
 func TestKnownIsToldAsPersisted(t *testing.T) {
-	list, err := parseList([]byte(`{"version":41,"full":true,"new":1,"servers":[` + box + `,{"id":"b","state":"Gone","started_ms":1700000000123}]}`))
+	list, err := parseList([]byte(`{"version":41,"full":true,"new":1,"servers":[` + endpointJSON + `,{"id":"b","state":"Gone","started_ms":1700000000123}]}`))
 	endpoints := list.endpoints
 	if err != nil || !list.full || len(endpoints) != 2 || endpoints[0].Address != "127.0.0.1:1" || endpoints[1].State != routing.Gone ||
 		endpoints[1].StartedMs != 1700000000123 {
@@ -313,7 +313,7 @@
 	if err := f.LoadCached([]byte("no list")); err == nil || x.Ready() {
 		t.Errorf("no list: %v, ready %v", err, x.Ready())
 	}
-	if err := f.LoadCached([]byte(`{"version":1,"full":true,"servers":[` + box + `]}`)); err != nil || !x.Ready() {
+	if err := f.LoadCached([]byte(`{"version":1,"full":true,"servers":[` + endpointJSON + `]}`)); err != nil || !x.Ready() {
 		t.Errorf("a list: %v, ready %v", err, x.Ready())
 	}
 }
--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -25,11 +25,11 @@
 
 // The bounds on when a list is had, from the moment at which its service is back.
 const (
-	answersIn = 4 * time.Second // where it answers
-	turnsIn   = 5 * time.Second // where it first turns a call away as one of too many
-	signalIn  = 4 * time.Second // from a signal to move
-	silentIn  = 2 * time.Second // from the end of a silent watch's wait
-	busy      = 400 * time.Millisecond
+	answersIn     = 4 * time.Second // where it answers
+	rejectedIn    = 5 * time.Second // where it first turns a call away as one of too many
+	switchIn      = 4 * time.Second // from a signal to move
+	silentIn      = 2 * time.Second // from the end of a silent watch's wait
+	busyAllowance = 400 * time.Millisecond
 
 	healthyPollTime = 1 * time.Second // for a poll of the full list and its connect, where the service is well
 )
@@ -43,16 +43,16 @@
 		sum  time.Duration
 		in   time.Duration
 	}{
-		{"a call begins, whatever has become of those before, and is answered", most + healthyPollTime + busy, answersIn},
-		{"it is turned away, and the next one is answered", most + most + healthyPollTime + busy, turnsIn},
-		{"one beside a call that may be in line is put off, and answered", maxQueueTime + healthyPollTime + busy, answersIn},
-		{"the same, turned away: the next word isn't put off", max(maxQueueTime, most+most) + healthyPollTime + busy, turnsIn},
-		{"a gap, a lost watch, a start", spread + healthyPollTime + busy, answersIn},
-		{"the same, turned away", spread + most + healthyPollTime + busy, turnsIn},
-		{"a silent watch, from the end of its wait", watchGrace + spread + healthyPollTime + busy, silentIn},
-		{"a move whose first call is silent, and the second and third turned away", 3*maxSwitchRetryWait + healthyPollTime, signalIn},
+		{"a call begins, whatever has become of those before, and is answered", most + healthyPollTime + busyAllowance, answersIn},
+		{"it is turned away, and the next one is answered", most + most + healthyPollTime + busyAllowance, rejectedIn},
+		{"one beside a call that may be in line is put off, and answered", maxQueueTime + healthyPollTime + busyAllowance, answersIn},
+		{"the same, turned away: the next word isn't put off", max(maxQueueTime, most+most) + healthyPollTime + busyAllowance, rejectedIn},
+		{"a gap, a lost watch, a start", spread + healthyPollTime + busyAllowance, answersIn},
+		{"the same, turned away", spread + most + healthyPollTime + busyAllowance, rejectedIn},
+		{"a silent watch, from the end of its wait", watchGrace + spread + healthyPollTime + busyAllowance, silentIn},
+		{"a move whose first call is silent, and the second and third turned away", 3*maxSwitchRetryWait + healthyPollTime, switchIn},
 		{"a resumed watch that has nothing to tell", resumeWait, emptyWatchPause},
-		{"news between two watches", emptyWatchPause + busy/4, 200 * time.Millisecond},
+		{"news between two watches", emptyWatchPause + busyAllowance/4, 200 * time.Millisecond},
 	} {
 		if c.sum > c.in {
 			t.Errorf("%s: %v, want %v at most", c.what, c.sum, c.in)
@@ -152,7 +152,7 @@
 		o.turns--
 	}
 	o.mu.Unlock()
-	whole := fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, box)
+	whole := fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, endpointJSON)
 	switch {
 	case down && o.how == "reset":
 		c, _, _ := w.(http.Hijacker).Hijack()
@@ -188,7 +188,7 @@
 		o.t.Fatal(err)
 	}
 	told := make(chan time.Time, 100)
-	log := zap.New(zapcore.NewNopCore()).WithOptions(zap.WrapCore(func(zapcore.Core) zapcore.Core { return &ear{told} }))
+	log := zap.New(zapcore.NewNopCore()).WithOptions(zap.WrapCore(func(zapcore.Core) zapcore.Core { return &listLog{told} }))
 	x := dispatch.New(d, zap.NewNop())
 	f := New(x, o.address, 10*time.Second, log)
 	dial := f.transport.DialContext
@@ -205,20 +205,20 @@
 	return f, told
 }
 
-// ear is a log that tells when a whole list came.
-type ear struct{ told chan time.Time }
+// listLog is a logger that sends the time of each list.
+type listLog struct{ told chan time.Time }
 
-func (e *ear) Enabled(zapcore.Level) bool        { return true }
-func (e *ear) With([]zapcore.Field) zapcore.Core { return e }
-func (e *ear) Sync() error                       { return nil }
-func (e *ear) Check(entry zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (e *listLog) Enabled(zapcore.Level) bool        { return true }
+func (e *listLog) With([]zapcore.Field) zapcore.Core { return e }
+func (e *listLog) Sync() error                       { return nil }
+func (e *listLog) Check(entry zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if entry.Message == "endpoint list updated" {
 		return c.AddCore(entry, e)
 	}
 	return c
 }
 
-func (e *ear) Write(entry zapcore.Entry, _ []zapcore.Field) error {
+func (e *listLog) Write(entry zapcore.Entry, _ []zapcore.Field) error {
 	e.told <- entry.Time
 	return nil
 }
@@ -284,7 +284,7 @@
 						o.end()
 						in := answersIn
 						if turns > 0 {
-							in = turnsIn
+							in = rejectedIn
 						} else if when == "pushed" {
 							in = grace // it runs from the return
 						}
@@ -330,7 +330,7 @@
 		defer out.Add(-1)
 		if nth == 1 {
 			time.Sleep(1800 * time.Millisecond)
-			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, box, `]}`)
+			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, endpointJSON, `]}`)
 			return
 		}
 		<-r.Context().Done()
@@ -373,7 +373,7 @@
 			time.Sleep(600 * time.Millisecond) // longer than the module waits after a watch, shorter than between calls
 		}
 		if wholes.Load() == 1 {
-			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, box, `]}`)
+			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, endpointJSON, `]}`)
 		}
 	}))
 	defer s.Close()
--- a/internal/net/discovery/overload_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -24,10 +24,10 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// narrow is a discovery service that works through calls in turn, a call for the list and the begin of a watch at the same cost,
-// and turns one away at once whose answer would take longer than its line. A watch that goes on costs nothing; what changes is
-// pushed to it some time later. Times are of a bubble: nothing here takes real time.
-type narrow struct {
+// queueingService is a discovery service with a queue: a poll and the begin of a watch cost the same, and a call is rejected at once if its
+// answer would take longer than the queue allows. A watch that goes on costs nothing; changes are pushed to it some time later. All times are
+// simulated (testing/synctest).
+type queueingService struct {
 	cost, line, notice time.Duration
 	changes            []time.Duration // when each version came to be
 	began              time.Time
@@ -38,8 +38,8 @@
 	served, turned int
 }
 
-// at is how many of the changes were made by then.
-func (s *narrow) at(since time.Duration) (version int) {
+// at returns how many of the changes were made by then.
+func (s *queueingService) at(since time.Duration) (version int) {
 	for _, at := range s.changes {
 		if at <= since {
 			version++
@@ -48,9 +48,9 @@
 	return version
 }
 
-// caller is a node's way to the service; known has when it had each version at first.
-type caller struct {
-	*narrow
+// nodeTransport is a node's connection to the service; known has when the node first had each version.
+type nodeTransport struct {
+	*queueingService
 	mu       sync.Mutex
 	answered time.Time // its last watch
 	waited   time.Time // when a silent watch's wait was over; zero: none was, or a list came since
@@ -59,7 +59,7 @@
 	behind   time.Duration // the longest from the end of a silent watch's wait to the next list
 }
 
-func (c *caller) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *nodeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var from, hold int
 	watch := r.URL.RawQuery != ""
 	if watch {
@@ -72,28 +72,28 @@
 	c.mu.Unlock()
 	version := from
 	if !goes {
-		c.narrow.mu.Lock()
+		c.queueingService.mu.Lock()
 		ends := c.free
 		if now := time.Now(); ends.Before(now) {
 			ends = now
 		}
-		entries := 13 + c.narrow.at(time.Since(c.began)) // one costs as much as a thirtieth of the call alone
+		entries := 13 + c.queueingService.at(time.Since(c.began)) // one costs as much as a thirtieth of the call alone
 		if watch {
 			entries = 3
 		}
 		ends = ends.Add(c.cost * time.Duration(30+entries) / 45)
 		if time.Until(ends) > c.line {
 			c.turned++
-			c.narrow.mu.Unlock()
+			c.queueingService.mu.Unlock()
 			return c.answer(r, http.StatusServiceUnavailable, "")
 		}
 		c.free = ends
 		c.served++
-		c.narrow.mu.Unlock()
+		c.queueingService.mu.Unlock()
 		if !c.sleep(r, time.Until(ends)) {
 			return nil, r.Context().Err()
 		}
-		version = c.narrow.at(time.Since(c.began))
+		version = c.queueingService.at(time.Since(c.began))
 	}
 	if watch && version <= from {
 		if c.mu.Lock(); hold > 1000 && c.watched == 0 {
@@ -111,7 +111,7 @@
 			if !c.sleep(r, min(10*time.Millisecond, time.Until(end))) {
 				return nil, r.Context().Err()
 			}
-			version = max(from, c.narrow.at(time.Since(c.began)-c.notice))
+			version = max(from, c.queueingService.at(time.Since(c.began)-c.notice))
 		}
 	}
 	c.mu.Lock()
@@ -125,14 +125,14 @@
 		c.behind, c.waited = max(c.behind, time.Since(c.waited)), time.Time{}
 	}
 	c.mu.Unlock()
-	servers := box
+	servers := endpointJSON
 	if watch && version == from {
 		servers = ""
 	}
 	return c.answer(r, http.StatusOK, fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, !watch, servers))
 }
 
-func (c *caller) sleep(r *http.Request, d time.Duration) bool {
+func (c *nodeTransport) sleep(r *http.Request, d time.Duration) bool {
 	select {
 	case <-r.Context().Done():
 		return false
@@ -141,20 +141,20 @@
 	}
 }
 
-func (c *caller) answer(r *http.Request, code int, body string) (*http.Response, error) {
+func (c *nodeTransport) answer(r *http.Request, code int, body string) (*http.Response, error) {
 	c.sleep(r, time.Millisecond)
 	return &http.Response{StatusCode: code, Body: io.NopCloser(bytes.NewBufferString(body)), Request: r}, nil
 }
 
-// crowded is what came of a day before a narrow service.
-type crowded struct {
+// overloadResult is what a simulated run against an overloaded service showed.
+type overloadResult struct {
 	late           int           // changes that a node knew later than 6 s after they were made, over all nodes
 	oldest         time.Duration // most that a node was behind
 	listed, steady time.Duration // when the last node had a list, and a watch
 	served, turned float64       // calls a second
 }
 
-func playCrowd(t *testing.T, all time.Duration, seed uint64, knows bool) (d crowded) {
+func playOverload(t *testing.T, all time.Duration, seed uint64, knows bool) (d overloadResult) {
 	const nodes, lasts, told = 32, 26 * time.Second, 6 * time.Second
 	terms, err := config.ParseSettings(map[string]any{"registry-mode": "ask", "invariants": map[string]any{"ask-within-ms": 20000.},
 		"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
@@ -162,22 +162,22 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		s := &narrow{cost: all / nodes, line: 2 * time.Second, notice: 1900 * time.Millisecond, began: time.Now()}
+		s := &queueingService{cost: all / nodes, line: 2 * time.Second, notice: 1900 * time.Millisecond, began: time.Now()}
 		for _, ms := range []int{0, 2130, 2660, 3200, 3730, 5860, 11730, 12260, 14390, 14920} {
 			s.changes = append(s.changes, time.Duration(ms)*time.Millisecond)
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		var callers []*caller
+		var callers []*nodeTransport
 		var wg sync.WaitGroup
 		for n := range nodes {
-			c := &caller{narrow: s, known: map[int]time.Duration{}}
+			c := &nodeTransport{queueingService: s, known: map[int]time.Duration{}}
 			callers = append(callers, c)
 			x := dispatch.New(terms, zap.NewNop())
 			f := New(x, "127.0.0.1:1", 10*time.Second, zap.NewNop())
 			f.transport.RegisterProtocol("http", c)
 			x.Start(seed*1000+uint64(n), nil, f)
 			if knows {
-				if err := f.LoadCached([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, box))); err != nil {
+				if err := f.LoadCached([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, endpointJSON))); err != nil {
 					t.Error(err)
 				}
 			}
@@ -189,10 +189,10 @@
 		synctest.Wait()
 		d.served, d.turned = float64(s.served)/lasts.Seconds(), float64(s.turned)/lasts.Seconds()
 		for _, c := range callers {
-			d.listed = max(d.listed, or(c.known[1], lasts))
-			d.steady = max(d.steady, or(c.watched, lasts))
+			d.listed = max(d.listed, orDefault(c.known[1], lasts))
+			d.steady = max(d.steady, orDefault(c.watched, lasts))
 			for v, made := range s.changes[1:] {
-				took := or(c.known[v+2], lasts) - made
+				took := orDefault(c.known[v+2], lasts) - made
 				d.oldest = max(d.oldest, took)
 				if took > told {
 					d.late++
@@ -203,7 +203,7 @@
 	return d
 }
 
-func or(d, lasts time.Duration) time.Duration {
+func orDefault(d, lasts time.Duration) time.Duration {
 	if d == 0 {
 		return lasts
 	}
@@ -224,9 +224,9 @@
 	for _, c := range []struct {
 		all, late, oldest, turned float64 // seconds for one call from each; changes known late a day; seconds; calls turned away a second
 	}{{2, 0, 2.5, 0.3}, {4, 0, 5.7, 2}, {5, 4, 8.2, 3}, {6, 20, 10.5, 4}, {8, 54, 15, 6}} {
-		var sum crowded
+		var sum overloadResult
 		for seed := range days {
-			d := playCrowd(t, time.Duration(c.all*float64(time.Second)), seed, false)
+			d := playOverload(t, time.Duration(c.all*float64(time.Second)), seed, false)
 			sum.late += d.late
 			sum.oldest, sum.listed, sum.steady = max(sum.oldest, d.oldest), max(sum.listed, d.listed), max(sum.steady, d.steady)
 			sum.served, sum.turned = sum.served+d.served/float64(days), sum.turned+d.turned/float64(days)
@@ -252,9 +252,9 @@
 	for _, c := range []struct {
 		all, late, oldest float64 // seconds for one call from each; changes known late a day; seconds
 	}{{4, 0, 6}, {6, 2, 8}, {8, 16, 11}} {
-		var sum crowded
+		var sum overloadResult
 		for seed := range days {
-			d := playCrowd(t, time.Duration(c.all*float64(time.Second)), seed, true)
+			d := playOverload(t, time.Duration(c.all*float64(time.Second)), seed, true)
 			sum.late += d.late
 			sum.oldest, sum.steady = max(sum.oldest, d.oldest), max(sum.steady, d.steady)
 		}
@@ -315,19 +315,19 @@
 	const days, partMost = 120, 200 // so that a few by chance, of waits that are drawn, are told from a crowd
 	for seed := range uint64(days) {
 		synctest.Test(t, func(t *testing.T) {
-			s := &narrow{cost: cost, line: 2 * time.Second, notice: time.Second, began: time.Now(), silent: silent, changes: []time.Duration{0}}
+			s := &queueingService{cost: cost, line: 2 * time.Second, notice: time.Second, began: time.Now(), silent: silent, changes: []time.Duration{0}}
 			ctx, stop := context.WithCancel(t.Context())
-			var callers []*caller
+			var callers []*nodeTransport
 			var wg sync.WaitGroup
 			for n := range nodes {
-				c := &caller{narrow: s, known: map[int]time.Duration{}}
+				c := &nodeTransport{queueingService: s, known: map[int]time.Duration{}}
 				callers = append(callers, c)
 				x := dispatch.New(terms, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 20*time.Second, zap.NewNop())
 				f.transport.RegisterProtocol("http", c)
 				f.randomDuration = seededDurations(drawSeed, seed*1000+uint64(n))
 				x.Start(seed*1000+uint64(n), nil, f)
-				if err := f.LoadCached([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, box))); err != nil {
+				if err := f.LoadCached([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, endpointJSON))); err != nil {
 					t.Error(err)
 				}
 				wg.Go(func() { f.Run(ctx) })
@@ -353,10 +353,10 @@
 	}
 }
 
-// script answers a node's calls.
-type script func(query string) (code int, body string, after time.Duration)
+// scriptedTransport answers a node's calls by a function.
+type scriptedTransport func(query string) (code int, body string, after time.Duration)
 
-func (s script) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	code, body, after := s(r.URL.RawQuery)
 	select {
 	case <-r.Context().Done():
@@ -366,13 +366,13 @@
 	return &http.Response{StatusCode: code, Body: io.NopCloser(bytes.NewBufferString(body)), Request: r}, nil
 }
 
-// orders is a follower that counts the module's orders.
-type orders struct {
+// subscribeCounter is a client that counts the calls of Subscribe.
+type subscribeCounter struct {
 	*Client
 	n atomic.Int64
 }
 
-func (o *orders) Subscribe() {
+func (o *subscribeCounter) Subscribe() {
 	o.n.Add(1)
 	o.Client.Subscribe()
 }
@@ -385,8 +385,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := fmt.Sprintf(`{"version":%%d,"full":true,"servers":[%s]}`, box)
-	for _, changed := range []string{"", box} {
+	whole := fmt.Sprintf(`{"version":%%d,"full":true,"servers":[%s]}`, endpointJSON)
+	for _, changed := range []string{"", endpointJSON} {
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			resumed := false
@@ -395,8 +395,8 @@
 			x := dispatch.New(d, zap.NewNop())
 			core, logs := observer.New(zap.InfoLevel)
 			f := New(x, "127.0.0.1:1", 10*time.Second, zap.New(core))
-			o := &orders{Client: f}
-			f.transport.RegisterProtocol("http", script(func(query string) (int, string, time.Duration) {
+			o := &subscribeCounter{Client: f}
+			f.transport.RegisterProtocol("http", scriptedTransport(func(query string) (int, string, time.Duration) {
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
@@ -484,7 +484,7 @@
 				var mu sync.Mutex
 				x := dispatch.New(d, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 10*time.Second, zap.NewNop())
-				f.transport.RegisterProtocol("http", script(func(query string) (int, string, time.Duration) {
+				f.transport.RegisterProtocol("http", scriptedTransport(func(query string) (int, string, time.Duration) {
 					mu.Lock()
 					defer mu.Unlock()
 					if at = append(at, time.Now()); len(at) == 1 && c.crowd {
@@ -520,7 +520,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := fmt.Sprintf(`{"version":7,"full":true,"servers":[%s]}`, box)
+	whole := fmt.Sprintf(`{"version":7,"full":true,"servers":[%s]}`, endpointJSON)
 	for _, known := range []bool{false, true} {
 		for _, kind := range []string{"turned away", "fails once", "silent"} {
 			synctest.Test(t, func(t *testing.T) {
@@ -529,7 +529,7 @@
 				var asked []string
 				x := dispatch.New(d, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 10*time.Second, zap.NewNop())
-				f.transport.RegisterProtocol("http", script(func(query string) (int, string, time.Duration) {
+				f.transport.RegisterProtocol("http", scriptedTransport(func(query string) (int, string, time.Duration) {
 					mu.Lock()
 					defer mu.Unlock()
 					asked = append(asked, query)
@@ -585,7 +585,7 @@
 			var mu sync.Mutex
 			var at []time.Time
 			f := New(dispatch.New(d, zap.NewNop()), "127.0.0.1:1", 10*time.Second, zap.NewNop())
-			f.transport.RegisterProtocol("http", script(func(string) (int, string, time.Duration) {
+			f.transport.RegisterProtocol("http", scriptedTransport(func(string) (int, string, time.Duration) {
 				mu.Lock()
 				defer mu.Unlock()
 				if at = append(at, time.Now()); len(at) == 1 {
