--- a/internal/net/node/admin.go
+++ b/internal/net/node/admin.go
@@ -41,8 +41,8 @@
 	member     *cluster.Member // nil: the node has no cluster
 }
 
-// Fleet returns the metrics of the node's cluster; nil if it has none.
-func (n adminNode) Fleet() map[string]any {
+// ClusterMetrics returns the metrics of the node's cluster; nil if it has none.
+func (n adminNode) ClusterMetrics() map[string]any {
 	if n.member == nil {
 		return nil
 	}
