--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -125,7 +125,7 @@
 }
 
 // await writes the dispatcher's answer, or abandons the request once its client has gone.
-func (h *handler) await(ticket *dispatch.Ticket) {
+func (h *handler) await(ticket *dispatch.PendingRequest) {
 	clientGone := h.r.Context().Done()
 	if faults.Without(faults.ClientLook) {
 		clientGone = nil
@@ -139,7 +139,7 @@
 }
 
 // abandon gives up a request whose client has gone.
-func (h *handler) abandon(ticket *dispatch.Ticket) {
+func (h *handler) abandon(ticket *dispatch.PendingRequest) {
 	h.log.Debug("client closed its connection", zap.String("trace", h.traceID()))
 	ticket.Abandon()
 	select {
