--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -1,9 +1,3 @@
-// Package cluster makes a node a member of its cluster. The voters among the nodes replicate the state of package lease by a
-// consensus library; their leader serves lease requests, quota requests and probe schedules; and each node acquires leases, of
-// its own name and of the tasks that run on one node at a time. No request of a client waits for any of it.
-//
-// Member is this node's membership and Voter its voter, if it has one. Client is used by members and by operators' commands.
-// Package transport has the connections between nodes.
 package cluster
 
 import (
