--- a/budget/demand.go
+++ b/budget/demand.go
@@ -19,7 +19,7 @@
 
 // How the rate is turned into units.
 const (
-	idleRate            = 0.02 // requests a second below which there is no demand: less than one in many mean windows
+	idleRate            = 0.02 // requests a second up to which there is no demand: a sixth of a request in a mean window
 	rateHeadroom        = 0.05 // of the mean, added since demand is uneven; more would starve other nodes
 	concurrencyHeadroom = 1.5  // standard deviations added to a mean concurrency
 	roundUpUnits        = 0.6  // added before rounding down
@@ -71,6 +71,7 @@
 	e.recentRate += (rate - e.recentRate) * min(1, elapsed/seconds(recentWindow))
 	e.meanAge = min(e.meanAge+elapsed, seconds(meanWindow))
 	e.meanRate += (rate - e.meanRate) * min(1, elapsed/e.meanAge)
+	// The variance of a Poisson rate that is averaged exponentially is the rate divided by twice the window.
 	difference := e.recentRate - e.meanRate
 	if difference*difference > shiftThreshold*shiftThreshold*max(e.meanRate, 1/seconds(recentWindow))/2/seconds(recentWindow) {
 		e.shiftSeconds = seconds(shiftDuration)
--- a/budget/division.go
+++ b/budget/division.go
@@ -15,6 +15,9 @@
 )
 
 // division is the work of dividing one budget once.
+//
+// Invariant: after its moves the quotas of all nodes together are no more than the budget has, or no more than before if the
+// budget was lowered. Only grow raises quotas, and only by units that no node may be using.
 type division struct {
 	allocator *Allocator
 	name      string
