--- a/budget/turns.go
+++ b/budget/turns.go
@@ -11,6 +11,7 @@
 
 // minTurn is how long a node keeps its unit where there are fewer units than nodes that want one.
 const minTurn = 500 * lease.Millisecond
+
 // turn is the history of one node's quota of a budget.
 type turn struct {
 	holds        bool // it has units
