--- a/internal/net/discovery/overload_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -289,13 +289,19 @@
 	return seed
 }
 
-// seededDurations returns a source of a client's draws that may be used by several goroutines.
+// seededDurations returns a source of a client's draws that may be used by several goroutines. Draws of each limit have a stream of their own: the
+// client draws for a watch and for its verification at the same simulated instant, in an order that the scheduler decides.
 func seededDurations(seed, stream uint64) func(time.Duration) time.Duration {
 	var mu sync.Mutex
-	r := rand.New(rand.NewPCG(seed, stream))
+	byLimit := map[time.Duration]*rand.Rand{}
 	return func(limit time.Duration) time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
+		r := byLimit[limit]
+		if r == nil {
+			r = rand.New(rand.NewPCG(seed^uint64(limit), stream))
+			byLimit[limit] = r
+		}
 		return time.Duration(r.Int64N(int64(limit)))
 	}
 }
