--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -37,9 +37,9 @@
 
 // Unsafe disables safeguards, so that tests can show that their checks detect each one's absence.
 type Unsafe struct {
-	Reuse  bool // units that a node was asked to give back count as free before it has done so
-	Forget bool // a new leader takes all quotas to be free
-	Words  bool // a report under an outdated quota token counts for the present quota
+	ReuseUnreturned    bool // units that a node was asked to give back count as free before it has done so
+	ForgetQuotas       bool // a new leader takes all quotas to be free
+	AcceptStaleReports bool // a report under an outdated quota token counts for the present quota
 }
 
 // nodeRecord is the state of a node that has sent a request in this term.
@@ -88,7 +88,7 @@
 	a.leader = true
 	a.term = term
 	a.moveRate.reset(now)
-	if a.unsafe.Forget {
+	if a.unsafe.ForgetQuotas {
 		a.freeAllQuotas()
 	}
 	a.StateChanged(now)
@@ -159,7 +159,7 @@
 	if len(a.nodes) >= maxNodes && a.nodes[r.Lease] == nil {
 		return lease.ErrLimitExceeded
 	}
-	if r.Weight < 0 || r.Weight > maxWeight || len(r.Held) > maxHoldings || len(r.Declared) > maxHoldings {
+	if r.Weight < 0 || r.Weight > maxWeight || len(r.Holdings) > maxHoldings || len(r.Declared) > maxHoldings {
 		return lease.ErrMalformed
 	}
 	return nil
@@ -182,7 +182,7 @@
 
 // recordHoldings keeps a node's reports, and notes whether one of them calls for a division.
 func (a *Allocator) recordHoldings(n *nodeRecord, r Request) {
-	for _, h := range r.Held {
+	for _, h := range r.Holdings {
 		before, known := n.holdings[h.Budget]
 		b := a.state.Budgets[h.Budget]
 		returned := b != nil && b.Quotas[r.Lease].Units > h.Units
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -50,8 +50,8 @@
 	}
 	delete(c.responses, c.lastIDs[n])
 	for _, x := range a.Updates {
-		for i := range c.requests[n].Held {
-			if h := &c.requests[n].Held[i]; h.Budget == x.Budget {
+		for i := range c.requests[n].Holdings {
+			if h := &c.requests[n].Holdings[i]; h.Budget == x.Budget {
 				h.Token, h.Units, h.ShrinkTo, h.Revision = x.Quota.Token, x.Quota.Units, x.ShrinkTo, x.Config.Revision
 				if x.ShrinkTo >= 0 {
 					h.Units = min(h.Units, x.ShrinkTo)
@@ -80,7 +80,7 @@
 	for n := range nodes {
 		name := fmt.Sprintf("node/%05d", n)
 		r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: name, Holder: lease.Holder{Name: name, Process: n}})
-		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: requestWait, Declared: declares, Held: append([]Holding(nil), holds...)}
+		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: requestWait, Declared: declares, Holdings: append([]Holding(nil), holds...)}
 		c.send(n)
 	}
 	for range 8 {
@@ -157,7 +157,7 @@
 			for b.Loop() {
 				n := i * 7 % nodes
 				i++
-				c.requests[n].Held[0].Demand = 3 - c.requests[n].Held[0].Demand // one or two units
+				c.requests[n].Holdings[0].Demand = 3 - c.requests[n].Holdings[0].Demand // one or two units
 				c.send(n)
 				c.allocator.nodes[c.requests[n].Lease].deadline = 1 << 60
 				for range 2 { // units that are asked back are free in the second one
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -113,7 +113,7 @@
 }
 
 func (c *testCluster) newAllocator(l *leader) *Allocator {
-	return NewAllocator(l, l.state, Unsafe{Reuse: c.disabled == reuseEarly, Forget: c.disabled == forgetQuotas, Words: c.disabled == acceptStaleReports})
+	return NewAllocator(l, l.state, Unsafe{ReuseUnreturned: c.disabled == reuseEarly, ForgetQuotas: c.disabled == forgetQuotas, AcceptStaleReports: c.disabled == acceptStaleReports})
 }
 
 func (c *testCluster) append(e lease.Entry) lease.Result {
@@ -519,7 +519,7 @@
 	for _, m := range c.messages {
 		as := fmt.Sprint(m.from, m.sent, m.received, m.renewal, m.id == c.processes[m.from].lastRequest)
 		if m.request != nil {
-			as += fmt.Sprint(m.request.Held)
+			as += fmt.Sprint(m.request.Holdings)
 		}
 		if m.response != nil {
 			as += fmt.Sprint(*m.response)
--- a/budget/division.go
+++ b/budget/division.go
@@ -157,7 +157,7 @@
 // isCurrent reports whether a holding speaks of the quota that the node has now. An older report says nothing about units
 // that were given since.
 func (d *division) isCurrent(h Holding, quota lease.Quota) bool {
-	return quota.Token != 0 && (h.Token == quota.Token || d.allocator.unsafe.Words)
+	return quota.Token != 0 && (h.Token == quota.Token || d.allocator.unsafe.AcceptStaleReports)
 }
 
 // move sets the units of a node that is in contact.
@@ -178,7 +178,7 @@
 			continue
 		}
 		d.shrinkTo[l] = d.target[i]
-		if d.allocator.unsafe.Reuse {
+		if d.allocator.unsafe.ReuseUnreturned {
 			d.move(l, d.target[i])
 		}
 	}
@@ -207,7 +207,7 @@
 	free := d.budget.Allocatable()
 	for i, c := range d.claims {
 		free -= c.units
-		if _, ok := d.shrinkTo[d.leases[i]]; ok && d.allocator.unsafe.Reuse {
+		if _, ok := d.shrinkTo[d.leases[i]]; ok && d.allocator.unsafe.ReuseUnreturned {
 			free += c.units - d.target[i]
 		}
 	}
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -25,7 +25,7 @@
 	Token    uint64                        `json:"Token"`
 	Weight   float64                       `json:"Weight"` // relative to other nodes, 0: 1
 	Wait     Time                          `json:"Wait"`
-	Held     []Holding                     `json:"Holds"`
+	Holdings []Holding                     `json:"Holds"`
 	Declared map[string]lease.BudgetConfig `json:"Declares"` // from the node's configuration, for budgets that the fleet doesn't have yet
 }
 
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -183,7 +183,7 @@
 		Token:    c.token,
 		Weight:   c.weight,
 		Wait:     requestWait,
-		Held:     c.holdings(),
+		Holdings: c.holdings(),
 		Declared: declared,
 	})
 	c.host.SetAlarm(c.lastSample + sampleInterval)
--- a/cmd/thistlerudder/lease_run.go
+++ b/cmd/thistlerudder/lease_run.go
@@ -81,7 +81,7 @@
 	c.Stdin, c.Stdout, c.Stderr = cmd.InOrStdin(), cmd.OutOrStdout(), cmd.ErrOrStderr()
 	c.Env = append(os.Environ(), "THISTLERUDDER_LEASE="+name, fmt.Sprintf("THISTLERUDDER_TOKEN=%d", held.Token()))
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if !held.May(duration / terminateAtPart) {
+	if !held.MayAct(duration / terminateAtPart) {
 		return exitStatus(exitNotAcquired)
 	}
 	if err := c.Start(); err != nil {
@@ -108,10 +108,10 @@
 		case <-check.C:
 		}
 		switch {
-		case !held.May(duration / killAtPart):
+		case !held.MayAct(duration / killAtPart):
 			lost = true
 			signalGroup(syscall.SIGKILL)
-		case !lost && !held.May(duration/terminateAtPart):
+		case !lost && !held.MayAct(duration/terminateAtPart):
 			lost = true
 			signalGroup(syscall.SIGTERM)
 		}
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -153,7 +153,7 @@
 				for i := range budgets {
 					name := fmt.Sprint("origin-rate-", i)
 					ask.Declared[name] = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
-					ask.Held = append(ask.Held, budget.Holding{Budget: name, Demand: 3, ShrinkTo: -1})
+					ask.Holdings = append(ask.Holdings, budget.Holding{Budget: name, Demand: 3, ShrinkTo: -1})
 				}
 				var x QuotaResponse
 				eventually(b, "no parts", func() bool {
@@ -162,21 +162,21 @@
 						b.Fatal(err)
 					}
 					for _, n := range x.Updates {
-						for i := range ask.Held {
-							if h := &ask.Held[i]; h.Budget == n.Budget {
+						for i := range ask.Holdings {
+							if h := &ask.Holdings[i]; h.Budget == n.Budget {
 								h.Token, h.Units, h.ShrinkTo, h.Revision = n.Quota.Token, n.Quota.Units, n.ShrinkTo, n.Config.Revision
 							}
 						}
 					}
 					done := len(x.Updates) == 0
-					for _, h := range ask.Held {
+					for _, h := range ask.Holdings {
 						done = done && h.Token > 0
 					}
 					return done
 				})
 				if ask.Declared, ask.Wait = nil, 0; news {
-					for i := range ask.Held {
-						ask.Held[i].Token = 1 // an earlier one
+					for i := range ask.Holdings {
+						ask.Holdings[i].Token = 1 // an earlier one
 					}
 				}
 				measureCall(b, conn, func() error {
@@ -253,7 +253,7 @@
 		relays = append(relays, n)
 	}
 	for _, f := range all {
-		f.Lease, f.MaxDelay, f.Routes = 3*time.Second, 50*time.Millisecond, routes
+		f.Lease, f.MaxDelay, f.DialOverrides = 3*time.Second, 50*time.Millisecond, routes
 	}
 	nodes := startCluster(b, all)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
@@ -290,7 +290,7 @@
 	b.Cleanup(func() { stop(); keeping.Wait() })
 	for i := range holders {
 		f := *all[0]
-		f.Node, f.Folder = fmt.Sprintf("edge-%05d", i), ""
+		f.Node, f.DataDir = fmt.Sprintf("edge-%05d", i), ""
 		c := NewClient(&f, zap.NewNop())
 		held.Add(1)
 		first := sync.OnceFunc(held.Done)
--- a/internal/cluster/bench_voters_test.go
+++ b/internal/cluster/bench_voters_test.go
@@ -65,7 +65,7 @@
 // BenchmarkRecovery starts a voter on a folder with a log of 16 MB, until it leads again.
 func BenchmarkRecovery(b *testing.B) {
 	f := clusterConfigs(b, 3)[0]
-	p, err := voterstore.OpenIdentity(f.Folder, f.Name, f.Node)
+	p, err := voterstore.OpenIdentity(f.DataDir, f.Name, f.Node)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	i, _ := os.Stat(filepath.Join(f.Folder, voterstore.LogFile))
+	i, _ := os.Stat(filepath.Join(f.DataDir, voterstore.LogFile))
 	b.ReportMetric(float64(i.Size())/(1<<20), "MB")
 	v.shutDown(nil)
 	listener.Close()
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -35,10 +35,10 @@
 			t.Fatal(err)
 		}
 		f := &config.Cluster{Name: "f", Node: fmt.Sprint("n", i), Address: l.Addr().String(), Lease: 2 * time.Second,
-			MaxDrift: 0.01, MaxDelay: 40 * time.Millisecond, RollUp: time.Second}
+			MaxDrift: 0.01, MaxDelay: 40 * time.Millisecond, RollUpInterval: time.Second}
 		_ = l.Close()
 		if i < 3 {
-			f.Folder = filepath.Join(t.TempDir(), "v")
+			f.DataDir = filepath.Join(t.TempDir(), "v")
 			voters = append(voters, config.Voter{Name: f.Node, Address: f.Address})
 		}
 		all = append(all, f)
--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -161,7 +161,7 @@
 		case <-over:
 			return
 		case <-time.After(effectInterval):
-			if held.Do(config.TaskFaultTest, uint64(trueBootTime()), nil) != nil {
+			if held.SetEffect(config.TaskFaultTest, uint64(trueBootTime()), nil) != nil {
 				time.Sleep(effectRetryDelay)
 			}
 		}
@@ -171,7 +171,7 @@
 // act makes the i-th act: each fourth on the resource that checks fencing tokens, the others on the one that doesn't.
 func (r *recorder) act(held *HeldLease, i int) {
 	duration := minActDuration + time.Duration(rand.Int64N(int64(actDurationSpread)))
-	if !held.May(duration + actMarginForDelay) {
+	if !held.MayAct(duration + actMarginForDelay) {
 		return
 	}
 	faults.Point(faults.BeforeAct)
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -104,7 +104,7 @@
 		"Due":       {uint64(19), []lease.Probe{{ID: "c-1", Address: "10.0.1.1:80"}}},
 		"Result":    {ProbeReport{Token: 19, ID: "c-1", Healthy: true}, struct{}{}},
 		"Part": {budget.Request{Lease: "node/n1", Token: 18, Weight: 2, Wait: 7500,
-			Held:     []budget.Holding{{Budget: "origin-rate", Token: 19, Units: 7, Demand: 9, ShrinkTo: -1, Revision: 3}},
+			Holdings: []budget.Holding{{Budget: "origin-rate", Token: 19, Units: 7, Demand: 9, ShrinkTo: -1, Revision: 3}},
 			Declared: map[string]lease.BudgetConfig{"origin-rate": goldenTerms}},
 			QuotaResponse{Updates: []budget.QuotaUpdate{{Budget: "origin-rate", Config: goldenTerms, Quota: lease.Quota{Token: 19, Units: 7}, ShrinkTo: 5, Allocated: 30, Reserve: 2}},
 				Error: toWireError(fmt.Errorf("%w: name", lease.ErrMalformed))}},
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -133,9 +133,9 @@
 	h.cancel()
 }
 
-// May reports whether an act that takes a duration may begin now. The process may be suspended between this check and the
+// MayAct reports whether an act that takes a duration may begin now. The process may be suspended between this check and the
 // act: so the act either carries the token to a resource that refuses an old one, or is bounded by the duration given here.
-func (h *HeldLease) May(duration time.Duration) bool {
+func (h *HeldLease) MayAct(duration time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, may := h.claimant.MayAct(now(), toLeaseTime(duration))
@@ -159,10 +159,10 @@
 	return h.token
 }
 
-// Do applies an effect to the cluster's replicated state, which refuses an old token, and a number that isn't above the
+// SetEffect applies an effect to the cluster's replicated state, which refuses an old token, and a number that isn't above the
 // effect's last one. Its error is ErrOutcomeUnknown if there was no response.
-func (h *HeldLease) Do(effect string, number uint64, value []byte) error {
-	if !h.May(0) {
+func (h *HeldLease) SetEffect(effect string, number uint64, value []byte) error {
+	if !h.MayAct(0) {
 		return lease.ErrLeaseExpired
 	}
 	faults.Point(faults.BeforeAct)
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -111,7 +111,7 @@
 		VoterID:        m.voterID,
 		ServeRPC:       m.serveConn,
 	})
-	if m.config.Folder != "" {
+	if m.config.DataDir != "" {
 		m.openVoter()
 		m.tasks.Go(func() { m.restartVoter(ctx) })
 	}
@@ -182,14 +182,14 @@
 }
 
 func (m *Member) newVoter() (*Voter, error) {
-	identity, err := voterstore.OpenIdentity(m.config.Folder, m.config.Name, m.config.Node)
+	identity, err := voterstore.OpenIdentity(m.config.DataDir, m.config.Name, m.config.Node)
 	if err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
 	m.identity = identity
 	m.mu.Unlock()
-	dialer := transport.Dialer{Cluster: m.config.Name, Node: m.config.Node, Routes: m.config.Routes}
+	dialer := transport.Dialer{Cluster: m.config.Name, Node: m.config.Node, Routes: m.config.DialOverrides}
 	layer := transport.NewStreamLayer(m.listener, dialer, transport.RaftAddress(identity.ID, m.config.Address))
 	return startVoter(m.config, identity, layer, m.log.Named("voter"))
 }
@@ -227,7 +227,7 @@
 
 // runAsNode runs while the lease of the node's name is held.
 func (m *Member) runAsNode(ctx context.Context, held *HeldLease) bool {
-	if err := held.Do(nodeLease(m.config.Node), held.Token(), []byte(m.config.Address)); err != nil {
+	if err := held.SetEffect(nodeLease(m.config.Node), held.Token(), []byte(m.config.Address)); err != nil {
 		m.log.Warn("node address not published", zap.Error(err))
 	}
 	var tasks sync.WaitGroup
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -36,8 +36,8 @@
 				}
 				tokens[g.Token()] = true
 				mu.Unlock()
-				err := g.Do("count", g.Token(), nil)
-				if again := g.Do("count", g.Token(), nil); err == nil && again == nil {
+				err := g.SetEffect("count", g.Token(), nil)
+				if again := g.SetEffect("count", g.Token(), nil); err == nil && again == nil {
 					t.Errorf("token %d acts twice with one number", g.Token())
 				}
 				in.Add(-1)
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -197,7 +197,7 @@
 		m.mu.Unlock()
 	}
 	b := m.config.Budgets[at]
-	return m.node.SetQuota(b.Bound, b.Partner, quota, duration, margin)
+	return m.node.SetQuota(b.Limit, b.Tenant, quota, duration, margin)
 }
 
 // addBudgetMetrics adds the metrics of the budgets as this node sees them.
--- a/internal/cluster/quotas_test.go
+++ b/internal/cluster/quotas_test.go
@@ -47,7 +47,7 @@
 	var nodes []*Member
 	for i, f := range all {
 		f.Weight = 1
-		f.Budgets = []config.Budget{{Name: "x", Bound: routing.OriginRate, BudgetConfig: lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, ReservedPerNode: 2, MaxNodes: 5}}}
+		f.Budgets = []config.Budget{{Name: "x", Limit: routing.OriginRate, BudgetConfig: lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, ReservedPerNode: 2, MaxNodes: 5}}}
 		w := &budgetedNode{demand: []float64{400, 0, 0, 40}[i]}
 		own, nodes = append(own, w), append(nodes, Start(f, w, time.Second, 256, zap.NewNop()))
 	}
--- a/internal/cluster/task_probe.go
+++ b/internal/cluster/task_probe.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		for _, probe := range due {
-			if !held.May(probeTimeout) { // a late probe is harmless, so a bound on its end is enough
+			if !held.MayAct(probeTimeout) { // a late probe is harmless, so a bound on its end is enough
 				break
 			}
 			select {
--- a/internal/cluster/task_rollup.go
+++ b/internal/cluster/task_rollup.go
@@ -34,7 +34,7 @@
 // rollUp is the roll-up task: it logs one report of the whole cluster at the end of each period. The replicated state has the
 // number of the last period, so that none is logged twice; one that nobody has logged is reported as a gap with the next.
 func (m *Member) rollUp(ctx context.Context, held *HeldLease) bool {
-	period := m.config.RollUp
+	period := m.config.RollUpInterval
 	for {
 		now := wallClock()
 		end := now.Truncate(period).Add(period)
@@ -51,7 +51,7 @@
 
 // rollUpPeriod reports the period that ends at a time. It returns false if the lease is lost.
 func (m *Member) rollUpPeriod(held *HeldLease, end time.Time) (leaseHeld bool) {
-	period := m.config.RollUp
+	period := m.config.RollUpInterval
 	number := uint64(end.UnixMilli() / period.Milliseconds())
 	status, err := m.client.Status()
 	if err != nil {
@@ -65,7 +65,7 @@
 		number = next
 	}
 	report, text := m.collectReport(status.nodeAddresses())
-	switch err := held.Do(config.TaskRollUp, number, text); {
+	switch err := held.SetEffect(config.TaskRollUp, number, text); {
 	case errors.Is(err, lease.ErrDuplicate):
 		return true
 	case errors.Is(err, ErrOutcomeUnknown):
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -75,12 +75,12 @@
 func startVoter(c *config.Cluster, identity voterstore.Identity, layer *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
 	v := newVoter(c, identity, layer.Dialer(), log)
 	var err error
-	v.store, err = voterstore.Open(c.Folder, v.once.fail)
+	v.store, err = voterstore.Open(c.DataDir, v.once.fail)
 	if err != nil {
 		return nil, err
 	}
 	raftLog := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{log}, DisableTime: true})
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, retainedSnapshots, raftLog)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.DataDir, retainedSnapshots, raftLog)
 	if err != nil {
 		_ = v.store.Close()
 		return nil, fmt.Errorf("fleet.folder: %w", err)
@@ -127,7 +127,7 @@
 	v.once.end = v.shutDown
 	v.leaseAlarm = newAlarm(v.onLeaseAlarm)
 	v.allocatorAlarm = newAlarm(v.onAllocatorAlarm)
-	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{Reuse: faults.Without(faults.Reuse), Forget: faults.Without(faults.Forget)})
+	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{ReuseUnreturned: faults.Without(faults.Reuse), ForgetQuotas: faults.Without(faults.Forget)})
 	leaseDuration := toLeaseTime(c.Lease)
 	grantDuration := lease.GranterDuration(leaseDuration, c.MaxDrift)
 	if faults.Without(faults.DriftMargin) {
--- a/internal/cluster/voter_folder_full_test.go
+++ b/internal/cluster/voter_folder_full_test.go
@@ -19,7 +19,7 @@
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	nodes[2].Close()
 	fault := func(folder string, _ bool) error {
-		if folder == all[2].Folder {
+		if folder == all[2].DataDir {
 			return syscall.ENOSPC
 		}
 		return nil
--- a/internal/cluster/voter_folder_test.go
+++ b/internal/cluster/voter_folder_test.go
@@ -40,15 +40,15 @@
 		},
 	} {
 		f := clusterConfigs(t, 3)[0]
-		if err := spoil(f.Folder); err != nil {
+		if err := spoil(f.DataDir); err != nil {
 			t.Fatal(err)
 		}
-		before, _ := os.ReadFile(filepath.Join(f.Folder, voterstore.IdentityFile))
+		before, _ := os.ReadFile(filepath.Join(f.DataDir, voterstore.IdentityFile))
 		n := Start(f, stubNode{}, time.Second, 256, zap.NewNop())
 		eventually(t, want, func() bool { return strings.Contains(n.status().VoterError, want) || n.voterID() != "" })
 		s := n.status()
 		n.Close()
-		if after, _ := os.ReadFile(filepath.Join(f.Folder, voterstore.IdentityFile)); s.Voter || string(after) != string(before) {
+		if after, _ := os.ReadFile(filepath.Join(f.DataDir, voterstore.IdentityFile)); s.Voter || string(after) != string(before) {
 			t.Errorf("%s: %+v, and the identity was %q, is %q", want, s, before, after)
 		}
 	}
@@ -58,7 +58,7 @@
 func TestALogCutShort(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
-	path := filepath.Join(nodes[0].config.Folder, voterstore.LogFile)
+	path := filepath.Join(nodes[0].config.DataDir, voterstore.LogFile)
 	for _, n := range nodes {
 		n.Close()
 	}
--- a/internal/cluster/voter_restart.go
+++ b/internal/cluster/voter_restart.go
@@ -34,7 +34,7 @@
 			return
 		case <-time.After(delay):
 		}
-		if err := voterstore.RewriteLog(m.config.Folder); err != nil {
+		if err := voterstore.RewriteLog(m.config.DataDir); err != nil {
 			m.log.Info("voter restart failed, will be retried", zap.Error(err))
 			continue
 		}
--- a/internal/cluster/voter_restart_test.go
+++ b/internal/cluster/voter_restart_test.go
@@ -27,7 +27,7 @@
 			before, _ := nodes[0].client.Status()
 			var failing atomic.Bool
 			fault := func(folder string, made bool) error {
-				if failing.Load() && made == c.after && folder != nodes[0].config.Folder {
+				if failing.Load() && made == c.after && folder != nodes[0].config.DataDir {
 					return c.err
 				}
 				return nil
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -31,9 +31,9 @@
 	// Name is unique among the budgets. Required.
 	Name string
 	// Bound is the routing limit that the node's quota is applied to.
-	Bound routing.Limit
+	Limit routing.Limit
 	// Partner is the tenant whose requests are limited; empty for other limits.
-	Partner string
+	Tenant string
 	// BudgetConfig holds the size: Units of RatePerUnit requests a second each, or of 1 request in flight each.
 	// ReservedPerNode is the fraction "apart" of the units, 0.1 by default, divided by the key "nodes" and rounded down.
 	lease.BudgetConfig
@@ -84,14 +84,14 @@
 // readLimit reads what the budget limits, which no earlier one may limit already.
 func (b *Budget) readLimit(o object, earlier []Budget, tenants []string) {
 	limit, known := limits[b.Resource][b.Kind]
-	b.Bound = limit
+	b.Limit = limit
 	if b.Resource == boundsTenant {
-		b.Partner = o.stringAt("partner")
-		if !slices.Contains(tenants, b.Partner) {
+		b.Tenant = o.stringAt("partner")
+		if !slices.Contains(tenants, b.Tenant) {
 			o.fault("partner", "the name of one of settings.tenants")
 		}
 	}
-	sameLimit := func(other Budget) bool { return other.Bound == b.Bound && other.Partner == b.Partner }
+	sameLimit := func(other Budget) bool { return other.Limit == b.Limit && other.Tenant == b.Tenant }
 	if known && slices.ContainsFunc(earlier, sameLimit) {
 		o.fault("bounds", "something that no budget before it bounds already")
 	}
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -50,7 +50,7 @@
 	// Voters are the 3 or 5 nodes of the quorum, the same at all nodes. Required.
 	Voters []Voter
 	// Folder is the directory of a voter's durable state. Required if this node is a voter; empty for others.
-	Folder string
+	DataDir string
 	// Lease is the duration of a lease; 3 s by default, at least 20 times MaxDelay.
 	Lease time.Duration
 	// MaxDrift is how far the rate of any node's clock may be off, as a fraction; 0.01 by default.
@@ -58,11 +58,11 @@
 	// MaxDelay is the longest usual delay of a message between nodes; 50 ms by default.
 	MaxDelay time.Duration
 	// Routes maps a peer's address to the one to dial instead, as for a proxy; empty by default.
-	Routes map[string]string
+	DialOverrides map[string]string
 	// Tasks are those that this node takes part in: each runs at one node at a time. None by default.
 	Tasks []string
 	// RollUp is the interval of TaskRollUp; 1 min by default.
-	RollUp time.Duration
+	RollUpInterval time.Duration
 	// ProbePath is the path that TaskProbe requests of a server; "/up" by default.
 	ProbePath string
 	// Budgets are the limits that all nodes share; none by default.
@@ -101,18 +101,18 @@
 	}
 	o := object{values: values, path: "fleet.", faults: root.faults}
 	c := &Cluster{
-		Node:      node,
-		Lease:     defaultLease,
-		MaxDrift:  defaultMaxDrift,
-		MaxDelay:  defaultMaxDelay,
-		RollUp:    defaultRollUp,
-		ProbePath: defaultProbePath,
-		Routes:    map[string]string{},
-		Weight:    defaultWeight,
+		Node:           node,
+		Lease:          defaultLease,
+		MaxDrift:       defaultMaxDrift,
+		MaxDelay:       defaultMaxDelay,
+		RollUpInterval: defaultRollUp,
+		ProbePath:      defaultProbePath,
+		DialOverrides:  map[string]string{},
+		Weight:         defaultWeight,
 	}
 	required(o, "name", leaseName, &c.Name)
 	required(o, "address", hostPort, &c.Address)
-	optional(o, "folder", folderForm, &c.Folder)
+	optional(o, "folder", folderForm, &c.DataDir)
 	optional(o, "probe_path", probePathForm, &c.ProbePath)
 	if !lease.ValidName(node) {
 		root.fault("name", leaseName.expected+", since the fleet knows the node by it")
@@ -120,7 +120,7 @@
 	c.readTimes(o)
 	optional(o, "drift", driftForm, &c.MaxDrift)
 	c.readVoters(o)
-	optional(o, "routes", routesForm, &c.Routes)
+	optional(o, "routes", routesForm, &c.DialOverrides)
 	optional(o, "weight", weightForm, &c.Weight)
 	c.readBudgets(o, tenantNames(root))
 	optional(o, "tasks", tasksForm, &c.Tasks)
@@ -130,7 +130,7 @@
 func (c *Cluster) readTimes(o object) {
 	optional(o, "delay_ms", delayForm, &c.MaxDelay)
 	optional(o, "lease_ms", leaseForm, &c.Lease)
-	optional(o, "roll_up_ms", rollUpForm, &c.RollUp)
+	optional(o, "roll_up_ms", rollUpForm, &c.RollUpInterval)
 	if shortest := minLeaseDelays * c.MaxDelay; c.Lease < shortest {
 		o.fault("lease_ms", fmt.Sprintf("%d delays at least (fleet.delay_ms is %d), so %d or more",
 			minLeaseDelays, c.MaxDelay.Milliseconds(), shortest.Milliseconds()))
@@ -164,7 +164,7 @@
 		x.fault("address", hostPort.expected)
 	case slices.ContainsFunc(c.Voters, sameAddress):
 		x.fault("address", fmt.Sprintf("another address than %q, which a voter before it has", voter.Address))
-	case self && c.Folder == "":
+	case self && c.DataDir == "":
 		o.fault("folder", folderForm.expected+", since this node is one of fleet.voters")
 	case self && c.Address != voter.Address:
 		x.fault("address", fmt.Sprintf("%q as in fleet.address, since this is the node itself", c.Address))
--- a/internal/config/cluster_test.go
+++ b/internal/config/cluster_test.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := s.Fleet; f.Name != "f" || f.Node != "n3" || f.Lease != 2*time.Second || f.MaxDrift != 0.02 || f.MaxDelay != 40*time.Millisecond ||
-		len(f.Voters) != 3 || f.Voters[2] != (Voter{"n5", "127.0.0.3:7100"}) || len(f.Tasks) != 2 || f.Routes["127.0.0.2:7100"] == "" {
+	if f := s.Cluster; f.Name != "f" || f.Node != "n3" || f.Lease != 2*time.Second || f.MaxDrift != 0.02 || f.MaxDelay != 40*time.Millisecond ||
+		len(f.Voters) != 3 || f.Voters[2] != (Voter{"n5", "127.0.0.3:7100"}) || len(f.Tasks) != 2 || f.DialOverrides["127.0.0.2:7100"] == "" {
 		t.Errorf("%+v", f)
 	}
 	for want, c := range map[string][2]string{
@@ -68,8 +68,8 @@
 	want := []Budget{{"fetches", routing.OriginRate, "", lease.BudgetConfig{Kind: "rate", Resource: "origin", Units: 200, RatePerUnit: 0.5, ReservedPerNode: 2, MaxNodes: 10}},
 		{"room", routing.OriginConcurrency, "", lease.BudgetConfig{Kind: "number", Resource: "origin", Units: 40, RatePerUnit: 1, ReservedPerNode: 2, MaxNodes: 10}},
 		{"acme", routing.TenantRate, "acme", lease.BudgetConfig{Kind: "rate", Resource: "partner", Units: 5, RatePerUnit: 10, MaxNodes: 10}}}
-	if !reflect.DeepEqual(s.Fleet.Budgets, want) || s.Fleet.Weight != 2.5 {
-		t.Errorf("%+v, weight %g", s.Fleet.Budgets, s.Fleet.Weight)
+	if !reflect.DeepEqual(s.Cluster.Budgets, want) || s.Cluster.Weight != 2.5 {
+		t.Errorf("%+v, weight %g", s.Cluster.Budgets, s.Cluster.Weight)
 	}
 	for want, c := range map[string][2]string{
 		"fleet.nodes: expected a whole number":                {`"nodes":10,`, ``},
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -63,7 +63,7 @@
 	// CachedEndpoints is an endpoint list to start with, in the discovery service's JSON form; nil, the default: none.
 	CachedEndpoints []byte
 	// Fleet configures the node's cluster; nil, the default: the node has no peers.
-	Fleet *Cluster
+	Cluster *Cluster
 	// Settings is what the deployment sets for all nodes. Required.
 	*Settings
 
@@ -157,7 +157,7 @@
 	required(root, "limits.memory_mb", memoryForm, &n.MemoryMB)
 	required(root, "limits.sockets", socketsForm, &n.Descriptors)
 	optional(root, "known", endpointsForm, &n.CachedEndpoints)
-	n.Fleet = readCluster(root, n.Name)
+	n.Cluster = readCluster(root, n.Name)
 	settings, ok := values["settings"].(map[string]any)
 	if !ok {
 		root.fault("settings", "the deployment's settings, a JSON object")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -66,7 +66,7 @@
 
 // IsOrigin reports whether a kind of machine, an index of Models, is the origin's.
 func (s *Settings) IsOrigin(kind int) bool {
-	return s.originKindSet && s.Routing.CacheAside && kind == s.Routing.OriginKind
+	return s.originKindSet && s.Routing.CacheAside && kind == s.Routing.OriginModel
 }
 
 // HedgingAllowed reports whether two attempts of a request may be in flight at once. The default is no.
@@ -110,7 +110,7 @@
 	if v, found := find(o.values, "domain.origin-kind"); found {
 		_, s.originKindSet = integer.parse(v)
 	}
-	optional(o, "domain.origin-kind", integer, &c.OriginKind)
+	optional(o, "domain.origin-kind", integer, &c.OriginModel)
 	optional(o, "permissions.most-shots", positiveInteger, &c.MaxAttempts)
 	optional(o, "permissions.parallel-tries", boolean, &c.Hedging)
 	optional(o, "permissions.max-retry-after-ms", duration, &c.MaxRetryAfter)
--- a/internal/net/admin/metrics.go
+++ b/internal/net/admin/metrics.go
@@ -34,7 +34,7 @@
 
 // writeReasons writes why attempts were withheld and which rules decisions would have violated, a line for each reason that occurred.
 func (s *Server) writeReasons(page *strings.Builder) {
-	for reason := admission.Granted + 1; reason < admission.Reasons; reason++ {
+	for reason := admission.Granted + 1; reason < admission.NumReasons; reason++ {
 		if n := s.metrics.Denied[reason].Load(); n > 0 {
 			fmt.Fprintf(page, "attempts.withheld.%v=%d\n", reason, n)
 		}
--- a/internal/net/admission/admission_test.go
+++ b/internal/net/admission/admission_test.go
@@ -64,7 +64,7 @@
 
 func TestReasonsHaveNames(t *testing.T) {
 	seen := map[string]bool{}
-	for r := Granted; r < Reasons; r++ {
+	for r := Granted; r < NumReasons; r++ {
 		if r.String() == "" || seen[r.String()] {
 			t.Errorf("reason %d is named %q", r, r)
 		}
--- a/internal/net/admission/reason.go
+++ b/internal/net/admission/reason.go
@@ -23,11 +23,11 @@
 	MayHaveRun                     // an earlier attempt may have run, and nothing makes a retry harmless
 	DedupWindowOver                // an earlier attempt may have run, and the servers may have forgotten its key by now
 	BodySent                       // part of the body went to another server and can't be read again
-	Reasons                        // how many there are
+	NumReasons                     // how many there are
 )
 
 // The names stand on the operators' address, so they stay.
-var reasonNames = [Reasons]string{
+var reasonNames = [NumReasons]string{
 	Granted:          "granted",
 	RequestOver:      "request_over",
 	ClientGone:       "client_gone",
--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -13,11 +13,11 @@
 // otherwise the unexported ones are guarded by the Dispatcher's lock. Its methods may be called from any goroutine.
 type Attempt struct {
 	*Request
-	Address  string
-	Endpoint uint64        // incarnation of the endpoint: a new number after each restart, move or ejection
-	Timeout  time.Duration // how long an answer is waited for
-	Origin   bool          // the endpoint is the origin
-	SendBy   time.Time     // when the first byte must have been written; zero: any time
+	Address     string
+	Incarnation uint64        // incarnation of the endpoint: a new number after each restart, move or ejection
+	Timeout     time.Duration // how long an answer is waited for
+	Origin      bool          // the endpoint is the origin
+	SendBy      time.Time     // when the first byte must have been written; zero: any time
 
 	pending       *PendingRequest // nil in tests of other packages
 	endpointIndex int
@@ -38,7 +38,7 @@
 	a := &Attempt{
 		Request:       &r.Request,
 		Address:       e.address,
-		Endpoint:      e.incarnation,
+		Incarnation:   e.incarnation,
 		Timeout:       timeout,
 		Origin:        e.origin,
 		pending:       r,
@@ -199,7 +199,7 @@
 	if result.MayHaveRun() {
 		r.noteMayHaveRun(a.startedAt)
 	}
-	d.stats.Ends[result]++
+	d.stats.Results[result]++
 	d.endpoints.entries[a.endpointIndex].untrack(a)
 	d.balancer.AttemptDone(d.now(), r.index, a.number, result.Code(), result == Complete || r.ended.Load())
 }
--- a/internal/net/dispatch/body_stream.go
+++ b/internal/net/dispatch/body_stream.go
@@ -45,5 +45,5 @@
 // Started reports whether a Read of the source has begun.
 func (s *BodyStream) Started() bool { return s.started.Load() }
 
-// Whole reports whether the stream was read to its end.
-func (s *BodyStream) Whole() bool { return s.complete.Load() }
+// Complete reports whether the stream was read to its end.
+func (s *BodyStream) Complete() bool { return s.complete.Load() }
--- a/internal/net/dispatch/dispatcher_test.go
+++ b/internal/net/dispatch/dispatcher_test.go
@@ -31,7 +31,7 @@
 		clients.Go(func() {
 			pending := submit(t, d, Request{Class: "read", Key: strconv.Itoa(i % 7)}, time.Second)
 			if i%3 == 0 {
-				pending.Abandon()
+				pending.Cancel()
 				return
 			}
 			select {
@@ -95,7 +95,7 @@
 	if err := again(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
 		t.Errorf("while it is out: %v", err)
 	}
-	first.Abandon()
+	first.Cancel()
 	if err := again(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
 		t.Errorf("while its attempt is out: %v", err)
 	}
--- a/internal/net/dispatch/endpoint_latency.go
+++ b/internal/net/dispatch/endpoint_latency.go
@@ -57,7 +57,7 @@
 
 // noteResult learns from an answer, unless the endpoint has restarted or moved since the attempt.
 func (e *endpointEntry) noteResult(a *Attempt, result AttemptResult) {
-	if e.incarnation != a.Endpoint || result != Complete && result != NotFound {
+	if e.incarnation != a.Incarnation || result != Complete && result != NotFound {
 		return
 	}
 	if result == Complete {
--- a/internal/net/dispatch/endpoint_latency_test.go
+++ b/internal/net/dispatch/endpoint_latency_test.go
@@ -52,7 +52,7 @@
 	}
 	var crossed *PendingRequest
 	crossed, attempt := send(Request{Class: "read", Key: "k", ClientGone: func() bool {
-		crossed.Abandon() // the request ends while the kernel is asked for its client
+		crossed.Cancel() // the request ends while the kernel is asked for its client
 		return false
 	}})
 	if attempt.ClientState() == admission.Granted {
@@ -73,7 +73,7 @@
 		quiet() // another attempt of what isn't safe might be an effect twice
 		first.Finish(Complete, Answer{})
 	}
-	if y := d.Stats(); y.Ends[Bypassed] != 1 || y.Panics > 0 || len(d.requests.byTraceID) > 0 {
+	if y := d.Stats(); y.Results[Bypassed] != 1 || y.Panics > 0 || len(d.requests.byTraceID) > 0 {
 		t.Errorf("tally %+v, %d ids out", y, len(d.requests.byTraceID))
 	}
 	for _, p := range d.endpoints.entries {
--- a/internal/net/dispatch/endpoints_test.go
+++ b/internal/net/dispatch/endpoints_test.go
@@ -38,7 +38,7 @@
 	d := startDispatcher(t, transport)
 	submit(t, d, Request{Class: "late", Write: true}, time.Second) // at the origin while that is replaced
 	out := transport.take(0)
-	seen := map[uint64]bool{out.Endpoint: true}
+	seen := map[uint64]bool{out.Incarnation: true}
 	const rounds = 768
 	for n := range rounds {
 		fresh := []Endpoint{{ID: fmt.Sprint("c", n), Address: "same:1", Model: "box"}, {ID: fmt.Sprint("z", n), Address: "z:1", Model: "origin"}}
@@ -51,10 +51,10 @@
 		for _, write := range []bool{false, true} {
 			submit(t, d, Request{Class: "late", Write: write}, time.Second)
 			s := transport.take(0)
-			if s == nil || seen[s.Endpoint] || s.endpointIndex == out.endpointIndex || s.Address != fresh[map[bool]int{true: 1}[write]].Address {
+			if s == nil || seen[s.Incarnation] || s.endpointIndex == out.endpointIndex || s.Address != fresh[map[bool]int{true: 1}[write]].Address {
 				t.Fatalf("list %d, write %v: %+v", n, write, s)
 			}
-			seen[s.Endpoint] = true
+			seen[s.Incarnation] = true
 			s.Finish(Complete, Answer{})
 		}
 	}
--- a/internal/net/dispatch/pending_request.go
+++ b/internal/net/dispatch/pending_request.go
@@ -29,8 +29,8 @@
 // Answers returns the channel that delivers the one final answer.
 func (r *PendingRequest) Answers() <-chan Answer { return r.answers }
 
-// Abandon reports that the client is gone. No answer follows; attempts that are in flight still finish.
-func (r *PendingRequest) Abandon() {
+// Cancel reports that the client is gone. No answer follows; attempts that are in flight still finish.
+func (r *PendingRequest) Cancel() {
 	r.dispatcher.withLock("client gone", r, r.clientGone)
 }
 
--- a/internal/net/dispatch/random_test.go
+++ b/internal/net/dispatch/random_test.go
@@ -21,6 +21,11 @@
 func (f *trackedRequest) check() string {
 	f.PendingRequest.dispatcher.mu.Lock() // an attempt may be passed meanwhile
 	defer f.PendingRequest.dispatcher.mu.Unlock()
+	return f.checkLocked()
+}
+
+// checkLocked is check with the dispatcher's lock held.
+func (f *trackedRequest) checkLocked() string {
 	a, came := receivedAnswer(f.PendingRequest)
 	switch {
 	case came && (f.answered || f.abandoned):
@@ -75,12 +80,17 @@
 			case 4:
 				if len(all) > 0 {
 					f := all[r.Intn(len(all))]
-					if broken := f.check(); broken != "" {
+					broken := ""
+					// One step under the lock: an alarm between the check and the client's end may answer properly.
+					d.withLock("client gone", f.PendingRequest, func(now routing.Time) {
+						broken = f.checkLocked()
+						f.clientGone(now)
+						f.abandoned = true
+					})
+					if broken != "" {
 						t.Error(broken)
 						return false
 					}
-					f.Abandon()
-					f.abandoned = true
 				}
 			}
 			used := map[int]bool{}
--- a/internal/net/dispatch/stats.go
+++ b/internal/net/dispatch/stats.go
@@ -16,7 +16,7 @@
 type Stats struct {
 	Requests, Served, Rejected, Failed, ClientGone, Attempts, Panics int
 
-	Ends    [attemptResultCount]int // attempts by AttemptResult
+	Results [attemptResultCount]int // attempts by AttemptResult
 	Latency *hdrhistogram.Histogram // of served requests, in tenths of a millisecond; nil: none was served
 }
 
@@ -40,8 +40,8 @@
 	_ = s.Latency.RecordValue(int64(min(latency, maxLatency) / tick)) // fails beyond its range only
 }
 
-// Millis returns a percentile of the served requests' latencies, in milliseconds; 0 where none was served.
-func (s *Stats) Millis(percentile float64) float64 {
+// LatencyMs returns a percentile of the served requests' latencies, in milliseconds; 0 where none was served.
+func (s *Stats) LatencyMs(percentile float64) float64 {
 	if s.Latency == nil {
 		return 0
 	}
--- a/internal/net/dispatch/streaming_test.go
+++ b/internal/net/dispatch/streaming_test.go
@@ -71,7 +71,7 @@
 	if s.Stalled(); f.take(0) != nil {
 		t.Error("what isn't safe must not go elsewhere")
 	}
-	again.Abandon()
+	again.Cancel()
 	if s.Finish(Complete, Answer{Rest: rest, Length: 4}) {
 		t.Error("nobody is there to take it")
 	}
--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -64,7 +64,7 @@
 
 // drainBody reads the rest of a long body once its request is answered: a client that is cut off while it writes may never read the answer.
 func (h *handler) drainBody() {
-	if h.bodyStream == nil || h.bodyStream.Whole() {
+	if h.bodyStream == nil || h.bodyStream.Complete() {
 		return
 	}
 	_ = h.control.Flush()
@@ -141,7 +141,7 @@
 // abandon gives up a request whose client has gone.
 func (h *handler) abandon(ticket *dispatch.PendingRequest) {
 	h.log.Debug("client closed its connection", zap.String("trace", h.traceID()))
-	ticket.Abandon()
+	ticket.Cancel()
 	select {
 	case answer := <-ticket.Answers(): // came at the same moment
 		if answer.Rest != nil {
@@ -150,7 +150,7 @@
 	default:
 	}
 	h.answered = true
-	if h.bodyStream != nil && !h.bodyStream.Whole() {
+	if h.bodyStream != nil && !h.bodyStream.Complete() {
 		writePlain(h.w, http.StatusRequestTimeout, errBodyTooSlow.Error()) // the client may have been too slow, and still read
 		return
 	}
--- a/internal/net/metrics/metrics.go
+++ b/internal/net/metrics/metrics.go
@@ -20,9 +20,9 @@
 	Avoided atomic.Int64 // gauge: those of them that get no requests at present
 
 	// Denied counts attempts whose first byte was not written, by reason.
-	Denied [admission.Reasons]atomic.Int64
+	Denied [admission.NumReasons]atomic.Int64
 	// Violations counts orders of package routing that a rule forbids, and that were not carried out, by reason.
-	Violations [admission.Reasons]atomic.Int64
+	Violations [admission.NumReasons]atomic.Int64
 
 	classes  []string // in order
 	outcomes map[string]*Outcomes
--- a/internal/net/node/fleet_test.go
+++ b/internal/net/node/fleet_test.go
@@ -32,8 +32,8 @@
 	}
 	end()
 	s = w.station(256)
-	s.Fleet = &config.Cluster{Name: "f", Node: "n", Address: free(t), Folder: filepath.Join(t.TempDir(), "v"), Lease: time.Second,
-		MaxDrift: 0.01, MaxDelay: 20 * time.Millisecond, Tasks: []string{config.TaskProbe, config.TaskRollUp}, RollUp: time.Second,
+	s.Cluster = &config.Cluster{Name: "f", Node: "n", Address: free(t), DataDir: filepath.Join(t.TempDir(), "v"), Lease: time.Second,
+		MaxDrift: 0.01, MaxDelay: 20 * time.Millisecond, Tasks: []string{config.TaskProbe, config.TaskRollUp}, RollUpInterval: time.Second,
 		Voters: []config.Voter{{Name: "n", Address: "127.0.0.1:1"}, {Name: "o", Address: "127.0.0.1:2"}, {Name: "p", Address: "127.0.0.1:3"}}}
 	end = run(t, s)
 	for by := time.Now().Add(5 * time.Second); figure(s.Admin, "fleet.voter") != 1; time.Sleep(10 * time.Millisecond) {
@@ -44,7 +44,7 @@
 	if status, body := ask(s.Listen, "GET /read/k", "X-Trace-Id: t2", "X-Expires-In: 900m"); status != 200 || body != "value" {
 		t.Errorf("alone in its fleet: %d %q", status, body)
 	}
-	if _, err := os.Stat(filepath.Join(s.Fleet.Folder, "voter.json")); err != nil {
+	if _, err := os.Stat(filepath.Join(s.Cluster.DataDir, "voter.json")); err != nil {
 		t.Error(err)
 	}
 	end()
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -123,7 +123,7 @@
 	for by := time.Now().Add(4 * time.Second); ; time.Sleep(2 * time.Millisecond) {
 		y := s.x.Stats()
 		s.tally.Requests += y.Requests
-		s.tally.Ends[dispatch.Shed] += y.Ends[dispatch.Shed]
+		s.tally.Results[dispatch.Shed] += y.Results[dispatch.Shed]
 		if f(s.tally) {
 			return
 		} else if time.Now().After(by) {
@@ -232,7 +232,7 @@
 
 // steer sends attempts to the stand-ins, and holds the one that is looked at.
 func (s *standing) steer(a *dispatch.Attempt, nth int) {
-	a.Endpoint = uint64(100*nth + int(a.TraceID[0])) // connections of its own
+	a.Incarnation = uint64(100*nth + int(a.TraceID[0])) // connections of its own
 	switch {
 	case a.TraceID == "o" && nth == 1:
 		a.Address = s.addresses["miss"]
@@ -379,7 +379,7 @@
 	case w.place == aFetch && w.attempt > 1:
 		s.await(s.other, "the attempt before")
 		fmt.Fprint(s.dial(address), lookup("GET /read/k", "o", ""))
-		s.tallied(func(y dispatch.Stats) bool { return y.Ends[dispatch.Shed] == w.attempt-1 })
+		s.tallied(func(y dispatch.Stats) bool { return y.Results[dispatch.Shed] == w.attempt-1 })
 	case w.place == aFetch:
 		s.tallied(func(y dispatch.Stats) bool { return y.Requests == 2 })
 	default:
--- a/internal/net/node/limits.go
+++ b/internal/net/node/limits.go
@@ -134,10 +134,10 @@
 
 // clusterShare returns the descriptors of the cluster, and how many connections from other nodes are among them.
 func clusterShare(s *config.Node, free int) (descriptors, peerConns int) {
-	if s.Fleet == nil {
+	if s.Cluster == nil {
 		return 0, 0
 	}
-	voterConns := connsPerVoter * len(s.Fleet.Voters)
+	voterConns := connsPerVoter * len(s.Cluster.Voters)
 	nodeConns := max(s.Settings.Routing.Nodes, minNodeConns)
 	descriptors = min(clusterReserve+voterConns+nodeConns, free/clusterDivisor)
 	outgoing := voterConns / 2
--- a/internal/net/node/limits_test.go
+++ b/internal/net/node/limits_test.go
@@ -73,14 +73,14 @@
 		"very few":         {128, 1, 300, 12},
 	} {
 		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Settings: &config.Settings{Routing: routing.Config{Nodes: c.nodes}},
-			Fleet: &config.Cluster{Voters: voters}}
+			Cluster: &config.Cluster{Voters: voters}}
 		l := process{openDescriptors: 10}.split(s, c.processes)
 		toFellows := clusterReserve + connsPerVoter*len(voters)/2
 		left := c.sockets/c.processes - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1 - l.peerConns - toFellows
 		if l.peerConns < c.least || left < 10+ownReserve || l.clientConns < 10 || l.serverConns < 10 {
 			t.Errorf("%s: %+v leaves %d", name, l, left)
 		}
-		s.Fleet = nil
+		s.Cluster = nil
 		if without := (process{openDescriptors: 10}).split(s, c.processes); without.peerConns != 0 || without.clientConns <= l.clientConns {
 			t.Errorf("%s, without a fleet: %+v", name, without)
 		}
@@ -91,7 +91,7 @@
 func TestAVotersPartHoldsAllNodes(t *testing.T) {
 	for nodes := 1; nodes <= 4096; nodes++ {
 		s := &config.Node{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Settings: &config.Settings{Routing: routing.Config{Nodes: nodes}},
-			Fleet: &config.Cluster{Voters: make([]config.Voter, 3)}}
+			Cluster: &config.Cluster{Voters: make([]config.Voter, 3)}}
 		if l := (process{maxDescriptors: 20_000, openDescriptors: 10}).split(s, 1); l.peerConns < nodes+12 {
 			t.Fatalf("%d nodes: %+v", nodes, l)
 		}
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -163,11 +163,11 @@
 
 // joinCluster starts the node's cluster membership, if it is configured. The returned function ends it; further calls wait for the first.
 func (n *node) joinCluster(wrapLocal func(cluster.LocalNode) cluster.LocalNode) (leave func()) {
-	if n.config.Fleet == nil {
+	if n.config.Cluster == nil {
 		return func() {}
 	}
 	local := wrapLocal(localNode{n.dispatcher})
-	n.member = cluster.Start(n.config.Fleet, local, n.config.MaxDeadline, n.limits.peerConns, n.log.Named("cluster"))
+	n.member = cluster.Start(n.config.Cluster, local, n.config.MaxDeadline, n.limits.peerConns, n.log.Named("cluster"))
 	return sync.OnceFunc(n.member.Close)
 }
 
--- a/internal/net/node/report.go
+++ b/internal/net/node/report.go
@@ -40,8 +40,8 @@
 		zap.Int("left", stats.ClientGone),
 		zap.Int("shots", stats.Attempts),
 		zap.Dict("ends", attemptResults(stats)...),
-		zap.Float64("median ms", stats.Millis(50)),
-		zap.Float64("p99 ms", stats.Millis(99)),
+		zap.Float64("median ms", stats.LatencyMs(50)),
+		zap.Float64("p99 ms", stats.LatencyMs(99)),
 		zap.Int("out", d.InFlight()),
 		zap.Int("connections", front.Open()),
 		zap.Int("goroutines", runtime.NumGoroutine()),
@@ -53,8 +53,8 @@
 
 // attemptResults returns the number of attempts by result, for each result that occurred.
 func attemptResults(stats dispatch.Stats) []zap.Field {
-	results := make([]zap.Field, 0, len(stats.Ends))
-	for result, n := range stats.Ends {
+	results := make([]zap.Field, 0, len(stats.Results))
+	for result, n := range stats.Results {
 		if n > 0 {
 			results = append(results, zap.Int(dispatch.AttemptResult(result).String(), n))
 		}
--- a/internal/net/upstream/attempt.go
+++ b/internal/net/upstream/attempt.go
@@ -29,7 +29,7 @@
 		if mayTryAgain(result, denied) && try < maxConnTries && c.context.Err() == nil && !late && !bodyStarted {
 			continue
 		}
-		if result.Answered() && (a.Rest == nil || a.Rest.Whole()) {
+		if result.Answered() && (a.Rest == nil || a.Rest.Complete()) {
 			a.Written() // an answer proves it, also where the transport's buffer was empty before the last byte
 		}
 		if err != nil {
--- a/internal/net/upstream/client_test.go
+++ b/internal/net/upstream/client_test.go
@@ -179,8 +179,8 @@
 			t.Fatal(err)
 		}
 		a := <-ticket.Answers()
-		if y := x.Stats(); a.Outcome != dispatch.Rejected || y.Ends[want] != 1 || x.InFlight() != 0 {
-			t.Errorf("%v: %+v, ends %v", want, a, y.Ends)
+		if y := x.Stats(); a.Outcome != dispatch.Rejected || y.Results[want] != 1 || x.InFlight() != 0 {
+			t.Errorf("%v: %+v, ends %v", want, a, y.Results)
 		}
 		s.transport = whole
 	}
@@ -224,14 +224,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		leave = ticket.Abandon
+		leave = ticket.Cancel
 		close(taken)
 		for end := time.Now().Add(time.Second); x.InFlight() > 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		y := x.Stats()
-		if y.Ends[c.want] != 1 || y.ClientGone != 1 || came.Load() != c.came || x.Metrics().Written.Load() != c.came || len(x.EjectedEndpoints()) > 0 || x.InFlight() > 0 {
-			t.Errorf("%s: ends %v, %d left, %d came, %d written, resting %v, %d out", c.when, y.Ends, y.ClientGone, came.Load(),
+		if y.Results[c.want] != 1 || y.ClientGone != 1 || came.Load() != c.came || x.Metrics().Written.Load() != c.came || len(x.EjectedEndpoints()) > 0 || x.InFlight() > 0 {
+			t.Errorf("%s: ends %v, %d left, %d came, %d written, resting %v, %d out", c.when, y.Results, y.ClientGone, came.Load(),
 				x.Metrics().Written.Load(), x.EjectedEndpoints(), x.InFlight())
 		}
 	}
--- a/internal/net/upstream/dialer_test.go
+++ b/internal/net/upstream/dialer_test.go
@@ -113,7 +113,7 @@
 	s := newTestClient(t)
 	for i, want := range []string{"0", "1", "0", "2", "1"} { // requests before it on its connection
 		sh := newAttempt(address, "GET", "")
-		sh.Endpoint = []uint64{1, 1, 2, 1, 2}[i]
+		sh.Incarnation = []uint64{1, 1, 2, 1, 2}[i]
 		if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != want {
 			t.Errorf("shot %d: %v %q, want %s", i, end, a.Body, want)
 		}
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -101,7 +101,7 @@
 	x.outgoing = &outgoingRequest{clientState: a.ClientState, sendBy: a.SendBy}
 	x.writtenBefore, x.readBefore = x.conn.acquire(info.Reused, x.outgoing)
 	if info.Reused {
-		quietPeriod := x.client.dialer.quietPeriods.required(poolKey(a.Endpoint))
+		quietPeriod := x.client.dialer.quietPeriods.required(poolKey(a.Incarnation))
 		x.conn.awaitQuiet(x.ctx, x.outgoing, quietPeriod, earlier(x.deadline, a.SendBy))
 	}
 	if a.Rest == nil {
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -27,7 +27,7 @@
 		Host:   a.Address,
 		// Opaque: the target as it came, not parsed and not escaped. The transport pools connections by the URL's host: a
 		// new server at the address of one that has gone must not get a connection to the old one.
-		URL: &url.URL{Scheme: "http", Host: poolHost(a.Endpoint), Opaque: a.Target},
+		URL: &url.URL{Scheme: "http", Host: poolHost(a.Incarnation), Opaque: a.Target},
 		Header: http.Header{
 			"User-Agent":   nil,
 			"X-Trace-Id":   {a.TraceID},
--- a/internal/net/upstream/result.go
+++ b/internal/net/upstream/result.go
@@ -25,7 +25,7 @@
 		return dispatch.NoResources
 	case denied != admission.Granted && x.client.context.Err() == nil:
 		return resultOfDenial(denied)
-	case rest != nil && !rest.Whole():
+	case rest != nil && !rest.Complete():
 		return dispatch.WriteFailed // the client never sent the last byte
 	case x.ctx.Err() != nil:
 		return x.resultOfCancel()
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -42,7 +42,7 @@
 	}
 	c := routing.DefaultConfig()
 	c.Nodes = e.Fleet.Nodes
-	c.CacheAside, c.OriginKind = true, originKind
+	c.CacheAside, c.OriginModel = true, originKind
 	c.MaxAttempts = e.Rules.Shots
 	c.MaxRetryAfter = e.Demand.Target.ticks() * 2
 	c.SlowStartShare, c.SlowStartWindow = e.Fleet.ColdShare, e.Fleet.WarmUp.ticks()
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -168,7 +168,7 @@
 func (n *instance) model(name string) int {
 	model, ok := n.settings.Models[name]
 	if !ok {
-		return routing.NoOriginKind
+		return routing.NoOriginModel
 	}
 	return model
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -74,7 +74,7 @@
 	rnd := rand.New(rand.NewSource(1))
 	q := &benchHost{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
 	q.b = New(q, 1, q.now, configOf(func(c *Config) {
-		c.Nodes, c.CacheAside, c.OriginKind, c.MaxAttempts = nodes, true, 1, 3
+		c.Nodes, c.CacheAside, c.OriginModel, c.MaxAttempts = nodes, true, 1, 3
 		c.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
 	}))
 	var endpoints []Endpoint
--- a/routing/config.go
+++ b/routing/config.go
@@ -23,16 +23,16 @@
 	return "unsafe"
 }
 
-// NoOriginKind is the OriginKind of a deployment whose settings name none. It is
+// NoOriginModel is the OriginKind of a deployment whose settings name none. It is
 // also the Endpoint.Model of servers of an unknown model.
-const NoOriginKind = -1
+const NoOriginModel = -1
 
 // Config holds the settings of a deployment that decisions depend on.
 // DefaultConfig gives the values for those that are not set.
 type Config struct {
-	Nodes      int  // nodes that share the servers, this one included
-	CacheAside bool // caches are filled from an origin server
-	OriginKind int  // the Endpoint.Model of origins
+	Nodes       int  // nodes that share the servers, this one included
+	CacheAside  bool // caches are filled from an origin server
+	OriginModel int  // the Endpoint.Model of origins
 
 	MaxAttempts   int  // attempts per request, the first included
 	Hedging       bool // whether two attempts of a request may be in flight at once
@@ -69,7 +69,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Nodes:           1,
-		OriginKind:      NoOriginKind,
+		OriginModel:     NoOriginModel,
 		MaxAttempts:     1,
 		SlowStartShare:  0.1,
 		SlowStartWindow: 30000 * Millisecond,
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -62,7 +62,7 @@
 		b.servers[e.Server] = s
 	}
 	s.Endpoint = e
-	s.isOrigin = b.config.CacheAside && e.Model == b.config.OriginKind
+	s.isOrigin = b.config.CacheAside && e.Model == b.config.OriginModel
 	if s.isOrigin { // these quotas are for caches
 		s.slowStartQuota = nil
 		s.concurrencyQuota = nil
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -124,7 +124,7 @@
 	for _, k := range idempotences {
 		classes = append(classes, Class{Idempotence: k, SharedDedup: true, LatencyTarget: 200 * Millisecond, DedupWindow: dedupWindow})
 	}
-	f.b = New(f, uint64(seed), f.now, Config{Nodes: 2, CacheAside: true, OriginKind: 1,
+	f.b = New(f, uint64(seed), f.now, Config{Nodes: 2, CacheAside: true, OriginModel: 1,
 		MaxAttempts: 4, MaxRetryAfter: 400 * Millisecond, SlowStartShare: 0.2, Tick: 2 * Millisecond,
 		SlowStartWindow: 20000 * Millisecond, OverloadFactor: 4.0, OverloadWindow: 1500 * Millisecond,
 		MaxPollInterval: DefaultConfig().MaxPollInterval, PushedGrace: DefaultConfig().PushedGrace,
