--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -83,7 +83,7 @@
 	b.advanceClock(now)
 	r := b.startRequest(id, in)
 	if !b.admit(r) {
-		b.finish(id)
+		b.rejectOrFail(id)
 		return
 	}
 	b.advance(id)
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -23,7 +23,7 @@
 //	                     skipReason          and what speaks against each
 //	                   pickOrigin          origin.go
 //	                 sendAttempt           Host.Send
-//	                 finish                retry.go: Host.Reject or Host.Fail
+//	                 rejectOrFail          retry.go: Host.Reject or Host.Fail
 //	AttemptDone    learnFromResult         result.go: what the result says of
 //	                                         the server
 //	               advance                 the same for a retry
--- a/routing/fetch.go
+++ b/routing/fetch.go
@@ -36,13 +36,13 @@
 	b.host.SetAlarm(r.giveUpAt, firstRequestHandle+id)
 }
 
-// expireFetchWait returns a request up that has waited until its time was over.
+// expireFetchWait gives up a request that has waited until its time was over.
 func (b *Balancer) expireFetchWait(id int) {
 	if id < 0 || id >= len(b.requests) {
 		return
 	}
 	if r := &b.requests[id]; r.awaitsFetch && b.now >= r.giveUpAt {
-		b.finish(id)
+		b.rejectOrFail(id)
 	}
 }
 
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -14,14 +14,20 @@
 // ready cache.
 func (b *Balancer) meanInFlight() float64 {
 	sum, n := float64(b.inFlight), float64(len(b.ready))
-	if sum == 0 || math.Mod(congestionFactor*sum, n) != 0 && math.Mod(busyFactor*sum, n) != 0 {
+	if sum == 0 || !tieIsPossible(sum, n) {
 		return sum / n
 	}
-	// A cache may equal a multiple of the mean. Such ties are common on nodes
-	// with little traffic, and the rounding of this sum decides them.
+	// The rounding of this sum decides ties.
 	mean := 0.0
 	for _, i := range b.ready {
 		mean += float64(b.servers[i].inFlight) / n
 	}
 	return mean
 }
+
+// tieIsPossible reports whether a cache's attempts in flight can equal
+// congestionFactor or busyFactor times the mean of n caches with this sum. Such
+// ties are common on nodes with little traffic.
+func tieIsPossible(sum, n float64) bool {
+	return math.Mod(congestionFactor*sum, n) == 0 || math.Mod(busyFactor*sum, n) == 0
+}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -1,16 +1,19 @@
 package routing
 
 // A server with consecutive failures is ejected: it gets no attempts for the
-// ejection time, which doubles with each further ejection. Then one safe
-// request probes it, and an answer ends the ejection.
+// ejection time, which doubles with each further ejection. After that time one
+// safe request probes it. The ejection ends only with an answer (Served,
+// NotFound, Rejected or ConnectionLimit) to a probe or to an attempt from
+// before the ejection, or when the endpoint restarts. When such an older
+// attempt ends while a probe is in flight, another probe may begin.
 const (
-	failuresToEject = 2                  // consecutive; a broken connection counts as as many
+	failuresToEject = 2                  // consecutive; one connection that is refused, times out or breaks before the write counts as as many
 	minEjectionTime = 250 * Millisecond  // of the first ejection: a few connect timeouts
 	maxEjectionTime = 3000 * Millisecond // with a probe that times out, requests are rejected for less than 4 s
 )
 
 // IsEjected reports whether a server is an outlier. It gets one probe at a
-// time, at most.
+// time, unless an older attempt ends meanwhile.
 func (b *Balancer) IsEjected(server int) bool { return b.servers[server].isEjected() }
 
 func (s *serverState) isEjected() bool { return s.ejectionTime > 0 }
--- a/routing/partition.go
+++ b/routing/partition.go
@@ -15,8 +15,9 @@
 	binCount  = 2000 // bins of the line
 	binGroups = 20   // groups of bins that are compared; few, so that some hundred requests tell a shift from chance
 
-	minAlpha       = 0.000001 // least weight of a request
-	minWeightScale = 1e-9     // renormalized below it: far from losing digits, yet rare
+	minAlpha        = 0.000001 // least weight of a request
+	maxAlphaDivisor = 4        // a request weighs at most 1/(maxAlphaDivisor × caches²), so few requests don't move the ranges far
+	minWeightScale  = 1e-9     // renormalized below it: far from losing digits, yet rare
 
 	adaptInterval        = 1000 * Millisecond // between two comparisons of the demand with the histogram
 	divergencePerHalving = 0.1                // nats of KL divergence that halve the remembered requests
@@ -35,7 +36,7 @@
 	b.rememberedRequests++
 	b.recentRequests++
 	b.recentByGroup[int(point)*binGroups/binCount]++
-	b.alpha = max(minAlpha, min(1/b.rememberedRequests, 1/(4*n*n)))
+	b.alpha = max(minAlpha, min(1/b.rememberedRequests, 1/(maxAlphaDivisor*n*n)))
 	b.weightScale *= 1 - b.alpha
 	b.binWeights[int(point)] += b.alpha / b.weightScale
 	if b.weightScale < minWeightScale {
--- a/routing/request.go
+++ b/routing/request.go
@@ -131,7 +131,7 @@
 	}
 	r.deniedBy = nil
 	if !b.mayAttempt(r) {
-		b.finish(id)
+		b.rejectOrFail(id)
 		return
 	}
 	if b.fetchInFlight(r) {
@@ -140,7 +140,7 @@
 	}
 	server := b.pickServer(r)
 	if server == noServer {
-		b.finish(id)
+		b.rejectOrFail(id)
 		return
 	}
 	if b.isFetchAt(r, server) {
@@ -177,8 +177,8 @@
 	}
 }
 
-// refundAttempt returns back the budgets that an attempt took which was never
-// sent, unless its server has restarted since.
+// refundAttempt refunds what an unsent attempt took, unless its server has
+// restarted since.
 func (b *Balancer) refundAttempt(r *requestState, number int, s *serverState) {
 	if s.StartedAt > r.attempts[number].startedAt {
 		return
--- a/routing/result.go
+++ b/routing/result.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// returnConcurrencyQuota returns back what an attempt took of the quotas of
+// returnConcurrencyQuota returns what an attempt took of the quotas of
 // attempts in flight.
 func (b *Balancer) returnConcurrencyQuota(s *serverState) {
 	s.concurrencyQuota.Ended(int64(s.meanLatency))
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -53,9 +53,9 @@
 	s.retryBudget = min(maxRetryBudget, s.retryBudget+retryBudgetPerAnswer)
 }
 
-// finish returns a request up: it is rejected if a retry is harmless, else it
+// rejectOrFail gives up a request: it is rejected if a retry is harmless, else it
 // fails.
-func (b *Balancer) finish(id int) {
+func (b *Balancer) rejectOrFail(id int) {
 	r := &b.requests[id]
 	b.adjustAdmissionLevel(r, false)
 	if b.mayReject(r) {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -19,8 +19,9 @@
 )
 
 // pickServer chooses the server for a request's next attempt, or noServer. A
-// write goes to the origin, and so does a request after an attempt that gave
-// no value, since hardly another cache has it.
+// write goes to the origin, and so does a request after a failed attempt
+// or a miss, if the origin has capacity. After a miss no further cache is
+// tried, since hardly another one has the value.
 func (b *Balancer) pickServer(r *requestState) int {
 	if r.Write || len(r.attempts) > 0 {
 		if origin := b.pickOrigin(r); origin != noServer {
@@ -111,7 +112,7 @@
 	}
 	// This limit grows with the cache, so it holds beside the fleet's quota.
 	slowStart := b.inSlowStart(s)
-	if slowStart && b.refillSlowStart(r, s) < r.work {
+	if slowStart && b.slowStartAllowance(r, s) < r.work {
 		return skipSlowStart
 	}
 	if (slowStart || s.isEjected()) && b.quotaExhausted(r, s.slowStartQuota) {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -29,11 +29,11 @@
 // inSlowStart reports whether a server does not bear all of its capacity yet.
 func (b *Balancer) inSlowStart(s *serverState) bool { return b.slowStartShare(s) < 1 }
 
-// refillSlowStart returns the work that a server in slow start may be sent now,
-// in mean requests. What is less than the request's work is rounded to all of
+// slowStartAllowance refills a server's tokens and returns the work that it may be
+// sent now in slow start, in mean requests. What is less than the request's work is rounded to all of
 // it or nothing at random: if nodes saved up whole attempts, many would send
 // theirs at once.
-func (b *Balancer) refillSlowStart(r *requestState, s *serverState) float64 {
+func (b *Balancer) slowStartAllowance(r *requestState, s *serverState) float64 {
 	rate, burst := b.slowStartRate(s)
 	elapsed := b.now - s.slowStartRefilledAt
 	s.slowStartTokens = min(burst, s.slowStartTokens+rate*seconds(elapsed))
--- a/routing/types.go
+++ b/routing/types.go
@@ -22,7 +22,7 @@
 	Rejected                // the server refused the attempt for lack of capacity; never ran
 	TimedOut                // no answer within the timeout
 	ConnectFailed           // no connection could be made; never ran
-	ConnectionBroken        // the connection broke during the attempt
+	ConnectionBroken        // the connection broke during the attempt; only the simulator's wire reports it
 	Canceled                // the host ended the attempt
 	NotSent                 // the host did not send it; never ran
 	NotFound                // the server has no value for the key; never ran
