--- a/routing/doc.go
+++ b/routing/doc.go
@@ -15,7 +15,7 @@
 //
 // The usual way of a request:
 //
-//	Request        startRequest, admit     admission.go
+//	Request        startRequest, admit     shedding.go
 //	               advance                 request.go: wait, send or give up
 //	                 mayAttempt            retry.go: is one more attempt allowed?
 //	                 pickServer            selection.go
