--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -181,7 +181,7 @@
 func (l *leader) SetAlarm(at Time)      { l.wakeAt, l.alarmSet = at, true }
 func (p *process) SetAlarm(at Time)     { p.wakeAt = at }
 
-func (l *leader) Propose(ref uint64, e lease.Entry) { l.proposals = append(l.proposals, ref) }
+func (l *leader) Propose(ref uint64, _ lease.Entry) { l.proposals = append(l.proposals, ref) }
 
 func (l *leader) Respond(id uint64, a Response) {
 	for i := range l.cluster.messages {
@@ -205,7 +205,7 @@
 	p.cluster.messages = append(p.cluster.messages, message{from: p.n, id: p.lastRequest, request: &a, sent: p.now()})
 }
 
-func (p *process) SetQuota(_ string, t lease.BudgetConfig, units, apart int, until Time) allowance.Usage {
+func (p *process) SetQuota(_ string, _ lease.BudgetConfig, units, apart int, until Time) allowance.Usage {
 	p.units, p.reserved, p.until = units, apart, until
 	if p.endAtLease(); p.cluster.disabled != keepBurst {
 		p.tokens = min(p.tokens, p.allowed())
--- a/cmd/thistlerudder/ready_test.go
+++ b/cmd/thistlerudder/ready_test.go
@@ -194,7 +194,7 @@
 	entries, _ := newCounters(t, 600*time.Millisecond, "a", "b")
 	s := newService(t, entries)
 	s.up()
-	held := func(t *testing.T, p *process) { // a lookup that is out
+	held := func(_ *testing.T, p *process) { // a lookup that is out
 		go lookup(p.listen, "/read/slow", fmt.Sprintf("slow-%d", time.Now().UnixNano()), 3*time.Second)
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/config/cluster_test.go
+++ b/internal/config/cluster_test.go
@@ -15,11 +15,11 @@
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","folder":"/x","lease_ms":2000.0,"drift":0.02,"delay_ms":40.0,
 "voters":[{"name":"n3","address":"127.0.0.1:7100"},{"name":"n4","address":"127.0.0.2:7100"},{"name":"n5","address":"127.0.0.3:7100"}],
 "tasks":["probe","roll-up"],"routes":{"127.0.0.2:7100":"127.0.0.9:1"}},"settings"`
-	with := func(old, new string) (*Node, error) {
+	with := func(old, replacement string) (*Node, error) {
 		if !strings.Contains(section, old) {
 			t.Fatalf("no %s in the section", old)
 		}
-		return read(t, `"settings"`, strings.Replace(section, old, new, 1))
+		return read(t, `"settings"`, strings.Replace(section, old, replacement, 1))
 	}
 	s, err := with("", "")
 	if err != nil {
@@ -55,11 +55,11 @@
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","voters":[{"name":"a","address":"127.0.0.7:7100"},{"name":"b","address":"127.0.0.2:7100"},
 {"name":"c","address":"127.0.0.3:7100"}],"nodes":10,"weight":2.5,"budgets":[{"name":"fetches","kind":"rate","bounds":"origin","whole":100,"burst":200},
 {"name":"room","kind":"number","bounds":"origin","whole":40,"apart":0.5},{"name":"acme","kind":"rate","bounds":"partner","partner":"acme","whole":50,"burst":5}]},"settings"`
-	with := func(old, new string) (*Node, error) {
+	with := func(old, replacement string) (*Node, error) {
 		if !strings.Contains(section, old) {
 			t.Fatalf("no %s in the section", old)
 		}
-		return read(t, `"settings"`, strings.Replace(section, old, new, 1))
+		return read(t, `"settings"`, strings.Replace(section, old, replacement, 1))
 	}
 	s, err := with("", "")
 	if err != nil {
--- a/internal/config/forms.go
+++ b/internal/config/forms.go
@@ -33,21 +33,21 @@
 	}}
 }
 
-// integerForm returns a form of the integers from min on.
-func integerForm(expected string, min int) form[int] {
+// integerForm returns a form of the integers from lowest on.
+func integerForm(expected string, lowest int) form[int] {
 	return form[int]{expected, func(v any) (int, bool) {
 		x, ok := integer.parse(v)
-		return x, ok && x >= min
+		return x, ok && x >= lowest
 	}}
 }
 
-// durationForm returns a form of the times in milliseconds from min to max.
-func durationForm(min, max time.Duration) form[time.Duration] {
-	expected := fmt.Sprintf("a time in milliseconds from %d to %d", min.Milliseconds(), max.Milliseconds())
+// durationForm returns a form of the times in milliseconds from shortest to longest.
+func durationForm(shortest, longest time.Duration) form[time.Duration] {
+	expected := fmt.Sprintf("a time in milliseconds from %d to %d", shortest.Milliseconds(), longest.Milliseconds())
 	return form[time.Duration]{expected, func(v any) (time.Duration, bool) {
 		x, ok := v.(float64)
 		d := time.Duration(x * float64(time.Millisecond))
-		return d, ok && d >= min && d <= max
+		return d, ok && d >= shortest && d <= longest
 	}}
 }
 
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -21,13 +21,13 @@
 {"name":"log","repeat":"keyed","group":"all","memory-span-ms":2000.0,"target-time-ms":400.0,"time-limit-ms":800.0}]}}`
 
 // read reads the valid file with one text in it replaced.
-func read(t *testing.T, old, new string) (*Node, error) {
+func read(t *testing.T, old, replacement string) (*Node, error) {
 	t.Helper()
 	if !strings.Contains(validNode, old) {
 		t.Fatalf("no %s in the file", old)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(strings.Replace(validNode, old, new, 1)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.Replace(validNode, old, replacement, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return Read(path)
--- a/lease/claimant.go
+++ b/lease/claimant.go
@@ -49,7 +49,7 @@
 
 // NewClaimant returns a Claimant, which sends its first request at once. leaseDuration is the nominal duration of a lease,
 // holderDuration its duration as counted by the holder. seed makes the backoff of different claimants differ.
-func NewClaimant(host ClaimantHost, now Time, name string, holder Holder, leaseDuration, holderDuration Time, seed uint64) *Claimant {
+func NewClaimant(host ClaimantHost, _ Time, name string, holder Holder, leaseDuration, holderDuration Time, seed uint64) *Claimant {
 	c := &Claimant{
 		host:           host,
 		name:           name,
@@ -58,7 +58,7 @@
 		leaseDuration:  leaseDuration,
 		seed:           seed,
 	}
-	c.sendRequest(now)
+	c.sendRequest()
 	return c
 }
 
@@ -72,7 +72,7 @@
 func (c *Claimant) Expiry() Time { return c.expiry }
 
 // sendRequest sends the request that the present state calls for.
-func (c *Claimant) sendRequest(now Time) {
+func (c *Claimant) sendRequest() {
 	r := Request{Operation: OpAcquire, Name: c.name, Holder: c.holder, Wait: c.leaseDuration / waitDivisor}
 	switch {
 	case c.released && c.token != 0:
@@ -91,7 +91,7 @@
 // HandleResponse takes the response to the pending request, which was sent at the time sent.
 func (c *Claimant) HandleResponse(now, sent Time, response Response) {
 	if c.released {
-		c.handleLateResponse(now, response)
+		c.handleLateResponse(response)
 		return
 	}
 	if !c.requestPending {
@@ -114,10 +114,10 @@
 }
 
 // handleLateResponse gives back a lease that was granted while the request for it was being withdrawn.
-func (c *Claimant) handleLateResponse(now Time, response Response) {
+func (c *Claimant) handleLateResponse(response Response) {
 	if response.Err == nil && response.Token != 0 && c.token == 0 {
 		c.token = response.Token
-		c.sendRequest(now)
+		c.sendRequest()
 	}
 }
 
@@ -189,7 +189,7 @@
 		c.host.Lost(ErrLeaseExpired)
 	}
 	if !c.requestPending && now >= c.nextRequest {
-		c.sendRequest(now)
+		c.sendRequest()
 	}
 	c.scheduleAlarm(now)
 }
@@ -212,7 +212,7 @@
 }
 
 // Release gives up the lease, or the attempt to acquire it. Call it once all acts under the lease have ended.
-func (c *Claimant) Release(now Time) {
+func (c *Claimant) Release(_ Time) {
 	if c.released {
 		return
 	}
@@ -221,5 +221,5 @@
 		c.granted = false
 		c.host.Lost(nil)
 	}
-	c.sendRequest(now)
+	c.sendRequest()
 }
--- a/lease/proposals.go
+++ b/lease/proposals.go
@@ -45,7 +45,7 @@
 	case KindEffect:
 		m.reply(p.requestID, Response{Token: result.Token, Err: result.Err})
 	}
-	m.grantNext(now, name)
+	m.grantNext(name)
 	m.scheduleAlarm(now)
 }
 
--- a/lease/queue.go
+++ b/lease/queue.go
@@ -41,12 +41,12 @@
 	queue[at].requestID = id
 	queue[at].deadline = deadline
 	m.queues[r.Name] = queue
-	m.grantNext(now, r.Name)
+	m.grantNext(r.Name)
 	m.scheduleAlarm(now)
 }
 
 // grantNext proposes to grant a free lease to the first waiter that has a request pending.
-func (m *Manager) grantNext(now Time, name string) {
+func (m *Manager) grantNext(name string) {
 	if _, held := m.state.Leases[name]; held || m.changing[name] || !m.leading {
 		return
 	}
@@ -62,7 +62,7 @@
 	m.propose(Entry{Kind: KindGrant, Term: m.term, Name: name, Holder: w.holder}, w.requestID)
 }
 
-// withdraw removes a claimant from the queue.
+// withdraw removes a claimant from the queue. A queue that it empties stays until the next alarm, when endWaits drops it.
 func (m *Manager) withdraw(r Request) {
 	m.queues[r.Name] = slices.DeleteFunc(m.queues[r.Name], func(w waiter) bool {
 		if w.holder == r.Holder && w.requestID != 0 {
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -36,7 +36,7 @@
 	nextID   int
 }
 
-func (q *benchHost) Send(id, server int, _ Time) { q.inFlight = append(q.inFlight, id) }
+func (q *benchHost) Send(id, _ int, _ Time) { q.inFlight = append(q.inFlight, id) }
 func (q *benchHost) Reject(id int, _ Time)       { q.freeIDs = append(q.freeIDs, id) }
 func (q *benchHost) Fail(id int)                 { q.freeIDs = append(q.freeIDs, id) }
 func (q *benchHost) Subscribe()                  {}
--- a/routing/inflight_test.go
+++ b/routing/inflight_test.go
@@ -141,7 +141,7 @@
 
 // A request reads the state of the caches that it may fall through, and of no other: it gets by with the others
 // taken away, both with attempts in flight and without.
-func TestRequestReadsNoOtherCaches(t *testing.T) {
+func TestRequestReadsNoOtherCaches(*testing.T) {
 	for _, caches := range []int{70, 5700} {
 		q := newBenchHost(caches, 300).warm(2000)
 		for n := range 200 {
