--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -52,7 +52,7 @@
 	deadline Time               // of that request
 }
 
-// Allocator divides all budgets of a fleet on the node that leads. It remembers demand only; the quotas themselves are in
+// Allocator divides all budgets of a cluster on the node that leads. It remembers demand only; the quotas themselves are in
 // the lease.State, so a new leader starts from these, and a node that hasn't reported to it yet keeps its quotas.
 // An Allocator is not safe for concurrent use.
 type Allocator struct {
@@ -193,7 +193,7 @@
 	}
 }
 
-// proposeDeclared proposes the budgets of a node's configuration that the fleet doesn't have yet.
+// proposeDeclared proposes the budgets of a node's configuration that the cluster doesn't have yet.
 func (a *Allocator) proposeDeclared(declared map[string]lease.BudgetConfig) {
 	for _, name := range slices.Sorted(maps.Keys(declared)) {
 		if a.state.Budgets[name] != nil || a.isProposed(name) {
--- a/budget/doc.go
+++ b/budget/doc.go
@@ -1,4 +1,4 @@
-// Package budget divides the limits that a whole fleet shares among its nodes, in whole units, and divides them anew as
+// Package budget divides the limits that a whole cluster shares among its nodes, in whole units, and divides them anew as
 // demand moves and as nodes come and go.
 //
 // The quotas in force are part of the replicated lease.State; State.Apply refuses an entry that would allocate more than
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -26,7 +26,7 @@
 	Weight   float64                       `json:"Weight"` // relative to other nodes, 0: 1
 	Wait     Time                          `json:"Wait"`
 	Holdings []Holding                     `json:"Holds"`
-	Declared map[string]lease.BudgetConfig `json:"Declares"` // from the node's configuration, for budgets that the fleet doesn't have yet
+	Declared map[string]lease.BudgetConfig `json:"Declares"` // from the node's configuration, for budgets that the cluster doesn't have yet
 }
 
 // QuotaUpdate is the state of one budget, as the leader reports it to a node.
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -32,7 +32,7 @@
 type clientBudget struct {
 	name      string
 	config    lease.BudgetConfig
-	confirmed bool   // config is the fleet's, not only this node's
+	confirmed bool   // config is the cluster's, not only this node's
 	token     uint64 // of the latest quota
 	units     int    // that new requests may use, this node's reserved ones not included
 	shrinkTo  int    // units that the leader asked to come down to, -1: no need to
@@ -160,7 +160,7 @@
 	return all
 }
 
-// revision returns the revision of the fleet's configuration that the node knows, 0 for none.
+// revision returns the revision of the cluster's configuration that the node knows, 0 for none.
 func (b *clientBudget) revision() uint64 {
 	if !b.confirmed {
 		return 0
@@ -189,14 +189,14 @@
 	c.host.SetAlarm(c.lastSample + sampleInterval)
 }
 
-// ConfigMismatch is a budget that the fleet has under another configuration than this node's own.
+// ConfigMismatch is a budget that the cluster has under another configuration than this node's own.
 type ConfigMismatch struct {
 	Name          string
 	Local, Agreed lease.BudgetConfig
 }
 
 // HandleResponse takes the answer to the request that was sent last. It returns the budgets whose configuration turns out
-// to differ from the fleet's; each is returned once.
+// to differ from the cluster's; each is returned once.
 func (c *QuotaClient) HandleResponse(now Time, r Response) (mismatches []ConfigMismatch) {
 	if r.Err != nil && !errors.Is(r.Err, lease.ErrStillHeld) {
 		c.nextRequest = now + retryInterval
@@ -273,7 +273,7 @@
 type QuotaStatus struct {
 	Name               string
 	Config             lease.BudgetConfig
-	Confirmed          bool    // Config is the fleet's; else it is from the node's own configuration
+	Confirmed          bool    // Config is the cluster's; else it is from the node's own configuration
 	Units, Demand      int     // the node's quota, and what it could use
 	InFlight           int     // requests under a concurrency budget
 	Used               float64 // requests between the last two samples, a tenth of a second apart
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -27,7 +27,7 @@
 	inFlight int   // attempts in flight at all ready caches together
 
 	fetchWaiters map[uint64][]int               // requests that wait for a fetch, by key hash
-	quotas       [limitCount]*allowance.Limiter // of the fleet's limits; nil: no such limit
+	quotas       [limitCount]*allowance.Limiter // of the cluster's limits; nil: no such limit
 
 	// The histogram of keys and the ranges of the caches, see partition.go.
 	binWeights         []float64 // weight of each bin, to be multiplied by weightScale
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -10,7 +10,7 @@
 // has all values. A request belongs to a class, which says how soon it needs an
 // answer and whether it may be repeated, and to a tenant, which has a share of
 // the capacity. Each try of a request at a server is an attempt. Other nodes
-// decide alike for their own requests; Config.Nodes and the fleet's quotas
+// decide alike for their own requests; Config.Nodes and the cluster's quotas
 // (SetQuota) bound the sum of all.
 //
 // The usual way of a request:
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -12,7 +12,7 @@
 
 	// originLimitIncrease is the step for a quick answer up to
 	// maxUnmeasuredFetches, larger than limitIncrease since a node of a large
-	// fleet fetches seldom.
+	// cluster fetches seldom.
 	originLimitIncrease = 0.3 // attempts
 )
 
--- a/routing/quota.go
+++ b/routing/quota.go
@@ -2,7 +2,7 @@
 
 import "github.com/thistlerudder/thistlerudder/budget/allowance"
 
-// SetQuota sets this node's quota of a limit of the fleet, in place of its
+// SetQuota sets this node's quota of a limit of the cluster, in place of its
 // even share. tenant is the tenant of a TenantRate and ignored otherwise. It
 // returns the usage since the last call; of limits for each server, the
 // largest at any one.
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -94,8 +94,8 @@
 	skipEjected                     // an outlier, and the request may not probe it
 	skipRetryBudget                 // a retry, and the server's budget for retries is spent
 	skipSlowStart                   // it bears no more during slow start
-	skipSlowStartQuota              // the fleet's quota for it in slow start or after an ejection is exhausted
-	skipConcurrencyQuota            // the fleet's quota of attempts in flight is exhausted
+	skipSlowStartQuota              // the cluster's quota for it in slow start or after an ejection is exhausted
+	skipConcurrencyQuota            // the cluster's quota of attempts in flight is exhausted
 )
 
 // skipReason returns the first reason to skip a ready cache.
@@ -110,7 +110,7 @@
 	if r.isRetry() && s.retryBudget < 1 {
 		return skipRetryBudget
 	}
-	// This limit grows with the cache, so it holds beside the fleet's quota.
+	// This limit grows with the cache, so it holds beside the cluster's quota.
 	slowStart := b.inSlowStart(s)
 	if slowStart && b.slowStartAllowance(r, s) < r.work {
 		return skipSlowStart
--- a/routing/server.go
+++ b/routing/server.go
@@ -27,7 +27,7 @@
 	hasIdleConnection bool // one may have stayed open since lastDoneAt
 	lastDoneAt        Time // end of the latest attempt
 
-	// The node's quotas of what the fleet may send; nil: no such limit.
+	// The node's quotas of what the cluster may send; nil: no such limit.
 	slowStartQuota   *allowance.Limiter
 	concurrencyQuota *allowance.Limiter
 }
--- a/routing/shedding.go
+++ b/routing/shedding.go
@@ -3,11 +3,11 @@
 import "github.com/thistlerudder/thistlerudder/budget/allowance"
 
 // tenantState holds a tenant's share of this node. Without a quota of the
-// fleet, a tenant's rate is divided evenly between the nodes. Clients are
+// cluster, a tenant's rate is divided evenly between the nodes. Clients are
 // spread unevenly, and a node carries more than its even share when others are
 // lost; so a node also estimates which share it carries.
 type tenantState struct {
-	quota *allowance.Limiter // of the fleet's limit for the tenant; nil: the even share applies
+	quota *allowance.Limiter // of the cluster's limit for the tenant; nil: the even share applies
 
 	evenRate      float64 // requests per second of the even share
 	evenTokens    float64 // requests left of the even share
--- a/routing/types.go
+++ b/routing/types.go
@@ -61,7 +61,7 @@
 	StartedAt Time // clock time of its latest start; 0: long ago
 }
 
-// Limit names what a quota of the fleet bounds.
+// Limit names what a quota of the cluster bounds.
 type Limit int
 
 // The limits.
