--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -60,29 +60,29 @@
 	weight  float64
 	budgets []*clientBudget // by name
 
-	leaseEnd           Time
-	maxRequestDuration Time // under a concurrency budget none begins that could outlast the lease
-	lastSample         Time
-	nextRequest        Time // earliest time of the next request to the leader
-	changed            bool // there is something to report
-	loanEnd            Time
-	closed             bool
+	leaseEnd     Time
+	cutoffMargin Time // before the lease's end, from which on no request begins under a concurrency budget
+	lastSample   Time
+	nextRequest  Time // earliest time of the next request to the leader
+	changed      bool // there is something to report
+	loanEnd      Time
+	closed       bool
 }
 
 // NewQuotaClient returns a client without any quota, under the node's lease, which is held until leaseEnd, and sends its first request. configs
-// are the budgets of the node's own configuration, by name. maxRequestDuration bounds how long a request under a
-// concurrency budget takes.
-func NewQuotaClient(host ClientHost, now Time, leaseName string, token uint64, weight float64, configs map[string]lease.BudgetConfig, leaseEnd, maxRequestDuration Time) *QuotaClient {
+// are the budgets of the node's own configuration, by name. Under a concurrency budget no request begins within
+// cutoffMargin of the lease's end, since what still runs at the end is cut off.
+func NewQuotaClient(host ClientHost, now Time, leaseName string, token uint64, weight float64, configs map[string]lease.BudgetConfig, leaseEnd, cutoffMargin Time) *QuotaClient {
 	c := &QuotaClient{
-		host:               host,
-		lease:              leaseName,
-		token:              token,
-		weight:             weight,
-		leaseEnd:           leaseEnd,
-		maxRequestDuration: maxRequestDuration,
-		lastSample:         now,
-		changed:            true,
-		nextRequest:        now,
+		host:         host,
+		lease:        leaseName,
+		token:        token,
+		weight:       weight,
+		leaseEnd:     leaseEnd,
+		cutoffMargin: cutoffMargin,
+		lastSample:   now,
+		changed:      true,
+		nextRequest:  now,
 	}
 	for _, name := range slices.Sorted(maps.Keys(configs)) {
 		c.budgets = append(c.budgets, &clientBudget{
@@ -127,10 +127,11 @@
 	}
 }
 
-// quotaEnd returns until when units of a budget may be used. No request may be in flight when the lease ends.
+// quotaEnd returns until when units of a budget may be used. Under a concurrency budget that is the margin before the
+// lease's end, when the requests in flight are cut off.
 func (c *QuotaClient) quotaEnd(b *clientBudget) Time {
 	if b.config.Kind == lease.ConcurrencyKind {
-		return c.leaseEnd - c.maxRequestDuration
+		return c.leaseEnd - c.cutoffMargin
 	}
 	return c.leaseEnd
 }
--- a/internal/cluster/borrow.go
+++ b/internal/cluster/borrow.go
@@ -62,9 +62,9 @@
 
 // applyLent applies a lent quota until a boot time.
 func (m *Member) applyLent(b budget.LentQuota, until time.Duration) {
-	remaining, margin := until-bootTime(), time.Duration(0)
+	remaining, cutoffMargin := until-bootTime(), time.Duration(0)
 	if b.Config.Kind == lease.ConcurrencyKind {
-		margin = min(m.actMargin(), lendInterval)
+		cutoffMargin = min(m.cutoffMargin(), lendInterval)
 	}
-	m.applyQuota(b.Name, b.Config, b.Units, 0, remaining-margin, margin)
+	m.applyQuota(b.Name, b.Config, b.Units, 0, remaining-cutoffMargin, cutoffMargin)
 }
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -29,8 +29,8 @@
 	alarm           alarm
 	token           uint64
 	acquired        chan struct{} // closed when the lease is first held
-	released        chan struct{} // closed when the release was answered
-	dropped         bool
+	responded       chan struct{} // closed at the end of a request to release or withdraw, then replaced
+	releasing       bool
 	warnedDuplicate bool // the log has that another process has this node's name
 }
 
@@ -38,11 +38,11 @@
 func (c *Client) acquire(ctx context.Context, name string) *HeldLease {
 	holder := lease.Holder{Name: c.config.Node, Process: os.Getpid(), Start: c.nextStart()}
 	h := &HeldLease{
-		client:   c,
-		name:     name,
-		holder:   holder,
-		acquired: make(chan struct{}),
-		released: make(chan struct{}),
+		client:    c,
+		name:      name,
+		holder:    holder,
+		acquired:  make(chan struct{}),
+		responded: make(chan struct{}),
 	}
 	h.ctx, h.cancel = context.WithCancel(ctx)
 	h.alarm = newAlarm(h.onAlarm)
@@ -60,7 +60,7 @@
 func (h *HeldLease) onAlarm() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.dropped {
+	if !h.releasing {
 		h.claimant.Alarm(now())
 	}
 }
@@ -100,8 +100,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r.Operation == lease.OpRelease || r.Operation == lease.OpWithdraw {
-		close(h.released)
-		h.released = make(chan struct{})
+		close(h.responded)
+		h.responded = make(chan struct{}) // a grant that arrives during a withdrawal is released by one more request
 	}
 	if err != nil {
 		h.client.log.Debug("lease request failed", zap.String("lease", h.name), zap.Error(err))
@@ -122,12 +122,12 @@
 // release releases the lease, and waits for the response for as long as a call may take.
 func (h *HeldLease) release() {
 	h.mu.Lock()
-	released := h.released
-	h.dropped = true
+	responded := h.responded
+	h.releasing = true
 	h.claimant.Release(now())
 	h.mu.Unlock()
 	select {
-	case <-released:
+	case <-responded:
 	case <-time.After(h.client.callTimeout()):
 	}
 	h.cancel()
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -35,9 +35,9 @@
 	// ProbeResult reports the result of the cluster's last probe of a server, and within which time the next one follows.
 	ProbeResult(id, address string, healthy bool, next time.Duration)
 	// SetQuota sets this node's quota of a budget. Requests may begin under it for a duration, and then under what quota says
-	// for the time after; those of a concurrency limit have to end within margin after the duration. It returns the usage
+	// for the time after; those of a concurrency limit are cut off cutoffMargin after the duration. It returns the usage
 	// since the last call.
-	SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, duration, margin time.Duration) allowance.Usage
+	SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, duration, cutoffMargin time.Duration) allowance.Usage
 }
 
 // Member is this process's membership in its cluster. It is safe for concurrent use.
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	actMarginDivisor = 10 // the margin is at most a tenth of a lease: a connected node renews it long before that
-	idlePollInterval = 10 * time.Millisecond
+	cutoffMarginDivisor = 10 // the margin is at most a tenth of a lease: a connected node renews it long before that
+	idlePollInterval    = 10 * time.Millisecond
 )
 
 // nodeQuotas is this node's part of the cluster's budgets, while it holds the lease of its name.
@@ -59,7 +59,7 @@
 	q.alarm = newAlarm(q.onAlarm)
 	q.mu.Lock()
 	q.client = budget.NewQuotaClient(q, now(), nodeLease(m.config.Node), held.Token(), m.config.Weight, configs, held.Expiry(),
-		toLeaseTime(m.actMargin()))
+		toLeaseTime(m.cutoffMargin()))
 	q.mu.Unlock()
 	m.mu.Lock()
 	m.quotas = q
@@ -98,7 +98,7 @@
 
 // SetQuota applies a quota to this node until a time.
 func (q *nodeQuotas) SetQuota(name string, c lease.BudgetConfig, units, reserved int, until lease.Time) allowance.Usage {
-	return q.member.applyQuota(name, c, units, reserved, toDuration(until-now()), q.member.actMargin())
+	return q.member.applyQuota(name, c, units, reserved, toDuration(until-now()), q.member.cutoffMargin())
 }
 
 // Send sends a quota request to the leader.
@@ -154,10 +154,10 @@
 	return b.BudgetConfig
 }
 
-// actMargin returns how long before the end of a quota of concurrency no more requests begin: those still in flight at the
+// cutoffMargin returns how long before the end of a quota of concurrency no more requests begin: those still in flight at the
 // end are cut off.
-func (m *Member) actMargin() time.Duration {
-	return min(m.maxRequestDuration, m.config.Lease/actMarginDivisor)
+func (m *Member) cutoffMargin() time.Duration {
+	return min(m.maxRequestDuration, m.config.Lease/cutoffMarginDivisor)
 }
 
 // applyReserved sets all budgets to what this node has without the cluster: its reserved units while it owns the cluster
@@ -174,7 +174,7 @@
 }
 
 // applyQuota hands the quota of one budget to the node: units for a duration, and reserved units after that.
-func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, margin time.Duration) allowance.Usage {
+func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, cutoffMargin time.Duration) allowance.Usage {
 	at := slices.IndexFunc(m.config.Budgets, func(b config.Budget) bool { return b.Name == name })
 	if at < 0 {
 		return allowance.Usage{}
@@ -197,7 +197,7 @@
 		m.mu.Unlock()
 	}
 	b := m.config.Budgets[at]
-	return m.node.SetQuota(b.Limit, b.Tenant, quota, duration, margin)
+	return m.node.SetQuota(b.Limit, b.Tenant, quota, duration, cutoffMargin)
 }
 
 // addBudgetMetrics adds the metrics of the budgets as this node sees them.
@@ -223,17 +223,18 @@
 			}
 			return s.Config.RatePerUnit * float64(units)
 		}
+		// In units of the budget: requests per second, or in flight at a time.
 		for key, value := range map[string]any{
-			"whole":    s.Config.Limit(),
-			"given":    limitOf(s.Allocated),
-			"reserve":  limitOf(s.Reserve),
-			"free":     limitOf(max(0, s.Config.Allocatable()-s.Allocated)),
-			"apart":    limitOf(s.Config.ReservedPerNode),
-			"part":     limitOf(s.Units),
-			"wanted":   limitOf(s.Demand),
-			"out":      s.InFlight,
-			"used":     s.Used,
-			"end_ms":   max(0, toDuration(s.End-now()).Milliseconds()),
+			"whole":    s.Config.Limit(),                                    // the limit of all nodes together
+			"given":    limitOf(s.Allocated),                                // allocated to all nodes
+			"reserve":  limitOf(s.Reserve),                                  // held back for newcomers
+			"free":     limitOf(max(0, s.Config.Allocatable()-s.Allocated)), // may be allocated and is not
+			"apart":    limitOf(s.Config.ReservedPerNode),                   // kept by each node that is without the cluster
+			"part":     limitOf(s.Units),                                    // this node's quota
+			"wanted":   limitOf(s.Demand),                                   // this node's demand
+			"out":      s.InFlight,                                          // requests in flight
+			"used":     s.Used,                                              // requests of the latest sample of about 0.1 s
+			"end_ms":   max(0, toDuration(s.End-now()).Milliseconds()),      // time until the quota ends
 			"revision": s.Config.Revision,
 		} {
 			all["budget."+s.Name+"."+key] = value
--- a/internal/cluster/quorum.go
+++ b/internal/cluster/quorum.go
@@ -17,9 +17,11 @@
 // was sent earlier (replication.go, heartbeat: notifyAll after AppendEntries returns), and a leader that was suspended finds
 // such responses in its queues, beside requests that came in between.
 
+// Terms here are raft's own, not those of the lease log that beginTerm commits.
+
 // confirmLeadership makes a quorum round, and reports whether it shows that this voter leads.
 func (v *Voter) confirmLeadership() bool {
-	term := v.raft.CurrentTerm() // read before the state, which the library gives up before it takes a later term
+	raftTerm := v.raft.CurrentTerm() // read before the state, which the library gives up before it takes a later term
 	if v.raft.State() != raft.Leader {
 		return false
 	}
@@ -32,7 +34,7 @@
 			continue
 		}
 		pending++
-		go func() { votes <- v.follows(s, term) }()
+		go func() { votes <- v.follows(s, raftTerm) }()
 	}
 	quorum := len(servers)/2 + 1
 	for ; pending > 0 && confirmed < quorum; pending-- {
@@ -44,7 +46,7 @@
 }
 
 // follows asks another voter whether it has voted in no later term.
-func (v *Voter) follows(s raft.Server, term uint64) bool {
+func (v *Voter) follows(s raft.Server, raftTerm uint64) bool {
 	client, err := v.peerClient(s)
 	if err != nil {
 		return false
@@ -54,7 +56,7 @@
 		v.dropPeer(s.ID, client)
 		return false
 	}
-	return vote.ID == string(s.ID) && vote.Term <= term
+	return vote.ID == string(s.ID) && vote.Term <= raftTerm
 }
 
 // peerClients has a connection to each other voter.
