--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -10,9 +10,9 @@
 // checker holds a run against the rules, from what clients and servers see alone: it knows nothing of how a policy
 // decides, so that a faulty one is caught.
 type checker struct {
-	w             *world
+	w             *testbed
 	offered, done int
-	open          map[*lookup]bool
+	open          map[*pendingRequest]bool
 	effects       map[*request]int
 	broken        map[string]int
 	faults        []string // the first few, in words
@@ -20,8 +20,8 @@
 
 const faultsMost = 10
 
-func newChecker(w *world) *checker {
-	return &checker{w: w, open: map[*lookup]bool{}, effects: map[*request]int{}, broken: map[string]int{}}
+func newChecker(w *testbed) *checker {
+	return &checker{w: w, open: map[*pendingRequest]bool{}, effects: map[*request]int{}, broken: map[string]int{}}
 }
 
 func (c *checker) fault(rule, format string, args ...any) {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (c *checker) taken(l *lookup) {
+func (c *checker) taken(l *pendingRequest) {
 	c.open[l] = true
 	c.w.clock.in(l.limit-c.w.clock.now+10*routing.Millisecond, func() {
 		if !l.over {
@@ -43,7 +43,7 @@
 }
 
 // shot is asked for each before it leaves.
-func (c *checker) shot(n *node, l *lookup, s *shot) {
+func (c *checker) shot(n *node, l *pendingRequest, s *attempt) {
 	switch {
 	case l.over:
 		c.fault("lost", "a shot after the final answer")
@@ -75,7 +75,7 @@
 }
 
 // ran says that a server has done what a lookup asks.
-func (c *checker) ran(l *lookup) {
+func (c *checker) ran(l *pendingRequest) {
 	if l.write {
 		if c.effects[l.request]++; c.effects[l.request] > 1 {
 			c.fault("twice", "a write has run %d times", c.effects[l.request])
@@ -83,7 +83,7 @@
 	}
 }
 
-func (c *checker) ended(l *lookup, how outcome) {
+func (c *checker) ended(l *pendingRequest, how outcome) {
 	switch {
 	case l.over || !c.open[l]:
 		c.fault("lost", "a second final answer")
--- a/internal/simulation/divided.go
+++ b/internal/simulation/divided.go
@@ -62,8 +62,8 @@
 	wanted, got       []int   // by node
 }
 
-// share is one node's side.
-type shareholder struct {
+// quotaHolder is one node's side.
+type quotaHolder struct {
 	w     *division
 	n     int
 	purse *budget.QuotaClient
@@ -78,7 +78,7 @@
 
 // division is the agreement and its leader, and all nodes' sides.
 type division struct {
-	*world
+	*testbed
 	terms  lease.BudgetConfig
 	state  *lease.State
 	d      *budget.Allocator
@@ -86,7 +86,7 @@
 	unled  routing.Time
 	leads  bool
 	reigns int
-	holds  []*shareholder
+	holds  []*quotaHolder
 	wakeAt routing.Time
 	use    Use
 	asked  map[uint64]func(budget.Response)
@@ -115,9 +115,9 @@
 
 func nameOf(n int) string { return fmt.Sprint("node/", n) }
 
-func (w *world) divide() {
+func (w *testbed) divide() {
 	b := w.e.Fleet.Budget
-	d := &division{world: w, terms: b.terms(w.e.Fleet.Nodes), state: lease.NewState(), ends: map[string]lease.Time{}, asked: map[uint64]func(budget.Response){},
+	d := &division{testbed: w, terms: b.terms(w.e.Fleet.Nodes), state: lease.NewState(), ends: map[string]lease.Time{}, asked: map[uint64]func(budget.Response){},
 		evens: make([]float64, w.e.Fleet.Nodes), evensAt: make([]routing.Time, w.e.Fleet.Nodes)}
 	w.division = d
 	tenths := int(w.e.Length.Seconds()*10) + 1
@@ -131,7 +131,7 @@
 	d.d = budget.NewAllocator(d, d.state, budget.Unsafe{})
 	d.lead()
 	for i := range w.nodes {
-		h := &shareholder{w: d, n: i, bound: routing.OriginRate}
+		h := &quotaHolder{w: d, n: i, bound: routing.OriginRate}
 		if b.Kind == lease.ConcurrencyKind {
 			h.bound = routing.OriginConcurrency
 		}
@@ -263,7 +263,7 @@
 }
 
 // begin starts a node's process: its name is claimed until it is had.
-func (h *shareholder) begin() {
+func (h *quotaHolder) begin() {
 	life, d := h.life, h.w
 	h.part(d.terms, d.terms.ReservedPerNode, d.terms.ReservedPerNode, 0)
 	var claim func()
@@ -296,7 +296,7 @@
 	d.clock.in(routing.Time(float64(100*routing.Millisecond)*d.chance.Float64()), claim)
 }
 
-func (h *shareholder) short() lease.Time {
+func (h *quotaHolder) short() lease.Time {
 	b := h.w.e.Fleet.Budget
 	return lease.HolderDuration(lease.Time(b.Lease.ticks()), b.Drift)
 }
@@ -304,9 +304,9 @@
 func (d *division) way() routing.Time { return d.e.Network.OneWay.ticks() }
 
 // heard says whether the leader and the node hear each other now.
-func (h *shareholder) heard() bool { return !h.down && h.w.led() && h.w.clock.now >= h.cut }
+func (h *quotaHolder) heard() bool { return !h.down && h.w.led() && h.w.clock.now >= h.cut }
 
-func (h *shareholder) renew(life int) {
+func (h *quotaHolder) renew(life int) {
 	d := h.w
 	d.clock.in(d.e.Fleet.Budget.Lease.ticks()/3, func() {
 		if life != h.life || h.down {
@@ -334,12 +334,12 @@
 }
 
 // kill ends the process for good, or for a while.
-func (h *shareholder) kill() {
+func (h *quotaHolder) kill() {
 	h.life++
 	h.down, h.purse = true, nil
 }
 
-func (h *shareholder) part(t lease.BudgetConfig, units, apart int, left routing.Time) allowance.Usage {
+func (h *quotaHolder) part(t lease.BudgetConfig, units, apart int, left routing.Time) allowance.Usage {
 	drift := 1 - h.w.e.Fleet.Budget.Drift
 	n, is := h.w.nodes[h.n].policy.(*routing.Balancer)
 	if !is {
@@ -357,15 +357,15 @@
 	return n.SetQuota(h.w.clock.now, h.bound, 0, p)
 }
 
-// A shareholder is what its purse acts through.
+// quotaHolder is the host of its quota client.
 
 // SetQuota is for budget.Acts, as all below.
-func (h *shareholder) SetQuota(_ string, t lease.BudgetConfig, units, apart int, until lease.Time) allowance.Usage {
+func (h *quotaHolder) SetQuota(_ string, t lease.BudgetConfig, units, apart int, until lease.Time) allowance.Usage {
 	return h.part(t, units, apart, routing.Time(until)-h.w.clock.now)
 }
 
 // Send sends an asking to the leader.
-func (h *shareholder) Send(a budget.Request) {
+func (h *quotaHolder) Send(a budget.Request) {
 	h.nth++
 	nth, life, d := h.nth, h.life, h.w
 	current := func() bool { return nth == h.nth && life == h.life && h.purse != nil }
@@ -399,7 +399,7 @@
 }
 
 // SetAlarm books the purse's alarm.
-func (h *shareholder) SetAlarm(at lease.Time) {
+func (h *quotaHolder) SetAlarm(at lease.Time) {
 	life := h.life
 	h.w.clock.in(routing.Time(at)-h.w.clock.now, func() {
 		if life == h.life && h.purse != nil && !h.down {
--- a/internal/simulation/ejections.go
+++ b/internal/simulation/ejections.go
@@ -14,8 +14,8 @@
 	trialIn   = 500 * routing.Millisecond
 )
 
-// sick is what was seen of caches that fell silent.
-type sick struct {
+// silenceStats is what was seen of caches that fell silent.
+type silenceStats struct {
 	Silent float64      // seconds of silence, all caches together
 	Shots  int          // lookups' shots that silent caches got,
 	Own    int          // those of them with which a node tried a cache that rested there,
@@ -34,7 +34,7 @@
 var _ ejector = (*routing.Balancer)(nil)
 
 // silence lets caches hear nothing for a while, and looks when the nodes use them again.
-func (w *world) silence(some []*server, span routing.Time) {
+func (w *testbed) silence(some []*server, span routing.Time) {
 	for _, s := range some {
 		s.silent = true
 		before := s.unheard
@@ -64,7 +64,7 @@
 }
 
 // until looks again and again.
-func (w *world) until(done func() bool) {
+func (w *testbed) until(done func() bool) {
 	w.clock.in(dueEvery, func() {
 		if !done() {
 			w.until(done)
@@ -73,7 +73,7 @@
 }
 
 // probe lets one node try resting caches for all, by the board that a fleet's leader keeps.
-func (w *world) probe() {
+func (w *testbed) probe() {
 	board := lease.NewProbeScheduler()
 	way := w.e.Network.OneWay.ticks()
 	led := func() bool {
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -1,5 +1,5 @@
 // Package simulation plays a fleet in simulated time: clients, nodes, caches, an origin and a discovery service. The nodes
-// decide by the same logic.Balancer as the real ones, or by plain baselines. A run is told by its description and its
+// decide by the same routing.Balancer as the real ones, or by plain baselines. A run is told by its description and its
 // seed alone, so that designs can be tried at sizes that sockets do not reach.
 package simulation
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -15,33 +15,33 @@
 	tries   int
 }
 
-// lookup is one asking, as a node holds it.
-type lookup struct {
+// pendingRequest is one try of a client to get its request served, as a node holds it.
+type pendingRequest struct {
 	*request
 	index int
 	limit routing.Time
-	shots []*shot
+	shots []*attempt
 	out   int
 	over  bool
 }
 
-type shot struct {
+type attempt struct {
 	server  *server
 	settled bool
 }
 
 // node carries out what its policy orders.
 type node struct {
-	w       *world
+	w       *testbed
 	number  int
 	policy  Policy
-	lookups []*lookup
+	lookups []*pendingRequest
 	free    []int
 	known   map[int]routing.Endpoint // the list as told, where the fleet's trials go by it
 	drained map[int]routing.Time
 }
 
-func (w *world) newNode(number int, seed uint64) *node {
+func (w *testbed) newNode(number int, seed uint64) *node {
 	n := &node{w: w, number: number, known: map[int]routing.Endpoint{}, drained: map[int]routing.Time{}}
 	n.policy = w.maker(n, seed, w.clock.now, w.e)
 	n.list(routing.Cached, w.boxes())
@@ -65,7 +65,7 @@
 
 // take brings a lookup.
 func (n *node) take(r *request) {
-	l := &lookup{request: r, index: len(n.lookups), limit: n.w.clock.now + n.w.e.Demand.Limit.ticks()}
+	l := &pendingRequest{request: r, index: len(n.lookups), limit: n.w.clock.now + n.w.e.Demand.Limit.ticks()}
 	if last := len(n.free) - 1; last >= 0 {
 		l.index, n.free = n.free[last], n.free[:last]
 		n.lookups[l.index] = l
@@ -84,10 +84,10 @@
 	n.policy.Request(n.w.clock.now, l.index, in)
 }
 
-// Send is for logic.Host, as all below.
+// Send is for routing.Host, as all below.
 func (n *node) Send(lkp, to int, timeout routing.Time) {
 	w, l := n.w, n.lookups[lkp]
-	s := &shot{server: w.servers[to]}
+	s := &attempt{server: w.servers[to]}
 	if r, is := n.policy.(ejector); is && s.server.silent && r.IsEjected(to) {
 		w.sick.Own++
 	}
@@ -144,7 +144,7 @@
 	n.w.clock.in(at-n.w.clock.now, func() { n.policy.Alarm(n.w.clock.now, handle) })
 }
 
-func (n *node) end(l *lookup, how outcome, retryAfter routing.Time) {
+func (n *node) end(l *pendingRequest, how outcome, retryAfter routing.Time) {
 	n.w.check.ended(l, how)
 	l.over = true
 	n.w.ended(l, how, retryAfter)
@@ -152,7 +152,7 @@
 }
 
 // forget gives a lookup's index back once it is over and nothing of it is out.
-func (n *node) forget(l *lookup) {
+func (n *node) forget(l *pendingRequest) {
 	if l.over && l.out == 0 && n.lookups[l.index] == l {
 		n.lookups[l.index] = nil
 		n.free = append(n.free, l.index)
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -11,7 +11,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Policy is what a node decides by; logic.Balancer is one.
+// Policy is what a node decides by; routing.Balancer is one.
 type Policy interface {
 	Request(now routing.Time, lkp int, in routing.Request)
 	AttemptDone(now routing.Time, lkp, number int, code routing.Result, ended bool)
--- a/internal/simulation/series.go
+++ b/internal/simulation/series.go
@@ -29,7 +29,7 @@
 	Offered            int
 	Broken             map[string]int // rules, and how often
 	Faults             []string
-	Sick               sick
+	Sick               silenceStats
 	Use                *Use    // of a budget; nil: there is none
 	Busiest            float64 // shots at the busiest cache that was there all the time, over the mean of those
 
@@ -49,7 +49,7 @@
 	_ = s.times.RecordValue(min(max(1, int64(t)), s.times.HighestTrackableValue())) // within its range
 }
 
-func (s *Series) next(w *world) {
+func (s *Series) next(w *testbed) {
 	at, worked, slots := s.now(), 0.0, 0
 	for _, v := range w.servers {
 		worked += v.worked
--- a/internal/simulation/testbed.go
+++ b/internal/simulation/testbed.go
@@ -17,8 +17,8 @@
 	abandoned
 )
 
-// world is one run: a policy, a seed, and all that stands round the nodes.
-type world struct {
+// testbed is one run: a policy, a seed, and all that stands round the nodes.
+type testbed struct {
 	e       *Experiment
 	clock   *clock
 	maker   maker
@@ -34,7 +34,7 @@
 	zipf   *rand.Zipf
 	seeds  *rand.Rand
 	made   int // caches so far
-	sick   sick
+	sick   silenceStats
 
 	division *division // of a budget; nil: there is none
 	hot      []int     // nodes that are asked more than others
@@ -53,7 +53,7 @@
 }
 
 func play(e *Experiment, policy string, m maker, seed uint64) *Series {
-	w := &world{e: e, clock: &clock{now: origo}, maker: m, demand: 1, dead: map[int]bool{},
+	w := &testbed{e: e, clock: &clock{now: origo}, maker: m, demand: 1, dead: map[int]bool{},
 		seeds: rand.New(rand.NewPCG(seed, 5)),
 		rnd:   rand.New(rand.NewPCG(seed, 2)), chance: rand.New(rand.NewPCG(seed, 3))}
 	w.zipf = rand.NewZipf(w.rnd, e.Demand.Skew, 1, e.Demand.Keys-1)
@@ -91,7 +91,7 @@
 }
 
 // busiest gives the shots at the busiest of the caches that were there all the time, over their mean.
-func (w *world) busiest() float64 {
+func (w *testbed) busiest() float64 {
 	most, sum, n := 0, 0, 0
 	for _, s := range w.servers {
 		if !s.origin && s.box.StartedAt == 0 && s.box.State == routing.Ready {
@@ -102,10 +102,10 @@
 }
 
 // seed gives the next node or server one of its own.
-func (w *world) seed() uint64 { return w.seeds.Uint64() }
+func (w *testbed) seed() uint64 { return w.seeds.Uint64() }
 
 // add starts a server; since 0 says that it has run for long.
-func (w *world) add(of Station, origin bool, since routing.Time) {
+func (w *testbed) add(of Station, origin bool, since routing.Time) {
 	i := len(w.servers)
 	s := &server{clock: w.clock, rnd: rand.New(rand.NewPCG(w.seed(), 4)), of: of, origin: origin, miss: w.e.Fleet.Miss,
 		coldShare: w.e.Fleet.ColdShare, warmUp: w.e.Fleet.WarmUp.ticks(), slow: 1, values: newValues(w.e.Fleet.Keep),
@@ -118,7 +118,7 @@
 }
 
 // boxes is the list as the discovery service has it.
-func (w *world) boxes() (list []routing.Endpoint) {
+func (w *testbed) boxes() (list []routing.Endpoint) {
 	for _, s := range w.servers {
 		if s.box.State != routing.Gone {
 			list = append(list, s.box)
@@ -128,12 +128,12 @@
 }
 
 // delay is how long a node takes to hear of something.
-func (w *world) delay() routing.Time {
+func (w *testbed) delay() routing.Time {
 	return routing.Time(w.chance.Float64() * float64(w.e.Network.Notice.ticks()))
 }
 
 // tell brings a change of the list to each node, to each in its own time and in order.
-func (w *world) tell(changed ...*server) {
+func (w *testbed) tell(changed ...*server) {
 	boxes := make([]routing.Endpoint, 0, len(changed))
 	for _, s := range changed {
 		boxes = append(boxes, s.box)
@@ -150,7 +150,7 @@
 }
 
 // caches gives those in a state, in an order of chance.
-func (w *world) caches(state routing.State, most int) (some []*server) {
+func (w *testbed) caches(state routing.State, most int) (some []*server) {
 	for _, s := range w.servers {
 		if !s.origin && s.box.State == state {
 			some = append(some, s)
@@ -161,7 +161,7 @@
 }
 
 // happens plays an event.
-func (w *world) happens(ev Event) {
+func (w *testbed) happens(ev Event) {
 	switch ev.What {
 	case "add":
 		from := len(w.servers)
@@ -244,7 +244,7 @@
 }
 
 // arrive brings the next request, and books the one after it.
-func (w *world) arrive() {
+func (w *testbed) arrive() {
 	if w.demand > 0 {
 		r := &request{key: (w.zipf.Uint64() + w.offset) % w.e.Demand.Keys, write: w.rnd.Float64() < w.e.Demand.Writes,
 			node: w.rnd.IntN(len(w.nodes)), arrived: w.clock.now}
@@ -262,14 +262,14 @@
 }
 
 // heat is the share of all demand that goes to the hot nodes alone: so that each has so many times what another has.
-func (w *world) heat() float64 {
+func (w *testbed) heat() float64 {
 	n, k := float64(len(w.nodes)), float64(len(w.hot))
 	return k * (w.e.Demand.Hot - 1) / (n - k + k*w.e.Demand.Hot)
 }
 
 // worked says what a shot came to at its server: a value fetched is stored where it was missing, one written is
 // dropped everywhere.
-func (w *world) worked(l *lookup, s *shot, code routing.Result) {
+func (w *testbed) worked(l *pendingRequest, s *attempt, code routing.Result) {
 	if code != routing.Served {
 		return
 	}
@@ -292,7 +292,7 @@
 }
 
 // ended notes a final answer, and lets a client that was deferred come back.
-func (w *world) ended(l *lookup, how outcome, retryAfter routing.Time) {
+func (w *testbed) ended(l *pendingRequest, how outcome, retryAfter routing.Time) {
 	took, target := w.clock.now-l.arrived, w.e.Demand.Target.ticks()
 	at := w.series.now()
 	switch {
@@ -317,7 +317,7 @@
 }
 
 // tick notes the state of the fleet at each second.
-func (w *world) tick() {
+func (w *testbed) tick() {
 	w.clock.in(second, func() {
 		w.series.next(w)
 		w.tick()
