--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -37,11 +37,11 @@
 }
 
 func (q *benchHost) Send(id, _ int, _ Time) { q.inFlight = append(q.inFlight, id) }
-func (q *benchHost) Reject(id int, _ Time)       { q.freeIDs = append(q.freeIDs, id) }
-func (q *benchHost) Fail(id int)                 { q.freeIDs = append(q.freeIDs, id) }
-func (q *benchHost) Subscribe()                  {}
-func (q *benchHost) CloseIdle(int, int)          {}
-func (q *benchHost) SetAlarm(Time, int)          {}
+func (q *benchHost) Reject(id int, _ Time)  { q.freeIDs = append(q.freeIDs, id) }
+func (q *benchHost) Fail(id int)            { q.freeIDs = append(q.freeIDs, id) }
+func (q *benchHost) Subscribe()             {}
+func (q *benchHost) CloseIdle(int, int)     {}
+func (q *benchHost) SetAlarm(Time, int)     {}
 
 func (q *benchHost) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
 
