--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -32,7 +32,7 @@
 type clientBudget struct {
 	name      string
 	config    lease.BudgetConfig
-	confirmed bool   // config is the fleet's, not only this node's
+	confirmed bool   // config is the cluster's, not only this node's
 	token     uint64 // of the latest quota
 	units     int    // that new requests may use, this node's reserved ones not included
 	shrinkTo  int    // units that the leader asked to come down to, -1: no need to
@@ -60,29 +60,29 @@
 	weight  float64
 	budgets []*clientBudget // by name
 
-	leaseEnd           Time
-	maxRequestDuration Time // under a concurrency budget none begins that could outlast the lease
-	lastSample         Time
-	nextRequest        Time // earliest time of the next request to the leader
-	changed            bool // there is something to report
-	loanEnd            Time
-	closed             bool
+	leaseEnd     Time
+	cutoffMargin Time // before the lease's end, from which on no request begins under a concurrency budget
+	lastSample   Time
+	nextRequest  Time // earliest time of the next request to the leader
+	changed      bool // there is something to report
+	loanEnd      Time
+	closed       bool
 }
 
 // NewQuotaClient returns a client without any quota, under the node's lease, which is held until leaseEnd, and sends its first request. configs
-// are the budgets of the node's own configuration, by name. maxRequestDuration bounds how long a request under a
-// concurrency budget takes.
-func NewQuotaClient(host ClientHost, now Time, leaseName string, token uint64, weight float64, configs map[string]lease.BudgetConfig, leaseEnd, maxRequestDuration Time) *QuotaClient {
+// are the budgets of the node's own configuration, by name. Under a concurrency budget no request begins within
+// cutoffMargin of the lease's end, since what still runs at the end is cut off.
+func NewQuotaClient(host ClientHost, now Time, leaseName string, token uint64, weight float64, configs map[string]lease.BudgetConfig, leaseEnd, cutoffMargin Time) *QuotaClient {
 	c := &QuotaClient{
-		host:               host,
-		lease:              leaseName,
-		token:              token,
-		weight:             weight,
-		leaseEnd:           leaseEnd,
-		maxRequestDuration: maxRequestDuration,
-		lastSample:         now,
-		changed:            true,
-		nextRequest:        now,
+		host:         host,
+		lease:        leaseName,
+		token:        token,
+		weight:       weight,
+		leaseEnd:     leaseEnd,
+		cutoffMargin: cutoffMargin,
+		lastSample:   now,
+		changed:      true,
+		nextRequest:  now,
 	}
 	for _, name := range slices.Sorted(maps.Keys(configs)) {
 		c.budgets = append(c.budgets, &clientBudget{
@@ -127,10 +127,11 @@
 	}
 }
 
-// quotaEnd returns until when units of a budget may be used. No request may be in flight when the lease ends.
+// quotaEnd returns until when units of a budget may be used. Under a concurrency budget that is the margin before the
+// lease's end, when the requests in flight are cut off.
 func (c *QuotaClient) quotaEnd(b *clientBudget) Time {
 	if b.config.Kind == lease.ConcurrencyKind {
-		return c.leaseEnd - c.maxRequestDuration
+		return c.leaseEnd - c.cutoffMargin
 	}
 	return c.leaseEnd
 }
@@ -160,7 +161,7 @@
 	return all
 }
 
-// revision returns the revision of the fleet's configuration that the node knows, 0 for none.
+// revision returns the revision of the cluster's configuration that the node knows, 0 for none.
 func (b *clientBudget) revision() uint64 {
 	if !b.confirmed {
 		return 0
@@ -189,14 +190,14 @@
 	c.host.SetAlarm(c.lastSample + sampleInterval)
 }
 
-// ConfigMismatch is a budget that the fleet has under another configuration than this node's own.
+// ConfigMismatch is a budget that the cluster has under another configuration than this node's own.
 type ConfigMismatch struct {
 	Name          string
 	Local, Agreed lease.BudgetConfig
 }
 
 // HandleResponse takes the answer to the request that was sent last. It returns the budgets whose configuration turns out
-// to differ from the fleet's; each is returned once.
+// to differ from the cluster's; each is returned once.
 func (c *QuotaClient) HandleResponse(now Time, r Response) (mismatches []ConfigMismatch) {
 	if r.Err != nil && !errors.Is(r.Err, lease.ErrStillHeld) {
 		c.nextRequest = now + retryInterval
@@ -273,7 +274,7 @@
 type QuotaStatus struct {
 	Name               string
 	Config             lease.BudgetConfig
-	Confirmed          bool    // Config is the fleet's; else it is from the node's own configuration
+	Confirmed          bool    // Config is the cluster's; else it is from the node's own configuration
 	Units, Demand      int     // the node's quota, and what it could use
 	InFlight           int     // requests under a concurrency budget
 	Used               float64 // requests between the last two samples, a tenth of a second apart
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -10,12 +10,12 @@
 // has all values. A request belongs to a class, which says how soon it needs an
 // answer and whether it may be repeated, and to a tenant, which has a share of
 // the capacity. Each try of a request at a server is an attempt. Other nodes
-// decide alike for their own requests; Config.Nodes and the fleet's quotas
+// decide alike for their own requests; Config.Nodes and the cluster's quotas
 // (SetQuota) bound the sum of all.
 //
 // The usual way of a request:
 //
-//	Request        startRequest, admit     admission.go
+//	Request        startRequest, admit     shedding.go
 //	               advance                 request.go: wait, send or give up
 //	                 mayAttempt            retry.go: is one more attempt allowed?
 //	                 pickServer            selection.go
@@ -23,7 +23,7 @@
 //	                     skipReason          and what speaks against each
 //	                   pickOrigin          origin.go
 //	                 sendAttempt           Host.Send
-//	                 finish                retry.go: Host.Reject or Host.Fail
+//	                 rejectOrFail          retry.go: Host.Reject or Host.Fail
 //	AttemptDone    learnFromResult         result.go: what the result says of
 //	                                         the server
 //	               advance                 the same for a retry
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -19,8 +19,9 @@
 )
 
 // pickServer chooses the server for a request's next attempt, or noServer. A
-// write goes to the origin, and so does a request after an attempt that gave
-// no value, since hardly another cache has it.
+// write goes to the origin, and so does a request after a failed attempt
+// or a miss, if the origin has capacity. After a miss no further cache is
+// tried, since hardly another one has the value.
 func (b *Balancer) pickServer(r *requestState) int {
 	if r.Write || len(r.attempts) > 0 {
 		if origin := b.pickOrigin(r); origin != noServer {
@@ -93,8 +94,8 @@
 	skipEjected                     // an outlier, and the request may not probe it
 	skipRetryBudget                 // a retry, and the server's budget for retries is spent
 	skipSlowStart                   // it bears no more during slow start
-	skipSlowStartQuota              // the fleet's quota for it in slow start or after an ejection is exhausted
-	skipConcurrencyQuota            // the fleet's quota of attempts in flight is exhausted
+	skipSlowStartQuota              // the cluster's quota for it in slow start or after an ejection is exhausted
+	skipConcurrencyQuota            // the cluster's quota of attempts in flight is exhausted
 )
 
 // skipReason returns the first reason to skip a ready cache.
@@ -109,9 +110,9 @@
 	if r.isRetry() && s.retryBudget < 1 {
 		return skipRetryBudget
 	}
-	// This limit grows with the cache, so it holds beside the fleet's quota.
+	// This limit grows with the cache, so it holds beside the cluster's quota.
 	slowStart := b.inSlowStart(s)
-	if slowStart && b.refillSlowStart(r, s) < r.work {
+	if slowStart && b.slowStartAllowance(r, s) < r.work {
 		return skipSlowStart
 	}
 	if (slowStart || s.isEjected()) && b.quotaExhausted(r, s.slowStartQuota) {
