--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -35,7 +35,7 @@
 )
 
 // The sums beside the constants, with what a busy machine takes: raising any of the constants, here or in the module, breaks one.
-// That the module's waits keep to AskSpread and AskMost is TestTheNextCallForTheListIsNeverFar.
+// TestNextPollIsNeverFar checks that the waits between polls keep to PollSpread and MaxPollWait.
 func TestTheListIsHadInTime(t *testing.T) {
 	spread, most := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollWait)
 	for _, c := range []struct {
--- a/internal/net/discovery/overload_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -490,7 +490,7 @@
 				var mu sync.Mutex
 				x := dispatch.New(d, zap.NewNop())
 				f := New(x, "127.0.0.1:1", 10*time.Second, zap.NewNop())
-				f.transport.RegisterProtocol("http", scriptedTransport(func(query string) (int, string, time.Duration) {
+				f.transport.RegisterProtocol("http", scriptedTransport(func(_ string) (int, string, time.Duration) {
 					mu.Lock()
 					defer mu.Unlock()
 					if at = append(at, time.Now()); len(at) == 1 && c.crowd {
--- a/internal/net/dispatch/clock_test.go
+++ b/internal/net/dispatch/clock_test.go
@@ -10,7 +10,7 @@
 // Start times on the list are Unix times of clocks that agree. Where ours was stepped after the start of the process, a cache that starts
 // is as cold as without that; a start in the future, or an old one under a name that is known, counts from when it was heard of.
 func TestAStartIsColdWhateverTheClockDid(t *testing.T) {
-	const close = 2 * time.Second
+	const tolerance = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		d := startDispatcher(t, &fakeTransport{})
 		d.wall = func() time.Time { return time.Now().Round(0).Add(step) }
@@ -20,7 +20,7 @@
 		started := testEndpoints[0]
 		started.StartedMs = float64(d.wall().UnixMilli()) - 500
 		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
-		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+close {
+		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+tolerance {
 			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, age)
 		}
 		at := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt
@@ -34,14 +34,14 @@
 	future := testEndpoints[0]
 	future.StartedMs = float64(time.Now().Add(time.Hour).UnixMilli())
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{future})
-	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age < -close || age > close {
+	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age < -tolerance || age > tolerance {
 		t.Errorf("a start an hour ahead counts as %v ago", age)
 	}
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{testEndpoints[1]}) // the list is live
 	past := testEndpoints[0]
 	past.StartedMs = float64(time.Now().Add(-time.Hour).UnixMilli())
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{past})
-	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age > close {
+	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age > tolerance {
 		t.Errorf("a cache that has started since the list was last told counts as %v old", age)
 	}
 }
@@ -49,7 +49,7 @@
 // What operators put back is cold, wherever the wall clock stood when it was taken out: its start was before that all the same. One that has started
 // since it was taken out is as old as its start.
 func TestWhatIsPutBackIsColdWhateverTheClockDid(t *testing.T) {
-	const close = 2 * time.Second
+	const tolerance = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		d := startDispatcher(t, &fakeTransport{})
 		since := func() time.Duration {
@@ -65,7 +65,7 @@
 		d.SetEjections([]Ejection{ejection})
 		ejection.RestoredAt = wall() + 1
 		d.SetEjections([]Ejection{ejection})
-		if age := since(); age < -close || age > close {
+		if age := since(); age < -tolerance || age > tolerance {
 			t.Errorf("stepped by %v: what was just put back counts as %v old", step, age)
 		}
 		ejection = Ejection{ID: "new", EjectedAt: wall() - 9_000}
@@ -74,7 +74,7 @@
 		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		ejection.RestoredAt = wall()
 		d.SetEjections([]Ejection{ejection})
-		if age := since(); age < 5*time.Second-close || age > 5*time.Second+close {
+		if age := since(); age < 5*time.Second-tolerance || age > 5*time.Second+tolerance {
 			t.Errorf("stepped by %v: what has started 5 s ago, after it was taken out, counts as %v old", step, age)
 		}
 	}
--- a/internal/net/node/admin_test.go
+++ b/internal/net/node/admin_test.go
@@ -141,7 +141,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	var mu sync.Mutex
 	got := map[string]int{}
-	w := newWorld(t, func(id string, to http.ResponseWriter, r *http.Request) {
+	w := newWorld(t, func(id string, to http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		got[id]++
--- a/internal/net/node/long_test.go
+++ b/internal/net/node/long_test.go
@@ -66,7 +66,7 @@
 	var mu sync.Mutex
 	uploads := map[string]int64{}
 	w := newWorld(t, nil, "a", "b", "c")
-	w.raw = func(id string, to http.ResponseWriter, r *http.Request) {
+	w.raw = func(_ string, to http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
 			n, err := check(r.Body, strings.Contains(r.URL.Path, "slow"))
 			if err != nil {
@@ -179,7 +179,7 @@
 // An answer that breaks in the middle breaks at the client too, however its length is told, and none is spliced in.
 func TestAnAnswerThatBreaksIsSeenToBreak(t *testing.T) {
 	w := newWorld(t, nil, "a", "b", "c")
-	w.raw = func(id string, to http.ResponseWriter, r *http.Request) {
+	w.raw = func(_ string, to http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "length") {
 			to.Header().Set("Content-Length", fmt.Sprint(megabyte))
 		}
@@ -206,7 +206,7 @@
 func TestALongAnswerEndsWithItsClient(t *testing.T) {
 	broke := make(chan int64, 1)
 	w := newWorld(t, nil, "a")
-	w.raw = func(id string, to http.ResponseWriter, r *http.Request) {
+	w.raw = func(_ string, to http.ResponseWriter, _ *http.Request) {
 		to.Header().Set("Content-Length", fmt.Sprint(32*megabyte))
 		n, _ := io.Copy(to, &pattern{size: 32 * megabyte})
 		broke <- n
@@ -236,7 +236,7 @@
 	var mu sync.Mutex
 	whole := 0
 	w := newWorld(t, nil, "a")
-	w.raw = func(id string, to http.ResponseWriter, r *http.Request) {
+	w.raw = func(_ string, to http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
 			mu.Lock()
 			whole++
--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -187,7 +187,7 @@
 				t.Parallel()
 				var mu sync.Mutex
 				seen, conns := map[string]int{}, make(chan net.Conn, 100)
-				address := rawServer(t, func(c net.Conn, r *http.Request, nth int) {
+				address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 					mu.Lock()
 					seen[r.Header.Get("X-Trace-Id")]++
 					mu.Unlock()
--- a/internal/net/upstream/client_test.go
+++ b/internal/net/upstream/client_test.go
@@ -22,7 +22,7 @@
 // kept one, has not run, and tells nothing of its server.
 func TestAShotTooLateForADrainIsNotWritten(t *testing.T) {
 	var served atomic.Int64
-	s, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
+	s, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		served.Add(1)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
@@ -87,7 +87,7 @@
 	for _, c := range []struct{ method, body, key string }{
 		{"GET", "", ""}, {"GET", "", "id"}, {"PUT", "v", "id"}, {"PUT", "", "id"}, {"PUT", "v", ""}} {
 		var seen atomic.Int64
-		address := rawServer(t, func(conn net.Conn, r *http.Request, nth int) {
+		address := rawServer(t, func(conn net.Conn, _ *http.Request, nth int) {
 			if seen.Add(1); nth == 0 {
 				_, _ = io.WriteString(conn, "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")
 				return
