--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -22,7 +22,7 @@
 	pending       *PendingRequest // nil in tests of other packages
 	endpointIndex int
 	number        int         // of the request's attempts, from 0
-	startedAt     time.Time   // when it was decided on; for a streamed body, when its last byte went out
+	startedAt     time.Time   // when it was decided on; of a streamed body, from BodySent on, when its last byte went out
 	deadline      time.Time   // when the node stops waiting for an answer; never changes
 	bypassTimer   *time.Timer // checks whether later attempts at the endpoint were answered; nil: never
 	reported      bool        // the balancer takes it to be over
@@ -79,11 +79,11 @@
 	return admission.Granted
 }
 
-// AttemptDeadline returns when the node stops waiting for an answer. It counts from the decision, not from sentAt, when
+// AttemptDeadline returns when the node stops waiting for an answer. It counts from the decision, not from takenAt, when
 // the transport took the attempt.
-func (a *Attempt) AttemptDeadline(sentAt time.Time) time.Time {
+func (a *Attempt) AttemptDeadline(takenAt time.Time) time.Time {
 	if a.deadline.IsZero() {
-		return sentAt.Add(a.Timeout)
+		return takenAt.Add(a.Timeout)
 	}
 	return a.deadline
 }
@@ -165,7 +165,7 @@
 	a.bodySent = true
 	a.startedAt = time.Now()
 	d := a.pending.dispatcher
-	d.balancer.BodySent(d.now(), a.pending.index, a.number)
+	d.balancer.BodySent(d.beginDecision(), a.pending.index, a.number)
 }
 
 // Stalled reports that the answer has begun and then paused for unusually long, so that it may be stuck. Where a hedged
@@ -201,5 +201,5 @@
 	}
 	d.stats.Results[result]++
 	d.endpoints.entries[a.endpointIndex].untrack(a)
-	d.balancer.AttemptDone(d.now(), r.index, a.number, result.Code(), result == Complete || r.ended.Load())
+	d.balancer.AttemptDone(d.beginDecision(), r.index, a.number, result.Code(), result == Complete || r.ended.Load())
 }
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -26,7 +26,7 @@
 	Bypassed                                // no answer yet, while later attempts at the server had theirs or its bytes stopped
 	NoResources                             // no descriptor, dial or goroutine was free: nothing was sent
 	NotConnected                            // the deadline passed before a connection was up or had failed
-	Canceled                                // the node took it back, as it stops
+	Canceled                                // the node is ending, or this machine failed to read; the error says which
 	Withheld                                // the request had ended, or its client had gone, before the first byte was written
 	attemptResultCount                      // how many there are
 )
@@ -62,6 +62,8 @@
 		return routing.NotSent
 	case Withheld:
 		return routing.Withheld
+	case Bypassed, Canceled:
+		return routing.Canceled
 	default:
 		return routing.Canceled
 	}
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -3,6 +3,19 @@
 //
 // A Dispatcher owns the node's routing.Balancer. Under one lock it reports each event to the balancer and carries out
 // what the balancer orders. Nothing that it calls while it holds the lock may block.
+//
+// A request and its attempts end separately:
+//
+//	PendingRequest  pending -> ended (final answer or client gone) -> released (index and trace id are free)
+//	Attempt         in flight -> reported (over for the balancer) -> finished -> streamed answer closed
+//
+//	Attempt.Finish            ends an attempt, once; the transport calls it
+//	Attempt.settle            the rest of Finish: answers the client where the attempt decides that, then reports
+//	Attempt.report            tells the balancer the result, once; for Bypassed before Finish
+//	Attempt.Release           the rest of a streamed answer is closed; the transport calls it after Finish
+//	Dispatcher.finish         gives a request its final answer, and ends it
+//	Dispatcher.end            marks a request as ended, with or without an answer
+//	Dispatcher.releaseIfDone  releases a request that has ended and has no attempt in flight
 package dispatch
 
 import (
@@ -117,12 +130,12 @@
 			}
 		}
 	}()
-	f(d.now())
+	f(d.beginDecision())
 }
 
-// now returns the time of an event for the balancer, and notes it as the time of the decisions that follow from the
-// event. Called with the lock held.
-func (d *Dispatcher) now() routing.Time {
+// beginDecision returns the time of an event for the balancer, and sets decisionTime: the decisions that follow from the
+// event count from it. Called with the lock held.
+func (d *Dispatcher) beginDecision() routing.Time {
 	d.decisionTime = time.Now()
 	return d.clock.at(d.decisionTime)
 }
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Deny counts, by reason, that the attempt was not written. admission.Granted is not counted.
-func (a *Attempt) Deny(reason admission.Reason) {
+// CountDenied counts, by reason, that the attempt was not written. admission.Granted is not counted.
+func (a *Attempt) CountDenied(reason admission.Reason) {
 	if a.pending != nil && reason != admission.Granted {
 		a.pending.dispatcher.metrics.Denied[reason].Add(1)
 	}
--- a/internal/net/dispatch/outliers.go
+++ b/internal/net/dispatch/outliers.go
@@ -7,8 +7,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// EjectedEndpoints returns the addresses, by id, of listed caches that the balancer has ejected as outliers. The origin
-// is never ejected.
+// EjectedEndpoints returns the addresses, by id, of listed caches that the balancer has ejected as outliers. An
+// origin's ejection is ignored.
 func (d *Dispatcher) EjectedEndpoints() map[string]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -20,8 +20,8 @@
 
 // SetQuota tells the balancer this node's quota of a limit; tenant names it for a routing.TenantRate. New attempts may
 // use it for validFor, and then what the quota says for afterwards. Under a concurrency quota they must be over
-// attemptTime after that. It returns the use of the limit since the last call; a zero value for an unknown tenant.
-func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, validFor, attemptTime time.Duration) (
+// cutoffMargin after that. It returns the use of the limit since the last call; a zero value for an unknown tenant.
+func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, validFor, cutoffMargin time.Duration) (
 	usage allowance.Usage) {
 	tenantIndex, known := d.settings.Tenants[tenant]
 	if limit == routing.TenantRate && !known {
@@ -32,7 +32,7 @@
 		usage = d.balancer.SetQuota(now, limit, tenantIndex, quota)
 		d.quotas.active = true
 		if quota.Concurrency {
-			d.quotas.concurrencyUntil[limit] = time.Now().Add(validFor + attemptTime)
+			d.quotas.concurrencyUntil[limit] = time.Now().Add(validFor + cutoffMargin)
 		}
 		if limit == routing.CacheConcurrency {
 			d.transport.SetMaxConns(max(0, int(quota.Burst)))
--- a/internal/net/upstream/attempt.go
+++ b/internal/net/upstream/attempt.go
@@ -15,34 +15,31 @@
 // send carries an attempt and returns how it ended. A connection that breaks before the request was written says little
 // about its server, and the request has not run: another connection is tried.
 func (c *Client) send(a *dispatch.Attempt) (dispatch.AttemptResult, dispatch.Answer) {
-	sentAt := time.Now()
-	deadline := a.AttemptDeadline(sentAt)
+	takenAt := time.Now()
+	deadline := a.AttemptDeadline(takenAt)
 	for try := 1; ; try++ {
 		x, result, answer, err := c.roundTrip(a, deadline)
 		if err != nil && x.conn != nil && x.conn.retire() {
 			_ = x.conn.Close() // now: the transport's own close may come after the next attempt has begun
 		}
-		late := !a.SendBy.IsZero() && time.Now().After(a.SendBy) || !time.Now().Before(deadline)
-		bodyStarted := a.Rest != nil && a.Rest.Started()
 		denied := x.denial()
-		a.Deny(denied)
-		if mayTryAgain(result, denied) && try < maxConnTries && c.context.Err() == nil && !late && !bodyStarted {
+		a.CountDenied(denied)
+		if try < maxConnTries && retryable(result, denied) && c.mayStillSend(a, deadline) {
 			continue
 		}
 		if result.Answered() && (a.Rest == nil || a.Rest.Complete()) {
 			a.Written() // an answer proves it, also where the transport's buffer was empty before the last byte
 		}
 		if err != nil {
-			c.log.Info("attempt failed", zap.Stringer("end", result), zap.String("server", a.Address),
-				zap.String("trace", a.TraceID), zap.Duration("after", time.Since(sentAt)), zap.Error(err))
+			c.logFailure(a, result, takenAt, err)
 		}
 		return result, answer
 	}
 }
 
-// mayTryAgain reports whether another connection may do where this one did not: the request was not written, for a
+// retryable reports whether another connection may do where this one did not: the request was not written, for a
 // reason that lies in the connection or passes with time.
-func mayTryAgain(result dispatch.AttemptResult, denied admission.Reason) bool {
+func retryable(result dispatch.AttemptResult, denied admission.Reason) bool {
 	switch denied {
 	case admission.NotQuiet, admission.ConnectionEnding, admission.DeadlineStale:
 		return true
@@ -50,6 +47,26 @@
 	return result == dispatch.WriteFailed
 }
 
+// mayStillSend reports whether there is time for another connection, and no byte of a streamed body was read, which could
+// not be sent again.
+func (c *Client) mayStillSend(a *dispatch.Attempt, deadline time.Time) bool {
+	if c.context.Err() != nil {
+		return false
+	}
+	if !a.SendBy.IsZero() && time.Now().After(a.SendBy) {
+		return false
+	}
+	if !time.Now().Before(deadline) {
+		return false
+	}
+	return a.Rest == nil || !a.Rest.Started()
+}
+
+func (c *Client) logFailure(a *dispatch.Attempt, result dispatch.AttemptResult, takenAt time.Time, err error) {
+	c.log.Info("attempt failed", zap.Stringer("end", result), zap.String("server", a.Address),
+		zap.String("trace", a.TraceID), zap.Duration("after", time.Since(takenAt)), zap.Error(err))
+}
+
 // roundTrip sends an attempt's request on one connection. The returned exchange is closed.
 func (c *Client) roundTrip(a *dispatch.Attempt, deadline time.Time) (*exchange, dispatch.AttemptResult, dispatch.Answer, error) {
 	x := c.newExchange(a, deadline)
