--- a/internal/net/upstream/conn_write.go
+++ b/internal/net/upstream/conn_write.go
@@ -37,11 +37,11 @@
 	defer c.mu.Unlock()
 	request := c.request
 	if !request.writeStarted {
-		request.denied = c.decideWrite(request)
+		request.decision = c.decideWrite(request)
 	}
 	request.writeStarted = true
-	c.writing = request.denied == admission.Granted
-	return request.denied
+	c.writing = request.decision == admission.Granted
+	return request.decision
 }
 
 // endWrite notes how a write ended.
@@ -69,7 +69,7 @@
 		}
 		now := time.Now() // last, with no system call after it
 		denied = admission.Send{
-			Refused:          request.refused,
+			Refused:          request.presetRefusal,
 			ConnectionEnding: c.retired || c.localFailure.Load(),
 			Unsolicited:      request.unsolicited || c.closing,
 			Unknown:          unknown,
@@ -110,7 +110,7 @@
 func (c *conn) refuse(request *outgoingRequest, reason admission.Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	request.refused = reason
+	request.presetRefusal = reason
 }
 
 // setDeclaredTimeout notes which time a request tells its server to have, and when its client stops waiting.
@@ -125,8 +125,8 @@
 func (c *conn) denial(request *outgoingRequest) admission.Reason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if request.denied == admission.Granted && request.unsolicited {
+	if request.decision == admission.Granted && request.unsolicited {
 		return admission.UnsolicitedBytes
 	}
-	return request.denied
+	return request.decision
 }
--- a/internal/net/upstream/denial_test.go
+++ b/internal/net/upstream/denial_test.go
@@ -12,7 +12,7 @@
 func TestADenialIsOfItsOwnRequest(t *testing.T) {
 	near, _ := tcp(t)
 	c := newConn(near, func() {})
-	first, second := &outgoingRequest{}, &outgoingRequest{refused: admission.NotQuiet}
+	first, second := &outgoingRequest{}, &outgoingRequest{presetRefusal: admission.NotQuiet}
 	c.acquire(false, first)
 	if _, err := c.Write([]byte("first")); err != nil {
 		t.Fatal(err)
--- a/internal/net/upstream/outgoing_request.go
+++ b/internal/net/upstream/outgoing_request.go
@@ -12,8 +12,8 @@
 type outgoingRequest struct {
 	writeStarted    bool                    // its first byte was written, or denied
 	unsolicited     bool                    // bytes came before that
-	denied          admission.Reason        // why it was not written, or Granted
-	refused         admission.Reason        // by an earlier step, or Granted
+	decision        admission.Reason        // Granted, or why it was not written; made once, at the first byte
+	presetRefusal   admission.Reason        // Granted, or a reason that an earlier step has set
 	clientState     func() admission.Reason // whether the client still waits; nil: it does
 	sendBy          time.Time               // when the first byte must have been written; zero: any time
 	clientDeadline  time.Time               // when the client stops waiting; zero: the server is told no time
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -52,8 +52,8 @@
 	return strconv.FormatInt(left.Microseconds(), 10) + "u"
 }
 
-// poolHost names an endpoint's incarnation as a host, by which the transport pools connections.
-func poolHost(incarnation uint64) string { return "place-" + strconv.FormatUint(incarnation, 10) }
+// poolHost names an endpoint's incarnation as a host, by which the transport pools connections. No server sees it.
+func poolHost(incarnation uint64) string { return "endpoint-" + strconv.FormatUint(incarnation, 10) }
 
 // poolKey is poolHost with the port, as the dialer gets it.
 func poolKey(incarnation uint64) string { return poolHost(incarnation) + ":80" }
