--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -92,7 +92,7 @@
 	request, status, err := h.readBody()
 	bodyRead := time.Now()
 	if err != nil {
-		h.rejectBody(status, err)
+		h.refuseBody(status, err)
 		return
 	}
 	if request.Rest != nil {
@@ -105,13 +105,13 @@
 	}
 	timeout, err := parseRequest(h.r, &request)
 	if err != nil {
-		h.reject(http.StatusBadRequest, err)
+		h.refuseInvalid(http.StatusBadRequest, err)
 		return
 	}
 	request.ClientGone = h.conn.clientGone
 	ticket, err := h.dispatcher.Submit(request, bodyRead, timeout)
 	if err != nil {
-		h.reject(submitStatus(err), err)
+		h.refuseInvalid(submitStatus(err), err)
 		return
 	}
 	h.await(ticket)
@@ -160,17 +160,18 @@
 
 func (h *handler) traceID() string { return h.r.Header.Get("X-Trace-Id") }
 
-// reject answers a request that cannot be dispatched.
-func (h *handler) reject(status int, reason error) {
+// refuseInvalid answers a request that cannot be dispatched, with 400, 408, 409 or 413. It is not rejected in the sense of
+// dispatch.Rejected, which is 503 with Retry-After.
+func (h *handler) refuseInvalid(status int, reason error) {
 	h.log.Debug("request rejected", zap.String("trace", h.traceID()), zap.Int("status", status), zap.Error(reason))
 	writePlain(h.w, status, reason.Error())
 }
 
-// rejectBody rejects a request whose body was not read to its end.
-func (h *handler) rejectBody(status int, reason error) {
+// refuseBody refuses a request whose body was not read to its end.
+func (h *handler) refuseBody(status int, reason error) {
 	h.w.Header().Set("Connection", "close")     // the rest must not be read as another request,
 	_ = h.control.SetReadDeadline(pastDeadline) // nor waited for, as net/http would
-	h.reject(status, reason)
+	h.refuseInvalid(status, reason)
 }
 
 func (h *handler) rejectOverLimit() {
--- a/internal/net/frontend/server.go
+++ b/internal/net/frontend/server.go
@@ -101,22 +101,23 @@
 }
 
 // Shutdown ends the service without losing a request. Connections go on coming for a while, so it goes on accepting them, closes each with its
-// next answer, and only then closes the listener and waits for the rest. If another process serves the socket too (succeeded), it takes the new
-// connections at once. Shutdown returns an error if connections were still open after the longest deadline.
+// next answer, and only then closes the listener and waits for the rest. hasSuccessor says that this process's socket was passed on to or is
+// shared with a successor, which takes the new connections at once. Shutdown returns an error if connections were still open after the
+// longest deadline.
 //
 // It does not use Shutdown or SetKeepAlivesEnabled of http.Server, which close idle connections even while a request on them is being read.
-func (s *Server) Shutdown(succeeded bool) error {
+func (s *Server) Shutdown(hasSuccessor bool) error {
 	s.draining.Store(true)
 	began := time.Now()
 	lastOpen := time.Duration(0) // when a connection was last open
-	end := drainAcceptTime + s.limits.MaxDeadline + drainSlack
+	end := s.maxDrainTime()
 	for ; ; time.Sleep(drainPollInterval) {
 		listener := s.listener.Load() // nil until Serve begins
 		elapsed := time.Since(began)
-		if listener != nil && (succeeded || s.queueDrained(listener, elapsed)) {
+		if listener != nil && (hasSuccessor || s.queueDrained(listener, elapsed)) {
 			_ = listener.Close()
 		}
-		if !succeeded || elapsed >= drainIdleTime {
+		if !hasSuccessor || elapsed >= drainIdleTime {
 			s.conns.closeIdle(s.conns.count(), elapsed)
 		}
 		open, lingering := s.openConns(listener)
@@ -124,7 +125,7 @@
 			lastOpen = elapsed
 		}
 		switch {
-		case open == 0 && elapsed >= drainAcceptTime && (lingering == 0 || elapsed >= lastOpen+minLinger || elapsed >= end):
+		case s.drained(open, lingering, elapsed, lastOpen):
 			return s.httpServer.Close()
 		case elapsed >= end:
 			_ = s.httpServer.Close()
@@ -133,6 +134,20 @@
 	}
 }
 
+// maxDrainTime returns how long Shutdown may take.
+func (s *Server) maxDrainTime() time.Duration {
+	return drainAcceptTime + s.limits.MaxDeadline + drainSlack
+}
+
+// drained reports whether no client is owed anything: no connection is open, further ones had time to come, and those that
+// linger had theirs since the last open one.
+func (s *Server) drained(open, lingering int, elapsed, lastOpen time.Duration) bool {
+	if open > 0 || elapsed < drainAcceptTime {
+		return false
+	}
+	return lingering == 0 || elapsed >= lastOpen+minLinger || elapsed >= s.maxDrainTime()
+}
+
 // queueDrained reports whether the listener may be closed: with connections in its queue, the kernel would reset them.
 func (s *Server) queueDrained(l *limitedListener, elapsed time.Duration) bool {
 	return elapsed >= drainAcceptTime && (!l.hasQueued() || elapsed >= drainAcceptTime+s.limits.MaxDeadline/2)
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -209,7 +209,8 @@
 	}
 	go leaveCluster() // at the same time: the next process waits for the cluster's address, and clients for neither
 	n.log.Info("shutting down, draining client connections")
-	if err := n.frontend.Shutdown(n.config.PassedSocket != 0); err != nil {
+	hasSuccessor := n.config.PassedSocket != 0 // this process's socket was passed on to or is shared with a successor
+	if err := n.frontend.Shutdown(hasSuccessor); err != nil {
 		n.log.Warn("shutdown ended with requests unanswered", zap.Error(err), zap.Int("in flight", n.dispatcher.InFlight()))
 	}
 	n.log.Info("shutdown complete")
