--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -101,7 +101,10 @@
 		case <-c.switched:
 		}
 		last, err := c.follow(ctx)
-		if superseded := c.recordEnd(last); superseded || ctx.Err() != nil {
+		if superseded := c.recordEnd(last); superseded {
+			continue
+		}
+		if ctx.Err() != nil {
 			continue
 		}
 		c.log.Warn("endpoint list update failed, keeping the last list", zap.Error(err))
@@ -149,7 +152,10 @@
 		if !c.publish(src, list) {
 			return src, nil
 		}
-		if time.Since(began) >= emptyWatchPause || len(list.endpoints) > 0 {
+		if time.Since(began) >= emptyWatchPause {
+			continue
+		}
+		if len(list.endpoints) > 0 {
 			continue
 		}
 		if err := pauseAfterEmptyWatch(ctx); err != nil {
--- a/internal/net/discovery/hedge.go
+++ b/internal/net/discovery/hedge.go
@@ -17,7 +17,9 @@
 	overloadWindow = 4 * time.Second
 )
 
-// hedgedPolls is the set of polls in flight for one list. All its fields but results belong to one goroutine.
+// hedgedPolls is the set of polls in flight for one list. inFlight, delayed and began belong to the goroutine of
+// hedgedPoll, which alone writes to source meanwhile. The polls' goroutines read source's address and version without a lock;
+// an abandoned poll may still do so after hedgedPoll has returned.
 type hedgedPolls struct {
 	client   *Client
 	source   *source
@@ -100,7 +102,7 @@
 
 func (h *hedgedPolls) run(ctx context.Context, poll *inFlightPoll, query string) {
 	defer poll.cancel()
-	list, err := h.client.poll(ctx, h.source.address, query, pollTimeout)
+	list, err := h.client.fetchList(ctx, h.source.address, query, pollTimeout)
 	switch {
 	case err != nil || list.full:
 	case query == "":
--- a/internal/net/discovery/poll.go
+++ b/internal/net/discovery/poll.go
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("?from=%d&hold_ms=%d", version, wait.Milliseconds())
 }
 
-// poll makes one call to the discovery service at address.
-func (c *Client) poll(ctx context.Context, address, query string, timeout time.Duration) (endpointList, error) {
+// fetchList makes one call, a poll or a watch, to the discovery service at address.
+func (c *Client) fetchList(ctx context.Context, address, query string, timeout time.Duration) (endpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+listPath+query, nil)
--- a/internal/net/discovery/verify.go
+++ b/internal/net/discovery/verify.go
@@ -17,7 +17,7 @@
 			return
 		case <-time.After(maxVerifyDelay/2 + c.randomDuration(maxVerifyDelay/2)): // spread, as many nodes resume at once
 		}
-		list, err := c.poll(ctx, resumed.address, "", pollTimeout)
+		list, err := c.fetchList(ctx, resumed.address, "", pollTimeout)
 		if err == nil && list.full && c.publishIfCurrent(ctx, resumed.generation, list) {
 			return
 		}
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wait := c.watchWait()
-	list, err := c.poll(failOnSecondConn(ctx, cancel), src.address, watchQuery(src.version, wait), wait+watchGrace)
+	list, err := c.fetchList(failOnSecondConn(ctx, cancel), src.address, watchQuery(src.version, wait), wait+watchGrace)
 	if err == nil && !list.full && list.version < src.version {
 		err = errVersionGap
 	}
