--- a/internal/net/upstream/unsolicited_test.go
+++ b/internal/net/upstream/unsolicited_test.go
@@ -22,8 +22,8 @@
 	for _, after := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 7 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
-			var late sync.Map // ids whose second answer came later than it was to
-			var secondAnswers sync.WaitGroup
+			var late sync.Map              // ids whose second answer came later than it was to
+			var secondAnswers atomic.Int64 // that are not yet written and judged
 			address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 				trace := r.Header.Get("X-Trace-Id")
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(trace), trace)
@@ -32,7 +32,7 @@
 				fmt.Fprint(c, answer)
 				secondAnswers.Add(1)
 				time.AfterFunc(after, func() {
-					defer secondAnswers.Done()
+					defer secondAnswers.Add(-1)
 					fmt.Fprint(c, answer)
 					if time.Since(began) > inTime {
 						late.Store(trace, true)
@@ -50,7 +50,9 @@
 				}
 				servedBy[sh.TraceID] = string(answer.Body)
 			}
-			secondAnswers.Wait() // a late one may be read before it is known to be late
+			for secondAnswers.Load() > 0 { // a late one may be read before it is known to be late
+				time.Sleep(time.Millisecond)
+			}
 			wrong, judged := 0, 0
 			for requested, served := range servedBy {
 				if _, excused := late.Load(served); excused {
