--- a/internal/net/node/long_test.go
+++ b/internal/net/node/long_test.go
@@ -291,3 +291,43 @@
 		t.Errorf("%d uploads came whole", whole)
 	}
 }
+
+// A client whose long body an origin has received whole gets its final answer by its deadline, also if the origin then never answers. The
+// deadline of a streamed body counts from the body's last byte.
+func TestStreamedUploadToHangingOriginGetsAnswerByDeadline(t *testing.T) {
+	const (
+		deadline  = 400 * time.Millisecond
+		lostAfter = 500 * time.Millisecond // beyond the deadline a request without an answer is lost
+		size      = 70 << 10               // bytes; a body over 64 KB is streamed
+	)
+	release := make(chan struct{})
+	received := make(chan error, 1)
+	w := newWorld(t, nil, "a")
+	w.raw = func(_ string, _ http.ResponseWriter, r *http.Request) {
+		_, err := io.Copy(io.Discard, r.Body)
+		received <- err
+		<-release
+	}
+	t.Cleanup(func() { close(release) }) // before the servers' own, which wait for their handlers
+	s := w.station(128)
+	run(t, s)
+	c, err := net.Dial("tcp", s.Listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	fmt.Fprintf(c, "PUT /once/k HTTP/1.1\r\nHost: n\r\nX-Trace-Id: t\r\nX-Expires-In: %dm\r\nContent-Length: %d\r\n\r\n", deadline.Milliseconds(), size)
+	if _, err := io.Copy(c, &pattern{size: size}); err != nil {
+		t.Fatal(err)
+	}
+	if err := <-received; err != nil {
+		t.Fatal("the origin did not receive the whole body: ", err)
+	}
+	began := time.Now()
+	_ = c.SetReadDeadline(began.Add(deadline + lostAfter))
+	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatalf("no answer %v after the body's last byte, deadline %v: %v", time.Since(began).Round(time.Millisecond), deadline, err)
+	}
+	r.Body.Close()
+}
