--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -79,9 +79,9 @@
 
 // Request takes a client's request. From now on the client is owed exactly one
 // final answer: an attempt that ends the request, Host.Reject or Host.Fail.
-func (b *Balancer) Request(now Time, id int, in Request) {
+func (b *Balancer) Request(now Time, id int, request Request) {
 	b.advanceClock(now)
-	r := b.startRequest(id, in)
+	r := b.startRequest(id, request)
 	if !b.admit(r) {
 		b.rejectOrFail(id)
 		return
@@ -92,9 +92,9 @@
 // BodySent reports that an attempt of a Streaming request was written
 // completely, or is about to end. The latencies of the attempt and of the
 // request count from here.
-func (b *Balancer) BodySent(now Time, id, number int) {
+func (b *Balancer) BodySent(now Time, id, attemptNumber int) {
 	r := &b.requests[id]
-	a := &r.attempts[number]
+	a := &r.attempts[attemptNumber]
 	r.arrivedAt = now
 	a.sentAt = now
 	b.addInFlight(b.servers[a.server], 1)
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -34,8 +34,8 @@
 // target; the square root is for random variation.
 func (b *Balancer) inFlightLimit(r *requestState, s *serverState) float64 {
 	target := seconds(b.classes[r.Class].LatencyTarget)
-	filled := b.perSecond(s.answers) * inFlightTargetShare * target
-	return min(s.concurrencyLimit, max(minBusyInFlight, filled+math.Sqrt(filled)))
+	expected := b.perSecond(s.answers) * inFlightTargetShare * target
+	return min(s.concurrencyLimit, max(minBusyInFlight, expected+math.Sqrt(expected)))
 }
 
 // isSlow reports whether a latency counts as slow for a class.
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -54,11 +54,11 @@
 	}
 	s := b.servers[e.Server]
 	if s == nil || s.StartedAt != e.StartedAt || s.ID != e.ID {
-		fresh := b.newServer()
+		replacement := b.newServer()
 		if s != nil {
-			fresh.inFlight = s.inFlight
+			replacement.inFlight = s.inFlight
 		}
-		s = fresh
+		s = replacement
 		b.servers[e.Server] = s
 	}
 	s.Endpoint = e
@@ -84,7 +84,7 @@
 	}
 	s := b.servers[server]
 	if s.isOrigin {
-		b.origins = slices.DeleteFunc(b.origins, func(o int) bool { return o == server })
+		b.origins = slices.DeleteFunc(b.origins, func(origin int) bool { return origin == server })
 		return
 	}
 	index, found := b.findReady(s.ID)
--- a/routing/fetch.go
+++ b/routing/fetch.go
@@ -6,8 +6,8 @@
 // value from the origin, other requests of this node for the key wait, and
 // then ask the cache.
 
-// fetchInFlight reports whether a request has to wait for another's fetch.
-func (b *Balancer) fetchInFlight(r *requestState) bool {
+// mustAwaitFetch reports whether a request has to wait for another's fetch.
+func (b *Balancer) mustAwaitFetch(r *requestState) bool {
 	if r.Write || r.keyHash == 0 {
 		return false
 	}
@@ -15,10 +15,10 @@
 	return found
 }
 
-// isFetchAt reports whether an attempt at a server would be a fetch that
+// isFetchAttempt reports whether an attempt at a server would be a fetch that
 // others can wait for. After a full cache, as opposed to a miss, the cache may
 // well have the value, so nobody needs to wait.
-func (b *Balancer) isFetchAt(r *requestState, server int) bool {
+func (b *Balancer) isFetchAttempt(r *requestState, server int) bool {
 	return b.servers[server].isOrigin && r.missed && !r.Write && r.keyHash != 0
 }
 
--- a/routing/host.go
+++ b/routing/host.go
@@ -44,5 +44,5 @@
 
 	// SetAlarm asks for a call of Alarm with this handle at that time or soon
 	// after.
-	SetAlarm(at Time, handle int)
+	SetAlarm(alarmTime Time, handle int)
 }
--- a/routing/idle.go
+++ b/routing/idle.go
@@ -16,9 +16,9 @@
 	b.idleTimeout = min(maxIdleTimeout, b.idleTimeout+idleTimeoutIncrease)
 }
 
-// closeIdleAfter closes idle connections as the result of an attempt at a
+// closeIdleConnections closes idle connections as the result of an attempt at a
 // server demands.
-func (b *Balancer) closeIdleAfter(server int, result Result) {
+func (b *Balancer) closeIdleConnections(server int, result Result) {
 	s := b.servers[server]
 	refused := result == ConnectFailed || result == ConnectionLimit
 	s.hasIdleConnection = !refused && result != ConnectTimeout
--- a/routing/partition.go
+++ b/routing/partition.go
@@ -28,10 +28,10 @@
 // keyPoint maps a key's hash to its point in [0, binCount).
 func keyPoint(hash uint64) float64 { return float64(hash>>11) / (1 << 53) * binCount }
 
-// learnPoint adds a request to the histogram. The weights are scaled lazily.
+// recordPoint adds a request to the histogram. The weights are scaled lazily.
 // In steady demand all remembered requests weigh alike, so that all nodes come
 // to similar ranges.
-func (b *Balancer) learnPoint(point float64) {
+func (b *Balancer) recordPoint(point float64) {
 	n := float64(max(1, len(b.ready)))
 	b.rememberedRequests++
 	b.recentRequests++
@@ -107,13 +107,13 @@
 	for _, w := range b.binWeights {
 		total += w
 	}
-	below := 0.0 // weight of the bins before
+	weightBelow := 0.0 // weight of all bins before the current one
 	for bin, w := range b.binWeights {
-		for len(b.rangeEnds) < n-1 && below+w >= shareOf(total, len(b.rangeEnds)+1, n) {
+		for len(b.rangeEnds) < n-1 && weightBelow+w >= shareOf(total, len(b.rangeEnds)+1, n) {
 			target := shareOf(total, len(b.rangeEnds)+1, n)
-			b.rangeEnds = append(b.rangeEnds, float64(bin)+(target-below)/w)
+			b.rangeEnds = append(b.rangeEnds, float64(bin)+(target-weightBelow)/w)
 		}
-		below += w
+		weightBelow += w
 	}
 	for len(b.rangeEnds) < n {
 		b.rangeEnds = append(b.rangeEnds, binCount)
--- a/routing/partition_test.go
+++ b/routing/partition_test.go
@@ -14,7 +14,7 @@
 	rnd := rand.New(rand.NewSource(1))
 	for range 4000 {
 		at := rnd.Intn(1 + rnd.Intn(binCount))
-		b.learnPoint(float64(at) + 0.5)
+		b.recordPoint(float64(at) + 0.5)
 		for i := range plain {
 			plain[i] *= 1 - b.alpha
 		}
@@ -40,7 +40,7 @@
 					if rnd.Intn(8) == 0 {
 						at = from + 77
 					}
-					b.learnPoint(float64(at) + 0.5)
+					b.recordPoint(float64(at) + 0.5)
 				}
 				b.adaptToDemand()
 			}
@@ -53,11 +53,11 @@
 			t.Errorf("%d per interval: alpha %g after a shift, %g before", each, b.alpha, before)
 		}
 		b.rememberedRequests = 1
-		if b.learnPoint(1); b.alpha != 1.0/100 {
+		if b.recordPoint(1); b.alpha != 1.0/100 {
 			t.Errorf("alpha %g, want its bound", b.alpha)
 		}
 		b.rememberedRequests = 1e9
-		if b.learnPoint(1); b.alpha != minAlpha {
+		if b.recordPoint(1); b.alpha != minAlpha {
 			t.Errorf("alpha %g, want its floor", b.alpha)
 		}
 	}
--- a/routing/rates.go
+++ b/routing/rates.go
@@ -32,12 +32,12 @@
 // slow start follows. Only first attempts count: retries would raise that
 // limit while caches fail.
 func (b *Balancer) measureWarmCaches() {
-	sum, warm := 0.0, 0
+	sum, warmCaches := 0.0, 0
 	for _, i := range b.ready {
 		if s := b.servers[i]; b.slowStartShare(s) == 1 {
 			sum += b.perSecond(s.firstAttemptAnswers)
-			warm++
+			warmCaches++
 		}
 	}
-	b.warmCacheRate = sum / float64(max(1, warm))
+	b.warmCacheRate = sum / float64(max(1, warmCaches))
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -11,14 +11,14 @@
 // requestState is a request and what has become of it so far.
 type requestState struct {
 	Request
-	active          bool    // a final answer is owed
-	keyHash         uint64  // 0: the request has no key
-	point           float64 // position of the key in [0, binCount)
-	arrivedAt       Time
-	giveUpAt        Time    // from then on an answer has no value
-	work            float64 // in mean requests of the class
-	beyondEvenShare bool    // beyond the tenant's even share
-	missed          bool    // a cache had no value for the key
+	active           bool    // a final answer is owed
+	keyHash          uint64  // 0: the request has no key
+	point            float64 // position of the key in [0, binCount)
+	arrivedAt        Time
+	giveUpAt         Time    // from then on an answer has no value
+	work             float64 // in mean requests of the class
+	exceedsEvenShare bool    // beyond the tenant's even share
+	missed           bool    // a cache had no value for the key
 
 	isFetch     bool // other requests for the key wait for its attempt at the origin
 	awaitsFetch bool // waits for the fetch of another request
@@ -54,20 +54,20 @@
 }
 
 // startRequest sets up the state of a new request.
-func (b *Balancer) startRequest(id int, in Request) *requestState {
+func (b *Balancer) startRequest(id int, request Request) *requestState {
 	for id >= len(b.requests) {
 		b.requests = append(b.requests, requestState{})
 	}
 	r := &b.requests[id]
 	*r = requestState{
-		Request:   in,
+		Request:   request,
 		active:    true,
 		arrivedAt: b.now,
-		giveUpAt:  b.giveUpTime(in),
+		giveUpAt:  b.giveUpTime(request),
 		work:      1,
 		attempts:  r.attempts[:0],
 	}
-	b.locate(r)
+	b.setPoint(r)
 	b.estimateWork(r)
 	return r
 }
@@ -78,23 +78,23 @@
 
 // giveUpTime returns the time from which an answer has no value: the latency
 // target if a late answer has none and a retry is safe, else the deadline.
-func (b *Balancer) giveUpTime(in Request) Time {
-	class := &b.classes[in.Class]
+func (b *Balancer) giveUpTime(request Request) Time {
+	class := &b.classes[request.Class]
 	if class.LateUtility == 0 && class.Idempotence == Safe {
-		return min(in.Deadline, b.now+class.LatencyTarget-earlyRejectionTicks*b.config.Tick)
+		return min(request.Deadline, b.now+class.LatencyTarget-earlyRejectionTicks*b.config.Tick)
 	}
-	return in.Deadline
+	return request.Deadline
 }
 
-// locate sets the request's point: that of its key, or a random one.
-func (b *Balancer) locate(r *requestState) {
+// setPoint sets the request's point: that of its key, or a random one.
+func (b *Balancer) setPoint(r *requestState) {
 	r.point = b.draw() * binCount // drawn for every request, so that keys do not shift the random sequence
 	if r.Key == "" {
 		return
 	}
 	r.keyHash = xxhash.Sum64String(r.Key) | 1 // 0 means no key
 	r.point = keyPoint(r.keyHash)
-	b.learnPoint(r.point)
+	b.recordPoint(r.point)
 }
 
 // estimateWork sets the request's work from its hint, if it has one.
@@ -134,7 +134,7 @@
 		b.rejectOrFail(id)
 		return
 	}
-	if b.fetchInFlight(r) {
+	if b.mustAwaitFetch(r) {
 		b.awaitFetch(id)
 		return
 	}
@@ -143,7 +143,7 @@
 		b.rejectOrFail(id)
 		return
 	}
-	if b.isFetchAt(r, server) {
+	if b.isFetchAttempt(r, server) {
 		b.beginFetch(r)
 	}
 	b.sendAttempt(id, server)
@@ -152,7 +152,7 @@
 // sendAttempt sends a request to a server and pays for it.
 func (b *Balancer) sendAttempt(id, server int) {
 	r, s := &b.requests[id], b.servers[server]
-	b.payForAttempt(r, s)
+	b.chargeAttempt(r, s)
 	s.probing = s.probing || s.isEjected()
 	if !r.Streaming {
 		b.addInFlight(s, 1) // a server begins with the last byte, see BodySent
@@ -161,9 +161,9 @@
 	b.host.Send(id, server, r.giveUpAt-b.now)
 }
 
-// payForAttempt takes what an attempt costs from the budgets and quotas that
+// chargeAttempt takes what an attempt costs from the budgets and quotas that
 // bound it.
-func (b *Balancer) payForAttempt(r *requestState, s *serverState) {
+func (b *Balancer) chargeAttempt(r *requestState, s *serverState) {
 	if b.inSlowStart(s) || s.isEjected() {
 		s.slowStartQuota.Spend()
 		s.slowStartTokens -= r.work
@@ -179,12 +179,12 @@
 
 // refundAttempt refunds what an unsent attempt took, unless its server has
 // restarted since.
-func (b *Balancer) refundAttempt(r *requestState, number int, s *serverState) {
-	if s.StartedAt > r.attempts[number].startedAt {
+func (b *Balancer) refundAttempt(r *requestState, attemptNumber int, s *serverState) {
+	if s.StartedAt > r.attempts[attemptNumber].startedAt {
 		return
 	}
 	s.slowStartTokens += r.work
-	if number > 0 && !r.missed {
+	if attemptNumber > 0 && !r.missed {
 		s.retryBudget = min(maxRetryBudget, s.retryBudget+1)
 	}
 }
--- a/routing/result.go
+++ b/routing/result.go
@@ -2,13 +2,13 @@
 
 // AttemptDone reports the result of an attempt, and whether the request has
 // ended with it. An attempt that outlasts its request is reported as well.
-func (b *Balancer) AttemptDone(now Time, id, number int, result Result, ended bool) {
+func (b *Balancer) AttemptDone(now Time, id, attemptNumber int, result Result, ended bool) {
 	b.advanceClock(now)
 	r := &b.requests[id]
-	a := &r.attempts[number]
+	a := &r.attempts[attemptNumber]
 	a.inFlight = false
 	a.neverRan = result.neverRan()
-	b.learnFromResult(r, number, result)
+	b.learnFromResult(r, attemptNumber, result)
 	r.missed = r.missed || result == NotFound
 	if !r.active {
 		return
@@ -23,8 +23,8 @@
 }
 
 // learnFromResult takes what the result of an attempt says of its server.
-func (b *Balancer) learnFromResult(r *requestState, number int, result Result) {
-	a := r.attempts[number]
+func (b *Balancer) learnFromResult(r *requestState, attemptNumber int, result Result) {
+	a := r.attempts[attemptNumber]
 	s := b.servers[a.server]
 	latency := b.now - a.sentAt
 	slow := false
@@ -41,11 +41,11 @@
 	if result.isAnswer() {
 		b.growIdleTimeout()
 		s.earnRetryBudget()
-		s.countAnswer(number == 0)
+		s.countAnswer(attemptNumber == 0)
 	}
-	b.closeIdleAfter(a.server, result)
+	b.closeIdleConnections(a.server, result)
 	if result == Withheld {
-		b.refundAttempt(r, number, s)
+		b.refundAttempt(r, attemptNumber, s)
 	} else {
 		s.adjustConcurrencyLimit(result, slow)
 	}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -39,7 +39,7 @@
 
 // firstPossibleRun returns the start of the first attempt that may have had an
 // effect, if there is one.
-func (r *requestState) firstPossibleRun() (at Time, found bool) {
+func (r *requestState) firstPossibleRun() (startedAt Time, found bool) {
 	for _, a := range r.attempts {
 		if !a.neverRan {
 			return a.startedAt, true
--- a/routing/shedding.go
+++ b/routing/shedding.go
@@ -42,14 +42,14 @@
 	if quota := b.tenants[r.Tenant].quota; quota != nil {
 		return b.spendQuota(r, quota)
 	}
-	var beyondCarried bool
-	r.beyondEvenShare, beyondCarried = b.spendShare(r.Tenant)
-	return !r.beyondEvenShare || b.draw() < b.admissionProbability(beyondCarried)
+	var exceedsCarriedShare bool
+	r.exceedsEvenShare, exceedsCarriedShare = b.spendShare(r.Tenant)
+	return !r.exceedsEvenShare || b.draw() < b.admissionProbability(exceedsCarriedShare)
 }
 
 // spendShare takes a request from its tenant's shares, and reports whether it
 // is beyond the even one and beyond the one that the node carries.
-func (b *Balancer) spendShare(tenant int) (beyondEven, beyondCarried bool) {
+func (b *Balancer) spendShare(tenant int) (exceedsEvenShare, exceedsCarriedShare bool) {
 	carriedShares := b.carriedShares(tenant)
 	t := &b.tenants[tenant]
 	elapsed := b.now - t.refilledAt
@@ -79,17 +79,17 @@
 // carriedShares estimates how many even shares of the traffic the node carries
 // (at least one), from what the other tenants send.
 func (b *Balancer) carriedShares(tenant int) float64 {
-	actual, even := 0.0, 0.0
+	actualRate, evenRate := 0.0, 0.0
 	for i, t := range b.tenants {
 		if i != tenant {
-			actual += b.perSecond(t.requests)
-			even += t.evenRate
+			actualRate += b.perSecond(t.requests)
+			evenRate += t.evenRate
 		}
 	}
-	if even == 0 {
+	if evenRate == 0 {
 		return 1
 	}
-	return max(1, actual/even)
+	return max(1, actualRate/evenRate)
 }
 
 const (
@@ -105,9 +105,9 @@
 
 // admissionProbability returns the probability with which a request beyond its
 // tenant's even share is admitted. 1 and more admit all, 0 and less none.
-func (b *Balancer) admissionProbability(beyondCarried bool) float64 {
+func (b *Balancer) admissionProbability(exceedsCarriedShare bool) float64 {
 	probability := admissionSteps * b.admissionLevel
-	if beyondCarried {
+	if exceedsCarriedShare {
 		probability -= admissionSteps - 1
 	}
 	return probability
@@ -117,7 +117,7 @@
 // where they suffer, requests beyond the shares are shed first.
 func (b *Balancer) adjustAdmissionLevel(r *requestState, inTime bool) {
 	switch {
-	case r.beyondEvenShare: // says nothing of those inside their shares
+	case r.exceedsEvenShare: // says nothing of those inside their shares
 	case inTime:
 		b.admissionLevel = min(1, b.admissionLevel+successGain)
 	case b.now >= r.giveUpAt:
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -22,8 +22,8 @@
 	if s.StartedAt == 0 || age >= window {
 		return 1
 	}
-	initial := b.config.SlowStartShare
-	return initial + (1-initial)*max(0, float64(age)/float64(max(1, window)))
+	initialShare := b.config.SlowStartShare
+	return initialShare + (1-initialShare)*max(0, float64(age)/float64(max(1, window)))
 }
 
 // inSlowStart reports whether a server does not bear all of its capacity yet.
