--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -6,7 +6,8 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// Balancer decides for one node. It is not safe for concurrent use.
+// Balancer makes the routing decisions of one node. It is not safe for
+// concurrent use.
 type Balancer struct {
 	host   Host
 	config Config
@@ -15,44 +16,44 @@
 	now    Time   // time of the latest event
 
 	nodeCount             float64
-	shortestLatencyTarget Time // of all classes
+	shortestLatencyTarget Time // minimum over all classes
 
 	classes  []classState
 	tenants  []tenantState
 	requests []requestState // by the caller's index
-	servers  []*serverState // by the caller's index; nil: never listed
+	servers  []*serverState // by the caller's index; nil: was never listed
 
-	ready    []int // servers that are ready caches, in the order of their IDs
-	origins  []int // servers that are ready origins, in ascending order
-	inFlight int   // attempts in flight at all ready caches together
+	ready    []int // servers that are ready caches, sorted by ID
+	origins  []int // servers that are ready origins, in ascending order of their index
+	inFlight int   // total attempts in flight at ready caches
 
-	fetchWaiters map[uint64][]int               // requests that wait for a fetch, by key hash
-	quotas       [limitCount]*allowance.Limiter // of the cluster's limits; nil: no such limit
+	fetchWaiters map[uint64][]int               // requests that wait for a fetch in flight, by key hash
+	quotas       [limitCount]*allowance.Limiter // this node's quotas; nil: the cluster has no such limit
 
-	// The histogram of keys and the ranges of the caches, see partition.go.
-	binWeights         []float64 // weight of each bin, to be multiplied by weightScale
+	// Histogram of the keys and ranges of the caches, see partition.go.
+	binWeights         []float64 // weight of each bin, before multiplication by weightScale
 	weightScale        float64
 	alpha              float64   // weight of the newest request in the histogram
-	rememberedRequests float64   // requests that the histogram stands for
+	rememberedRequests float64   // number of requests that the histogram represents
 	recentRequests     float64   // decaying count
-	recentByGroup      []float64 // decaying count for each group of bins
+	recentByGroup      []float64 // decaying counts by group of bins
 	rangeEnds          []float64 // upper end of each ready cache's range, in bins
-	adaptDue           Time
-	rangesDue          Time
+	adaptDue           Time      // when the histogram is next adapted to the demand
+	rangesDue          Time      // when the ranges are next recomputed
 
-	decayedAt      Time    // when the decaying counts were last halved
-	warmCacheRate  float64 // first attempts per second that a warm cache answers this node
-	initialLimit   float64 // concurrencyLimit of a new server
+	decayedAt      Time    // when answers and requests were last halved, see decayCounts
+	warmCacheRate  float64 // mean first attempts per second that a warm cache answers for this node
+	initialLimit   float64 // initial concurrencyLimit of a server
 	admissionLevel float64 // from 0 to 1, see admissionProbability
-	idleTimeout    Time    // how long an idle connection is kept
+	idleTimeout    Time    // how long an idle connection is kept open
 
-	subscribed  bool // to the endpoint list
+	subscribed  bool // whether a subscription to the endpoint list is active
 	maxPollWait Time // longest wait between two polls while not subscribed
-	pollDue     Time
+	pollDue     Time // when the next poll is due
 }
 
-// New returns the Balancer of one node, which starts by polling for the
-// endpoint list. The seed should differ from node to node.
+// New returns the Balancer of one node. It starts polling for the endpoint list.
+// The seed should differ between nodes.
 func New(host Host, seed uint64, now Time, config Config) *Balancer {
 	b := &Balancer{
 		host:           host,
@@ -77,8 +78,8 @@
 	return b
 }
 
-// Request takes a client's request. From now on the client is owed exactly one
-// final answer: an attempt that ends the request, Host.Reject or Host.Fail.
+// Request starts a client's request. The request gets exactly one final answer:
+// an attempt that ends it, Host.Reject or Host.Fail.
 func (b *Balancer) Request(now Time, id int, request Request) {
 	b.advanceClock(now)
 	r := b.startRequest(id, request)
@@ -91,7 +92,7 @@
 
 // BodySent reports that an attempt of a Streaming request was written
 // completely, or is about to end. The latencies of the attempt and of the
-// request count from here.
+// request are measured from this time.
 func (b *Balancer) BodySent(now Time, id, attemptNumber int) {
 	r := &b.requests[id]
 	a := &r.attempts[attemptNumber]
@@ -100,8 +101,8 @@
 	b.addInFlight(b.servers[a.server], 1)
 }
 
-// ClientGone reports that a request has ended without a final answer of the
-// Balancer's.
+// ClientGone reports that a request has ended without a final answer from the
+// Balancer.
 func (b *Balancer) ClientGone(now Time, id int) {
 	b.advanceClock(now)
 	if b.requests[id].active {
@@ -109,8 +110,8 @@
 	}
 }
 
-// Alarm is called at or after a time given to Host.SetAlarm. An alarm that is
-// out of date does nothing.
+// Alarm reports that a time passed to Host.SetAlarm has been reached. A stale
+// alarm has no effect.
 func (b *Balancer) Alarm(now Time, handle int) {
 	b.advanceClock(now)
 	if handle == pollAlarmHandle {
@@ -120,13 +121,13 @@
 	b.expireFetchWait(handle - firstRequestHandle)
 }
 
-// The handles of alarms: one for the poll, one for each request.
+// Alarm handles: one for polls, and one for each request.
 const (
 	pollAlarmHandle    = 0
 	firstRequestHandle = 1
 )
 
-// advanceClock moves the time on and does what is done at intervals.
+// advanceClock sets the current time and runs the periodic work that is due.
 func (b *Balancer) advanceClock(now Time) {
 	b.now = now
 	b.adaptIfDue()
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,8 +6,8 @@
 )
 
 // UpdateEndpoints reports an update of the endpoint list, or with Failed the
-// failure of a call or of the subscription. Any kind but Cached and Failed
-// means that the subscription stands.
+// failure of a call or of the subscription. Full and Incremental updates imply
+// that the subscription is active.
 func (b *Balancer) UpdateEndpoints(now Time, kind UpdateKind, endpoints []Endpoint) {
 	b.advanceClock(now)
 	if kind == Failed {
@@ -23,10 +23,10 @@
 	b.invalidateRanges()
 }
 
-// changeEndpoints applies changes of single endpoints.
+// changeEndpoints applies an incremental update.
 func (b *Balancer) changeEndpoints(endpoints []Endpoint) {
 	for _, e := range endpoints {
-		b.removeReady(e.Server) // before its ID and state change
+		b.removeReady(e.Server) // uses the old ID and state
 		b.updateServer(e)
 		b.insertReady(e.Server)
 	}
@@ -45,9 +45,9 @@
 	b.rebuildReady()
 }
 
-// updateServer takes over what the list says of a server. One that restarted,
-// or another one under the same index, begins without a past, but the attempts
-// in flight at the old one still end.
+// updateServer applies a list entry to the state of its server. The state is reset
+// if the server restarted or if the index now stands for another server. Only
+// the count of attempts in flight is kept, since those attempts still end.
 func (b *Balancer) updateServer(e Endpoint) {
 	for e.Server >= len(b.servers) {
 		b.servers = append(b.servers, nil)
@@ -63,21 +63,21 @@
 	}
 	s.Endpoint = e
 	s.isOrigin = b.config.CacheAside && e.Model == b.config.OriginModel
-	if s.isOrigin { // these quotas are for caches
+	if s.isOrigin { // these quotas apply to caches only
 		s.slowStartQuota = nil
 		s.concurrencyQuota = nil
 	}
 }
 
-// findReady returns the index in ready of the first cache with an ID, or where
-// it would be inserted.
+// findReady returns the index in ready of the first cache with the given ID, or
+// the index at which it would be inserted.
 func (b *Balancer) findReady(id string) (index int, found bool) {
 	return slices.BinarySearchFunc(b.ready, id, func(server int, id string) int {
 		return strings.Compare(b.servers[server].ID, id)
 	})
 }
 
-// removeReady takes a server out of ready or origins, if it is there.
+// removeReady removes a server from ready or origins, if its state is Ready.
 func (b *Balancer) removeReady(server int) {
 	if server >= len(b.servers) || b.servers[server] == nil || b.servers[server].State != Ready {
 		return
@@ -97,7 +97,7 @@
 	}
 }
 
-// insertReady puts a server into ready or origins, if its state is Ready.
+// insertReady inserts a server into ready or origins, if its state is Ready.
 func (b *Balancer) insertReady(server int) {
 	s := b.servers[server]
 	if s.State != Ready {
@@ -113,7 +113,7 @@
 	b.inFlight += s.inFlight
 }
 
-// rebuildReady fills ready and origins anew from all servers.
+// rebuildReady rebuilds ready and origins from all servers.
 func (b *Balancer) rebuildReady() {
 	b.ready = b.ready[:0]
 	b.origins = b.origins[:0]
--- a/routing/fetch.go
+++ b/routing/fetch.go
@@ -3,10 +3,11 @@
 import "slices"
 
 // Fetches of the same key are coalesced: while one request fetches a missing
-// value from the origin, other requests of this node for the key wait, and
-// then ask the cache.
+// value from the origin, other requests of this node for the key wait. When the
+// fetch is done, they are sent to the cache.
 
-// mustAwaitFetch reports whether a request has to wait for another's fetch.
+// mustAwaitFetch reports whether a request has to wait for another request's
+// fetch of its key.
 func (b *Balancer) mustAwaitFetch(r *requestState) bool {
 	if r.Write || r.keyHash == 0 {
 		return false
@@ -16,19 +17,22 @@
 }
 
 // isFetchAttempt reports whether an attempt at a server would be a fetch that
-// others can wait for. After a full cache, as opposed to a miss, the cache may
-// well have the value, so nobody needs to wait.
+// other requests can wait for. A request that goes to the origin because the
+// cache was full is no fetch: the cache may have the value, so other requests
+// need not wait.
 func (b *Balancer) isFetchAttempt(r *requestState, server int) bool {
 	return b.servers[server].isOrigin && r.missed && !r.Write && r.keyHash != 0
 }
 
-// beginFetch makes later requests for the key wait.
+// beginFetch marks a request as the fetch of its key, for which later requests
+// wait.
 func (b *Balancer) beginFetch(r *requestState) {
 	r.isFetch = true
 	b.fetchWaiters[r.keyHash] = nil
 }
 
-// awaitFetch makes a request wait for the fetch of its key.
+// awaitFetch makes a request wait for the fetch of its key, until giveUpAt at the
+// latest.
 func (b *Balancer) awaitFetch(id int) {
 	r := &b.requests[id]
 	r.awaitsFetch = true
@@ -36,7 +40,8 @@
 	b.host.SetAlarm(r.giveUpAt, firstRequestHandle+id)
 }
 
-// expireFetchWait gives up a request that has waited until its time was over.
+// expireFetchWait rejects or fails a request that still waits for a fetch at its
+// giveUpAt.
 func (b *Balancer) expireFetchWait(id int) {
 	if id < 0 || id >= len(b.requests) {
 		return
@@ -46,7 +51,7 @@
 	}
 }
 
-// stopAwaitingFetch takes a request out of those that wait.
+// stopAwaitingFetch removes a request from the waiters of its key's fetch.
 func (b *Balancer) stopAwaitingFetch(id int) {
 	r := &b.requests[id]
 	if !r.awaitsFetch {
@@ -56,8 +61,8 @@
 	b.fetchWaiters[r.keyHash] = slices.DeleteFunc(b.fetchWaiters[r.keyHash], func(other int) bool { return other == id })
 }
 
-// releaseFetchWaiters lets the requests go on that wait for this one's fetch,
-// if it is one.
+// releaseFetchWaiters resumes the requests that wait for a request's fetch. It does
+// nothing if the request is no fetch.
 func (b *Balancer) releaseFetchWaiters(id int) {
 	r := &b.requests[id]
 	if !r.isFetch {
--- a/routing/host.go
+++ b/routing/host.go
@@ -1,7 +1,7 @@
 package routing
 
-// Time is a clock reading or a duration in tenths of a millisecond. The caller
-// rounds deadlines down and alarms up.
+// Time is a point in time or a duration, in tenths of a millisecond. The caller
+// rounds deadlines down and the times of alarms up.
 type Time int64
 
 // Millisecond is the duration of one millisecond.
@@ -10,39 +10,40 @@
 // second is the duration of one second.
 const second = 1000 * Millisecond
 
-// seconds converts a duration.
+// seconds converts a duration to seconds.
 func seconds(t Time) float64 { return float64(t) / float64(second) }
 
-// Host is what a Balancer can do. Its methods run inside an event and must not
-// report another one to the Balancer.
+// Host carries out the decisions of a Balancer. The Balancer calls its methods
+// while it handles an event, so they must not call the Balancer.
 //
-// Requests and servers are small indices that the caller assigns. The index of
-// a request may be used again once the request has ended and all its attempts
-// are done, that of a server once the server is Gone and its attempts are
-// done. The attempts of a request are numbered from 0 in the order of Send.
+// Requests and servers are identified by small indices that the caller assigns.
+// The index of a request may be reused once the request has ended and all its
+// attempts are done. The index of a server may be reused once the server is Gone
+// and its attempts are done. The attempts of a request are numbered from 0 in
+// the order of the calls to Send.
 type Host interface {
 	// Send starts an attempt of a request at a server. If no answer comes
 	// within timeout, the attempt ends with TimedOut.
 	Send(request, server int, timeout Time)
 
-	// Reject ends a request that may be retried without harm. retryAfter is
-	// the advice for the client; 0 means none.
+	// Reject ends a request that the client may safely retry. retryAfter is
+	// the delay that the client is told to wait; 0 means none.
 	Reject(request int, retryAfter Time)
 
-	// Fail ends a request and promises nothing about its effect.
+	// Fail ends a request that may or may not have taken effect.
 	Fail(request int)
 
-	// Subscribe asks the discovery service for the endpoint list and its
-	// changes; UpdateEndpoints reports the outcome. A call while another is in
-	// flight asks for one more beside it, since the first may never be
-	// answered.
+	// Subscribe requests the endpoint list and its changes from the discovery
+	// service; UpdateEndpoints reports the outcome. If an earlier call is still
+	// in flight, Subscribe starts another one beside it, since the earlier one
+	// may never be answered.
 	Subscribe()
 
 	// CloseIdle closes the idle connections to a server, except for keep of
-	// them. A later attempt opens a connection if it finds none.
+	// them. A later attempt opens a new connection if none is idle.
 	CloseIdle(server, keep int)
 
-	// SetAlarm asks for a call of Alarm with this handle at that time or soon
-	// after.
+	// SetAlarm requests a call of Balancer.Alarm with this handle at alarmTime
+	// or soon after.
 	SetAlarm(alarmTime Time, handle int)
 }
--- a/routing/idle.go
+++ b/routing/idle.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// Servers accept a limited number of connections, which all nodes share. A
-// node closes idle connections sooner the more often it fails to connect.
+// Servers accept a limited number of connections, which all nodes share. The
+// more often a node fails to connect, the sooner it closes idle connections.
 const (
-	maxIdleTimeout      = 30000 * Millisecond // the initial one, as good as no limit
-	minIdleTimeout      = 50 * Millisecond    // below it an idle connection is closed at once: it is hardly reused so soon
-	idleTimeoutIncrease = 10 * Millisecond    // for each answer; ten a second make up for a failure in some seconds
-	idleTimeoutDivisor  = 2                   // for each failure to connect
+	maxIdleTimeout      = 30000 * Millisecond // the initial timeout, in effect no limit
+	minIdleTimeout      = 50 * Millisecond    // below it idle connections are closed immediately, since they are rarely reused so soon
+	idleTimeoutIncrease = 10 * Millisecond    // added for each answer; at ten answers a second the timeout recovers from a failure within some seconds
+	idleTimeoutDivisor  = 2                   // applied for each failure to connect
 )
 
-// growIdleTimeout follows an answer.
+// growIdleTimeout raises the idle timeout after an answer.
 func (b *Balancer) growIdleTimeout() {
 	b.idleTimeout = min(maxIdleTimeout, b.idleTimeout+idleTimeoutIncrease)
 }
 
-// closeIdleConnections closes idle connections as the result of an attempt at a
-// server demands.
+// closeIdleConnections closes the idle connections that are to be closed after an
+// attempt at a server with this result.
 func (b *Balancer) closeIdleConnections(server int, result Result) {
 	s := b.servers[server]
 	refused := result == ConnectFailed || result == ConnectionLimit
@@ -26,7 +26,7 @@
 	switch {
 	case s.isOrigin:
 		b.host.CloseIdle(server, b.originConnections(s))
-	case refused: // but not after ConnectTimeout: a dead server is not short of connections
+	case refused: // not after ConnectTimeout: a dead server is not at its connection limit
 		b.shrinkIdleTimeout()
 	case s.inFlight == 0 && b.idleTimeout < minIdleTimeout:
 		s.hasIdleConnection = false
@@ -34,17 +34,17 @@
 	}
 }
 
-// originConnections returns how many connections to an origin stay open: as many
-// as are in use in the mean by Little's law, the square root of that for
-// random variation, and one. All nodes share the origin and use it all the
-// time, so an idle timeout would never pass there.
+// originConnections returns how many connections to an origin stay open: the mean
+// number in use by Little's law, its square root for random variation, and one
+// more. An idle timeout would never expire at the origin, since all nodes share it
+// and use it constantly.
 func (b *Balancer) originConnections(s *serverState) int {
 	inUse := b.perSecond(s.answers) * seconds(s.meanLatency)
 	return 1 + int(inUse+math.Sqrt(inUse))
 }
 
-// shrinkIdleTimeout follows a failure to connect: it closes the connections
-// that have been idle for the shorter timeout.
+// shrinkIdleTimeout lowers the idle timeout after a failure to connect, and closes
+// the connections that have been idle for the new timeout.
 func (b *Balancer) shrinkIdleTimeout() {
 	b.idleTimeout /= idleTimeoutDivisor
 	for server, s := range b.servers {
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -3,21 +3,22 @@
 import "slices"
 
 const (
-	originTargetShare = 0.6 // of the latency target that attempts at the origin may fill
-	writeLimitFactor  = 2   // writes may fill the origin this many times as far as fetches
+	originTargetShare = 0.6 // share of the latency target that attempts at the origin may take
+	writeLimitFactor  = 2   // the limit of writes in flight at the origin, as a multiple of that of fetches
 
-	// What a node may always have in flight at the origin, to measure it by.
-	minFleetFetches      = 12.0 // attempts of all nodes together
+	// Attempts that a node may have in flight at the origin regardless of the
+	// measured rate, so that there is something to measure.
+	minFleetFetches      = 12.0 // attempts, total of all nodes
 	maxUnmeasuredFetches = 3.0  // attempts of this node, while the origin's concurrencyLimit allows them
 
-	// originLimitIncrease is the step for a quick answer up to
-	// maxUnmeasuredFetches, larger than limitIncrease since a node of a large
-	// cluster fetches seldom.
+	// originLimitIncrease replaces limitIncrease while the origin's
+	// concurrencyLimit is below maxUnmeasuredFetches. It is larger, since a node
+	// of a large cluster rarely fetches.
 	originLimitIncrease = 0.3 // attempts
 )
 
-// pickOrigin returns the origin that has capacity for a request and is likely to
-// answer in time, or noServer.
+// pickOrigin returns the least loaded origin if it has capacity for a request and
+// is likely to answer in time, else noServer.
 func (b *Balancer) pickOrigin(r *requestState) int {
 	if len(b.origins) == 0 {
 		return noServer
@@ -45,10 +46,10 @@
 	})
 }
 
-// originLimit returns the attempts that this node may have in flight at an
-// origin for a request. Fetches are bounded by the shortest latency target of
-// all classes, lest patient requests delay urgent ones; writes have
-// precedence.
+// originLimit returns how many attempts this node may have in flight at an origin
+// for a request to be sent. Fetches are bounded by the shortest latency target of
+// all classes, so that requests with a long target don't delay those with a short
+// one. Writes have a higher limit.
 func (b *Balancer) originLimit(r *requestState, s *serverState) float64 {
 	target := b.shortestLatencyTarget
 	if r.Write {
--- a/routing/polling.go
+++ b/routing/polling.go
@@ -1,21 +1,21 @@
 package routing
 
-// While it has no subscription to the endpoint list, a node polls the
-// discovery service: after a start or a lost subscription within PollSpread,
-// then at random intervals until a call succeeds, whatever becomes of earlier
-// ones.
+// A node without a subscription to the endpoint list polls the discovery service.
+// The first poll is sent within PollSpread after a start or the loss of the
+// subscription. Further polls follow at random intervals until a call succeeds,
+// even while earlier calls are unanswered.
 
 const (
 	// PollSpread is the time over which nodes spread their first polls, since
-	// many may start or lose the subscription at once.
+	// many nodes may start or lose their subscriptions at the same time.
 	PollSpread = 300 * Millisecond
 
-	// MaxPollWait is the longest time between two polls. Two of them and a
-	// slow list fit into 5 s.
+	// MaxPollWait is the longest time between two polls. Two such waits and a
+	// slow transfer of the list fit into 5 s.
 	MaxPollWait = 1800 * Millisecond
 
-	// pushedGraceDivisor: polls may use a third of Config.PushedGrace; the
-	// rest is for the call and the updates.
+	// pushedGraceDivisor: the time between two polls is at most a third of
+	// Config.PushedGrace. The rest is left for the call and the updates.
 	pushedGraceDivisor = 3
 )
 
@@ -24,14 +24,14 @@
 	return max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/pushedGraceDivisor))
 }
 
-// scheduleFirstPoll sets the alarm for a new node's first poll. pollDue stays
-// 0, so an earlier alarm polls as well.
+// scheduleFirstPoll sets the alarm for a new node's first poll. pollDue stays 0,
+// so an earlier alarm would poll, too.
 func (b *Balancer) scheduleFirstPoll() {
 	b.host.SetAlarm(b.now+b.randomPollDelay(), pollAlarmHandle)
 }
 
-// resubscribe schedules a poll after the subscription was lost. Without one
-// the next poll is scheduled already.
+// resubscribe schedules a poll after the subscription was lost. If there was no
+// subscription, the next poll is already scheduled.
 func (b *Balancer) resubscribe() {
 	if !b.subscribed {
 		return
@@ -41,11 +41,11 @@
 	b.host.SetAlarm(b.pollDue, pollAlarmHandle)
 }
 
-// randomPollDelay returns a random part of PollSpread.
+// randomPollDelay returns a random delay of less than PollSpread.
 func (b *Balancer) randomPollDelay() Time { return Time(b.draw() * float64(PollSpread)) }
 
-// pollIfDue polls for the endpoint list, if the quota allows, and schedules
-// the next poll.
+// pollIfDue polls for the endpoint list if a poll is due and the quota allows it,
+// and schedules the next poll.
 func (b *Balancer) pollIfDue() {
 	if b.subscribed || b.now < b.pollDue {
 		return
--- a/routing/quota.go
+++ b/routing/quota.go
@@ -2,10 +2,10 @@
 
 import "github.com/thistlerudder/thistlerudder/budget/allowance"
 
-// SetQuota sets this node's quota of a limit of the cluster, in place of its
-// even share. tenant is the tenant of a TenantRate and ignored otherwise. It
-// returns the usage since the last call; of limits for each server, the
-// largest at any one.
+// SetQuota sets this node's quota of a cluster limit, which replaces the node's
+// even share. tenant is the index of the tenant for TenantRate and ignored
+// otherwise. SetQuota returns the usage since the last call. For a limit that
+// applies to each server it is the maximum over the servers.
 func (b *Balancer) SetQuota(now Time, limit Limit, tenant int, quota allowance.Quota) allowance.Usage {
 	b.advanceClock(now)
 	if limit == TenantRate {
@@ -26,8 +26,8 @@
 	return usage
 }
 
-// quotaExhausted reports whether a quota leaves nothing for the request's next
-// step. Each step counts one denial.
+// quotaExhausted reports whether a quota is exhausted for the request's next step.
+// Repeated checks of a quota in one step count as one denial.
 func (b *Balancer) quotaExhausted(r *requestState, quota *allowance.Limiter) bool {
 	if quota.Available(int64(b.now)) >= 1 {
 		return false
@@ -39,7 +39,7 @@
 	return true
 }
 
-// spendQuota takes one from a quota, or reports false if nothing is left.
+// spendQuota spends one unit of a quota, or returns false if it is exhausted.
 func (b *Balancer) spendQuota(r *requestState, quota *allowance.Limiter) bool {
 	if b.quotaExhausted(r, quota) {
 		return false
--- a/routing/random.go
+++ b/routing/random.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 )
 
-// draw returns the next number in [0, 1) of the node's own random sequence. The
-// sequence depends on the seed alone.
+// draw returns the next number in [0, 1) of the node's random sequence, which
+// depends only on the seed.
 func (b *Balancer) draw() float64 {
 	b.draws++
 	h := fnv.New64a()
@@ -17,6 +17,6 @@
 	return float64(h.Sum64()%(1<<20)) / (1 << 20)
 }
 
-// roundRandomly rounds x up with the probability of its fraction, else down,
-// so that many nodes with a fraction each reach the sum of them in the mean.
+// roundRandomly rounds x up with the probability of its fractional part, else
+// down. The mean total of many nodes then equals the sum of their fractions.
 func (b *Balancer) roundRandomly(x float64) int { return int(x + b.draw()) }
--- a/routing/rates.go
+++ b/routing/rates.go
@@ -1,16 +1,16 @@
 package routing
 
 // decayInterval is the time between two halvings of the decaying counts, which
-// gives them a memory of a few seconds.
+// thereby cover the last few seconds.
 const decayInterval = 1000 * Millisecond
 
-// perSecond turns a decaying count into a rate. Halving leaves twice the count
-// of one interval in the long run.
+// perSecond converts a decaying count to a rate. At a constant rate a decaying
+// count approaches twice the count of one interval.
 func (b *Balancer) perSecond(count float64) float64 {
 	return count / (seconds(decayInterval) + seconds(b.now-b.decayedAt))
 }
 
-// decayCounts halves all decaying counts if an interval has passed.
+// decayCounts halves the counts of servers and tenants if decayInterval has passed.
 func (b *Balancer) decayCounts() {
 	if b.now < b.decayedAt+decayInterval {
 		return
@@ -28,8 +28,8 @@
 	b.decayedAt = b.now
 }
 
-// measureWarmCaches sets warmCacheRate, from which the limit of a cache in
-// slow start follows. Only first attempts count: retries would raise that
+// measureWarmCaches sets warmCacheRate, from which the limit of a cache in slow
+// start is computed. Only first attempts count, since retries would raise that
 // limit while caches fail.
 func (b *Balancer) measureWarmCaches() {
 	sum, warmCaches := 0.0, 0
--- a/routing/request.go
+++ b/routing/request.go
@@ -8,39 +8,39 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// requestState is a request and what has become of it so far.
+// requestState is the state of a request.
 type requestState struct {
 	Request
-	active           bool    // a final answer is owed
+	active           bool    // the final answer is still to be given
 	keyHash          uint64  // 0: the request has no key
 	point            float64 // position of the key in [0, binCount)
 	arrivedAt        Time
-	giveUpAt         Time    // from then on an answer has no value
-	work             float64 // in mean requests of the class
-	exceedsEvenShare bool    // beyond the tenant's even share
+	giveUpAt         Time    // from this time on an answer has no value
+	work             float64 // in multiples of the class's mean request
+	exceedsEvenShare bool    // exceeds the tenant's even share
 	missed           bool    // a cache had no value for the key
 
-	isFetch     bool // other requests for the key wait for its attempt at the origin
-	awaitsFetch bool // waits for the fetch of another request
+	isFetch     bool // its attempt at the origin is a fetch that other requests for the key wait for
+	awaitsFetch bool // waits for another request's fetch
 
-	deniedBy *allowance.Limiter // the quota that last kept it from its next step
+	deniedBy *allowance.Limiter // the quota that last denied its next step
 	attempts []attempt
 }
 
 // attempt is one try of a request at one server.
 type attempt struct {
 	server    int
-	startedAt Time // when it was handed to the host; its first byte may have left since
-	sentAt    Time // when its last byte was written, as far as is known
+	startedAt Time // when Host.Send was called; the first byte may have been written at any time since
+	sentAt    Time // when the last byte was written, as far as is known
 	inFlight  bool
-	neverRan  bool // proved to have had no effect
+	neverRan  bool // the attempt is known to have had no effect
 }
 
-// classState is a class of requests and what was learned of it.
+// classState is a class of requests with its statistics.
 type classState struct {
 	Class
-	hintedWork     float64 // sum of Request.Work
-	hintedRequests float64 // requests with a Work
+	hintedWork     float64 // sum of Request.Work, a hint of the client
+	hintedRequests float64 // number of requests with such a hint
 }
 
 // initClasses sets up the classes of the configuration.
@@ -72,12 +72,13 @@
 	return r
 }
 
-// earlyRejectionTicks is how many ticks of the clock before the latency target
-// a request is given up, so that its rejection still arrives in time.
+// earlyRejectionTicks is how many clock ticks before its latency target a
+// request is rejected, so that the rejection arrives within the target.
 const earlyRejectionTicks = 2
 
-// giveUpTime returns the time from which an answer has no value: the latency
-// target if a late answer has none and a retry is safe, else the deadline.
+// giveUpTime returns the time from which an answer has no value: shortly before
+// the latency target if a late answer has no utility and a retry is safe, else
+// the deadline.
 func (b *Balancer) giveUpTime(request Request) Time {
 	class := &b.classes[request.Class]
 	if class.LateUtility == 0 && class.Idempotence == Safe {
@@ -86,9 +87,10 @@
 	return request.Deadline
 }
 
-// setPoint sets the request's point: that of its key, or a random one.
+// setPoint sets the request's point to that of its key, or to a random one if it has
+// no key.
 func (b *Balancer) setPoint(r *requestState) {
-	r.point = b.draw() * binCount // drawn for every request, so that keys do not shift the random sequence
+	r.point = b.draw() * binCount // drawn for every request, so that the random sequence does not depend on keys
 	if r.Key == "" {
 		return
 	}
@@ -97,7 +99,7 @@
 	b.recordPoint(r.point)
 }
 
-// estimateWork sets the request's work from its hint, if it has one.
+// estimateWork sets the request's work from the client's hint, if there is one.
 func (b *Balancer) estimateWork(r *requestState) {
 	if r.Work <= 0 {
 		return
@@ -109,7 +111,7 @@
 }
 
 // isRetry reports whether the next attempt repeats a failed one. After a miss
-// the next attempt is the fetch of the value.
+// the next attempt fetches the value and is no retry.
 func (r *requestState) isRetry() bool { return len(r.attempts) > 0 && !r.missed }
 
 // attempted reports whether the request had an attempt at a server.
@@ -149,19 +151,20 @@
 	b.sendAttempt(id, server)
 }
 
-// sendAttempt sends a request to a server and pays for it.
+// sendAttempt sends an attempt to a server and charges the budgets and quotas
+// that bound it.
 func (b *Balancer) sendAttempt(id, server int) {
 	r, s := &b.requests[id], b.servers[server]
 	b.chargeAttempt(r, s)
 	s.probing = s.probing || s.isEjected()
 	if !r.Streaming {
-		b.addInFlight(s, 1) // a server begins with the last byte, see BodySent
+		b.addInFlight(s, 1) // a streamed request is counted from its last byte on, see BodySent
 	}
 	r.attempts = append(r.attempts, attempt{server: server, startedAt: b.now, sentAt: b.now, inFlight: true})
 	b.host.Send(id, server, r.giveUpAt-b.now)
 }
 
-// chargeAttempt takes what an attempt costs from the budgets and quotas that
+// chargeAttempt deducts the cost of an attempt from the budgets and quotas that
 // bound it.
 func (b *Balancer) chargeAttempt(r *requestState, s *serverState) {
 	if b.inSlowStart(s) || s.isEjected() {
@@ -177,8 +180,8 @@
 	}
 }
 
-// refundAttempt refunds what an unsent attempt took, unless its server has
-// restarted since.
+// refundAttempt returns the slow-start tokens and the retry budget of an attempt
+// that was not sent, unless its server has restarted since.
 func (b *Balancer) refundAttempt(r *requestState, attemptNumber int, s *serverState) {
 	if s.StartedAt > r.attempts[attemptNumber].startedAt {
 		return
@@ -189,8 +192,8 @@
 	}
 }
 
-// endRequest forgets a request. Its attempts in flight still end with
-// AttemptDone.
+// endRequest ends a request. AttemptDone is still called for its attempts in
+// flight.
 func (b *Balancer) endRequest(id int) {
 	b.requests[id].active = false
 	b.stopAwaitingFetch(id)
--- a/routing/result.go
+++ b/routing/result.go
@@ -1,7 +1,7 @@
 package routing
 
-// AttemptDone reports the result of an attempt, and whether the request has
-// ended with it. An attempt that outlasts its request is reported as well.
+// AttemptDone reports the result of an attempt, and whether that was the
+// request's final answer. An attempt that outlasts its request is reported, too.
 func (b *Balancer) AttemptDone(now Time, id, attemptNumber int, result Result, ended bool) {
 	b.advanceClock(now)
 	r := &b.requests[id]
@@ -22,7 +22,7 @@
 	b.advance(id)
 }
 
-// learnFromResult takes what the result of an attempt says of its server.
+// learnFromResult updates the state of a server by the result of an attempt.
 func (b *Balancer) learnFromResult(r *requestState, attemptNumber int, result Result) {
 	a := r.attempts[attemptNumber]
 	s := b.servers[a.server]
@@ -34,7 +34,7 @@
 	}
 	b.returnConcurrencyQuota(s)
 	if result == TimedOut && !slow {
-		result = Canceled // the request had little time left, which says nothing of the server
+		result = Canceled // the request had little time left, so the server is not to blame
 	}
 	b.addInFlight(s, -1)
 	b.updateEjection(s, result)
@@ -51,7 +51,7 @@
 	}
 }
 
-// countAnswer counts an answer for the rates of the server.
+// countAnswer counts an answer in the server's rates.
 func (s *serverState) countAnswer(firstAttempt bool) {
 	s.answers++
 	if firstAttempt {
@@ -59,7 +59,7 @@
 	}
 }
 
-// returnConcurrencyQuota returns what an attempt took of the quotas of
+// returnConcurrencyQuota returns what an attempt took from the quotas that bound
 // attempts in flight.
 func (b *Balancer) returnConcurrencyQuota(s *serverState) {
 	s.concurrencyQuota.Ended(int64(s.meanLatency))
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -1,16 +1,17 @@
 package routing
 
 const (
-	retryBudgetPerAnswer = 0.25 // retries earned by an answer, so that a quarter of all attempts may be retries
-	maxRetryBudget       = 5.0  // retries; bounds a burst of them at one server
+	retryBudgetPerAnswer = 0.25 // retries added per answer, so that in the long run retries are at most a quarter of the answers
+	maxRetryBudget       = 5.0  // retries; bounds a burst of retries at one server
 
-	// dedupMarginDivisor: half of the deduplication window is left for the way
-	// to the server, since the window counts from the send.
+	// dedupMarginDivisor reserves half of the deduplication window for the time
+	// that a retry takes to reach the server. The window starts when the first
+	// attempt is sent.
 	dedupMarginDivisor = 2
 )
 
-// mayAttempt reports whether a request may have one more attempt: it is still
-// worth an answer, has attempts left, and no effect would happen twice.
+// mayAttempt reports whether a request may have one more attempt: an answer still
+// has value, the request has attempts left, and it would not take effect twice.
 func (b *Balancer) mayAttempt(r *requestState) bool {
 	if !r.active || b.now >= r.giveUpAt || len(r.attempts) >= b.config.MaxAttempts {
 		return false
@@ -31,14 +32,14 @@
 }
 
 // mayRepeat reports whether a request of the class may run again after an
-// attempt that may have run. For a keyed one the deduplication window bounds
-// how long.
+// attempt that may have run. A request that is idempotent by key may do so only
+// within its deduplication window, which the caller checks.
 func (c *classState) mayRepeat() bool {
 	return c.Idempotence == Safe || c.Idempotence == IdempotentByKey && c.SharedDedup
 }
 
-// firstPossibleRun returns the start of the first attempt that may have had an
-// effect, if there is one.
+// firstPossibleRun returns the start time of the first attempt that may have had
+// an effect, if there is one.
 func (r *requestState) firstPossibleRun() (startedAt Time, found bool) {
 	for _, a := range r.attempts {
 		if !a.neverRan {
@@ -48,13 +49,13 @@
 	return 0, false
 }
 
-// earnRetryBudget adds what an answer earns.
+// earnRetryBudget adds retryBudgetPerAnswer to the server's retry budget.
 func (s *serverState) earnRetryBudget() {
 	s.retryBudget = min(maxRetryBudget, s.retryBudget+retryBudgetPerAnswer)
 }
 
-// rejectOrFail gives up a request: it is rejected if a retry is harmless, else it
-// fails.
+// rejectOrFail ends a request without an answer from a server: it is rejected if a
+// retry by the client is harmless, else it fails.
 func (b *Balancer) rejectOrFail(id int) {
 	r := &b.requests[id]
 	b.adjustAdmissionLevel(r, false)
@@ -67,13 +68,14 @@
 }
 
 const (
-	earlyRejectShare = 0.4 // of the latency target, up to which a client's own retry can still be in time
-	retryAfterShare  = 0.1 // of the latency target; a client waits this long, and up to as long again at random
+	earlyRejectShare = 0.4 // share of the latency target up to which a client's own retry can still be in time
+	retryAfterShare  = 0.1 // share of the latency target that a client waits; a random delay of up to as long is added
 )
 
-// retryAfter returns the advice for a rejected client: a short wait while an
-// answer can still be in time, else the longest that clients heed. If a quota
-// was exhausted, all nodes may lack it, so their clients are spread out.
+// retryAfter returns the Retry-After for a rejected client: a short delay while an
+// answer can still be in time, else the longest that clients honor. If a quota
+// was exhausted, other nodes may reject for the same reason, so a random delay
+// spreads the clients' retries.
 func (b *Balancer) retryAfter(r *requestState) Time {
 	longest := b.config.MaxRetryAfter
 	target := float64(b.classes[r.Class].LatencyTarget)
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -1,27 +1,28 @@
 package routing
 
-// noServer is the index where no server can be chosen.
+// noServer is the server index that means that no server can be chosen.
 const noServer = -1
 
 const (
 	// maxFallThroughs is how many ready caches without capacity a request may
-	// pass. A hot key needs some; with more, keys scatter over the caches.
+	// fall through. A hot key needs more than one cache, but a higher limit
+	// would scatter keys over the caches.
 	maxFallThroughs = 2
 
-	// A cache is busy with minBusyInFlight attempts of this node or more, and
-	// more than busyFactor times the mean plus one.
+	// A cache is busy if it has at least minBusyInFlight attempts of this node
+	// in flight, and more than busyFactor times the mean plus one.
 	minBusyInFlight = 2   // attempts
 	busyFactor      = 2.0 // times the mean in flight
 
-	// congestionFactor: a full cache with no more than this many times the
-	// mean in flight shows that the others are about as full.
+	// congestionFactor: if a full cache has at most this many times the mean in
+	// flight, the other caches are about as full.
 	congestionFactor = 1.5 // times the mean in flight
 )
 
-// pickServer chooses the server for a request's next attempt, or noServer. A
-// write goes to the origin, and so does a request after a failed attempt
-// or a miss, if the origin has capacity. After a miss no further cache is
-// tried, since hardly another one has the value.
+// pickServer returns the server for a request's next attempt, or noServer. A
+// write goes to the origin. A request after a failed attempt or a miss goes to
+// the origin as well if that has capacity. After a miss no further cache is
+// tried, since the other caches are unlikely to have the value.
 func (b *Balancer) pickServer(r *requestState) int {
 	if r.Write || len(r.attempts) > 0 {
 		if origin := b.pickOrigin(r); origin != noServer {
@@ -34,11 +35,11 @@
 	return b.pickCache(r)
 }
 
-// pickCache chooses the cache whose range holds the request's key, and falls
-// through to the next ranges where that one is skipped or lacks capacity. If
-// all caches within reach are busy, it takes the first of them that is not
-// full. Before a request falls through from a full cache it goes to the origin
-// if that has capacity: the next caches hardly have the value.
+// pickCache returns the cache whose range contains the request's key, or noServer.
+// If that cache is skipped or lacks capacity, pickCache falls through to the
+// caches of the next ranges. If all of them are busy, it returns the first that
+// is busy but not full. From a full cache the request goes to the origin if that
+// has capacity, since the next caches are unlikely to have the value.
 func (b *Balancer) pickCache(r *requestState) int {
 	n := len(b.ready)
 	if n == 0 {
@@ -73,32 +74,32 @@
 }
 
 // isBusy reports whether a cache has far more attempts of this node in flight
-// than the mean.
+// than the mean of the ready caches.
 func (s *serverState) isBusy(mean float64) bool {
 	return s.inFlight >= minBusyInFlight && float64(s.inFlight) > busyFactor*mean+1
 }
 
-// showsCongestion reports whether a full cache shows that all are about as
-// full, so that a request finds no capacity at the next ones.
+// showsCongestion reports whether a full cache indicates that the other caches
+// are about as full, so that the next ones have no capacity either.
 func (s *serverState) showsCongestion(mean float64) bool {
 	return s.inFlight > 0 && float64(s.inFlight) <= congestionFactor*mean
 }
 
-// skipReason says why a ready cache does not get a request's next attempt,
-// whatever its load.
+// skipReason is the reason why a ready cache does not get a request's next
+// attempt, regardless of its load.
 type skipReason int
 
 const (
 	notSkipped           skipReason = iota
-	skipAttempted                   // the request had an attempt there
-	skipEjected                     // an outlier, and the request may not probe it
-	skipRetryBudget                 // a retry, and the server's budget for retries is spent
-	skipSlowStart                   // it bears no more during slow start
-	skipSlowStartQuota              // the cluster's quota for it in slow start or after an ejection is exhausted
+	skipAttempted                   // the request already had an attempt at this cache
+	skipEjected                     // the cache is ejected, and the request may not probe it
+	skipRetryBudget                 // the attempt is a retry, and the cache's retry budget is used up
+	skipSlowStart                   // the cache is in slow start, and its tokens do not cover the work
+	skipSlowStartQuota              // the cluster's quota for a cache in slow start or after an ejection is exhausted
 	skipConcurrencyQuota            // the cluster's quota of attempts in flight is exhausted
 )
 
-// skipReason returns the first reason to skip a ready cache.
+// skipReason returns the first reason to skip a ready cache, or notSkipped.
 func (b *Balancer) skipReason(r *requestState, server int) skipReason {
 	s := b.servers[server]
 	if r.attempted(server) {
@@ -110,7 +111,8 @@
 	if r.isRetry() && s.retryBudget < 1 {
 		return skipRetryBudget
 	}
-	// This limit grows with the cache, so it holds beside the cluster's quota.
+	// This limit grows with the capacity of the cache, so it applies in addition
+	// to the cluster's quota.
 	slowStart := b.inSlowStart(s)
 	if slowStart && b.slowStartAllowance(r, s) < r.work {
 		return skipSlowStart
--- a/routing/server.go
+++ b/routing/server.go
@@ -2,38 +2,38 @@
 
 import "github.com/thistlerudder/thistlerudder/budget/allowance"
 
-// serverState is what the node knows of a server. A restart of the server
-// begins a new one.
+// serverState is the node's state of a server. It is reset when the server
+// restarts.
 type serverState struct {
 	Endpoint
 	isOrigin bool
 	inFlight int // attempts
 
 	answers             float64 // decaying count, see perSecond
-	firstAttemptAnswers float64 // those of them that answered first attempts
+	firstAttemptAnswers float64 // answers to first attempts; decaying count
 	meanLatency         Time    // moving average over the latest attempts
 
 	consecutiveFailures int
-	ejectionTime        Time // length of the latest ejection; 0: not an outlier
+	ejectionTime        Time // length of the latest ejection; 0: not ejected
 	ejectedUntil        Time
 	probing             bool // a probe is in flight
 
-	concurrencyLimit float64 // attempts in flight with which answers are quick
-	retryBudget      float64 // retries that the server may be sent
+	concurrencyLimit float64 // attempts in flight; adapted so that answers stay quick
+	retryBudget      float64 // retries that may be sent to the server
 
-	slowStartTokens     float64 // work that may be sent during slow start, in mean requests
+	slowStartTokens     float64 // work that may be sent during slow start, in multiples of the mean request
 	slowStartRefilledAt Time
 
-	hasIdleConnection bool // one may have stayed open since lastDoneAt
+	hasIdleConnection bool // a connection may have been idle since lastDoneAt
 	lastDoneAt        Time // end of the latest attempt
 
-	// The node's quotas of what the cluster may send; nil: no such limit.
+	// The node's quotas of the cluster's limits for this server; nil: no limit.
 	slowStartQuota   *allowance.Limiter
 	concurrencyQuota *allowance.Limiter
 }
 
-// newServer returns the state of a server that has just been listed or has
-// restarted.
+// newServer returns the initial state of a server that was added to the list or
+// has restarted.
 func (b *Balancer) newServer() *serverState {
 	return &serverState{
 		slowStartRefilledAt: b.now,
@@ -44,11 +44,10 @@
 	}
 }
 
-// latencyWeight is the weight of the newest attempt in the mean latency, as a
-// divisor.
+// latencyWeight is the inverse weight of the newest attempt in the mean latency.
 const latencyWeight = 8
 
-// recordLatency takes an attempt's duration into the mean.
+// recordLatency adds the latency of an attempt to the moving average.
 func (s *serverState) recordLatency(latency Time) {
 	s.meanLatency += (latency - s.meanLatency) / latencyWeight
 }
--- a/routing/shedding.go
+++ b/routing/shedding.go
@@ -2,25 +2,26 @@
 
 import "github.com/thistlerudder/thistlerudder/budget/allowance"
 
-// tenantState holds a tenant's share of this node. Without a quota of the
-// cluster, a tenant's rate is divided evenly between the nodes. Clients are
-// spread unevenly, and a node carries more than its even share when others are
-// lost; so a node also estimates which share it carries.
+// tenantState holds a tenant's share of this node. Without a cluster quota, a
+// tenant's rate is divided evenly between the nodes. Clients are spread unevenly,
+// and a node receives more than its even share of the traffic when other nodes
+// fail. So a node also estimates the share that it actually carries.
 type tenantState struct {
-	quota *allowance.Limiter // of the cluster's limit for the tenant; nil: the even share applies
+	quota *allowance.Limiter // quota of the cluster's limit for the tenant; nil: the even share applies
 
-	evenRate      float64 // requests per second of the even share
-	evenTokens    float64 // requests left of the even share
-	carriedTokens float64 // requests left of the share that the node carries
+	evenRate      float64 // even share, in requests per second
+	evenTokens    float64 // requests left in the even share
+	carriedTokens float64 // requests left in the share that the node carries
 	refilledAt    Time
 	requests      float64 // decaying count
 }
 
-// minTenantBurst is how many requests a tenant may always save up: with many
-// nodes, its even share at each may be a few requests per minute.
+// minTenantBurst is how many requests a tenant can always accumulate. In a cluster
+// with many nodes, its even share at each may be a few requests per minute.
 const minTenantBurst = 4.0 // requests
 
-// initTenants sets up the tenants of the configuration, each with a full share.
+// initTenants sets up the tenants of the configuration, each with full token
+// buckets.
 func (b *Balancer) initTenants() {
 	for _, tenant := range b.config.Tenants {
 		rate := tenant.Quota / b.nodeCount
@@ -33,8 +34,8 @@
 	}
 }
 
-// admit reports whether a request is let in. A request inside its tenant's
-// share always is, one beyond it with the admission probability.
+// admit reports whether a request is admitted. A request within its tenant's even
+// share always is. Another one is admitted with the admission probability.
 func (b *Balancer) admit(r *requestState) bool {
 	if r.Tenant < 0 {
 		return true
@@ -47,8 +48,8 @@
 	return !r.exceedsEvenShare || b.draw() < b.admissionProbability(exceedsCarriedShare)
 }
 
-// spendShare takes a request from its tenant's shares, and reports whether it
-// is beyond the even one and beyond the one that the node carries.
+// spendShare deducts a request from its tenant's shares, and reports whether it
+// exceeds the even share and whether it exceeds the share that the node carries.
 func (b *Balancer) spendShare(tenant int) (exceedsEvenShare, exceedsCarriedShare bool) {
 	carriedShares := b.carriedShares(tenant)
 	t := &b.tenants[tenant]
@@ -60,13 +61,13 @@
 	return !spendToken(&t.evenTokens), !spendToken(&t.carriedTokens)
 }
 
-// refill adds the requests that a rate gives in a time. One second of the
-// rate may be saved up, and minTenantBurst beside it.
+// refill adds the tokens that a rate yields in the elapsed time. The burst is one
+// second of the rate plus minTenantBurst.
 func refill(tokens, rate float64, elapsed Time) float64 {
 	return min(rate+minTenantBurst, tokens+rate*seconds(elapsed))
 }
 
-// spendToken takes one token, or reports false if there is none.
+// spendToken spends one token, or returns false if there is none.
 func spendToken(tokens *float64) bool {
 	*tokens--
 	if *tokens < 0 {
@@ -76,8 +77,8 @@
 	return true
 }
 
-// carriedShares estimates how many even shares of the traffic the node carries
-// (at least one), from what the other tenants send.
+// carriedShares estimates how many even shares of the traffic the node carries, at
+// least one, from the requests of the other tenants.
 func (b *Balancer) carriedShares(tenant int) float64 {
 	actualRate, evenRate := 0.0, 0.0
 	for i, t := range b.tenants {
@@ -93,18 +94,19 @@
 }
 
 const (
-	// admissionSteps divides the admission level into ranges of equal size.
-	// While it sinks through the top one, more and more requests beyond the
-	// carried share are shed; in the bottom one, all beyond the even share.
+	// admissionSteps divides the admission level into ranges of equal size. As
+	// the level falls through the top range, a growing share of the requests
+	// that exceed the carried share is shed, and as it falls through the bottom
+	// range, of all requests that exceed the even share.
 	admissionSteps = 5.0
 
-	rejectionLoss = 0.1   // of the level, for a request inside its share that was rejected or late
-	expiryLoss    = 0.03  // for one that ran out of time, which may be its server's fault alone
-	successGain   = 0.005 // for one answered in time; at 5% of rejections the level sinks to 0
+	rejectionLoss = 0.1   // subtracted for a request within its share that was rejected or late
+	expiryLoss    = 0.03  // subtracted for a request that ran out of time, which may be the fault of a single server
+	successGain   = 0.005 // added for a request answered in time; at 5% of rejections the level falls to 0
 )
 
-// admissionProbability returns the probability with which a request beyond its
-// tenant's even share is admitted. 1 and more admit all, 0 and less none.
+// admissionProbability returns the probability with which a request that exceeds
+// its tenant's even share is admitted. 1 or more admits all, 0 or less none.
 func (b *Balancer) admissionProbability(exceedsCarriedShare bool) float64 {
 	probability := admissionSteps * b.admissionLevel
 	if exceedsCarriedShare {
@@ -113,11 +115,12 @@
 	return probability
 }
 
-// adjustAdmissionLevel follows how requests inside their tenants' shares fare:
-// where they suffer, requests beyond the shares are shed first.
+// adjustAdmissionLevel updates the admission level by the outcome of a request
+// within its tenant's even share. When such requests are rejected or late, requests
+// that exceed their shares are shed first.
 func (b *Balancer) adjustAdmissionLevel(r *requestState, inTime bool) {
 	switch {
-	case r.exceedsEvenShare: // says nothing of those inside their shares
+	case r.exceedsEvenShare: // its outcome does not count
 	case inTime:
 		b.admissionLevel = min(1, b.admissionLevel+successGain)
 	case b.now >= r.giveUpAt:
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -2,20 +2,21 @@
 
 import "math"
 
-// A server in slow start bears a share of its capacity that grows with its
-// age. All nodes together must send it less than Config.OverloadFactor ×
-// share × capacity in each Config.OverloadWindow.
+// A server in slow start has a share of its full capacity that grows with the time
+// since its start. All nodes together must send it less than
+// Config.OverloadFactor × share × capacity in each Config.OverloadWindow.
 const (
-	// slowStartMargin is the share of that limit which is used: misses flatter
-	// warm caches, work is estimated, and the nodes' sum varies at random.
+	// slowStartMargin is the share of that limit that is used. The rest is a
+	// reserve: misses make warm caches appear faster than they are, work is an
+	// estimate, and the total of all nodes varies randomly.
 	slowStartMargin = 0.3
 
-	// maxSlowStartWork is the most work of a single attempt, beyond what may
-	// be saved up: one heavy attempt alone could overload the server.
+	// maxSlowStartWork is the maximum work of a single attempt that exceeds the
+	// burst. A heavier attempt alone could overload the server.
 	maxSlowStartWork = 2.0 // mean requests
 )
 
-// slowStartShare returns the share of its capacity that a server bears by now.
+// slowStartShare returns the share of its full capacity that a server has now.
 func (b *Balancer) slowStartShare(s *serverState) float64 {
 	window := b.config.SlowStartWindow
 	age := b.now - s.StartedAt
@@ -26,13 +27,14 @@
 	return initialShare + (1-initialShare)*max(0, float64(age)/float64(max(1, window)))
 }
 
-// inSlowStart reports whether a server does not bear all of its capacity yet.
+// inSlowStart reports whether a server does not have its full capacity yet.
 func (b *Balancer) inSlowStart(s *serverState) bool { return b.slowStartShare(s) < 1 }
 
-// slowStartAllowance refills a server's tokens and returns the work that it may be
-// sent now in slow start, in mean requests. What is less than the request's work is rounded to all of
-// it or nothing at random: if nodes saved up whole attempts, many would send
-// theirs at once.
+// slowStartAllowance refills a server's tokens and returns the work that may be
+// sent to it now in slow start, in multiples of the mean request. If the tokens are
+// fewer than the request's work, they are randomly rounded to all of it or to
+// nothing. If nodes accumulated tokens for a whole attempt instead, many of them
+// would send their attempts at the same time.
 func (b *Balancer) slowStartAllowance(r *requestState, s *serverState) float64 {
 	rate, burst := b.slowStartRate(s)
 	elapsed := b.now - s.slowStartRefilledAt
@@ -44,10 +46,11 @@
 	return s.slowStartTokens
 }
 
-// slowStartRate returns the mean requests per second that this node may send a
-// server in slow start, and how many it may save up. The node's part of the
-// capacity is what it sees a warm cache answer, or its even share of one
-// request in the shortest latency target, which any cache bears.
+// slowStartRate returns the rate in mean requests per second that this node may
+// send to a server in slow start, and the burst in mean requests. The node's part
+// of the server's capacity is the rate at which warm caches answer this node, or
+// if that is higher the node's even share of one request per shortest latency
+// target, a rate that any cache can handle.
 func (b *Balancer) slowStartRate(s *serverState) (perSecond, burst float64) {
 	factor := slowStartMargin * b.config.OverloadFactor * b.slowStartShare(s)
 	capacity := max(b.warmCacheRate, 1/(b.nodeCount*seconds(max(1, b.shortestLatencyTarget))))
