--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -36,44 +36,44 @@
 	nextID   int
 }
 
-func (q *benchHost) Send(id, _ int, _ Time) { q.inFlight = append(q.inFlight, id) }
-func (q *benchHost) Reject(id int, _ Time)  { q.freeIDs = append(q.freeIDs, id) }
-func (q *benchHost) Fail(id int)            { q.freeIDs = append(q.freeIDs, id) }
-func (q *benchHost) Subscribe()             {}
-func (q *benchHost) CloseIdle(int, int)     {}
-func (q *benchHost) SetAlarm(Time, int)     {}
+func (h *benchHost) Send(id, _ int, _ Time) { h.inFlight = append(h.inFlight, id) }
+func (h *benchHost) Reject(id int, _ Time)  { h.freeIDs = append(h.freeIDs, id) }
+func (h *benchHost) Fail(id int)            { h.freeIDs = append(h.freeIDs, id) }
+func (h *benchHost) Subscribe()             {}
+func (h *benchHost) CloseIdle(int, int)     {}
+func (h *benchHost) SetAlarm(Time, int)     {}
 
-func (q *benchHost) key() string { return fmt.Sprint("object/", q.zipf.Uint64()) }
+func (h *benchHost) key() string { return fmt.Sprint("object/", h.zipf.Uint64()) }
 
 // request sends a request after the mean time between two, and the oldest answer.
-func (q *benchHost) request(key string) {
-	gap := float64(1000*Millisecond)/benchRate + q.fraction
-	q.now, q.fraction = q.now+Time(gap), gap-math.Floor(gap)
-	id := q.nextID
-	if n := len(q.freeIDs); n > 0 {
-		id, q.freeIDs = q.freeIDs[n-1], q.freeIDs[:n-1]
+func (h *benchHost) request(key string) {
+	gap := float64(1000*Millisecond)/benchRate + h.fraction
+	h.now, h.fraction = h.now+Time(gap), gap-math.Floor(gap)
+	id := h.nextID
+	if n := len(h.freeIDs); n > 0 {
+		id, h.freeIDs = h.freeIDs[n-1], h.freeIDs[:n-1]
 	} else {
-		q.nextID++
+		h.nextID++
 	}
-	q.b.Request(q.now, id, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
-	if len(q.inFlight) > benchInFlight {
-		q.answer()
+	h.b.Request(h.now, id, Request{Tenant: -1, Key: key, Deadline: h.now + 750*Millisecond})
+	if len(h.inFlight) > benchInFlight {
+		h.answer()
 	}
 }
 
 // answer ends the oldest attempt.
-func (q *benchHost) answer() {
-	id := q.inFlight[0]
-	q.inFlight = slices.Delete(q.inFlight, 0, 1)
-	q.b.AttemptDone(q.now, id, 0, Served, true)
-	q.freeIDs = append(q.freeIDs, id)
+func (h *benchHost) answer() {
+	id := h.inFlight[0]
+	h.inFlight = slices.Delete(h.inFlight, 0, 1)
+	h.b.AttemptDone(h.now, id, 0, Served, true)
+	h.freeIDs = append(h.freeIDs, id)
 }
 
 // newBenchHost returns the host of one node before warm caches, whose IDs lie in no order, and an origin.
 func newBenchHost(caches, nodes int) *benchHost {
 	rnd := rand.New(rand.NewSource(1))
-	q := &benchHost{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
-	q.b = New(q, 1, q.now, configOf(func(c *Config) {
+	h := &benchHost{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
+	h.b = New(h, 1, h.now, modifiedConfig(func(c *Config) {
 		c.Nodes, c.CacheAside, c.OriginModel, c.MaxAttempts = nodes, true, 1, 3
 		c.Classes = []Class{{Idempotence: Safe, LatencyTarget: 200 * Millisecond}}
 	}))
@@ -81,18 +81,18 @@
 	for i := range caches {
 		endpoints = append(endpoints, Endpoint{Server: i, ID: fmt.Sprintf("c-%08x", rnd.Uint32())})
 	}
-	q.b.UpdateEndpoints(q.now, Full, append(endpoints, Endpoint{Server: caches, ID: "origin", Model: 1}))
-	return q
+	h.b.UpdateEndpoints(h.now, Full, append(endpoints, Endpoint{Server: caches, ID: "origin", Model: 1}))
+	return h
 }
 
-func (q *benchHost) warm(requests int) *benchHost {
+func (h *benchHost) warm(requests int) *benchHost {
 	for range requests {
-		q.request(q.key())
+		h.request(h.key())
 	}
-	return q
+	return h
 }
 
-func eachSize(b *testing.B, f func(b *testing.B, caches, nodes int)) {
+func runSizes(b *testing.B, f func(b *testing.B, caches, nodes int)) {
 	for _, nodes := range benchNodes {
 		for _, caches := range benchCaches {
 			b.Run(fmt.Sprintf("nodes=%d/caches=%d", nodes, caches), func(b *testing.B) { f(b, caches, nodes) })
@@ -101,62 +101,62 @@
 }
 
 // A request with its answer, and its part of what is done every second or two.
-func BenchmarkLookup(b *testing.B) {
-	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newBenchHost(caches, nodes).warm(60_000)
+func BenchmarkRequest(b *testing.B) {
+	runSizes(b, func(b *testing.B, caches, nodes int) {
+		h := newBenchHost(caches, nodes).warm(60_000)
 		keys := make([]string, 1<<16)
 		for i := range keys {
-			keys[i] = q.key()
+			keys[i] = h.key()
 		}
 		for i := 0; b.Loop(); i++ {
-			q.request(keys[i%len(keys)])
+			h.request(keys[i%len(keys)])
 		}
 	})
 }
 
 // A change of one endpoint: a cache begins to drain, or is back.
 func BenchmarkListChange(b *testing.B) {
-	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newBenchHost(caches, nodes).warm(60_000)
-		changed := []Endpoint{q.b.servers[caches/2].Endpoint}
+	runSizes(b, func(b *testing.B, caches, nodes int) {
+		h := newBenchHost(caches, nodes).warm(60_000)
+		changed := []Endpoint{h.b.servers[caches/2].Endpoint}
 		for i := 0; b.Loop(); i++ {
 			changed[0].State = []State{Draining, Ready}[i%2]
-			q.b.UpdateEndpoints(q.now, Incremental, changed)
+			h.b.UpdateEndpoints(h.now, Incremental, changed)
 		}
 	})
 }
 
 // A full endpoint list without changes.
-func BenchmarkListWhole(b *testing.B) {
-	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newBenchHost(caches, nodes).warm(60_000)
+func BenchmarkFullList(b *testing.B) {
+	runSizes(b, func(b *testing.B, caches, nodes int) {
+		h := newBenchHost(caches, nodes).warm(60_000)
 		var endpoints []Endpoint
-		for _, s := range q.b.servers {
+		for _, s := range h.b.servers {
 			endpoints = append(endpoints, s.Endpoint)
 		}
 		for b.Loop() {
-			q.b.UpdateEndpoints(q.now, Full, endpoints)
+			h.b.UpdateEndpoints(h.now, Full, endpoints)
 		}
 	})
 }
 
 // Computation of the ranges, as every two seconds.
-func BenchmarkRecut(b *testing.B) {
-	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newBenchHost(caches, nodes).warm(60_000)
+func BenchmarkRecomputeRanges(b *testing.B) {
+	runSizes(b, func(b *testing.B, caches, nodes int) {
+		h := newBenchHost(caches, nodes).warm(60_000)
 		for b.Loop() {
-			q.b.recomputeRanges()
+			h.b.recomputeRanges()
 		}
 	})
 }
 
 // What is done each second: the demand is compared with the histogram, and the counts are halved.
-func BenchmarkSecond(b *testing.B) {
-	eachSize(b, func(b *testing.B, caches, nodes int) {
-		q := newBenchHost(caches, nodes).warm(60_000)
+func BenchmarkPeriodicWork(b *testing.B) {
+	runSizes(b, func(b *testing.B, caches, nodes int) {
+		h := newBenchHost(caches, nodes).warm(60_000)
 		for b.Loop() {
-			q.now += 1000 * Millisecond
-			q.b.advanceClock(q.now)
+			h.now += 1000 * Millisecond
+			h.b.advanceClock(h.now)
 		}
 	})
 }
@@ -166,40 +166,40 @@
 // of the mean, and the caches without any; and the widest range, the largest share of all keys, as a multiple of
 // the mean. The busiest cache has the most popular key, a tenth of all requests.
 func BenchmarkState(b *testing.B) {
-	eachSize(b, func(b *testing.B, caches, nodes int) {
-		var state, busiest, most, middle, none, widest float64
+	runSizes(b, func(b *testing.B, caches, nodes int) {
+		var stateBytes, busiest, p99, median, idleCaches, widest float64
 		for b.Loop() {
-			before := heap()
-			q := newBenchHost(caches, nodes).warm(60_000)
-			state = heap() - before
-			got := make([]float64, caches)
+			heapBefore := heapBytes()
+			h := newBenchHost(caches, nodes).warm(60_000)
+			stateBytes = heapBytes() - heapBefore
+			requestCounts := make([]float64, caches)
 			for range 60_000 {
-				at := sort.SearchFloat64s(q.b.rangeEnds, keyPoint(xxhash.Sum64String(q.key())|1))
-				got[min(at, caches-1)]++
+				i := sort.SearchFloat64s(h.b.rangeEnds, keyPoint(xxhash.Sum64String(h.key())|1))
+				requestCounts[min(i, caches-1)]++
 			}
-			slices.Sort(got)
+			slices.Sort(requestCounts)
 			mean := 60_000 / float64(caches)
-			busiest, most, middle = got[caches-1]/mean, got[caches*99/100]/mean, got[caches/2]/mean
-			from := 0.0
-			for widest = 0; len(q.b.rangeEnds) > 0; q.b.rangeEnds = q.b.rangeEnds[1:] {
-				widest, from = max(widest, (q.b.rangeEnds[0]-from)*float64(caches)/binCount), q.b.rangeEnds[0]
+			busiest, p99, median = requestCounts[caches-1]/mean, requestCounts[caches*99/100]/mean, requestCounts[caches/2]/mean
+			rangeStart := 0.0
+			for widest = 0; len(h.b.rangeEnds) > 0; h.b.rangeEnds = h.b.rangeEnds[1:] {
+				widest, rangeStart = max(widest, (h.b.rangeEnds[0]-rangeStart)*float64(caches)/binCount), h.b.rangeEnds[0]
 			}
-			none = float64(sort.SearchFloat64s(got, 0.5))
-			runtime.KeepAlive(q)
+			idleCaches = float64(sort.SearchFloat64s(requestCounts, 0.5))
+			runtime.KeepAlive(h)
 		}
-		b.ReportMetric(state, "B/state")
+		b.ReportMetric(stateBytes, "B/state")
 		b.ReportMetric(busiest, "busiest/mean")
-		b.ReportMetric(most, "p99/mean")
-		b.ReportMetric(middle, "p50/mean")
+		b.ReportMetric(p99, "p99/mean")
+		b.ReportMetric(median, "p50/mean")
 		b.ReportMetric(widest, "widest/mean")
-		b.ReportMetric(none, "without")
+		b.ReportMetric(idleCaches, "without")
 	})
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
-	m := runtime.MemStats{}
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
+	stats := runtime.MemStats{}
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
 }
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -6,7 +6,7 @@
 )
 
 // A server that accepts no more connections has capacity for those it has accepted, and is no outlier.
-func TestConnectionLimitSetsTheConcurrencyLimit(t *testing.T) {
+func TestConnectionLimitSetsConcurrencyLimit(t *testing.T) {
 	f := newFakeHost(1, 2)
 	s := f.b.servers[f.b.ready[0]]
 	s.concurrencyLimit = 8
@@ -23,7 +23,7 @@
 
 // Two attempts of a node may be in flight at a cache once quick answers have shown that it is not overloaded.
 // With one alone, nodes of a large fleet sent many requests to the origin.
-func TestTwoAttemptsMayBeInFlightAtAQuickCache(t *testing.T) {
+func TestQuickCacheAllowsTwoAttemptsInFlight(t *testing.T) {
 	for limit, want := range map[float64]int{2: 0, 1: 2} {
 		f := newFakeHost(1, 2)
 		f.b.initialLimit, f.b.servers[0].concurrencyLimit = 1, limit
@@ -35,25 +35,25 @@
 }
 
 // A cache whose answers become slow gets less until they are quick again.
-func TestSlowAnswersLowerTheConcurrencyLimit(t *testing.T) {
+func TestSlowAnswersLowerConcurrencyLimit(t *testing.T) {
 	f := newFakeHost(1, 1)
 	s := f.b.servers[0]
 	f.b.servers[1].inFlight = 99 // no retry goes to the origin
 	for _, c := range []struct {
-		after     Time
+		latency   Time
 		result    Result
 		low, high float64
 	}{{Millisecond, ServerError, 0, s.concurrencyLimit}, {150 * Millisecond, Served, minConcurrencyLimit, 1},
 		{10 * Millisecond, Served, 2, maxConcurrencyLimit}} {
 		for range 120 {
 			if id, client := f.request(0, "a", false, f.now+5000); len(client.attempts) > 0 {
-				f.now += c.after
+				f.now += c.latency
 				f.attemptDone(id, 0, c.result)
 			}
 			f.now += 20 * Millisecond
 		}
 		if s.concurrencyLimit < c.low || s.concurrencyLimit > c.high {
-			t.Errorf("limit %g after result %d in %d, want %g to %g", s.concurrencyLimit, c.result, c.after, c.low, c.high)
+			t.Errorf("limit %g after result %d in %d, want %g to %g", s.concurrencyLimit, c.result, c.latency, c.low, c.high)
 		}
 		s.ejectionTime, s.retryBudget = 0, maxRetryBudget
 	}
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -10,30 +10,30 @@
 
 // Whatever changes and full lists come, a server is used exactly while it is ready: caches in the order of their
 // IDs, origins in that of their indices. Attempts in flight are counted at ready caches alone.
-func TestReadyServersFollowTheList(t *testing.T) {
-	r := rand.New(rand.NewSource(5))
+func TestReadyServersMatchEndpointList(t *testing.T) {
+	rnd := rand.New(rand.NewSource(5))
 	for range 60 {
-		q := newBenchHost(3, 10)
-		b, ids := q.b, map[int]string{}
+		h := newBenchHost(3, 10)
+		b, ids := h.b, map[int]string{}
 		for step := range 120 {
 			var endpoints []Endpoint
-			whole := r.Intn(12) == 0
-			for range 1 + r.Intn(4) {
-				i := r.Intn(20)
-				if ids[i] == "" || r.Intn(10) == 0 {
-					ids[i] = fmt.Sprintf("s-%04d-%d", r.Intn(10000), i)
+			full := rnd.Intn(12) == 0
+			for range 1 + rnd.Intn(4) {
+				i := rnd.Intn(20)
+				if ids[i] == "" || rnd.Intn(10) == 0 {
+					ids[i] = fmt.Sprintf("s-%04d-%d", rnd.Intn(10000), i)
 				}
-				endpoints = append(endpoints, Endpoint{Server: i, ID: ids[i], Model: r.Intn(5) / 4, State: State(r.Intn(3)), StartedAt: Time(r.Intn(2))})
+				endpoints = append(endpoints, Endpoint{Server: i, ID: ids[i], Model: rnd.Intn(5) / 4, State: State(rnd.Intn(3)), StartedAt: Time(rnd.Intn(2))})
 			}
 			slices.SortFunc(endpoints, func(x, y Endpoint) int { return x.Server - y.Server })
 			endpoints = slices.CompactFunc(endpoints, func(x, y Endpoint) bool { return x.Server == y.Server })
-			if whole {
-				b.UpdateEndpoints(q.now, Full, endpoints)
+			if full {
+				b.UpdateEndpoints(h.now, Full, endpoints)
 			} else {
-				b.UpdateEndpoints(q.now, Incremental, endpoints)
+				b.UpdateEndpoints(h.now, Incremental, endpoints)
 			}
-			for range r.Intn(3) {
-				q.request(q.key())
+			for range rnd.Intn(3) {
+				h.request(h.key())
 			}
 			var ready, origins []int
 			inFlight := 0
@@ -55,7 +55,7 @@
 }
 
 // Another server under a reused index has none of its predecessor's past.
-func TestReusedIndexHasNoPast(t *testing.T) {
+func TestReusedServerIndexResetsState(t *testing.T) {
 	f := newFakeHost(1, 2)
 	s := f.b.servers[0]
 	s.consecutiveFailures, s.ejectionTime, s.ejectedUntil, s.retryBudget = 2, maxEjectionTime, f.now+maxEjectionTime, 0
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -8,18 +8,18 @@
 
 // fakeHost is a Host that checks the rules at every call and remembers what is in flight.
 type fakeHost struct {
-	b               *Balancer
-	rnd             *rand.Rand
-	now             Time
-	requests        []*fakeRequest
-	freeIDs         []int
-	endpoints       []Endpoint
-	alarms          map[int][]Time
-	polls           int
-	closedIdle      int // calls that close all idle connections of a server
-	connectionsKept int // what the latest other call left open
-	faults          []string
-	streamReads     bool // reads may be streamed as well
+	b             *Balancer
+	rnd           *rand.Rand
+	now           Time
+	requests      []*fakeRequest
+	freeIDs       []int
+	endpoints     []Endpoint
+	alarms        map[int][]Time
+	polls         int
+	closeAllCalls int // calls that close all idle connections of a server
+	lastKeep      int // what the latest other call left open
+	violations    []string
+	streamReads   bool // reads may be streamed as well
 }
 
 // fakeRequest is one request as its client and the servers see it.
@@ -41,66 +41,68 @@
 	bodySent          bool // its last byte was written
 }
 
-func (s fakeAttempt) mayHaveRun() bool {
-	return !s.done || s.result != Rejected && s.result != ConnectFailed && s.result != NotSent && s.result < NotFound
+func (a fakeAttempt) mayHaveRun() bool {
+	return !a.done || a.result != Rejected && a.result != ConnectFailed && a.result != NotSent && a.result < NotFound
 }
 
-func (f *fakeHost) faultf(format string, args ...any) {
-	f.faults = append(f.faults, fmt.Sprintf(format, args...))
+func (f *fakeHost) violationf(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
 func (f *fakeHost) Send(id, server int, timeout Time) {
-	c := f.requests[id]
-	if c.ended || f.now >= c.deadline {
-		f.faultf("attempt of an ended or overdue request")
+	request := f.requests[id]
+	if request.ended || f.now >= request.deadline {
+		f.violationf("attempt of an ended or overdue request")
 	}
 	if f.endpoints[server].State != Ready {
-		f.faultf("attempt at a server that is not ready")
+		f.violationf("attempt at a server that is not ready")
 	}
-	for i := range c.attempts {
-		s := &c.attempts[i]
-		late := c.idempotence == IdempotentByKey && f.now-s.sentAt >= dedupWindow
-		if s.mayHaveRun() && (c.idempotence == Unsafe || late) {
-			f.faultf("a request that is %s may run twice", c.idempotence)
+	for i := range request.attempts {
+		a := &request.attempts[i]
+		dedupExpired := request.idempotence == IdempotentByKey && f.now-a.sentAt >= dedupWindow
+		if a.mayHaveRun() && (request.idempotence == Unsafe || dedupExpired) {
+			f.violationf("a request that is %s may run twice", request.idempotence)
 		}
 	}
-	c.attempts = append(c.attempts, fakeAttempt{server: server, sentAt: f.now, timeoutAt: min(f.now+timeout, c.deadline)})
-	c.inFlight++
+	request.attempts = append(request.attempts, fakeAttempt{server: server, sentAt: f.now, timeoutAt: min(f.now+timeout, request.deadline)})
+	request.inFlight++
 }
 
 func (f *fakeHost) Reject(id int, retryAfter Time) {
-	c := f.requests[id]
-	if c.idempotence == Unsafe && slices.ContainsFunc(c.attempts, fakeAttempt.mayHaveRun) {
-		f.faultf("an unsafe request was rejected though it may have run")
+	request := f.requests[id]
+	if request.idempotence == Unsafe && slices.ContainsFunc(request.attempts, fakeAttempt.mayHaveRun) {
+		f.violationf("an unsafe request was rejected though it may have run")
 	}
-	c.retryAfter = retryAfter
-	f.end(id)
+	request.retryAfter = retryAfter
+	f.endRequest(id)
 }
 
-func (f *fakeHost) Fail(id int) { f.end(id) }
+func (f *fakeHost) Fail(id int) { f.endRequest(id) }
 
-func (f *fakeHost) end(id int) {
-	if c := f.requests[id]; c.ended {
-		f.faultf("a second final answer")
+func (f *fakeHost) endRequest(id int) {
+	if request := f.requests[id]; request.ended {
+		f.violationf("a second final answer")
 	} else {
-		c.ended = true
+		request.ended = true
 	}
 	f.releaseID(id)
 }
 
 func (f *fakeHost) Subscribe() { f.polls++ }
 
-func (f *fakeHost) CloseIdle(_, but int) {
-	if f.connectionsKept = but; but == 0 {
-		f.closedIdle++
+func (f *fakeHost) CloseIdle(_, keep int) {
+	if f.lastKeep = keep; keep == 0 {
+		f.closeAllCalls++
 	}
 }
 
-func (f *fakeHost) SetAlarm(at Time, handle int) { f.alarms[handle] = append(f.alarms[handle], at) }
+func (f *fakeHost) SetAlarm(alarmTime Time, handle int) {
+	f.alarms[handle] = append(f.alarms[handle], alarmTime)
+}
 
 // releaseID frees the index of a request once it has ended and nothing of it is in flight.
 func (f *fakeHost) releaseID(id int) {
-	if c := f.requests[id]; c.ended && c.inFlight == 0 {
+	if request := f.requests[id]; request.ended && request.inFlight == 0 {
 		f.freeIDs = append(f.freeIDs, id)
 		f.requests[id] = &fakeRequest{ended: true, inFlight: -1}
 	}
@@ -110,11 +112,11 @@
 
 var idempotences = []Idempotence{Safe, IdempotentByKey, Unsafe}
 
-// configOf returns the default configuration, changed.
-func configOf(change func(*Config)) Config {
-	c := DefaultConfig()
-	change(&c)
-	return c
+// modifiedConfig returns the default configuration, changed.
+func modifiedConfig(modify func(*Config)) Config {
+	config := DefaultConfig()
+	modify(&config)
+	return config
 }
 
 // newFakeHost returns the host of a node with three classes, two tenants, n warm caches and an origin.
@@ -138,65 +140,65 @@
 }
 
 // request sends a request and returns its index and state.
-func (f *fakeHost) request(class int, key string, write bool, limit Time) (int, *fakeRequest) {
+func (f *fakeHost) request(class int, key string, write bool, deadline Time) (int, *fakeRequest) {
 	id := len(f.requests)
 	if n := len(f.freeIDs); n > 0 {
 		id, f.freeIDs = f.freeIDs[n-1], f.freeIDs[:n-1]
 	} else {
 		f.requests = append(f.requests, nil)
 	}
-	c := &fakeRequest{idempotence: idempotences[class], deadline: limit}
-	f.requests[id] = c
-	c.streaming = (write || f.streamReads) && f.rnd.Intn(4) == 0
-	f.b.Request(f.now, id, Request{Class: class, Tenant: class % 2, Key: key, Write: write, Deadline: limit,
-		Streaming: c.streaming})
-	return id, c
+	request := &fakeRequest{idempotence: idempotences[class], deadline: deadline}
+	f.requests[id] = request
+	request.streaming = (write || f.streamReads) && f.rnd.Intn(4) == 0
+	f.b.Request(f.now, id, Request{Class: class, Tenant: class % 2, Key: key, Write: write, Deadline: deadline,
+		Streaming: request.streaming})
+	return id, request
 }
 
 // bodySent sends the last byte of a streamed attempt.
 func (f *fakeHost) bodySent(id, attempt int) {
-	if c := f.requests[id]; c.streaming && !c.attempts[attempt].bodySent {
-		c.attempts[attempt].bodySent = true
+	if request := f.requests[id]; request.streaming && !request.attempts[attempt].bodySent {
+		request.attempts[attempt].bodySent = true
 		f.b.BodySent(f.now, id, attempt)
 	}
 }
 
 func (f *fakeHost) attemptDone(id, attempt int, result Result) {
-	c := f.requests[id]
+	request := f.requests[id]
 	f.bodySent(id, attempt)
-	c.attempts[attempt].done, c.attempts[attempt].result = true, result
-	c.inFlight--
-	if result == Withheld && !c.ended { // only of a request that has ended
-		c.ended = true
+	request.attempts[attempt].done, request.attempts[attempt].result = true, result
+	request.inFlight--
+	if result == Withheld && !request.ended { // only of a request that has ended
+		request.ended = true
 		f.b.ClientGone(f.now, id)
 	}
-	c.ended = c.ended || result == Served
-	f.b.AttemptDone(f.now, id, attempt, result, c.ended)
+	request.ended = request.ended || result == Served
+	f.b.AttemptDone(f.now, id, attempt, result, request.ended)
 	f.releaseID(id)
 }
 
 // advance moves the clock on and plays timeouts and alarms.
 func (f *fakeHost) advance(elapsed Time) {
 	f.now += elapsed
-	for id, c := range f.requests {
-		for i := range c.attempts {
-			if s := &c.attempts[i]; !s.done && f.now >= s.timeoutAt && f.requests[id] == c {
+	for id, request := range f.requests {
+		for i := range request.attempts {
+			if a := &request.attempts[i]; !a.done && f.now >= a.timeoutAt && f.requests[id] == request {
 				f.attemptDone(id, i, TimedOut)
 			}
 		}
 	}
 	for handle := 0; handle <= 2*max(len(f.requests), len(f.endpoints)); handle++ {
 		due := f.alarms[handle]
-		f.alarms[handle] = slices.DeleteFunc(slices.Clone(due), func(at Time) bool { return at <= f.now })
-		for _, at := range due {
-			if at <= f.now {
+		f.alarms[handle] = slices.DeleteFunc(slices.Clone(due), func(alarmTime Time) bool { return alarmTime <= f.now })
+		for _, alarmTime := range due {
+			if alarmTime <= f.now {
 				f.b.Alarm(f.now, handle)
 			}
 		}
 	}
-	for _, c := range f.requests {
-		if !c.ended && f.now > c.deadline+8*Millisecond {
-			f.faultf("a request has no final answer in time")
+	for _, request := range f.requests {
+		if !request.ended && f.now > request.deadline+8*Millisecond {
+			f.violationf("a request has no final answer in time")
 		}
 	}
 }
@@ -204,12 +206,12 @@
 func (f *fakeHost) step() {
 	switch r := f.rnd.Intn(100); {
 	case r < 45:
-		limit := f.now + Time(f.rnd.Intn(8000)-100) // some are already past
+		deadline := f.now + Time(f.rnd.Intn(8000)-100) // listed are already past
 		key := []string{"", fmt.Sprint("k", f.rnd.Intn(1+f.rnd.Intn(40)))}[min(1, f.rnd.Intn(20))]
 		class := f.rnd.Intn(3)
-		f.request(class, key, class > 0 && f.rnd.Intn(2) == 0, limit)
+		f.request(class, key, class > 0 && f.rnd.Intn(2) == 0, deadline)
 	case r < 80:
-		f.anyAttemptDone(Result(f.rnd.Intn(int(Withheld) + 1)))
+		f.finishRandomAttempt(Result(f.rnd.Intn(int(Withheld) + 1)))
 	case r < 82 && len(f.requests) > 0:
 		if id := f.rnd.Intn(len(f.requests)); !f.requests[id].ended {
 			f.requests[id].ended = true
@@ -218,20 +220,20 @@
 		}
 	case r < 83 && len(f.requests) > 0:
 		id := f.rnd.Intn(len(f.requests))
-		for i, s := range f.requests[id].attempts {
-			if !s.done {
+		for i, a := range f.requests[id].attempts {
+			if !a.done {
 				f.bodySent(id, i)
 			}
 		}
 	case r < 84:
 		f.b.Alarm(f.now, f.rnd.Intn(50)) // stale
 	case r < 88:
-		x := &f.endpoints[f.rnd.Intn(len(f.endpoints))]
-		x.State = State(f.rnd.Intn(3))
+		endpoint := &f.endpoints[f.rnd.Intn(len(f.endpoints))]
+		endpoint.State = State(f.rnd.Intn(3))
 		if f.rnd.Intn(2) == 0 {
-			x.State, x.StartedAt = Ready, f.now
+			endpoint.State, endpoint.StartedAt = Ready, f.now
 		}
-		f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*x})
+		f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*endpoint})
 	case r < 89:
 		f.b.UpdateEndpoints(f.now, Failed, nil)
 		for n := len(f.endpoints); n < 60 && f.rnd.Intn(4) == 0 && len(f.endpoints) < 2*n; { // the fleet doubles, in slow start
@@ -240,19 +242,19 @@
 		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
 	case r < 90:
 		f.endpoints[f.rnd.Intn(len(f.endpoints))].State = Gone
-		some := slices.DeleteFunc(slices.Clone(f.endpoints), func(x Endpoint) bool { return x.State == Gone })
-		f.b.UpdateEndpoints(f.now, Full, some)
+		listed := slices.DeleteFunc(slices.Clone(f.endpoints), func(e Endpoint) bool { return e.State == Gone })
+		f.b.UpdateEndpoints(f.now, Full, listed)
 	default:
 		f.advance(Time(1 + f.rnd.Intn(200)))
 	}
 }
 
-// anyAttemptDone ends a random attempt in flight.
-func (f *fakeHost) anyAttemptDone(result Result) {
+// finishRandomAttempt ends a random attempt in flight.
+func (f *fakeHost) finishRandomAttempt(result Result) {
 	for try := 0; try < 20 && len(f.requests) > 0; try++ {
 		id := f.rnd.Intn(len(f.requests))
-		for i, s := range f.requests[id].attempts {
-			if !s.done {
+		for i, a := range f.requests[id].attempts {
+			if !a.done {
 				f.attemptDone(id, i, result)
 				return
 			}
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -5,7 +5,7 @@
 )
 
 // Fetches of a key are coalesced: a second request waits for the first one's fetch and then asks the cache again.
-func TestFetchesOfAKeyAreCoalesced(t *testing.T) {
+func TestFetchesOfSameKeyCoalesced(t *testing.T) {
 	f := newFakeHost(1, 1)
 	first, c1 := f.request(0, "a", false, f.now+5000)
 	f.attemptDone(first, 0, NotFound)
@@ -22,7 +22,7 @@
 
 // Requests do not wait for one that went to the origin because its cache was full, since the cache may have the
 // value. Those that waited met the cache together afterwards.
-func TestNobodyWaitsForAnAttemptWithoutAMiss(t *testing.T) {
+func TestRequestDoesNotWaitForOriginAttemptWithoutMiss(t *testing.T) {
 	f := newFakeHost(1, 1)
 	id, c1 := f.request(0, "a", false, f.now+5000)
 	f.attemptDone(id, 0, Rejected)
@@ -33,14 +33,14 @@
 }
 
 // A write without a result leaves those alone that wait for a fetch of its key.
-func TestWriteKeepsTheWaitersOfAFetch(t *testing.T) {
+func TestFailedWriteKeepsFetchWaiters(t *testing.T) {
 	f := newFakeHost(1, 1)
 	fetch, _ := f.request(0, "a", false, f.now+5000)
 	f.attemptDone(fetch, 0, NotFound)
-	_, waits := f.request(0, "a", false, f.now+5000)
+	_, waiter := f.request(0, "a", false, f.now+5000)
 	write, _ := f.request(0, "a", true, f.now+5000)
 	f.attemptDone(write, 0, NotFound)
-	if f.attemptDone(fetch, 1, Served); len(waits.attempts) != 1 {
+	if f.attemptDone(fetch, 1, Served); len(waiter.attempts) != 1 {
 		t.Error("the request that waited was not released")
 	}
 }
--- a/routing/idle_test.go
+++ b/routing/idle_test.go
@@ -7,48 +7,48 @@
 
 // A node that fails to connect closes the connections that have been idle for its idle timeout, which is the
 // shorter the more often connecting fails.
-func TestIdleConnectionsAreClosedWhereConnectsFail(t *testing.T) {
+func TestConnectFailureClosesIdleConnections(t *testing.T) {
 	f := newFakeHost(1, 4)
-	use := func(server int, result Result) {
+	finishRequest := func(server int, result Result) {
 		f.b.servers[server].ejectionTime, f.b.servers[server].concurrencyLimit = 0, maxConcurrencyLimit
 		id, c := f.request(1, key(f.b, server), false, f.now+5000)
 		if f.attemptDone(id, 0, result); !c.ended {
 			f.attemptDone(id, 1, Served)
 		}
 	}
-	gave := func(what string, want int) {
+	expectClosed := func(name string, want int) {
 		t.Helper()
-		if f.closedIdle != want {
-			t.Errorf("%s: %d closed, want %d", what, f.closedIdle, want)
+		if f.closeAllCalls != want {
+			t.Errorf("%s: %d closed, want %d", name, f.closeAllCalls, want)
 		}
-		f.closedIdle = 0
+		f.closeAllCalls = 0
 	}
-	use(0, Served)
-	use(1, Served)
+	finishRequest(0, Served)
+	finishRequest(1, Served)
 	f.advance(2 * maxIdleTimeout)
-	gave("none is scarce", 0)
-	use(0, Served)
-	use(2, ConnectFailed)
-	gave("one has been idle for long, one not", 1)
-	use(2, ConnectFailed)
-	gave("none has been idle since", 0)
-	use(1, Served)
+	expectClosed("none is scarce", 0)
+	finishRequest(0, Served)
+	finishRequest(2, ConnectFailed)
+	expectClosed("one has been idle for long, one not", 1)
+	finishRequest(2, ConnectFailed)
+	expectClosed("none has been idle since", 0)
+	finishRequest(1, Served)
 	for f.b.idleTimeout >= 2*minIdleTimeout {
-		use(2, ConnectFailed)
+		finishRequest(2, ConnectFailed)
 	}
 	f.advance(f.b.idleTimeout)
-	f.closedIdle = 0
-	use(2, ConnectFailed)
-	gave("all idle ones", 3) // the origin's as well
+	f.closeAllCalls = 0
+	finishRequest(2, ConnectFailed)
+	expectClosed("all idle ones", 3) // the origin's as well
 	f.b.idleTimeout = minIdleTimeout - 2*idleTimeoutIncrease
-	use(0, Served)
-	gave("at once", 1)
+	finishRequest(0, Served)
+	expectClosed("at once", 1)
 	for range int(minIdleTimeout / idleTimeoutIncrease) {
-		use(1, Served)
+		finishRequest(1, Served)
 	}
-	f.closedIdle = 0
-	use(0, Served)
-	gave("connecting succeeds again", 0)
+	f.closeAllCalls = 0
+	finishRequest(0, Served)
+	expectClosed("connecting succeeds again", 0)
 }
 
 // A server that does not respond is not short of connections, so none are closed elsewhere.
@@ -60,18 +60,18 @@
 		f.advance(maxIdleTimeout)
 		id, c := f.request(0, key(f.b, 1), false, f.now+5000)
 		f.attemptDone(id, 0, result)
-		if f.closedIdle != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || c.attempts[0].mayHaveRun() {
-			t.Errorf("result %d: %d closed, want %d; idle timeout %d", result, f.closedIdle, want, f.b.idleTimeout)
+		if f.closeAllCalls != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || c.attempts[0].mayHaveRun() {
+			t.Errorf("result %d: %d closed, want %d; idle timeout %d", result, f.closeAllCalls, want, f.b.idleTimeout)
 		}
-		if rests := f.b.servers[1].ejectionTime > 0; rests != (result != ConnectionLimit) {
-			t.Errorf("result %d: the server is ejected: %v", result, rests)
+		if ejected := f.b.servers[1].ejectionTime > 0; ejected != (result != ConnectionLimit) {
+			t.Errorf("result %d: the server is ejected: %v", result, ejected)
 		}
 	}
 }
 
 // A node that fetches all the time never has a connection to the origin that is idle for long. It keeps as many
 // open as it needs.
-func TestFewIdleConnectionsStayOpenAtTheOrigin(t *testing.T) {
+func TestOriginIdleConnectionsMatchFetchRate(t *testing.T) {
 	for _, c := range []struct{ interval, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 ms each
 		f := newFakeHost(1, 2)
 		for n := range 60 * 400 / c.interval {
@@ -81,8 +81,8 @@
 			f.attemptDone(id, 1, Served)
 			f.now += Time(c.interval-60) * Millisecond
 		}
-		if f.connectionsKept != c.want {
-			t.Errorf("a fetch each %d ms: %d connections stay open, want %d", c.interval, f.connectionsKept, c.want)
+		if f.lastKeep != c.want {
+			t.Errorf("a fetch each %d ms: %d connections stay open, want %d", c.interval, f.lastKeep, c.want)
 		}
 	}
 }
--- a/routing/inflight_test.go
+++ b/routing/inflight_test.go
@@ -20,33 +20,33 @@
 
 // compareMeans checks that both comparisons of a cache with the mean come out as with the plain sum, and reports
 // whether either is a tie.
-func compareMeans(b *Balancer, s *serverState, plain float64, sum int) (tie bool, fault string) {
-	n, x, mean := len(b.ready), s.inFlight, b.meanInFlight()
-	if got, want := float64(x) <= congestionFactor*mean, float64(x) <= congestionFactor*plain; got != want {
-		fault = fmt.Sprintf("congested: %v, want %v, for %d of %d in flight at %d caches", got, want, x, sum, n)
+func compareMeans(b *Balancer, s *serverState, plainMean float64, sum int) (tie bool, diff string) {
+	n, inFlight, mean := len(b.ready), s.inFlight, b.meanInFlight()
+	if got, want := float64(inFlight) <= congestionFactor*mean, float64(inFlight) <= congestionFactor*plainMean; got != want {
+		diff = fmt.Sprintf("congested: %v, want %v, for %d of %d in flight at %d caches", got, want, inFlight, sum, n)
 	}
-	if got, want := float64(x) <= busyFactor*mean+1, float64(x) <= busyFactor*plain+1; got != want {
-		fault = fmt.Sprintf("busy: %v, want %v, for %d of %d in flight at %d caches", got, want, x, sum, n)
+	if got, want := float64(inFlight) <= busyFactor*mean+1, float64(inFlight) <= busyFactor*plainMean+1; got != want {
+		diff = fmt.Sprintf("busy: %v, want %v, for %d of %d in flight at %d caches", got, want, inFlight, sum, n)
 	}
-	return 2*x*n == 3*sum || (x-1)*n == 2*sum, fault
+	return 2*inFlight*n == 3*sum || (inFlight-1)*n == 2*sum, diff
 }
 
 // After every step of random runs the count of attempts in flight is the sum over all ready caches, and caches are
 // selected as by the plain sum: through restarts and reused indices with attempts in flight, caches that drain, go
 // and come back, streamed bodies, and the origin, whose attempts do not count.
-func TestInFlightCountIsThePlainSum(t *testing.T) {
-	ties, carried, aside, most := 0, 0, 0, 0
+func TestInFlightCountMatchesSum(t *testing.T) {
+	ties, resets, uncounted, maxInFlight := 0, 0, 0, 0
 	run := func(seed int64) bool {
 		f := newFakeHost(seed, 1+int(uint64(seed)%12))
 		f.streamReads = true
 		for n := 0; n < 600; n++ {
 			if f.rnd.Intn(60) == 0 { // another server under an index, in any state
-				x := &f.endpoints[f.rnd.Intn(len(f.endpoints)-1)]
-				x.ID, x.State = fmt.Sprint("12.", f.rnd.Int()), State(f.rnd.Intn(3))
-				if was := f.b.servers[x.Server]; was != nil && was.inFlight > 0 {
-					carried++
+				endpoint := &f.endpoints[f.rnd.Intn(len(f.endpoints)-1)]
+				endpoint.ID, endpoint.State = fmt.Sprint("12.", f.rnd.Int()), State(f.rnd.Intn(3))
+				if previous := f.b.servers[endpoint.Server]; previous != nil && previous.inFlight > 0 {
+					resets++
 				}
-				f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*x})
+				f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*endpoint})
 			}
 			for _, s := range f.b.servers {
 				if s != nil && seed%2 == 0 { // a limit of more than two at each
@@ -63,112 +63,112 @@
 			}
 			for _, s := range f.b.servers {
 				if s != nil && s.inFlight > 0 && (s.State != Ready || s.isOrigin) {
-					aside++
+					uncounted++
 				}
 			}
 			for _, i := range f.b.ready {
-				tie, fault := compareMeans(f.b, f.b.servers[i], mean, sum)
-				if fault != "" {
-					t.Errorf("seed %d, step %d: %s", seed, n, fault)
+				tie, diff := compareMeans(f.b, f.b.servers[i], mean, sum)
+				if diff != "" {
+					t.Errorf("seed %d, step %d: %s", seed, n, diff)
 					return false
 				}
 				if tie && sum > 0 {
 					ties++
 				}
-				most = max(most, f.b.servers[i].inFlight)
+				maxInFlight = max(maxInFlight, f.b.servers[i].inFlight)
 			}
 		}
-		if len(f.faults) > 0 {
-			t.Errorf("seed %d: %v", seed, f.faults)
+		if len(f.violations) > 0 {
+			t.Errorf("seed %d: %v", seed, f.violations)
 		}
-		return len(f.faults) == 0
+		return len(f.violations) == 0
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 200, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d ties, %d restarts with attempts in flight, %d sights of attempts at what is not ready, %d at one cache at the most", ties, carried, aside, most)
-	if ties < 1000 || carried < 100 || aside < 1000 || most < 6 {
+	t.Logf("%d ties, %d restarts with attempts in flight, %d sights of attempts at what is not ready, %d at one cache at the most", ties, resets, uncounted, maxInFlight)
+	if ties < 1000 || resets < 100 || uncounted < 1000 || maxInFlight < 6 {
 		t.Error("the runs don't reach what they are for")
 	}
 }
 
 // At any size, and with more in flight than a node ever has, the mean and the plain sum decide alike. The sum's rounding is
 // below its terms' number times 2^-53 of it, and beside a tie there is at least 1/2n.
-func TestTheMeanDecidesAsThePlainSum(t *testing.T) {
-	ties, wrong := 0, 0
+func TestMeanInFlightComparesLikePlainSum(t *testing.T) {
+	ties, roundedUp := 0, 0
 	run := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
 		n := []int{1, 2, 3, 5, 7, 10, 49, 70, 250, 999, 5700}[rnd.Intn(11)]
-		b, few := &Balancer{}, 1+rnd.Intn(4)
+		b, scale := &Balancer{}, 1+rnd.Intn(4)
 		for i := range n {
-			b.servers = append(b.servers, &serverState{inFlight: rnd.Intn(1 + rnd.Intn(1+few*rnd.Intn(100)))})
+			b.servers = append(b.servers, &serverState{inFlight: rnd.Intn(1 + rnd.Intn(1+scale*rnd.Intn(100)))})
 			b.ready = append(b.ready, i)
 			b.inFlight += b.servers[i].inFlight
 		}
 		s := b.servers[rnd.Intn(n)]
 		if rnd.Intn(2) == 0 { // as near a tie as possible: one cache takes what makes it, or all but one attempt
 			x := rnd.Intn(60)
-			want := []int{2 * x * n / 3, (x - 1) * n / 2}[rnd.Intn(2)] + rnd.Intn(3) - 1
+			target := []int{2 * x * n / 3, (x - 1) * n / 2}[rnd.Intn(2)] + rnd.Intn(3) - 1
 			b.inFlight, s.inFlight = b.inFlight+x-s.inFlight, x
-			for _, o := range b.servers {
-				if o != s {
-					give := max(-o.inFlight, want-b.inFlight)
-					o.inFlight, b.inFlight = o.inFlight+give, b.inFlight+give
+			for _, other := range b.servers {
+				if other != s {
+					delta := max(-other.inFlight, target-b.inFlight)
+					other.inFlight, b.inFlight = other.inFlight+delta, b.inFlight+delta
 				}
 			}
 		}
 		mean, sum := plainMean(b)
-		tie, fault := compareMeans(b, s, mean, sum)
-		if fault != "" || sum != b.inFlight {
-			t.Errorf("seed %d: %s", seed, fault)
+		tie, diff := compareMeans(b, s, mean, sum)
+		if diff != "" || sum != b.inFlight {
+			t.Errorf("seed %d: %s", seed, diff)
 		}
 		if tie {
 			ties++
 			if x := s.inFlight; 2*x*n == 3*sum && float64(x) > congestionFactor*mean || (x-1)*n == 2*sum && float64(x) > busyFactor*mean+1 {
-				wrong++
+				roundedUp++
 			}
 		}
-		return fault == ""
+		return diff == ""
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d ties, of which the plain sum's rounding takes %d for more", ties, wrong)
-	if ties < 200 || wrong < 10 {
+	t.Logf("%d ties, of which the plain sum's rounding takes %d for more", ties, roundedUp)
+	if ties < 200 || roundedUp < 10 {
 		t.Error("hardly any ties were met")
 	}
 }
 
 // A request reads the state of the caches that it may fall through, and of no other: it gets by with the others
 // taken away, both with attempts in flight and without.
-func TestRequestReadsNoOtherCaches(*testing.T) {
+func TestRequestReadsOnlyReachableCaches(*testing.T) {
 	for _, caches := range []int{70, 5700} {
-		q := newBenchHost(caches, 300).warm(2000)
+		h := newBenchHost(caches, 300).warm(2000)
 		for n := range 200 {
-			for n == 100 && len(q.inFlight) > 0 {
-				q.answer()
+			for n == 100 && len(h.inFlight) > 0 {
+				h.answer()
 			}
-			key := q.key()
-			at := rangeOfKey(q.b, key)
-			q.now += Millisecond
-			all, near := q.b.servers, make([]*serverState, len(q.b.servers))
+			key := h.key()
+			first := rangeOfKey(h.b, key)
+			h.now += Millisecond
+			all, reachable := h.b.servers, make([]*serverState, len(h.b.servers))
 			for step := range maxFallThroughs + 1 {
-				i := q.b.ready[(at+step)%caches]
-				near[i] = all[i]
+				i := h.b.ready[(first+step)%caches]
+				reachable[i] = all[i]
 			}
-			near[caches] = all[caches] // the origin
-			if q.b.decayedAt+decayInterval <= q.now {
-				q.b.advanceClock(q.now) // each second all are read
+			reachable[caches] = all[caches] // the origin
+			if h.b.decayedAt+decayInterval <= h.now {
+				h.b.advanceClock(h.now) // each second all are read
 			}
-			q.b.servers = near
-			id := q.nextID + n
-			out := len(q.inFlight)
-			q.b.Request(q.now, id, Request{Tenant: -1, Key: key, Deadline: q.now + 750*Millisecond})
-			if q.b.servers = all; len(q.inFlight) > out {
-				q.b.AttemptDone(q.now, id, 0, Served, true)
-				q.inFlight = q.inFlight[:out]
+			h.b.servers = reachable
+			id := h.nextID + n
+			inFlight := len(h.inFlight)
+			h.b.Request(h.now, id, Request{Tenant: -1, Key: key, Deadline: h.now + 750*Millisecond})
+			if h.b.servers = all; len(h.inFlight) > inFlight {
+				h.b.AttemptDone(h.now, id, 0, Served, true)
+				h.inFlight = h.inFlight[:inFlight]
 			} else {
-				q.freeIDs = q.freeIDs[:len(q.freeIDs)-1]
+				h.freeIDs = h.freeIDs[:len(h.freeIDs)-1]
 			}
 		}
 	}
--- a/routing/origin_test.go
+++ b/routing/origin_test.go
@@ -7,7 +7,7 @@
 
 // Timeouts lower the limit at the origin quickly: with hundreds of nodes its queue would stay longer than their
 // deadlines.
-func TestTimeoutsAtTheOriginLowerItsLimit(t *testing.T) {
+func TestOriginTimeoutsLowerConcurrencyLimit(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for n := range 5 {
 		id, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
@@ -21,7 +21,7 @@
 }
 
 // The limit at the origin grows quickly at first, since a node of a large fleet fetches seldom.
-func TestOriginLimitGrowsWithTheFirstAnswers(t *testing.T) {
+func TestOriginLimitGrowsWithFirstAnswers(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for n := range 4 {
 		id, _ := f.request(0, fmt.Sprint(n), false, f.now+5000)
@@ -35,16 +35,16 @@
 }
 
 // Requests with a long latency target do not fill the origin, which would delay those with a short one.
-func TestPatientReadsDontDelayOthersAtTheOrigin(t *testing.T) {
+func TestLongLatencyTargetDoesNotRaiseOriginLimit(t *testing.T) {
 	f := newFakeHost(1, 1)
 	f.b.classes[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
-	o := f.b.servers[1]
-	o.answers, f.b.decayedAt, o.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
+	origin := f.b.servers[1]
+	origin.answers, f.b.decayedAt, origin.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
 	id, c := f.request(0, "k", false, f.now+50000)
 	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 1 || !c.ended {
 		t.Errorf("attempts %v, want none at the origin", c.attempts)
 	}
-	o.inFlight = 11
+	origin.inFlight = 11
 	id, c = f.request(0, "k", false, f.now+50000)
 	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 2 {
 		t.Errorf("attempts %v, want one at the origin", c.attempts)
--- a/routing/partition_test.go
+++ b/routing/partition_test.go
@@ -8,17 +8,17 @@
 )
 
 // Lazy scaling gives the weights of the plain definition.
-func TestLazyScalingGivesThePlainWeights(t *testing.T) {
+func TestLazyScalingMatchesPlainWeights(t *testing.T) {
 	b := newFakeHost(1, 5).b
 	plain := slices.Repeat([]float64{1.0 / binCount}, binCount)
 	rnd := rand.New(rand.NewSource(1))
 	for range 4000 {
-		at := rnd.Intn(1 + rnd.Intn(binCount))
-		b.recordPoint(float64(at) + 0.5)
+		bin := rnd.Intn(1 + rnd.Intn(binCount))
+		b.recordPoint(float64(bin) + 0.5)
 		for i := range plain {
 			plain[i] *= 1 - b.alpha
 		}
-		plain[at] += b.alpha
+		plain[bin] += b.alpha
 	}
 	for i, want := range plain {
 		if got := b.binWeights[i] * b.weightScale; math.Abs(got-want) > 1e-9 {
@@ -29,28 +29,28 @@
 
 // In steady demand all remembered requests weigh alike, those of a hot key too; when other keys become popular, the
 // histogram forgets within some seconds.
-func TestAlphaFollowsTheDemand(t *testing.T) {
-	for _, each := range []int{30, 200} { // requests between two comparisons
+func TestAlphaFollowsDemand(t *testing.T) {
+	for _, perInterval := range []int{30, 200} { // requests between two comparisons
 		b := newFakeHost(1, 5).b
 		rnd := rand.New(rand.NewSource(1))
-		ask := func(spans, from int) {
-			for range spans {
-				for range each {
-					at := from + rnd.Intn(1+rnd.Intn(binCount/2))
+		record := func(intervals, firstBin int) {
+			for range intervals {
+				for range perInterval {
+					bin := firstBin + rnd.Intn(1+rnd.Intn(binCount/2))
 					if rnd.Intn(8) == 0 {
-						at = from + 77
+						bin = firstBin + 77
 					}
-					b.recordPoint(float64(at) + 0.5)
+					b.recordPoint(float64(bin) + 0.5)
 				}
 				b.adaptToDemand()
 			}
 		}
-		if ask(100, 0); b.alpha > 1.2/float64(100*each) {
-			t.Errorf("%d per interval: alpha %g in steady demand, want about %g", each, b.alpha, 1/float64(100*each))
+		if record(100, 0); b.alpha > 1.2/float64(100*perInterval) {
+			t.Errorf("%d per interval: alpha %g in steady demand, want about %g", perInterval, b.alpha, 1/float64(100*perInterval))
 		}
-		before := b.alpha
-		if ask(4, binCount/2); b.alpha < 20*before {
-			t.Errorf("%d per interval: alpha %g after a shift, %g before", each, b.alpha, before)
+		steadyAlpha := b.alpha
+		if record(4, binCount/2); b.alpha < 20*steadyAlpha {
+			t.Errorf("%d per interval: alpha %g after a shift, %g before", perInterval, b.alpha, steadyAlpha)
 		}
 		b.rememberedRequests = 1
 		if b.recordPoint(1); b.alpha != 1.0/100 {
--- a/routing/polling_test.go
+++ b/routing/polling_test.go
@@ -16,30 +16,32 @@
 	polledAt []Time
 }
 
-func (a *pollingHost) Subscribe() { a.polledAt = append(a.polledAt, a.now) }
+func (h *pollingHost) Subscribe() { h.polledAt = append(h.polledAt, h.now) }
 
-func (a *pollingHost) SetAlarm(at Time, handle int) { a.alarms[handle] = append(a.alarms[handle], at) }
+func (h *pollingHost) SetAlarm(alarmTime Time, handle int) {
+	h.alarms[handle] = append(h.alarms[handle], alarmTime)
+}
 
 func newPollingHost(seed uint64, config Config) *pollingHost {
-	a := &pollingHost{fakeHost: fakeHost{now: Time(seed % 5000), alarms: map[int][]Time{}}}
-	a.b = New(a, seed, a.now, config)
-	return a
+	h := &pollingHost{fakeHost: fakeHost{now: Time(seed % 5000), alarms: map[int][]Time{}}}
+	h.b = New(h, seed, h.now, config)
+	return h
 }
 
 // alarmStep is the time between two looks at the alarms, and so the most by which one is late.
 const alarmStep = Millisecond
 
 // runUntil plays alarms; event is called at each step.
-func (a *pollingHost) runUntil(end Time, tell func()) {
-	for ; a.now < end; a.now += alarmStep {
-		due := a.alarms[pollAlarmHandle]
-		a.alarms[pollAlarmHandle] = slices.DeleteFunc(slices.Clone(due), func(at Time) bool { return at <= a.now })
-		for _, at := range due {
-			if at <= a.now {
-				a.b.Alarm(a.now, pollAlarmHandle)
+func (h *pollingHost) runUntil(end Time, onStep func()) {
+	for ; h.now < end; h.now += alarmStep {
+		due := h.alarms[pollAlarmHandle]
+		h.alarms[pollAlarmHandle] = slices.DeleteFunc(slices.Clone(due), func(alarmTime Time) bool { return alarmTime <= h.now })
+		for _, alarmTime := range due {
+			if alarmTime <= h.now {
+				h.b.Alarm(h.now, pollAlarmHandle)
 			}
 		}
-		tell()
+		onStep()
 	}
 }
 
@@ -59,41 +61,41 @@
 // are never answered, some fail at once or later, and subscriptions are lost. It follows within half of
 // MaxPollInterval and a third of PushedGrace too, where these are no shorter than PollSpread; after the subscription is
 // lost within PollSpread; and never twice within half the shortest wait, nor while there is a subscription.
-func TestNextPollIsNeverFar(t *testing.T) {
+func TestPollIntervalBoundedWithoutSubscription(t *testing.T) {
 	run := func(seed uint64) bool {
 		rnd := rand.New(rand.NewSource(int64(seed)))
 		config := randomConfig(rnd)
 		wait := max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/3))
-		a := newPollingHost(seed, config)
-		since, most, had, calls := a.now, PollSpread, false, 0 // without a poll, and the longest that this may last
-		a.runUntil(a.now+60000*Millisecond, func() {
-			if n := len(a.polledAt); n > calls {
-				if had || calls > 0 && most != PollSpread && a.now-since < wait/2-alarmStep {
-					t.Logf("seed %d: a poll %d after the last, subscribed: %v", seed, a.now-since, had)
-					a.faultf("early")
+		h := newPollingHost(seed, config)
+		lastPollAt, maxGap, subscribed, polls := h.now, PollSpread, false, 0 // without a poll, and the longest that this may last
+		h.runUntil(h.now+60000*Millisecond, func() {
+			if n := len(h.polledAt); n > polls {
+				if subscribed || polls > 0 && maxGap != PollSpread && h.now-lastPollAt < wait/2-alarmStep {
+					t.Logf("seed %d: a poll %d after the last, subscribed: %v", seed, h.now-lastPollAt, subscribed)
+					h.violationf("early")
 				}
-				calls, since, most = n, a.now, wait
+				polls, lastPollAt, maxGap = n, h.now, wait
 			}
-			if !had && a.now-since > most+alarmStep {
-				a.faultf("late")
+			if !subscribed && h.now-lastPollAt > maxGap+alarmStep {
+				h.violationf("late")
 			}
 			switch r := rnd.Intn(400); {
-			case had && r < 1: // a subscription is lost
-				a.b.UpdateEndpoints(a.now, Failed, nil)
-				had, since, most = false, a.now, PollSpread
-			case !had && calls > 0 && r < 1:
-				a.b.UpdateEndpoints(a.now, []UpdateKind{Full, Incremental}[rnd.Intn(2)], nil)
-				had = true
-			case !had && r < 40:
-				a.b.UpdateEndpoints(a.now, Failed, nil) // one of those in flight
+			case subscribed && r < 1: // a subscription is lost
+				h.b.UpdateEndpoints(h.now, Failed, nil)
+				subscribed, lastPollAt, maxGap = false, h.now, PollSpread
+			case !subscribed && polls > 0 && r < 1:
+				h.b.UpdateEndpoints(h.now, []UpdateKind{Full, Incremental}[rnd.Intn(2)], nil)
+				subscribed = true
+			case !subscribed && r < 40:
+				h.b.UpdateEndpoints(h.now, Failed, nil) // one of those in flight
 			case r < 50:
-				a.b.Alarm(a.now, pollAlarmHandle) // a stale alarm
+				h.b.Alarm(h.now, pollAlarmHandle) // a stale alarm
 			}
 		})
-		if len(a.faults) > 0 {
-			t.Logf("seed %d, configuration %+v, wait %d: %v", seed, config, wait, a.faults[0])
+		if len(h.violations) > 0 {
+			t.Logf("seed %d, configuration %+v, wait %d: %v", seed, config, wait, h.violations[0])
 		}
-		return len(a.faults) == 0 && calls > 5
+		return len(h.violations) == 0 && polls > 5
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(7))}); err != nil {
 		t.Error(err)
@@ -104,75 +106,77 @@
 func TestFailedPollIsRepeated(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for n := range 4 {
-		was := f.polls
-		if f.advance(MaxPollWait); f.polls == was {
+		previousPolls := f.polls
+		if f.advance(MaxPollWait); f.polls == previousPolls {
 			t.Fatalf("no poll within %v after %d that failed", MaxPollWait, n)
 		}
 		f.b.UpdateEndpoints(f.now, Failed, nil)
 	}
 	f.b.UpdateEndpoints(f.now, Incremental, nil)
-	was := f.polls
-	if f.advance(10 * MaxPollWait); f.polls != was {
-		t.Errorf("%d more polls after one succeeded, want none", f.polls-was)
+	previousPolls := f.polls
+	if f.advance(10 * MaxPollWait); f.polls != previousPolls {
+		t.Errorf("%d more polls after one succeeded, want none", f.polls-previousPolls)
 	}
 }
 
 // Where polls have a quota, a node without any left waits for one poll interval, and every poll takes from it, those
 // beside an unanswered one too.
-func TestPollsWaitForTheQuota(t *testing.T) {
-	a := newPollingHost(3, DefaultConfig())
-	a.b.SetQuota(a.now, DiscoveryRate, 0, allowance.Quota{Rate: 0.0001, Burst: 1, Until: int64(a.now + 90000*Millisecond)})
-	a.runUntil(a.now+20000*Millisecond, func() {})
-	if len(a.polledAt) > 0 {
-		t.Fatalf("%d polls without a quota", len(a.polledAt))
+func TestPollsWaitForQuota(t *testing.T) {
+	h := newPollingHost(3, DefaultConfig())
+	h.b.SetQuota(h.now, DiscoveryRate, 0, allowance.Quota{Rate: 0.0001, Burst: 1, Until: int64(h.now + 90000*Millisecond)})
+	h.runUntil(h.now+20000*Millisecond, func() {})
+	if len(h.polledAt) > 0 {
+		t.Fatalf("%d polls without a quota", len(h.polledAt))
 	}
-	given := a.now
-	a.b.SetQuota(a.now, DiscoveryRate, 0, allowance.Quota{Rate: 1000, Burst: 1000, Until: int64(a.now + 90000*Millisecond)})
-	a.runUntil(given+10*MaxPollWait, func() {})
-	if len(a.polledAt) < 10 || a.polledAt[0]-given > MaxPollWait+alarmStep {
-		t.Errorf("%d polls, the first %d after a quota came", len(a.polledAt), a.polledAt[0]-given)
+	grantedAt := h.now
+	h.b.SetQuota(h.now, DiscoveryRate, 0, allowance.Quota{Rate: 1000, Burst: 1000, Until: int64(h.now + 90000*Millisecond)})
+	h.runUntil(grantedAt+10*MaxPollWait, func() {})
+	if len(h.polledAt) < 10 || h.polledAt[0]-grantedAt > MaxPollWait+alarmStep {
+		t.Errorf("%d polls, the first %d after a quota came", len(h.polledAt), h.polledAt[0]-grantedAt)
 	}
 }
 
 // A discovery service that returns is not met by all nodes in the same half second: 300 nodes lose their
 // subscriptions at once and poll for 3 to 13 s, while no call is answered.
-func TestAReturningServiceIsNotMetByAllAtOnce(t *testing.T) {
+func TestPollsSpreadWhenServiceReturns(t *testing.T) {
 	for _, c := range []struct {
-		config        Config
-		rate, atFirst float64 // polls per second of the whole fleet, and nodes that poll in the first half second
+		config            Config
+		maxRate, maxBurst float64 // polls per second of the whole fleet, and nodes that poll in the first half second
 	}{
-		{configOf(func(c *Config) { c.MaxPollInterval = 10000 * Millisecond }), 240, 150},
-		{configOf(func(c *Config) { c.MaxPollInterval, c.PushedGrace = 10000*Millisecond, 3000*Millisecond }), 440, 240}, // each client has a node of its own
+		{modifiedConfig(func(c *Config) { c.MaxPollInterval = 10000 * Millisecond }), 240, 150},
+		{modifiedConfig(func(c *Config) { c.MaxPollInterval, c.PushedGrace = 10000*Millisecond, 3000*Millisecond }), 440, 240}, // each client has a node of its own
 	} {
 		t.Run(fmt.Sprint(c.config.PushedGrace), func(t *testing.T) {
 			const nodes = 300
-			calls, first, span := 0, map[Time]int{}, Time(0)
+			polls, nodesByReturn, duration := 0, map[Time]int{}, Time(0)
 			for n := range nodes {
-				a := newPollingHost(uint64(n), c.config)
-				start := a.now
-				a.runUntil(start+1000*Millisecond, func() {})
-				a.b.UpdateEndpoints(a.now, Full, nil)
-				a.runUntil(start+2000*Millisecond, func() {})
-				a.b.UpdateEndpoints(a.now, Failed, nil)
-				lost := a.now
-				a.polledAt = nil
-				a.runUntil(lost+14000*Millisecond, func() {})
-				calls += len(a.polledAt)
-				span += a.now - lost
-				for back := 3000 * Millisecond; back < 13000*Millisecond; back += 500 * Millisecond {
-					if slices.ContainsFunc(a.polledAt, func(at Time) bool { return at >= lost+back && at < lost+back+500*Millisecond }) {
-						first[back]++
+				h := newPollingHost(uint64(n), c.config)
+				start := h.now
+				h.runUntil(start+1000*Millisecond, func() {})
+				h.b.UpdateEndpoints(h.now, Full, nil)
+				h.runUntil(start+2000*Millisecond, func() {})
+				h.b.UpdateEndpoints(h.now, Failed, nil)
+				lostAt := h.now
+				h.polledAt = nil
+				h.runUntil(lostAt+14000*Millisecond, func() {})
+				polls += len(h.polledAt)
+				duration += h.now - lostAt
+				for returnDelay := 3000 * Millisecond; returnDelay < 13000*Millisecond; returnDelay += 500 * Millisecond {
+					if slices.ContainsFunc(h.polledAt, func(polledAt Time) bool {
+						return polledAt >= lostAt+returnDelay && polledAt < lostAt+returnDelay+500*Millisecond
+					}) {
+						nodesByReturn[returnDelay]++
 					}
 				}
 			}
-			rate, most := nodes*float64(calls)/seconds(span), 0
-			for _, n := range first {
-				most = max(most, n)
+			rate, burst := nodes*float64(polls)/seconds(duration), 0
+			for _, n := range nodesByReturn {
+				burst = max(burst, n)
 			}
-			t.Logf("%.0f polls a second, %d nodes in the first half second", rate, most)
-			if rate > c.rate || float64(most) > c.atFirst {
+			t.Logf("%.0f polls a second, %d nodes in the first half second", rate, burst)
+			if rate > c.maxRate || float64(burst) > c.maxBurst {
 				t.Errorf("%.0f polls a second, want %.0f at most; %d nodes in the first half second, want %.0f at most",
-					rate, c.rate, most, c.atFirst)
+					rate, c.maxRate, burst, c.maxBurst)
 			}
 		})
 	}
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -31,15 +31,15 @@
 		}
 		f.attemptDone(id, 1, Withheld)
 		if s.inFlight != 0 || s.retryBudget != retryBudget+1 || s.slowStartTokens != tokens+1 || s.concurrencyLimit != limit || s.meanLatency != latency && !restarted ||
-			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.faults) > 0 {
+			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.violations) > 0 {
 			t.Errorf("restarted %v: in flight %d, retry budget %g of %g, tokens %g of %g, limit %g of %g, latency %d of %d, failures %d, %v", restarted,
-				s.inFlight, s.retryBudget, retryBudget+1, s.slowStartTokens, tokens+1, s.concurrencyLimit, limit, s.meanLatency, latency, s.consecutiveFailures, f.faults)
+				s.inFlight, s.retryBudget, retryBudget+1, s.slowStartTokens, tokens+1, s.concurrencyLimit, limit, s.meanLatency, latency, s.consecutiveFailures, f.violations)
 		}
 	}
 }
 
 // A body that is still being sent is no load for its server: the attempt counts, and is timed, from its last byte.
-func TestStreamedBodyCountsFromItsLastByte(t *testing.T) {
+func TestStreamedAttemptCountsFromLastByte(t *testing.T) {
 	f := newFakeHost(1, 3)
 	origin := f.b.servers[3]
 	f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true})
@@ -64,29 +64,29 @@
 
 // A body's last byte may follow long after its first, from which the server may know the idempotency key: a retry is
 // bounded from the start of the first attempt. So is a refund: a server that has restarted since gets none.
-func TestStreamedAttemptStartsWhenOrdered(t *testing.T) {
+func TestStreamedAttemptRetryAndRefundCountFromSend(t *testing.T) {
 	for _, c := range []struct {
-		body     Time // from the first byte to the last
+		bodyTime Time // from the first byte to the last
 		attempts int
 	}{{dedupWindow / 4, 2}, {dedupWindow/2 + 10, 1}, {dedupWindow + 10, 1}} {
 		f := newFakeHost(1, 3)
 		f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true, deadline: f.now + 90000})
 		f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
-		f.now += c.body
+		f.now += c.bodyTime
 		f.bodySent(0, 0)
 		f.now += 10
 		client := f.requests[0]
 		f.attemptDone(0, 0, ServerError)
-		if len(f.faults) > 0 || len(client.attempts) != c.attempts || client.ended != (c.attempts == 1) {
-			t.Errorf("a body of %d, and an error: %d attempts, want %d; ended %v, faults %v", c.body, len(client.attempts), c.attempts, client.ended, f.faults)
+		if len(f.violations) > 0 || len(client.attempts) != c.attempts || client.ended != (c.attempts == 1) {
+			t.Errorf("a body of %d, and an error: %d attempts, want %d; ended %v, faults %v", c.bodyTime, len(client.attempts), c.attempts, client.ended, f.violations)
 		}
 	}
 	f := newFakeHost(1, 1)
-	begin := func() {
+	restart := func() {
 		f.endpoints[0].StartedAt = f.now
 		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints[:1])
 	}
-	begin()
+	restart()
 	f.now += 1500 * Millisecond
 	f.requests = append(f.requests, &fakeRequest{idempotence: Safe, streaming: true, deadline: f.now + 90000})
 	f.b.Request(f.now, 0, Request{Tenant: -1, Key: "k", Streaming: true, Deadline: f.now + 90000})
@@ -94,7 +94,7 @@
 		t.Fatalf("attempts %v, want one at the cache in slow start", f.requests[0].attempts)
 	}
 	f.now += 10
-	begin()
+	restart()
 	f.now += 10
 	if f.attemptDone(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
 		t.Errorf("a server that has restarted since was refunded %g tokens", f.b.servers[0].slowStartTokens)
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -8,12 +8,12 @@
 
 // Whatever its servers answer, and however few they are, a node does not reject all requests for 4 s: some attempt is
 // made in between. The operators' bound holds where 15 and more were rejected.
-func TestANodeGoesOnTryingWhateverItsServersAnswer(t *testing.T) {
+func TestNodeKeepsSendingWhenAllAttemptsFail(t *testing.T) {
 	const (
-		rejectedMost = 4000 * Millisecond
-		countsFrom   = 15
-		every        = 20 * Millisecond
-		lasts        = 40000 * Millisecond
+		maxRejecting = 4000 * Millisecond
+		minRejected  = 15
+		interval     = 20 * Millisecond
+		duration     = 40000 * Millisecond
 	)
 	for _, caches := range []int{1, 2, 5, 20} {
 		for _, result := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionBroken, Canceled, NotSent, NotFound, ConnectionLimit, ConnectTimeout} {
@@ -25,23 +25,23 @@
 					}
 					f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
 				}
-				since, rejected, longest := f.now, 0, Time(0)
-				for end := f.now + lasts; f.now < end; f.advance(every) {
+				lastAttemptAt, rejected, longest := f.now, 0, Time(0)
+				for end := f.now + duration; f.now < end; f.advance(interval) {
 					id, c := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
 					if len(c.attempts) > 0 {
-						since, rejected = f.now, 0
-					} else if rejected++; rejected >= countsFrom {
-						longest = max(longest, f.now-since)
+						lastAttemptAt, rejected = f.now, 0
+					} else if rejected++; rejected >= minRejected {
+						longest = max(longest, f.now-lastAttemptAt)
 					}
 					for result != TimedOut && f.requests[id] == c && c.inFlight > 0 {
 						f.attemptDone(id, len(c.attempts)-1, result)
 					}
 				}
-				if longest >= rejectedMost {
+				if longest >= maxRejecting {
 					t.Errorf("%d caches, result %d, slow start %v: all are rejected for %d ms", caches, result, slowStart, longest/Millisecond)
 				}
-				if len(f.faults) > 0 {
-					t.Errorf("%d caches, result %d: %v", caches, result, f.faults[0])
+				if len(f.violations) > 0 {
+					t.Errorf("%d caches, result %d: %v", caches, result, f.violations[0])
 				}
 			}
 		}
--- a/routing/shedding_test.go
+++ b/routing/shedding_test.go
@@ -7,7 +7,7 @@
 
 // With hundreds of nodes, a tenant's even share at each is less than one request per second. It is saved up
 // to whole requests.
-func TestSmallTenantShareIsSavedUp(t *testing.T) {
+func TestSmallTenantShareAccumulates(t *testing.T) {
 	f := newFakeHost(1, 4)
 	f.b.config.Nodes = 300
 	f.b = New(f, 1, f.now, f.b.config)
@@ -24,18 +24,18 @@
 }
 
 // A tenant beyond its share is shed where requests inside their shares fail, and only there.
-func TestTenantBeyondItsShareIsShedFirst(t *testing.T) {
+func TestTenantExceedingShareShedFirst(t *testing.T) {
 	for level, want := range []int{25 + minTenantBurst, 40} { // 50 a second over two nodes
-		f, taken := newFakeHost(1, 4), 0
+		f, admitted := newFakeHost(1, 4), 0
 		for i := range 40 {
 			f.b.admissionLevel = float64(level)
 			if id, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) > 0 {
-				taken++
+				admitted++
 				f.attemptDone(id, 0, Served)
 			}
 		}
-		if taken != want {
-			t.Errorf("admission level %d: %d admitted, want %d", level, taken, want)
+		if admitted != want {
+			t.Errorf("admission level %d: %d admitted, want %d", level, admitted, want)
 		}
 	}
 }
@@ -43,44 +43,44 @@
 // A node that carries more than its even share, since others were lost, knows it from what the other tenants
 // send. Requests beyond the carried share are shed as soon as others are rejected, those beyond the even share
 // alone only at the lowest admission levels.
-func TestNodeThatCarriesMoreShedsLater(t *testing.T) {
+func TestNodeCarryingMoreTrafficShedsLater(t *testing.T) {
 	for _, c := range []struct {
-		others, level float64
-		want          int
+		otherRequests, level float64
+		want                 int
 	}{{0, 1, 60}, {0, 0.7, 30}, {100, 0.7, 60}, {100, 0, 30}} { // in 1.2 s, where the even part is 25 a second
-		f, taken := newFakeHost(1, 4), 0
+		f, admitted := newFakeHost(1, 4), 0
 		f.b.tenants[1].evenRate, f.b.tenants[0].evenTokens, f.b.tenants[0].carriedTokens = 25, 0, 0
 		for i := range 60 {
 			f.now += 20 * Millisecond
-			f.b.admissionLevel, f.b.tenants[1].requests = c.level, c.others
+			f.b.admissionLevel, f.b.tenants[1].requests = c.level, c.otherRequests
 			if id, client := f.request(0, fmt.Sprint(i), false, f.now+5000); len(client.attempts) > 0 {
-				taken++
+				admitted++
 				f.attemptDone(id, 0, Served)
 			}
 		}
-		if taken < c.want-1 || taken > c.want+1 {
-			t.Errorf("others send %g, admission level %g: %d admitted, want %d", c.others, c.level, taken, c.want)
+		if admitted < c.want-1 || admitted > c.want+1 {
+			t.Errorf("others send %g, admission level %g: %d admitted, want %d", c.otherRequests, c.level, admitted, c.want)
 		}
 	}
 }
 
 // Requests that run out of time may have met a few silent servers, so they lower the admission level less than
 // rejected ones do.
-func TestTimeoutsLowerTheAdmissionLevelLess(t *testing.T) {
+func TestTimeoutsLowerAdmissionLevelLessThanRejections(t *testing.T) {
 	for _, c := range []struct {
-		result Result
-		after  Time
-		least  float64
+		result   Result
+		latency  Time
+		minLevel float64
 	}{{TimedOut, 200 * Millisecond, 0.8}, {Rejected, Millisecond, 0.4}} {
 		f := newFakeHost(1, 1)
 		for range 5 {
 			f.b.servers[0].ejectionTime, f.b.servers[0].concurrencyLimit, f.b.servers[1].inFlight = 0, maxConcurrencyLimit, 99
 			id, _ := f.request(0, "", false, f.now+5000)
-			f.now += c.after
+			f.now += c.latency
 			f.attemptDone(id, 0, c.result)
 		}
-		if f.b.admissionLevel < c.least || f.b.admissionLevel > c.least+0.2 {
-			t.Errorf("result %d: an admission level of %.2f, want %.1f or a little more", c.result, f.b.admissionLevel, c.least)
+		if f.b.admissionLevel < c.minLevel || f.b.admissionLevel > c.minLevel+0.2 {
+			t.Errorf("result %d: an admission level of %.2f, want %.1f or a little more", c.result, f.b.admissionLevel, c.minLevel)
 		}
 	}
 }
