--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -7,8 +7,9 @@
 	"testing/quick"
 )
 
-// Random runs with every result, restarts, drains, failed polls, growing fleets, clients that leave, stale alarms
-// and events in any order, as one of two nodes and of a thousand. The fake host checks the rules.
+// Guards against decisions that break a rule in an unforeseen order of events. Random runs play every result,
+// restarts, drains, failed polls, added caches, clients that disconnect and stale alarms in any order, at one of two
+// nodes and at one of a thousand. The fake host checks the rules at every call.
 func TestRandomEventsBreakNoRules(t *testing.T) {
 	run := func(seed int64) bool {
 		f := newFakeHost(seed, 1+int(uint64(seed)%7))
@@ -23,12 +24,12 @@
 		}
 		for i, c := range f.requests {
 			if !c.ended && len(f.violations) == 0 {
-				f.violationf("request %d was lost", i)
+				f.violationf("request %d has no final answer", i)
 			}
 		}
 		for i, s := range f.b.servers {
 			if s != nil && s.inFlight != 0 && len(f.violations) == 0 {
-				f.violationf("server %d counts %d in flight though nothing is", i, s.inFlight)
+				f.violationf("server %d: %d attempts in flight after all have ended, want 0", i, s.inFlight)
 			}
 		}
 		t.Log(seed, f.violations)
@@ -39,16 +40,17 @@
 	}
 }
 
-// Three hundred nodes, some of which carry far more than the rest: their sum spares a cache in slow start and an
-// origin that does not answer, whatever each node may always send.
+// Guards against an overload by the total of 300 nodes, each of which may always send a minimum. One node in 50
+// carries far more traffic than the others. One cache restarts, and later the origin stops answering. The total must
+// stay within the limit of a cache in slow start, and within maxUnmeasuredFetches per node at the stopped origin.
 func TestClusterLoadBoundedAtSlowStartAndStoppedOrigin(t *testing.T) {
-	const nodes, restartStep, stopStep, steps, window = 300, 30, 90, 120, 15 // in tenths of a second
+	const nodes, restartStep, stopStep, steps, window = 300, 30, 90, 120, 15 // a step is a tenth of a second
 	var hosts [nodes]*fakeHost
 	for i := range hosts {
 		hosts[i] = newFakeHost(int64(i), 4)
 		hosts[i].b.nodeCount, hosts[i].b.initialLimit = nodes, 1
 	}
-	rnd, sent, fetchesInFlight := rand.New(rand.NewSource(1)), [5][steps + 1]float64{}, 0 // attempts at each by then
+	rnd, sent, fetchesInFlight := rand.New(rand.NewSource(1)), [5][steps + 1]float64{}, 0 // attempts at each server up to a step
 	for step := range steps {
 		for server := range sent {
 			sent[server][step+1] = sent[server][step]
@@ -71,13 +73,14 @@
 			}
 		}
 	}
-	maxAttempts := 4 * 0.2 * sent[1][restartStep] / restartStep * window // factor x slow-start share x what a warm one is seen to bear
+	maxAttempts := 4 * 0.2 * sent[1][restartStep] / restartStep * window // overload factor x slow-start share x the measured rate of a warm cache x window
 	for start := restartStep; start+window <= steps; start++ {
 		if got := sent[0][start+window] - sent[0][start]; got > maxAttempts {
-			t.Errorf("step %d: %g attempts in a window at the cache in slow start, at most %g", start, got, maxAttempts)
+			t.Errorf("window at step %d: %g attempts at the cache in slow start, want at most %g", start, got, maxAttempts)
 		}
 	}
 	if sent[0][steps] == sent[0][steps-window] || fetchesInFlight > maxUnmeasuredFetches*nodes {
-		t.Errorf("slow start must end, and %d fetches are in flight at a stopped origin", fetchesInFlight)
+		t.Errorf("%g attempts at the restarted cache in the last window, want more than 0; %d fetches in flight at the stopped origin, want at most %g",
+			sent[0][steps]-sent[0][steps-window], fetchesInFlight, maxUnmeasuredFetches*nodes)
 	}
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -12,26 +12,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sizes at which the module is measured: a zone's caches and up to a whole deployment's, and nodes that share them.
+// Sizes of the benchmarks: from the caches of one zone to those of a whole deployment, and the nodes that share them.
 var (
 	benchCaches = []int{70, 250, 1000, 5700}
 	benchNodes  = []int{300, 19000}
 )
 
 const (
-	benchRate     = 1160          // requests per second of a node, at the peak of a large deployment
-	benchInFlight = 12            // requests in flight: each takes some ten milliseconds
-	benchKeys     = 1_200_000_000 // objects, with popularity by Zipf's law
+	benchRate     = 1160          // requests per second of a node at the peak load of a large deployment
+	benchInFlight = 12            // requests in flight, each of which takes some ten milliseconds
+	benchKeys     = 1_200_000_000 // objects, whose popularity follows Zipf's law
 	benchSkew     = 1.1
 )
 
-// benchHost is a Host that keeps the requests in flight; each attempt is answered, the oldest first.
+// benchHost is a Host that answers the attempts in the order in which they were sent.
 type benchHost struct {
 	b        *Balancer
 	now      Time
-	fraction float64 // of a tick, until the next request
+	fraction float64 // fraction of a tick by which now is rounded down
 	zipf     *rand.Zipf
-	inFlight []int // requests, one attempt each
+	inFlight []int // requests in flight, with one attempt each
 	freeIDs  []int
 	nextID   int
 }
@@ -43,9 +43,11 @@
 func (h *benchHost) CloseIdle(int, int)     {}
 func (h *benchHost) SetAlarm(Time, int)     {}
 
+// key returns a random key.
 func (h *benchHost) key() string { return fmt.Sprint("object/", h.zipf.Uint64()) }
 
-// request sends a request after the mean time between two, and the oldest answer.
+// request starts a request after the mean time between two requests, and answers the oldest attempt if more than
+// benchInFlight are in flight.
 func (h *benchHost) request(key string) {
 	gap := float64(1000*Millisecond)/benchRate + h.fraction
 	h.now, h.fraction = h.now+Time(gap), gap-math.Floor(gap)
@@ -61,7 +63,7 @@
 	}
 }
 
-// answer ends the oldest attempt.
+// answer ends the oldest attempt in flight.
 func (h *benchHost) answer() {
 	id := h.inFlight[0]
 	h.inFlight = slices.Delete(h.inFlight, 0, 1)
@@ -69,7 +71,7 @@
 	h.freeIDs = append(h.freeIDs, id)
 }
 
-// newBenchHost returns the host of one node before warm caches, whose IDs lie in no order, and an origin.
+// newBenchHost returns the host of one node with warm caches, whose IDs are in random order, and an origin.
 func newBenchHost(caches, nodes int) *benchHost {
 	rnd := rand.New(rand.NewSource(1))
 	h := &benchHost{now: 100_000_000, zipf: rand.NewZipf(rnd, benchSkew, 1, benchKeys-1)}
@@ -85,6 +87,7 @@
 	return h
 }
 
+// warm sends a number of requests and returns h.
 func (h *benchHost) warm(requests int) *benchHost {
 	for range requests {
 		h.request(h.key())
@@ -92,6 +95,7 @@
 	return h
 }
 
+// runSizes runs a benchmark at each size.
 func runSizes(b *testing.B, f func(b *testing.B, caches, nodes int)) {
 	for _, nodes := range benchNodes {
 		for _, caches := range benchCaches {
@@ -100,7 +104,7 @@
 	}
 }
 
-// A request with its answer, and its part of what is done every second or two.
+// A request with its answer, including its share of the periodic work of every second or two.
 func BenchmarkRequest(b *testing.B) {
 	runSizes(b, func(b *testing.B, caches, nodes int) {
 		h := newBenchHost(caches, nodes).warm(60_000)
@@ -114,7 +118,7 @@
 	})
 }
 
-// A change of one endpoint: a cache begins to drain, or is back.
+// An incremental update of one endpoint, which starts to drain or becomes ready again.
 func BenchmarkListChange(b *testing.B) {
 	runSizes(b, func(b *testing.B, caches, nodes int) {
 		h := newBenchHost(caches, nodes).warm(60_000)
@@ -126,7 +130,7 @@
 	})
 }
 
-// A full endpoint list without changes.
+// A full update of the endpoint list that changes nothing.
 func BenchmarkFullList(b *testing.B) {
 	runSizes(b, func(b *testing.B, caches, nodes int) {
 		h := newBenchHost(caches, nodes).warm(60_000)
@@ -140,7 +144,7 @@
 	})
 }
 
-// Computation of the ranges, as every two seconds.
+// The computation of the ranges, which runs every two seconds.
 func BenchmarkRecomputeRanges(b *testing.B) {
 	runSizes(b, func(b *testing.B, caches, nodes int) {
 		h := newBenchHost(caches, nodes).warm(60_000)
@@ -150,7 +154,7 @@
 	})
 }
 
-// What is done each second: the demand is compared with the histogram, and the counts are halved.
+// The work of each second: comparing the demand with the histogram and halving the decaying counts.
 func BenchmarkPeriodicWork(b *testing.B) {
 	runSizes(b, func(b *testing.B, caches, nodes int) {
 		h := newBenchHost(caches, nodes).warm(60_000)
@@ -161,10 +165,10 @@
 	})
 }
 
-// The heap that a node's state takes after 60,000 requests, and how even its ranges are. 60,000 more requests are
-// counted at their range's cache: reported are the busiest cache, the 99th percentile and the median as multiples
-// of the mean, and the caches without any; and the widest range, the largest share of all keys, as a multiple of
-// the mean. The busiest cache has the most popular key, a tenth of all requests.
+// The heap size of a node's state after 60,000 requests, and the balance of its ranges. 60,000 more requests are
+// counted by the cache whose range contains their key. Reported are the requests of the busiest cache, of the 99th
+// percentile and of the median as multiples of the mean, the number of caches without a request, and the widest range
+// as a multiple of the mean width. The busiest cache has the most popular key, which gets a tenth of all requests.
 func BenchmarkState(b *testing.B) {
 	runSizes(b, func(b *testing.B, caches, nodes int) {
 		var stateBytes, busiest, p99, median, idleCaches, widest float64
@@ -196,6 +200,7 @@
 	})
 }
 
+// heapBytes returns the size of the live heap.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A server that accepts no more connections has capacity for those it has accepted, and is no outlier.
+// A server that has reached its limit of connections has capacity for the accepted ones. It must not be ejected.
 func TestConnectionLimitSetsConcurrencyLimit(t *testing.T) {
 	f := newFakeHost(1, 2)
 	s := f.b.servers[f.b.ready[0]]
@@ -17,12 +17,12 @@
 	}
 	f.attemptDone(ids[1], 0, ConnectionLimit)
 	if c := f.requests[ids[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(c.attempts) != 2 || c.attempts[1].server != 2 {
-		t.Errorf("limit %g, ejection time %d, attempts %v: want a limit of 1, no ejection and one at the origin", s.concurrencyLimit, s.ejectionTime, c.attempts)
+		t.Errorf("limit %g, ejection time %d, attempts %v: want a limit of 1, no ejection and a second attempt at the origin", s.concurrencyLimit, s.ejectionTime, c.attempts)
 	}
 }
 
-// Two attempts of a node may be in flight at a cache once quick answers have shown that it is not overloaded.
-// With one alone, nodes of a large fleet sent many requests to the origin.
+// A node may have two attempts in flight at a cache once quick answers have shown that it is not overloaded.
+// With a limit of one, the nodes of a large cluster sent many requests to the origin.
 func TestQuickCacheAllowsTwoAttemptsInFlight(t *testing.T) {
 	for limit, want := range map[float64]int{2: 0, 1: 2} {
 		f := newFakeHost(1, 2)
@@ -34,7 +34,7 @@
 	}
 }
 
-// A cache whose answers become slow gets less until they are quick again.
+// A cache whose answers become slow gets fewer attempts until they are quick again. Quick errors don't raise its limit.
 func TestSlowAnswersLowerConcurrencyLimit(t *testing.T) {
 	f := newFakeHost(1, 1)
 	s := f.b.servers[0]
@@ -53,18 +53,18 @@
 			f.now += 20 * Millisecond
 		}
 		if s.concurrencyLimit < c.low || s.concurrencyLimit > c.high {
-			t.Errorf("limit %g after result %d in %d, want %g to %g", s.concurrencyLimit, c.result, c.latency, c.low, c.high)
+			t.Errorf("limit %g after results %d with a latency of %d, want %g to %g", s.concurrencyLimit, c.result, c.latency, c.low, c.high)
 		}
 		s.ejectionTime, s.retryBudget = 0, maxRetryBudget
 	}
 }
 
-// Where four attempts are in flight in the mean, six often are; a limit of four would reject a third.
+// If the mean number of attempts in flight is four, it is often six. A limit of four would reject a third of them.
 func TestInFlightLimitAllowsForRandomVariation(t *testing.T) {
 	f := newFakeHost(1, 1)
 	s := f.b.servers[0]
-	s.concurrencyLimit, s.answers, f.b.decayedAt = maxConcurrencyLimit, 80, f.b.now // 80 a second, for a quarter of 200 ms
+	s.concurrencyLimit, s.answers, f.b.decayedAt = maxConcurrencyLimit, 80, f.b.now // 80 answers a second x a quarter of 200 ms
 	if got := f.b.inFlightLimit(&requestState{}, s); math.Abs(got-6) > 0.01 {
-		t.Errorf("a limit of %.2f, want 4, and 2 for random variation", got)
+		t.Errorf("limit %.2f, want 6: 4 expected and 2 for random variation", got)
 	}
 }
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Whatever changes and full lists come, a server is used exactly while it is ready: caches in the order of their
-// IDs, origins in that of their indices. Attempts in flight are counted at ready caches alone.
+// After any sequence of incremental and full updates, ready contains exactly the ready caches, sorted by ID, and
+// origins the ready origins, sorted by index. Only attempts at ready caches are counted as in flight.
 func TestReadyServersMatchEndpointList(t *testing.T) {
 	rnd := rand.New(rand.NewSource(5))
 	for range 60 {
@@ -48,23 +48,24 @@
 			}
 			slices.SortFunc(ready, func(x, y int) int { return strings.Compare(b.servers[x].ID, b.servers[y].ID) })
 			if !slices.Equal(ready, b.ready) || !slices.Equal(origins, b.origins) || inFlight != b.inFlight {
-				t.Fatalf("step %d: ready are %v and %v with %d in flight, want %v, %v, %d", step, b.ready, b.origins, b.inFlight, ready, origins, inFlight)
+				t.Fatalf("step %d: ready caches %v, origins %v, %d attempts in flight, want %v, %v, %d", step, b.ready, b.origins, b.inFlight, ready, origins, inFlight)
 			}
 		}
 	}
 }
 
-// Another server under a reused index has none of its predecessor's past.
+// When an index is reused for another server, the state of the previous server, such as its ejection, must not apply
+// to it. An update of the same server keeps its state.
 func TestReusedServerIndexResetsState(t *testing.T) {
 	f := newFakeHost(1, 2)
 	s := f.b.servers[0]
 	s.consecutiveFailures, s.ejectionTime, s.ejectedUntil, s.retryBudget = 2, maxEjectionTime, f.now+maxEjectionTime, 0
 	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.00"}})
 	if f.b.servers[0].ejectionTime == 0 {
-		t.Error("the same server lost its past")
+		t.Error("an update of the same server reset its state")
 	}
 	f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{{Server: 0, ID: "10.0.0.99"}})
 	if s := f.b.servers[0]; s.ejectionTime != 0 || s.consecutiveFailures != 0 || s.retryBudget != maxRetryBudget {
-		t.Errorf("another server has %+v", s)
+		t.Errorf("another server under the same index has the state %+v, want the initial one", s)
 	}
 }
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// fakeHost is a Host that checks the rules at every call and remembers what is in flight.
+// fakeHost is a Host that checks the rules of routing at every call and tracks the requests and attempts in flight.
+// It also plays the clients and the servers.
 type fakeHost struct {
 	b             *Balancer
 	rnd           *rand.Rand
@@ -16,18 +17,18 @@
 	endpoints     []Endpoint
 	alarms        map[int][]Time
 	polls         int
-	closeAllCalls int // calls that close all idle connections of a server
-	lastKeep      int // what the latest other call left open
-	violations    []string
-	streamReads   bool // reads may be streamed as well
+	closeAllCalls int      // calls of CloseIdle that keep no connection
+	lastKeep      int      // keep of the latest call of CloseIdle
+	violations    []string // broken rules
+	streamReads   bool     // whether reads may be streamed, too
 }
 
-// fakeRequest is one request as its client and the servers see it.
+// fakeRequest is the state of a request at its client and the servers.
 type fakeRequest struct {
 	idempotence Idempotence
 	deadline    Time
 	ended       bool
-	retryAfter  Time // of the rejection, if it was rejected
+	retryAfter  Time // of the rejection, if the request was rejected
 	attempts    []fakeAttempt
 	inFlight    int
 	streaming   bool
@@ -38,13 +39,16 @@
 	sentAt, timeoutAt Time
 	done              bool
 	result            Result
-	bodySent          bool // its last byte was written
+	bodySent          bool // the last byte of the body was written
 }
 
+// mayHaveRun reports whether the attempt may have had an effect.
+
 func (a fakeAttempt) mayHaveRun() bool {
 	return !a.done || a.result != Rejected && a.result != ConnectFailed && a.result != NotSent && a.result < NotFound
 }
 
+// violationf records a broken rule.
 func (f *fakeHost) violationf(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
@@ -52,7 +56,7 @@
 func (f *fakeHost) Send(id, server int, timeout Time) {
 	request := f.requests[id]
 	if request.ended || f.now >= request.deadline {
-		f.violationf("attempt of an ended or overdue request")
+		f.violationf("attempt of a request that has ended or is past its deadline")
 	}
 	if f.endpoints[server].State != Ready {
 		f.violationf("attempt at a server that is not ready")
@@ -100,7 +104,7 @@
 	f.alarms[handle] = append(f.alarms[handle], alarmTime)
 }
 
-// releaseID frees the index of a request once it has ended and nothing of it is in flight.
+// releaseID frees the index of a request that has ended and has no attempt in flight.
 func (f *fakeHost) releaseID(id int) {
 	if request := f.requests[id]; request.ended && request.inFlight == 0 {
 		f.freeIDs = append(f.freeIDs, id)
@@ -112,14 +116,15 @@
 
 var idempotences = []Idempotence{Safe, IdempotentByKey, Unsafe}
 
-// modifiedConfig returns the default configuration, changed.
+// modifiedConfig returns the default configuration as modified by a function.
 func modifiedConfig(modify func(*Config)) Config {
 	config := DefaultConfig()
 	modify(&config)
 	return config
 }
 
-// newFakeHost returns the host of a node with three classes, two tenants, n warm caches and an origin.
+// newFakeHost returns the host of one of two nodes, with three classes, two tenants, n warm caches and an origin.
+// The index of the origin is n.
 func newFakeHost(seed int64, n int) *fakeHost {
 	f := &fakeHost{rnd: rand.New(rand.NewSource(seed)), now: 1000, alarms: map[int][]Time{}}
 	var classes []Class
@@ -139,7 +144,7 @@
 	return f
 }
 
-// request sends a request and returns its index and state.
+// request starts a request and returns its index and state.
 func (f *fakeHost) request(class int, key string, write bool, deadline Time) (int, *fakeRequest) {
 	id := len(f.requests)
 	if n := len(f.freeIDs); n > 0 {
@@ -155,7 +160,7 @@
 	return id, request
 }
 
-// bodySent sends the last byte of a streamed attempt.
+// bodySent reports the last byte of a streamed attempt, if it was not reported yet.
 func (f *fakeHost) bodySent(id, attempt int) {
 	if request := f.requests[id]; request.streaming && !request.attempts[attempt].bodySent {
 		request.attempts[attempt].bodySent = true
@@ -163,12 +168,13 @@
 	}
 }
 
+// attemptDone ends an attempt with a result.
 func (f *fakeHost) attemptDone(id, attempt int, result Result) {
 	request := f.requests[id]
 	f.bodySent(id, attempt)
 	request.attempts[attempt].done, request.attempts[attempt].result = true, result
 	request.inFlight--
-	if result == Withheld && !request.ended { // only of a request that has ended
+	if result == Withheld && !request.ended { // this result is possible only after the request has ended
 		request.ended = true
 		f.b.ClientGone(f.now, id)
 	}
@@ -177,7 +183,7 @@
 	f.releaseID(id)
 }
 
-// advance moves the clock on and plays timeouts and alarms.
+// advance advances the clock and fires the timeouts and alarms that are due.
 func (f *fakeHost) advance(elapsed Time) {
 	f.now += elapsed
 	for id, request := range f.requests {
@@ -198,15 +204,16 @@
 	}
 	for _, request := range f.requests {
 		if !request.ended && f.now > request.deadline+8*Millisecond {
-			f.violationf("a request has no final answer in time")
+			f.violationf("a request has no final answer after its deadline")
 		}
 	}
 }
 
+// step plays one random event.
 func (f *fakeHost) step() {
 	switch r := f.rnd.Intn(100); {
 	case r < 45:
-		deadline := f.now + Time(f.rnd.Intn(8000)-100) // listed are already past
+		deadline := f.now + Time(f.rnd.Intn(8000)-100) // some deadlines have already passed
 		key := []string{"", fmt.Sprint("k", f.rnd.Intn(1+f.rnd.Intn(40)))}[min(1, f.rnd.Intn(20))]
 		class := f.rnd.Intn(3)
 		f.request(class, key, class > 0 && f.rnd.Intn(2) == 0, deadline)
@@ -226,7 +233,7 @@
 			}
 		}
 	case r < 84:
-		f.b.Alarm(f.now, f.rnd.Intn(50)) // stale
+		f.b.Alarm(f.now, f.rnd.Intn(50)) // a stale alarm
 	case r < 88:
 		endpoint := &f.endpoints[f.rnd.Intn(len(f.endpoints))]
 		endpoint.State = State(f.rnd.Intn(3))
@@ -236,7 +243,7 @@
 		f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*endpoint})
 	case r < 89:
 		f.b.UpdateEndpoints(f.now, Failed, nil)
-		for n := len(f.endpoints); n < 60 && f.rnd.Intn(4) == 0 && len(f.endpoints) < 2*n; { // the fleet doubles, in slow start
+		for n := len(f.endpoints); n < 60 && f.rnd.Intn(4) == 0 && len(f.endpoints) < 2*n; { // up to as many caches are added, in slow start
 			f.endpoints = append(f.endpoints, Endpoint{Server: len(f.endpoints), ID: fmt.Sprint("11.", f.rnd.Int()), StartedAt: f.now})
 		}
 		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// Fetches of a key are coalesced: a second request waits for the first one's fetch and then asks the cache again.
+// A second request for a key waits for the fetch of the first one and is then sent to the cache. A request whose
+// deadline passes while it waits is rejected.
 func TestFetchesOfSameKeyCoalesced(t *testing.T) {
 	f := newFakeHost(1, 1)
 	first, c1 := f.request(0, "a", false, f.now+5000)
@@ -13,15 +14,15 @@
 	_, c3 := f.request(1, "a", false, f.now+100*Millisecond)
 	f.advance(101 * Millisecond)
 	if c1.attempts[1].server != 1 || len(c2.attempts)+len(c3.attempts) != 0 || !c3.ended {
-		t.Fatal("want one attempt at the origin, and the one that waits rejected at its deadline")
+		t.Fatal("want one attempt at the origin, and the waiting request rejected at its deadline")
 	}
 	if f.attemptDone(first, 1, Served); len(c2.attempts) != 1 || c2.attempts[0].server != 0 {
-		t.Fatal("the one that waited must go to the cache")
+		t.Fatal("the waiting request was not sent to the cache after the fetch")
 	}
 }
 
-// Requests do not wait for one that went to the origin because its cache was full, since the cache may have the
-// value. Those that waited met the cache together afterwards.
+// Requests do not wait for a request that went to the origin because its cache was full, since the cache may have the
+// value. When they waited, all of them were sent to the cache at once afterwards.
 func TestRequestDoesNotWaitForOriginAttemptWithoutMiss(t *testing.T) {
 	f := newFakeHost(1, 1)
 	id, c1 := f.request(0, "a", false, f.now+5000)
@@ -32,7 +33,8 @@
 	}
 }
 
-// A write without a result leaves those alone that wait for a fetch of its key.
+// A write that ends with NotFound must not remove the requests that wait for a fetch of the same key: they would never
+// be released.
 func TestFailedWriteKeepsFetchWaiters(t *testing.T) {
 	f := newFakeHost(1, 1)
 	fetch, _ := f.request(0, "a", false, f.now+5000)
--- a/routing/idle_test.go
+++ b/routing/idle_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A node that fails to connect closes the connections that have been idle for its idle timeout, which is the
-// shorter the more often connecting fails.
+// A node that fails to connect closes the connections that have been idle for its idle timeout. Each failure shortens
+// the timeout, and each answer extends it.
 func TestConnectFailureClosesIdleConnections(t *testing.T) {
 	f := newFakeHost(1, 4)
 	finishRequest := func(server int, result Result) {
@@ -26,12 +26,12 @@
 	finishRequest(0, Served)
 	finishRequest(1, Served)
 	f.advance(2 * maxIdleTimeout)
-	expectClosed("none is scarce", 0)
+	expectClosed("no failure to connect", 0)
 	finishRequest(0, Served)
 	finishRequest(2, ConnectFailed)
-	expectClosed("one has been idle for long, one not", 1)
+	expectClosed("one connection idle for long, one not", 1)
 	finishRequest(2, ConnectFailed)
-	expectClosed("none has been idle since", 0)
+	expectClosed("no connection idle since", 0)
 	finishRequest(1, Served)
 	for f.b.idleTimeout >= 2*minIdleTimeout {
 		finishRequest(2, ConnectFailed)
@@ -39,19 +39,20 @@
 	f.advance(f.b.idleTimeout)
 	f.closeAllCalls = 0
 	finishRequest(2, ConnectFailed)
-	expectClosed("all idle ones", 3) // the origin's as well
+	expectClosed("all idle connections", 3) // including that to the origin
 	f.b.idleTimeout = minIdleTimeout - 2*idleTimeoutIncrease
 	finishRequest(0, Served)
-	expectClosed("at once", 1)
+	expectClosed("timeout below the minimum", 1)
 	for range int(minIdleTimeout / idleTimeoutIncrease) {
 		finishRequest(1, Served)
 	}
 	f.closeAllCalls = 0
 	finishRequest(0, Served)
-	expectClosed("connecting succeeds again", 0)
+	expectClosed("timeout above the minimum again", 0)
 }
 
-// A server that does not respond is not short of connections, so none are closed elsewhere.
+// A connect timeout means that the server does not respond, not that connections are scarce. So no idle connections to
+// other servers are closed, unlike after a refused connection.
 func TestConnectTimeoutClosesNoIdleConnections(t *testing.T) {
 	for result, want := range map[Result]int{ConnectTimeout: 0, ConnectFailed: 1, ConnectionLimit: 1} {
 		f := newFakeHost(1, 3)
@@ -64,13 +65,13 @@
 			t.Errorf("result %d: %d closed, want %d; idle timeout %d", result, f.closeAllCalls, want, f.b.idleTimeout)
 		}
 		if ejected := f.b.servers[1].ejectionTime > 0; ejected != (result != ConnectionLimit) {
-			t.Errorf("result %d: the server is ejected: %v", result, ejected)
+			t.Errorf("result %d: server ejected: %v, want %v", result, ejected, !ejected)
 		}
 	}
 }
 
-// A node that fetches all the time never has a connection to the origin that is idle for long. It keeps as many
-// open as it needs.
+// A node that fetches constantly never has a connection to the origin that reaches the idle timeout. So it must close
+// connections beyond the number that its fetches need.
 func TestOriginIdleConnectionsMatchFetchRate(t *testing.T) {
 	for _, c := range []struct{ interval, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 ms each
 		f := newFakeHost(1, 2)
@@ -82,7 +83,7 @@
 			f.now += Time(c.interval-60) * Millisecond
 		}
 		if f.lastKeep != c.want {
-			t.Errorf("a fetch each %d ms: %d connections stay open, want %d", c.interval, f.lastKeep, c.want)
+			t.Errorf("one fetch per %d ms: %d connections stay open, want %d", c.interval, f.lastKeep, c.want)
 		}
 	}
 }
--- a/routing/inflight_test.go
+++ b/routing/inflight_test.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// plainMean is the mean in flight, added up cache by cache in floating point, and the sum.
+// plainMean returns the mean number of attempts in flight, added up cache by cache in floating point, and the sum.
 func plainMean(b *Balancer) (mean float64, sum int) {
 	for _, i := range b.ready {
 		mean += float64(b.servers[i].inFlight) / float64(len(b.ready))
@@ -18,8 +18,8 @@
 	return mean, sum
 }
 
-// compareMeans checks that both comparisons of a cache with the mean come out as with the plain sum, and reports
-// whether either is a tie.
+// compareMeans checks that both comparisons of a cache with meanInFlight have the same result as with plainMean. It
+// describes a difference in diff, and reports whether either comparison is a tie.
 func compareMeans(b *Balancer, s *serverState, plainMean float64, sum int) (tie bool, diff string) {
 	n, inFlight, mean := len(b.ready), s.inFlight, b.meanInFlight()
 	if got, want := float64(inFlight) <= congestionFactor*mean, float64(inFlight) <= congestionFactor*plainMean; got != want {
@@ -31,16 +31,17 @@
 	return 2*inFlight*n == 3*sum || (inFlight-1)*n == 2*sum, diff
 }
 
-// After every step of random runs the count of attempts in flight is the sum over all ready caches, and caches are
-// selected as by the plain sum: through restarts and reused indices with attempts in flight, caches that drain, go
-// and come back, streamed bodies, and the origin, whose attempts do not count.
+// Guards against an incremental count of attempts in flight that differs from the sum over the ready caches. Random
+// runs include restarts and reused indices with attempts in flight, caches that drain, disappear and return, streamed
+// bodies, and an origin, whose attempts do not count. After every step the count must equal the sum, and comparisons
+// with the mean must have the same result as with plainMean.
 func TestInFlightCountMatchesSum(t *testing.T) {
 	ties, resets, uncounted, maxInFlight := 0, 0, 0, 0
 	run := func(seed int64) bool {
 		f := newFakeHost(seed, 1+int(uint64(seed)%12))
 		f.streamReads = true
 		for n := 0; n < 600; n++ {
-			if f.rnd.Intn(60) == 0 { // another server under an index, in any state
+			if f.rnd.Intn(60) == 0 { // the index is reused for another server, in any state
 				endpoint := &f.endpoints[f.rnd.Intn(len(f.endpoints)-1)]
 				endpoint.ID, endpoint.State = fmt.Sprint("12.", f.rnd.Int()), State(f.rnd.Intn(3))
 				if previous := f.b.servers[endpoint.Server]; previous != nil && previous.inFlight > 0 {
@@ -49,7 +50,7 @@
 				f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*endpoint})
 			}
 			for _, s := range f.b.servers {
-				if s != nil && seed%2 == 0 { // a limit of more than two at each
+				if s != nil && seed%2 == 0 { // allows more than two attempts in flight at each cache
 					s.concurrencyLimit, s.answers, s.ejectionTime = maxConcurrencyLimit, 400, 0
 				}
 			}
@@ -58,7 +59,7 @@
 			}
 			mean, sum := plainMean(f.b)
 			if f.b.inFlight != sum {
-				t.Errorf("seed %d, step %d: %d in flight are counted, %d are at ready caches", seed, n, f.b.inFlight, sum)
+				t.Errorf("seed %d, step %d: count of %d in flight, want %d, the sum over the ready caches", seed, n, f.b.inFlight, sum)
 				return false
 			}
 			for _, s := range f.b.servers {
@@ -86,14 +87,15 @@
 	if err := quick.Check(run, &quick.Config{MaxCount: 200, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d ties, %d restarts with attempts in flight, %d sights of attempts at what is not ready, %d at one cache at the most", ties, resets, uncounted, maxInFlight)
+	t.Logf("%d ties, %d reused indices with attempts in flight, %d servers that were not ready caches but had attempts in flight, at most %d attempts at one cache", ties, resets, uncounted, maxInFlight)
 	if ties < 1000 || resets < 100 || uncounted < 1000 || maxInFlight < 6 {
-		t.Error("the runs don't reach what they are for")
+		t.Error("the runs don't reach enough of the cases that they are to cover")
 	}
 }
 
-// At any size, and with more in flight than a node ever has, the mean and the plain sum decide alike. The sum's rounding is
-// below its terms' number times 2^-53 of it, and beside a tie there is at least 1/2n.
+// At any number of caches, and with more attempts in flight than a node ever has, comparisons with meanInFlight have
+// the same result as with plainMean. The rounding error of the sum is below its number of terms times 2^-53 of it. Unless
+// there is a tie, the compared values differ by at least 1/2n.
 func TestMeanInFlightComparesLikePlainSum(t *testing.T) {
 	ties, roundedUp := 0, 0
 	run := func(seed int64) bool {
@@ -106,7 +108,7 @@
 			b.inFlight += b.servers[i].inFlight
 		}
 		s := b.servers[rnd.Intn(n)]
-		if rnd.Intn(2) == 0 { // as near a tie as possible: one cache takes what makes it, or all but one attempt
+		if rnd.Intn(2) == 0 { // near a tie: the total in flight is set to make one, or one attempt more or less
 			x := rnd.Intn(60)
 			target := []int{2 * x * n / 3, (x - 1) * n / 2}[rnd.Intn(2)] + rnd.Intn(3) - 1
 			b.inFlight, s.inFlight = b.inFlight+x-s.inFlight, x
@@ -133,14 +135,15 @@
 	if err := quick.Check(run, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d ties, of which the plain sum's rounding takes %d for more", ties, roundedUp)
+	t.Logf("%d ties, %d of them decided as above the mean due to rounding", ties, roundedUp)
 	if ties < 200 || roundedUp < 10 {
-		t.Error("hardly any ties were met")
+		t.Error("the runs reach too few ties")
 	}
 }
 
-// A request reads the state of the caches that it may fall through, and of no other: it gets by with the others
-// taken away, both with attempts in flight and without.
+// A request reads the state only of the caches that it may fall through, so that its cost does not grow with the
+// number of caches. The test removes all other caches, which would panic if they were read. It covers nodes with and
+// without attempts in flight.
 func TestRequestReadsOnlyReachableCaches(*testing.T) {
 	for _, caches := range []int{70, 5700} {
 		h := newBenchHost(caches, 300).warm(2000)
@@ -158,7 +161,7 @@
 			}
 			reachable[caches] = all[caches] // the origin
 			if h.b.decayedAt+decayInterval <= h.now {
-				h.b.advanceClock(h.now) // each second all are read
+				h.b.advanceClock(h.now) // the periodic work of each second reads all caches
 			}
 			h.b.servers = reachable
 			id := h.nextID + n
--- a/routing/origin_test.go
+++ b/routing/origin_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Timeouts lower the limit at the origin quickly: with hundreds of nodes its queue would stay longer than their
-// deadlines.
+// Timeouts must lower the limit at the origin quickly. With hundreds of nodes, its queue would otherwise stay longer
+// than the deadlines of the requests.
 func TestOriginTimeoutsLowerConcurrencyLimit(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for n := range 5 {
@@ -16,11 +16,11 @@
 		f.attemptDone(id, 1, TimedOut)
 	}
 	if limit := f.b.servers[1].concurrencyLimit; limit != minConcurrencyLimit {
-		t.Errorf("limit %g after five timeouts, want the lowest", limit)
+		t.Errorf("limit %g after five timeouts, want %g", limit, minConcurrencyLimit)
 	}
 }
 
-// The limit at the origin grows quickly at first, since a node of a large fleet fetches seldom.
+// The limit at the origin grows quickly at first, since a node of a large cluster rarely fetches.
 func TestOriginLimitGrowsWithFirstAnswers(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for n := range 4 {
@@ -34,12 +34,12 @@
 	}
 }
 
-// Requests with a long latency target do not fill the origin, which would delay those with a short one.
+// Requests with a long latency target must not fill the origin, since they would delay requests with a short one.
 func TestLongLatencyTargetDoesNotRaiseOriginLimit(t *testing.T) {
 	f := newFakeHost(1, 1)
 	f.b.classes[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
 	origin := f.b.servers[1]
-	origin.answers, f.b.decayedAt, origin.inFlight = 100, f.b.now, 13 // 100 a second, for 0.6 of 200 ms
+	origin.answers, f.b.decayedAt, origin.inFlight = 100, f.b.now, 13 // 100 answers a second x 0.6 x 200 ms allow 12 in flight
 	id, c := f.request(0, "k", false, f.now+50000)
 	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 1 || !c.ended {
 		t.Errorf("attempts %v, want none at the origin", c.attempts)
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -4,21 +4,21 @@
 	"testing"
 )
 
-// A broken connection ejects a server; after the ejection time one safe request probes it.
+// A broken connection ejects a server. After the ejection time one safe request probes it.
 func TestOutlierEjectedThenProbed(t *testing.T) {
 	f := newFakeHost(1, 2)
 	k := key(f.b, 0)
 	f.b.servers[2].inFlight = 99
 	id, c := f.request(0, k, false, f.now+5000)
 	if f.attemptDone(id, 0, ConnectionBroken); len(c.attempts) != 2 || c.attempts[1].server != 1 {
-		t.Fatal("the request must go on at the next range's cache")
+		t.Fatal("no second attempt at the cache of the next range")
 	}
 	for _, c := range []struct {
 		name        string
 		elapsed     Time
 		class, want int
-	}{{"during the ejection it is skipped", minEjectionTime - 1, 0, 1}, {"unsafe requests do not probe it", 1, 2, 1},
-		{"the first safe one does", 0, 0, 0}, {"one probe at a time", 0, 0, 1}} {
+	}{{"safe request during the ejection", minEjectionTime - 1, 0, 1}, {"unsafe request after the ejection time", 1, 2, 1},
+		{"first safe request after the ejection time", 0, 0, 0}, {"second safe request during the probe", 0, 0, 1}} {
 		f.now += c.elapsed
 		f.b.servers[1].inFlight = 0
 		if _, client := f.request(c.class, k, false, f.now+5000); client.attempts[0].server != c.want {
@@ -27,19 +27,20 @@
 	}
 }
 
-// A bad probe by another node prolongs an ejection, for a bounded time; a good one ends the wait, so that one
-// request of this node probes the server. A server that is not ejected stays as it is.
+// An unhealthy probe of another node extends the ejection at this node, by maxEjectionTime at most. A healthy probe ends
+// the ejection time, so that the next request of this node probes the server. A server that is not ejected is not
+// affected.
 func TestProbeResultOfOtherNodeMovesProbe(t *testing.T) {
 	const unhealthyNext, healthy, distantNext = 2000 * Millisecond, 0, 1 << 40
 	for _, c := range []struct {
 		name    string
 		ejected bool
-		next    Time // good: it went well
+		next    Time // time until the other node's next probe; healthy: its probe was healthy; negative: no probe
 		elapsed Time
 		want    int
-	}{{"without news its own ejection counts", true, -1, minEjectionTime, 0}, {"bad news", true, unhealthyNext, unhealthyNext - 1, 1},
-		{"after bad news, and none since", true, unhealthyNext, unhealthyNext, 0}, {"bad news for ever", true, distantNext, maxEjectionTime, 0},
-		{"good news", true, healthy, 1, 0}, {"bad news of a healthy one", false, unhealthyNext, 1, 0}} {
+	}{{"no probe of another node", true, -1, minEjectionTime, 0}, {"unhealthy, before the next probe", true, unhealthyNext, unhealthyNext - 1, 1},
+		{"unhealthy, at the next probe", true, unhealthyNext, unhealthyNext, 0}, {"unhealthy, next probe in the distant future", true, distantNext, maxEjectionTime, 0},
+		{"healthy", true, healthy, 1, 0}, {"unhealthy, but not ejected at this node", false, unhealthyNext, 1, 0}} {
 		f := newFakeHost(1, 2)
 		k := key(f.b, 0)
 		if c.ejected {
@@ -57,7 +58,7 @@
 	}
 }
 
-// A timeout because the request had little time left says nothing of its server.
+// A timeout counts as a failure of the server only if the attempt was slow, not if the request had little time left.
 func TestShortTimeoutIsNoFailure(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for _, c := range []struct {
@@ -67,12 +68,12 @@
 		f.b.servers[0].concurrencyLimit = maxConcurrencyLimit
 		id, client := f.request(0, "k", false, f.now+c.timeout)
 		if len(client.attempts) != 1 || client.attempts[0].server != 0 {
-			t.Fatalf("%d failures: attempts %v", f.b.servers[0].consecutiveFailures, client.attempts)
+			t.Fatalf("after %d failures: attempts %v, want one at server 0", f.b.servers[0].consecutiveFailures, client.attempts)
 		}
 		f.now += c.timeout
 		f.attemptDone(id, 0, TimedOut)
 		if got := f.b.servers[0].consecutiveFailures; got != c.failures {
-			t.Errorf("after %d tenths of a millisecond: %d failures, want %d", c.timeout, got, c.failures)
+			t.Errorf("timeout after %d tenths of a millisecond: %d failures, want %d", c.timeout, got, c.failures)
 		}
 	}
 }
--- a/routing/partition_test.go
+++ b/routing/partition_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Lazy scaling gives the weights of the plain definition.
+// Lazy scaling gives the same weights as multiplying all of them for each request.
 func TestLazyScalingMatchesPlainWeights(t *testing.T) {
 	b := newFakeHost(1, 5).b
 	plain := slices.Repeat([]float64{1.0 / binCount}, binCount)
@@ -27,8 +27,9 @@
 	}
 }
 
-// In steady demand all remembered requests weigh alike, those of a hot key too; when other keys become popular, the
-// histogram forgets within some seconds.
+// Under steady demand, also with a hot key, all remembered requests have equal weights: alpha is the inverse of their
+// number. When other keys become popular, alpha rises within some seconds, so that the histogram follows. It stays
+// within its bounds.
 func TestAlphaFollowsDemand(t *testing.T) {
 	for _, perInterval := range []int{30, 200} { // requests between two comparisons
 		b := newFakeHost(1, 5).b
@@ -54,18 +55,18 @@
 		}
 		b.rememberedRequests = 1
 		if b.recordPoint(1); b.alpha != 1.0/100 {
-			t.Errorf("alpha %g, want its bound", b.alpha)
+			t.Errorf("alpha %g after the first request, want its maximum", b.alpha)
 		}
 		b.rememberedRequests = 1e9
 		if b.recordPoint(1); b.alpha != minAlpha {
-			t.Errorf("alpha %g, want its floor", b.alpha)
+			t.Errorf("alpha %g after 1e9 requests, want its minimum", b.alpha)
 		}
 	}
 }
 
 func TestRangeEnds(t *testing.T) {
 	for _, c := range []struct {
-		weight map[int]float64 // all others are 0
+		weight map[int]float64 // weights of the bins; those not listed are 0; nil: equal weights
 		want   []float64
 	}{
 		{nil, []float64{500, 1000, 1500, 2000}},
--- a/routing/polling_test.go
+++ b/routing/polling_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// pollingHost is a host that counts polls alone and plays alarms in steps.
+// pollingHost is a Host that records the times of polls and fires alarms in steps of alarmStep.
 type pollingHost struct {
 	fakeHost
 	polledAt []Time
@@ -28,10 +28,10 @@
 	return h
 }
 
-// alarmStep is the time between two looks at the alarms, and so the most by which one is late.
+// alarmStep is the time between two checks for alarms that are due, and so the maximum delay of an alarm.
 const alarmStep = Millisecond
 
-// runUntil plays alarms; event is called at each step.
+// runUntil fires alarms until a time. onStep is called in each step.
 func (h *pollingHost) runUntil(end Time, onStep func()) {
 	for ; h.now < end; h.now += alarmStep {
 		due := h.alarms[pollAlarmHandle]
@@ -45,7 +45,7 @@
 	}
 }
 
-// randomConfig returns a configuration with any poll interval and grace, or none.
+// randomConfig returns a configuration in which MaxPollInterval and PushedGrace are random or the default.
 func randomConfig(rnd *rand.Rand) Config {
 	config := DefaultConfig()
 	if rnd.Intn(3) > 0 {
@@ -57,37 +57,38 @@
 	return config
 }
 
-// Without a subscription the next poll follows within MaxPollWait of the last one, whatever becomes of calls: some
-// are never answered, some fail at once or later, and subscriptions are lost. It follows within half of
-// MaxPollInterval and a third of PushedGrace too, where these are no shorter than PollSpread; after the subscription is
-// lost within PollSpread; and never twice within half the shortest wait, nor while there is a subscription.
+// Guards against a node that stops polling, or polls too often. Calls are never answered or fail immediately or later,
+// and subscriptions are lost. Without a subscription the next poll must follow within MaxPollWait, and also within half
+// of MaxPollInterval and a third of PushedGrace unless these are shorter than PollSpread. After the loss of the
+// subscription it must follow within PollSpread. Two polls must be at least half of this longest wait apart, and there
+// must be no poll during a subscription.
 func TestPollIntervalBoundedWithoutSubscription(t *testing.T) {
 	run := func(seed uint64) bool {
 		rnd := rand.New(rand.NewSource(int64(seed)))
 		config := randomConfig(rnd)
 		wait := max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/3))
 		h := newPollingHost(seed, config)
-		lastPollAt, maxGap, subscribed, polls := h.now, PollSpread, false, 0 // without a poll, and the longest that this may last
+		lastPollAt, maxGap, subscribed, polls := h.now, PollSpread, false, 0 // maxGap is the longest time allowed until the next poll
 		h.runUntil(h.now+60000*Millisecond, func() {
 			if n := len(h.polledAt); n > polls {
 				if subscribed || polls > 0 && maxGap != PollSpread && h.now-lastPollAt < wait/2-alarmStep {
-					t.Logf("seed %d: a poll %d after the last, subscribed: %v", seed, h.now-lastPollAt, subscribed)
-					h.violationf("early")
+					t.Logf("seed %d: poll %d after the last one, subscribed: %v", seed, h.now-lastPollAt, subscribed)
+					h.violationf("poll too early")
 				}
 				polls, lastPollAt, maxGap = n, h.now, wait
 			}
 			if !subscribed && h.now-lastPollAt > maxGap+alarmStep {
-				h.violationf("late")
+				h.violationf("no poll in time")
 			}
 			switch r := rnd.Intn(400); {
-			case subscribed && r < 1: // a subscription is lost
+			case subscribed && r < 1: // the subscription is lost
 				h.b.UpdateEndpoints(h.now, Failed, nil)
 				subscribed, lastPollAt, maxGap = false, h.now, PollSpread
 			case !subscribed && polls > 0 && r < 1:
 				h.b.UpdateEndpoints(h.now, []UpdateKind{Full, Incremental}[rnd.Intn(2)], nil)
 				subscribed = true
 			case !subscribed && r < 40:
-				h.b.UpdateEndpoints(h.now, Failed, nil) // one of those in flight
+				h.b.UpdateEndpoints(h.now, Failed, nil) // a call in flight fails
 			case r < 50:
 				h.b.Alarm(h.now, pollAlarmHandle) // a stale alarm
 			}
@@ -102,13 +103,13 @@
 	}
 }
 
-// Polls are repeated while they fail, and end once one has succeeded.
+// Polls are repeated while they fail, and stop once one has succeeded.
 func TestFailedPollIsRepeated(t *testing.T) {
 	f := newFakeHost(1, 1)
 	for n := range 4 {
 		previousPolls := f.polls
 		if f.advance(MaxPollWait); f.polls == previousPolls {
-			t.Fatalf("no poll within %v after %d that failed", MaxPollWait, n)
+			t.Fatalf("no poll within %v after %d failed polls", MaxPollWait, n)
 		}
 		f.b.UpdateEndpoints(f.now, Failed, nil)
 	}
@@ -119,32 +120,33 @@
 	}
 }
 
-// Where polls have a quota, a node without any left waits for one poll interval, and every poll takes from it, those
-// beside an unanswered one too.
+// A node whose quota of polls is exhausted waits for one poll interval before it tries again. Every poll spends quota,
+// even while an earlier one is unanswered.
 func TestPollsWaitForQuota(t *testing.T) {
 	h := newPollingHost(3, DefaultConfig())
 	h.b.SetQuota(h.now, DiscoveryRate, 0, allowance.Quota{Rate: 0.0001, Burst: 1, Until: int64(h.now + 90000*Millisecond)})
 	h.runUntil(h.now+20000*Millisecond, func() {})
 	if len(h.polledAt) > 0 {
-		t.Fatalf("%d polls without a quota", len(h.polledAt))
+		t.Fatalf("%d polls with an exhausted quota, want none", len(h.polledAt))
 	}
 	grantedAt := h.now
 	h.b.SetQuota(h.now, DiscoveryRate, 0, allowance.Quota{Rate: 1000, Burst: 1000, Until: int64(h.now + 90000*Millisecond)})
 	h.runUntil(grantedAt+10*MaxPollWait, func() {})
 	if len(h.polledAt) < 10 || h.polledAt[0]-grantedAt > MaxPollWait+alarmStep {
-		t.Errorf("%d polls, the first %d after a quota came", len(h.polledAt), h.polledAt[0]-grantedAt)
+		t.Errorf("%d polls, the first %d after the quota was granted", len(h.polledAt), h.polledAt[0]-grantedAt)
 	}
 }
 
-// A discovery service that returns is not met by all nodes in the same half second: 300 nodes lose their
-// subscriptions at once and poll for 3 to 13 s, while no call is answered.
+// Guards against an overload of a discovery service that returns after an outage. 300 nodes lose their subscriptions at
+// the same time, and no call is answered for 3 to 13 s. The nodes must spread their polls, so that not all of them
+// poll in the first half second after the service has returned.
 func TestPollsSpreadWhenServiceReturns(t *testing.T) {
 	for _, c := range []struct {
 		config            Config
-		maxRate, maxBurst float64 // polls per second of the whole fleet, and nodes that poll in the first half second
+		maxRate, maxBurst float64 // polls per second of all nodes, and nodes that poll in the half second after the return
 	}{
 		{modifiedConfig(func(c *Config) { c.MaxPollInterval = 10000 * Millisecond }), 240, 150},
-		{modifiedConfig(func(c *Config) { c.MaxPollInterval, c.PushedGrace = 10000*Millisecond, 3000*Millisecond }), 440, 240}, // each client has a node of its own
+		{modifiedConfig(func(c *Config) { c.MaxPollInterval, c.PushedGrace = 10000*Millisecond, 3000*Millisecond }), 440, 240}, // a deployment in which each client has its own node
 	} {
 		t.Run(fmt.Sprint(c.config.PushedGrace), func(t *testing.T) {
 			const nodes = 300
@@ -173,9 +175,9 @@
 			for _, n := range nodesByReturn {
 				burst = max(burst, n)
 			}
-			t.Logf("%.0f polls a second, %d nodes in the first half second", rate, burst)
+			t.Logf("%.0f polls per second, %d nodes in the first half second", rate, burst)
 			if rate > c.maxRate || float64(burst) > c.maxBurst {
-				t.Errorf("%.0f polls a second, want %.0f at most; %d nodes in the first half second, want %.0f at most",
+				t.Errorf("%.0f polls per second, want at most %.0f; %d nodes in the first half second, want at most %.0f",
 					rate, c.maxRate, burst, c.maxBurst)
 			}
 		})
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -8,9 +8,9 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// Random runs as in TestRandomEventsBreakNoRules, while quotas come, shrink and end: no rule breaks, and what is bounded
-// stays within its quota: in any window at most the largest rate times the window and the largest burst, and never
-// more at a time.
+// Guards against attempts and polls beyond a quota. Random runs as in TestRandomEventsBreakNoRules continue while quotas
+// are granted, shrink and expire. No rule may be broken. Polls must stay within the highest rate times the window plus
+// the largest burst in any window, and attempts in flight within the largest number at any time.
 func TestQuotasBoundAttemptsAndPolls(t *testing.T) {
 	run := func(seed int64) bool {
 		f := newFakeHost(seed, 1+int(uint64(seed)%7))
@@ -30,7 +30,7 @@
 			}
 			inFlight := map[int]int{}
 			for _, c := range f.requests {
-				for _, a := range c.attempts { // a restart closes the connections of before
+				for _, a := range c.attempts { // a restart of a cache closes its connections, which ends earlier attempts
 					if endpoint := f.endpoints[a.server]; !a.done && (endpoint.Model == 1 || a.sentAt >= endpoint.StartedAt) {
 						inFlight[a.server]++
 					}
@@ -40,13 +40,13 @@
 			case OriginConcurrency, CacheConcurrency:
 				for server, n := range inFlight {
 					if (f.endpoints[server].Model == 1) == (quotaLimit == OriginConcurrency) && n > int(maxUnits) {
-						f.violationf("%d in flight at server %d", n, server)
+						f.violationf("%d attempts in flight at server %d, want at most %d", n, server, int(maxUnits))
 					}
 				}
 			case DiscoveryRate:
 				excess = max(0, excess-rate*seconds(f.now-lastStep)) + float64(f.polls-lastPolls)
 				if lastStep, lastPolls = f.now, f.polls; excess > maxUnits+1e-6 {
-					f.violationf("%.2f polls beyond the rate in a window", excess)
+					f.violationf("%.2f polls in a window beyond its rate, want at most %.0f", excess, maxUnits)
 				}
 			}
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// A request whose quota is exhausted is rejected at once, with a retry-after that differs from one to the next; once
-// a quota has expired its fallback holds.
+// A request whose quota is exhausted is rejected immediately, with a Retry-After that differs between requests. After a
+// quota has expired, its fallback rate applies.
 func TestExhaustedQuotaRejects(t *testing.T) {
 	f := newFakeHost(3, 2)
 	f.advance(2000 * Millisecond)
@@ -69,7 +69,7 @@
 		return len(c.attempts) > 0, c.retryAfter
 	}
 	if sent, retryAfter := write(); sent || retryAfter == 0 {
-		t.Error("a new quota has nothing saved up: a request that needs it is rejected at once")
+		t.Errorf("right after the grant: sent %v, retry-after %d, want an immediate rejection with a retry-after", sent, retryAfter)
 	}
 	f.now += 100 * Millisecond
 	first, _ := write()
@@ -77,17 +77,17 @@
 	third, thirdRetryAfter := write()
 	_, fourthRetryAfter := write()
 	if !first || !second || third {
-		t.Errorf("two were saved up: attempts %v %v %v", first, second, third)
+		t.Errorf("attempts %v %v %v with a burst of 2, want two", first, second, third)
 	}
 	if thirdRetryAfter == fourthRetryAfter || thirdRetryAfter == 0 || fourthRetryAfter == 0 {
-		t.Errorf("retry-after %d and %d: clients come back together", thirdRetryAfter, fourthRetryAfter)
+		t.Errorf("retry-after %d and %d, want two different ones above 0", thirdRetryAfter, fourthRetryAfter)
 	}
 	f.now += 1500 * Millisecond
 	first, _ = write()
 	if second, _ = write(); !first || second {
-		t.Errorf("after its end one a second: attempts %v %v", first, second)
+		t.Errorf("attempts %v %v after the quota has expired, want one", first, second)
 	}
 	if usage := f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{}); usage.Wanted != 7 || usage.Done != 3 {
-		t.Errorf("usage of %v wanted, %v done", usage.Wanted, usage.Done)
+		t.Errorf("usage: %v wanted, %v done, want 7 and 3", usage.Wanted, usage.Done)
 	}
 }
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A withheld attempt says nothing of its server, however long it waited for a connection, and its retry budget and
-// slow-start tokens are refunded, but not to a server that has restarted since.
+// A withheld attempt must not change what is known of its server, even if it waited long for a connection. Its retry
+// budget and slow-start tokens are refunded, unless the server has restarted since.
 func TestWithheldAttemptIsRefunded(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		f := newFakeHost(1, 2)
@@ -16,13 +16,13 @@
 		f.b.warmCacheRate = 1000
 		f.b.servers[2].inFlight = 99
 		id, c := f.request(0, k, false, f.now+9000)
-		f.attemptDone(id, 0, ServerError) // retries cost budget
+		f.attemptDone(id, 0, ServerError) // the next attempt is a retry, which costs retry budget
 		if len(c.attempts) != 2 {
-			t.Fatalf("%d attempts, want a retry", len(c.attempts))
+			t.Fatalf("%d attempts, want 2", len(c.attempts))
 		}
 		s := f.b.servers[c.attempts[1].server]
 		retryBudget, tokens, limit, latency := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
-		f.now += 150 * Millisecond // slow
+		f.now += 150 * Millisecond // counts as slow
 		if restarted {
 			f.endpoints[c.attempts[1].server].StartedAt = f.now - Millisecond
 			f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
@@ -38,7 +38,8 @@
 	}
 }
 
-// A body that is still being sent is no load for its server: the attempt counts, and is timed, from its last byte.
+// A body that is still being sent is no load for its server. So the attempt counts as in flight, and its latency is
+// measured, from the last byte of the body.
 func TestStreamedAttemptCountsFromLastByte(t *testing.T) {
 	f := newFakeHost(1, 3)
 	origin := f.b.servers[3]
@@ -46,24 +47,25 @@
 	f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
 	f.requests[0].deadline = f.now + 90000
 	if len(f.requests[0].attempts) != 1 || origin.inFlight != 0 {
-		t.Fatalf("%d attempts, %d in flight", len(f.requests[0].attempts), origin.inFlight)
+		t.Fatalf("%d attempts, %d in flight before the last byte, want 1 and 0", len(f.requests[0].attempts), origin.inFlight)
 	}
-	f.now += 40000 // slower than any server
+	f.now += 40000 // longer than the latency of any server
 	limit, latency, level := origin.concurrencyLimit, origin.meanLatency, f.b.admissionLevel
 	f.bodySent(0, 0)
 	if origin.inFlight != 1 {
-		t.Errorf("%d in flight", origin.inFlight)
+		t.Errorf("%d in flight after the last byte, want 1", origin.inFlight)
 	}
 	f.now += 100
 	f.attemptDone(0, 0, Served)
 	if origin.inFlight != 0 || origin.meanLatency > latency+100 || origin.concurrencyLimit < limit || f.b.admissionLevel < level {
-		t.Errorf("%d in flight, latency %v, limit %g to %g, admission level %g to %g", origin.inFlight, origin.meanLatency, limit, origin.concurrencyLimit,
+		t.Errorf("after the answer: %d in flight, latency %v, limit from %g to %g, admission level from %g to %g", origin.inFlight, origin.meanLatency, limit, origin.concurrencyLimit,
 			level, f.b.admissionLevel)
 	}
 }
 
-// A body's last byte may follow long after its first, from which the server may know the idempotency key: a retry is
-// bounded from the start of the first attempt. So is a refund: a server that has restarted since gets none.
+// The last byte of a body may follow long after the first, and the server may know the idempotency key from the first
+// byte on. So the deduplication window that bounds a retry counts from the start of the first attempt. A server that has
+// restarted since the start of an attempt gets no refund for it.
 func TestStreamedAttemptRetryAndRefundCountFromSend(t *testing.T) {
 	for _, c := range []struct {
 		bodyTime Time // from the first byte to the last
@@ -78,7 +80,7 @@
 		client := f.requests[0]
 		f.attemptDone(0, 0, ServerError)
 		if len(f.violations) > 0 || len(client.attempts) != c.attempts || client.ended != (c.attempts == 1) {
-			t.Errorf("a body of %d, and an error: %d attempts, want %d; ended %v, faults %v", c.bodyTime, len(client.attempts), c.attempts, client.ended, f.violations)
+			t.Errorf("error after a body of %d: %d attempts, want %d; ended %v, broken rules %v", c.bodyTime, len(client.attempts), c.attempts, client.ended, f.violations)
 		}
 	}
 	f := newFakeHost(1, 1)
@@ -97,6 +99,6 @@
 	restart()
 	f.now += 10
 	if f.attemptDone(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
-		t.Errorf("a server that has restarted since was refunded %g tokens", f.b.servers[0].slowStartTokens)
+		t.Errorf("restarted server has %g tokens, want no refund", f.b.servers[0].slowStartTokens)
 	}
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Whatever its servers answer, and however few they are, a node does not reject all requests for 4 s: some attempt is
-// made in between. The operators' bound holds where 15 and more were rejected.
+// Guards against a node that stops sending. Whatever result all attempts have, and however few caches there are, a node
+// must not reject all requests for 4 s without an attempt in between. The operators' requirement applies if at least 15
+// requests in a row are rejected.
 func TestNodeKeepsSendingWhenAllAttemptsFail(t *testing.T) {
 	const (
 		maxRejecting = 4000 * Millisecond
@@ -38,7 +39,7 @@
 					}
 				}
 				if longest >= maxRejecting {
-					t.Errorf("%d caches, result %d, slow start %v: all are rejected for %d ms", caches, result, slowStart, longest/Millisecond)
+					t.Errorf("%d caches, result %d, slow start %v: no attempt for %d ms", caches, result, slowStart, longest/Millisecond)
 				}
 				if len(f.violations) > 0 {
 					t.Errorf("%d caches, result %d: %v", caches, result, f.violations[0])
@@ -48,19 +49,20 @@
 	}
 }
 
-// A client that is rejected early is asked back while an answer can still be in time.
+// A client that is rejected early gets a short Retry-After, while an answer can still be in time, and one that is
+// rejected late the longest.
 func TestRetryAfter(t *testing.T) {
 	f := newFakeHost(1, 1)
-	f.b = New(f, 1, f.now, f.b.config) // without an endpoint list the histogram stays sound
+	f.b = New(f, 1, f.now, f.b.config) // without an endpoint list, where the histogram must stay finite
 	if _, c := f.request(0, "a", false, f.now+5000); c.retryAfter < 20*Millisecond || c.retryAfter > 40*Millisecond ||
 		math.IsInf(f.b.binWeights[0], 0) || f.b.weightScale == 0 {
-		t.Errorf("retry after %d, want a tenth to a fifth of the latency target", c.retryAfter)
+		t.Errorf("retry-after %d, want a tenth to a fifth of the latency target", c.retryAfter)
 	}
 	f = newFakeHost(1, 1)
 	f.b.servers[1].inFlight = 99
 	id, c := f.request(0, "a", false, f.now+5000)
 	f.now += 150 * Millisecond
 	if f.attemptDone(id, 0, Rejected); c.retryAfter != 400*Millisecond {
-		t.Errorf("retry after %d, want the longest once the time is gone", c.retryAfter)
+		t.Errorf("retry-after %d late in the latency target, want the longest", c.retryAfter)
 	}
 }
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// key returns a key whose range is the cache's.
+// key returns a key in the range of a cache.
 func key(b *Balancer, server int) string {
 	for i := 0; ; i++ {
 		k := fmt.Sprint("key", i)
@@ -18,44 +18,44 @@
 	}
 }
 
-// Where the attempts of a request go when they end with these results. Server 0 owns the key; the origin comes after
-// the caches.
+// The servers of a request's attempts, given their results. The range of server 0 contains the key. The origin has the
+// index after those of the caches.
 func TestServerSelection(t *testing.T) {
 	noChange, slowOrigin := func(*Balancer) {}, func(b *Balancer) { b.servers[1].meanLatency = 200 * Millisecond }
-	originLimit := func(limit float64) func(b *Balancer) { // of the origin, seen by one of many nodes
+	originLimit := func(limit float64) func(b *Balancer) { // sets the origin's limit at one of 600 nodes
 		return func(b *Balancer) { b.nodeCount, b.servers[1].concurrencyLimit = 600, limit }
 	}
-	fullOrigin := []int{0, 0, minFleetFetches / 2}                        // all that the origin has capacity for
+	fullOrigin := []int{0, 0, minFleetFetches / 2}                        // attempts in flight that fill the origin, behind two caches
 	noRetryBudget := func(b *Balancer) { b.servers[1].retryBudget = 0.5 } // less than one retry
 	for _, c := range []struct {
 		name          string
 		caches, class int
-		inFlight      []int // attempts of the node at each server
+		inFlight      []int // attempts in flight at each server
 		prepare       func(b *Balancer)
 		results       []Result
 		latency       Time
 		want          []int
 	}{
-		{"a request falls through from a busy cache", 4, 0, []int{5, 0, 0, 0, minFleetFetches / 2}, noChange, nil, 0, []int{1}},
-		{"or goes to the origin, where that has capacity", 4, 0, []int{5}, noChange, nil, 0, []int{4}},
-		{"congestion ends the fall-through, lest it scatter the keys", 4, 0, []int{3, 3, 3, 3, minFleetFetches / 2}, noChange, nil, 0, nil},
-		{"a miss goes to the origin", 2, 0, nil, noChange, []Result{NotFound}, 10, []int{0, 2}},
-		{"a retry within the budget", 2, 0, fullOrigin, noChange, []Result{ServerError}, 10, []int{0, 1}},
-		{"a retry beyond the budget", 2, 0, fullOrigin, noRetryBudget, []Result{ServerError}, 10, []int{0}},
-		// full caches, the next ones as full and without the value, and an origin with capacity
-		{"a full cache, and the origin has capacity", 2, 0, nil, noChange, []Result{Rejected}, 10, []int{0, 2}},
-		{"a full cache, and it has none", 2, 0, fullOrigin, noChange, []Result{Rejected}, 10, []int{0, 1}},
-		// caches that accept no connection, the next ones neither, and an origin with capacity
-		{"no connection, and the origin has capacity", 2, 0, nil, noChange, []Result{ConnectFailed}, 10, []int{0, 2}},
-		{"no connection, and it has none", 2, 0, fullOrigin, noChange, []Result{ConnectFailed}, 10, []int{0, 1}},
-		{"the origin has no capacity", 1, 0, []int{0, minFleetFetches / 2}, noChange, []Result{NotFound}, 10, []int{0}},
-		// Hundreds of nodes with a fetch now and then: each may have several in flight
-		// while the origin is quick, and none for sure once it is slow.
-		{"the origin's least limit", 1, 0, []int{0, 2}, originLimit(3), []Result{NotFound}, 10, []int{0, 1}},
-		{"less time than the origin takes", 1, 0, nil, slowOrigin, []Result{NotFound}, 10, []int{0}},
-		{"a slow origin", 1, 0, nil, originLimit(0), []Result{NotFound}, 10, []int{0}},
-		{"idempotent by key, inside its window", 2, 1, nil, noChange, []Result{ServerError}, 1000, []int{0, 2}},
-		{"idempotent by key, too late", 2, 1, nil, noChange, []Result{ServerError}, 2500, []int{0}},
+		{"full cache, full origin", 4, 0, []int{5, 0, 0, 0, minFleetFetches / 2}, noChange, nil, 0, []int{1}},
+		{"full cache, origin with capacity", 4, 0, []int{5}, noChange, nil, 0, []int{4}},
+		{"all caches full: no fall-through, which would scatter the keys", 4, 0, []int{3, 3, 3, 3, minFleetFetches / 2}, noChange, nil, 0, nil},
+		{"miss", 2, 0, nil, noChange, []Result{NotFound}, 10, []int{0, 2}},
+		{"retry within the retry budget", 2, 0, fullOrigin, noChange, []Result{ServerError}, 10, []int{0, 1}},
+		{"retry beyond the retry budget", 2, 0, fullOrigin, noRetryBudget, []Result{ServerError}, 10, []int{0}},
+		// The next caches are likely to be as full and without the value, so the origin is preferred.
+		{"rejected by the cache, origin with capacity", 2, 0, nil, noChange, []Result{Rejected}, 10, []int{0, 2}},
+		{"rejected by the cache, full origin", 2, 0, fullOrigin, noChange, []Result{Rejected}, 10, []int{0, 1}},
+		// The next caches are likely to accept no connection either, so the origin is preferred.
+		{"no connection to the cache, origin with capacity", 2, 0, nil, noChange, []Result{ConnectFailed}, 10, []int{0, 2}},
+		{"no connection to the cache, full origin", 2, 0, fullOrigin, noChange, []Result{ConnectFailed}, 10, []int{0, 1}},
+		{"miss, full origin", 1, 0, []int{0, minFleetFetches / 2}, noChange, []Result{NotFound}, 10, []int{0}},
+		// With hundreds of nodes that rarely fetch, each may have several fetches in flight while the origin is quick.
+		// Once it is slow, a fetch is only sent with a low probability.
+		{"miss, quick origin, 2 fetches in flight", 1, 0, []int{0, 2}, originLimit(3), []Result{NotFound}, 10, []int{0, 1}},
+		{"miss, less time left than the origin's latency", 1, 0, nil, slowOrigin, []Result{NotFound}, 10, []int{0}},
+		{"miss, slow origin", 1, 0, nil, originLimit(0), []Result{NotFound}, 10, []int{0}},
+		{"idempotent by key, within half of its window", 2, 1, nil, noChange, []Result{ServerError}, 1000, []int{0, 2}},
+		{"idempotent by key, after half of its window", 2, 1, nil, noChange, []Result{ServerError}, 2500, []int{0}},
 		{"unsafe, may have run", 2, 2, nil, noChange, []Result{ServerError}, 10, []int{0}},
 	} {
 		f := newFakeHost(1, c.caches)
--- a/routing/shedding_test.go
+++ b/routing/shedding_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// With hundreds of nodes, a tenant's even share at each is less than one request per second. It is saved up
-// to whole requests.
+// With hundreds of nodes, a tenant's even share at each may be less than one request per second. It must accumulate
+// to whole requests, or the tenant would get none of it.
 func TestSmallTenantShareAccumulates(t *testing.T) {
 	f := newFakeHost(1, 4)
 	f.b.config.Nodes = 300
@@ -16,16 +16,16 @@
 	for i := range 20 {
 		f.now += 8000 * Millisecond // 50 a second over 300 nodes: one in 6 s
 		if id, c := f.request(0, fmt.Sprint(i), false, f.now+5000); len(c.attempts) != 1 {
-			t.Fatal("a request inside its tenant's share was taken as beyond it")
+			t.Fatal("a request within its tenant's share was shed")
 		} else {
 			f.attemptDone(id, 0, Served)
 		}
 	}
 }
 
-// A tenant beyond its share is shed where requests inside their shares fail, and only there.
+// Requests that exceed their tenant's share are shed if requests within the shares fail, and only then.
 func TestTenantExceedingShareShedFirst(t *testing.T) {
-	for level, want := range []int{25 + minTenantBurst, 40} { // 50 a second over two nodes
+	for level, want := range []int{25 + minTenantBurst, 40} { // the quota of 50 a second is divided between two nodes
 		f, admitted := newFakeHost(1, 4), 0
 		for i := range 40 {
 			f.b.admissionLevel = float64(level)
@@ -40,14 +40,14 @@
 	}
 }
 
-// A node that carries more than its even share, since others were lost, knows it from what the other tenants
-// send. Requests beyond the carried share are shed as soon as others are rejected, those beyond the even share
-// alone only at the lowest admission levels.
+// A node that carries more than its even share, since other nodes failed, detects this from the requests of the other
+// tenants. Requests that exceed the carried share are shed as soon as requests within the shares are rejected. Requests
+// that exceed only the even share are shed only at the lowest admission levels.
 func TestNodeCarryingMoreTrafficShedsLater(t *testing.T) {
 	for _, c := range []struct {
 		otherRequests, level float64
 		want                 int
-	}{{0, 1, 60}, {0, 0.7, 30}, {100, 0.7, 60}, {100, 0, 30}} { // in 1.2 s, where the even part is 25 a second
+	}{{0, 1, 60}, {0, 0.7, 30}, {100, 0.7, 60}, {100, 0, 30}} { // 60 requests in 1.2 s; the even share is 25 a second
 		f, admitted := newFakeHost(1, 4), 0
 		f.b.tenants[1].evenRate, f.b.tenants[0].evenTokens, f.b.tenants[0].carriedTokens = 25, 0, 0
 		for i := range 60 {
@@ -59,13 +59,13 @@
 			}
 		}
 		if admitted < c.want-1 || admitted > c.want+1 {
-			t.Errorf("others send %g, admission level %g: %d admitted, want %d", c.otherRequests, c.level, admitted, c.want)
+			t.Errorf("other tenants' count %g, admission level %g: %d admitted, want %d", c.otherRequests, c.level, admitted, c.want)
 		}
 	}
 }
 
-// Requests that run out of time may have met a few silent servers, so they lower the admission level less than
-// rejected ones do.
+// Requests that run out of time may have been sent to one of a few servers that do not respond. So they lower the
+// admission level less than rejected requests do.
 func TestTimeoutsLowerAdmissionLevelLessThanRejections(t *testing.T) {
 	for _, c := range []struct {
 		result   Result
@@ -80,7 +80,7 @@
 			f.attemptDone(id, 0, c.result)
 		}
 		if f.b.admissionLevel < c.minLevel || f.b.admissionLevel > c.minLevel+0.2 {
-			t.Errorf("result %d: an admission level of %.2f, want %.1f or a little more", c.result, f.b.admissionLevel, c.minLevel)
+			t.Errorf("result %d: admission level %.2f, want %.1f or at most 0.2 more", c.result, f.b.admissionLevel, c.minLevel)
 		}
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -11,22 +11,22 @@
 	"github.com/thistlerudder/thistlerudder/budget/allowance"
 )
 
-// slowStartCase is a fleet before a cache that restarts again and again.
+// slowStartCase is a cluster of nodes that send requests to a cache, which restarts repeatedly.
 type slowStartCase struct {
 	nodes           int
-	overloadLimit   float64 // N at the start: overload factor x slow-start share x capacity x window
+	overloadLimit   float64 // N right after a restart, the requests per window that overload the cache: overload factor x slow-start share x capacity x window
 	overloadFactor  float64
-	initialShare    float64 // slow-start share at the start
-	load            float64 // share of its capacity that a warm cache's usual demand takes
-	hotShare        float64 // share of all requests whose keys are the cache's, beside its part of the others
-	lullFactor      float64 // times that, up to
-	burstFactor     float64 // times that, for a tenth of the slow start
-	variedWork      bool    // work is distributed exponentially, and hinted
-	idleBeforeBurst bool    // no request has the cache's keys before the burst, and half of them do in it
-	restartAll      bool    // all caches restart together
+	initialShare    float64 // slow-start share right after a restart
+	load            float64 // usual load of a warm cache, as a share of its capacity
+	hotShare        float64 // share of all requests that have keys of the restarted cache, in addition to its part of the other requests
+	lullFactor      float64 // multiple of the load from the restart until the burst
+	burstFactor     float64 // multiple of the load during the burst, which takes a tenth of the slow start
+	variedWork      bool    // the work of requests is exponentially distributed and given in Request.Work
+	idleBeforeBurst bool    // no request before the burst has a key of the restarted cache, and half of all requests during the burst do
+	restartAll      bool    // all caches restart at the same time
 	slowStartWindow Time
-	rollingRestart  bool    // the nodes are restarted one after another meanwhile
-	quotaFactor     float64 // the fleet has a quota of so many times N for each cache in slow start; 0: none
+	rollingRestart  bool    // the nodes are restarted one after another during the slow start
+	quotaFactor     float64 // the cluster's quota for each cache in slow start, as a multiple of N; 0: no quota
 	restarts        int
 }
 
@@ -35,10 +35,10 @@
 	overloadWindow  = 1000 * Millisecond
 )
 
-// slowStartNode is a Host that collects the attempts.
+// slowStartNode is the Host of a node. It collects the servers of the attempts.
 type slowStartNode struct {
 	b        *Balancer
-	informed bool // of the latest restart
+	informed bool // whether the node was told of the latest restart
 	sent     []int
 }
 
@@ -51,13 +51,13 @@
 
 // slowStartOutcome is the result of a slowStartCase.
 type slowStartOutcome struct {
-	overloadedStarts int         // starts at which more work in a window than 2 x root of N and 2 beyond N
-	maxWindowLoad    float64     // the fullest window, as a share of that
-	shares           [10]float64 // of a warm cache's attempts, by tenth of the slow start
+	overloadedStarts int         // restarts after which the work in some window exceeded N + 2 x square root of N + 2
+	maxWindowLoad    float64     // highest work in a window, as a share of that bound
+	shares           [10]float64 // attempts as a share of those at a warm cache, by tenth of the slow start
 }
 
-// run restarts cache 0 again and again. Each request has a key of its own and is answered at once; one node in ten gets
-// ten times as many as the others. What nodes send that have not learned of the restart yet does not count.
+// run restarts cache 0 repeatedly. Each request has its own key and is answered immediately. One node in ten gets ten
+// times as many requests as the others. Attempts of nodes that were not told of the restart yet do not count.
 func (c slowStartCase) run() (outcome slowStartOutcome) {
 	rnd, now := rand.New(rand.NewSource(int64(c.nodes)*1000+int64(c.overloadLimit))), 10000*Millisecond
 	capacity := c.overloadLimit / (c.overloadFactor * c.initialShare * seconds(overloadWindow))
@@ -66,7 +66,7 @@
 		endpoints = append(endpoints, Endpoint{Server: i, ID: fmt.Sprint("c", i)})
 	}
 	nodes, startedNodes := make([]*slowStartNode, c.nodes), 0
-	// A unit of the quota allows one at once. With fewer units than nodes they go round.
+	// Each unit of the quota allows a burst of one. If there are fewer units than nodes, the nodes hold them in turn.
 	units, firstHolder := max(1, int(c.quotaFactor*c.overloadLimit/4)), 0
 	setQuota := func(i int) {
 		nodeUnits := float64(units / c.nodes)
@@ -140,7 +140,7 @@
 		var attempts [10][2]float64
 		for step := range steps {
 			for i, n := range nodes {
-				if !n.informed && (step > 2 || rnd.Intn(2) == 0) { // within four tenths of a second
+				if !n.informed && (step > 2 || rnd.Intn(2) == 0) { // all nodes are told within four tenths of a second
 					n.informed = true
 					n.b.UpdateEndpoints(now, Incremental, endpoints)
 				}
@@ -199,9 +199,9 @@
 	return outcome
 }
 
-// Many nodes before a cache in slow start, with uneven traffic, hot keys, bursts and restarts of the nodes: the sum of
-// what they send stays under N, what the settings allow in any window, and the 2 × root of N and 2 beyond that are put
-// down to chance. It rises until slow start is over.
+// Guards against an overload of a cache in slow start by the total of all nodes, under uneven traffic, hot keys, bursts
+// and restarts of nodes. In any window, the work sent to the cache must stay below N, the bound of the settings, plus
+// 2 × square root of N and 2 as a tolerance for random variation. It must rise until the slow start is over.
 func TestClusterDoesNotOverloadSlowStartCache(t *testing.T) {
 	base := slowStartCase{nodes: 30, overloadFactor: 1.5, initialShare: 0.05, load: 0.7, hotShare: 0.2, lullFactor: 1, burstFactor: 2, rollingRestart: true,
 		slowStartWindow: 30000 * Millisecond}
@@ -223,14 +223,14 @@
 		{"N is 4, slow-start share 0.1", 4, 15, func(c *slowStartCase) { c.overloadFactor, c.initialShare = 2, 0.1 }},
 		{"N is 10", 10, 4, func(*slowStartCase) {}},
 		{"N is 30", 30, 1, func(*slowStartCase) {}},
-		{"a burst after a lull", 1, 40, func(c *slowStartCase) { c.lullFactor, c.burstFactor = 0.1, 3 }},
-		{"a burst on what was quiet", 2, 10, func(c *slowStartCase) {
+		{"burst after low load", 1, 40, func(c *slowStartCase) { c.lullFactor, c.burstFactor = 0.1, 3 }},
+		{"burst on idle keys", 2, 10, func(c *slowStartCase) {
 			c.idleBeforeBurst, c.slowStartWindow, c.rollingRestart = true, 120000*Millisecond, false
 		}},
 		{"all caches restart", 1, 40, func(c *slowStartCase) { c.restartAll = true }},
-		{"works differ", 1, 40, func(c *slowStartCase) { c.variedWork = true }},
-		{"a quota of N", 10, 3, func(c *slowStartCase) { c.quotaFactor = 1 }},
-		{"a quota far beyond N", 2, 10, func(c *slowStartCase) { c.quotaFactor = 100 }},
+		{"varied work", 1, 40, func(c *slowStartCase) { c.variedWork = true }},
+		{"quota of N", 10, 3, func(c *slowStartCase) { c.quotaFactor = 1 }},
+		{"quota far above N", 2, 10, func(c *slowStartCase) { c.quotaFactor = 100 }},
 	} {
 		testCase := base
 		testCase.overloadLimit, testCase.restarts = c.overloadLimit, c.restarts
@@ -239,18 +239,18 @@
 		}
 		c.change(&testCase)
 		outcome := testCase.run()
-		t.Logf("%s: %d overloads at %d starts, the fullest window %.2f, shares %.2f", c.name, outcome.overloadedStarts, testCase.restarts, outcome.maxWindowLoad, outcome.shares)
+		t.Logf("%s: overloaded after %d of %d restarts, highest window load %.2f, shares %.2f", c.name, outcome.overloadedStarts, testCase.restarts, outcome.maxWindowLoad, outcome.shares)
 		if outcome.overloadedStarts > 0 {
-			t.Errorf("%s: the cache in slow start is overloaded at %d starts of %d, the fullest window is %.2f of what it bears", c.name, outcome.overloadedStarts, testCase.restarts, outcome.maxWindowLoad)
+			t.Errorf("%s: cache overloaded after %d of %d restarts, highest window load %.2f of the bound", c.name, outcome.overloadedStarts, testCase.restarts, outcome.maxWindowLoad)
 		}
 		if outcome.shares[9] < slowStartMargin*testCase.overloadFactor/2 && testCase.quotaFactor == 0 || outcome.shares[9] == 0 {
-			t.Errorf("%s: slow start must end, the cache has %.2f of a warm one's attempts", c.name, outcome.shares)
+			t.Errorf("%s: slow start does not end: shares of a warm cache's attempts %.2f", c.name, outcome.shares)
 		}
 	}
 }
 
-// A request of many times the mean work may be more than all that a cache in slow start bears: it goes elsewhere,
-// until so much may be saved up.
+// A request with many times the mean work may exceed the whole burst of a cache in slow start. It is sent to another
+// server, unless the burst is large enough.
 func TestHeavyRequestSkipsSlowStartCache(t *testing.T) {
 	for _, warmCacheRate := range []float64{1, 100} {
 		f, sent := newFakeHost(1, 2), map[float64]int{}
@@ -269,7 +269,7 @@
 			}
 		}
 		if sent[10] == 0 || (sent[100] > 0) != (warmCacheRate > 1) {
-			t.Errorf("%g answers a second from a warm cache: light and heavy attempts at the one in slow start %v", warmCacheRate, sent)
+			t.Errorf("%g answers per second from a warm cache: attempts at the cache in slow start by work: %v", warmCacheRate, sent)
 		}
 	}
 }
