--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -22,8 +22,8 @@
 		for n := 0; n < 100 && len(f.violations) == 0; n++ {
 			f.advance(10 * Millisecond)
 		}
-		for i, c := range f.requests {
-			if !c.ended && len(f.violations) == 0 {
+		for i, client := range f.requests {
+			if !client.ended && len(f.violations) == 0 {
 				f.violationf("request %d has no final answer", i)
 			}
 		}
@@ -61,9 +61,9 @@
 				f.b.UpdateEndpoints(f.now, Incremental, f.endpoints[:1])
 			}
 			for range rnd.Intn(2) + 3*(i%50/49) {
-				id, c := f.request(0, fmt.Sprint("k", rnd.Intn(500)), false, f.now+80000)
-				for n := 0; n < len(c.attempts); n++ {
-					server := c.attempts[n].server
+				id, client := f.request(0, fmt.Sprint("k", rnd.Intn(500)), false, f.now+80000)
+				for n := 0; n < len(client.attempts); n++ {
+					server := client.attempts[n].server
 					if sent[server][step+1]++; server < 4 || step < stopStep {
 						f.attemptDone(id, n, []Result{Served, NotFound}[rnd.Intn(2)*min(1, 4-server)])
 					} else {
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -6,7 +6,7 @@
 // answer raises it by a step, and a slow one lowers it by a share (additive
 // increase, multiplicative decrease).
 const (
-	initialFleetLimit   = 8.0  // attempts in flight at a new server, total of all nodes
+	initialClusterLimit = 8.0  // attempts in flight at a new server, total of all nodes
 	minConcurrencyLimit = 0.1  // attempts; one request in ten is sent to detect that the server has recovered
 	maxConcurrencyLimit = 16.0 // attempts; inFlightLimit also bounds attempts in flight by rate and latency
 
@@ -14,14 +14,14 @@
 	limitDecrease        = 0.1 // share of the limit removed for a slow answer or a rejection
 	timeoutLimitDecrease = 0.8 // share of the limit removed for a timeout; high because in a large cluster each node sees few timeouts
 
-	slowAnswerShare     = 0.4  // share of the latency target after which an answer counts as slow
-	inFlightTargetShare = 0.25 // share of the latency target that attempts at a cache may take; the rest is for misses
+	slowAnswerShare   = 0.4  // share of the latency target after which an answer counts as slow
+	cacheLatencyShare = 0.25 // share of the latency target that attempts at a cache may take; the rest is for misses
 )
 
-// initialConcurrencyLimit returns one node's share of initialFleetLimit, between
+// initialConcurrencyLimit returns one node's share of initialClusterLimit, between
 // one and two attempts.
 func initialConcurrencyLimit(nodeCount float64) float64 {
-	return max(1, min(minBusyInFlight, initialFleetLimit/nodeCount))
+	return max(1, min(minBusyInFlight, initialClusterLimit/nodeCount))
 }
 
 // isFull reports whether a cache has reached its limit of attempts in flight.
@@ -31,11 +31,11 @@
 
 // inFlightLimit returns how many attempts this node may have in flight at a
 // cache. By Little's law, the expected number is the measured rate of answers
-// times inFlightTargetShare of the latency target. Its square root is added to
+// times cacheLatencyShare of the latency target. Its square root is added to
 // allow for random variation.
 func (b *Balancer) inFlightLimit(r *requestState, s *serverState) float64 {
 	target := seconds(b.classes[r.Class].LatencyTarget)
-	expected := b.perSecond(s.answers) * inFlightTargetShare * target
+	expected := b.perSecond(s.answers) * cacheLatencyShare * target
 	return min(s.concurrencyLimit, max(minBusyInFlight, expected+math.Sqrt(expected)))
 }
 
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -16,8 +16,8 @@
 		ids = append(ids, id)
 	}
 	f.attemptDone(ids[1], 0, ConnectionLimit)
-	if c := f.requests[ids[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(c.attempts) != 2 || c.attempts[1].server != 2 {
-		t.Errorf("limit %g, ejection time %d, attempts %v: want a limit of 1, no ejection and a second attempt at the origin", s.concurrencyLimit, s.ejectionTime, c.attempts)
+	if client := f.requests[ids[1]]; s.concurrencyLimit != 1 || s.ejectionTime != 0 || len(client.attempts) != 2 || client.attempts[1].server != 2 {
+		t.Errorf("limit %g, ejection time %d, attempts %v: want a limit of 1, no ejection and a second attempt at the origin", s.concurrencyLimit, s.ejectionTime, client.attempts)
 	}
 }
 
@@ -28,8 +28,8 @@
 		f := newFakeHost(1, 2)
 		f.b.initialLimit, f.b.servers[0].concurrencyLimit = 1, limit
 		f.request(0, key(f.b, 0), false, f.now+5000)
-		if _, c := f.request(0, key(f.b, 0), false, f.now+5000); len(c.attempts) != 1 || c.attempts[0].server != want {
-			t.Errorf("a limit of %g: attempts %v, want one at %d", limit, c.attempts, want)
+		if _, client := f.request(0, key(f.b, 0), false, f.now+5000); len(client.attempts) != 1 || client.attempts[0].server != want {
+			t.Errorf("a limit of %g: attempts %v, want one at %d", limit, client.attempts, want)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 	f := newFakeHost(1, 1)
 	s := f.b.servers[0]
 	f.b.servers[1].inFlight = 99 // no retry goes to the origin
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		latency   Time
 		result    Result
 		low, high float64
@@ -47,13 +47,13 @@
 		{10 * Millisecond, Served, 2, maxConcurrencyLimit}} {
 		for range 120 {
 			if id, client := f.request(0, "a", false, f.now+5000); len(client.attempts) > 0 {
-				f.now += c.latency
-				f.attemptDone(id, 0, c.result)
+				f.now += tc.latency
+				f.attemptDone(id, 0, tc.result)
 			}
 			f.now += 20 * Millisecond
 		}
-		if s.concurrencyLimit < c.low || s.concurrencyLimit > c.high {
-			t.Errorf("limit %g after results %d with a latency of %d, want %g to %g", s.concurrencyLimit, c.result, c.latency, c.low, c.high)
+		if s.concurrencyLimit < tc.low || s.concurrencyLimit > tc.high {
+			t.Errorf("limit %g after results %d with a latency of %d, want %g to %g", s.concurrencyLimit, tc.result, tc.latency, tc.low, tc.high)
 		}
 		s.ejectionTime, s.retryBudget = 0, maxRetryBudget
 	}
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -8,15 +8,15 @@
 // deadline passes while it waits is rejected.
 func TestFetchesOfSameKeyCoalesced(t *testing.T) {
 	f := newFakeHost(1, 1)
-	first, c1 := f.request(0, "a", false, f.now+5000)
+	first, client1 := f.request(0, "a", false, f.now+5000)
 	f.attemptDone(first, 0, NotFound)
-	_, c2 := f.request(0, "a", false, f.now+5000)
-	_, c3 := f.request(1, "a", false, f.now+100*Millisecond)
+	_, client2 := f.request(0, "a", false, f.now+5000)
+	_, client3 := f.request(1, "a", false, f.now+100*Millisecond)
 	f.advance(101 * Millisecond)
-	if c1.attempts[1].server != 1 || len(c2.attempts)+len(c3.attempts) != 0 || !c3.ended {
+	if client1.attempts[1].server != 1 || len(client2.attempts)+len(client3.attempts) != 0 || !client3.ended {
 		t.Fatal("want one attempt at the origin, and the waiting request rejected at its deadline")
 	}
-	if f.attemptDone(first, 1, Served); len(c2.attempts) != 1 || c2.attempts[0].server != 0 {
+	if f.attemptDone(first, 1, Served); len(client2.attempts) != 1 || client2.attempts[0].server != 0 {
 		t.Fatal("the waiting request was not sent to the cache after the fetch")
 	}
 }
@@ -25,11 +25,11 @@
 // value. When they waited, all of them were sent to the cache at once afterwards.
 func TestRequestDoesNotWaitForOriginAttemptWithoutMiss(t *testing.T) {
 	f := newFakeHost(1, 1)
-	id, c1 := f.request(0, "a", false, f.now+5000)
+	id, client1 := f.request(0, "a", false, f.now+5000)
 	f.attemptDone(id, 0, Rejected)
-	_, c2 := f.request(0, "a", false, f.now+5000)
-	if len(c1.attempts) != 2 || c1.attempts[1].server != 1 || len(c2.attempts) != 1 || c2.attempts[0].server != 0 {
-		t.Errorf("attempts %v and %v, want one at the origin and one at the cache", c1.attempts, c2.attempts)
+	_, client2 := f.request(0, "a", false, f.now+5000)
+	if len(client1.attempts) != 2 || client1.attempts[1].server != 1 || len(client2.attempts) != 1 || client2.attempts[0].server != 0 {
+		t.Errorf("attempts %v and %v, want one at the origin and one at the cache", client1.attempts, client2.attempts)
 	}
 }
 
--- a/routing/idle_test.go
+++ b/routing/idle_test.go
@@ -11,8 +11,8 @@
 	f := newFakeHost(1, 4)
 	finishRequest := func(server int, result Result) {
 		f.b.servers[server].ejectionTime, f.b.servers[server].concurrencyLimit = 0, maxConcurrencyLimit
-		id, c := f.request(1, key(f.b, server), false, f.now+5000)
-		if f.attemptDone(id, 0, result); !c.ended {
+		id, client := f.request(1, key(f.b, server), false, f.now+5000)
+		if f.attemptDone(id, 0, result); !client.ended {
 			f.attemptDone(id, 1, Served)
 		}
 	}
@@ -59,9 +59,9 @@
 		id, _ := f.request(0, key(f.b, 0), false, f.now+5000)
 		f.attemptDone(id, 0, Served)
 		f.advance(maxIdleTimeout)
-		id, c := f.request(0, key(f.b, 1), false, f.now+5000)
+		id, client := f.request(0, key(f.b, 1), false, f.now+5000)
 		f.attemptDone(id, 0, result)
-		if f.closeAllCalls != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || c.attempts[0].mayHaveRun() {
+		if f.closeAllCalls != want || (f.b.idleTimeout < maxIdleTimeout) != (want > 0) || client.attempts[0].mayHaveRun() {
 			t.Errorf("result %d: %d closed, want %d; idle timeout %d", result, f.closeAllCalls, want, f.b.idleTimeout)
 		}
 		if ejected := f.b.servers[1].ejectionTime > 0; ejected != (result != ConnectionLimit) {
@@ -73,17 +73,17 @@
 // A node that fetches constantly never has a connection to the origin that reaches the idle timeout. So it must close
 // connections beyond the number that its fetches need.
 func TestOriginIdleConnectionsMatchFetchRate(t *testing.T) {
-	for _, c := range []struct{ interval, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 ms each
+	for _, tc := range []struct{ interval, want int }{{400, 1}, {10, 9}} { // milliseconds between fetches of 60 ms each
 		f := newFakeHost(1, 2)
-		for n := range 60 * 400 / c.interval {
+		for n := range 60 * 400 / tc.interval {
 			id, _ := f.request(0, fmt.Sprint(n), false, f.now+8000)
 			f.attemptDone(id, 0, NotFound)
 			f.now += 60 * Millisecond
 			f.attemptDone(id, 1, Served)
-			f.now += Time(c.interval-60) * Millisecond
+			f.now += Time(tc.interval-60) * Millisecond
 		}
-		if f.lastKeep != c.want {
-			t.Errorf("one fetch per %d ms: %d connections stay open, want %d", c.interval, f.lastKeep, c.want)
+		if f.lastKeep != tc.want {
+			t.Errorf("one fetch per %d ms: %d connections stay open, want %d", tc.interval, f.lastKeep, tc.want)
 		}
 	}
 }
--- a/routing/inflight_test.go
+++ b/routing/inflight_test.go
@@ -20,12 +20,12 @@
 
 // compareMeans checks that both comparisons of a cache with meanInFlight have the same result as with plainMean. It
 // describes a difference in diff, and reports whether either comparison is a tie.
-func compareMeans(b *Balancer, s *serverState, plainMean float64, sum int) (tie bool, diff string) {
+func compareMeans(b *Balancer, s *serverState, wantMean float64, sum int) (tie bool, diff string) {
 	n, inFlight, mean := len(b.ready), s.inFlight, b.meanInFlight()
-	if got, want := float64(inFlight) <= congestionFactor*mean, float64(inFlight) <= congestionFactor*plainMean; got != want {
+	if got, want := float64(inFlight) <= congestionFactor*mean, float64(inFlight) <= congestionFactor*wantMean; got != want {
 		diff = fmt.Sprintf("congested: %v, want %v, for %d of %d in flight at %d caches", got, want, inFlight, sum, n)
 	}
-	if got, want := float64(inFlight) <= busyFactor*mean+1, float64(inFlight) <= busyFactor*plainMean+1; got != want {
+	if got, want := float64(inFlight) <= busyFactor*mean+1, float64(inFlight) <= busyFactor*wantMean+1; got != want {
 		diff = fmt.Sprintf("busy: %v, want %v, for %d of %d in flight at %d caches", got, want, inFlight, sum, n)
 	}
 	return 2*inFlight*n == 3*sum || (inFlight-1)*n == 2*sum, diff
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -3,12 +3,12 @@
 import "slices"
 
 const (
-	originTargetShare = 0.6 // share of the latency target that attempts at the origin may take
-	writeLimitFactor  = 2   // the limit of writes in flight at the origin, as a multiple of that of fetches
+	originLatencyShare = 0.6 // share of the latency target that attempts at the origin may take
+	writeLimitFactor   = 2   // the limit of writes in flight at the origin, as a multiple of that of fetches
 
 	// Attempts that a node may have in flight at the origin regardless of the
 	// measured rate, so that there is something to measure.
-	minFleetFetches      = 12.0 // attempts, total of all nodes
+	minClusterFetches    = 12.0 // attempts, total of all nodes
 	maxUnmeasuredFetches = 3.0  // attempts of this node, while the origin's concurrencyLimit allows them
 
 	// originLimitIncrease replaces limitIncrease while the origin's
@@ -56,9 +56,9 @@
 		target = b.classes[r.Class].LatencyTarget
 	}
 	limit := max(
-		minFleetFetches/b.nodeCount,
+		minClusterFetches/b.nodeCount,
 		min(s.concurrencyLimit, maxUnmeasuredFetches),
-		b.perSecond(s.answers)*originTargetShare*seconds(target),
+		b.perSecond(s.answers)*originLatencyShare*seconds(target),
 	)
 	if r.Write {
 		return writeLimitFactor * max(1, limit)
--- a/routing/origin_test.go
+++ b/routing/origin_test.go
@@ -40,13 +40,13 @@
 	f.b.classes[0].LatencyTarget = 2500 * Millisecond // the others have 200 ms
 	origin := f.b.servers[1]
 	origin.answers, f.b.decayedAt, origin.inFlight = 100, f.b.now, 13 // 100 answers a second x 0.6 x 200 ms allow 12 in flight
-	id, c := f.request(0, "k", false, f.now+50000)
-	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 1 || !c.ended {
-		t.Errorf("attempts %v, want none at the origin", c.attempts)
+	id, client := f.request(0, "k", false, f.now+50000)
+	if f.attemptDone(id, 0, NotFound); len(client.attempts) != 1 || !client.ended {
+		t.Errorf("attempts %v, want none at the origin", client.attempts)
 	}
 	origin.inFlight = 11
-	id, c = f.request(0, "k", false, f.now+50000)
-	if f.attemptDone(id, 0, NotFound); len(c.attempts) != 2 {
-		t.Errorf("attempts %v, want one at the origin", c.attempts)
+	id, client = f.request(0, "k", false, f.now+50000)
+	if f.attemptDone(id, 0, NotFound); len(client.attempts) != 2 {
+		t.Errorf("attempts %v, want one at the origin", client.attempts)
 	}
 }
--- a/routing/partition_test.go
+++ b/routing/partition_test.go
@@ -65,7 +65,7 @@
 }
 
 func TestRangeEnds(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		weight map[int]float64 // weights of the bins; those not listed are 0; nil: equal weights
 		want   []float64
 	}{
@@ -74,17 +74,17 @@
 		{map[int]float64{10: 1, 11: 3}, []float64{11 + 1.0/3, 2000}},
 		{map[int]float64{7: 1}, []float64{7.25, 7.5, 7.75, 2000}},
 	} {
-		b := newFakeHost(1, len(c.want)).b
-		if c.weight != nil {
+		b := newFakeHost(1, len(tc.want)).b
+		if tc.weight != nil {
 			b.binWeights = make([]float64, binCount)
 		}
-		for i, w := range c.weight {
+		for i, w := range tc.weight {
 			b.binWeights[i] = w
 		}
 		b.recomputeRanges()
-		for i, want := range c.want {
+		for i, want := range tc.want {
 			if math.Abs(b.rangeEnds[i]-want) > 1e-6 {
-				t.Errorf("range ends %v, want %v", b.rangeEnds, c.want)
+				t.Errorf("range ends %v, want %v", b.rangeEnds, tc.want)
 				break
 			}
 		}
--- a/routing/polling_test.go
+++ b/routing/polling_test.go
@@ -141,18 +141,18 @@
 // the same time, and no call is answered for 3 to 13 s. The nodes must spread their polls, so that not all of them
 // poll in the first half second after the service has returned.
 func TestPollsSpreadWhenServiceReturns(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		config            Config
 		maxRate, maxBurst float64 // polls per second of all nodes, and nodes that poll in the half second after the return
 	}{
 		{modifiedConfig(func(c *Config) { c.MaxPollInterval = 10000 * Millisecond }), 240, 150},
 		{modifiedConfig(func(c *Config) { c.MaxPollInterval, c.PushedGrace = 10000*Millisecond, 3000*Millisecond }), 440, 240}, // a deployment in which each client has its own node
 	} {
-		t.Run(fmt.Sprint(c.config.PushedGrace), func(t *testing.T) {
+		t.Run(fmt.Sprint(tc.config.PushedGrace), func(t *testing.T) {
 			const nodes = 300
 			polls, nodesByReturn, duration := 0, map[Time]int{}, Time(0)
 			for n := range nodes {
-				h := newPollingHost(uint64(n), c.config)
+				h := newPollingHost(uint64(n), tc.config)
 				start := h.now
 				h.runUntil(start+1000*Millisecond, func() {})
 				h.b.UpdateEndpoints(h.now, Full, nil)
@@ -176,9 +176,9 @@
 				burst = max(burst, n)
 			}
 			t.Logf("%.0f polls per second, %d nodes in the first half second", rate, burst)
-			if rate > c.maxRate || float64(burst) > c.maxBurst {
+			if rate > tc.maxRate || float64(burst) > tc.maxBurst {
 				t.Errorf("%.0f polls per second, want at most %.0f; %d nodes in the first half second, want at most %.0f",
-					rate, c.maxRate, burst, c.maxBurst)
+					rate, tc.maxRate, burst, tc.maxBurst)
 			}
 		})
 	}
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -29,8 +29,8 @@
 				changeQuota()
 			}
 			inFlight := map[int]int{}
-			for _, c := range f.requests {
-				for _, a := range c.attempts { // a restart of a cache closes its connections, which ends earlier attempts
+			for _, client := range f.requests {
+				for _, a := range client.attempts { // a restart of a cache closes its connections, which ends earlier attempts
 					if endpoint := f.endpoints[a.server]; !a.done && (endpoint.Model == 1 || a.sentAt >= endpoint.StartedAt) {
 						inFlight[a.server]++
 					}
@@ -65,8 +65,8 @@
 	f.advance(2000 * Millisecond)
 	f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{Rate: 100, Burst: 2, Until: int64(f.now + 500*Millisecond), ThenRate: 1, ThenBurst: 1})
 	write := func() (sent bool, retryAfter Time) {
-		_, c := f.request(2, "k", true, f.now+700*Millisecond)
-		return len(c.attempts) > 0, c.retryAfter
+		_, client := f.request(2, "k", true, f.now+700*Millisecond)
+		return len(client.attempts) > 0, client.retryAfter
 	}
 	if sent, retryAfter := write(); sent || retryAfter == 0 {
 		t.Errorf("right after the grant: sent %v, retry-after %d, want an immediate rejection with a retry-after", sent, retryAfter)
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -15,18 +15,18 @@
 		}
 		f.b.warmCacheRate = 1000
 		f.b.servers[2].inFlight = 99
-		id, c := f.request(0, k, false, f.now+9000)
+		id, client := f.request(0, k, false, f.now+9000)
 		f.attemptDone(id, 0, ServerError) // the next attempt is a retry, which costs retry budget
-		if len(c.attempts) != 2 {
-			t.Fatalf("%d attempts, want 2", len(c.attempts))
+		if len(client.attempts) != 2 {
+			t.Fatalf("%d attempts, want 2", len(client.attempts))
 		}
-		s := f.b.servers[c.attempts[1].server]
+		s := f.b.servers[client.attempts[1].server]
 		retryBudget, tokens, limit, latency := s.retryBudget, s.slowStartTokens, s.concurrencyLimit, s.meanLatency
 		f.now += 150 * Millisecond // counts as slow
 		if restarted {
-			f.endpoints[c.attempts[1].server].StartedAt = f.now - Millisecond
+			f.endpoints[client.attempts[1].server].StartedAt = f.now - Millisecond
 			f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
-			s = f.b.servers[c.attempts[1].server]
+			s = f.b.servers[client.attempts[1].server]
 			retryBudget, tokens = s.retryBudget-1, s.slowStartTokens-1
 		}
 		f.attemptDone(id, 1, Withheld)
@@ -67,20 +67,20 @@
 // byte on. So the deduplication window that bounds a retry counts from the start of the first attempt. A server that has
 // restarted since the start of an attempt gets no refund for it.
 func TestStreamedAttemptRetryAndRefundCountFromSend(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		bodyTime Time // from the first byte to the last
 		attempts int
 	}{{dedupWindow / 4, 2}, {dedupWindow/2 + 10, 1}, {dedupWindow + 10, 1}} {
 		f := newFakeHost(1, 3)
 		f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true, deadline: f.now + 90000})
 		f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
-		f.now += c.bodyTime
+		f.now += tc.bodyTime
 		f.bodySent(0, 0)
 		f.now += 10
 		client := f.requests[0]
 		f.attemptDone(0, 0, ServerError)
-		if len(f.violations) > 0 || len(client.attempts) != c.attempts || client.ended != (c.attempts == 1) {
-			t.Errorf("error after a body of %d: %d attempts, want %d; ended %v, broken rules %v", c.bodyTime, len(client.attempts), c.attempts, client.ended, f.violations)
+		if len(f.violations) > 0 || len(client.attempts) != tc.attempts || client.ended != (tc.attempts == 1) {
+			t.Errorf("error after a body of %d: %d attempts, want %d; ended %v, broken rules %v", tc.bodyTime, len(client.attempts), tc.attempts, client.ended, f.violations)
 		}
 	}
 	f := newFakeHost(1, 1)
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -77,13 +77,13 @@
 // was exhausted, other nodes may reject for the same reason, so a random delay
 // spreads the clients' retries.
 func (b *Balancer) retryAfter(r *requestState) Time {
-	longest := b.config.MaxRetryAfter
+	maxRetryAfter := b.config.MaxRetryAfter
 	target := float64(b.classes[r.Class].LatencyTarget)
 	switch {
 	case float64(b.now-r.arrivedAt) < earlyRejectShare*target:
-		return min(longest, Time(retryAfterShare*target*(1+b.draw())))
+		return min(maxRetryAfter, Time(retryAfterShare*target*(1+b.draw())))
 	case r.deniedBy != nil:
-		return longest/2 + Time(b.draw()*float64(longest/2))
+		return maxRetryAfter/2 + Time(b.draw()*float64(maxRetryAfter/2))
 	}
-	return longest
+	return maxRetryAfter
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -28,14 +28,14 @@
 				}
 				lastAttemptAt, rejected, longest := f.now, 0, Time(0)
 				for end := f.now + duration; f.now < end; f.advance(interval) {
-					id, c := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
-					if len(c.attempts) > 0 {
+					id, client := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
+					if len(client.attempts) > 0 {
 						lastAttemptAt, rejected = f.now, 0
 					} else if rejected++; rejected >= minRejected {
 						longest = max(longest, f.now-lastAttemptAt)
 					}
-					for result != TimedOut && f.requests[id] == c && c.inFlight > 0 {
-						f.attemptDone(id, len(c.attempts)-1, result)
+					for result != TimedOut && f.requests[id] == client && client.inFlight > 0 {
+						f.attemptDone(id, len(client.attempts)-1, result)
 					}
 				}
 				if longest >= maxRejecting {
@@ -54,15 +54,15 @@
 func TestRetryAfter(t *testing.T) {
 	f := newFakeHost(1, 1)
 	f.b = New(f, 1, f.now, f.b.config) // without an endpoint list, where the histogram must stay finite
-	if _, c := f.request(0, "a", false, f.now+5000); c.retryAfter < 20*Millisecond || c.retryAfter > 40*Millisecond ||
+	if _, client := f.request(0, "a", false, f.now+5000); client.retryAfter < 20*Millisecond || client.retryAfter > 40*Millisecond ||
 		math.IsInf(f.b.binWeights[0], 0) || f.b.weightScale == 0 {
-		t.Errorf("retry-after %d, want a tenth to a fifth of the latency target", c.retryAfter)
+		t.Errorf("retry-after %d, want a tenth to a fifth of the latency target", client.retryAfter)
 	}
 	f = newFakeHost(1, 1)
 	f.b.servers[1].inFlight = 99
-	id, c := f.request(0, "a", false, f.now+5000)
+	id, client := f.request(0, "a", false, f.now+5000)
 	f.now += 150 * Millisecond
-	if f.attemptDone(id, 0, Rejected); c.retryAfter != 400*Millisecond {
-		t.Errorf("retry-after %d late in the latency target, want the longest", c.retryAfter)
+	if f.attemptDone(id, 0, Rejected); client.retryAfter != 400*Millisecond {
+		t.Errorf("retry-after %d late in the latency target, want the longest", client.retryAfter)
 	}
 }
--- a/routing/server.go
+++ b/routing/server.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// latencyWeight is the inverse weight of the newest attempt in the mean latency.
-const latencyWeight = 8
+// meanLatencyDivisor is the inverse weight of the newest attempt in the mean latency.
+const meanLatencyDivisor = 8
 
 // recordLatency adds the latency of an attempt to the moving average.
 func (s *serverState) recordLatency(latency Time) {
-	s.meanLatency += (latency - s.meanLatency) / latencyWeight
+	s.meanLatency += (latency - s.meanLatency) / meanLatencyDivisor
 }
--- a/routing/shedding.go
+++ b/routing/shedding.go
@@ -100,9 +100,9 @@
 	// range, of all requests that exceed the even share.
 	admissionSteps = 5.0
 
-	rejectionLoss = 0.1   // subtracted for a request within its share that was rejected or late
-	expiryLoss    = 0.03  // subtracted for a request that ran out of time, which may be the fault of a single server
-	successGain   = 0.005 // added for a request answered in time; at 5% of rejections the level falls to 0
+	rejectionDecrease = 0.1   // subtracted for a request within its share that was rejected or late
+	expiryDecrease    = 0.03  // subtracted for a request that ran out of time, which may be the fault of a single server
+	successIncrease   = 0.005 // added for a request answered in time; at 5% of rejections the level falls to 0
 )
 
 // admissionProbability returns the probability with which a request that exceeds
@@ -122,10 +122,10 @@
 	switch {
 	case r.exceedsEvenShare: // its outcome does not count
 	case inTime:
-		b.admissionLevel = min(1, b.admissionLevel+successGain)
+		b.admissionLevel = min(1, b.admissionLevel+successIncrease)
 	case b.now >= r.giveUpAt:
-		b.admissionLevel = max(0, b.admissionLevel-expiryLoss)
+		b.admissionLevel = max(0, b.admissionLevel-expiryDecrease)
 	default:
-		b.admissionLevel = max(0, b.admissionLevel-rejectionLoss)
+		b.admissionLevel = max(0, b.admissionLevel-rejectionDecrease)
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -205,7 +205,7 @@
 func TestClusterDoesNotOverloadSlowStartCache(t *testing.T) {
 	base := slowStartCase{nodes: 30, overloadFactor: 1.5, initialShare: 0.05, load: 0.7, hotShare: 0.2, lullFactor: 1, burstFactor: 2, rollingRestart: true,
 		slowStartWindow: 30000 * Millisecond}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name          string
 		overloadLimit float64
 		restarts      int
@@ -233,18 +233,18 @@
 		{"quota far above N", 2, 10, func(c *slowStartCase) { c.quotaFactor = 100 }},
 	} {
 		testCase := base
-		testCase.overloadLimit, testCase.restarts = c.overloadLimit, c.restarts
+		testCase.overloadLimit, testCase.restarts = tc.overloadLimit, tc.restarts
 		if testing.Short() {
-			testCase.restarts = (c.restarts + 3) / 4
+			testCase.restarts = (tc.restarts + 3) / 4
 		}
-		c.change(&testCase)
+		tc.change(&testCase)
 		outcome := testCase.run()
-		t.Logf("%s: overloaded after %d of %d restarts, highest window load %.2f, shares %.2f", c.name, outcome.overloadedStarts, testCase.restarts, outcome.maxWindowLoad, outcome.shares)
+		t.Logf("%s: overloaded after %d of %d restarts, highest window load %.2f, shares %.2f", tc.name, outcome.overloadedStarts, testCase.restarts, outcome.maxWindowLoad, outcome.shares)
 		if outcome.overloadedStarts > 0 {
-			t.Errorf("%s: cache overloaded after %d of %d restarts, highest window load %.2f of the bound", c.name, outcome.overloadedStarts, testCase.restarts, outcome.maxWindowLoad)
+			t.Errorf("%s: cache overloaded after %d of %d restarts, highest window load %.2f of the bound", tc.name, outcome.overloadedStarts, testCase.restarts, outcome.maxWindowLoad)
 		}
 		if outcome.shares[9] < slowStartMargin*testCase.overloadFactor/2 && testCase.quotaFactor == 0 || outcome.shares[9] == 0 {
-			t.Errorf("%s: slow start does not end: shares of a warm cache's attempts %.2f", c.name, outcome.shares)
+			t.Errorf("%s: slow start does not end: shares of a warm cache's attempts %.2f", tc.name, outcome.shares)
 		}
 	}
 }
