--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -41,7 +41,7 @@
 	adaptDue           Time      // when the histogram is next adapted to the demand
 	rangesDue          Time      // when the ranges are next recomputed
 
-	decayedAt      Time    // when answers and requests were last halved, see decayCounts
+	decayedAt      Time    // when decayCounts last halved the counts of servers and tenants
 	warmCacheRate  float64 // mean first attempts per second that a warm cache answers for this node
 	initialLimit   float64 // initial concurrencyLimit of a server
 	admissionLevel float64 // from 0 to 1, see admissionProbability
--- a/routing/config.go
+++ b/routing/config.go
@@ -44,7 +44,7 @@
 	OverloadFactor  float64 // a server in slow start is overloaded at this multiple of its current capacity,
 	OverloadWindow  Time    // measured over a window of this length
 
-	MaxPollInterval Time // longest time between two polls of the endpoint list
+	MaxPollInterval Time // longest time that the deployment allows between two polls of the endpoint list
 	PushedGrace     Time // how long requests may follow the old list after a change was pushed
 	Tick            Time // resolution of the deployment's clock
 
--- a/routing/idle.go
+++ b/routing/idle.go
@@ -16,8 +16,10 @@
 	b.idleTimeout = min(maxIdleTimeout, b.idleTimeout+idleTimeoutIncrease)
 }
 
-// closeIdleConnections closes the idle connections that are to be closed after an
-// attempt at a server with this result.
+// closeIdleConnections closes idle connections after an attempt at a server. At an
+// origin it keeps originConnections of them. If the server refused to connect, it
+// shrinks the idle timeout. If the last attempt at a cache has ended and the idle
+// timeout is below minIdleTimeout, it closes the connections to that cache.
 func (b *Balancer) closeIdleConnections(server int, result Result) {
 	s := b.servers[server]
 	refused := result == ConnectFailed || result == ConnectionLimit
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -18,8 +18,8 @@
 	if sum == 0 || !tieIsPossible(sum, n) {
 		return sum / n
 	}
-	// For a tie, the rounding of this floating-point sum decides the comparison
-	// with the mean.
+	// In case of a tie, the rounding of this floating-point sum decides how a cache
+	// compares with the mean.
 	mean := 0.0
 	for _, i := range b.ready {
 		mean += float64(b.servers[i].inFlight) / n
--- a/routing/origin.go
+++ b/routing/origin.go
@@ -46,10 +46,10 @@
 	})
 }
 
-// originLimit returns how many attempts this node may have in flight at an origin
-// for a request to be sent. Fetches are bounded by the shortest latency target of
-// all classes, so that requests with a long target don't delay those with a short
-// one. Writes have a higher limit.
+// originLimit returns the limit of this node's attempts in flight at an origin that
+// applies to a request. Fetches are bounded by the shortest latency target of all
+// classes, so that requests with a long target don't delay those with a short one.
+// Writes take precedence and have a higher limit.
 func (b *Balancer) originLimit(r *requestState, s *serverState) float64 {
 	target := b.shortestLatencyTarget
 	if r.Write {
--- a/routing/result.go
+++ b/routing/result.go
@@ -34,7 +34,7 @@
 	}
 	b.returnConcurrencyQuota(s)
 	if result == TimedOut && !slow {
-		result = Canceled // the request had little time left, so the server is not to blame
+		result = Canceled // the request had little time left, so the timeout says nothing about the server
 	}
 	b.addInFlight(s, -1)
 	b.updateEjection(s, result)
--- a/routing/shedding.go
+++ b/routing/shedding.go
@@ -120,7 +120,7 @@
 // that exceed their shares are shed first.
 func (b *Balancer) adjustAdmissionLevel(r *requestState, inTime bool) {
 	switch {
-	case r.exceedsEvenShare: // its outcome does not count
+	case r.exceedsEvenShare: // says nothing about requests within their shares
 	case inTime:
 		b.admissionLevel = min(1, b.admissionLevel+successIncrease)
 	case b.now >= r.giveUpAt:
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -13,8 +13,12 @@
 
 // slowStartCase is a cluster of nodes that send requests to a cache, which restarts repeatedly.
 type slowStartCase struct {
-	nodes           int
-	overloadLimit   float64 // N right after a restart, the requests per window that overload the cache: overload factor x slow-start share x capacity x window
+	nodes int
+
+	// overloadLimit is N right after a restart, the work per window with which the cache is overloaded:
+	// overload factor x slow-start share x capacity x window.
+	overloadLimit float64
+
 	overloadFactor  float64
 	initialShare    float64 // slow-start share right after a restart
 	load            float64 // usual load of a warm cache, as a share of its capacity
