--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -243,7 +243,7 @@
 		f.b.UpdateEndpoints(f.now, Incremental, []Endpoint{*endpoint})
 	case r < 89:
 		f.b.UpdateEndpoints(f.now, Failed, nil)
-		for n := len(f.endpoints); n < 60 && f.rnd.Intn(4) == 0 && len(f.endpoints) < 2*n; { // up to as many caches are added, in slow start
+		for n := len(f.endpoints); n < 60 && f.rnd.Intn(4) == 0 && len(f.endpoints) < 2*n; { // adds caches in slow start, up to twice the number of endpoints
 			f.endpoints = append(f.endpoints, Endpoint{Server: len(f.endpoints), ID: fmt.Sprint("11.", f.rnd.Int()), StartedAt: f.now})
 		}
 		f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
