--- a/routing/result.go
+++ b/routing/result.go
@@ -1,14 +1,14 @@
 package routing
 
-// AttemptDone reports the result of an attempt, and whether the request has
-// ended with it. An attempt that outlasts its request is reported as well.
-func (b *Balancer) AttemptDone(now Time, id, number int, result Result, ended bool) {
+// AttemptDone reports the result of an attempt, and whether that was the
+// request's final answer. An attempt that outlasts its request is reported, too.
+func (b *Balancer) AttemptDone(now Time, id, attemptNumber int, result Result, ended bool) {
 	b.advanceClock(now)
 	r := &b.requests[id]
-	a := &r.attempts[number]
+	a := &r.attempts[attemptNumber]
 	a.inFlight = false
 	a.neverRan = result.neverRan()
-	b.learnFromResult(r, number, result)
+	b.learnFromResult(r, attemptNumber, result)
 	r.missed = r.missed || result == NotFound
 	if !r.active {
 		return
@@ -22,9 +22,9 @@
 	b.advance(id)
 }
 
-// learnFromResult takes what the result of an attempt says of its server.
-func (b *Balancer) learnFromResult(r *requestState, number int, result Result) {
-	a := r.attempts[number]
+// learnFromResult updates the state of a server by the result of an attempt.
+func (b *Balancer) learnFromResult(r *requestState, attemptNumber int, result Result) {
+	a := r.attempts[attemptNumber]
 	s := b.servers[a.server]
 	latency := b.now - a.sentAt
 	slow := false
@@ -34,24 +34,24 @@
 	}
 	b.returnConcurrencyQuota(s)
 	if result == TimedOut && !slow {
-		result = Canceled // the request had little time left, which says nothing of the server
+		result = Canceled // the request had little time left, so the timeout says nothing about the server
 	}
 	b.addInFlight(s, -1)
 	b.updateEjection(s, result)
 	if result.isAnswer() {
 		b.growIdleTimeout()
 		s.earnRetryBudget()
-		s.countAnswer(number == 0)
+		s.countAnswer(attemptNumber == 0)
 	}
-	b.closeIdleAfter(a.server, result)
+	b.closeIdleConnections(a.server, result)
 	if result == Withheld {
-		b.refundAttempt(r, number, s)
+		b.refundAttempt(r, attemptNumber, s)
 	} else {
 		s.adjustConcurrencyLimit(result, slow)
 	}
 }
 
-// countAnswer counts an answer for the rates of the server.
+// countAnswer counts an answer in the server's rates.
 func (s *serverState) countAnswer(firstAttempt bool) {
 	s.answers++
 	if firstAttempt {
@@ -59,7 +59,7 @@
 	}
 }
 
-// returnConcurrencyQuota returns what an attempt took of the quotas of
+// returnConcurrencyQuota returns what an attempt took from the quotas that bound
 // attempts in flight.
 func (b *Balancer) returnConcurrencyQuota(s *serverState) {
 	s.concurrencyQuota.Ended(int64(s.meanLatency))
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// Whatever its servers answer, and however few they are, a node does not reject all requests for 4 s: some attempt is
-// made in between. The operators' bound holds where 15 and more were rejected.
-func TestANodeGoesOnTryingWhateverItsServersAnswer(t *testing.T) {
+// Guards against a node that stops sending. Whatever result all attempts have, and however few caches there are, a node
+// must not reject all requests for 4 s without an attempt in between. The operators' requirement applies if at least 15
+// requests in a row are rejected.
+func TestNodeKeepsSendingWhenAllAttemptsFail(t *testing.T) {
 	const (
-		rejectedMost = 4000 * Millisecond
-		countsFrom   = 15
-		every        = 20 * Millisecond
-		lasts        = 40000 * Millisecond
+		maxRejecting = 4000 * Millisecond
+		minRejected  = 15
+		interval     = 20 * Millisecond
+		duration     = 40000 * Millisecond
 	)
 	for _, caches := range []int{1, 2, 5, 20} {
 		for _, result := range []Result{ServerError, Rejected, TimedOut, ConnectFailed, ConnectionBroken, Canceled, NotSent, NotFound, ConnectionLimit, ConnectTimeout} {
@@ -25,42 +26,43 @@
 					}
 					f.b.UpdateEndpoints(f.now, Incremental, f.endpoints)
 				}
-				since, rejected, longest := f.now, 0, Time(0)
-				for end := f.now + lasts; f.now < end; f.advance(every) {
-					id, c := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
-					if len(c.attempts) > 0 {
-						since, rejected = f.now, 0
-					} else if rejected++; rejected >= countsFrom {
-						longest = max(longest, f.now-since)
+				lastAttemptAt, rejected, longest := f.now, 0, Time(0)
+				for end := f.now + duration; f.now < end; f.advance(interval) {
+					id, client := f.request(0, fmt.Sprint("k", f.rnd.Intn(50)), false, f.now+800*Millisecond)
+					if len(client.attempts) > 0 {
+						lastAttemptAt, rejected = f.now, 0
+					} else if rejected++; rejected >= minRejected {
+						longest = max(longest, f.now-lastAttemptAt)
 					}
-					for result != TimedOut && f.requests[id] == c && c.inFlight > 0 {
-						f.attemptDone(id, len(c.attempts)-1, result)
+					for result != TimedOut && f.requests[id] == client && client.inFlight > 0 {
+						f.attemptDone(id, len(client.attempts)-1, result)
 					}
 				}
-				if longest >= rejectedMost {
-					t.Errorf("%d caches, result %d, slow start %v: all are rejected for %d ms", caches, result, slowStart, longest/Millisecond)
+				if longest >= maxRejecting {
+					t.Errorf("%d caches, result %d, slow start %v: no attempt for %d ms", caches, result, slowStart, longest/Millisecond)
 				}
-				if len(f.faults) > 0 {
-					t.Errorf("%d caches, result %d: %v", caches, result, f.faults[0])
+				if len(f.violations) > 0 {
+					t.Errorf("%d caches, result %d: %v", caches, result, f.violations[0])
 				}
 			}
 		}
 	}
 }
 
-// A client that is rejected early is asked back while an answer can still be in time.
+// A client that is rejected early gets a short Retry-After, while an answer can still be in time, and one that is
+// rejected late the longest.
 func TestRetryAfter(t *testing.T) {
 	f := newFakeHost(1, 1)
-	f.b = New(f, 1, f.now, f.b.config) // without an endpoint list the histogram stays sound
-	if _, c := f.request(0, "a", false, f.now+5000); c.retryAfter < 20*Millisecond || c.retryAfter > 40*Millisecond ||
+	f.b = New(f, 1, f.now, f.b.config) // without an endpoint list, where the histogram must stay finite
+	if _, client := f.request(0, "a", false, f.now+5000); client.retryAfter < 20*Millisecond || client.retryAfter > 40*Millisecond ||
 		math.IsInf(f.b.binWeights[0], 0) || f.b.weightScale == 0 {
-		t.Errorf("retry after %d, want a tenth to a fifth of the latency target", c.retryAfter)
+		t.Errorf("retry-after %d, want a tenth to a fifth of the latency target", client.retryAfter)
 	}
 	f = newFakeHost(1, 1)
 	f.b.servers[1].inFlight = 99
-	id, c := f.request(0, "a", false, f.now+5000)
+	id, client := f.request(0, "a", false, f.now+5000)
 	f.now += 150 * Millisecond
-	if f.attemptDone(id, 0, Rejected); c.retryAfter != 400*Millisecond {
-		t.Errorf("retry after %d, want the longest once the time is gone", c.retryAfter)
+	if f.attemptDone(id, 0, Rejected); client.retryAfter != 400*Millisecond {
+		t.Errorf("retry-after %d late in the latency target, want the longest", client.retryAfter)
 	}
 }
