--- a/lease/budget.go
+++ b/lease/budget.go
@@ -140,7 +140,7 @@
 		if !known || move.Units < 0 || move.Units > maxUnits {
 			continue
 		}
-		if _, met := allocated[move.Budget]; !met {
+		if _, seen := allocated[move.Budget]; !seen {
 			allocated[move.Budget] = budget.Allocated()
 		}
 		previous := budget.Quotas[move.Lease]
--- a/lease/claimant.go
+++ b/lease/claimant.go
@@ -24,7 +24,7 @@
 	// Lost tells that the lease is no longer held: acts under it have to end. reason is nil after Release.
 	Lost(reason error)
 	// SetAlarm requests a call of Claimant.Alarm at or soon after a time, in place of any earlier request.
-	SetAlarm(at Time)
+	SetAlarm(t Time)
 }
 
 // Claimant acquires a lease and renews it until it is released. It counts the lease from before its request was sent,
@@ -64,7 +64,7 @@
 
 // MayAct reports whether an act of a given duration may begin now, and its fencing token. Call it again after any wait.
 // The process may be suspended between this check and the act, so whatever is acted upon has to check the token too.
-func (c *Claimant) MayAct(now, duration Time) (token uint64, may bool) {
+func (c *Claimant) MayAct(now, duration Time) (token uint64, allowed bool) {
 	return c.token, c.granted && !c.released && now+duration < c.expiry
 }
 
@@ -88,8 +88,8 @@
 	c.host.Send(r)
 }
 
-// HandleResponse takes the response to the pending request, which was sent at the time sent.
-func (c *Claimant) HandleResponse(now, sent Time, response Response) {
+// HandleResponse takes the response to the pending request, which was sent at sentAt.
+func (c *Claimant) HandleResponse(now, sentAt Time, response Response) {
 	if c.released {
 		c.handleLateResponse(response)
 		return
@@ -100,9 +100,9 @@
 	c.requestPending = false
 	switch {
 	case response.Err == nil && (c.token == 0 || response.Token == c.token):
-		c.extend(now, sent, response.Token)
+		c.extendLease(now, sentAt, response.Token)
 	case errors.Is(response.Err, ErrLeaseExpired) || response.Err == nil:
-		c.discard(response.Err)
+		c.dropLease(response.Err)
 		c.scheduleRetry(now)
 	case errors.Is(response.Err, ErrStillHeld):
 		c.failures = 0
@@ -121,12 +121,12 @@
 	}
 }
 
-// extend notes a grant or a renewal, whose request was sent at the time sent.
-func (c *Claimant) extend(now, sent Time, token uint64) {
+// extendLease notes a grant or a renewal, whose request was sent at sentAt.
+func (c *Claimant) extendLease(now, sentAt Time, token uint64) {
 	c.failures = 0
 	c.token = token
-	c.expiry = max(c.expiry, sent+c.holderDuration)
-	c.nextRequest = sent + c.leaseDuration/renewalsPerLease
+	c.expiry = max(c.expiry, sentAt+c.holderDuration)
+	c.nextRequest = sentAt + c.leaseDuration/renewalsPerLease
 	if now >= c.expiry { // the response was late: only a renewal can show that the lease is still held
 		c.nextRequest = now
 		return
@@ -166,8 +166,8 @@
 	return float64(hash.Sum64()%resolution) / resolution
 }
 
-// discard forgets the lease, and tells the host if it held it.
-func (c *Claimant) discard(reason error) {
+// dropLease forgets the lease, and tells the host if it held it.
+func (c *Claimant) dropLease(reason error) {
 	wasGranted := c.granted
 	c.token = 0
 	c.granted = false
@@ -199,16 +199,16 @@
 	if c.released {
 		return
 	}
-	at := c.nextRequest
+	alarmTime := c.nextRequest
 	if c.requestPending {
 		if !c.granted {
 			return // the outcome of the request comes first
 		}
-		at = c.expiry
+		alarmTime = c.expiry
 	} else if c.granted {
-		at = min(at, c.expiry)
+		alarmTime = min(alarmTime, c.expiry)
 	}
-	c.host.SetAlarm(max(at, now))
+	c.host.SetAlarm(max(alarmTime, now))
 }
 
 // Release gives up the lease, or the attempt to acquire it. Call it once all acts under the lease have ended.
--- a/lease/cluster_test.go
+++ b/lease/cluster_test.go
@@ -369,7 +369,7 @@
 		x, k := *v, *v.manager
 		x.cluster, x.state, x.proposals, x.manager = &o, v.state.clone(), maps.Clone(v.proposals), &k
 		k.host, k.state = &x, x.state
-		k.expiries, k.changing, k.requests, k.proposals = maps.Clone(k.expiries), maps.Clone(k.changing), maps.Clone(k.requests), maps.Clone(k.proposals)
+		k.expiries, k.changePending, k.requests, k.proposals = maps.Clone(k.expiries), maps.Clone(k.changePending), maps.Clone(k.requests), maps.Clone(k.proposals)
 		k.queuedRenewals, k.roundRenewals = slices.Clone(k.queuedRenewals), slices.Clone(k.roundRenewals)
 		k.queues = map[string][]waiter{}
 		for name, line := range v.manager.queues {
@@ -399,7 +399,7 @@
 		fmt.Fprint(h, v.term, v.leadsInTerm, v.round != 0, v.alarmSet, v.alarmAt, len(tc.log)-v.applied)
 		if v.leadsInTerm > 0 {
 			k := v.manager
-			fmt.Fprint(h, k.expiries, k.changing, len(k.queuedRenewals), len(k.roundRenewals), k.term)
+			fmt.Fprint(h, k.expiries, k.changePending, len(k.queuedRenewals), len(k.roundRenewals), k.term)
 			for _, tc := range k.queues["task"] {
 				fmt.Fprint(h, tc.holder.Process, tc.requestID != 0, tc.deadline)
 			}
--- a/lease/entry.go
+++ b/lease/entry.go
@@ -46,8 +46,8 @@
 }
 
 // Decode parses the stored form of an entry. Apply checks its version and contents.
-func Decode(stored []byte) (e Entry, err error) {
-	if err := json.Unmarshal(stored, &e); err != nil {
+func Decode(data []byte) (e Entry, err error) {
+	if err := json.Unmarshal(data, &e); err != nil {
 		return e, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return e, nil
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -18,7 +18,7 @@
 	// Respond answers the request with this id.
 	Respond(id uint64, response Response)
 	// SetAlarm requests a call of Manager.Alarm at or soon after a time, in place of any earlier request.
-	SetAlarm(at Time)
+	SetAlarm(t Time)
 }
 
 // pendingRequest is a request that is not answered yet.
@@ -36,14 +36,14 @@
 	leaseDuration Time // nominal
 	grantDuration Time // as counted here, see GranterDuration
 
-	leading   bool
-	term      uint64
-	expiries  map[string]Time           // by lease
-	changing  map[string]bool           // leases with a grant or a revocation in progress
-	queues    map[string][]waiter       // by lease
-	requests  map[uint64]pendingRequest // by id
-	proposals map[uint64]proposal       // by reference
-	lastRef   uint64                    // last reference of a proposal or a round
+	leading       bool
+	term          uint64
+	expiries      map[string]Time           // by lease
+	changePending map[string]bool           // leases with a grant or a revocation in progress
+	queues        map[string][]waiter       // by lease
+	requests      map[uint64]pendingRequest // by id
+	proposals     map[uint64]proposal       // by reference
+	lastRef       uint64                    // last reference of a proposal or a round
 
 	queuedRenewals []uint64 // request ids that wait for the next quorum round
 	round          uint64   // in progress; 0: none
@@ -79,7 +79,7 @@
 	m.queuedRenewals = nil
 	m.roundRenewals = nil
 	m.expiries = map[string]Time{}
-	m.changing = map[string]bool{}
+	m.changePending = map[string]bool{}
 	m.queues = map[string][]waiter{}
 	m.requests = map[uint64]pendingRequest{}
 	m.proposals = map[uint64]proposal{}
@@ -111,13 +111,13 @@
 	case OpAcquire:
 		m.acquire(now, id, r)
 	case OpRenew:
-		if !m.heldWithToken(r) {
+		if !m.senderHoldsToken(r) {
 			m.host.Respond(id, Response{Err: ErrLeaseExpired})
 			return
 		}
 		m.renew(id, r)
 	case OpRelease:
-		if !m.heldWithToken(r) {
+		if !m.senderHoldsToken(r) {
 			m.host.Respond(id, Response{Err: ErrLeaseExpired})
 			return
 		}
@@ -136,22 +136,22 @@
 
 // acquire renews the lease for its present holder, and puts anyone else into the queue.
 func (m *Manager) acquire(now Time, id uint64, r Request) {
-	if m.heldBy(r) {
+	if m.senderHoldsLease(r) {
 		m.renew(id, r)
 		return
 	}
 	m.enqueue(now, id, r)
 }
 
-// heldBy reports whether the sender of a request holds the lease, and nothing is about to change that.
-func (m *Manager) heldBy(r Request) bool {
+// senderHoldsLease reports whether the sender of a request holds the lease, and nothing is about to change that.
+func (m *Manager) senderHoldsLease(r Request) bool {
 	lease, held := m.state.Leases[r.Name]
-	return held && lease.Holder == r.Holder && !m.changing[r.Name]
+	return held && lease.Holder == r.Holder && !m.changePending[r.Name]
 }
 
-// heldWithToken is heldBy, and that the request has the lease's token.
-func (m *Manager) heldWithToken(r Request) bool {
-	return m.heldBy(r) && m.state.Leases[r.Name].Token == r.Token
+// senderHoldsToken is senderHoldsLease, and that the request has the lease's token.
+func (m *Manager) senderHoldsToken(r Request) bool {
+	return m.senderHoldsLease(r) && m.state.Leases[r.Name].Token == r.Token
 }
 
 // CallerGone drops a request whose caller can't be answered any more. A waiter keeps its place in the queue for a while: it
@@ -162,7 +162,7 @@
 		return
 	}
 	delete(m.requests, id)
-	m.detach(now, r.Name, id)
+	m.detachRequest(now, r.Name, id)
 }
 
 // reply answers a request, if it is still pending.
@@ -180,13 +180,13 @@
 		return
 	}
 	m.revokeExpired(now)
-	m.endWaits(now)
+	m.expireWaiters(now)
 	m.scheduleAlarm(now)
 }
 
 func (m *Manager) revokeExpired(now Time) {
 	for _, name := range slices.Sorted(maps.Keys(m.expiries)) {
-		if now < m.expiries[name] || m.changing[name] {
+		if now < m.expiries[name] || m.changePending[name] {
 			continue
 		}
 		if lease, held := m.state.Leases[name]; held {
@@ -206,7 +206,7 @@
 		}
 	}
 	for name, expiry := range m.expiries {
-		if !m.changing[name] {
+		if !m.changePending[name] {
 			consider(expiry)
 		}
 	}
--- a/lease/proposals.go
+++ b/lease/proposals.go
@@ -18,28 +18,28 @@
 
 // revoke proposes to end a lease. From here on no request renews it.
 func (m *Manager) revoke(name string, token, requestID uint64) {
-	m.changing[name] = true
+	m.changePending[name] = true
 	m.propose(Entry{Kind: KindRevoke, Term: m.term, Name: name, Token: token}, requestID)
 }
 
-// Applied takes the outcome of a proposal. lost says that the outcome is unknown to this leader: the next one, perhaps this
+// Applied takes the outcome of a proposal. outcomeUnknown says that the outcome is unknown to this leader: the next one, perhaps this
 // process again, will find out from its log.
-func (m *Manager) Applied(now Time, ref uint64, result Result, lost bool) {
+func (m *Manager) Applied(now Time, ref uint64, result Result, outcomeUnknown bool) {
 	p, known := m.proposals[ref]
 	if !known {
 		return
 	}
 	delete(m.proposals, ref)
-	if lost || errors.Is(result.Err, ErrStaleTerm) {
+	if outcomeUnknown || errors.Is(result.Err, ErrStaleTerm) {
 		m.reply(p.requestID, Response{Err: ErrNotLeader})
 		return // the lease stays marked as changing: the term is over, and Demote or Promote follows
 	}
 	name := p.entry.Name
 	switch p.entry.Kind {
 	case KindGrant:
-		m.granted(now, p, result)
+		m.handleGrantResult(now, p, result)
 	case KindRevoke:
-		delete(m.changing, name)
+		delete(m.changePending, name)
 		delete(m.expiries, name)
 		m.reply(p.requestID, Response{Err: result.Err})
 	case KindEffect:
@@ -49,10 +49,10 @@
 	m.scheduleAlarm(now)
 }
 
-// granted takes the outcome of a grant. If the claimant has gone without learning of it, the lease is revoked at once.
-func (m *Manager) granted(now Time, p proposal, result Result) {
+// handleGrantResult takes the outcome of a grant. If the claimant has gone without learning of it, the lease is revoked at once.
+func (m *Manager) handleGrantResult(now Time, p proposal, result Result) {
 	name := p.entry.Name
-	delete(m.changing, name)
+	delete(m.changePending, name)
 	if result.Err != nil {
 		m.reply(p.requestID, Response{Token: result.Token, Err: result.Err})
 		return
--- a/lease/renewals.go
+++ b/lease/renewals.go
@@ -47,7 +47,7 @@
 	switch {
 	case !confirmed:
 		m.reply(id, Response{Err: ErrNotLeader})
-	case !m.heldBy(r) || r.Operation == OpRenew && lease.Token != r.Token:
+	case !m.senderHoldsLease(r) || r.Operation == OpRenew && lease.Token != r.Token:
 		m.reply(id, Response{Err: ErrLeaseExpired})
 	default:
 		m.expiries[r.Name] = max(m.expiries[r.Name], now+m.grantDuration)
--- a/lease/snapshot.go
+++ b/lease/snapshot.go
@@ -38,22 +38,22 @@
 }
 
 // Restore replaces the state by a snapshot's. It changes nothing if the snapshot is malformed or of an unknown version.
-func (s *State) Restore(stored []byte) error {
-	var from snapshot
-	if err := json.Unmarshal(stored, &from); err != nil {
+func (s *State) Restore(data []byte) error {
+	var decoded snapshot
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return fmt.Errorf("snapshot: %w: %w", ErrMalformed, err)
 	}
-	if from.Version != formatVersion && from.Version != budgetFormatVersion {
-		return fmt.Errorf("snapshot version %d: this program reads versions %d and %d", from.Version, formatVersion, budgetFormatVersion)
+	if decoded.Version != formatVersion && decoded.Version != budgetFormatVersion {
+		return fmt.Errorf("snapshot version %d: this program reads versions %d and %d", decoded.Version, formatVersion, budgetFormatVersion)
 	}
 	restored := NewState()
-	restored.Cluster = from.Cluster
-	restored.Leader = from.Leader
-	restored.Term = from.Term
-	restored.LastToken = from.LastToken
-	maps.Copy(restored.Leases, from.Leases)
-	maps.Copy(restored.Effects, from.Effects)
-	for name, budget := range from.Budgets {
+	restored.Cluster = decoded.Cluster
+	restored.Leader = decoded.Leader
+	restored.Term = decoded.Term
+	restored.LastToken = decoded.LastToken
+	maps.Copy(restored.Leases, decoded.Leases)
+	maps.Copy(restored.Effects, decoded.Effects)
+	for name, budget := range decoded.Budgets {
 		restored.Budgets[name] = budget.Clone()
 	}
 	*s = *restored
