--- a/lease/budget.go
+++ b/lease/budget.go
@@ -6,54 +6,54 @@
 )
 
 const (
-	maxBudgets       = 64      // of a cluster
-	maxUnits         = 1 << 20 // of a budget: sums stay far from overflow
+	maxBudgets       = 64      // per cluster
+	maxUnits         = 1 << 20 // per budget; keeps sums far from integer overflow
 	maxMovesPerEntry = 16384
 	maxRatePerUnit   = 1e6 // requests a second
 )
 
-// BudgetConfig is a limit that the nodes of a cluster share. It is divided in whole units, so that sums are exact: a
-// concurrency limit has one unit for each request in flight, a rate limit one for each request of its burst, with an equal
-// part of the rate.
+// BudgetConfig is a limit that the nodes of a cluster share. It is divided into integer units, so that sums are exact. A
+// unit of a concurrency limit is one request in flight. A unit of a rate limit is one request of its burst, together with an
+// equal share of its rate.
 type BudgetConfig struct {
 	Kind            string  `json:"kind"` // RateKind or ConcurrencyKind
-	Resource        string  `json:"of"`   // what is limited
+	Resource        string  `json:"of"`   // the limited resource
 	Units           int     `json:"units"`
-	RatePerUnit     float64 `json:"each"`  // requests a second of one unit of a rate; it never changes, so that all nodes value a unit alike
-	ReservedPerNode int     `json:"apart"` // units that each node has at all times, connected or not; they are never allocated to another
-	MaxNodes        int     `json:"nodes"` // that units are reserved for
+	RatePerUnit     float64 `json:"each"`  // requests/s of one unit of a rate limit; it never changes, so that a unit is worth the same on all nodes
+	ReservedPerNode int     `json:"apart"` // units that each node may always use, even when disconnected; they are never allocated to another node
+	MaxNodes        int     `json:"nodes"` // number of nodes that units are reserved for
 	Revision        uint64  `json:"revision"`
 }
 
-// The kinds of budget.
+// Kinds of budget.
 const (
 	RateKind        = "rate"
 	ConcurrencyKind = "number"
 )
 
-// Budget is a budget and the quotas allocated from it. A quota ends with the lease it belongs to, that of a node's name.
+// Budget is a budget and the quotas allocated from it. A quota belongs to the lease of a node's name and ends with that lease.
 type Budget struct {
 	BudgetConfig
-	Quotas map[string]Quota `json:"parts"` // by lease
+	Quotas map[string]Quota `json:"parts"` // by lease name
 }
 
-// Quota is the number of units allocated to the holder of a lease. Its token changes with each change of the quota, so that
-// messages about an earlier one can be recognised.
+// Quota is the number of units allocated to the holder of a lease. The token changes with every change of the quota, so that
+// messages about an earlier quota can be recognised.
 type Quota struct {
 	Token uint64 `json:"token"`
 	Units int    `json:"units"`
 }
 
-// QuotaMove sets a quota to Units, if the lease is held with Token and the quota still has the token FromToken.
+// QuotaMove sets a quota to Units if the lease is held with Token and the quota's token is still FromToken.
 type QuotaMove struct {
 	Budget    string `json:"b"`
 	Lease     string `json:"l"`
-	Token     uint64 `json:"t"`           // of the lease
-	FromToken uint64 `json:"u,omitempty"` // of the quota; 0: there is none yet
+	Token     uint64 `json:"t"`           // fencing token of the lease
+	FromToken uint64 `json:"u,omitempty"` // current token of the quota; 0: no quota yet
 	Units     int    `json:"n,omitempty"`
 }
 
-// Validate returns an error that wraps ErrInvalidBudget if a field is out of its range.
+// Validate returns an error that wraps ErrInvalidBudget if a field is out of range.
 func (c BudgetConfig) Validate() error {
 	switch {
 	case c.Kind != RateKind && c.Kind != ConcurrencyKind:
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// Allocatable returns how many units may be allocated as quotas.
+// Allocatable returns the number of units that may be allocated as quotas: all that are not reserved.
 func (c BudgetConfig) Allocatable() int { return c.Units - c.ReservedPerNode*c.MaxNodes }
 
-// Limit returns the whole budget: requests a second, or requests in flight.
+// Limit returns the limit of the whole budget, in requests/s for a rate and in requests in flight for a concurrency limit.
 func (c BudgetConfig) Limit() float64 {
 	if c.Kind == ConcurrencyKind {
 		return float64(c.Units)
@@ -80,7 +80,7 @@
 	return c.RatePerUnit * float64(c.Units)
 }
 
-// Allocated returns how many units are allocated as quotas.
+// Allocated returns the number of units allocated as quotas.
 func (b *Budget) Allocated() (units int) {
 	for _, quota := range b.Quotas {
 		units += quota.Units
@@ -88,7 +88,7 @@
 	return units
 }
 
-// Clone returns a deep copy, whose Quotas is never nil.
+// Clone returns a deep copy. Its Quotas map is never nil.
 func (b *Budget) Clone() *Budget {
 	clone := *b
 	clone.Quotas = maps.Clone(b.Quotas)
@@ -98,9 +98,9 @@
 	return &clone
 }
 
-// setBudget declares a budget or changes its number of units. Nothing else of a declared budget changes: a node that is
-// disconnected goes on with its reserved units and doesn't learn of the change. Quotas stay as they are too, so a lowered
-// limit holds once enough units have been returned.
+// setBudget declares a budget or changes its number of units. All other fields of a declared budget are immutable, because a
+// disconnected node keeps using its reserved units and does not learn of a change. Existing quotas are unchanged, so a
+// lowered limit takes effect once nodes have returned enough units.
 func (s *State) setBudget(e Entry) Result {
 	if e.Budget == nil {
 		return Result{Err: fmt.Errorf("%w: no budget given", ErrMalformed)}
@@ -110,7 +110,7 @@
 	switch {
 	case !known && len(s.Budgets) >= maxBudgets:
 		return Result{Err: ErrLimitExceeded}
-	case known && (config.Revision == 0 || config.Revision != budget.Revision): // declared before, or changed since
+	case known && (config.Revision == 0 || config.Revision != budget.Revision): // already declared, or changed since that revision
 		return Result{Token: budget.Revision, Err: ErrDuplicate}
 	case known:
 		units := config.Units
@@ -129,12 +129,12 @@
 	return Result{Token: config.Revision}
 }
 
-// moveQuotas applies each of the moves that is still valid, and never allocates more than is allocatable.
+// moveQuotas applies the moves that are still valid. It skips a move that would exceed the allocatable units.
 func (s *State) moveQuotas(moves []QuotaMove) Result {
 	if len(moves) > maxMovesPerEntry {
 		return Result{Err: fmt.Errorf("%w: %d moves, %d at most", ErrMalformed, len(moves), maxMovesPerEntry)}
 	}
-	allocated := map[string]int{} // by budget, of the budgets met so far
+	allocated := map[string]int{} // by budget name, for the budgets of the moves so far
 	for _, move := range moves {
 		budget, known := s.Budgets[move.Budget]
 		if !known || move.Units < 0 || move.Units > maxUnits {
--- a/lease/claimant.go
+++ b/lease/claimant.go
@@ -7,48 +7,49 @@
 )
 
 const (
-	renewalsPerLease  = 3                  // two renewals in a row may be lost
-	waitDivisor       = 4                  // a request waits at the leader for a quarter of a lease
-	retryDelayDivisor = 30                 // the first backoff after a failed request, as a part of a lease,
-	maxRetryDelay     = 1000 * Millisecond // and its maximum
-	maxBackoffFactor  = 5                  // the random part of the backoff grows up to so many times the first
+	renewalsPerLease  = 3                  // a holder renews every 1/3 of a lease, so two renewals in a row may be lost
+	waitDivisor       = 4                  // an acquire request waits at the leader for 1/4 of a lease duration
+	retryDelayDivisor = 30                 // the minimum retry delay is 1/30 of a lease duration,
+	maxRetryDelay     = 1000 * Millisecond // but at most this
+	maxBackoffFactor  = 5                  // the jitter grows to at most 5 times the minimum retry delay
 )
 
 // ClaimantHost carries out the effects of a Claimant. None of its methods may call back into the Claimant.
 type ClaimantHost interface {
-	// Send sends a request; Claimant.HandleResponse or HandleTimeout reports its outcome. Except for a release, no
-	// further request is sent before that.
+	// Send sends a request. The host reports the outcome to Claimant.HandleResponse or HandleTimeout. Until then the
+	// Claimant sends no other request, except to release or withdraw.
 	Send(r Request)
-	// Granted tells that the lease is held from now on, with this token.
+	// Granted is called when the lease becomes held, with its fencing token.
 	Granted(token uint64)
-	// Lost tells that the lease is no longer held: acts under it have to end. reason is nil after Release.
+	// Lost is called when the lease is no longer held: acts under it must end. reason is nil after Release.
 	Lost(reason error)
-	// SetAlarm requests a call of Claimant.Alarm at or soon after a time, in place of any earlier request.
+	// SetAlarm schedules a call of Claimant.Alarm at or soon after time t. It replaces an earlier alarm.
 	SetAlarm(t Time)
 }
 
-// Claimant acquires a lease and renews it until it is released. It counts the lease from before its request was sent,
-// while the granter counts from after it came. It is not safe for concurrent use.
+// Claimant acquires a lease and renews it until it is released. The holder measures the lease from before it sends a request,
+// the granter from after it receives the request, so the holder's lease ends before the granter's. A Claimant is not
+// safe for concurrent use.
 type Claimant struct {
 	host           ClaimantHost
 	name           string
 	holder         Holder
-	holderDuration Time // as counted here, see HolderDuration
+	holderDuration Time // by the holder's clock, see HolderDuration
 	leaseDuration  Time // nominal
 
 	token          uint64 // 0: none
 	expiry         Time   // of the lease, by the holder's clock
-	granted        bool   // the host was told that the lease is held
+	granted        bool   // the host was told by Granted that the lease is held
 	requestPending bool
 	released       bool
-	nextRequest    Time
-	failures       int // requests in a row that failed, up to maxBackoffFactor
-	seed           uint64
-	draws          uint64 // random numbers drawn so far
+	nextRequest    Time   // time of the next request, unless one is pending
+	failures       int    // consecutive failed requests, at most maxBackoffFactor
+	seed           uint64 // for the jitter
+	draws          uint64 // number of random numbers drawn
 }
 
-// NewClaimant returns a Claimant, which sends its first request at once. leaseDuration is the nominal duration of a lease,
-// holderDuration its duration as counted by the holder. seed makes the backoff of different claimants differ.
+// NewClaimant returns a Claimant and sends its first request. leaseDuration is the nominal duration of a lease, holderDuration
+// its duration by the holder's clock. Claimants with different seeds have different backoff jitter.
 func NewClaimant(host ClaimantHost, _ Time, name string, holder Holder, leaseDuration, holderDuration Time, seed uint64) *Claimant {
 	c := &Claimant{
 		host:           host,
@@ -62,16 +63,16 @@
 	return c
 }
 
-// MayAct reports whether an act of a given duration may begin now, and its fencing token. Call it again after any wait.
-// The process may be suspended between this check and the act, so whatever is acted upon has to check the token too.
+// MayAct reports whether an act of the given duration may begin now, and returns its fencing token. Call it again after any
+// wait. The process may be suspended between this check and the act, so the target of the act must check the token too.
 func (c *Claimant) MayAct(now, duration Time) (token uint64, allowed bool) {
 	return c.token, c.granted && !c.released && now+duration < c.expiry
 }
 
-// Expiry returns until when the lease is held, by the holder's clock and as far as it knows.
+// Expiry returns the time at which the lease expires by the holder's clock, as of the last renewal known to it.
 func (c *Claimant) Expiry() Time { return c.expiry }
 
-// sendRequest sends the request that the present state calls for.
+// sendRequest sends an acquire or a renewal; once released, a release or a withdrawal.
 func (c *Claimant) sendRequest() {
 	r := Request{Operation: OpAcquire, Name: c.name, Holder: c.holder, Wait: c.leaseDuration / waitDivisor}
 	switch {
@@ -88,7 +89,7 @@
 	c.host.Send(r)
 }
 
-// HandleResponse takes the response to the pending request, which was sent at sentAt.
+// HandleResponse handles the response to the pending request, which was sent at sentAt.
 func (c *Claimant) HandleResponse(now, sentAt Time, response Response) {
 	if c.released {
 		c.handleLateResponse(response)
@@ -113,7 +114,7 @@
 	c.scheduleAlarm(now)
 }
 
-// handleLateResponse gives back a lease that was granted while the request for it was being withdrawn.
+// handleLateResponse releases a lease that was granted while its request was being withdrawn.
 func (c *Claimant) handleLateResponse(response Response) {
 	if response.Err == nil && response.Token != 0 && c.token == 0 {
 		c.token = response.Token
@@ -121,13 +122,13 @@
 	}
 }
 
-// extendLease notes a grant or a renewal, whose request was sent at sentAt.
+// extendLease records a grant or a renewal whose request was sent at sentAt.
 func (c *Claimant) extendLease(now, sentAt Time, token uint64) {
 	c.failures = 0
 	c.token = token
 	c.expiry = max(c.expiry, sentAt+c.holderDuration)
 	c.nextRequest = sentAt + c.leaseDuration/renewalsPerLease
-	if now >= c.expiry { // the response was late: only a renewal can show that the lease is still held
+	if now >= c.expiry { // the response came too late: only a renewal can show whether the lease is still held
 		c.nextRequest = now
 		return
 	}
@@ -137,7 +138,7 @@
 	}
 }
 
-// HandleTimeout notes that the pending request has failed; whether it reached the leader is unknown.
+// HandleTimeout handles a pending request that got no response; it may or may not have reached the leader.
 func (c *Claimant) HandleTimeout(now Time) {
 	if !c.requestPending || c.released {
 		return
@@ -147,14 +148,14 @@
 	c.scheduleAlarm(now)
 }
 
-// scheduleRetry sets the time of the next request by a backoff with jitter.
+// scheduleRetry schedules the next request after a delay whose random part grows with the number of consecutive failures.
 func (c *Claimant) scheduleRetry(now Time) {
 	c.failures = min(c.failures+1, maxBackoffFactor)
 	base := min(c.leaseDuration/retryDelayDivisor, maxRetryDelay)
 	c.nextRequest = now + base + Time(c.random()*float64(base)*float64(c.failures))
 }
 
-// random returns the next number in [0, 1) of this claimant's own sequence.
+// random returns a pseudo-random number in [0, 1) that is determined by the seed and the number of earlier draws.
 func (c *Claimant) random() float64 {
 	const resolution = 1 << 20
 	c.draws++
@@ -166,7 +167,7 @@
 	return float64(hash.Sum64()%resolution) / resolution
 }
 
-// dropLease forgets the lease, and tells the host if it held it.
+// dropLease discards the lease and, if it was held, reports the loss to the host.
 func (c *Claimant) dropLease(reason error) {
 	wasGranted := c.granted
 	c.token = 0
@@ -177,14 +178,15 @@
 	}
 }
 
-// Alarm ends an expired lease and sends a request that is due. It is called at or after the time given to
+// Alarm ends an expired lease and sends a request that is due. The host calls it at or after the time passed to
 // ClaimantHost.SetAlarm.
 func (c *Claimant) Alarm(now Time) {
 	if c.released {
 		return
 	}
 	if c.granted && now >= c.expiry {
-		// By the granter's count it may still be held, so the token stays, and a renewal will tell.
+		// The lease may not have expired by the granter's clock yet. The token is kept: the next request is a renewal,
+		// whose response shows whether the lease is still held.
 		c.granted = false
 		c.host.Lost(ErrLeaseExpired)
 	}
@@ -194,7 +196,7 @@
 	c.scheduleAlarm(now)
 }
 
-// scheduleAlarm requests an alarm for the next request or the expiry, whichever comes first.
+// scheduleAlarm sets the alarm to the next request or the expiry, whichever comes first.
 func (c *Claimant) scheduleAlarm(now Time) {
 	if c.released {
 		return
@@ -202,7 +204,7 @@
 	alarmTime := c.nextRequest
 	if c.requestPending {
 		if !c.granted {
-			return // the outcome of the request comes first
+			return // nothing to do until the outcome of the request is known
 		}
 		alarmTime = c.expiry
 	} else if c.granted {
@@ -211,7 +213,7 @@
 	c.host.SetAlarm(max(alarmTime, now))
 }
 
-// Release gives up the lease, or the attempt to acquire it. Call it once all acts under the lease have ended.
+// Release releases the lease or withdraws the request for it. Call it after all acts under the lease have ended.
 func (c *Claimant) Release(_ Time) {
 	if c.released {
 		return
--- a/lease/entry.go
+++ b/lease/entry.go
@@ -5,26 +5,26 @@
 	"fmt"
 )
 
-// Versions of the stored form of entries and snapshots. A program that doesn't know budgets refuses those with budgets by
-// their version.
+// Versions of the stored form of entries and snapshots. Entries and snapshots with budgets have their own version, so that
+// a program without support for budgets refuses them.
 const (
 	formatVersion       = 1
 	budgetFormatVersion = 2
 )
 
-// The kinds of log entry.
+// Kinds of log entry.
 const (
-	KindFoundCluster = "found" // founds the cluster Name; Number is the token before the first one
+	KindFoundCluster = "found" // founds the cluster Name; the first fencing token is Number+1
 	KindNewTerm      = "lead"  // begins the term of the leader Name
 	KindGrant        = "grant" // grants the lease Name to Holder
-	KindRevoke       = "end"   // ends the lease Name, if it is held with Token
-	KindEffect       = "act"   // sets Effect, if the lease Name is held with Token
-	KindSetBudget    = "whole" // declares the budget Name, or changes its limit
+	KindRevoke       = "end"   // ends the lease Name if it is held with Token
+	KindEffect       = "act"   // sets Effect if the lease Name is held with Token
+	KindSetBudget    = "whole" // declares the budget Name or changes its limit
 	KindMoveQuotas   = "parts" // changes quotas; Name is the proposer
 )
 
-// Entry is an entry of the replicated log. Term, where it isn't 0, is the term in which the entry was proposed: it is
-// refused in any later term, because the leader based it on memory that is gone.
+// Entry is an entry of the replicated log. A nonzero Term is the term in which the leader proposed the entry. Such an entry
+// is refused in any later term, because it is based on leader state that is not replicated.
 type Entry struct {
 	Version int           `json:"v"`
 	Kind    string        `json:"kind"`
@@ -39,13 +39,13 @@
 	Moves   []QuotaMove   `json:"moves,omitempty"`
 }
 
-// Encode returns the entry's stored form, with the version of its kind.
+// Encode returns the stored form of the entry, with the format version of its kind.
 func (e Entry) Encode() ([]byte, error) {
 	e.Version = versionOfKind(e.Kind)
 	return json.Marshal(e)
 }
 
-// Decode parses the stored form of an entry. Apply checks its version and contents.
+// Decode parses the stored form of an entry. It does not validate the entry: State.Apply checks its version and contents.
 func Decode(data []byte) (e Entry, err error) {
 	if err := json.Unmarshal(data, &e); err != nil {
 		return e, fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -53,7 +53,7 @@
 	return e, nil
 }
 
-// versionOfKind returns the version that entries of a kind are written with.
+// versionOfKind returns the format version of entries of a kind.
 func versionOfKind(kind string) int {
 	if kind == KindSetBudget || kind == KindMoveQuotas {
 		return budgetFormatVersion
--- a/lease/errors.go
+++ b/lease/errors.go
@@ -2,32 +2,34 @@
 
 import "errors"
 
-// The errors with which a log entry or a request may be refused. Peers recognise them by name, except for ErrNotLeader and
-// ErrAlreadyFounded, which net/rpc carries by their text.
+// Reasons for which a log entry or a request is refused. Peers recognise an error by a name sent over the wire, except for
+// ErrNotLeader and ErrAlreadyFounded, which net/rpc carries as text.
 var (
-	// ErrHeld says that another holder has the lease.
+	// ErrHeld means that another holder has the lease.
 	ErrHeld = errors.New("held by another")
-	// ErrLeaseExpired says that the lease is not, or no longer, held with the token given.
+	// ErrLeaseExpired means that the lease is not held with the token of the request or entry.
 	ErrLeaseExpired = errors.New("the lease is not held with this token: it expired or was released")
-	// ErrDuplicate says that this change, or a later one, was applied before.
+	// ErrDuplicate means that this change or a later one has already been applied.
 	ErrDuplicate = errors.New("already applied, or superseded by a later change")
-	// ErrStaleTerm says that the entry was proposed in the term of an earlier leader.
+	// ErrStaleTerm means that the entry was proposed in an earlier term.
 	ErrStaleTerm = errors.New("proposed in the term of an earlier leader")
-	// ErrLimitExceeded says that a limit on the number of leases, waiters, requests, effects or budgets is reached.
+	// ErrLimitExceeded means that the limit on leases, waiters, requests, effects or budgets is reached.
 	ErrLimitExceeded = errors.New("limit exceeded")
-	// ErrMalformed says that an entry, a snapshot or a request has an invalid form.
+	// ErrMalformed means that an entry, a snapshot or a request is invalid.
 	ErrMalformed = errors.New("malformed")
-	// ErrNotFounded says that the cluster has no first entry yet.
+	// ErrNotFounded means that the entry that founds the cluster has not been applied yet.
 	ErrNotFounded = errors.New("the fleet is not founded")
-	// ErrAlreadyFounded says that the cluster has its first entry already. Its text is part of the wire format.
+	// ErrAlreadyFounded means that the entry that founds the cluster has already been applied. Its text is part of the
+	// wire format.
 	ErrAlreadyFounded = errors.New("the fleet is founded already")
-	// ErrNotLeader says that the voter doesn't lead, or can't prove that it does: retry at another one. Its text is part
-	// of the wire format.
+	// ErrNotLeader means that the voter is not the leader, or cannot confirm that it is. The caller retries at another
+	// voter. Its text is part of the wire format.
 	ErrNotLeader = errors.New("not the leader")
-	// ErrStillHeld says that the request waited as long as it may; a claimant that retries soon keeps its place in the queue.
+	// ErrStillHeld means that the lease was not granted before the request's wait ended. A claimant that retries within a
+	// third of the lease duration keeps its place in the queue.
 	ErrStillHeld = errors.New("still held by another")
-	// ErrWithdrawn says that the claimant has withdrawn its request, or replaced it by a newer one.
+	// ErrWithdrawn means that the claimant withdrew the request or replaced it by a newer one.
 	ErrWithdrawn = errors.New("request withdrawn")
-	// ErrInvalidBudget says that the configuration of a budget is invalid.
+	// ErrInvalidBudget means that the configuration of a budget is invalid.
 	ErrInvalidBudget = errors.New("invalid budget")
 )
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -5,71 +5,71 @@
 	"slices"
 )
 
-// maxPendingRequests bounds the requests that a leader has not answered yet, for all leases together.
+// maxPendingRequests is the maximum number of unanswered requests at a leader, for all leases together.
 const maxPendingRequests = 8192
 
 // Host carries out the effects of a Manager. None of its methods may block or call back into the Manager.
 type Host interface {
-	// Propose appends an entry to the log; Manager.Applied reports its outcome.
+	// Propose proposes an entry for the replicated log. The host reports the outcome to Manager.Applied.
 	Propose(ref uint64, e Entry)
-	// ConfirmLeadership begins a quorum round that shows whether this process still leads; Manager.LeadershipConfirmed
-	// reports its outcome.
+	// ConfirmLeadership starts a quorum round that confirms whether this process is still the leader. The host reports
+	// the outcome to Manager.LeadershipConfirmed.
 	ConfirmLeadership(round uint64)
-	// Respond answers the request with this id.
+	// Respond answers the request with the given id.
 	Respond(id uint64, response Response)
-	// SetAlarm requests a call of Manager.Alarm at or soon after a time, in place of any earlier request.
+	// SetAlarm schedules a call of Manager.Alarm at or soon after time t. It replaces an earlier alarm.
 	SetAlarm(t Time)
 }
 
-// pendingRequest is a request that is not answered yet.
+// pendingRequest is an unanswered request.
 type pendingRequest struct {
 	Request
-	deadline Time // of a waiter's request
+	deadline Time // end of its wait, for the request of a waiter
 }
 
-// Manager is the leader's memory of the leases: their expiries, the queues of waiters, and the proposals in progress. It is
-// not replicated. A new leader starts from State alone, so it extends every lease by its full duration. It is not safe for
-// concurrent use.
+// Manager is the leader's unreplicated state: the expiries of leases, the queues of waiters and the proposals in progress. A
+// new leader starts from State alone, so it extends every lease by its full duration. A Manager is not safe for concurrent
+// use.
 type Manager struct {
 	host          Host
 	state         *State
 	leaseDuration Time // nominal
-	grantDuration Time // as counted here, see GranterDuration
+	grantDuration Time // by the granter's clock, see GranterDuration
 
 	leading       bool
 	term          uint64
 	expiries      map[string]Time           // by lease
-	changePending map[string]bool           // leases with a grant or a revocation in progress
+	changePending map[string]bool           // leases with a proposed grant or revocation
 	queues        map[string][]waiter       // by lease
 	requests      map[uint64]pendingRequest // by id
-	proposals     map[uint64]proposal       // by reference
-	lastRef       uint64                    // last reference of a proposal or a round
+	proposals     map[uint64]proposal       // by ref
+	lastRef       uint64                    // last ref given to a proposal or a round
 
-	queuedRenewals []uint64 // request ids that wait for the next quorum round
-	round          uint64   // in progress; 0: none
-	roundRenewals  []uint64 // request ids that the round in progress will renew
+	queuedRenewals []uint64 // ids of requests for the next quorum round
+	round          uint64   // quorum round in progress; 0: none
+	roundRenewals  []uint64 // ids of requests served by the round in progress
 }
 
-// NewManager returns a Manager that doesn't lead. leaseDuration is the nominal duration of a lease, grantDuration its
-// duration as counted by the granter.
+// NewManager returns a Manager that is not the leader. leaseDuration is the nominal duration of a lease, grantDuration its
+// duration by the granter's clock.
 func NewManager(host Host, state *State, leaseDuration, grantDuration Time) *Manager {
 	m := &Manager{host: host, state: state, leaseDuration: leaseDuration, grantDuration: grantDuration}
 	m.Demote()
 	return m
 }
 
-// Promote makes this process the leader. It is called once the entry that begins the term has been applied.
+// Promote makes this process the leader of a term. It is called once the KindNewTerm entry of that term has been applied.
 func (m *Manager) Promote(now Time, term uint64) {
 	m.Demote()
 	m.leading = true
 	m.term = term
 	for name := range m.state.Leases {
-		m.expiries[name] = now + m.grantDuration // the previous leader may have renewed it up to now
+		m.expiries[name] = now + m.grantDuration // the previous leader may have renewed it until now
 	}
 	m.scheduleAlarm(now)
 }
 
-// Demote ends the leadership: it drops the leader's memory and answers all pending requests with ErrNotLeader.
+// Demote ends the leadership: it discards the leader's state and answers all pending requests with ErrNotLeader.
 func (m *Manager) Demote() {
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		m.host.Respond(id, Response{Err: ErrNotLeader})
@@ -85,16 +85,16 @@
 	m.proposals = map[uint64]proposal{}
 }
 
-// IsLeader reports whether this process leads, as far as it knows.
+// IsLeader reports whether this process believes that it is the leader.
 func (m *Manager) IsLeader() bool { return m.leading }
 
-// Expiry returns when a lease expires by the leader's count, and how many claimants wait for it.
+// Expiry returns the time at which a lease expires by the leader's clock, and the number of claimants in its queue.
 func (m *Manager) Expiry(name string) (expiry Time, waiting int) {
 	return m.expiries[name], len(m.queues[name])
 }
 
-// Handle takes a request. Its id is above 0 and differs from those of all pending requests; Host.Respond answers it,
-// perhaps before Handle returns.
+// Handle handles a request, which Host.Respond answers, possibly before Handle returns. The id must be above 0 and must differ
+// from those of all pending requests.
 func (m *Manager) Handle(now Time, id uint64, r Request) {
 	switch {
 	case !m.leading:
@@ -134,7 +134,7 @@
 	}
 }
 
-// acquire renews the lease for its present holder, and puts anyone else into the queue.
+// acquire renews the lease if the sender already holds it, and adds any other sender to the queue.
 func (m *Manager) acquire(now Time, id uint64, r Request) {
 	if m.senderHoldsLease(r) {
 		m.renew(id, r)
@@ -143,19 +143,19 @@
 	m.enqueue(now, id, r)
 }
 
-// senderHoldsLease reports whether the sender of a request holds the lease, and nothing is about to change that.
+// senderHoldsLease reports whether the sender of a request holds the lease and no grant or revocation of it is pending.
 func (m *Manager) senderHoldsLease(r Request) bool {
 	lease, held := m.state.Leases[r.Name]
 	return held && lease.Holder == r.Holder && !m.changePending[r.Name]
 }
 
-// senderHoldsToken is senderHoldsLease, and that the request has the lease's token.
+// senderHoldsToken reports whether senderHoldsLease is true and the request has the lease's current token.
 func (m *Manager) senderHoldsToken(r Request) bool {
 	return m.senderHoldsLease(r) && m.state.Leases[r.Name].Token == r.Token
 }
 
-// CallerGone drops a request whose caller can't be answered any more. A waiter keeps its place in the queue for a while: it
-// may retry on another connection.
+// CallerGone drops a request whose caller can no longer be answered. A waiter keeps its place in the queue for a third of a
+// lease duration, because it may retry on another connection.
 func (m *Manager) CallerGone(now Time, id uint64) {
 	r, pending := m.requests[id]
 	if !pending {
@@ -173,8 +173,8 @@
 	}
 }
 
-// Alarm revokes expired leases and answers waiters whose deadline has passed. It is called at or after the time given to
-// Host.SetAlarm.
+// Alarm revokes expired leases and answers waiters whose deadline has passed. The host calls it at or after the time passed
+// to Host.SetAlarm.
 func (m *Manager) Alarm(now Time) {
 	if !m.leading {
 		return
@@ -197,7 +197,7 @@
 	}
 }
 
-// scheduleAlarm requests an alarm for the earliest expiry or deadline.
+// scheduleAlarm sets the alarm to the earliest expiry or deadline.
 func (m *Manager) scheduleAlarm(now Time) {
 	earliest, found := Time(0), false
 	consider := func(t Time) {
--- a/lease/probe_scheduler.go
+++ b/lease/probe_scheduler.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	minProbeInterval       = 250 * Millisecond  // between two probes of a server; it doubles with each probe
-	maxProbeInterval       = 2000 * Millisecond // half of what a node alone waits: one probes for all
-	probeResultTimeout     = 1000 * Millisecond // until a probe without a result is scheduled again
-	ejectionReportInterval = 500 * Millisecond  // between two reports of a node, which also fetch results
-	probeTargetExpiry      = 5000 * Millisecond // since the last report of a server, until it is dropped
-	maxProbeTargets        = 4096               // further servers are probed by each node itself
+	minProbeInterval       = 250 * Millisecond  // between probes of a server; the interval doubles with each probe
+	maxProbeInterval       = 2000 * Millisecond // half of the interval of a node that probes by itself, because one probe serves all nodes
+	probeResultTimeout     = 1000 * Millisecond // after this time a probe without a result is made again
+	ejectionReportInterval = 500 * Millisecond  // between two reports of a node, which also fetch the results
+	probeTargetExpiry      = 5000 * Millisecond // a server is dropped this long after the last report of it
+	maxProbeTargets        = 4096               // each node probes any further servers itself
 )
 
-// ProbeScheduler schedules the health checks of servers that nodes have ejected, and keeps the last result of each. It is
-// part of the leader's memory: after a change of leader the nodes report again, and probe by themselves meanwhile. It is
-// not safe for concurrent use.
+// ProbeScheduler schedules health checks of the servers that nodes have ejected, and keeps the last result of each server. It
+// is not replicated: after a change of leader the nodes report their ejections again, and probe by themselves until then. A
+// ProbeScheduler is not safe for concurrent use.
 type ProbeScheduler struct {
 	targets     map[string]*probeTarget // by server id
-	latestToken uint64                  // of the lease of the probe task
+	latestToken uint64                  // highest fencing token seen of the probe task's lease
 }
 
-// probeTarget is a server to be probed.
+// probeTarget is a server to probe.
 type probeTarget struct {
 	address      string
-	lastReported Time // by any node
-	nextEvent    Time // the next probe, or the timeout of the one in progress
-	interval     Time
+	lastReported Time // last report by any node
+	nextEvent    Time // time of the next probe, or timeout of the probe in progress
+	interval     Time // between the next result and the probe after it
 	probed       bool
 	healthy      bool // result of the last probe
 	inProgress   bool
 }
 
-// Probe is a health check to be made.
+// Probe is a health check to make.
 type Probe struct {
-	ID      string `json:"ID"` // of the server
+	ID      string `json:"ID"` // server id
 	Address string `json:"Address"`
 }
 
@@ -44,15 +44,16 @@
 type ProbeStatus struct {
 	ID        string `json:"ID"`
 	Healthy   bool   `json:"Well"`
-	NextProbe Time   `json:"Next"` // from now until the result of the next probe will have been reported
+	NextProbe Time   `json:"Next"` // time from now by which nodes will have fetched the next result
 }
 
-// NewProbeScheduler returns a scheduler without targets.
+// NewProbeScheduler returns a ProbeScheduler without targets.
 func NewProbeScheduler() *ProbeScheduler {
 	return &ProbeScheduler{targets: map[string]*probeTarget{}}
 }
 
-// ReportEjected records that a node has ejected a server, and returns the result of the server's last probe, if any.
+// ReportEjected records that a node has ejected a server. It returns the result of the server's last probe; known is false if
+// there is none.
 func (s *ProbeScheduler) ReportEjected(now Time, id, address string) (status ProbeStatus, known bool) {
 	target := s.targets[id]
 	if target == nil {
@@ -62,7 +63,7 @@
 		target = &probeTarget{nextEvent: now, interval: minProbeInterval}
 		s.targets[id] = target
 	}
-	if target.address != address { // earlier results are those of another address
+	if target.address != address { // discard the results for the previous address
 		*target = probeTarget{address: address, nextEvent: now, interval: minProbeInterval}
 	}
 	target.lastReported = now
@@ -73,8 +74,8 @@
 	return ProbeStatus{ID: id, Healthy: target.healthy, NextProbe: untilNext}, true
 }
 
-// DueProbes returns the probes to be made now by the holder of the probe task's lease. An earlier holder, with a lower
-// token, gets none.
+// DueProbes returns the probes that the holder of the probe task's lease has to make now, and drops servers that are no
+// longer reported. An earlier holder, whose token is lower, gets no probes.
 func (s *ProbeScheduler) DueProbes(now Time, token uint64) (due []Probe) {
 	if token < s.latestToken {
 		return nil
@@ -94,7 +95,7 @@
 	return due
 }
 
-// ReportResult records the result of a probe. It ignores results of probes that aren't in progress, and of earlier holders.
+// ReportResult records the result of a probe. It ignores results from earlier holders and of probes that are not in progress.
 func (s *ProbeScheduler) ReportResult(now Time, token uint64, id string, healthy bool) {
 	target := s.targets[id]
 	if target == nil || token < s.latestToken || !target.inProgress {
--- a/lease/proposals.go
+++ b/lease/proposals.go
@@ -2,13 +2,13 @@
 
 import "errors"
 
-// proposal is a log entry that the leader has proposed and whose outcome it doesn't know yet.
+// proposal is a log entry that the leader has proposed and that has not been applied yet.
 type proposal struct {
 	entry     Entry
-	requestID uint64 // the request that the outcome answers; 0: none
+	requestID uint64 // request to answer with the outcome; 0: none
 }
 
-// propose appends an entry to the log.
+// propose proposes an entry for the replicated log. Its outcome answers the request requestID, unless that is 0.
 func (m *Manager) propose(e Entry, requestID uint64) {
 	e.Version = versionOfKind(e.Kind)
 	m.lastRef++
@@ -16,14 +16,14 @@
 	m.host.Propose(m.lastRef, e)
 }
 
-// revoke proposes to end a lease. From here on no request renews it.
+// revoke proposes to end a lease. No request renews the lease once its revocation is proposed.
 func (m *Manager) revoke(name string, token, requestID uint64) {
 	m.changePending[name] = true
 	m.propose(Entry{Kind: KindRevoke, Term: m.term, Name: name, Token: token}, requestID)
 }
 
-// Applied takes the outcome of a proposal. outcomeUnknown says that the outcome is unknown to this leader: the next one, perhaps this
-// process again, will find out from its log.
+// Applied handles the outcome of a proposal. outcomeUnknown means that this leader cannot know the outcome. The next leader,
+// which may be this process again, learns it from its log.
 func (m *Manager) Applied(now Time, ref uint64, result Result, outcomeUnknown bool) {
 	p, known := m.proposals[ref]
 	if !known {
@@ -32,7 +32,7 @@
 	delete(m.proposals, ref)
 	if outcomeUnknown || errors.Is(result.Err, ErrStaleTerm) {
 		m.reply(p.requestID, Response{Err: ErrNotLeader})
-		return // the lease stays marked as changing: the term is over, and Demote or Promote follows
+		return // changePending stays set: the term is over, and Demote or Promote resets it
 	}
 	name := p.entry.Name
 	switch p.entry.Kind {
@@ -49,7 +49,8 @@
 	m.scheduleAlarm(now)
 }
 
-// handleGrantResult takes the outcome of a grant. If the claimant has gone without learning of it, the lease is revoked at once.
+// handleGrantResult handles the outcome of a proposed grant. If the claimant's request is no longer pending, so that it cannot
+// be told, the lease is revoked at once.
 func (m *Manager) handleGrantResult(now Time, p proposal, result Result) {
 	name := p.entry.Name
 	delete(m.changePending, name)
--- a/lease/queue.go
+++ b/lease/queue.go
@@ -7,17 +7,18 @@
 
 const (
 	maxWaitersPerLease = 1024
-	graceDivisor       = 3 // a waiter keeps its place for a third of a lease between two requests, and waits as long in each
+	graceDivisor       = 3 // a request waits at most 1/3 of a lease duration; without one, a waiter keeps its place as long
 )
 
 // waiter is a claimant in the queue for a lease.
 type waiter struct {
 	holder    Holder
-	requestID uint64 // 0: it has no request pending, and keeps its place until the deadline
-	deadline  Time
+	requestID uint64 // pending request; 0: none
+	deadline  Time   // end of the pending request's wait or, without one, of the waiter's place in the queue
 }
 
-// enqueue puts a claimant into the queue for a lease, where it keeps a place that it has already.
+// enqueue adds a claimant to the queue for a lease and grants the lease if possible. A claimant that is already in the queue
+// keeps its place.
 func (m *Manager) enqueue(now Time, id uint64, r Request) {
 	lease := m.state.Leases[r.Name]
 	queue := m.queues[r.Name]
@@ -34,7 +35,7 @@
 		queue = append(queue, waiter{holder: r.Holder})
 		index = len(queue) - 1
 	case queue[index].requestID != 0:
-		m.reply(queue[index].requestID, Response{Err: ErrWithdrawn}) // this request replaces it
+		m.reply(queue[index].requestID, Response{Err: ErrWithdrawn}) // the new request replaces it
 	}
 	deadline := now + min(max(r.Wait, 0), m.leaseDuration/graceDivisor)
 	m.requests[id] = pendingRequest{Request: r, deadline: deadline}
@@ -45,7 +46,7 @@
 	m.scheduleAlarm(now)
 }
 
-// grantNext proposes to grant a free lease to the first waiter that has a request pending.
+// grantNext proposes to grant the lease, if it is free, to the first waiter that has a pending request.
 func (m *Manager) grantNext(name string) {
 	if _, held := m.state.Leases[name]; held || m.changePending[name] || !m.leading {
 		return
@@ -62,7 +63,7 @@
 	m.propose(Entry{Kind: KindGrant, Term: m.term, Name: name, Holder: w.holder}, w.requestID)
 }
 
-// withdraw removes a claimant from the queue. A queue that it empties stays until the next alarm, when expireWaiters drops it.
+// withdraw removes a claimant from the queue. It does not delete an empty queue; expireWaiters does so at the next alarm.
 func (m *Manager) withdraw(r Request) {
 	m.queues[r.Name] = slices.DeleteFunc(m.queues[r.Name], func(w waiter) bool {
 		if w.holder == r.Holder && w.requestID != 0 {
@@ -72,7 +73,7 @@
 	})
 }
 
-// detachRequest notes that a waiter's request has ended; the waiter keeps its place for a while.
+// detachRequest clears the waiter's ended request. The waiter keeps its place for a third of a lease duration.
 func (m *Manager) detachRequest(now Time, name string, id uint64) {
 	queue := m.queues[name]
 	for i := range queue {
@@ -83,7 +84,8 @@
 	}
 }
 
-// expireWaiters answers waiters whose request is at its deadline, and removes those that haven't retried in time.
+// expireWaiters answers requests that have reached their deadline with ErrStillHeld, and removes waiters that have not
+// retried by theirs.
 func (m *Manager) expireWaiters(now Time) {
 	for _, name := range slices.Sorted(maps.Keys(m.queues)) {
 		for _, w := range slices.Clone(m.queues[name]) {
--- a/lease/renewals.go
+++ b/lease/renewals.go
@@ -1,17 +1,17 @@
 package lease
 
-// Renewals need proof that this process still leads: a quorum round that begins after the request has come. One round
-// serves all requests that came before it began.
+// A renewal is answered only after a quorum round that began after the request arrived has confirmed that this process is
+// still the leader. One round serves all requests that arrived before it began.
 
-// renew queues a request for the next quorum round. One already in progress only shows that this process led before the
-// request came.
+// renew queues a request for the next quorum round. A round already in progress does not suffice: it only confirms that this
+// process was the leader before the request arrived.
 func (m *Manager) renew(id uint64, r Request) {
 	m.requests[id] = pendingRequest{Request: r}
 	m.queuedRenewals = append(m.queuedRenewals, id)
 	m.startRound()
 }
 
-// startRound begins a quorum round for the queued renewals, unless one is in progress.
+// startRound starts a quorum round for the queued renewals, unless a round is in progress.
 func (m *Manager) startRound() {
 	if m.round != 0 || len(m.queuedRenewals) == 0 {
 		return
@@ -23,8 +23,8 @@
 	m.host.ConfirmLeadership(m.round)
 }
 
-// LeadershipConfirmed takes the outcome of a quorum round: it renews the leases of the round if a majority has confirmed
-// the leadership, and refuses them otherwise.
+// LeadershipConfirmed handles the outcome of a quorum round. If a majority confirmed this process as the leader, the round's
+// leases are renewed; otherwise its requests are answered with ErrNotLeader.
 func (m *Manager) LeadershipConfirmed(now Time, round uint64, confirmed bool) {
 	if round != m.round || round == 0 {
 		return
@@ -41,7 +41,7 @@
 	m.startRound()
 }
 
-// finishRenewal extends and answers one renewal. The lease may have been released or have expired during the round.
+// finishRenewal answers one renewal, and extends its lease if that was neither released nor expired during the round.
 func (m *Manager) finishRenewal(now Time, id uint64, r Request, confirmed bool) {
 	lease := m.state.Leases[r.Name]
 	switch {
--- a/lease/request.go
+++ b/lease/request.go
@@ -1,30 +1,30 @@
 package lease
 
-// The operations of a Request.
+// Operations of a Request.
 const (
 	OpAcquire  = "acquire"
 	OpRenew    = "renew"
 	OpRelease  = "release"
-	OpWithdraw = "withdraw" // leaves the queue of waiters
+	OpWithdraw = "withdraw" // removes the claimant from the queue of waiters
 	OpEffect   = "do"       // applies an effect to the replicated state
 )
 
 // Request is sent by a claimant to the leader.
 type Request struct {
 	Operation string
-	Name      string // of the lease
+	Name      string // lease
 	Holder    Holder
-	Token     uint64
-	Wait      Time   // how long to wait for a lease that is held, at most a third of its duration; 0: don't wait
-	Effect    string // for OpEffect, as are Number and Value
+	Token     uint64 // fencing token of the lease, except for OpAcquire and OpWithdraw
+	Wait      Time   // maximum wait for a held lease, capped at a third of the lease duration; 0: don't wait
+	Effect    string // Effect, Number and Value are for OpEffect only
 	Number    uint64
 	Value     []byte
 }
 
-// Response answers a Request. With ErrHeld and ErrStillHeld, Holder and Token are those of the present holder.
+// Response answers a Request. If Err is ErrHeld or ErrStillHeld, Holder and Token are those of the current holder.
 type Response struct {
 	Token    uint64
 	Holder   Holder
-	Duration Time // of the lease, nominal
+	Duration Time // nominal duration of the lease
 	Err      error
 }
--- a/lease/snapshot.go
+++ b/lease/snapshot.go
@@ -19,7 +19,7 @@
 	Budgets map[string]*Budget `json:"budgets,omitempty"`
 }
 
-// Snapshot returns the stored form of the whole state.
+// Snapshot returns the stored form of the state.
 func (s *State) Snapshot() ([]byte, error) {
 	version := formatVersion
 	if len(s.Budgets) > 0 {
@@ -37,7 +37,8 @@
 	})
 }
 
-// Restore replaces the state by a snapshot's. It changes nothing if the snapshot is malformed or of an unknown version.
+// Restore replaces the state by that of a snapshot. If the snapshot is malformed or has an unknown version, it returns an
+// error and leaves the state unchanged.
 func (s *State) Restore(data []byte) error {
 	var decoded snapshot
 	if err := json.Unmarshal(data, &decoded); err != nil {
--- a/lease/state.go
+++ b/lease/state.go
@@ -10,55 +10,55 @@
 const (
 	maxLeases     = 4096
 	maxEffects    = 16384
-	maxValueBytes = 4 << 10 // of one effect: the log is no store for data
-	maxNameBytes  = 128     // of a lease, an effect or a budget
+	maxValueBytes = 4 << 10 // per effect, because the replicated log is not meant for bulk data
+	maxNameBytes  = 128     // per name of a lease, an effect or a budget
 )
 
-// Holder identifies the process that holds a lease: the name of its node or job, its process id, and a start time that
-// tells two processes with the same id apart.
+// Holder identifies the process that holds a lease: the name of its node or job, its process id and its start time. The
+// start time distinguishes processes that reuse a process id.
 type Holder struct {
 	Name    string `json:"name"`
 	Process int    `json:"process"`
 	Start   int64  `json:"start"`
 }
 
-// String returns the form used in logs.
+// String returns the holder in the form used in logs.
 func (h Holder) String() string { return fmt.Sprintf("%s[%d@%d]", h.Name, h.Process, h.Start) }
 
-// Lease is a lease that is held. Its expiry is not replicated: each leader counts it anew.
+// Lease is a lease that is held. Its expiry is not replicated: a new leader restarts it at the full duration.
 type Lease struct {
 	Holder Holder `json:"holder"`
 	Token  uint64 `json:"token"` // fencing token
 }
 
-// Effect is a replicated value that only the holder of a lease may set.
+// Effect is a replicated value that only the current holder of a lease may set.
 type Effect struct {
-	Token  uint64 `json:"token"`  // fencing token under which it was last set
-	Number uint64 `json:"number"` // grows with each change
+	Token  uint64 `json:"token"`  // fencing token of the holder that last set it
+	Number uint64 `json:"number"` // sequence number; each change must have a higher one
 	Value  []byte `json:"value"`
 }
 
 // Result is the outcome of applying an entry.
 type Result struct {
-	Token uint64 // of the lease or effect, or the revision of a budget
-	Term  uint64 // for KindNewTerm
+	Token uint64 // fencing token of the lease or effect; for KindSetBudget, the budget's revision
+	Term  uint64 // for KindNewTerm, the new term
 	Err   error
 }
 
-// State is the state machine that the voters replicate. Only Apply and Restore change it, alike on every voter. It is not
-// safe for concurrent use.
+// State is the state machine that the voters replicate. Only Apply and Restore change it, and they are deterministic, so that
+// all voters have the same state. It is not safe for concurrent use.
 type State struct {
-	Cluster   string // name, empty until the cluster is founded
+	Cluster   string // name of the cluster; empty until it is founded
 	Leader    string
 	Term      uint64 // number of leaders so far
-	LastToken uint64 // one counter for all names, so that released names need not be remembered
+	LastToken uint64 // last token issued; all names share one counter, so released names need not be kept
 	Leases    map[string]Lease
 	Effects   map[string]Effect
 
 	Budgets map[string]*Budget
 }
 
-// NewState returns the state of a cluster that isn't founded.
+// NewState returns the state of a cluster that is not founded yet.
 func NewState() *State {
 	return &State{
 		Leases:  map[string]Lease{},
@@ -67,7 +67,7 @@
 	}
 }
 
-// Apply applies the next entry of the log. An entry that is refused changes nothing; Result.Err says why.
+// Apply applies the next entry of the log. A refused entry leaves the state unchanged, and Result.Err is the reason.
 func (s *State) Apply(e Entry) Result {
 	if err := s.check(e); err != nil {
 		return Result{Err: err}
@@ -95,7 +95,7 @@
 	return Result{Err: fmt.Errorf("%w: unknown kind %.50q", ErrMalformed, e.Kind)}
 }
 
-// check makes the checks that are common to all kinds of entry.
+// check validates what is common to all kinds of entry.
 func (s *State) check(e Entry) error {
 	switch {
 	case e.Version != versionOfKind(e.Kind):
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// grant gives a free lease to a holder. It is idempotent: a holder whose response was lost gets the same token again.
+// grant grants a free lease. It is idempotent: a holder that retries after a lost response gets the same token.
 func (s *State) grant(e Entry) Result {
 	lease, held := s.Leases[e.Name]
 	switch {
@@ -128,7 +128,7 @@
 	return Result{Token: s.LastToken}
 }
 
-// revoke ends a lease, and with it the quotas that depend on it.
+// revoke ends a lease and the quotas that belong to it.
 func (s *State) revoke(e Entry) Result {
 	if lease, held := s.Leases[e.Name]; !held || lease.Token != e.Token {
 		return Result{Err: ErrLeaseExpired}
@@ -138,7 +138,8 @@
 	return Result{}
 }
 
-// applyEffect sets an effect. Its checks fence off every holder but the latest, and make each change apply once.
+// applyEffect sets an effect. The token check fences off earlier holders; the sequence number makes each change apply at
+// most once.
 func (s *State) applyEffect(e Entry) Result {
 	lease, held := s.Leases[e.Name]
 	previous, known := s.Effects[e.Effect]
@@ -158,8 +159,8 @@
 	return Result{Token: e.Token}
 }
 
-// ValidName reports whether a string may name a lease, an effect or a budget: it is short, and all its characters may stand
-// in logs and paths unquoted.
+// ValidName reports whether a string is a valid name of a lease, an effect or a budget: 1 to maxNameBytes bytes, and only
+// characters that need no quoting in logs and paths.
 func ValidName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
