--- a/lease/budget_test.go
+++ b/lease/budget_test.go
@@ -7,54 +7,54 @@
 
 // Never more than the allocatable units are allocated, a move from an earlier quota changes nothing, quotas end with their
 // lease, and a snapshot holds all of it; one without budgets can be read by a program that knows none.
-func TestQuotasOfABudget(t *testing.T) {
+func TestBudgetQuotaMoves(t *testing.T) {
 	s := NewState()
 	s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
-	a := s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "node/a", Holder: holder(1)}).Token
-	b := s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "node/b", Holder: holder(2)}).Token
-	if text, _ := s.Snapshot(); !strings.Contains(string(text), `"version":1`) || strings.Contains(string(text), "budgets") {
-		t.Errorf("without budgets: %s", text)
+	tokenA := s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "node/a", Holder: holder(1)}).Token
+	tokenB := s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "node/b", Holder: holder(2)}).Token
+	if snapshot, _ := s.Snapshot(); !strings.Contains(string(snapshot), `"version":1`) || strings.Contains(string(snapshot), "budgets") {
+		t.Errorf("without budgets: %s", snapshot)
 	}
-	set := func(revision uint64, units int) Result {
+	setBudget := func(revision uint64, units int) Result {
 		return s.Apply(Entry{Version: budgetFormatVersion, Kind: KindSetBudget, Name: "x", Budget: &BudgetConfig{Kind: RateKind, Units: units, RatePerUnit: 2, ReservedPerNode: 1, MaxNodes: 2, Revision: revision}})
 	}
-	if r := set(0, 10); r.Err != nil || r.Token != 1 {
+	if r := setBudget(0, 10); r.Err != nil || r.Token != 1 {
 		t.Fatal(r)
 	}
-	if r := set(0, 20); r.Err != ErrDuplicate || s.Budgets["x"].Units != 10 {
+	if r := setBudget(0, 20); r.Err != ErrDuplicate || s.Budgets["x"].Units != 10 {
 		t.Errorf("declared twice: %v, %+v", r, s.Budgets["x"])
 	}
 	for _, c := range []struct {
-		lease       string
-		token, from uint64
-		units, want int
+		lease            string
+		token, fromToken uint64
+		units, wantUnits int
 	}{
-		{"node/a", a, 0, 6, 6},
-		{"node/b", b, 0, 3, 0}, // two units are reserved
-		{"node/b", a, 0, 2, 0}, // another's lease
-		{"node/b", b, 0, 2, 2},
-		{"node/a", a, a, 1, 6}, // a token that is not the quota's
-		{"node/a", a, 3, 1, 1},
-		{"node/b", b, 4, 7, 7},
+		{"node/a", tokenA, 0, 6, 6},
+		{"node/b", tokenB, 0, 3, 0}, // two units are reserved
+		{"node/b", tokenA, 0, 2, 0}, // another's lease
+		{"node/b", tokenB, 0, 2, 2},
+		{"node/a", tokenA, tokenA, 1, 6}, // a token that is not the quota's
+		{"node/a", tokenA, 3, 1, 1},
+		{"node/b", tokenB, 4, 7, 7},
 		{"node/c", 9, 0, 1, 0},
 	} {
-		s.Apply(Entry{Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaMove{{"x", c.lease, c.token, c.from, c.units}}})
-		if got := s.Budgets["x"].Quotas[c.lease].Units; got != c.want {
+		s.Apply(Entry{Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaMove{{"x", c.lease, c.token, c.fromToken, c.units}}})
+		if got := s.Budgets["x"].Quotas[c.lease].Units; got != c.wantUnits {
 			t.Errorf("%+v: %d units", c, got)
 		}
 	}
-	if r := set(1, 4); r.Err != nil || s.Budgets["x"].Limit() != 8 || s.Budgets["x"].Allocated() != 8 {
+	if r := setBudget(1, 4); r.Err != nil || s.Budgets["x"].Limit() != 8 || s.Budgets["x"].Allocated() != 8 {
 		t.Errorf("a limit that is lowered: %v, %+v", r, s.Budgets["x"])
 	}
-	if r := set(1, 5); r.Err != ErrDuplicate {
+	if r := setBudget(1, 5); r.Err != ErrDuplicate {
 		t.Errorf("set on an old revision: %v", r)
 	}
-	text, _ := s.Snapshot()
-	fresh := NewState()
-	if err := fresh.Restore(text); err != nil || fresh.Budgets["x"].Allocated() != 8 || fresh.Budgets["x"].BudgetConfig != s.Budgets["x"].BudgetConfig {
-		t.Errorf("%v: %+v", err, fresh.Budgets["x"])
+	snapshot, _ := s.Snapshot()
+	restored := NewState()
+	if err := restored.Restore(snapshot); err != nil || restored.Budgets["x"].Allocated() != 8 || restored.Budgets["x"].BudgetConfig != s.Budgets["x"].BudgetConfig {
+		t.Errorf("%v: %+v", err, restored.Budgets["x"])
 	}
-	s.Apply(Entry{Version: formatVersion, Kind: KindRevoke, Name: "node/b", Token: b})
+	s.Apply(Entry{Version: formatVersion, Kind: KindRevoke, Name: "node/b", Token: tokenB})
 	if s.Budgets["x"].Allocated() != 1 {
 		t.Errorf("%+v", s.Budgets["x"])
 	}
--- a/lease/claimant_test.go
+++ b/lease/claimant_test.go
@@ -12,61 +12,61 @@
 	losses   int
 }
 
-func (a *recordingHost) Send(x Request)       { a.requests = append(a.requests, x) }
-func (a *recordingHost) Granted(token uint64) { a.tokens = append(a.tokens, token) }
-func (a *recordingHost) Lost(error)           { a.losses++ }
-func (a *recordingHost) SetAlarm(Time)        {}
+func (h *recordingHost) Send(r Request)       { h.requests = append(h.requests, r) }
+func (h *recordingHost) Granted(token uint64) { h.tokens = append(h.tokens, token) }
+func (h *recordingHost) Lost(error)           { h.losses++ }
+func (h *recordingHost) SetAlarm(Time)        {}
 
 // Each case begins with a Claimant whose first request was sent at 0; it states which operations follow and whether acts may
 // begin.
 func TestClaimant(t *testing.T) {
-	short := HolderDuration(testLeaseDuration, 0.01)
-	yes := Response{Token: 7}
+	holderDuration := HolderDuration(testLeaseDuration, 0.01)
+	grant := Response{Token: 7}
 	for _, c := range []struct {
-		what string
-		do   func(c *Claimant)
-		at   Time
-		may  bool
-		asks []string
+		name           string
+		run            func(c *Claimant)
+		checkTime      Time
+		wantAllowed    bool
+		wantOperations []string
 	}{
-		{"granted", func(c *Claimant) { c.HandleResponse(1, 0, yes) }, 1, true, []string{OpAcquire}},
-		{"its expiry counts from before the request was sent", func(c *Claimant) { c.HandleResponse(short-1, 0, yes) }, short, false, []string{OpAcquire}},
+		{"granted", func(c *Claimant) { c.HandleResponse(1, 0, grant) }, 1, true, []string{OpAcquire}},
+		{"its expiry counts from before the request was sent", func(c *Claimant) { c.HandleResponse(holderDuration-1, 0, grant) }, holderDuration, false, []string{OpAcquire}},
 		{"after a response that is late by a lease, only a renewal shows that it is held", func(c *Claimant) {
-			c.HandleResponse(short, 0, yes)
-			c.Alarm(short)
-		}, short, false, []string{OpAcquire, OpRenew}},
+			c.HandleResponse(holderDuration, 0, grant)
+			c.Alarm(holderDuration)
+		}, holderDuration, false, []string{OpAcquire, OpRenew}},
 		{"no response to its renewals", func(c *Claimant) {
-			c.HandleResponse(1, 0, yes)
+			c.HandleResponse(1, 0, grant)
 			c.Alarm(testLeaseDuration / renewalsPerLease)
 			c.HandleTimeout(testLeaseDuration / 2)
-			c.Alarm(short)
-		}, short, false, []string{OpAcquire, OpRenew, OpRenew}},
+			c.Alarm(holderDuration)
+		}, holderDuration, false, []string{OpAcquire, OpRenew, OpRenew}},
 		{"expired: it acquires again", func(c *Claimant) {
-			c.HandleResponse(1, 0, yes)
+			c.HandleResponse(1, 0, grant)
 			c.Alarm(testLeaseDuration / renewalsPerLease)
 			c.HandleResponse(testLeaseDuration/2, testLeaseDuration/renewalsPerLease, Response{Err: ErrLeaseExpired})
 			c.Alarm(testLeaseDuration)
 		}, testLeaseDuration / 2, false, []string{OpAcquire, OpRenew, OpAcquire}},
 		{"released while its renewal is in progress: a late grant revives nothing", func(c *Claimant) {
-			c.HandleResponse(1, 0, yes)
+			c.HandleResponse(1, 0, grant)
 			c.Alarm(testLeaseDuration / renewalsPerLease)
 			c.Release(testLeaseDuration / 2)
-			c.HandleResponse(testLeaseDuration/2+1, testLeaseDuration/renewalsPerLease, yes)
+			c.HandleResponse(testLeaseDuration/2+1, testLeaseDuration/renewalsPerLease, grant)
 		}, testLeaseDuration/2 + 1, false, []string{OpAcquire, OpRenew, OpRelease}},
 		{"granted while it was withdrawn: it is released", func(c *Claimant) {
 			c.Release(1)
-			c.HandleResponse(2, 0, yes)
+			c.HandleResponse(2, 0, grant)
 		}, 2, false, []string{OpAcquire, OpWithdraw, OpRelease}},
 	} {
-		a := &recordingHost{}
-		x := NewClaimant(a, 0, "task", holder(1), testLeaseDuration, short, 1)
-		c.do(x)
-		var asks []string
-		for _, k := range a.requests {
-			asks = append(asks, k.Operation)
+		host := &recordingHost{}
+		claimant := NewClaimant(host, 0, "task", holder(1), testLeaseDuration, holderDuration, 1)
+		c.run(claimant)
+		var operations []string
+		for _, r := range host.requests {
+			operations = append(operations, r.Operation)
 		}
-		if _, may := x.MayAct(c.at, 0); may != c.may || !slices.Equal(asks, c.asks) || len(a.tokens) > 0 && !may && c.at < short && a.losses == 0 {
-			t.Errorf("%s: may %v, asks %v, want %v, %v", c.what, may, asks, c.may, c.asks)
+		if _, allowed := claimant.MayAct(c.checkTime, 0); allowed != c.wantAllowed || !slices.Equal(operations, c.wantOperations) || len(host.tokens) > 0 && !allowed && c.checkTime < holderDuration && host.losses == 0 {
+			t.Errorf("%s: may %v, asks %v, want %v, %v", c.name, allowed, operations, c.wantAllowed, c.wantOperations)
 		}
 	}
 }
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -23,23 +23,23 @@
 	h.proposed = append(h.proposed, ref)
 	h.entries[ref] = e
 }
-func (h *managerHarness) ConfirmLeadership(round uint64) { h.rounds = append(h.rounds, round) }
-func (h *managerHarness) Respond(id uint64, a Response)  { h.responses[id] = a }
-func (h *managerHarness) SetAlarm(at Time)               { h.alarm = at }
-func (h *managerHarness) handle(a Request) uint64 {
+func (h *managerHarness) ConfirmLeadership(round uint64)       { h.rounds = append(h.rounds, round) }
+func (h *managerHarness) Respond(id uint64, response Response) { h.responses[id] = response }
+func (h *managerHarness) SetAlarm(t Time)                      { h.alarm = t }
+func (h *managerHarness) handle(r Request) uint64 {
 	h.lastID++
-	h.manager.Handle(h.now, h.lastID, a)
+	h.manager.Handle(h.now, h.lastID, r)
 	return h.lastID
 }
 func (h *managerHarness) confirm() {
-	r := h.rounds[0]
+	round := h.rounds[0]
 	h.rounds = h.rounds[1:]
-	h.manager.LeadershipConfirmed(h.now, r, true)
+	h.manager.LeadershipConfirmed(h.now, round, true)
 }
 
 // advance lets time pass, calls the alarm and applies what it proposes.
-func (h *managerHarness) advance(by Time) {
-	h.now += by
+func (h *managerHarness) advance(d Time) {
+	h.now += d
 	h.manager.Alarm(h.now)
 	h.apply()
 }
@@ -48,8 +48,8 @@
 func acquireRequest(n int, wait Time) Request {
 	return Request{Operation: OpAcquire, Name: "task", Holder: holder(n), Wait: wait}
 }
-func tokenRequest(kind string, n int, tk uint64) Request {
-	return Request{Operation: kind, Name: "task", Holder: holder(n), Token: tk}
+func tokenRequest(operation string, n int, token uint64) Request {
+	return Request{Operation: operation, Name: "task", Holder: holder(n), Token: token}
 }
 
 func (h *managerHarness) apply() {
@@ -72,11 +72,11 @@
 
 // Waiters get the lease in the order of their first requests, also those that have retried meanwhile; one whose caller has
 // gone is passed over.
-func TestWaitersAreServedInTheirOrder(t *testing.T) {
+func TestWaitersServedInRequestOrder(t *testing.T) {
 	h := newManagerHarness()
-	first := h.handle(acquireRequest(0, 0))
+	holderRequest := h.handle(acquireRequest(0, 0))
 	h.apply()
-	token := h.responses[first].Token
+	token := h.responses[holderRequest].Token
 	ids := map[int]uint64{}
 	for n := 1; n <= 4; n++ {
 		ids[n] = h.handle(acquireRequest(n, testLeaseDuration))
@@ -84,8 +84,8 @@
 	h.now += testLeaseDuration / graceDivisor
 	h.manager.Alarm(h.now) // their waits are over
 	for n := 1; n <= 4; n++ {
-		if a := h.responses[ids[n]]; !errors.Is(a.Err, ErrStillHeld) || a.Holder != holder(0) {
-			t.Fatalf("%d: %+v", n, a)
+		if response := h.responses[ids[n]]; !errors.Is(response.Err, ErrStillHeld) || response.Holder != holder(0) {
+			t.Fatalf("%d: %+v", n, response)
 		}
 	}
 	for _, n := range []int{4, 3, 2} { // 1 went away, and the others come again in another order
@@ -95,24 +95,24 @@
 	h.handle(tokenRequest(OpWithdraw, 4, 0))
 	h.handle(tokenRequest(OpRelease, 0, token))
 	h.apply()
-	if a := h.responses[ids[2]]; a.Err != nil || a.Token != token+1 {
-		t.Errorf("the first in line: %+v", a)
+	if response := h.responses[ids[2]]; response.Err != nil || response.Token != token+1 {
+		t.Errorf("the first in line: %+v", response)
 	}
 	h.handle(tokenRequest(OpRelease, 2, token+1))
 	h.apply()
-	if a := h.responses[ids[3]]; a.Err != nil || a.Token != token+2 {
-		t.Errorf("the next in line: %+v", a)
+	if response := h.responses[ids[3]]; response.Err != nil || response.Token != token+2 {
+		t.Errorf("the next in line: %+v", response)
 	}
-	if a := h.responses[ids[4]]; !errors.Is(a.Err, ErrWithdrawn) {
-		t.Errorf("the one that withdrew: %+v", a)
+	if response := h.responses[ids[4]]; !errors.Is(response.Err, ErrWithdrawn) {
+		t.Errorf("the one that withdrew: %+v", response)
 	}
 }
 
 // Each case sends requests for a lease that holder 0 has with token 1.
-func TestRequests(t *testing.T) {
+func TestManagerResponses(t *testing.T) {
 	for _, c := range []struct {
-		what string
-		do   func(h *managerHarness) uint64
+		name string
+		send func(h *managerHarness) uint64
 		want Response
 	}{
 		{"a renewal confirmed", func(h *managerHarness) uint64 { id := h.handle(tokenRequest(OpRenew, 0, 1)); h.confirm(); return id },
@@ -123,7 +123,7 @@
 			h.handle(tokenRequest(OpRenew, 0, 1))
 			id := h.handle(tokenRequest(OpRenew, 0, 1))
 			h.confirm()
-			if _, early := h.responses[id]; early {
+			if _, answered := h.responses[id]; answered {
 				return 0
 			}
 			h.confirm()
@@ -150,19 +150,19 @@
 		{"held, and the request doesn't wait", func(h *managerHarness) uint64 { return h.handle(acquireRequest(1, 0)) },
 			Response{Token: 1, Holder: holder(0), Err: ErrHeld}},
 		{"granted after its caller has gone: given back, and the next has it", func(h *managerHarness) uint64 {
-			gone, next := h.handle(acquireRequest(1, testLeaseDuration)), h.handle(acquireRequest(2, testLeaseDuration))
+			goneRequest, nextRequest := h.handle(acquireRequest(1, testLeaseDuration)), h.handle(acquireRequest(2, testLeaseDuration))
 			h.handle(tokenRequest(OpRelease, 0, 1))
 			ref := h.proposed[0]
 			h.proposed = nil
 			h.manager.Applied(h.now, ref, h.state.Apply(h.entries[ref]), false)
-			h.manager.CallerGone(h.now, gone)
+			h.manager.CallerGone(h.now, goneRequest)
 			h.apply()
-			return next
+			return nextRequest
 		}, Response{Token: 3, Holder: holder(2), Duration: testLeaseDuration}},
 		{"an effect", func(h *managerHarness) uint64 {
-			a := tokenRequest(OpEffect, 0, 1)
-			a.Effect, a.Number = "task/x", 1
-			id := h.handle(a)
+			r := tokenRequest(OpEffect, 0, 1)
+			r.Effect, r.Number = "task/x", 1
+			id := h.handle(r)
 			h.apply()
 			return id
 		}, Response{Token: 1}},
@@ -170,9 +170,9 @@
 			h.advance(GranterDuration(testLeaseDuration, 0.01))
 			h.handle(acquireRequest(1, 0))
 			h.apply()
-			a := tokenRequest(OpEffect, 0, 1)
-			a.Effect, a.Number = "task/x", 1
-			id := h.handle(a)
+			r := tokenRequest(OpEffect, 0, 1)
+			r.Effect, r.Number = "task/x", 1
+			id := h.handle(r)
 			h.apply()
 			return id
 		}, Response{Err: ErrLeaseExpired}},
@@ -191,26 +191,26 @@
 		h := newManagerHarness()
 		h.handle(acquireRequest(0, 0))
 		h.apply()
-		id := c.do(h)
+		id := c.send(h)
 		if got, answered := h.responses[id]; !answered || fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("%s: %+v, want %+v", c.what, got, c.want)
+			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
 
 // A flood of claimants is bounded: those beyond the queue's limit are refused at once, and those in it are served.
-func TestAFloodOfClaimantsIsRefused(t *testing.T) {
+func TestFullQueueRefusesClaimants(t *testing.T) {
 	h := newManagerHarness()
 	h.handle(acquireRequest(0, 0))
 	h.apply()
-	full := 0
+	refused := 0
 	for n := 1; n <= 2*maxWaitersPerLease; n++ {
-		if a := h.responses[h.handle(acquireRequest(n, testLeaseDuration))]; errors.Is(a.Err, ErrLimitExceeded) {
-			full++
+		if response := h.responses[h.handle(acquireRequest(n, testLeaseDuration))]; errors.Is(response.Err, ErrLimitExceeded) {
+			refused++
 		}
 	}
-	if full != maxWaitersPerLease || len(h.manager.requests) != maxWaitersPerLease {
-		t.Errorf("%d refused, %d wait, want %d each", full, len(h.manager.requests), maxWaitersPerLease)
+	if refused != maxWaitersPerLease || len(h.manager.requests) != maxWaitersPerLease {
+		t.Errorf("%d refused, %d wait, want %d each", refused, len(h.manager.requests), maxWaitersPerLease)
 	}
 	h.handle(tokenRequest(OpRelease, 0, 1))
 	h.apply()
@@ -220,7 +220,7 @@
 }
 
 // A new leader lets no lease expire sooner than the previous one may have promised.
-func TestANewLeaderCountsFromItsBeginning(t *testing.T) {
+func TestNewLeaderExtendsLeasesByFullDuration(t *testing.T) {
 	h := newManagerHarness()
 	h.handle(acquireRequest(0, 0))
 	h.apply()
--- a/lease/state_test.go
+++ b/lease/state_test.go
@@ -11,57 +11,57 @@
 
 // The state against a plain model, through snapshots: tokens only grow, and effects apply once and under the latest token
 // only.
-func TestTheStateAgainstAModel(t *testing.T) {
+func TestStateMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, last, done := NewState(), uint64(0), map[string]uint64{}
+		s, lastToken, lastNumbers := NewState(), uint64(0), map[string]uint64{}
 		held := map[string]Lease{}
 		s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
 		for range 200 {
 			e := Entry{Version: formatVersion, Kind: rapid.SampledFrom([]string{KindGrant, KindRevoke, KindEffect, KindNewTerm, KindFoundCluster}).Draw(t, "kind"),
 				Name:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
 				Holder: holder(rapid.IntRange(0, 2).Draw(t, "holder")), Number: uint64(rapid.IntRange(1, 9).Draw(t, "number")),
-				Token: uint64(max(0, int(last)-rapid.IntRange(0, 2).Draw(t, "age")))}
+				Token: uint64(max(0, int(lastToken)-rapid.IntRange(0, 2).Draw(t, "age")))}
 			e.Effect = e.Name
-			l, is := held[e.Name]
+			lease, isHeld := held[e.Name]
 			r := s.Apply(e)
 			var want error
 			switch e.Kind {
 			case KindFoundCluster:
 				want = ErrAlreadyFounded
 			case KindGrant:
-				if is && l.Holder != e.Holder {
+				if isHeld && lease.Holder != e.Holder {
 					want = ErrHeld
-				} else if !is {
-					last++
-					held[e.Name] = Lease{e.Holder, last}
-					if r.Token != last {
-						t.Fatalf("token %d, want %d", r.Token, last)
+				} else if !isHeld {
+					lastToken++
+					held[e.Name] = Lease{e.Holder, lastToken}
+					if r.Token != lastToken {
+						t.Fatalf("token %d, want %d", r.Token, lastToken)
 					}
 				}
 			case KindRevoke, KindEffect:
 				switch {
-				case !is || l.Token != e.Token:
+				case !isHeld || lease.Token != e.Token:
 					want = ErrLeaseExpired
 				case e.Kind == KindRevoke:
 					delete(held, e.Name)
-				case e.Number <= done[e.Name]:
+				case e.Number <= lastNumbers[e.Name]:
 					want = ErrDuplicate
 				default:
-					done[e.Name] = e.Number
+					lastNumbers[e.Name] = e.Number
 				}
 			}
 			if !errors.Is(r.Err, want) {
 				t.Fatalf("%+v: %v, want %v", e, r.Err, want)
 			}
-			b, err := s.Snapshot()
-			if s = NewState(); err != nil || s.Restore(b) != nil {
+			snapshot, err := s.Snapshot()
+			if s = NewState(); err != nil || s.Restore(snapshot) != nil {
 				t.Fatal(err)
 			}
 		}
 	})
 }
 
-func TestWhatIsMalformedIsRefusedByName(t *testing.T) {
+func TestMalformedEntriesAndSnapshotsRefused(t *testing.T) {
 	s := NewState()
 	s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
 	s.Apply(Entry{Version: formatVersion, Kind: KindGrant, Name: "a", Holder: holder(1)})
@@ -84,8 +84,8 @@
 		}
 	}
 	before, _ := s.Snapshot()
-	for text, want := range map[string]string{`{"version":3}`: "snapshot version 3: this program reads versions 1 and 2", `{`: "snapshot"} {
-		if err := s.Restore([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+	for snapshot, want := range map[string]string{`{"version":3}`: "snapshot version 3: this program reads versions 1 and 2", `{`: "snapshot"} {
+		if err := s.Restore([]byte(snapshot)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: want %s", err, want)
 		}
 	}
