--- a/lease/claimant_test.go
+++ b/lease/claimant_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// recordingHost records the effects of a Claimant.
+// recordingHost is a ClaimantHost that records the calls of a Claimant.
 type recordingHost struct {
 	requests []Request
 	tokens   []uint64
@@ -17,8 +17,8 @@
 func (h *recordingHost) Lost(error)           { h.losses++ }
 func (h *recordingHost) SetAlarm(Time)        {}
 
-// Each case begins with a Claimant whose first request was sent at 0; it states which operations follow and whether acts may
-// begin.
+// Each case starts with a Claimant that sent its first request at time 0. The case states which operations the Claimant sends
+// and whether an act may begin at checkTime.
 func TestClaimant(t *testing.T) {
 	holderDuration := HolderDuration(testLeaseDuration, 0.01)
 	grant := Response{Token: 7}
@@ -30,30 +30,30 @@
 		wantOperations []string
 	}{
 		{"granted", func(c *Claimant) { c.HandleResponse(1, 0, grant) }, 1, true, []string{OpAcquire}},
-		{"its expiry counts from before the request was sent", func(c *Claimant) { c.HandleResponse(holderDuration-1, 0, grant) }, holderDuration, false, []string{OpAcquire}},
-		{"after a response that is late by a lease, only a renewal shows that it is held", func(c *Claimant) {
+		{"expiry measured from the time the request was sent", func(c *Claimant) { c.HandleResponse(holderDuration-1, 0, grant) }, holderDuration, false, []string{OpAcquire}},
+		{"response later than a lease duration: renewed before use", func(c *Claimant) {
 			c.HandleResponse(holderDuration, 0, grant)
 			c.Alarm(holderDuration)
 		}, holderDuration, false, []string{OpAcquire, OpRenew}},
-		{"no response to its renewals", func(c *Claimant) {
+		{"no response to renewals", func(c *Claimant) {
 			c.HandleResponse(1, 0, grant)
 			c.Alarm(testLeaseDuration / renewalsPerLease)
 			c.HandleTimeout(testLeaseDuration / 2)
 			c.Alarm(holderDuration)
 		}, holderDuration, false, []string{OpAcquire, OpRenew, OpRenew}},
-		{"expired: it acquires again", func(c *Claimant) {
+		{"expired at the leader: acquired again", func(c *Claimant) {
 			c.HandleResponse(1, 0, grant)
 			c.Alarm(testLeaseDuration / renewalsPerLease)
 			c.HandleResponse(testLeaseDuration/2, testLeaseDuration/renewalsPerLease, Response{Err: ErrLeaseExpired})
 			c.Alarm(testLeaseDuration)
 		}, testLeaseDuration / 2, false, []string{OpAcquire, OpRenew, OpAcquire}},
-		{"released while its renewal is in progress: a late grant revives nothing", func(c *Claimant) {
+		{"released during a renewal: late response ignored", func(c *Claimant) {
 			c.HandleResponse(1, 0, grant)
 			c.Alarm(testLeaseDuration / renewalsPerLease)
 			c.Release(testLeaseDuration / 2)
 			c.HandleResponse(testLeaseDuration/2+1, testLeaseDuration/renewalsPerLease, grant)
 		}, testLeaseDuration/2 + 1, false, []string{OpAcquire, OpRenew, OpRelease}},
-		{"granted while it was withdrawn: it is released", func(c *Claimant) {
+		{"granted while the request was being withdrawn: released", func(c *Claimant) {
 			c.Release(1)
 			c.HandleResponse(2, 0, grant)
 		}, 2, false, []string{OpAcquire, OpWithdraw, OpRelease}},
@@ -66,7 +66,7 @@
 			operations = append(operations, r.Operation)
 		}
 		if _, allowed := claimant.MayAct(c.checkTime, 0); allowed != c.wantAllowed || !slices.Equal(operations, c.wantOperations) || len(host.tokens) > 0 && !allowed && c.checkTime < holderDuration && host.losses == 0 {
-			t.Errorf("%s: may %v, asks %v, want %v, %v", c.name, allowed, operations, c.wantAllowed, c.wantOperations)
+			t.Errorf("%s: MayAct %v, operations %v, want %v, %v", c.name, allowed, operations, c.wantAllowed, c.wantOperations)
 		}
 	}
 }
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// managerHarness is a Manager whose proposals are applied, and whose quorum rounds are confirmed, when a test says so.
+// managerHarness is a Manager and its Host. Tests apply its proposals with apply and confirm its quorum rounds with confirm.
 type managerHarness struct {
 	manager   *Manager
 	state     *State
@@ -37,7 +37,7 @@
 	h.manager.LeadershipConfirmed(h.now, round, true)
 }
 
-// advance lets time pass, calls the alarm and applies what it proposes.
+// advance moves the clock forward by d, calls Manager.Alarm and applies all proposals.
 func (h *managerHarness) advance(d Time) {
 	h.now += d
 	h.manager.Alarm(h.now)
@@ -70,8 +70,8 @@
 	return h
 }
 
-// Waiters get the lease in the order of their first requests, also those that have retried meanwhile; one whose caller has
-// gone is passed over.
+// Waiters are granted the lease in the order of their first requests, even if they retry in another order. A waiter without a
+// pending request is skipped.
 func TestWaitersServedInRequestOrder(t *testing.T) {
 	h := newManagerHarness()
 	holderRequest := h.handle(acquireRequest(0, 0))
@@ -82,44 +82,44 @@
 		ids[n] = h.handle(acquireRequest(n, testLeaseDuration))
 	}
 	h.now += testLeaseDuration / graceDivisor
-	h.manager.Alarm(h.now) // their waits are over
+	h.manager.Alarm(h.now) // the waits of all four end
 	for n := 1; n <= 4; n++ {
 		if response := h.responses[ids[n]]; !errors.Is(response.Err, ErrStillHeld) || response.Holder != holder(0) {
 			t.Fatalf("%d: %+v", n, response)
 		}
 	}
-	for _, n := range []int{4, 3, 2} { // 1 went away, and the others come again in another order
+	for _, n := range []int{4, 3, 2} { // holder 1 does not retry, the others retry in another order
 		ids[n] = h.handle(acquireRequest(n, testLeaseDuration))
 	}
-	ids[3] = h.handle(acquireRequest(3, testLeaseDuration)) // on another connection
+	ids[3] = h.handle(acquireRequest(3, testLeaseDuration)) // the same request again, on another connection
 	h.handle(tokenRequest(OpWithdraw, 4, 0))
 	h.handle(tokenRequest(OpRelease, 0, token))
 	h.apply()
 	if response := h.responses[ids[2]]; response.Err != nil || response.Token != token+1 {
-		t.Errorf("the first in line: %+v", response)
+		t.Errorf("first waiter, holder 2: %+v", response)
 	}
 	h.handle(tokenRequest(OpRelease, 2, token+1))
 	h.apply()
 	if response := h.responses[ids[3]]; response.Err != nil || response.Token != token+2 {
-		t.Errorf("the next in line: %+v", response)
+		t.Errorf("second waiter, holder 3: %+v", response)
 	}
 	if response := h.responses[ids[4]]; !errors.Is(response.Err, ErrWithdrawn) {
-		t.Errorf("the one that withdrew: %+v", response)
+		t.Errorf("withdrawn waiter, holder 4: %+v", response)
 	}
 }
 
-// Each case sends requests for a lease that holder 0 has with token 1.
+// Holder 0 has the lease "task" with token 1. Each case sends requests and returns the id of the one whose response is checked.
 func TestManagerResponses(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		send func(h *managerHarness) uint64
 		want Response
 	}{
-		{"a renewal confirmed", func(h *managerHarness) uint64 { id := h.handle(tokenRequest(OpRenew, 0, 1)); h.confirm(); return id },
+		{"renewal, leadership confirmed", func(h *managerHarness) uint64 { id := h.handle(tokenRequest(OpRenew, 0, 1)); h.confirm(); return id },
 			Response{Token: 1, Holder: holder(0), Duration: testLeaseDuration}},
-		{"acquired again by its holder, whose response was lost", func(h *managerHarness) uint64 { id := h.handle(acquireRequest(0, 0)); h.confirm(); return id },
+		{"acquire by the holder, which retries after a lost response", func(h *managerHarness) uint64 { id := h.handle(acquireRequest(0, 0)); h.confirm(); return id },
 			Response{Token: 1, Holder: holder(0), Duration: testLeaseDuration}},
-		{"a renewal that comes while a round is in progress waits for the next", func(h *managerHarness) uint64 {
+		{"renewal during a quorum round waits for the next round", func(h *managerHarness) uint64 {
 			h.handle(tokenRequest(OpRenew, 0, 1))
 			id := h.handle(tokenRequest(OpRenew, 0, 1))
 			h.confirm()
@@ -129,27 +129,27 @@
 			h.confirm()
 			return id
 		}, Response{Token: 1, Holder: holder(0), Duration: testLeaseDuration}},
-		{"a renewal that isn't confirmed", func(h *managerHarness) uint64 {
+		{"renewal, leadership not confirmed", func(h *managerHarness) uint64 {
 			id := h.handle(tokenRequest(OpRenew, 0, 1))
 			h.manager.LeadershipConfirmed(h.now, h.rounds[0], false)
 			return id
 		}, Response{Err: ErrNotLeader}},
-		{"another's token", func(h *managerHarness) uint64 { return h.handle(tokenRequest(OpRenew, 1, 1)) }, Response{Err: ErrLeaseExpired}},
-		{"a renewal while the release is in progress", func(h *managerHarness) uint64 {
+		{"renewal with the token of another holder", func(h *managerHarness) uint64 { return h.handle(tokenRequest(OpRenew, 1, 1)) }, Response{Err: ErrLeaseExpired}},
+		{"renewal while the release is in progress", func(h *managerHarness) uint64 {
 			id := h.handle(tokenRequest(OpRenew, 0, 1))
 			h.handle(tokenRequest(OpRelease, 0, 1))
 			h.confirm()
 			return id
 		}, Response{Err: ErrLeaseExpired}},
-		{"a release that comes late reaches no later holder", func(h *managerHarness) uint64 {
+		{"late release after the lease was granted to another holder", func(h *managerHarness) uint64 {
 			h.advance(GranterDuration(testLeaseDuration, 0.01))
 			h.handle(acquireRequest(1, 0))
 			h.apply()
 			return h.handle(tokenRequest(OpRelease, 0, 1))
 		}, Response{Err: ErrLeaseExpired}},
-		{"held, and the request doesn't wait", func(h *managerHarness) uint64 { return h.handle(acquireRequest(1, 0)) },
+		{"acquire of a held lease without wait", func(h *managerHarness) uint64 { return h.handle(acquireRequest(1, 0)) },
 			Response{Token: 1, Holder: holder(0), Err: ErrHeld}},
-		{"granted after its caller has gone: given back, and the next has it", func(h *managerHarness) uint64 {
+		{"lease granted after its caller is gone is revoked and granted to the next waiter", func(h *managerHarness) uint64 {
 			goneRequest, nextRequest := h.handle(acquireRequest(1, testLeaseDuration)), h.handle(acquireRequest(2, testLeaseDuration))
 			h.handle(tokenRequest(OpRelease, 0, 1))
 			ref := h.proposed[0]
@@ -159,14 +159,14 @@
 			h.apply()
 			return nextRequest
 		}, Response{Token: 3, Holder: holder(2), Duration: testLeaseDuration}},
-		{"an effect", func(h *managerHarness) uint64 {
+		{"effect", func(h *managerHarness) uint64 {
 			r := tokenRequest(OpEffect, 0, 1)
 			r.Effect, r.Number = "task/x", 1
 			id := h.handle(r)
 			h.apply()
 			return id
 		}, Response{Token: 1}},
-		{"an act after a later grant", func(h *managerHarness) uint64 {
+		{"effect after the lease was granted to another holder", func(h *managerHarness) uint64 {
 			h.advance(GranterDuration(testLeaseDuration, 0.01))
 			h.handle(acquireRequest(1, 0))
 			h.apply()
@@ -176,14 +176,14 @@
 			h.apply()
 			return id
 		}, Response{Err: ErrLeaseExpired}},
-		{"nothing is decided by the memory of an earlier term", func(h *managerHarness) uint64 {
+		{"release proposed in an earlier term", func(h *managerHarness) uint64 {
 			id := h.handle(tokenRequest(OpRelease, 0, 1))
 			h.state.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n2"})
 			h.apply()
 			return id
 		}, Response{Err: ErrNotLeader}},
-		{"after the term is over", func(h *managerHarness) uint64 { h.manager.Demote(); return h.handle(tokenRequest(OpRenew, 0, 1)) }, Response{Err: ErrNotLeader}},
-		{"a name that can't be one", func(h *managerHarness) uint64 {
+		{"renewal after the leadership ended", func(h *managerHarness) uint64 { h.manager.Demote(); return h.handle(tokenRequest(OpRenew, 0, 1)) }, Response{Err: ErrNotLeader}},
+		{"invalid lease name", func(h *managerHarness) uint64 {
 			return h.handle(Request{Operation: OpAcquire, Name: "a b", Holder: holder(1)})
 		},
 			Response{Err: ErrMalformed}},
@@ -198,7 +198,7 @@
 	}
 }
 
-// A flood of claimants is bounded: those beyond the queue's limit are refused at once, and those in it are served.
+// The queue for a lease is bounded: claimants beyond its limit are refused at once, and the queued ones are still served.
 func TestFullQueueRefusesClaimants(t *testing.T) {
 	h := newManagerHarness()
 	h.handle(acquireRequest(0, 0))
@@ -210,16 +210,17 @@
 		}
 	}
 	if refused != maxWaitersPerLease || len(h.manager.requests) != maxWaitersPerLease {
-		t.Errorf("%d refused, %d wait, want %d each", refused, len(h.manager.requests), maxWaitersPerLease)
+		t.Errorf("%d requests refused, %d pending, want %d each", refused, len(h.manager.requests), maxWaitersPerLease)
 	}
 	h.handle(tokenRequest(OpRelease, 0, 1))
 	h.apply()
 	if got := h.state.Leases["task"].Holder; got != holder(1) {
-		t.Errorf("%v holds it", got)
+		t.Errorf("lease held by %v, want %v", got, holder(1))
 	}
 }
 
-// A new leader lets no lease expire sooner than the previous one may have promised.
+// The previous leader may have renewed a lease until the new term began, so a new leader expires no lease earlier than a full
+// lease duration after that.
 func TestNewLeaderExtendsLeasesByFullDuration(t *testing.T) {
 	h := newManagerHarness()
 	h.handle(acquireRequest(0, 0))
@@ -229,10 +230,10 @@
 	h.manager.Promote(h.now, h.state.Apply(Entry{Version: formatVersion, Kind: KindNewTerm, Name: "n2"}).Term)
 	h.advance(testLeaseDuration)
 	if len(h.state.Leases) != 1 {
-		t.Error("it expires within a lease's duration of the new term")
+		t.Error("lease expired within its nominal duration after the new term began")
 	}
 	h.advance(GranterDuration(testLeaseDuration, 0.01) - testLeaseDuration)
 	if len(h.state.Leases) != 0 {
-		t.Error("it never expires")
+		t.Error("lease not expired after its full duration by the granter's clock")
 	}
 }
--- a/lease/state_test.go
+++ b/lease/state_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// The state against a plain model, through snapshots: tokens only grow, and effects apply once and under the latest token
-// only.
+// Random entries give the same results as a simple model, with a snapshot and a restore after each entry. Tokens only
+// increase, and an effect applies at most once and only with the current token.
 func TestStateMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, lastToken, lastNumbers := NewState(), uint64(0), map[string]uint64{}
@@ -61,6 +61,7 @@
 	})
 }
 
+// Malformed entries and snapshots are refused with an error that names the fault. A refused snapshot does not change the state.
 func TestMalformedEntriesAndSnapshotsRefused(t *testing.T) {
 	s := NewState()
 	s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
@@ -90,6 +91,6 @@
 		}
 	}
 	if after, _ := s.Snapshot(); !slices.Equal(before, after) {
-		t.Error("a refused snapshot changes something")
+		t.Error("refused snapshot changed the state")
 	}
 }
