--- a/lease/cluster_test.go
+++ b/lease/cluster_test.go
@@ -9,20 +9,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// testCluster simulates a small cluster: three voters, any of which may believe that it leads, and claimants. Consensus
-// itself is taken as given: an entry is committed if no majority has voted in a later term. The tests explore what is around it:
-// which requests reach whom, what is late or lost, who leads when, and how the clocks run.
-
 const (
 	numVoters      = 3
-	simulatedLease = 48 * Millisecond / 10
+	simulatedLease = 48 * Millisecond / 10 // 2 steps of a nominal clock
 	simulatedDrift = 0.25
-	nominalRate    = 24 // units of a clock in a step of time; the others are as far off as the bound allows
+	nominalRate    = 24 // clock units per step; the rates below differ from it by the drift bound of 25%
 	fastRate       = 30
 	slowRate       = 18
 )
 
-// The safeguards that can be taken out.
+// Safeguards that a test can remove.
 const (
 	driftMargin        = "drift-margin"
 	leaderConfirmation = "leader-confirmation"
@@ -34,29 +30,29 @@
 
 var safeguards = []string{driftMargin, leaderConfirmation, fencingToken, votePersistence, expiryFromSend, entryTerm}
 
-// deliveredFlag is set in the id of a delivered message.
+// deliveredFlag is set in the id of a message whose request has been delivered.
 const deliveredFlag = 1 << 40
 
 type message struct {
-	claimant int // index
+	claimant int // index of the sender
 	id       uint64
 	request  Request
 	sentAt   Time
-	response *Response
+	response *Response // nil until the request is answered
 }
 
 type testVoter struct {
 	cluster     *testCluster
 	index       int
-	term        int // of the vote
+	term        int // highest term it has voted in
 	state       *State
-	applied     int
+	applied     int // number of entries of the log that are in state
 	manager     *Manager
-	leadsInTerm int // term in which it believes to lead, 0: it doesn't
+	leadsInTerm int // term in which it believes that it is the leader; 0: none
 	alarmTime   Time
 	alarmSet    bool
 	round       uint64
-	proposals   map[uint64]Entry // not in the log yet
+	proposals   map[uint64]Entry // by ref; not committed yet
 	results     map[uint64]Result
 }
 
@@ -66,23 +62,27 @@
 	claimant  *Claimant
 	alarmTime Time
 	alarmSet  bool
-	actToken  uint64 // token of an act that MayAct has allowed and that is not done yet
+	actToken  uint64 // token of an act that MayAct has allowed and that has not been carried out yet; 0: none
 }
 
+// testCluster simulates a cluster of three voters and a few claimants. More than one voter may believe that it is the leader.
+// Consensus is not simulated: a leader commits an entry unless a majority has voted in a later term. The tests vary what
+// surrounds consensus: which voter a request reaches, which messages are delayed or lost, who is elected or crashes, and the
+// clock rates.
 type testCluster struct {
 	removedSafeguard string
-	delayCommits     bool // proposals take time
-	actsEnabled      bool // claimants act
-	step             int
-	log              []Entry
-	state            *State
+	delayCommits     bool    // proposals are committed by "commit" events only
+	actsEnabled      bool    // claimants set effects
+	step             int     // current time
+	log              []Entry // committed entries
+	state            *State  // with all of log applied
 	voters           [numVoters]*testVoter
 	claimants        []*testClaimant
 	messages         []message
 	lastID           uint64
-	effectNumber     uint64 // of the last effect
-	lastEffectToken  uint64 // token of the last effect that was applied
-	violation        string
+	effectNumber     uint64 // number of the last effect
+	lastEffectToken  uint64 // token of the last applied effect
+	violation        string // first violated invariant; empty: none
 	crashesLeft      int
 	electionsLeft    int
 	lossesLeft       int
@@ -120,7 +120,7 @@
 	return tc.state.Apply(e)
 }
 
-// catchUp applies what is in the log.
+// catchUp applies the committed entries that v has not applied yet.
 func (v *testVoter) catchUp() {
 	for ; v.applied < len(v.cluster.log); v.applied++ {
 		v.state.Apply(v.cluster.log[v.applied])
@@ -136,7 +136,7 @@
 	return Time(c.cluster.step * nominalRate)
 }
 
-// hasMajority reports whether a majority has voted in no later term than v leads in.
+// hasMajority reports whether v is a leader in a term and no majority has voted in a later one.
 func (v *testVoter) hasMajority() bool {
 	count := 0
 	for _, other := range v.cluster.voters {
@@ -147,7 +147,7 @@
 	return v.leadsInTerm > 0 && count > numVoters/2
 }
 
-// A testVoter is the Host of its Manager.
+// A testVoter implements Host for its Manager.
 
 func (v *testVoter) Propose(ref uint64, e Entry) {
 	if v.cluster.removedSafeguard == entryTerm {
@@ -156,7 +156,7 @@
 	v.proposals[ref] = e
 }
 
-// commit commits proposals, as long as v has a majority.
+// commit commits and applies the proposals of v in order, as long as v has a majority.
 func (v *testVoter) commit() {
 	for len(v.proposals) > 0 && v.hasMajority() {
 		ref := slices.Min(slices.Collect(maps.Keys(v.proposals)))
@@ -182,7 +182,7 @@
 
 func (v *testVoter) SetAlarm(t Time) { v.alarmTime, v.alarmSet = t, true }
 
-// A testClaimant is the ClaimantHost of its Claimant.
+// A testClaimant implements ClaimantHost for its Claimant.
 
 func (c *testClaimant) Send(r Request) {
 	c.cluster.lastID++
@@ -192,14 +192,26 @@
 func (c *testClaimant) Lost(error)      {}
 func (c *testClaimant) SetAlarm(t Time) { c.alarmTime, c.alarmSet = t, true }
 
-// event is one event of a history.
+// event is one event of a history. Its kind is one of:
+//
+//	tick     advance time by a step and call the alarms that are due
+//	ask      deliver a request to a voter that believes that it is the leader
+//	answer   deliver a response to a claimant
+//	lose     lose a message; its claimant sees a timeout
+//	confirm  end a voter's quorum round
+//	commit   commit a voter's proposals
+//	crash    restart a voter
+//	elect    elect a voter with the vote of another
+//	depose   let a leader without a majority learn that it is no longer the leader
+//	check    let a claimant call MayAct
+//	act      let a claimant carry out the act that MayAct has allowed
 type event struct {
 	kind  string
-	index int
-	voter int
+	index int // of the message, voter or claimant
+	voter int // "ask": the receiver; "elect": the voter that votes for index
 }
 
-// nextEvents returns all events that may happen next, with time up to maxSteps.
+// nextEvents returns all events that may happen next. Time does not advance beyond maxSteps.
 func (tc *testCluster) nextEvents(maxSteps int) (all []event) {
 	if tc.step < maxSteps {
 		all = append(all, event{kind: "tick"})
@@ -251,7 +263,8 @@
 	return all
 }
 
-// applyEvent plays one event and checks the invariants.
+// applyEvent applies one event and records a violated invariant in violation: two claimants may not hold the lease at once, and
+// effects may not be applied with decreasing tokens.
 func (tc *testCluster) applyEvent(e event) {
 	switch e.kind {
 	case "tick":
@@ -270,7 +283,7 @@
 		}
 	case "ask":
 		msg := &tc.messages[e.index]
-		msg.id |= deliveredFlag // delivered
+		msg.id |= deliveredFlag
 		tc.voters[e.voter].manager.Handle(tc.voters[e.voter].now(), msg.id, msg.request)
 	case "answer":
 		msg := tc.messages[e.index]
@@ -334,7 +347,7 @@
 		tc.effectNumber++
 		if r := tc.append(Entry{Version: formatVersion, Kind: KindEffect, Name: "task", Token: token, Effect: "task", Number: tc.effectNumber}); r.Err == nil {
 			if tc.violation == "" && token < tc.lastEffectToken || tc.removedSafeguard == fencingToken && tc.claimantWithToken(token) != c.index {
-				tc.violation = fmt.Sprintf("claimant %d acts with token %d after token %d", c.index, token, tc.lastEffectToken)
+				tc.violation = fmt.Sprintf("claimant %d sets an effect with token %d after one with token %d", c.index, token, tc.lastEffectToken)
 			}
 			tc.lastEffectToken = token
 		}
@@ -355,7 +368,7 @@
 	}
 }
 
-// claimantWithToken returns the claimant whose lease has a token, -1 for none.
+// claimantWithToken returns the index of the claimant that holds the lease with a token, or -1.
 func (tc *testCluster) claimantWithToken(token uint64) int {
 	if l := tc.state.Leases["task"]; l.Token == token {
 		return l.Holder.Process
@@ -363,7 +376,7 @@
 	return -1
 }
 
-// clone returns a deep copy of the cluster.
+// clone returns a deep copy of tc.
 func (tc *testCluster) clone() *testCluster {
 	clone := *tc
 	clone.log, clone.messages, clone.state = slices.Clone(tc.log), slices.Clone(tc.messages), tc.state.clone()
@@ -394,7 +407,7 @@
 	return &clone
 }
 
-// fingerprint returns a hash of all that tells one state from another.
+// fingerprint returns a hash of all parts of the state that affect later events.
 func (tc *testCluster) fingerprint(h hash.Hash64) uint64 {
 	h.Reset()
 	fmt.Fprint(h, tc.step, tc.crashesLeft, tc.electionsLeft, tc.lossesLeft, tc.lastEffectToken, tc.state.Leases, tc.state.Term)
@@ -415,7 +428,7 @@
 		claimant := c.claimant
 		fmt.Fprint(h, c.actToken, c.alarmSet, c.alarmTime, claimant.token, claimant.expiry, claimant.granted, claimant.requestPending, claimant.released, claimant.nextRequest, claimant.failures)
 	}
-	var inFlight []string // in whatever order
+	var inFlight []string // sorted below, because their order does not matter
 	for _, m := range tc.messages {
 		text := fmt.Sprint(m.claimant, m.request.Operation, m.request.Token, m.sentAt, m.id/deliveredFlag)
 		if m.response != nil {
--- a/lease/explore_test.go
+++ b/lease/explore_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// bounds limit an exploration: steps of time, crashes, elections after the first, and lost messages.
+// bounds limit an exploration. The field elections does not include the first election.
 type bounds struct{ steps, crashes, elections, losses int }
 
-// maxStates is far beyond what the bounds below reach: an exploration that stops there is incomplete.
+// maxStates is far above the number of states that the bounds below reach. An exploration that stops there is incomplete.
 const maxStates = 400_000
 
-// explore plays all histories within the bounds, and returns the first one that breaks an invariant. The first leader is
-// voter 0, followed by voter 1: with any others it is the same but for the names.
+// explore visits all states within the bounds, breadth first, and returns the first history that violates an invariant. The
+// first leader is voter 0 with the vote of voter 1, because the voters are interchangeable.
 func explore(removedSafeguard string, b bounds) (states int, history []event, violation string) {
 	type node struct {
 		cluster *testCluster
@@ -44,18 +44,19 @@
 				nodes = append(nodes, node{next, i, e})
 			}
 		}
-		nodes[i].cluster = nil // all its successors are queued
+		nodes[i].cluster = nil // frees memory: all successors are in nodes
 	}
 	return len(seen), nil, ""
 }
 
-// All histories of a small cluster: two claimants, one with a slow clock, three voters with fast ones. A step is about half
-// a lease, so that it is lost, granted to the other and renewed within the bounds.
+// Explores all histories of two claimants, one of which has a slow clock, and three voters with fast clocks. A step is about
+// half a lease duration, so that within the bounds the lease expires, is granted to the other claimant and is renewed. With one
+// safeguard removed, the exploration must find a violation.
 func TestExhaustiveHistoriesKeepInvariants(t *testing.T) {
 	for _, b := range []bounds{{steps: 5}, {steps: 3, elections: 1}, {steps: 4, losses: 1}, {steps: 3, crashes: 1, elections: 1}} {
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
 			if testing.Short() && b.elections > 0 {
-				t.Skip("too many for the race detector")
+				t.Skip("too many states for the race detector in short mode")
 			}
 			t.Parallel()
 			states, history, violation := explore("", b)
@@ -69,11 +70,11 @@
 		leaderConfirmation: {steps: 3, elections: 1}, votePersistence: {steps: 3, crashes: 1, elections: 1}} {
 		t.Run("without "+safeguard, func(t *testing.T) {
 			if testing.Short() && b.elections > 0 {
-				t.Skip("too many for the race detector")
+				t.Skip("too many states for the race detector in short mode")
 			}
 			t.Parallel()
 			if states, history, violation := explore(safeguard, b); violation == "" {
-				t.Errorf("none of %d states shows it", states)
+				t.Errorf("no violation in %d states without this safeguard", states)
 			} else {
 				t.Logf("state %d: %s after %v", states, violation, history)
 			}
@@ -81,14 +82,15 @@
 	}
 }
 
-// randomHistory plays random events, with more of everything than can be explored, and commits that take time.
+// randomHistory applies random events to a cluster with more claimants, faults and events than can be explored exhaustively.
+// In half of the histories commits are delayed.
 func randomHistory(removedSafeguard string, seed uint64, maxEvents int) (tc *testCluster, history []event) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	tc = newTestCluster(removedSafeguard, 3)
 	tc.crashesLeft, tc.electionsLeft, tc.lossesLeft, tc.delayCommits, tc.actsEnabled = 8, 12, 12, rnd.IntN(2) == 0, true
 	for range maxEvents {
 		events := tc.nextEvents(1 << 20)
-		// Time passes slowly beside all else, or every lease expires.
+		// Faults and ticks are drawn less often: if time advanced as often as other events, every lease would expire.
 		e := events[rnd.IntN(len(events))]
 		if rare := e.kind == "crash" || e.kind == "elect" || e.kind == "lose" || e.kind == "tick"; rare && rnd.IntN(4) > 0 {
 			e = events[rnd.IntN(len(events))]
@@ -101,6 +103,7 @@
 	return tc, history
 }
 
+// No random history violates an invariant, and the histories grant leases.
 func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	grants := uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -111,21 +114,22 @@
 		}
 	})
 	if grants < 100 {
-		t.Errorf("%d grants in all: the histories show nothing", grants)
+		t.Errorf("%d grants in all histories, want 100 or more: too few leases were granted to test anything", grants)
 	}
 }
 
-// With any one safeguard removed some history breaks an invariant: otherwise the tests above prove nothing.
+// If any one safeguard is removed, some history violates an invariant. Otherwise the tests above could not detect a missing
+// safeguard.
 func TestRemovedSafeguardBreaksInvariant(t *testing.T) {
 	for _, safeguard := range safeguards {
 		t.Run(safeguard, func(t *testing.T) {
 			for seed := range uint64(20_000) {
 				if tc, history := randomHistory(safeguard, seed, 400); tc.violation != "" {
-					t.Logf("seed %d, %d moves: %s", seed, len(history), tc.violation)
+					t.Logf("seed %d, %d events: %s", seed, len(history), tc.violation)
 					return
 				}
 			}
-			t.Error("no history breaks a rule without it")
+			t.Error("no history violates an invariant without this safeguard")
 		})
 	}
 }
