--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-func processorTime() time.Duration {
-	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+func processCPUTime() time.Duration {
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
 // harnessWithHolders returns a leader with a number of held leases, one for each node's name, and the requests that renew them.
 func harnessWithHolders(b *testing.B, holders int) (*managerHarness, []Request) {
 	h := newManagerHarness()
-	all := make([]Request, holders)
-	for n := range all {
+	renewals := make([]Request, holders)
+	for n := range renewals {
 		name := fmt.Sprintf("node/%05d", n)
 		id := h.handle(Request{Operation: OpAcquire, Name: name, Holder: holder(n)})
 		h.apply()
-		x := h.responses[id]
-		if x.Err != nil {
-			b.Fatal(n, x.Err)
+		response := h.responses[id]
+		if response.Err != nil {
+			b.Fatal(n, response.Err)
 		}
-		all[n] = Request{Operation: OpRenew, Name: name, Holder: holder(n), Token: x.Token}
-		h.state.Apply(Entry{Version: formatVersion, Kind: KindEffect, Name: name, Token: x.Token, Effect: name, Number: 1, Value: []byte("127.0.0.1:10001")})
+		renewals[n] = Request{Operation: OpRenew, Name: name, Holder: holder(n), Token: response.Token}
+		h.state.Apply(Entry{Version: formatVersion, Kind: KindEffect, Name: name, Token: response.Token, Effect: name, Number: 1, Value: []byte("127.0.0.1:10001")})
 	}
 	clear(h.responses)
-	return h, all
+	return h, renewals
 }
 
 var holderCounts = []int{100, 232, 500, 1000, 2000, 4090} // up to maxLeases
@@ -38,38 +38,38 @@
 // BenchmarkRenewal is the cost of one renewal in the Manager, without network and voters: alone in its quorum round, and with
 // fifteen others. The leader's share of a core is holders times that, at a renewal a second each.
 func BenchmarkRenewal(b *testing.B) {
-	for _, together := range []int{1, 16} {
+	for _, renewalsPerRound := range []int{1, 16} {
 		for _, holders := range holderCounts {
-			b.Run(fmt.Sprintf("together=%d/holders=%d", together, holders), func(b *testing.B) {
+			b.Run(fmt.Sprintf("together=%d/holders=%d", renewalsPerRound, holders), func(b *testing.B) {
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				h, asks := harnessWithHolders(b, holders)
+				h, renewals := harnessWithHolders(b, holders)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				n := 0
-				round := func(many int) {
-					for range many {
-						h.handle(asks[n%holders])
-						n++
+				next := 0
+				round := func(count int) {
+					for range count {
+						h.handle(renewals[next%holders])
+						next++
 					}
 					for len(h.rounds) > 0 {
 						h.confirm()
 					}
-					h.now += Time(many)
+					h.now += Time(count)
 					clear(h.responses)
 				}
 				round(holders)
-				used := processorTime()
+				startCPUTime := processCPUTime()
 				b.ResetTimer()
 				for i := 0; b.Loop(); i++ {
-					if i%together == 0 {
-						round(together)
+					if i%renewalsPerRound == 0 {
+						round(renewalsPerRound)
 					}
 				}
-				each := float64(processorTime()-used) / float64(b.N)
-				b.ReportMetric(each, "cpu-ns/op")
-				b.ReportMetric(each*float64(holders)/1e9, "cores")
+				nsPerOp := float64(processCPUTime()-startCPUTime) / float64(b.N)
+				b.ReportMetric(nsPerOp, "cpu-ns/op")
+				b.ReportMetric(nsPerOp*float64(holders)/1e9, "cores")
 				b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/float64(holders), "B/holder")
 			})
 		}
@@ -86,25 +86,25 @@
 			h.apply()
 			h.manager.expiries["task"] = 1 << 60 // its holder renews
 			wait := testLeaseDuration / waitDivisor
-			step, n := max(1, wait/Time(waiters)), 0
-			next := func() {
+			step, requests := max(1, wait/Time(waiters)), 0
+			request := func() {
 				h.now += step
 				h.manager.Alarm(h.now)
-				h.handle(acquireRequest(1+n%waiters, wait))
-				n++
+				h.handle(acquireRequest(1+requests%waiters, wait))
+				requests++
 				clear(h.responses)
 			}
 			for range 2 * waiters {
-				next()
+				request()
 			}
-			used := processorTime()
+			startCPUTime := processCPUTime()
 			b.ResetTimer()
 			for b.Loop() {
-				next()
+				request()
 			}
-			each := float64(processorTime()-used) / float64(b.N)
-			b.ReportMetric(each, "cpu-ns/op")
-			b.ReportMetric(each*float64(waiters)*float64(1000*Millisecond)/float64(wait)/1e9, "cores")
+			nsPerOp := float64(processCPUTime()-startCPUTime) / float64(b.N)
+			b.ReportMetric(nsPerOp, "cpu-ns/op")
+			b.ReportMetric(nsPerOp*float64(waiters)*float64(1000*Millisecond)/float64(wait)/1e9, "cores")
 		})
 	}
 }
@@ -116,14 +116,14 @@
 			h, _ := harnessWithHolders(b, holders)
 			size := 0
 			for b.Loop() {
-				s, err := h.state.Snapshot()
+				snapshot, err := h.state.Snapshot()
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err := NewState().Restore(s); err != nil {
+				if err := NewState().Restore(snapshot); err != nil {
 					b.Fatal(err)
 				}
-				size = len(s)
+				size = len(snapshot)
 			}
 			b.ReportMetric(float64(size)/float64(holders), "B/holder")
 		})
--- a/lease/golden_test.go
+++ b/lease/golden_test.go
@@ -12,8 +12,8 @@
 // update rewrites the golden files. A file that changes breaks stored data: that takes a new version of the format.
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares bytes with a file under testdata/golden.
-func golden(t *testing.T, name string, got []byte) []byte {
+// checkGolden compares bytes with a file under testdata/golden.
+func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
@@ -37,14 +37,14 @@
 
 func goldenEntries() map[string]Entry {
 	holder := Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
-	terms := &BudgetConfig{Kind: RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
+	budget := &BudgetConfig{Kind: RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
 	return map[string]Entry{
 		KindFoundCluster: {Version: 1, Kind: KindFoundCluster, Name: "f", Number: 17},
 		KindNewTerm:      {Version: 1, Kind: KindNewTerm, Name: "n1"},
 		KindGrant:        {Version: 1, Kind: KindGrant, Term: 3, Name: "roll-up", Holder: holder},
 		KindRevoke:       {Version: 1, Kind: KindRevoke, Term: 3, Name: "roll-up", Token: 19},
 		KindEffect:       {Version: 1, Kind: KindEffect, Name: "roll-up", Token: 19, Effect: "roll-up/x", Number: 5, Value: []byte("<v&\x00")},
-		KindSetBudget:    {Version: 2, Kind: KindSetBudget, Term: 3, Name: "origin-rate", Budget: terms},
+		KindSetBudget:    {Version: 2, Kind: KindSetBudget, Term: 3, Name: "origin-rate", Budget: budget},
 		KindMoveQuotas: {Version: 2, Kind: KindMoveQuotas, Term: 3, Name: "n1", Moves: []QuotaMove{
 			{Budget: "origin-rate", Lease: "node/n1", Token: 19, FromToken: 20, Units: 7},
 			{Budget: "origin-rate", Lease: "node/n2", Token: 21}}},
@@ -52,16 +52,16 @@
 }
 
 // Entries are stored in the voters' logs, which later versions read.
-func TestLogEntriesKeepTheirStoredForm(t *testing.T) {
+func TestEntryStoredFormUnchanged(t *testing.T) {
 	for kind, e := range goldenEntries() {
-		written, err := e.Encode()
+		encoded, err := e.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		stored := golden(t, "entry-"+kind+".json", written)
-		read, err := Decode(stored)
-		if err != nil || !reflect.DeepEqual(read, e) {
-			t.Errorf("%s: read as %+v, %v, want %+v", kind, read, err, e)
+		stored := checkGolden(t, "entry-"+kind+".json", encoded)
+		decoded, err := Decode(stored)
+		if err != nil || !reflect.DeepEqual(decoded, e) {
+			t.Errorf("%s: read as %+v, %v, want %+v", kind, decoded, err, e)
 		}
 	}
 }
@@ -89,28 +89,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := Decode(stored)
+		decoded, err := Decode(stored)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := s.Apply(read); r.Err != nil {
+		if r := s.Apply(decoded); r.Err != nil {
 			t.Fatal(e.Kind, r.Err)
 		}
 	}
 	return s
 }
 
-func TestSnapshotsKeepTheirStoredForm(t *testing.T) {
+func TestSnapshotStoredFormUnchanged(t *testing.T) {
 	for name, withBudget := range map[string]bool{"snapshot-1.json": false, "snapshot-2.json": true} {
 		s := goldenState(t, withBudget)
-		written, err := s.Snapshot()
+		encoded, err := s.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		stored := golden(t, name, written)
-		read := NewState()
-		if err := read.Restore(stored); err != nil || !reflect.DeepEqual(read, s) {
-			t.Errorf("%s: read as %+v, %v, want %+v", name, read, err, s)
+		stored := checkGolden(t, name, encoded)
+		restored := NewState()
+		if err := restored.Restore(stored); err != nil || !reflect.DeepEqual(restored, s) {
+			t.Errorf("%s: read as %+v, %v, want %+v", name, restored, err, s)
 		}
 	}
 }
