--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
+// processCPUTime returns the CPU time that this process has used.
 func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// harnessWithHolders returns a leader with a number of held leases, one for each node's name, and the requests that renew them.
+// harnessWithHolders returns a leader with the given number of held leases, one per node name, and the requests that renew them.
 func harnessWithHolders(b *testing.B, holders int) (*managerHarness, []Request) {
 	h := newManagerHarness()
 	renewals := make([]Request, holders)
@@ -35,8 +36,8 @@
 
 var holderCounts = []int{100, 232, 500, 1000, 2000, 4090} // up to maxLeases
 
-// BenchmarkRenewal is the cost of one renewal in the Manager, without network and voters: alone in its quorum round, and with
-// fifteen others. The leader's share of a core is holders times that, at a renewal a second each.
+// BenchmarkRenewal measures the CPU time of one renewal in the Manager, without network and voters, with 1 and with 16 renewals
+// in a quorum round. The metric "cores" is the CPU usage of a leader at one renewal per second and holder.
 func BenchmarkRenewal(b *testing.B) {
 	for _, renewalsPerRound := range []int{1, 16} {
 		for _, holders := range holderCounts {
@@ -76,15 +77,15 @@
 	}
 }
 
-// BenchmarkWaiting is one request of a waiter for a lease that another holds: it waits for a quarter of a lease and retries,
-// as all nodes but one do for each task.
+// BenchmarkWaiting measures one acquire request for a held lease. Each waiter waits for a quarter of a lease duration and then
+// retries, as all nodes but one do for each task. The metric "cores" is the CPU usage of a leader with that many waiters.
 func BenchmarkWaiting(b *testing.B) {
 	for _, waiters := range []int{100, 232, 500, 1000} { // up to maxWaitersPerLease
 		b.Run(fmt.Sprint("waiters=", waiters), func(b *testing.B) {
 			h := newManagerHarness()
 			h.handle(acquireRequest(0, 0))
 			h.apply()
-			h.manager.expiries["task"] = 1 << 60 // its holder renews
+			h.manager.expiries["task"] = 1 << 60 // never expires, as if its holder kept renewing it
 			wait := testLeaseDuration / waitDivisor
 			step, requests := max(1, wait/Time(waiters)), 0
 			request := func() {
@@ -109,7 +110,7 @@
 	}
 }
 
-// BenchmarkSnapshot writes and restores the state of a number of nodes.
+// BenchmarkSnapshot measures writing and restoring a snapshot of the state of a number of nodes.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, holders := range holderCounts {
 		b.Run(fmt.Sprint("holders=", holders), func(b *testing.B) {
--- a/lease/golden_test.go
+++ b/lease/golden_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
-// update rewrites the golden files. A file that changes breaks stored data: that takes a new version of the format.
-var update = flag.Bool("update", false, "write the golden files anew")
+// update rewrites the golden files. A changed golden file means that stored data can no longer be read: such a change needs a
+// new format version.
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// checkGolden compares bytes with a file under testdata/golden.
+// checkGolden compares got with a file under testdata/golden and returns the contents of the file.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -35,6 +36,7 @@
 	return want
 }
 
+// goldenEntries returns an entry of each kind.
 func goldenEntries() map[string]Entry {
 	holder := Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
 	budget := &BudgetConfig{Kind: RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
@@ -51,7 +53,7 @@
 	}
 }
 
-// Entries are stored in the voters' logs, which later versions read.
+// Entries are stored in the voters' logs, so later versions of the program must be able to read them.
 func TestEntryStoredFormUnchanged(t *testing.T) {
 	for kind, e := range goldenEntries() {
 		encoded, err := e.Encode()
@@ -61,12 +63,12 @@
 		stored := checkGolden(t, "entry-"+kind+".json", encoded)
 		decoded, err := Decode(stored)
 		if err != nil || !reflect.DeepEqual(decoded, e) {
-			t.Errorf("%s: read as %+v, %v, want %+v", kind, decoded, err, e)
+			t.Errorf("%s: decoded %+v, %v, want %+v", kind, decoded, err, e)
 		}
 	}
 }
 
-// goldenState applies entries of each kind.
+// goldenState returns a state with a lease, an effect and, if withBudget, a budget with a quota.
 func goldenState(t *testing.T, withBudget bool) *State {
 	t.Helper()
 	s := NewState()
@@ -100,6 +102,8 @@
 	return s
 }
 
+// Snapshots are stored by the voters, so later versions of the program must be able to read them. Format version 1 has no
+// budgets, version 2 has.
 func TestSnapshotStoredFormUnchanged(t *testing.T) {
 	for name, withBudget := range map[string]bool{"snapshot-1.json": false, "snapshot-2.json": true} {
 		s := goldenState(t, withBudget)
@@ -110,7 +114,7 @@
 		stored := checkGolden(t, name, encoded)
 		restored := NewState()
 		if err := restored.Restore(stored); err != nil || !reflect.DeepEqual(restored, s) {
-			t.Errorf("%s: read as %+v, %v, want %+v", name, restored, err, s)
+			t.Errorf("%s: restored %+v, %v, want %+v", name, restored, err, s)
 		}
 	}
 }
