--- a/lease/claimant.go
+++ b/lease/claimant.go
@@ -21,7 +21,7 @@
 	Send(r Request)
 	// Granted is called when the lease becomes held, with its fencing token.
 	Granted(token uint64)
-	// Lost is called when the lease is no longer held: acts under it must end. reason is nil after Release.
+	// Lost is called when the lease is no longer held: actions under it must stop. reason is nil after Release.
 	Lost(reason error)
 	// SetAlarm schedules a call of Claimant.Alarm at or soon after time t. It replaces an earlier alarm.
 	SetAlarm(t Time)
@@ -48,7 +48,7 @@
 	draws          uint64 // number of random numbers drawn
 }
 
-// NewClaimant returns a Claimant and sends its first request. leaseDuration is the nominal duration of a lease, holderDuration
+// NewClaimant returns a Claimant that has sent its first request. leaseDuration is the nominal duration of a lease, holderDuration
 // its duration by the holder's clock. Claimants with different seeds have different backoff jitter.
 func NewClaimant(host ClaimantHost, _ Time, name string, holder Holder, leaseDuration, holderDuration Time, seed uint64) *Claimant {
 	c := &Claimant{
@@ -63,8 +63,9 @@
 	return c
 }
 
-// MayAct reports whether an act of the given duration may begin now, and returns its fencing token. Call it again after any
-// wait. The process may be suspended between this check and the act, so the target of the act must check the token too.
+// MayAct reports whether an action under the lease that takes the given duration may begin now, and returns the fencing token
+// for it. Call MayAct again after any wait. The process may be suspended between this check and the action, so the target of
+// the action must check the token too.
 func (c *Claimant) MayAct(now, duration Time) (token uint64, allowed bool) {
 	return c.token, c.granted && !c.released && now+duration < c.expiry
 }
@@ -213,7 +214,7 @@
 	c.host.SetAlarm(max(alarmTime, now))
 }
 
-// Release releases the lease or withdraws the request for it. Call it after all acts under the lease have ended.
+// Release releases the lease or withdraws the request for it. Call it after all actions under the lease have ended.
 func (c *Claimant) Release(_ Time) {
 	if c.released {
 		return
--- a/lease/claimant_test.go
+++ b/lease/claimant_test.go
@@ -18,7 +18,7 @@
 func (h *recordingHost) SetAlarm(Time)        {}
 
 // Each case starts with a Claimant that sent its first request at time 0. The case states which operations the Claimant sends
-// and whether an act may begin at checkTime.
+// and whether MayAct allows an action at checkTime.
 func TestClaimant(t *testing.T) {
 	holderDuration := HolderDuration(testLeaseDuration, 0.01)
 	grant := Response{Token: 7}
--- a/lease/cluster_test.go
+++ b/lease/cluster_test.go
@@ -51,7 +51,7 @@
 	leadsInTerm int // term in which it believes that it is the leader; 0: none
 	alarmTime   Time
 	alarmSet    bool
-	round       uint64
+	round       uint64           // quorum round in progress; 0: none
 	proposals   map[uint64]Entry // by ref; not committed yet
 	results     map[uint64]Result
 }
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -93,8 +93,8 @@
 	return m.expiries[name], len(m.queues[name])
 }
 
-// Handle handles a request, which Host.Respond answers, possibly before Handle returns. The id must be above 0 and must differ
-// from those of all pending requests.
+// Handle processes a request. Host.Respond answers it, possibly before Handle returns. The id must be above 0 and must differ
+// from the ids of all pending requests.
 func (m *Manager) Handle(now Time, id uint64, r Request) {
 	switch {
 	case !m.leading:
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -14,9 +14,9 @@
 	alarm     Time
 	lastID    uint64
 	responses map[uint64]Response
-	proposed  []uint64
-	entries   map[uint64]Entry
-	rounds    []uint64
+	proposed  []uint64         // refs of the proposals that are not applied yet
+	entries   map[uint64]Entry // proposed entries by ref
+	rounds    []uint64         // quorum rounds that are not confirmed yet
 }
 
 func (h *managerHarness) Propose(ref uint64, e Entry) {
@@ -26,11 +26,15 @@
 func (h *managerHarness) ConfirmLeadership(round uint64)       { h.rounds = append(h.rounds, round) }
 func (h *managerHarness) Respond(id uint64, response Response) { h.responses[id] = response }
 func (h *managerHarness) SetAlarm(t Time)                      { h.alarm = t }
+
+// handle passes a request to the Manager and returns its id.
 func (h *managerHarness) handle(r Request) uint64 {
 	h.lastID++
 	h.manager.Handle(h.now, h.lastID, r)
 	return h.lastID
 }
+
+// confirm confirms the leadership in the oldest quorum round.
 func (h *managerHarness) confirm() {
 	round := h.rounds[0]
 	h.rounds = h.rounds[1:]
@@ -45,13 +49,18 @@
 }
 
 func holder(n int) Holder { return Holder{Name: fmt.Sprint("h", n), Process: n} }
+
+// acquireRequest returns a request of holder n for the lease "task".
 func acquireRequest(n int, wait Time) Request {
 	return Request{Operation: OpAcquire, Name: "task", Holder: holder(n), Wait: wait}
 }
+
+// tokenRequest returns a request of holder n that refers to the lease "task" by a token.
 func tokenRequest(operation string, n int, token uint64) Request {
 	return Request{Operation: operation, Name: "task", Holder: holder(n), Token: token}
 }
 
+// apply applies all proposals and reports their outcomes to the Manager.
 func (h *managerHarness) apply() {
 	for len(h.proposed) > 0 {
 		ref := h.proposed[0]
--- a/lease/probe_scheduler.go
+++ b/lease/probe_scheduler.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	minProbeInterval       = 250 * Millisecond  // between probes of a server; the interval doubles with each probe
+	minProbeInterval       = 250 * Millisecond  // between probes of a server; doubles with each probe, resets when the result changes
 	maxProbeInterval       = 2000 * Millisecond // half of the interval of a node that probes by itself, because one probe serves all nodes
 	probeResultTimeout     = 1000 * Millisecond // after this time a probe without a result is made again
 	ejectionReportInterval = 500 * Millisecond  // between two reports of a node, which also fetch the results
 	probeTargetExpiry      = 5000 * Millisecond // a server is dropped this long after the last report of it
-	maxProbeTargets        = 4096               // each node probes any further servers itself
+	maxProbeTargets        = 4096               // each node probes by itself the servers beyond this number
 )
 
 // ProbeScheduler schedules health checks of the servers that nodes have ejected, and keeps the last result of each server. It
--- a/lease/queue.go
+++ b/lease/queue.go
@@ -7,7 +7,10 @@
 
 const (
 	maxWaitersPerLease = 1024
-	graceDivisor       = 3 // a request waits at most 1/3 of a lease duration; without one, a waiter keeps its place as long
+
+	// graceDivisor is 3: a request waits at most a third of a lease duration, and a waiter without a pending request keeps
+	// its place in the queue for a third of a lease duration.
+	graceDivisor = 3
 )
 
 // waiter is a claimant in the queue for a lease.
@@ -84,8 +87,8 @@
 	}
 }
 
-// expireWaiters answers requests that have reached their deadline with ErrStillHeld, and removes waiters that have not
-// retried by theirs.
+// expireWaiters answers requests whose wait has ended with ErrStillHeld, and removes waiters that have not retried within a
+// third of a lease duration.
 func (m *Manager) expireWaiters(now Time) {
 	for _, name := range slices.Sorted(maps.Keys(m.queues)) {
 		for _, w := range slices.Clone(m.queues[name]) {
