--- a/lease/explore_test.go
+++ b/lease/explore_test.go
@@ -8,100 +8,103 @@
 	"pgregory.net/rapid"
 )
 
-// bounds limit an exploration: steps of time, crashes, elections after the first, and lost messages.
+// bounds limit an exploration. The field elections does not include the first election.
 type bounds struct{ steps, crashes, elections, losses int }
 
-// maxStates is far beyond what the bounds below reach: an exploration that stops there is incomplete.
+// maxStates is far above the number of states that the bounds below reach. An exploration that stops there is incomplete.
 const maxStates = 400_000
 
-// explore plays all histories within the bounds, and returns the first one that breaks an invariant. The first leader is
-// voter 0, followed by voter 1: with any others it is the same but for the names.
-func explore(without string, b bounds) (states int, history []move, fault string) {
+// explore visits all states within the bounds, breadth first, and returns the first history that violates an invariant. The
+// first leader is voter 0 with the vote of voter 1, because the voters are interchangeable.
+func explore(removedSafeguard string, b bounds) (states int, history []event, violation string) {
 	type node struct {
-		tc   *testCluster
-		from int
-		by   move
+		cluster *testCluster
+		parent  int
+		event   event
 	}
-	tc := newTestCluster(without, 2)
+	tc := newTestCluster(removedSafeguard, 2)
 	tc.electionsLeft = 1
-	tc.play(move{"elect", 0, 1})
+	tc.applyEvent(event{"elect", 0, 1})
 	tc.crashesLeft, tc.electionsLeft, tc.lossesLeft = b.crashes, b.elections, b.losses
-	all := []node{{tc: tc, from: -1}}
+	nodes := []node{{cluster: tc, parent: -1}}
 	seen, h := map[uint64]bool{}, newHash()
-	for at := 0; at < len(all) && at < maxStates; at++ {
-		now := all[at].tc
-		for _, m := range now.moves(b.steps) {
-			next := now.clone()
-			next.play(m)
+	for i := 0; i < len(nodes) && i < maxStates; i++ {
+		current := nodes[i].cluster
+		for _, e := range current.nextEvents(b.steps) {
+			next := current.clone()
+			next.applyEvent(e)
 			if next.violation != "" {
-				for history = []move{m}; all[at].from >= 0; at = all[at].from {
-					history = append([]move{all[at].by}, history...)
+				for history = []event{e}; nodes[i].parent >= 0; i = nodes[i].parent {
+					history = append([]event{nodes[i].event}, history...)
 				}
 				return len(seen), history, next.violation
 			}
-			if p := next.fingerprint(h); !seen[p] {
-				seen[p] = true
-				all = append(all, node{next, at, m})
+			if fingerprint := next.fingerprint(h); !seen[fingerprint] {
+				seen[fingerprint] = true
+				nodes = append(nodes, node{next, i, e})
 			}
 		}
-		all[at].tc = nil // all its successors are queued
+		nodes[i].cluster = nil // frees memory: all successors are in nodes
 	}
 	return len(seen), nil, ""
 }
 
-// All histories of a small cluster: two claimants, one with a slow clock, three voters with fast ones. A step is about half
-// a lease, so that it is lost, granted to the other and renewed within the bounds.
-func TestAllSmallHistories(t *testing.T) {
+// Explores all histories of two claimants, one of which has a slow clock, and three voters with fast clocks. A step is about
+// half a lease duration, so that within the bounds the lease expires, is granted to the other claimant and is renewed. With one
+// safeguard removed, the exploration must find a violation.
+func TestExhaustiveHistoriesKeepInvariants(t *testing.T) {
 	for _, b := range []bounds{{steps: 5}, {steps: 3, elections: 1}, {steps: 4, losses: 1}, {steps: 3, crashes: 1, elections: 1}} {
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
 			if testing.Short() && b.elections > 0 {
-				t.Skip("too many for the race detector")
+				t.Skip("too many states for the race detector in short mode")
 			}
 			t.Parallel()
-			states, history, fault := explore("", b)
+			states, history, violation := explore("", b)
 			t.Log(states, "states")
-			if fault != "" || states >= maxStates {
-				t.Errorf("%s after %v", fault, history)
+			if violation != "" || states >= maxStates {
+				t.Errorf("%s after %v", violation, history)
 			}
 		})
 	}
-	for without, b := range map[string]bounds{noMargin: {steps: 3}, fromAnswer: {steps: 3},
-		noConfirmation: {steps: 3, elections: 1}, noVote: {steps: 3, crashes: 1, elections: 1}} {
-		t.Run("without "+without, func(t *testing.T) {
+	for safeguard, b := range map[string]bounds{driftMargin: {steps: 3}, expiryFromSend: {steps: 3},
+		leaderConfirmation: {steps: 3, elections: 1}, votePersistence: {steps: 3, crashes: 1, elections: 1}} {
+		t.Run("without "+safeguard, func(t *testing.T) {
 			if testing.Short() && b.elections > 0 {
-				t.Skip("too many for the race detector")
+				t.Skip("too many states for the race detector in short mode")
 			}
 			t.Parallel()
-			if states, history, fault := explore(without, b); fault == "" {
-				t.Errorf("none of %d states shows it", states)
+			if states, history, violation := explore(safeguard, b); violation == "" {
+				t.Errorf("no violation in %d states without this safeguard", states)
 			} else {
-				t.Logf("state %d: %s after %v", states, fault, history)
+				t.Logf("state %d: %s after %v", states, violation, history)
 			}
 		})
 	}
 }
 
-// randomHistory plays random events, with more of everything than can be explored, and commits that take time.
-func randomHistory(without string, seed uint64, moves int) (tc *testCluster, history []move) {
+// randomHistory applies random events to a cluster with more claimants, faults and events than can be explored exhaustively.
+// In half of the histories commits are delayed.
+func randomHistory(removedSafeguard string, seed uint64, maxEvents int) (tc *testCluster, history []event) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	tc = newTestCluster(without, 3)
+	tc = newTestCluster(removedSafeguard, 3)
 	tc.crashesLeft, tc.electionsLeft, tc.lossesLeft, tc.delayCommits, tc.actsEnabled = 8, 12, 12, rnd.IntN(2) == 0, true
-	for range moves {
-		all := tc.moves(1 << 20)
-		// Time passes slowly beside all else, or every lease expires.
-		m := all[rnd.IntN(len(all))]
-		if rare := m.what == "crash" || m.what == "elect" || m.what == "lose" || m.what == "tick"; rare && rnd.IntN(4) > 0 {
-			m = all[rnd.IntN(len(all))]
+	for range maxEvents {
+		events := tc.nextEvents(1 << 20)
+		// Faults and ticks are drawn less often: if time advanced as often as other events, every lease would expire.
+		e := events[rnd.IntN(len(events))]
+		if rare := e.kind == "crash" || e.kind == "elect" || e.kind == "lose" || e.kind == "tick"; rare && rnd.IntN(4) > 0 {
+			e = events[rnd.IntN(len(events))]
 		}
-		tc.play(m)
-		if history = append(history, m); tc.violation != "" {
+		tc.applyEvent(e)
+		if history = append(history, e); tc.violation != "" {
 			break
 		}
 	}
 	return tc, history
 }
 
-func TestRandomHistories(t *testing.T) {
+// No random history violates an invariant, and the histories grant leases.
+func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	grants := uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -111,21 +114,22 @@
 		}
 	})
 	if grants < 100 {
-		t.Errorf("%d grants in all: the histories show nothing", grants)
+		t.Errorf("%d grants in all histories, want 100 or more: too few leases were granted to test anything", grants)
 	}
 }
 
-// With any one safeguard removed some history breaks an invariant: otherwise the tests above prove nothing.
-func TestEachSafeguardIsNeeded(t *testing.T) {
-	for _, without := range safeguards {
-		t.Run(without, func(t *testing.T) {
+// If any one safeguard is removed, some history violates an invariant. Otherwise the tests above could not detect a missing
+// safeguard.
+func TestRemovedSafeguardBreaksInvariant(t *testing.T) {
+	for _, safeguard := range safeguards {
+		t.Run(safeguard, func(t *testing.T) {
 			for seed := range uint64(20_000) {
-				if tc, history := randomHistory(without, seed, 400); tc.violation != "" {
-					t.Logf("seed %d, %d moves: %s", seed, len(history), tc.violation)
+				if tc, history := randomHistory(safeguard, seed, 400); tc.violation != "" {
+					t.Logf("seed %d, %d events: %s", seed, len(history), tc.violation)
 					return
 				}
 			}
-			t.Error("no history breaks a rule without it")
+			t.Error("no history violates an invariant without this safeguard")
 		})
 	}
 }
--- a/lease/snapshot.go
+++ b/lease/snapshot.go
@@ -19,7 +19,7 @@
 	Budgets map[string]*Budget `json:"budgets,omitempty"`
 }
 
-// Snapshot returns the stored form of the whole state.
+// Snapshot returns the stored form of the state.
 func (s *State) Snapshot() ([]byte, error) {
 	version := formatVersion
 	if len(s.Budgets) > 0 {
@@ -37,23 +37,24 @@
 	})
 }
 
-// Restore replaces the state by a snapshot's. It changes nothing if the snapshot is malformed or of an unknown version.
-func (s *State) Restore(stored []byte) error {
-	var from snapshot
-	if err := json.Unmarshal(stored, &from); err != nil {
+// Restore replaces the state by that of a snapshot. If the snapshot is malformed or has an unknown version, it returns an
+// error and leaves the state unchanged.
+func (s *State) Restore(data []byte) error {
+	var decoded snapshot
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return fmt.Errorf("snapshot: %w: %w", ErrMalformed, err)
 	}
-	if from.Version != formatVersion && from.Version != budgetFormatVersion {
-		return fmt.Errorf("snapshot version %d: this program reads versions %d and %d", from.Version, formatVersion, budgetFormatVersion)
+	if decoded.Version != formatVersion && decoded.Version != budgetFormatVersion {
+		return fmt.Errorf("snapshot version %d: this program reads versions %d and %d", decoded.Version, formatVersion, budgetFormatVersion)
 	}
 	restored := NewState()
-	restored.Cluster = from.Cluster
-	restored.Leader = from.Leader
-	restored.Term = from.Term
-	restored.LastToken = from.LastToken
-	maps.Copy(restored.Leases, from.Leases)
-	maps.Copy(restored.Effects, from.Effects)
-	for name, budget := range from.Budgets {
+	restored.Cluster = decoded.Cluster
+	restored.Leader = decoded.Leader
+	restored.Term = decoded.Term
+	restored.LastToken = decoded.LastToken
+	maps.Copy(restored.Leases, decoded.Leases)
+	maps.Copy(restored.Effects, decoded.Effects)
+	for name, budget := range decoded.Budgets {
 		restored.Budgets[name] = budget.Clone()
 	}
 	*s = *restored
