--- a/internal/net/dispatch/alarms.go
+++ b/internal/net/dispatch/alarms.go
@@ -9,7 +9,7 @@
 
 // alarm is a call that the balancer has asked for.
 type alarm struct {
-	at     routing.Time
+	fireAt routing.Time
 	handle int
 }
 
@@ -17,7 +17,7 @@
 type alarmHeap []alarm
 
 func (h alarmHeap) Len() int           { return len(h) }
-func (h alarmHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h alarmHeap) Less(i, j int) bool { return h[i].fireAt < h[j].fireAt }
 func (h alarmHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push is called by package heap only.
@@ -37,8 +37,8 @@
 }
 
 // add sets an alarm.
-func (q *alarmQueue) add(at routing.Time, handle int, c clock) {
-	heap.Push(&q.pending, alarm{at, handle})
+func (q *alarmQueue) add(fireAt routing.Time, handle int, c clock) {
+	heap.Push(&q.pending, alarm{fireAt, handle})
 	q.resetTimer(c)
 }
 
@@ -46,7 +46,7 @@
 // early.
 func (q *alarmQueue) resetTimer(c clock) {
 	if len(q.pending) > 0 {
-		q.timer.Reset(max(0, toDuration(q.pending[0].at-c.now())))
+		q.timer.Reset(max(0, toDuration(q.pending[0].fireAt-c.now())))
 	}
 }
 
@@ -54,7 +54,7 @@
 func (d *Dispatcher) fireAlarms() {
 	d.withLock("alarm", nil, func(now routing.Time) {
 		defer d.alarms.resetTimer(d.clock)
-		for len(d.alarms.pending) > 0 && d.alarms.pending[0].at <= now {
+		for len(d.alarms.pending) > 0 && d.alarms.pending[0].fireAt <= now {
 			due := heap.Pop(&d.alarms.pending).(alarm)
 			d.balancer.Alarm(now, due.handle)
 		}
--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -19,17 +19,17 @@
 	Origin      bool          // the endpoint is the origin
 	SendBy      time.Time     // when the first byte must have been written; zero: any time
 
-	pending       *PendingRequest // nil in tests of other packages
-	endpointIndex int
-	number        int         // of the request's attempts, from 0
-	startedAt     time.Time   // when it was decided on; of a streamed body, from BodySent on, when its last byte went out
-	deadline      time.Time   // when the node stops waiting for an answer; never changes
-	bypassTimer   *time.Timer // checks whether later attempts at the endpoint were answered; nil: never
-	reported      bool        // the balancer takes it to be over
-	finished      bool        // Finish was called
-	bodySent      bool        // of a streamed body: the balancer knows that its last byte was written
-	streaming     bool        // it gave the final answer, whose Rest is still being read
-	counted       atomic.Bool // in the metric of written attempts
+	pending        *PendingRequest // nil in tests of other packages
+	endpointIndex  int
+	number         int         // of the request's attempts, from 0
+	startedAt      time.Time   // when it was decided on; of a streamed body, from BodySent on, when its last byte went out
+	deadline       time.Time   // when the node stops waiting for an answer; never changes
+	bypassTimer    *time.Timer // checks whether later attempts at the endpoint were answered; nil: never
+	reported       bool        // the balancer takes it to be over
+	finished       bool        // Finish was called
+	bodySent       bool        // of a streamed body: the balancer knows that its last byte was written
+	streaming      bool        // it gave the final answer, whose Rest is still being read
+	writtenCounted atomic.Bool // in the metric of written attempts
 }
 
 // newAttempt builds an attempt with the times that it has to keep. Called with the lock held.
@@ -53,7 +53,7 @@
 		a.sendBefore(a.startedAt.Add(window))
 	}
 	if d.quotas.active {
-		d.quotas.bound(a)
+		d.quotas.applyTimeLimits(a)
 	}
 	a.deadline = a.startedAt.Add(a.Timeout)
 	return a
--- a/internal/net/dispatch/clock.go
+++ b/internal/net/dispatch/clock.go
@@ -18,10 +18,10 @@
 type clock struct{ start time.Time }
 
 // now returns the present time.
-func (c clock) now() routing.Time { return c.at(time.Now()) }
+func (c clock) now() routing.Time { return c.toRoutingTime(time.Now()) }
 
-// at converts a time that has a monotonic reading, rounding down.
-func (c clock) at(t time.Time) routing.Time {
+// toRoutingTime converts a time that has a monotonic reading, rounding down.
+func (c clock) toRoutingTime(t time.Time) routing.Time {
 	unix := c.start.UnixNano() + int64(t.Sub(c.start))
 	return routing.Time(unix / int64(tick))
 }
@@ -45,9 +45,9 @@
 		return 0
 	}
 	now := time.Now()
-	at := fromUnix(ms) - config.Ticks(float64(d.clock.wallOffset(now, d.wall()))/float64(time.Millisecond))
-	if received := d.clock.at(now); at > received+config.Ticks(float64(minClockStep/time.Millisecond)) {
-		at = received
+	t := fromUnix(ms) - config.Ticks(float64(d.clock.wallOffset(now, d.wallNow()))/float64(time.Millisecond))
+	if routingNow := d.clock.toRoutingTime(now); t > routingNow+config.Ticks(float64(minClockStep/time.Millisecond)) {
+		t = routingNow
 	}
-	return max(1, at)
+	return max(1, t)
 }
--- a/internal/net/dispatch/clock_test.go
+++ b/internal/net/dispatch/clock_test.go
@@ -13,18 +13,18 @@
 	const tolerance = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		d := startDispatcher(t, &fakeTransport{})
-		d.wall = func() time.Time { return time.Now().Round(0).Add(step) }
+		d.wallNow = func() time.Time { return time.Now().Round(0).Add(step) }
 		since := func() time.Duration {
 			return toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt)
 		}
 		started := testEndpoints[0]
-		started.StartedMs = float64(d.wall().UnixMilli()) - 500
+		started.StartedMs = float64(d.wallNow().UnixMilli()) - 500
 		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
 		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+tolerance {
 			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, age)
 		}
 		at := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt
-		d.wall = func() time.Time { return time.Now().Round(0) } // stepped back
+		d.wallNow = func() time.Time { return time.Now().Round(0) } // stepped back
 		d.UpdateEndpoints(routing.Full, []Endpoint{started, testEndpoints[1], testEndpoints[2], testEndpoints[3]})
 		if again := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt; again != at {
 			t.Errorf("stepped by %v: one start is two, at %v and %v", step, at, again)
@@ -55,12 +55,12 @@
 		since := func() time.Duration {
 			return toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["new"]).StartedAt)
 		}
-		wall := func() float64 { return float64(d.wall().UnixMilli()) }
+		wall := func() float64 { return float64(d.wallNow().UnixMilli()) }
 		started := testEndpoints[0]
 		started.ID, started.Address = "new", "new:1"
 		started.StartedMs = wall() - 600_000
 		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
-		d.wall = func() time.Time { return time.Now().Round(0).Add(step) }
+		d.wallNow = func() time.Time { return time.Now().Round(0).Add(step) }
 		ejection := Ejection{ID: "new", EjectedAt: wall()}
 		d.SetEjections([]Ejection{ejection})
 		ejection.RestoredAt = wall() + 1
@@ -84,7 +84,7 @@
 func TestTheClockAgreesWithTheList(t *testing.T) {
 	start := time.UnixMilli(1_700_000_000_000)
 	c := clock{start}
-	if at := c.at(start.Add(1999 * time.Microsecond)); at != fromUnix(1_700_000_000_001)+9 || fromUnix(0) != 0 {
+	if at := c.toRoutingTime(start.Add(1999 * time.Microsecond)); at != fromUnix(1_700_000_000_001)+9 || fromUnix(0) != 0 {
 		t.Errorf("%d, %d", at, fromUnix(1_700_000_000_001))
 	}
 }
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -68,7 +68,7 @@
 	log      *zap.Logger
 	settings *config.Settings
 	clock    clock
-	wall     func() time.Time // reads the wall clock
+	wallNow  func() time.Time // reads the wall clock
 	metrics  *metrics.Metrics
 
 	// Set once by Start.
@@ -95,7 +95,7 @@
 		log:       log,
 		settings:  settings,
 		clock:     clock{time.Now()},
-		wall:      wallclock.Wall,
+		wallNow:   wallclock.Wall,
 		metrics:   metrics.New(slices.Collect(maps.Keys(settings.Classes))),
 		requests:  requestTable{byTraceID: map[string]*PendingRequest{}},
 		endpoints: endpointIndex{byID: map[string]int{}},
@@ -121,9 +121,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	defer func() {
-		if panicked := recover(); panicked != nil {
+		if panicValue := recover(); panicValue != nil {
 			d.stats.Panics++
-			d.log.Error("routing panicked", zap.String("during", event), zap.Any("panic", panicked), zap.Stack("stack"))
+			d.log.Error("routing panicked", zap.String("during", event), zap.Any("panic", panicValue), zap.Stack("stack"))
 			if r != nil {
 				r.panicked = true
 				d.finish(r, Answer{Outcome: Failed})
@@ -137,25 +137,25 @@
 // event count from it. Called with the lock held.
 func (d *Dispatcher) beginDecision() routing.Time {
 	d.decisionTime = time.Now()
-	return d.clock.at(d.decisionTime)
+	return d.clock.toRoutingTime(d.decisionTime)
 }
 
 // Submit hands a client's request to the balancer. The client waits for timeout from receivedAt on, which is when the
 // last byte of a buffered request came; a timeout beyond the configuration's longest deadline is cut to that. It
 // returns ErrUnknownClass or ErrDuplicateID for a request that it does not take.
-func (d *Dispatcher) Submit(in Request, receivedAt time.Time, timeout time.Duration) (*PendingRequest, error) {
-	class, known := d.settings.Classes[in.Class]
+func (d *Dispatcher) Submit(request Request, receivedAt time.Time, timeout time.Duration) (*PendingRequest, error) {
+	class, known := d.settings.Classes[request.Class]
 	if !known {
 		return nil, ErrUnknownClass
 	}
-	tenant, known := d.settings.Tenants[in.Tenant]
+	tenant, known := d.settings.Tenants[request.Tenant]
 	if !known {
 		tenant = -1
 	}
-	r := &PendingRequest{Request: in, dispatcher: d, receivedAt: receivedAt, answers: make(chan Answer, 1)}
+	r := &PendingRequest{Request: request, dispatcher: d, receivedAt: receivedAt, answers: make(chan Answer, 1)}
 	duplicate := false
 	d.withLock("request", r, func(now routing.Time) {
-		if duplicate = d.requests.contains(in.TraceID); duplicate {
+		if duplicate = d.requests.contains(request.TraceID); duplicate {
 			return
 		}
 		d.requests.add(r)
@@ -163,11 +163,11 @@
 		d.balancer.Request(now, r.index, routing.Request{
 			Class:     class,
 			Tenant:    tenant,
-			Key:       in.Key,
-			Deadline:  d.clock.at(d.balancerDeadline(r, timeout)),
-			Work:      in.Work,
-			Write:     in.Write,
-			Streaming: in.Rest != nil,
+			Key:       request.Key,
+			Deadline:  d.clock.toRoutingTime(d.balancerDeadline(r, timeout)),
+			Work:      request.Work,
+			Write:     request.Write,
+			Streaming: request.Rest != nil,
 		})
 	})
 	if duplicate {
--- a/internal/net/dispatch/ejections.go
+++ b/internal/net/dispatch/ejections.go
@@ -12,12 +12,12 @@
 	RestoredAt float64 // Unix time in milliseconds; 0: it is still ejected
 }
 
-// SetEjections replaces the ejections. An endpoint that all does not name stays as it is.
-func (d *Dispatcher) SetEjections(all []Ejection) {
+// SetEjections replaces the ejections. An endpoint that ejections does not name stays as it is.
+func (d *Dispatcher) SetEjections(ejections []Ejection) {
 	d.withLock("ejections", nil, func(now routing.Time) {
-		d.ejections = make(map[string]Ejection, len(all))
+		d.ejections = make(map[string]Ejection, len(ejections))
 		var update []routing.Endpoint
-		for _, ejection := range all {
+		for _, ejection := range ejections {
 			d.ejections[ejection.ID] = ejection
 			i, known := d.endpoints.byID[ejection.ID]
 			if !known || d.endpoints.entries[i].ejection == ejection {
--- a/internal/net/dispatch/endpoints.go
+++ b/internal/net/dispatch/endpoints.go
@@ -36,10 +36,10 @@
 
 // endpointIndex finds endpoints by the balancer's index and by id. It is guarded by the Dispatcher's lock.
 type endpointIndex struct {
-	entries      []endpointEntry // by index
-	free         []int           // free indices, the next one last
-	byID         map[string]int
-	incarnations uint64 // how many were given out
+	entries         []endpointEntry // by index
+	free            []int           // free indices, the next one last
+	byID            map[string]int
+	lastIncarnation uint64 // how many were given out
 }
 
 // allocate gives an endpoint an index. Indices are used again, as endpoints come under new ids all day.
@@ -68,8 +68,8 @@
 
 // nextIncarnation returns a number that no endpoint has had.
 func (x *endpointIndex) nextIncarnation() uint64 {
-	x.incarnations++
-	return x.incarnations
+	x.lastIncarnation++
+	return x.lastIncarnation
 }
 
 // UpdateEndpoints applies an update of the endpoint list and passes it on to the balancer.
@@ -145,12 +145,12 @@
 // startTime returns when a listed endpoint started, by the node's clock. A start that an earlier update should have
 // reported comes of a wrong clock, and counts from that update. Called with the lock held.
 func (d *Dispatcher) startTime(e *endpointEntry, listed Endpoint) routing.Time {
-	at := d.fromUnixNow(listed.StartedMs)
-	overdue := d.lastLiveUpdate-at > config.Ticks(float64(maxStartReportDelay/time.Millisecond))
-	if e.id == listed.ID && at > 0 && overdue {
+	startedAt := d.fromUnixNow(listed.StartedMs)
+	overdue := d.lastLiveUpdate-startedAt > config.Ticks(float64(maxStartReportDelay/time.Millisecond))
+	if e.id == listed.ID && startedAt > 0 && overdue {
 		return d.lastLiveUpdate
 	}
-	return at
+	return startedAt
 }
 
 // routingEndpoint returns an endpoint as it is reported to the balancer, and notes the reported state. Called with the
--- a/internal/net/dispatch/endpoints_test.go
+++ b/internal/net/dispatch/endpoints_test.go
@@ -67,8 +67,8 @@
 	for _, b := range []Endpoint{same, same, again} {
 		d.UpdateEndpoints(routing.Full, []Endpoint{b})
 	}
-	if p := d.endpoints.entries[d.endpoints.byID["a"]]; p.incarnation != d.endpoints.incarnations || d.endpoints.incarnations != uint64(len(testEndpoints)+2*rounds+2) {
-		t.Errorf("a restart is another place, the same list isn't: %+v of %d", p, d.endpoints.incarnations)
+	if p := d.endpoints.entries[d.endpoints.byID["a"]]; p.incarnation != d.endpoints.lastIncarnation || d.endpoints.lastIncarnation != uint64(len(testEndpoints)+2*rounds+2) {
+		t.Errorf("a restart is another place, the same list isn't: %+v of %d", p, d.endpoints.lastIncarnation)
 	}
 }
 
--- a/internal/net/dispatch/host.go
+++ b/internal/net/dispatch/host.go
@@ -58,7 +58,7 @@
 }
 
 // SetAlarm has the balancer called at a time, or soon after it.
-func (h host) SetAlarm(at routing.Time, handle int) { h.alarms.add(at, handle, h.clock) }
+func (h host) SetAlarm(fireAt routing.Time, handle int) { h.alarms.add(fireAt, handle, h.clock) }
 
 // toDuration converts a duration of the balancer.
 func toDuration(t routing.Time) time.Duration { return config.Duration(t) }
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -10,7 +10,7 @@
 func (d *Dispatcher) Metrics() *metrics.Metrics { return d.metrics }
 
 // AddOpen changes the number of open requests: those that have come and whose answer is not complete.
-func (d *Dispatcher) AddOpen(by int64) { d.metrics.Open.Add(by) }
+func (d *Dispatcher) AddOpen(delta int64) { d.metrics.Open.Add(delta) }
 
 // CountEnd counts how a client's request ended, also of one that was refused before Submit. One of an unknown class is
 // not counted.
@@ -31,7 +31,7 @@
 
 // Written reports that the attempt's last byte was written. It is counted once.
 func (a *Attempt) Written() {
-	if a.pending != nil && !a.counted.Swap(true) {
+	if a.pending != nil && !a.writtenCounted.Swap(true) {
 		a.pending.dispatcher.metrics.Written.Add(1)
 	}
 }
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -41,8 +41,8 @@
 	return usage
 }
 
-// bound keeps an attempt to the times of the quota that it may use.
-func (q *quotas) bound(a *Attempt) {
+// applyTimeLimits keeps an attempt to the times of the quota that it may use.
+func (q *quotas) applyTimeLimits(a *Attempt) {
 	a.sendBefore(a.startedAt.Add(quotaSendWindow))
 	remaining := q.concurrencyUntil[concurrencyLimit(a)].Sub(a.startedAt)
 	if remaining > 0 { // else there is no quota, or the reserved share permits the attempt
@@ -53,8 +53,8 @@
 // boundsConcurrency reports whether an attempt counts against a concurrency quota. Such an attempt must be over before
 // another takes its place: a slow one goes on at its server, whatever others do.
 func (q *quotas) boundsConcurrency(a *Attempt) bool {
-	_, bounded := q.concurrencyUntil[concurrencyLimit(a)]
-	return bounded
+	_, limited := q.concurrencyUntil[concurrencyLimit(a)]
+	return limited
 }
 
 // concurrencyLimit returns the limit that an attempt counts against.
--- a/internal/net/dispatch/stats.go
+++ b/internal/net/dispatch/stats.go
@@ -12,7 +12,7 @@
 	latencyDigits = 2           // significant decimal digits
 )
 
-// Stats counts what happened since the previous Stats were taken.
+// Stats counts what happened since the previous Stats were stats.
 type Stats struct {
 	Requests, Served, Rejected, Failed, ClientGone, Attempts, Panics int
 
@@ -52,9 +52,9 @@
 func (d *Dispatcher) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	taken := d.stats
+	stats := d.stats
 	d.stats = Stats{}
-	return taken
+	return stats
 }
 
 // InFlight returns how many requests are pending, or have attempts or an answer's stream that go on.
--- a/internal/net/ejection/file.go
+++ b/internal/net/ejection/file.go
@@ -38,7 +38,7 @@
 	modified time.Time
 }
 
-func versionOf(path string) (fileVersion, error) {
+func statVersion(path string) (fileVersion, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return fileVersion{}, err
@@ -52,7 +52,7 @@
 
 // read returns the entries of the file, errNoEntries if it has none, or another error if it cannot be read at present.
 func (r *Registry) read() ([]Entry, error) {
-	version, err := versionOf(r.path)
+	version, err := statVersion(r.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, errNoEntries
 	}
@@ -93,10 +93,10 @@
 
 func (r *Registry) logReadError(err error) {
 	now := time.Now()
-	if now.Sub(r.readErrorLogged) < readErrorLogInterval {
+	if now.Sub(r.readErrorLoggedAt) < readErrorLogInterval {
 		return
 	}
-	r.readErrorLogged = now
+	r.readErrorLoggedAt = now
 	r.log.Error("ejections file cannot be read, keeping the ejections in memory", zap.Error(err))
 }
 
@@ -112,7 +112,7 @@
 	if err := kernel.PutFile(r.path, text); err != nil {
 		return err
 	}
-	if r.lastRead, err = versionOf(r.path); err != nil {
+	if r.lastRead, err = statVersion(r.path); err != nil {
 		r.logReadError(err) // the file is written; the next Refresh reads it
 	}
 	return nil
--- a/internal/net/ejection/registry.go
+++ b/internal/net/ejection/registry.go
@@ -37,10 +37,10 @@
 	path     string // empty: in memory only
 	onChange func([]Entry)
 
-	mu              sync.Mutex
-	entries         []Entry
-	lastRead        fileVersion // the file as last read, valid or not
-	readErrorLogged time.Time
+	mu                sync.Mutex
+	entries           []Entry
+	lastRead          fileVersion // the file as last read, valid or not
+	readErrorLoggedAt time.Time
 }
 
 // Open reads the entries from the file name.bans in folder. It calls onChange with all entries whenever they change, in order of the
@@ -114,7 +114,7 @@
 func (r *Registry) Refresh() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if version, err := versionOf(r.path); err != nil || version == r.lastRead {
+	if version, err := statVersion(r.path); err != nil || version == r.lastRead {
 		return
 	}
 	entries, err := r.read()
@@ -157,8 +157,8 @@
 
 // withoutExpired returns a copy without the servers that were restored long ago.
 func withoutExpired(entries []Entry) []Entry {
-	oldest := time.Now().Add(-restoredRetention).UnixMilli()
+	cutoff := time.Now().Add(-restoredRetention).UnixMilli()
 	return slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool {
-		return e.RestoredAt != 0 && e.RestoredAt < oldest
+		return e.RestoredAt != 0 && e.RestoredAt < cutoff
 	})
 }
