--- a/internal/net/dispatch/admission.go
+++ b/internal/net/dispatch/admission.go
@@ -6,10 +6,10 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// The balancer's orders are checked against the rules of package admission before they are carried out. One that breaks a
-// rule is a defect of the balancer: it is counted, logged and not carried out.
+// The balancer's orders are checked against the rules of package admission before they are executed. An order that breaks
+// a rule is a defect of the balancer. It is counted and logged, and not executed.
 
-// history returns what is known of the request's attempts. Called with the lock held.
+// history returns the facts about the request's attempts for package admission. Called with the lock held.
 func (r *PendingRequest) history() admission.History {
 	settings := r.dispatcher.settings
 	h := admission.History{
@@ -24,7 +24,7 @@
 	return h
 }
 
-// mayStart checks an attempt that the balancer has ordered.
+// mayStart reports whether an attempt that the balancer has ordered may start, and reports a violation if not.
 func (h host) mayStart(r *PendingRequest, a *Attempt) bool {
 	attempt := admission.Attempt{
 		History:  r.history(),
@@ -38,14 +38,14 @@
 	case admission.Granted:
 		return true
 	case admission.BodySent:
-		h.metrics.Denied[reason].Add(1) // no defect: the balancer doesn't know how much of a body was read
+		h.metrics.Denied[reason].Add(1) // not a defect, as the balancer doesn't know whether a streamed body was read
 	default:
 		h.reportViolation("attempt", r, reason)
 	}
 	return false
 }
 
-// mayReject checks a rejection that the balancer has ordered.
+// mayReject reports whether a request may be rejected, and reports a violation if not.
 func (h host) mayReject(r *PendingRequest) bool {
 	reason := r.history().MayReject()
 	if reason != admission.Granted {
@@ -54,7 +54,7 @@
 	return reason == admission.Granted
 }
 
-// mayAnswer checks that a final answer that the balancer has ordered is the only one.
+// mayAnswer reports whether a request may have a final answer, and reports a violation if it has ended already.
 func (h host) mayAnswer(r *PendingRequest) bool {
 	ended := r.ended.Load()
 	if ended {
--- a/internal/net/dispatch/alarms.go
+++ b/internal/net/dispatch/alarms.go
@@ -7,7 +7,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// alarm is a call that the balancer has asked for.
+// alarm is a call that the balancer has scheduled with SetAlarm.
 type alarm struct {
 	fireAt routing.Time
 	handle int
@@ -30,13 +30,13 @@
 	return last
 }
 
-// alarmQueue runs one timer for all alarms. It is guarded by the Dispatcher's lock.
+// alarmQueue uses one timer for all alarms. It is guarded by the Dispatcher's lock.
 type alarmQueue struct {
 	pending alarmHeap
 	timer   *time.Timer // calls Dispatcher.fireAlarms
 }
 
-// add sets an alarm.
+// add schedules an alarm.
 func (q *alarmQueue) add(fireAt routing.Time, handle int, c clock) {
 	heap.Push(&q.pending, alarm{fireAt, handle})
 	q.resetTimer(c)
--- a/internal/net/dispatch/answer.go
+++ b/internal/net/dispatch/answer.go
@@ -20,12 +20,12 @@
 // String returns the outcome's name in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Answer is a request's one final answer.
+// Answer is the final answer to a request.
 type Answer struct {
 	Outcome     Outcome
-	Body        []byte        // all of it, or what comes before Rest
-	Rest        io.ReadCloser // of a streamed body, closed by whoever receives the answer; nil: there is none
+	Body        []byte        // the whole body, or the part before Rest
+	Rest        io.ReadCloser // of a streamed body, closed by the receiver of the answer; nil: none
 	Length      int64         // of a streamed body, in bytes; -1: unknown
 	ContentType string
-	RetryAfter  time.Duration // of a rejected request; 0: no advice
+	RetryAfter  time.Duration // of a rejected request; 0: none
 }
--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -9,30 +9,31 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Attempt is one try of a request at one endpoint. Its exported fields don't change once it is sent; unless said
-// otherwise the unexported ones are guarded by the Dispatcher's lock. Its methods may be called from any goroutine.
+// Attempt is one attempt of a request at one endpoint. Its exported fields don't change after Transport.Send. The
+// unexported ones are guarded by the Dispatcher's lock unless noted otherwise. Its methods may be called from any
+// goroutine.
 type Attempt struct {
 	*Request
 	Address     string
-	Incarnation uint64        // incarnation of the endpoint: a new number after each restart, move or ejection
-	Timeout     time.Duration // how long an answer is waited for
+	Incarnation uint64        // of the endpoint; a new number after each restart, change of address or ejection
+	Timeout     time.Duration // how long the node waits for an answer
 	Origin      bool          // the endpoint is the origin
-	SendBy      time.Time     // when the first byte must have been written; zero: any time
+	SendBy      time.Time     // deadline for writing the first byte; zero: none
 
 	pending        *PendingRequest // nil in tests of other packages
 	endpointIndex  int
-	number         int         // of the request's attempts, from 0
-	startedAt      time.Time   // when it was decided on; of a streamed body, from BodySent on, when its last byte went out
+	number         int         // position among the request's attempts, from 0
+	startedAt      time.Time   // when the balancer decided; after BodySent: when the streamed body was written
 	deadline       time.Time   // when the node stops waiting for an answer; never changes
-	bypassTimer    *time.Timer // checks whether later attempts at the endpoint were answered; nil: never
-	reported       bool        // the balancer takes it to be over
+	bypassTimer    *time.Timer // runs checkBypassed; nil: the attempt is not checked
+	reported       bool        // the result was reported to the balancer
 	finished       bool        // Finish was called
-	bodySent       bool        // of a streamed body: the balancer knows that its last byte was written
-	streaming      bool        // it gave the final answer, whose Rest is still being read
-	writtenCounted atomic.Bool // in the metric of written attempts
+	bodySent       bool        // the balancer knows that the last byte of the streamed body was written
+	streaming      bool        // its answer was delivered, and the Rest of it is still being read
+	writtenCounted atomic.Bool // included in the metric of written attempts
 }
 
-// newAttempt builds an attempt with the times that it has to keep. Called with the lock held.
+// newAttempt returns an attempt with its deadlines set. Called with the lock held.
 func (d *Dispatcher) newAttempt(r *PendingRequest, endpointIndex int, timeout time.Duration) *Attempt {
 	e := &d.endpoints.entries[endpointIndex]
 	a := &Attempt{
@@ -44,7 +45,7 @@
 		pending:       r,
 		endpointIndex: endpointIndex,
 		number:        r.attempts,
-		startedAt:     d.decisionTime, // not now: the process may have been held up since the decision
+		startedAt:     d.decisionTime, // not time.Now(), as the process may have stalled since the decision
 	}
 	if grace := d.settings.DrainGrace; grace > 0 {
 		a.sendBefore(a.startedAt.Add(sendWindow(grace)))
@@ -59,28 +60,28 @@
 	return a
 }
 
-// sendBefore sets the latest time for the first byte, unless an earlier one is set.
+// sendBefore sets SendBy to t, unless an earlier time is set.
 func (a *Attempt) sendBefore(t time.Time) {
 	if a.SendBy.IsZero() || t.Before(a.SendBy) {
 		a.SendBy = t
 	}
 }
 
-// ClientState reports whether the client still waits for the attempt: admission.Granted, RequestOver or ClientGone. It
-// is called just before the first byte is written. It takes no lock, and looks at the client's connection itself, as
-// net/http notices a closed one late and only where no unread bytes lie before the end.
+// ClientState reports whether the client still waits for an answer: admission.Granted, RequestOver or ClientGone. It is
+// called just before the first byte is written, and takes no lock. It checks the client's connection itself, as net/http
+// detects a closed one late, and not at all while unread bytes precede the end of the stream.
 func (a *Attempt) ClientState() admission.Reason {
 	if a.ClientGone != nil && !faults.Without(faults.ClientLook) && a.ClientGone() {
 		return admission.ClientGone
 	}
-	if a.pending != nil && a.pending.ended.Load() { // last, as the final answer may come while the kernel is asked
+	if a.pending != nil && a.pending.ended.Load() { // checked last, as the request may end during the system call above
 		return admission.RequestOver
 	}
 	return admission.Granted
 }
 
-// AttemptDeadline returns when the node stops waiting for an answer. It counts from the decision, not from takenAt, when
-// the transport took the attempt.
+// AttemptDeadline returns when the node stops waiting for an answer. The timeout counts from the balancer's decision.
+// takenAt, when the transport received the attempt, applies only to attempts without a Dispatcher, as in tests.
 func (a *Attempt) AttemptDeadline(takenAt time.Time) time.Time {
 	if a.deadline.IsZero() {
 		return takenAt.Add(a.Timeout)
@@ -88,7 +89,7 @@
 	return a.deadline
 }
 
-// ClientDeadline returns when the client stops waiting; zero where that is unknown.
+// ClientDeadline returns when the client stops waiting; zero: unknown.
 func (a *Attempt) ClientDeadline() time.Time {
 	if a.pending == nil {
 		return time.Time{}
@@ -96,9 +97,9 @@
 	return a.pending.clientDeadline
 }
 
-// Finish reports how the attempt ended; further calls do nothing. The request's first complete answer goes to its
-// client, and delivered says that this is the one. The Rest of such an answer is read afterwards, until Release, but
-// for the balancer the attempt is over.
+// Finish reports how the attempt ended. Further calls do nothing. The first complete answer to a request is delivered to
+// its client; delivered reports whether it is this one. The Rest of a delivered answer is read after Finish, until
+// Release, although the result has been reported to the balancer by then.
 func (a *Attempt) Finish(result AttemptResult, answer Answer) (delivered bool) {
 	r := a.pending
 	d := r.dispatcher
@@ -118,20 +119,20 @@
 	return delivered
 }
 
-// settle answers the client, where the attempt decides that, and reports the result. Called with the lock held.
+// settle delivers a complete answer to the client and reports the result to the balancer. Called with the lock held.
 func (a *Attempt) settle(now routing.Time, result AttemptResult, answer Answer) {
 	r := a.pending
 	d := r.dispatcher
 	answeredAfterReport := result == Complete && a.reported && !r.ended.Load()
 	if result == Complete {
-		d.finish(r, answer) // before the report, as the balancer takes the request to be over from then on
+		d.finish(r, answer) // before the report, which ends the request for the balancer
 	}
 	if answeredAfterReport {
-		d.balancer.ClientGone(now, r.index) // it still waits for other attempts
+		d.balancer.ClientGone(now, r.index) // ends the request for the balancer, which waits for other attempts
 	}
 	if result == Withheld && !r.ended.Load() {
 		r.clientGone(now)
-		r.answers <- Answer{Outcome: Failed} // the client's handler has not noticed yet and waits
+		r.answers <- Answer{Outcome: Failed} // the HTTP handler has not noticed that the client is gone, and waits
 	}
 	a.report(result)
 	d.endpoints.entries[a.endpointIndex].noteResult(a, result)
@@ -139,7 +140,7 @@
 }
 
 // Release reports that the Rest of an answer is closed, or that there was none. The request's trace id stays in use
-// until then.
+// until Release is called.
 func (a *Attempt) Release() {
 	r := a.pending
 	r.dispatcher.withLock("answer streamed", r, func(routing.Time) {
@@ -156,8 +157,8 @@
 	a.pending.dispatcher.withLock("body sent", a.pending, func(routing.Time) { a.reportBodySent() })
 }
 
-// reportBodySent tells the balancer, once, that an attempt with a streamed body is timed from now on. Called with the
-// lock held.
+// reportBodySent tells the balancer, once, that a streamed body is written, and restarts the attempt's latency
+// measurement. Called with the lock held.
 func (a *Attempt) reportBodySent() {
 	if a.Rest == nil || a.bodySent || a.reported {
 		return
@@ -168,8 +169,9 @@
 	d.balancer.BodySent(d.beginDecision(), a.pending.index, a.number)
 }
 
-// Stalled reports that the answer has begun and then paused for unusually long, so that it may be stuck. Where a hedged
-// request is allowed the balancer takes the attempt to be over and may start another; the first complete answer counts.
+// Stalled reports that the answer has begun and then paused for unusually long, so that it may be stuck. If the attempt
+// may be hedged it is reported to the balancer as Bypassed, and the balancer may start another one. The first complete
+// answer is delivered.
 func (a *Attempt) Stalled() {
 	if a.pending == nil {
 		return
@@ -181,7 +183,7 @@
 	})
 }
 
-// mayHedge reports whether another attempt may run beside this one. Called with the lock held.
+// mayHedge reports whether another attempt may be in flight at the same time as this one. Called with the lock held.
 func (a *Attempt) mayHedge() bool {
 	d := a.pending.dispatcher
 	return !a.Write && d.settings.HedgingAllowed() && d.settings.IsSafe(a.Class) && !d.quotas.boundsConcurrency(a)
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -10,31 +10,31 @@
 
 // The results. Those up to UnclearStatus come with a complete answer.
 const (
-	Complete           AttemptResult = iota // 200, with a body that was read to its end
-	NotFound                                // 404: the server has nothing under the key
+	Complete           AttemptResult = iota // 200, and the body was read to its end
+	NotFound                                // 404: the server has no value for the key
 	ServerError                             // 500
-	Shed                                    // 503 or 504, marked as never run
+	Shed                                    // 503 or 504, marked by the server as never run
 	ConnectionLimit                         // Shed as the first answer on a new connection, which the server then closes
 	UnclearStatus                           // any other status, or 503 or 504 without the mark: it may have run
 	ConnectRefused                          // the connection was refused
-	ConnectTimeout                          // the connection did not come up within the connect timeout
+	ConnectTimeout                          // the connection was not established within the connect timeout
 	WriteFailed                             // the connection broke before the last byte was written
-	ConnectionLost                          // the connection broke after that and before an answer
-	Truncated                               // the connection broke within the answer
-	Malformed                               // the answer can't be parsed, doesn't end or is too long; the server itself works
+	ConnectionLost                          // the connection broke after the last byte was written, before an answer
+	Truncated                               // the connection broke during the answer
+	Malformed                               // the answer can't be parsed, doesn't end or is too long; the server still works
 	TimedOut                                // no answer before the attempt's deadline
-	Bypassed                                // no answer yet, while later attempts at the server had theirs or its bytes stopped
+	Bypassed                                // not answered yet, though later attempts at the server were; or its answer has stalled
 	NoResources                             // no descriptor, dial or goroutine was free: nothing was sent
-	NotConnected                            // the deadline passed before a connection was up or had failed
-	Canceled                                // the node is ending, or this machine failed to read; the error says which
-	Withheld                                // the request had ended, or its client had gone, before the first byte was written
-	attemptResultCount                      // how many there are
+	NotConnected                            // the deadline passed before the connection was established or had failed
+	Canceled                                // the node is shutting down, or reading failed locally; the error tells which
+	Withheld                                // the request ended, or its client left, before the first byte was written
+	attemptResultCount                      // number of results
 )
 
 // Answered reports whether a complete answer came, whatever its status.
 func (r AttemptResult) Answered() bool { return r <= UnclearStatus }
 
-// Code returns the routing.Result that is reported to the balancer. Results are mapped nowhere else.
+// Code returns the routing.Result that is reported to the balancer. This is the only mapping of results.
 func (r AttemptResult) Code() routing.Result {
 	if (r == ConnectionLost || r == Truncated) && faults.Without(faults.MayHaveRun) {
 		return routing.ConnectFailed
@@ -45,8 +45,8 @@
 	case NotFound:
 		return routing.NotFound
 	case ServerError, UnclearStatus, Malformed, ConnectionLost, Truncated:
-		// Not ConnectionBroken: servers that work reset single connections, and ejecting each would empty a fleet. The next
-		// dial finds out about a dead server.
+		// Not ConnectionBroken: working servers reset single connections too, and ejecting each of them would empty a
+		// fleet. The next dial detects a dead server.
 		return routing.ServerError
 	case Shed:
 		return routing.Rejected
@@ -69,7 +69,7 @@
 	}
 }
 
-// MayHaveRun reports whether the server may have acted on the attempt: nothing proves that it did not.
+// MayHaveRun reports whether the server may have executed the request, as the result does not prove that it did not.
 func (r AttemptResult) MayHaveRun() bool {
 	switch r.Code() {
 	case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.Withheld:
--- a/internal/net/dispatch/body_stream.go
+++ b/internal/net/dispatch/body_stream.go
@@ -7,17 +7,17 @@
 	"sync/atomic"
 )
 
-// BodyStream is the part of a long request body that is forwarded as it comes. It can be read once, so it goes to one
-// server only. Its methods may be called from any goroutine.
+// BodyStream is the part of a long request body that is forwarded while the client sends it. It can be read only once, so
+// it goes to one server only. Its methods may be called from any goroutine.
 type BodyStream struct {
 	started  atomic.Bool
 	complete atomic.Bool
 
-	mu     sync.Mutex // held while a Read is under way, so that Close waits for it
+	mu     sync.Mutex // held during a Read, so that Close waits for it
 	source io.Reader  // nil: closed
 }
 
-// NewBodyStream returns a stream of what source has yet to give.
+// NewBodyStream returns a stream that reads from source.
 func NewBodyStream(source io.Reader) *BodyStream { return &BodyStream{source: source} }
 
 // Read implements io.Reader. After Close it returns io.ErrClosedPipe.
@@ -35,7 +35,7 @@
 	return n, err
 }
 
-// Close waits for a Read that is under way. The source is not read after it.
+// Close waits for a Read in progress. The source is not read after Close returns.
 func (s *BodyStream) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/net/dispatch/clock.go
+++ b/internal/net/dispatch/clock.go
@@ -10,14 +10,15 @@
 // tick is the unit of routing.Time.
 const tick = time.Millisecond / time.Duration(routing.Millisecond)
 
-// minClockStep is the difference from which on the wall clock counts as stepped. Smaller ones are clock discipline.
+// minClockStep is the smallest difference that counts as a step of the wall clock. Smaller ones come from clock
+// discipline, such as slewing.
 const minClockStep = time.Second
 
-// clock is the balancer's clock. It starts at the Unix time of start and goes on monotonically, so that it can be
-// compared with the start times of the endpoint list, which are Unix times.
+// clock is the balancer's clock. It starts at the Unix time of start and then follows the monotonic clock. Its times can
+// be compared with the start times in the endpoint list, which are Unix times.
 type clock struct{ start time.Time }
 
-// now returns the present time.
+// now returns the current time.
 func (c clock) now() routing.Time { return c.toRoutingTime(time.Now()) }
 
 // toRoutingTime converts a time that has a monotonic reading, rounding down.
@@ -26,7 +27,7 @@
 	return routing.Time(unix / int64(tick))
 }
 
-// wallOffset returns by how much the wall clock was stepped since the start; 0 below minClockStep.
+// wallOffset returns by how much the wall clock was stepped since start; 0 if by less than minClockStep.
 func (c clock) wallOffset(now time.Time, wall time.Time) time.Duration {
 	offset := wall.Sub(c.start.Round(0)) - now.Sub(c.start)
 	if offset.Abs() < minClockStep {
@@ -35,11 +36,11 @@
 	return offset
 }
 
-// fromUnix converts a Unix time in milliseconds; 0 stays 0, which means long ago.
+// fromUnix converts a Unix time in milliseconds. 0 stays 0, which means long ago.
 func fromUnix(ms float64) routing.Time { return routing.Time(ms) * routing.Millisecond }
 
-// fromUnixNow converts a Unix time in milliseconds, as the wall clock tells it now, to the balancer's clock. A time in
-// the future comes of a wrong clock and counts as now. 0 stays 0, which means long ago.
+// fromUnixNow converts a Unix time in milliseconds to the balancer's clock, corrected by the steps of the wall clock until
+// now. A time in the future is due to a wrong clock and counts as now. 0 stays 0, which means long ago.
 func (d *Dispatcher) fromUnixNow(ms float64) routing.Time {
 	if ms == 0 {
 		return 0
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -7,13 +7,13 @@
 // A request and its attempts end separately:
 //
 //	PendingRequest  pending -> ended (final answer or client gone) -> released (index and trace id are free)
-//	Attempt         in flight -> reported (over for the balancer) -> finished -> streamed answer closed
+//	Attempt         in flight -> reported (the balancer knows its result) -> finished -> streamed answer closed
 //
 //	Attempt.Finish            ends an attempt, once; the transport calls it
-//	Attempt.settle            the rest of Finish: answers the client where the attempt decides that, then reports
-//	Attempt.report            tells the balancer the result, once; for Bypassed before Finish
-//	Attempt.Release           the rest of a streamed answer is closed; the transport calls it after Finish
-//	Dispatcher.finish         gives a request its final answer, and ends it
+//	Attempt.settle            the second half of Finish: delivers a complete answer to the client, then calls report
+//	Attempt.report            tells the balancer the result, once; a Bypassed attempt is reported before Finish
+//	Attempt.Release           marks a streamed answer as closed; the transport calls it after Finish
+//	Dispatcher.finish         delivers a request's final answer and ends the request
 //	Dispatcher.end            marks a request as ended, with or without an answer
 //	Dispatcher.releaseIfDone  releases a request that has ended and has no attempt in flight
 package dispatch
@@ -38,8 +38,8 @@
 type Transport interface {
 	// Send starts an attempt. The transport calls Attempt.Finish and then Attempt.Release for it, from another goroutine.
 	Send(*Attempt)
-	// CloseIdle closes the idle connections to an endpoint, named by its incarnation as in Attempt, except for keep of
-	// them.
+	// CloseIdle closes the idle connections to an endpoint except for keep of them. The incarnation identifies the
+	// endpoint, as in Attempt.
 	CloseIdle(incarnation uint64, keep int)
 	// SetMaxConns bounds the connections to each cache server, dials included. There is no bound until it is called.
 	SetMaxConns(n int)
@@ -47,19 +47,20 @@
 
 // EndpointSource watches the endpoint list and reports it to Dispatcher.UpdateEndpoints.
 type EndpointSource interface {
-	// Subscribe starts one attempt to fetch the list and to watch it. It must not block.
+	// Subscribe tries once to fetch the list and to watch it. It must not block.
 	Subscribe()
 }
 
 // Errors of Submit.
 var (
-	// ErrUnknownClass says that a request names no class of the configuration.
+	// ErrUnknownClass is returned for a request whose class is not in the configuration.
 	ErrUnknownClass = errors.New("unknown namespace")
-	// ErrDuplicateID says that another request with the same trace id is in flight: a server could not tell them apart.
+	// ErrDuplicateID is returned for a request whose trace id is in use by another one. A server could not tell the two
+	// apart.
 	ErrDuplicateID = errors.New("a lookup with this id is out already")
 )
 
-// maxBodyDuration is longer than any streamed request body takes, from the slowest client too.
+// maxBodyDuration bounds the upload of a streamed request body. It is longer than the slowest client takes.
 const maxBodyDuration = 15 * time.Minute
 
 // Dispatcher reports a node's events to its balancer and carries out the balancer's orders. Its methods may be called
@@ -77,13 +78,13 @@
 
 	mu             sync.Mutex // guards everything below
 	balancer       *routing.Balancer
-	decisionTime   time.Time // of the latest event that was reported to the balancer
+	decisionTime   time.Time // when the latest event was reported to the balancer
 	requests       requestTable
 	endpoints      endpointIndex
-	ejections      map[string]Ejection // the latest of each endpoint, by its id
+	ejections      map[string]Ejection // the latest one of each endpoint, by endpoint id
 	listedIDs      listedIDs
-	listReceived   bool         // an endpoint list that names any endpoint has come
-	lastLiveUpdate routing.Time // of the endpoint list; 0: none yet
+	listReceived   bool         // a non-empty endpoint list was received
+	lastLiveUpdate routing.Time // time of the latest full or incremental update of the endpoint list; 0: none yet
 	alarms         alarmQueue
 	quotas         quotas
 	stats          Stats
@@ -106,7 +107,7 @@
 	return d
 }
 
-// Start creates the balancer, whose random choices follow from seed. It is called once, before any other method.
+// Start creates the balancer and seeds its random choices. It is called once, before any other method.
 func (d *Dispatcher) Start(seed uint64, transport Transport, endpointSource EndpointSource) {
 	d.transport = transport
 	d.endpointSource = endpointSource
@@ -115,8 +116,8 @@
 	})
 }
 
-// withLock runs f with the lock held. A panic in f is logged and the request at hand, if there is one, fails: one
-// defect must not end the node with all its requests.
+// withLock runs f with the lock held. A panic in f is logged, and the request r, if not nil, fails: one defect must not
+// end the node with all its requests. event names the call in the log.
 func (d *Dispatcher) withLock(event string, r *PendingRequest, f func(now routing.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,16 +134,16 @@
 	f(d.beginDecision())
 }
 
-// beginDecision returns the time of an event for the balancer, and sets decisionTime: the decisions that follow from the
-// event count from it. Called with the lock held.
+// beginDecision returns the present time, to be reported to the balancer with an event. It also sets decisionTime, from
+// which the timeouts of the attempts that the balancer then orders count. Called with the lock held.
 func (d *Dispatcher) beginDecision() routing.Time {
 	d.decisionTime = time.Now()
 	return d.clock.toRoutingTime(d.decisionTime)
 }
 
-// Submit hands a client's request to the balancer. The client waits for timeout from receivedAt on, which is when the
-// last byte of a buffered request came; a timeout beyond the configuration's longest deadline is cut to that. It
-// returns ErrUnknownClass or ErrDuplicateID for a request that it does not take.
+// Submit passes a client's request to the balancer. receivedAt is when the last byte of a buffered request was received.
+// The client waits until timeout after it. A timeout above the configuration's longest deadline is reduced to that
+// deadline. Submit returns ErrUnknownClass or ErrDuplicateID if it does not accept the request.
 func (d *Dispatcher) Submit(request Request, receivedAt time.Time, timeout time.Duration) (*PendingRequest, error) {
 	class, known := d.settings.Classes[request.Class]
 	if !known {
@@ -176,8 +177,9 @@
 	return r, nil
 }
 
-// balancerDeadline returns the deadline that the balancer is given, and notes the client's own one where it is known.
-// The time of a streamed body counts from its last byte, which the transport sees to.
+// balancerDeadline returns the deadline for the balancer, and sets the request's clientDeadline. For a streamed body the
+// timeout counts from the last byte, which the transport enforces: the balancer's deadline is later by maxBodyDuration,
+// and clientDeadline stays unset.
 func (d *Dispatcher) balancerDeadline(r *PendingRequest, timeout time.Duration) time.Time {
 	deadline := r.receivedAt.Add(min(timeout, d.settings.MaxDeadline))
 	if r.Rest != nil {
@@ -187,19 +189,19 @@
 	return deadline
 }
 
-// Ready reports whether requests can be routed: an endpoint list has come.
+// Ready reports whether requests can be routed, which takes a non-empty endpoint list.
 func (d *Dispatcher) Ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listReceived
 }
 
-// finish gives a request its one final answer. Called with the lock held.
+// finish delivers a request's final answer, unless the request has ended. Called with the lock held.
 func (d *Dispatcher) finish(r *PendingRequest, answer Answer) {
 	if r.ended.Load() {
 		return
 	}
-	d.end(r) // before the answer is seen: no attempt may begin after it
+	d.end(r) // before the client sees the answer, since no attempt may begin after that
 	r.answers <- answer
 	latency := time.Since(r.receivedAt)
 	d.stats.count(answer, latency)
@@ -208,7 +210,7 @@
 		zap.Duration("after", latency))
 }
 
-// end marks a request as over. Called with the lock held.
+// end marks a request as ended. Called with the lock held.
 func (d *Dispatcher) end(r *PendingRequest) {
 	r.ended.Store(true)
 	d.releaseIfDone(r)
--- a/internal/net/dispatch/ejections.go
+++ b/internal/net/dispatch/ejections.go
@@ -5,14 +5,15 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Ejection is an operator's order to send nothing to an endpoint. It names the endpoint by its id, as addresses change.
+// Ejection is an operator's order to send nothing to an endpoint. It identifies the endpoint by id, as addresses change.
 type Ejection struct {
 	ID         string
 	EjectedAt  float64 // Unix time in milliseconds; 0: never
-	RestoredAt float64 // Unix time in milliseconds; 0: it is still ejected
+	RestoredAt float64 // Unix time in milliseconds; 0: still ejected
 }
 
-// SetEjections replaces the ejections. An endpoint that ejections does not name stays as it is.
+// SetEjections replaces the ejections. An endpoint without an entry in ejections keeps its state, also if it had one
+// before.
 func (d *Dispatcher) SetEjections(ejections []Ejection) {
 	d.withLock("ejections", nil, func(now routing.Time) {
 		d.ejections = make(map[string]Ejection, len(ejections))
@@ -25,7 +26,7 @@
 			}
 			e := &d.endpoints.entries[i]
 			d.applyEjection(e, ejection)
-			// The endpoint restarts while it is ejected, so connections from before must not be used after it.
+			// The endpoint may restart while it is ejected, so connections from before must not be used afterwards.
 			d.transport.CloseIdle(e.incarnation, 0)
 			e.incarnation = d.endpoints.nextIncarnation()
 			if !e.gone {
@@ -39,7 +40,7 @@
 	})
 }
 
-// applyEjection takes over an ejection or its end. Called with the lock held.
+// applyEjection stores an ejection and converts its times to the balancer's clock. Called with the lock held.
 func (d *Dispatcher) applyEjection(e *endpointEntry, ejection Ejection) {
 	if ejection.EjectedAt != e.ejection.EjectedAt {
 		e.ejectedAt = d.fromUnixNow(ejection.EjectedAt)
@@ -50,7 +51,7 @@
 	e.ejection = ejection
 }
 
-// ejectedState returns the listed state, except that an ejected endpoint which the list calls ready is draining.
+// ejectedState returns the state with the ejection applied: an ejected endpoint that is listed as ready is draining.
 func (e *endpointEntry) ejectedState() routing.State {
 	state := e.listedState
 	if e.ejection.EjectedAt != 0 && e.ejection.RestoredAt == 0 && state == routing.Ready {
@@ -62,8 +63,8 @@
 	return state
 }
 
-// effectiveStart returns the start that slow start counts from. A restored endpoint that the list does not report as
-// restarted since its ejection starts when it is restored.
+// effectiveStart returns the time from which slow start counts. For a restored endpoint that, according to the list, has
+// not restarted since its ejection, that is when it was restored.
 func (e *endpointEntry) effectiveStart() routing.Time {
 	if e.ejection.EjectedAt != 0 && e.ejection.RestoredAt > 0 && e.startedAt < e.ejectedAt {
 		return e.restoredAt
--- a/internal/net/dispatch/endpoint_latency.go
+++ b/internal/net/dispatch/endpoint_latency.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	bypassFactor       = 2 // an attempt is bypassed after twice its endpoint's mean latency, if a later one was answered meanwhile
-	meanLatencyDivisor = 8 // each answer moves the mean latency by an eighth of the difference
+	bypassFactor       = 2 // an attempt is bypassed after twice its endpoint's mean latency, if a later one was answered
+	meanLatencyDivisor = 8 // each answer changes the mean latency by an eighth of the difference
 )
 
-// endpointLatency detects attempts that are bypassed: later ones at the same endpoint have their answers already, so the
-// connection may have gone silent. It is guarded by the Dispatcher's lock.
+// endpointLatency detects bypassed attempts: later ones at the same endpoint have been answered, so the connection of a
+// bypassed attempt may be dead without having been closed. It is guarded by the Dispatcher's lock.
 type endpointLatency struct {
-	inFlight          []*Attempt    // those that the balancer waits for
-	meanLatency       time.Duration // of complete answers, moving
-	lastAnsweredStart time.Time     // start of the latest attempt that was answered
+	inFlight          []*Attempt    // attempts whose result is not reported to the balancer yet
+	meanLatency       time.Duration // moving average over complete answers
+	lastAnsweredStart time.Time     // latest start among the answered attempts
 }
 
-// trackAttempt adds an attempt to those in flight, and has it checked for being bypassed where it may be hedged. Called
-// with the lock held.
+// trackAttempt adds an attempt to those in flight. If it may be hedged, it schedules checkBypassed. Called with the lock
+// held.
 func (d *Dispatcher) trackAttempt(a *Attempt) {
 	e := &d.endpoints.entries[a.endpointIndex]
 	e.inFlight = append(e.inFlight, a)
@@ -38,14 +38,14 @@
 	}
 }
 
-// bypassed reports whether an attempt has waited for a multiple of the mean latency while one that started later was
-// answered. An overloaded endpoint is slow for all attempts, so it bypasses few.
+// bypassed reports whether an attempt has waited for bypassFactor times the mean latency while one that started later was
+// answered. An overloaded endpoint is slow for all attempts, so few of them are bypassed.
 func (l *endpointLatency) bypassed(a *Attempt) bool {
 	return a.startedAt.Before(l.lastAnsweredStart) && time.Since(a.startedAt) >= bypassFactor*l.meanLatency
 }
 
-// checkBypassed reports a bypassed attempt to the balancer as over. It may just be slow, so it stays in flight, and its
-// answer counts if it comes first.
+// checkBypassed reports the attempt to the balancer as Bypassed if it is. The attempt may merely be slow, so it is not
+// canceled, and its answer is delivered if it is the request's first.
 func (a *Attempt) checkBypassed() {
 	d := a.pending.dispatcher
 	d.withLock("bypass check", a.pending, func(routing.Time) {
@@ -55,7 +55,8 @@
 	})
 }
 
-// noteResult learns from an answer, unless the endpoint has restarted or moved since the attempt.
+// noteResult updates the latency state with an answer, unless the endpoint's incarnation has changed since the attempt
+// started, and rechecks the attempts in flight at once.
 func (e *endpointEntry) noteResult(a *Attempt, result AttemptResult) {
 	if e.incarnation != a.Incarnation || result != Complete && result != NotFound {
 		return
--- a/internal/net/dispatch/endpoints.go
+++ b/internal/net/dispatch/endpoints.go
@@ -7,7 +7,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// maxStartReportDelay bounds how late an endpoint list may report a start: discovery services notice some seconds late.
+// maxStartReportDelay bounds how late an endpoint list may report the start of an endpoint. Discovery services detect it
+// some seconds late.
 const maxStartReportDelay = 30 * time.Second
 
 // Endpoint is an entry of the endpoint list.
@@ -17,20 +18,20 @@
 	StartedMs          float64 // Unix time in milliseconds; 0: long ago
 }
 
-// endpointEntry is an endpoint as the list last described it, and what was seen of it here.
+// endpointEntry is an endpoint as the list last described it, with this node's own state for it.
 type endpointEntry struct {
 	id, address    string // an empty id: the entry is free
 	origin         bool
 	model          int
-	gone           bool          // the list does not name it any more
-	listedState    routing.State // in the list
+	gone           bool          // no longer in the list
+	listedState    routing.State // according to the list
 	effectiveState routing.State // as reported to the balancer
-	incarnation    uint64        // a new number after each restart, move and ejection: connections are not shared across
+	incarnation    uint64        // as in Attempt; connections are not reused by another incarnation
 	listedStartMs  float64       // Endpoint.StartedMs
-	startedAt      routing.Time  // the same by the node's clock, as it was when it was received
-	ejection       Ejection      // the latest by an operator
-	ejectedAt      routing.Time  // its times by the node's clock; 0: never
-	restoredAt     routing.Time
+	startedAt      routing.Time  // listedStartMs by the balancer's clock, converted when it was received
+	ejection       Ejection      // the latest one ordered by an operator
+	ejectedAt      routing.Time  // ejection.EjectedAt by the balancer's clock; 0: never
+	restoredAt     routing.Time  // ejection.RestoredAt by the balancer's clock; 0: not restored
 	endpointLatency
 }
 
@@ -39,10 +40,10 @@
 	entries         []endpointEntry // by index
 	free            []int           // free indices, the next one last
 	byID            map[string]int
-	lastIncarnation uint64 // how many were given out
+	lastIncarnation uint64 // also the number of incarnations so far
 }
 
-// allocate gives an endpoint an index. Indices are used again, as endpoints come under new ids all day.
+// allocate assigns an index to an endpoint. Indices are reused, as endpoints with new ids are added all the time.
 func (x *endpointIndex) allocate(id string) int {
 	i := len(x.entries)
 	if last := len(x.free) - 1; last >= 0 {
@@ -66,18 +67,18 @@
 	x.free = append(x.free, i)
 }
 
-// nextIncarnation returns a number that no endpoint has had.
+// nextIncarnation returns a number that no endpoint has been assigned before.
 func (x *endpointIndex) nextIncarnation() uint64 {
 	x.lastIncarnation++
 	return x.lastIncarnation
 }
 
-// UpdateEndpoints applies an update of the endpoint list and passes it on to the balancer.
+// UpdateEndpoints applies an update of the endpoint list and reports it to the balancer.
 func (d *Dispatcher) UpdateEndpoints(kind routing.UpdateKind, listed []Endpoint) {
 	d.withLock("endpoint list", nil, func(now routing.Time) {
 		if kind == routing.Full || kind == routing.Cached {
 			for i := range d.endpoints.entries {
-				d.endpoints.entries[i].gone = true // unless the list names it
+				d.endpoints.entries[i].gone = true // reset below for those in the list
 			}
 		}
 		update := make([]routing.Endpoint, 0, len(listed))
@@ -100,8 +101,8 @@
 	})
 }
 
-// updateEndpoint applies one entry of the list and returns its index; false where the endpoint is gone and was unknown.
-// Called with the lock held.
+// updateEndpoint applies one entry of the list and returns its index. It returns false for an endpoint that is gone and
+// was not known. Called with the lock held.
 func (d *Dispatcher) updateEndpoint(listed Endpoint) (int, bool) {
 	i, known := d.endpoints.byID[listed.ID]
 	if !known {
@@ -125,8 +126,8 @@
 	return i, true
 }
 
-// applyListed takes over id, address, start and state. An endpoint that restarts or moves gets a new incarnation and
-// keeps its index. Called with the lock held.
+// applyListed copies id, address, start time and state from the list. An endpoint that has restarted or changed its
+// address keeps its index and gets a new incarnation. Called with the lock held.
 func (d *Dispatcher) applyListed(e *endpointEntry, listed Endpoint) {
 	restarted := e.id != listed.ID || e.listedStartMs != listed.StartedMs
 	if listed.State != routing.Gone && (restarted || e.address != listed.Address) {
@@ -142,8 +143,9 @@
 	e.listedState = listed.State
 }
 
-// startTime returns when a listed endpoint started, by the node's clock. A start that an earlier update should have
-// reported comes of a wrong clock, and counts from that update. Called with the lock held.
+// startTime returns when a listed endpoint started, by the balancer's clock. If a known endpoint gets a start time more
+// than maxStartReportDelay before the latest live update, that update should have reported it already. The time is due to
+// a wrong clock then, and the time of that update is used instead. Called with the lock held.
 func (d *Dispatcher) startTime(e *endpointEntry, listed Endpoint) routing.Time {
 	startedAt := d.fromUnixNow(listed.StartedMs)
 	overdue := d.lastLiveUpdate-startedAt > config.Ticks(float64(maxStartReportDelay/time.Millisecond))
@@ -153,8 +155,8 @@
 	return startedAt
 }
 
-// routingEndpoint returns an endpoint as it is reported to the balancer, and notes the reported state. Called with the
-// lock held.
+// routingEndpoint returns an endpoint as it is reported to the balancer, and stores the reported state as effectiveState.
+// Called with the lock held.
 func (d *Dispatcher) routingEndpoint(i int) routing.Endpoint {
 	e := &d.endpoints.entries[i]
 	e.effectiveState = e.ejectedState()
--- a/internal/net/dispatch/host.go
+++ b/internal/net/dispatch/host.go
@@ -7,7 +7,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// host implements routing.Host: the balancer's orders. Its methods are called with the lock held.
+// host implements routing.Host, through which the balancer orders actions. Its methods are called with the lock held.
 type host struct{ *Dispatcher }
 
 // Send starts an attempt, unless a rule of package admission forbids it.
@@ -16,7 +16,7 @@
 	a := h.newAttempt(r, endpointIndex, toDuration(timeout))
 	permitted := h.mayStart(r, a)
 	if r.ended.Load() {
-		return // a defect of the balancer, which mayStart has reported
+		return // mayStart has reported the violation
 	}
 	r.attempts++
 	r.inFlight++
@@ -29,7 +29,8 @@
 	h.transport.Send(a)
 }
 
-// Reject ends a request with the promise that a retry is harmless. Where that can't be promised the request fails.
+// Reject ends a request and promises the client that a retry is harmless. If a retry might not be, the request fails
+// instead.
 func (h host) Reject(requestIndex int, retryAfter routing.Time) {
 	r := h.requests.slots[requestIndex]
 	answer := Answer{Outcome: Rejected, RetryAfter: toDuration(retryAfter)}
@@ -41,7 +42,7 @@
 	}
 }
 
-// Fail ends a request with no promise about its effect.
+// Fail ends a request without a promise about its effect.
 func (h host) Fail(requestIndex int) {
 	r := h.requests.slots[requestIndex]
 	if h.mayAnswer(r) {
@@ -49,7 +50,7 @@
 	}
 }
 
-// Subscribe starts a watch of the endpoint list.
+// Subscribe starts to fetch and watch the endpoint list.
 func (h host) Subscribe() { h.endpointSource.Subscribe() }
 
 // CloseIdle closes an endpoint's idle connections, except for keep of them.
@@ -57,8 +58,8 @@
 	h.transport.CloseIdle(h.endpoints.entries[endpointIndex].incarnation, keep)
 }
 
-// SetAlarm has the balancer called at a time, or soon after it.
+// SetAlarm schedules a call of the balancer's Alarm method at fireAt or soon after.
 func (h host) SetAlarm(fireAt routing.Time, handle int) { h.alarms.add(fireAt, handle, h.clock) }
 
-// toDuration converts a duration of the balancer.
+// toDuration converts a duration in ticks.
 func toDuration(t routing.Time) time.Duration { return config.Duration(t) }
--- a/internal/net/dispatch/listed_ids.go
+++ b/internal/net/dispatch/listed_ids.go
@@ -1,16 +1,17 @@
 package dispatch
 
-// maxListedIDs bounds the ids that are remembered after they have left the list: endpoints come under new ones all day.
+// maxListedIDs bounds the stored ids, which include those of endpoints that have left the list. Endpoints with new ids are
+// added all the time, so not all of them can be stored.
 const maxListedIDs = 4096
 
-// listedIDs remembers the latest endpoint ids that were listed. It is guarded by the Dispatcher's lock.
+// listedIDs stores the endpoint ids that were listed most recently. It is guarded by the Dispatcher's lock.
 type listedIDs struct {
 	ids    map[string]bool
-	order  []string // by age; a ring once it is full
-	oldest int      // in the ring
+	order  []string // oldest first until it is full, then a ring buffer
+	oldest int      // index of the oldest id in the ring buffer
 }
 
-// add remembers an id, in place of the oldest one where there are too many.
+// add stores an id. It replaces the oldest one once there are maxListedIDs.
 func (l *listedIDs) add(id string) {
 	if l.ids[id] {
 		return
@@ -28,8 +29,8 @@
 	l.ids[id] = true
 }
 
-// WasListed reports whether an endpoint is listed, or was lately. Of those that have left the list the latest
-// 4,096 or so are remembered.
+// WasListed reports whether an endpoint is listed, or was recently. Of the endpoints that have left the list, about the
+// latest 4,096 are known.
 func (d *Dispatcher) WasListed(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -6,14 +6,14 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Metrics returns the totals since the start. They may be read without the lock.
+// Metrics returns the totals since New. They may be read without the lock.
 func (d *Dispatcher) Metrics() *metrics.Metrics { return d.metrics }
 
-// AddOpen changes the number of open requests: those that have come and whose answer is not complete.
+// AddOpen changes the number of open requests: those received whose answer has not been written completely.
 func (d *Dispatcher) AddOpen(delta int64) { d.metrics.Open.Add(delta) }
 
-// CountEnd counts how a client's request ended, also of one that was refused before Submit. One of an unknown class is
-// not counted.
+// CountEnd counts the outcome of a client's request, including one that was refused before Submit. It ignores requests of
+// an unknown class.
 func (d *Dispatcher) CountEnd(class string, outcome Outcome) {
 	outcomes := d.metrics.Of(class)
 	if outcomes == nil {
@@ -29,22 +29,22 @@
 	}
 }
 
-// Written reports that the attempt's last byte was written. It is counted once.
+// Written reports that the last byte of the attempt was written. An attempt is counted once.
 func (a *Attempt) Written() {
 	if a.pending != nil && !a.writtenCounted.Swap(true) {
 		a.pending.dispatcher.metrics.Written.Add(1)
 	}
 }
 
-// CountDenied counts, by reason, that the attempt was not written. admission.Granted is not counted.
+// CountDenied counts an attempt that was not written, by reason. admission.Granted is not counted.
 func (a *Attempt) CountDenied(reason admission.Reason) {
 	if a.pending != nil && reason != admission.Granted {
 		a.pending.dispatcher.metrics.Denied[reason].Add(1)
 	}
 }
 
-// CountEndpoints updates the metrics of listed and avoided endpoints. It is called periodically, as endpoints are ejected
-// and restored between two updates of the list.
+// CountEndpoints updates the metrics of listed and avoided endpoints. It is called periodically, as the balancer ejects
+// and restores outliers between two updates of the list.
 func (d *Dispatcher) CountEndpoints() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/net/dispatch/pending_request.go
+++ b/internal/net/dispatch/pending_request.go
@@ -7,29 +7,29 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// PendingRequest is a request that Submit has taken. Unless said otherwise its unexported fields are guarded by the
-// Dispatcher's lock.
+// PendingRequest is a request that Submit has accepted. Its unexported fields are guarded by the Dispatcher's lock unless
+// noted otherwise.
 type PendingRequest struct {
 	Request
 	dispatcher     *Dispatcher // never changes
 	receivedAt     time.Time   // never changes
 	clientDeadline time.Time   // set before any attempt; zero: unknown, as the body is streamed
-	answers        chan Answer // buffers the one final answer
+	answers        chan Answer // holds the final answer; its capacity is 1, so that sending never blocks
 
 	ended              atomic.Bool // no attempt may begin; set with the lock held, read without it
-	index              int         // the balancer's name for it
+	index              int         // identifies the request to the balancer
 	attempts           int         // started so far
-	inFlight           int         // attempts without an end
-	released           bool        // its index and trace id are free
-	panicked           bool        // routing panicked during one of its events
-	mayHaveRun         bool        // an attempt that has finished may have had an effect
+	inFlight           int         // attempts that have not finished, or whose streamed answer is not closed
+	released           bool        // its trace id is free, and so is its index unless it panicked
+	panicked           bool        // a panic occurred in one of its events
+	mayHaveRun         bool        // a reported attempt may have had an effect on its server
 	earliestMayHaveRun time.Time   // start of the first such attempt
 }
 
-// Answers returns the channel that delivers the one final answer.
+// Answers returns the channel that delivers the final answer.
 func (r *PendingRequest) Answers() <-chan Answer { return r.answers }
 
-// Cancel reports that the client is gone. No answer follows; attempts that are in flight still finish.
+// Cancel reports that the client is gone. No answer is delivered afterwards. Attempts in flight still finish.
 func (r *PendingRequest) Cancel() {
 	r.dispatcher.withLock("client gone", r, r.clientGone)
 }
@@ -45,7 +45,7 @@
 	d.end(r)
 }
 
-// noteMayHaveRun notes that an attempt, started at startedAt, may have had an effect. Called with the lock held.
+// noteMayHaveRun records that an attempt, started at startedAt, may have had an effect. Called with the lock held.
 func (r *PendingRequest) noteMayHaveRun(startedAt time.Time) {
 	if !r.mayHaveRun || startedAt.Before(r.earliestMayHaveRun) {
 		r.earliestMayHaveRun = startedAt
@@ -66,7 +66,7 @@
 	return pending
 }
 
-// add gives a request its index.
+// add assigns an index to a request.
 func (t *requestTable) add(r *PendingRequest) {
 	t.byTraceID[r.TraceID] = r
 	last := len(t.free) - 1
@@ -80,8 +80,8 @@
 	t.slots[r.index] = r
 }
 
-// release forgets a request and frees its index. After a panic the balancer may still know the index, so it is not used
-// again: an empty request that has ended takes its slot.
+// release removes a request and frees its index. After a panic the balancer may still use the index, so it is not reused:
+// a placeholder that has ended occupies the slot.
 func (t *requestTable) release(r *PendingRequest) {
 	delete(t.byTraceID, r.TraceID)
 	if r.panicked {
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -8,19 +8,19 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// quotaSendWindow is how long after its decision the first byte of an attempt may be written where a quota bounds it. A
-// node that was held up must not use a quota that is another node's by now.
+// quotaSendWindow is how long after the balancer's decision the first byte of an attempt under a quota may be written. A
+// process that has stalled must not use a quota that belongs to another node by now.
 const quotaSendWindow = 50 * time.Millisecond
 
 // quotas bounds attempts by this node's shares of the cluster's limits. It is guarded by the Dispatcher's lock.
 type quotas struct {
 	active           bool                        // any quota was set
-	concurrencyUntil map[routing.Limit]time.Time // when attempts under a concurrency quota have to be over
+	concurrencyUntil map[routing.Limit]time.Time // when attempts under a concurrency quota must have ended
 }
 
-// SetQuota tells the balancer this node's quota of a limit; tenant names it for a routing.TenantRate. New attempts may
-// use it for validFor, and then what the quota says for afterwards. Under a concurrency quota they must be over
-// cutoffMargin after that. It returns the use of the limit since the last call; a zero value for an unknown tenant.
+// SetQuota sets this node's quota of a limit. tenant is used for routing.TenantRate only. Rate and Burst of the quota apply
+// for validFor, then ThenRate and ThenBurst. Attempts that start under a concurrency quota must have ended cutoffMargin
+// after that time. SetQuota returns the usage of the limit since the last call, or a zero value for an unknown tenant.
 func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, validFor, cutoffMargin time.Duration) (
 	usage allowance.Usage) {
 	tenantIndex, known := d.settings.Tenants[tenant]
@@ -41,23 +41,23 @@
 	return usage
 }
 
-// applyTimeLimits keeps an attempt to the times of the quota that it may use.
+// applyTimeLimits limits SendBy and Timeout of an attempt so that it does not outlast its quota.
 func (q *quotas) applyTimeLimits(a *Attempt) {
 	a.sendBefore(a.startedAt.Add(quotaSendWindow))
 	remaining := q.concurrencyUntil[concurrencyLimit(a)].Sub(a.startedAt)
-	if remaining > 0 { // else there is no quota, or the reserved share permits the attempt
+	if remaining > 0 { // otherwise there is no concurrency quota, or the share reserved for its end permits the attempt
 		a.Timeout = min(a.Timeout, remaining)
 	}
 }
 
-// boundsConcurrency reports whether an attempt counts against a concurrency quota. Such an attempt must be over before
-// another takes its place: a slow one goes on at its server, whatever others do.
+// boundsConcurrency reports whether an attempt counts against a concurrency quota. Such an attempt must end before another
+// one may replace it, since a slow attempt keeps its server busy whatever other attempts do.
 func (q *quotas) boundsConcurrency(a *Attempt) bool {
 	_, limited := q.concurrencyUntil[concurrencyLimit(a)]
 	return limited
 }
 
-// concurrencyLimit returns the limit that an attempt counts against.
+// concurrencyLimit returns the concurrency limit that an attempt counts against.
 func concurrencyLimit(a *Attempt) routing.Limit {
 	if a.Origin {
 		return routing.OriginConcurrency
--- a/internal/net/dispatch/request.go
+++ b/internal/net/dispatch/request.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Request is what a client has sent: the fields that routing needs, and the bytes that are forwarded as they came. It
-// must not change once it is submitted.
+// Request is a client's request: the fields that routing needs, and the parts that are forwarded unchanged. It must not
+// change after Submit.
 type Request struct {
 	Class, Tenant, Key string
 	Work               float64 // the client's estimate, in milliseconds; 0: none
@@ -11,9 +11,9 @@
 
 	Method, Target          string // the target is the raw path and query
 	TraceID, IdempotencyKey string
-	Body                    []byte        // all of it, or what comes before Rest
-	Rest                    *BodyStream   // of a streamed body; nil: there is none
+	Body                    []byte        // the whole body, or the part before Rest
+	Rest                    *BodyStream   // of a streamed body; nil: none
 	Length                  int64         // of a streamed body, in bytes; -1: unknown
-	Timeout                 time.Duration // of a request with a streamed body, from its last byte on
+	Timeout                 time.Duration // of a request with a streamed body, counted from its last byte
 	ClientGone              func() bool   // reports whether the client has closed its connection; nil: unknown
 }
--- a/internal/net/dispatch/stats.go
+++ b/internal/net/dispatch/stats.go
@@ -8,11 +8,11 @@
 
 // Range and resolution of the latency histogram.
 const (
-	maxLatency    = time.Minute // longer ones count as this
+	maxLatency    = time.Minute // longer latencies are recorded as this
 	latencyDigits = 2           // significant decimal digits
 )
 
-// Stats counts what happened since the previous Stats were stats.
+// Stats counts events since the previous call of Dispatcher.Stats.
 type Stats struct {
 	Requests, Served, Rejected, Failed, ClientGone, Attempts, Panics int
 
@@ -20,7 +20,7 @@
 	Latency *hdrhistogram.Histogram // of served requests, in tenths of a millisecond; nil: none was served
 }
 
-// count counts a request's final answer, which came after latency.
+// count counts a request's final answer, delivered after latency.
 func (s *Stats) count(answer Answer, latency time.Duration) {
 	switch answer.Outcome {
 	case Served:
@@ -37,10 +37,10 @@
 	if s.Latency == nil {
 		s.Latency = hdrhistogram.New(1, int64(maxLatency/tick), latencyDigits)
 	}
-	_ = s.Latency.RecordValue(int64(min(latency, maxLatency) / tick)) // fails beyond its range only
+	_ = s.Latency.RecordValue(int64(min(latency, maxLatency) / tick)) // fails only for values out of range
 }
 
-// LatencyMs returns a percentile of the served requests' latencies, in milliseconds; 0 where none was served.
+// LatencyMs returns a percentile of the latencies of served requests, in milliseconds; 0 if none was served.
 func (s *Stats) LatencyMs(percentile float64) float64 {
 	if s.Latency == nil {
 		return 0
@@ -57,7 +57,8 @@
 	return stats
 }
 
-// InFlight returns how many requests are pending, or have attempts or an answer's stream that go on.
+// InFlight returns the number of requests that are pending, or have attempts in flight or a streamed answer that is not
+// closed.
 func (d *Dispatcher) InFlight() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
