--- a/internal/net/admission/reason.go
+++ b/internal/net/admission/reason.go
@@ -1,32 +1,32 @@
-// Package admission decides, from plain facts, whether an attempt may be started (Attempt), whether its first byte may be
-// written (Send), and whether a request may be rejected (History). It does no I/O and reads no clock, so each rule stands
-// in one place and can be tested by itself.
+// Package admission decides, from plain facts, whether an attempt may be started (Attempt), whether its first byte may
+// be written (Send), and whether a request may be rejected (History). It does no I/O and reads no clock, so that each
+// rule is in one place and can be tested in isolation.
 package admission
 
-// Reason says why something is not permitted.
+// Reason is why an action is not permitted.
 type Reason uint8
 
 // The reasons.
 const (
-	Granted          Reason = iota // it is permitted
+	Granted          Reason = iota // the action is permitted
 	RequestOver                    // the request has had its final answer
 	ClientGone                     // the client has closed its connection
-	ConnectionEnding               // the connection is closed, or about to be, on our side
-	UnsolicitedBytes               // bytes, or the connection's end, came that belong to no request
-	NotQuiet                       // the connection's last answer is so recent that a second one may follow it
-	TooLate                        // the time by which the first byte has to be written has passed
-	DeadlineStale                  // the request declares more time than its client has left
-	FactsStale                     // the facts were gathered too long ago to be acted on
-	FactsUnknown                   // the connection could not be looked at
-	NodeLeaving                    // the node cancels its attempts
+	ConnectionEnding               // this node has closed the connection, or is about to
+	UnsolicitedBytes               // the server sent bytes that answer no request, or closed the connection
+	NotQuiet                       // the last answer on the connection is so recent that a surplus second one may follow it
+	TooLate                        // the deadline for writing the first byte has passed
+	DeadlineStale                  // the request declares a longer timeout than its client has left
+	FactsStale                     // gathering the facts took so long that they are out of date
+	FactsUnknown                   // the state of the connection could not be read
+	NodeLeaving                    // the node is shutting down and cancels its attempts
 	AttemptInFlight                // an earlier attempt is in flight, and hedging is not allowed
 	MayHaveRun                     // an earlier attempt may have run, and nothing makes a retry harmless
-	DedupWindowOver                // an earlier attempt may have run, and the servers may have forgotten its key by now
-	BodySent                       // part of the body went to another server and can't be read again
-	NumReasons                     // how many there are
+	DedupWindowOver                // an earlier attempt may have run, and the servers may no longer store its idempotency key
+	BodySent                       // part of the body was sent to another server and can't be read again
+	NumReasons                     // number of reasons
 )
 
-// The names stand on the operators' address, so they stay.
+// The names are published in the metrics on the admin address, so they must not change.
 var reasonNames = [NumReasons]string{
 	Granted:          "granted",
 	RequestOver:      "request_over",
--- a/internal/net/admission/send.go
+++ b/internal/net/admission/send.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// MaxFactAge is how old facts may be when they are acted on. The operators allow an attempt to begin up to 0.1 s after its
-// client has gone.
+// MaxFactAge is the maximum age of facts when a decision is based on them. The operators allow an attempt to begin up
+// to 0.1 s after its client has gone.
 const MaxFactAge = 25 * time.Millisecond
 
 const (
-	// maxDeadlineExcess is by how much the time that a request declares may exceed what its client has left when it is
-	// written. The operators allow 0.15 s; the rest is left for a process that is held up just then.
+	// maxDeadlineExcess is by how much the timeout that a request declares may exceed the time that its client has left
+	// when it is written. The operators allow 0.15 s; the difference is a reserve for a process that stalls at that
+	// moment.
 	maxDeadlineExcess = 5 * time.Millisecond
-	// declaredMargin is by how much the declared time stays under what is left to the client, so that the usual way to the
-	// first byte doesn't use up the permitted excess.
+	// declaredMargin is by how much the declared timeout is below the time that the client has left, so that the usual
+	// delay until the first byte doesn't use up the permitted excess.
 	declaredMargin = MaxFactAge
-	// declaredMarginDivisor bounds the margin where little time is left: a quarter of it.
+	// declaredMarginDivisor limits the margin to a quarter of the time that the client has left.
 	declaredMarginDivisor = 4
 )
 
 // Send holds the facts about an attempt just before its first byte is written.
 type Send struct {
-	Refused          Reason        // by an earlier step, or Granted
-	ConnectionEnding bool          // the connection is closed, or about to be, on our side
-	Unsolicited      bool          // bytes, or the connection's end, have come that belong to no request
-	Unknown          bool          // the connection could not be looked at
+	Refused          Reason        // reason of an earlier check, or Granted
+	ConnectionEnding bool          // this node has closed the connection, or is about to
+	Unsolicited      bool          // the server sent bytes that answer no request, or closed the connection
+	Unknown          bool          // the state of the connection could not be read
 	Client           Reason        // Granted, RequestOver or ClientGone
-	GatherTime       time.Duration // how long it took to gather the facts
-	Now              time.Time     // read last
-	SendBy           time.Time     // when the first byte must have been written; zero: any time
-	ClientDeadline   time.Time     // when the client stops waiting; zero: the request declares no time
-	DeclaredTimeout  time.Duration // the time that the request tells its server to have
+	GatherTime       time.Duration // time spent gathering the facts
+	Now              time.Time     // read after all other facts
+	SendBy           time.Time     // deadline for writing the first byte; zero: none
+	ClientDeadline   time.Time     // when the client stops waiting; zero: the request declares no timeout
+	DeclaredTimeout  time.Duration // the timeout that the request declares to its server
 }
 
 // Decide returns Granted if the first byte may be written, or else the first reason against it.
@@ -54,8 +55,8 @@
 	return Granted
 }
 
-// DeclaredTimeout returns the time that a request may tell its server to have, from what is left of the attempt's time
-// and of the client's.
+// DeclaredTimeout returns the timeout that a request may declare to its server, given the remaining times of the
+// attempt and of the client.
 func DeclaredTimeout(attempt, client time.Duration) time.Duration {
 	margin := min(declaredMargin, client/declaredMarginDivisor)
 	return max(0, min(attempt, client-margin))
--- a/internal/net/dispatch/admission.go
+++ b/internal/net/dispatch/admission.go
@@ -6,8 +6,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// The balancer's orders are checked against the rules of package admission before they are executed. An order that breaks
-// a rule is a defect of the balancer. It is counted and logged, and not executed.
+// The balancer's orders are checked against the rules of package admission before they are executed. An order that
+// breaks a rule is a defect of the balancer. It is counted and logged, and not executed.
 
 // history returns the facts about the request's attempts for package admission. Called with the lock held.
 func (r *PendingRequest) history() admission.History {
--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -68,8 +68,8 @@
 }
 
 // ClientState reports whether the client still waits for an answer: admission.Granted, RequestOver or ClientGone. It is
-// called just before the first byte is written, and takes no lock. It checks the client's connection itself, as net/http
-// detects a closed one late, and not at all while unread bytes precede the end of the stream.
+// called just before the first byte is written, and takes no lock. It checks the client's connection itself, as
+// net/http detects a closed one late, and not at all while unread bytes precede the end of the stream.
 func (a *Attempt) ClientState() admission.Reason {
 	if a.ClientGone != nil && !faults.Without(faults.ClientLook) && a.ClientGone() {
 		return admission.ClientGone
@@ -97,8 +97,8 @@
 	return a.pending.clientDeadline
 }
 
-// Finish reports how the attempt ended. Further calls do nothing. The first complete answer to a request is delivered to
-// its client; delivered reports whether it is this one. The Rest of a delivered answer is read after Finish, until
+// Finish reports how the attempt ended. Further calls do nothing. The first complete answer to a request is delivered
+// to its client; delivered reports whether it is this one. The Rest of a delivered answer is read after Finish, until
 // Release, although the result has been reported to the balancer by then.
 func (a *Attempt) Finish(result AttemptResult, answer Answer) (delivered bool) {
 	r := a.pending
--- a/internal/net/dispatch/body_stream.go
+++ b/internal/net/dispatch/body_stream.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// BodyStream is the part of a long request body that is forwarded while the client sends it. It can be read only once, so
-// it goes to one server only. Its methods may be called from any goroutine.
+// BodyStream is the part of a long request body that is forwarded while the client sends it. It can be read only once,
+// so it goes to one server only. Its methods may be called from any goroutine.
 type BodyStream struct {
 	started  atomic.Bool
 	complete atomic.Bool
--- a/internal/net/dispatch/clock.go
+++ b/internal/net/dispatch/clock.go
@@ -14,8 +14,8 @@
 // discipline, such as slewing.
 const minClockStep = time.Second
 
-// clock is the balancer's clock. It starts at the Unix time of start and then follows the monotonic clock. Its times can
-// be compared with the start times in the endpoint list, which are Unix times.
+// clock is the balancer's clock. It starts at the Unix time of start and then follows the monotonic clock. Its times
+// can be compared with the start times in the endpoint list, which are Unix times.
 type clock struct{ start time.Time }
 
 // now returns the current time.
@@ -39,8 +39,8 @@
 // fromUnix converts a Unix time in milliseconds. 0 stays 0, which means long ago.
 func fromUnix(ms float64) routing.Time { return routing.Time(ms) * routing.Millisecond }
 
-// fromUnixNow converts a Unix time in milliseconds to the balancer's clock, corrected by the steps of the wall clock until
-// now. A time in the future is due to a wrong clock and counts as now. 0 stays 0, which means long ago.
+// fromUnixNow converts a Unix time in milliseconds to the balancer's clock, corrected by the steps of the wall clock
+// until now. A time in the future is due to a wrong clock and counts as now. 0 stays 0, which means long ago.
 func (d *Dispatcher) fromUnixNow(ms float64) routing.Time {
 	if ms == 0 {
 		return 0
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -36,7 +36,8 @@
 // Transport carries attempts to the upstream servers. Its methods are called with the Dispatcher's lock held and must
 // not block.
 type Transport interface {
-	// Send starts an attempt. The transport calls Attempt.Finish and then Attempt.Release for it, from another goroutine.
+	// Send starts an attempt. The transport calls Attempt.Finish and then Attempt.Release for it, from another
+	// goroutine.
 	Send(*Attempt)
 	// CloseIdle closes the idle connections to an endpoint except for keep of them. The incarnation identifies the
 	// endpoint, as in Attempt.
@@ -141,9 +142,9 @@
 	return d.clock.toRoutingTime(d.decisionTime)
 }
 
-// Submit passes a client's request to the balancer. receivedAt is when the last byte of a buffered request was received.
-// The client waits until timeout after it. A timeout above the configuration's longest deadline is reduced to that
-// deadline. Submit returns ErrUnknownClass or ErrDuplicateID if it does not accept the request.
+// Submit passes a client's request to the balancer. receivedAt is when the last byte of a buffered request was
+// received. The client waits until timeout after it. A timeout above the configuration's longest deadline is reduced to
+// that deadline. Submit returns ErrUnknownClass or ErrDuplicateID if it does not accept the request.
 func (d *Dispatcher) Submit(request Request, receivedAt time.Time, timeout time.Duration) (*PendingRequest, error) {
 	class, known := d.settings.Classes[request.Class]
 	if !known {
@@ -177,9 +178,9 @@
 	return r, nil
 }
 
-// balancerDeadline returns the deadline for the balancer, and sets the request's clientDeadline. For a streamed body the
-// timeout counts from the last byte, which the transport enforces: the balancer's deadline is later by maxBodyDuration,
-// and clientDeadline stays unset.
+// balancerDeadline returns the deadline for the balancer, and sets the request's clientDeadline. For a streamed body
+// the timeout counts from the last byte, which the transport enforces: the balancer's deadline is later by
+// maxBodyDuration, and clientDeadline stays unset.
 func (d *Dispatcher) balancerDeadline(r *PendingRequest, timeout time.Duration) time.Time {
 	deadline := r.receivedAt.Add(min(timeout, d.settings.MaxDeadline))
 	if r.Rest != nil {
--- a/internal/net/dispatch/ejections.go
+++ b/internal/net/dispatch/ejections.go
@@ -5,7 +5,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Ejection is an operator's order to send nothing to an endpoint. It identifies the endpoint by id, as addresses change.
+// Ejection is an operator's order to send nothing to an endpoint. It identifies the endpoint by id, as addresses
+// change.
 type Ejection struct {
 	ID         string
 	EjectedAt  float64 // Unix time in milliseconds; 0: never
@@ -63,8 +64,8 @@
 	return state
 }
 
-// effectiveStart returns the time from which slow start counts. For a restored endpoint that, according to the list, has
-// not restarted since its ejection, that is when it was restored.
+// effectiveStart returns the time from which slow start counts. For a restored endpoint that, according to the list,
+// has not restarted since its ejection, that is when it was restored.
 func (e *endpointEntry) effectiveStart() routing.Time {
 	if e.ejection.EjectedAt != 0 && e.ejection.RestoredAt > 0 && e.startedAt < e.ejectedAt {
 		return e.restoredAt
--- a/internal/net/dispatch/endpoint_latency.go
+++ b/internal/net/dispatch/endpoint_latency.go
@@ -20,8 +20,8 @@
 	lastAnsweredStart time.Time     // latest start among the answered attempts
 }
 
-// trackAttempt adds an attempt to those in flight. If it may be hedged, it schedules checkBypassed. Called with the lock
-// held.
+// trackAttempt adds an attempt to those in flight. If it may be hedged, it schedules checkBypassed. Called with the
+// lock held.
 func (d *Dispatcher) trackAttempt(a *Attempt) {
 	e := &d.endpoints.entries[a.endpointIndex]
 	e.inFlight = append(e.inFlight, a)
@@ -38,8 +38,8 @@
 	}
 }
 
-// bypassed reports whether an attempt has waited for bypassFactor times the mean latency while one that started later was
-// answered. An overloaded endpoint is slow for all attempts, so few of them are bypassed.
+// bypassed reports whether an attempt has waited for bypassFactor times the mean latency while one that started later
+// was answered. An overloaded endpoint is slow for all attempts, so few of them are bypassed.
 func (l *endpointLatency) bypassed(a *Attempt) bool {
 	return a.startedAt.Before(l.lastAnsweredStart) && time.Since(a.startedAt) >= bypassFactor*l.meanLatency
 }
--- a/internal/net/dispatch/endpoints.go
+++ b/internal/net/dispatch/endpoints.go
@@ -7,8 +7,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// maxStartReportDelay bounds how late an endpoint list may report the start of an endpoint. Discovery services detect it
-// some seconds late.
+// maxStartReportDelay bounds how late an endpoint list may report the start of an endpoint. Discovery services detect
+// it some seconds late.
 const maxStartReportDelay = 30 * time.Second
 
 // Endpoint is an entry of the endpoint list.
@@ -144,8 +144,8 @@
 }
 
 // startTime returns when a listed endpoint started, by the balancer's clock. If a known endpoint gets a start time more
-// than maxStartReportDelay before the latest live update, that update should have reported it already. The time is due to
-// a wrong clock then, and the time of that update is used instead. Called with the lock held.
+// than maxStartReportDelay before the latest live update, that update should have reported it already. The time is due
+// to a wrong clock then, and the time of that update is used instead. Called with the lock held.
 func (d *Dispatcher) startTime(e *endpointEntry, listed Endpoint) routing.Time {
 	startedAt := d.fromUnixNow(listed.StartedMs)
 	overdue := d.lastLiveUpdate-startedAt > config.Ticks(float64(maxStartReportDelay/time.Millisecond))
@@ -155,8 +155,8 @@
 	return startedAt
 }
 
-// routingEndpoint returns an endpoint as it is reported to the balancer, and stores the reported state as effectiveState.
-// Called with the lock held.
+// routingEndpoint returns an endpoint as it is reported to the balancer, and stores the reported state as
+// effectiveState. Called with the lock held.
 func (d *Dispatcher) routingEndpoint(i int) routing.Endpoint {
 	e := &d.endpoints.entries[i]
 	e.effectiveState = e.ejectedState()
--- a/internal/net/dispatch/listed_ids.go
+++ b/internal/net/dispatch/listed_ids.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// maxListedIDs bounds the stored ids, which include those of endpoints that have left the list. Endpoints with new ids are
-// added all the time, so not all of them can be stored.
+// maxListedIDs bounds the stored ids, which include those of endpoints that have left the list. Endpoints with new ids
+// are added all the time, so not all of them can be stored.
 const maxListedIDs = 4096
 
 // listedIDs stores the endpoint ids that were listed most recently. It is guarded by the Dispatcher's lock.
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -12,8 +12,8 @@
 // AddOpen changes the number of open requests: those received whose answer has not been written completely.
 func (d *Dispatcher) AddOpen(delta int64) { d.metrics.Open.Add(delta) }
 
-// CountEnd counts the outcome of a client's request, including one that was refused before Submit. It ignores requests of
-// an unknown class.
+// CountEnd counts the outcome of a client's request, including one that was refused before Submit. It ignores requests
+// of an unknown class.
 func (d *Dispatcher) CountEnd(class string, outcome Outcome) {
 	outcomes := d.metrics.Of(class)
 	if outcomes == nil {
--- a/internal/net/dispatch/pending_request.go
+++ b/internal/net/dispatch/pending_request.go
@@ -7,8 +7,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// PendingRequest is a request that Submit has accepted. Its unexported fields are guarded by the Dispatcher's lock unless
-// noted otherwise.
+// PendingRequest is a request that Submit has accepted. Its unexported fields are guarded by the Dispatcher's lock
+// unless noted otherwise.
 type PendingRequest struct {
 	Request
 	dispatcher     *Dispatcher // never changes
@@ -80,8 +80,8 @@
 	t.slots[r.index] = r
 }
 
-// release removes a request and frees its index. After a panic the balancer may still use the index, so it is not reused:
-// a placeholder that has ended occupies the slot.
+// release removes a request and frees its index. After a panic the balancer may still use the index, so it is not
+// reused: a placeholder that has ended occupies the slot.
 func (t *requestTable) release(r *PendingRequest) {
 	delete(t.byTraceID, r.TraceID)
 	if r.panicked {
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -8,8 +8,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// quotaSendWindow is how long after the balancer's decision the first byte of an attempt under a quota may be written. A
-// process that has stalled must not use a quota that belongs to another node by now.
+// quotaSendWindow is how long after the balancer's decision the first byte of an attempt under a quota may be written.
+// A process that has stalled must not use a quota that belongs to another node by now.
 const quotaSendWindow = 50 * time.Millisecond
 
 // quotas bounds attempts by this node's shares of the cluster's limits. It is guarded by the Dispatcher's lock.
@@ -18,9 +18,10 @@
 	concurrencyUntil map[routing.Limit]time.Time // when attempts under a concurrency quota must have ended
 }
 
-// SetQuota sets this node's quota of a limit. tenant is used for routing.TenantRate only. Rate and Burst of the quota apply
-// for validFor, then ThenRate and ThenBurst. Attempts that start under a concurrency quota must have ended cutoffMargin
-// after that time. SetQuota returns the usage of the limit since the last call, or a zero value for an unknown tenant.
+// SetQuota sets this node's quota of a limit. tenant is used for routing.TenantRate only. Rate and Burst of the quota
+// apply for validFor, then ThenRate and ThenBurst. Attempts that start under a concurrency quota must have ended
+// cutoffMargin after that time. SetQuota returns the usage of the limit since the last call, or a zero value for an
+// unknown tenant.
 func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, validFor, cutoffMargin time.Duration) (
 	usage allowance.Usage) {
 	tenantIndex, known := d.settings.Tenants[tenant]
@@ -50,8 +51,8 @@
 	}
 }
 
-// boundsConcurrency reports whether an attempt counts against a concurrency quota. Such an attempt must end before another
-// one may replace it, since a slow attempt keeps its server busy whatever other attempts do.
+// boundsConcurrency reports whether an attempt counts against a concurrency quota. Such an attempt must end before
+// another one may replace it, since a slow attempt keeps its server busy whatever other attempts do.
 func (q *quotas) boundsConcurrency(a *Attempt) bool {
 	_, limited := q.concurrencyUntil[concurrencyLimit(a)]
 	return limited
--- a/internal/net/ejection/file.go
+++ b/internal/net/ejection/file.go
@@ -16,22 +16,22 @@
 
 const (
 	fileSuffix = ".bans"
-	lockSuffix = ".lock" // after fileSuffix
+	lockSuffix = ".lock" // appended to fileSuffix
 
-	maxFileBytes         = 1 << 20 // more than maxEntries take
+	maxFileBytes         = 1 << 20 // larger than a file with maxEntries
 	readErrorLogInterval = 5 * time.Second
-	lockTimeout          = 500 * time.Millisecond // an operator's call is answered within 1 s
+	lockTimeout          = 500 * time.Millisecond // so that an operator's call is answered within 1 s
 	lockRetryInterval    = 5 * time.Millisecond
 )
 
 var (
-	// errNoEntries says that there is no file, or that it holds something else.
+	// errNoEntries is returned by read if there is no file, or if its contents are invalid.
 	errNoEntries      = errors.New("ejections: the file has no valid entries")
 	errFileTooLong    = fmt.Errorf("ejections: the file is longer than %d bytes", maxFileBytes)
 	errTooManyEntries = fmt.Errorf("ejections: the file has more than %d entries", maxEntries)
 )
 
-// fileVersion tells one state of the file from the next: each write makes a new file.
+// fileVersion changes with each write of the file, as a write replaces it by a new one.
 type fileVersion struct {
 	inode    uint64
 	size     int64
@@ -50,7 +50,8 @@
 	return version, nil
 }
 
-// read returns the entries of the file, errNoEntries if it has none, or another error if it cannot be read at present.
+// read returns the entries of the file. It returns errNoEntries if the file is missing or invalid, and another error if
+// reading it failed, which may be temporary.
 func (r *Registry) read() ([]Entry, error) {
 	version, err := statVersion(r.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -61,7 +62,7 @@
 		text, err = kernel.FileText(r.path)
 	}
 	if err != nil {
-		r.logReadError(err) // lastRead stays, so that the next Refresh reads the file again
+		r.logReadError(err) // lastRead is unchanged, so that the next Refresh reads the file again
 		return nil, fmt.Errorf("ejections: file cannot be read: %w", err)
 	}
 	knownInvalid := r.lastRead == version
@@ -76,7 +77,7 @@
 	return entries, nil
 }
 
-// parse returns the entries of a file's text; size is the file's, whose text is not read if it is too long.
+// parse returns the entries in the text of a file. size is the size of the file; text is empty if that is too large.
 func parse(text []byte, size int64) ([]Entry, error) {
 	if size > maxFileBytes {
 		return nil, errFileTooLong
@@ -100,7 +101,7 @@
 	r.log.Error("ejections file cannot be read, keeping the ejections in memory", zap.Error(err))
 }
 
-// write replaces the file. A process killed at any moment leaves the old or the new one.
+// write replaces the file. If the process is killed meanwhile, the file has either the old or the new contents.
 func (r *Registry) write(entries []Entry) error {
 	if r.path == "" {
 		return nil
@@ -113,12 +114,12 @@
 		return err
 	}
 	if r.lastRead, err = statVersion(r.path); err != nil {
-		r.logReadError(err) // the file is written; the next Refresh reads it
+		r.logReadError(err) // the write itself succeeded; the next Refresh reads the file
 	}
 	return nil
 }
 
-// lock keeps other processes from writing until the returned function is called or this process ends.
+// lock prevents other processes from writing until unlock is called or this process ends.
 func lock(path string) (unlock func(), err error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/net/ejection/registry.go
+++ b/internal/net/ejection/registry.go
@@ -1,5 +1,5 @@
-// Package ejection keeps the servers that operators have ejected. The entries lie in one file that the processes of a node share, so that
-// an ejection holds for all of them and outlives each.
+// Package ejection stores which servers operators have ejected. The processes of a node share one file of entries, so
+// that an ejection applies to all of them and persists when they end.
 package ejection
 
 import (
@@ -15,23 +15,24 @@
 )
 
 const (
-	maxEntries = 1024 // ten times a fleet
+	maxEntries = 1024 // ten times the size of a fleet
 
-	// restoredRetention is how long the entry of a restored server is kept: longer than any slow start.
+	// restoredRetention is how long the entry of a restored server is kept. It is longer than any slow start, which
+	// counts from the time of the restore.
 	restoredRetention = 5 * time.Minute
 )
 
-// ErrTooMany says that the registry is full.
+// ErrTooMany is returned by Eject if the registry is full.
 var ErrTooMany = fmt.Errorf("ejections: limit of %d servers reached", maxEntries)
 
-// Entry is a server that is ejected, or was until lately.
+// Entry is a server that is ejected, or was restored less than restoredRetention ago.
 type Entry struct {
 	ID         string `json:"id"`
 	EjectedAt  int64  `json:"out"`            // Unix time in milliseconds
 	RestoredAt int64  `json:"back,omitempty"` // Unix time in milliseconds; 0: still ejected
 }
 
-// Registry is the set of ejections. Its methods may be called from several goroutines.
+// Registry is the set of entries. Its methods may be called from several goroutines.
 type Registry struct {
 	log      *zap.Logger
 	path     string // empty: in memory only
@@ -39,12 +40,13 @@
 
 	mu                sync.Mutex
 	entries           []Entry
-	lastRead          fileVersion // the file as last read, valid or not
+	lastRead          fileVersion // version of the file that was last read, valid or not
 	readErrorLoggedAt time.Time
 }
 
-// Open reads the entries from the file name.bans in folder. It calls onChange with all entries whenever they change, in order of the
-// changes, and before it returns if there are any. Without a folder the entries end with the process.
+// Open reads the entries from the file name.bans in folder. If there are any it calls onChange before it returns.
+// onChange is called with all entries after each change, in the order of the changes. With an empty folder the entries
+// are kept in memory only.
 func Open(folder, name string, onChange func([]Entry), log *zap.Logger) *Registry {
 	r := &Registry{log: log, onChange: onChange}
 	if folder == "" {
@@ -56,8 +58,9 @@
 	return r
 }
 
-// Eject ejects a server; ejecting it again changes nothing. When it returns nil the ejection is stored and in force in this process. It
-// returns ErrTooMany, or the error of reading, locking or writing the file; then nothing has changed.
+// Eject ejects a server. Ejecting it again changes nothing. When Eject returns nil, the ejection is stored and in force
+// in this process. Otherwise nothing has changed, and it returns ErrTooMany or the error of reading, locking or writing
+// the file.
 func (r *Registry) Eject(id string) error {
 	return r.change(func(entries []Entry) ([]Entry, error) {
 		i := slices.IndexFunc(entries, func(e Entry) bool { return e.ID == id })
@@ -74,7 +77,7 @@
 	})
 }
 
-// Restore ends the ejection of a server, if there is one. Its errors are those of Eject.
+// Restore ends the ejection of a server, if it is ejected. It returns the same errors as Eject.
 func (r *Registry) Restore(id string) error {
 	return r.change(func(entries []Entry) ([]Entry, error) {
 		for i := range entries {
@@ -86,14 +89,14 @@
 	})
 }
 
-// Contains reports whether a server is ejected, or was until lately.
+// Contains reports whether a server is ejected, or was restored recently.
 func (r *Registry) Contains(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.ContainsFunc(r.entries, func(e Entry) bool { return e.ID == id })
 }
 
-// Follow calls Refresh at each interval until ctx ends.
+// Follow calls Refresh at each interval until ctx is done. It returns at once if the entries are in memory only.
 func (r *Registry) Follow(ctx context.Context, interval time.Duration) {
 	if r.path == "" {
 		return
@@ -110,7 +113,7 @@
 	}
 }
 
-// Refresh reads the file if another process has written it.
+// Refresh reads the file if it has changed since it was last read or written here.
 func (r *Registry) Refresh() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +128,8 @@
 	r.onChange(slices.Clone(entries))
 }
 
-// change applies edit to the entries of the file, or to those in memory where the file has none, and stores the result.
+// change applies edit to the entries of the file, or to those in memory if the file has no valid ones, and stores the
+// result.
 func (r *Registry) change(edit func([]Entry) ([]Entry, error)) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +144,7 @@
 		case err == nil:
 			r.entries = entries
 		case !errors.Is(err, errNoEntries):
-			return err // a write would lose the changes of the other process
+			return err // writing the entries in memory would lose the changes of other processes
 		}
 	}
 	entries, err := edit(withoutExpired(r.entries))
@@ -155,7 +159,7 @@
 	return nil
 }
 
-// withoutExpired returns a copy without the servers that were restored long ago.
+// withoutExpired returns a copy of entries without those restored more than restoredRetention ago.
 func withoutExpired(entries []Entry) []Entry {
 	cutoff := time.Now().Add(-restoredRetention).UnixMilli()
 	return slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool {
