--- a/internal/net/admission/admission_test.go
+++ b/internal/net/admission/admission_test.go
@@ -6,9 +6,9 @@
 )
 
 // Each fact that speaks against a first byte is a reason by itself, and none is one without it.
-func TestSend(t *testing.T) {
+func TestSendDecide(t *testing.T) {
 	now := time.Now()
-	sound := Send{Now: now, GatherTime: time.Millisecond, SendBy: now.Add(time.Millisecond), ClientDeadline: now.Add(time.Second), DeclaredTimeout: time.Second}
+	valid := Send{Now: now, GatherTime: time.Millisecond, SendBy: now.Add(time.Millisecond), ClientDeadline: now.Add(time.Second), DeclaredTimeout: time.Second}
 	for want, change := range map[Reason]func(*Send){
 		Granted:          func(*Send) {},
 		NotQuiet:         func(s *Send) { s.Refused = NotQuiet },
@@ -21,7 +21,7 @@
 		FactsStale:       func(s *Send) { s.GatherTime = MaxFactAge },
 		FactsUnknown:     func(s *Send) { s.Unknown = true },
 	} {
-		s := sound
+		s := valid
 		if change(&s); s.Decide() != want {
 			t.Errorf("%v, want %v", s.Decide(), want)
 		}
@@ -31,13 +31,13 @@
 	}
 }
 
-func TestAttemptAndRefusal(t *testing.T) {
+func TestAttemptDecideAndMayReject(t *testing.T) {
 	now := time.Now()
 	past, future := now.Add(-time.Millisecond), now.Add(time.Millisecond)
 	for _, c := range []struct {
-		name            string
-		is              Attempt
-		attempt, reject Reason
+		name                    string
+		attempt                 Attempt
+		wantAttempt, wantReject Reason
 	}{
 		{"the first", Attempt{}, Granted, Granted},
 		{"after the final answer", Attempt{Ended: true}, RequestOver, Granted},
@@ -52,17 +52,17 @@
 		{"a keyed one after it", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: past}}, DedupWindowOver, Granted},
 		{"a keyed one of a smaller group", Attempt{History: History{MayHaveRun: true, DedupUntil: future}}, MayHaveRun, MayHaveRun},
 	} {
-		c.is.Now = now
-		if got := c.is.Decide(); got != c.attempt {
-			t.Errorf("%s: attempt %v, want %v", c.name, got, c.attempt)
+		c.attempt.Now = now
+		if got := c.attempt.Decide(); got != c.wantAttempt {
+			t.Errorf("%s: attempt %v, want %v", c.name, got, c.wantAttempt)
 		}
-		if got := c.is.MayReject(); got != c.reject {
-			t.Errorf("%s: rejection %v, want %v", c.name, got, c.reject)
+		if got := c.attempt.MayReject(); got != c.wantReject {
+			t.Errorf("%s: rejection %v, want %v", c.name, got, c.wantReject)
 		}
 	}
 }
 
-func TestReasonsHaveNames(t *testing.T) {
+func TestReasonNamesUniqueAndNotEmpty(t *testing.T) {
 	seen := map[string]bool{}
 	for r := Granted; r < NumReasons; r++ {
 		if r.String() == "" || seen[r.String()] {
--- a/internal/net/dispatch/admission_test.go
+++ b/internal/net/dispatch/admission_test.go
@@ -10,15 +10,15 @@
 
 // What a balancer orders against the rules is counted, and not carried out. The balancer at hand orders nothing of this, so the test
 // does in its place.
-func TestForbiddenOrdersAreNotCarriedOut(t *testing.T) {
+func TestForbiddenOrderCountedAndDropped(t *testing.T) {
 	const server = 0
 	for _, c := range []struct {
-		name    string
-		in      Request
-		before  AttemptResult // how the first attempt ends; endCount: it is out still
-		order   func(h host, pending int)
-		want    admission.Reason
-		outcome Outcome
+		name        string
+		request     Request
+		firstResult AttemptResult // how the first attempt ends; endCount: it is out still
+		order       func(h host, pending int)
+		want        admission.Reason
+		outcome     Outcome
 	}{
 		{"a second attempt beside an unsafe one", Request{Class: "once", Key: "k"}, attemptResultCount,
 			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
@@ -32,9 +32,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			transport := &fakeTransport{}
 			d := startDispatcher(t, transport)
-			pending := submit(t, d, c.in, time.Second)
+			pending := submit(t, d, c.request, time.Second)
 			first := transport.take(0)
-			if c.before != attemptResultCount {
+			if c.firstResult != attemptResultCount {
 				// As the balancer would be told, but for its own end of the request.
 				d.mu.Lock()
 				first.finished, first.reported = true, true
@@ -46,7 +46,7 @@
 			if n := d.metrics.Violations[c.want].Load(); n != 1 {
 				t.Errorf("%d violations by %v, want one", n, c.want)
 			}
-			if s := transport.take(0); s != nil {
+			if attempt := transport.take(0); attempt != nil {
 				t.Error("an attempt was carried out")
 			}
 			a, answered := receivedAnswer(pending)
@@ -58,11 +58,11 @@
 }
 
 // A second final answer, and an attempt after the final one, are counted and go nowhere.
-func TestNothingFollowsTheFinalAnswer(t *testing.T) {
+func TestOrdersAfterFinalAnswerDropped(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	pending := submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
-	out := transport.take(0) // stays out, so that the index is not used again
+	inFlight := transport.take(0) // stays out, so that the index is not used again
 	d.withLock("test", nil, func(routing.Time) {
 		h := host{d}
 		h.Fail(pending.index)
@@ -76,17 +76,17 @@
 	if a, answered := receivedAnswer(pending); !answered || a.Outcome != Failed {
 		t.Errorf("answered: %v, %v", answered, a.Outcome)
 	}
-	if _, again := receivedAnswer(pending); again {
+	if _, answeredTwice := receivedAnswer(pending); answeredTwice {
 		t.Error("a second final answer")
 	}
 	if transport.take(0) != nil {
 		t.Error("an attempt after the final answer")
 	}
-	out.Finish(Complete, Answer{})
+	inFlight.Finish(Complete, Answer{})
 }
 
 // A keyed request is repeated while its servers remember its key, and not later.
-func TestAKeyedRepeatKeepsToItsWindow(t *testing.T) {
+func TestKeyedRetryAllowedWithinDedupWindow(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	pending := submit(t, d, Request{Class: "marked", Key: "k"}, time.Second)
@@ -96,11 +96,11 @@
 	pending.inFlight--
 	pending.noteMayHaveRun(first.startedAt)
 	attempt := admission.Attempt{History: pending.history(), Now: first.startedAt.Add(300 * time.Millisecond)}
-	if why := attempt.Decide(); why != admission.Granted {
-		t.Errorf("inside: %v", why)
+	if reason := attempt.Decide(); reason != admission.Granted {
+		t.Errorf("inside: %v", reason)
 	}
 	attempt.Now = first.startedAt.Add(500 * time.Millisecond)
-	if why := attempt.Decide(); why != admission.DedupWindowOver {
-		t.Errorf("after it: %v", why)
+	if reason := attempt.Decide(); reason != admission.DedupWindowOver {
+		t.Errorf("after it: %v", reason)
 	}
 }
--- a/internal/net/dispatch/clock_test.go
+++ b/internal/net/dispatch/clock_test.go
@@ -9,82 +9,82 @@
 
 // Start times on the list are Unix times of clocks that agree. Where ours was stepped after the start of the process, a cache that starts
 // is as cold as without that; a start in the future, or an old one under a name that is known, counts from when it was heard of.
-func TestAStartIsColdWhateverTheClockDid(t *testing.T) {
+func TestEndpointStartTimeWithWrongClock(t *testing.T) {
 	const tolerance = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		d := startDispatcher(t, &fakeTransport{})
 		d.wallNow = func() time.Time { return time.Now().Round(0).Add(step) }
-		since := func() time.Duration {
+		age := func() time.Duration {
 			return toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt)
 		}
-		started := testEndpoints[0]
-		started.StartedMs = float64(d.wallNow().UnixMilli()) - 500
-		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
-		if age := since(); age < 400*time.Millisecond || age > 500*time.Millisecond+tolerance {
-			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, age)
+		listed := testEndpoints[0]
+		listed.StartedMs = float64(d.wallNow().UnixMilli()) - 500
+		d.UpdateEndpoints(routing.Incremental, []Endpoint{listed})
+		if got := age(); got < 400*time.Millisecond || got > 500*time.Millisecond+tolerance {
+			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, got)
 		}
-		at := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt
+		startedAt := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt
 		d.wallNow = func() time.Time { return time.Now().Round(0) } // stepped back
-		d.UpdateEndpoints(routing.Full, []Endpoint{started, testEndpoints[1], testEndpoints[2], testEndpoints[3]})
-		if again := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt; again != at {
-			t.Errorf("stepped by %v: one start is two, at %v and %v", step, at, again)
+		d.UpdateEndpoints(routing.Full, []Endpoint{listed, testEndpoints[1], testEndpoints[2], testEndpoints[3]})
+		if startedAgain := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt; startedAgain != startedAt {
+			t.Errorf("stepped by %v: one start is two, at %v and %v", step, startedAt, startedAgain)
 		}
 	}
 	d := startDispatcher(t, &fakeTransport{})
 	future := testEndpoints[0]
 	future.StartedMs = float64(time.Now().Add(time.Hour).UnixMilli())
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{future})
-	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age < -tolerance || age > tolerance {
-		t.Errorf("a start an hour ahead counts as %v ago", age)
+	if got := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); got < -tolerance || got > tolerance {
+		t.Errorf("a start an hour ahead counts as %v ago", got)
 	}
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{testEndpoints[1]}) // the list is live
 	past := testEndpoints[0]
 	past.StartedMs = float64(time.Now().Add(-time.Hour).UnixMilli())
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{past})
-	if age := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); age > tolerance {
-		t.Errorf("a cache that has started since the list was last told counts as %v old", age)
+	if got := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); got > tolerance {
+		t.Errorf("a cache that has started since the list was last told counts as %v old", got)
 	}
 }
 
 // What operators put back is cold, wherever the wall clock stood when it was taken out: its start was before that all the same. One that has started
 // since it was taken out is as old as its start.
-func TestWhatIsPutBackIsColdWhateverTheClockDid(t *testing.T) {
+func TestRestoredEndpointStartTimeWithWrongClock(t *testing.T) {
 	const tolerance = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		d := startDispatcher(t, &fakeTransport{})
-		since := func() time.Duration {
+		age := func() time.Duration {
 			return toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["new"]).StartedAt)
 		}
 		wall := func() float64 { return float64(d.wallNow().UnixMilli()) }
-		started := testEndpoints[0]
-		started.ID, started.Address = "new", "new:1"
-		started.StartedMs = wall() - 600_000
-		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
+		listed := testEndpoints[0]
+		listed.ID, listed.Address = "new", "new:1"
+		listed.StartedMs = wall() - 600_000
+		d.UpdateEndpoints(routing.Incremental, []Endpoint{listed})
 		d.wallNow = func() time.Time { return time.Now().Round(0).Add(step) }
 		ejection := Ejection{ID: "new", EjectedAt: wall()}
 		d.SetEjections([]Ejection{ejection})
 		ejection.RestoredAt = wall() + 1
 		d.SetEjections([]Ejection{ejection})
-		if age := since(); age < -tolerance || age > tolerance {
-			t.Errorf("stepped by %v: what was just put back counts as %v old", step, age)
+		if got := age(); got < -tolerance || got > tolerance {
+			t.Errorf("stepped by %v: what was just put back counts as %v old", step, got)
 		}
 		ejection = Ejection{ID: "new", EjectedAt: wall() - 9_000}
 		d.SetEjections([]Ejection{ejection})
-		started.StartedMs = wall() - 5_000
-		d.UpdateEndpoints(routing.Incremental, []Endpoint{started})
+		listed.StartedMs = wall() - 5_000
+		d.UpdateEndpoints(routing.Incremental, []Endpoint{listed})
 		ejection.RestoredAt = wall()
 		d.SetEjections([]Ejection{ejection})
-		if age := since(); age < 5*time.Second-tolerance || age > 5*time.Second+tolerance {
-			t.Errorf("stepped by %v: what has started 5 s ago, after it was taken out, counts as %v old", step, age)
+		if got := age(); got < 5*time.Second-tolerance || got > 5*time.Second+tolerance {
+			t.Errorf("stepped by %v: what has started 5 s ago, after it was taken out, counts as %v old", step, got)
 		}
 	}
 }
 
 // The clock starts at Unix time, so that the list's start times can be set beside it, and rounds down.
-func TestTheClockAgreesWithTheList(t *testing.T) {
+func TestClockMatchesUnixTimeRoundedDown(t *testing.T) {
 	start := time.UnixMilli(1_700_000_000_000)
 	c := clock{start}
-	if at := c.toRoutingTime(start.Add(1999 * time.Microsecond)); at != fromUnix(1_700_000_000_001)+9 || fromUnix(0) != 0 {
-		t.Errorf("%d, %d", at, fromUnix(1_700_000_000_001))
+	if got := c.toRoutingTime(start.Add(1999 * time.Microsecond)); got != fromUnix(1_700_000_000_001)+9 || fromUnix(0) != 0 {
+		t.Errorf("%d, %d", got, fromUnix(1_700_000_000_001))
 	}
 }
--- a/internal/net/dispatch/dispatcher_test.go
+++ b/internal/net/dispatch/dispatcher_test.go
@@ -16,16 +16,16 @@
 	wg sync.WaitGroup
 }
 
-func (h *doubleFinisher) Send(s *Attempt) {
-	for _, end := range []AttemptResult{Complete, TimedOut} {
-		h.wg.Go(func() { s.Finish(end, Answer{}) })
+func (f *doubleFinisher) Send(a *Attempt) {
+	for _, result := range []AttemptResult{Complete, TimedOut} {
+		f.wg.Go(func() { a.Finish(result, Answer{}) })
 	}
 }
 
 // Answer, time-out and the client's leaving come at once: one end for each request, and nothing is kept.
-func TestWhatComesAtOnceEndsALookupOnce(t *testing.T) {
-	h := &doubleFinisher{}
-	d := startDispatcher(t, h)
+func TestConcurrentEventsEndRequestOnce(t *testing.T) {
+	transport := &doubleFinisher{}
+	d := startDispatcher(t, transport)
 	var clients sync.WaitGroup
 	for i := range 300 {
 		clients.Go(func() {
@@ -42,26 +42,26 @@
 		})
 	}
 	clients.Wait()
-	h.wg.Wait()
-	y := d.Stats()
-	if ends := y.Served + y.Rejected + y.Failed + y.ClientGone; ends != 300 || d.InFlight() != 0 || y.Panics != 0 {
-		t.Errorf("%d ends of 300, %d still known, %d panics", ends, d.InFlight(), y.Panics)
+	transport.wg.Wait()
+	stats := d.Stats()
+	if ends := stats.Served + stats.Rejected + stats.Failed + stats.ClientGone; ends != 300 || d.InFlight() != 0 || stats.Panics != 0 {
+		t.Errorf("%d ends of 300, %d still known, %d panics", ends, d.InFlight(), stats.Panics)
 	}
 }
 
 // A request that waits for another's fetch is answered by its alarm, not before its limit and not long after.
-func TestAlarmsComeInTimeAndNotEarly(t *testing.T) {
+func TestWaitingRequestRejectedAtDeadline(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	first := submit(t, d, Request{Class: "late", Key: "k"}, time.Minute)
 	transport.take(0).Finish(NotFound, Answer{})
-	began := time.Now()
+	submittedAt := time.Now()
 	second := submit(t, d, Request{Class: "late", Key: "k"}, 80*time.Millisecond)
 	if a := <-second.Answers(); a.Outcome != Rejected {
 		t.Errorf("got %+v", a)
 	}
-	if took := time.Since(began); took < 79*time.Millisecond || took > 300*time.Millisecond {
-		t.Errorf("answered after %v", took)
+	if elapsed := time.Since(submittedAt); elapsed < 79*time.Millisecond || elapsed > 300*time.Millisecond {
+		t.Errorf("answered after %v", elapsed)
 	}
 	if transport.take(0).Finish(Complete, Answer{}); d.InFlight() != 0 {
 		t.Errorf("%d requests are still known", d.InFlight())
@@ -69,12 +69,12 @@
 	<-first.Answers()
 }
 
-func TestALimitThatHasPassedIsAnsweredWithoutAShot(t *testing.T) {
+func TestExpiredDeadlineRejectedWithoutAttempt(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
-	for _, within := range []time.Duration{0, -time.Second} {
-		if a, came := receivedAnswer(submit(t, d, Request{Class: "once", Write: true}, within)); !came || a.Outcome != Rejected {
-			t.Errorf("%v: %+v, %v", within, a, came)
+	for _, timeout := range []time.Duration{0, -time.Second} {
+		if a, answered := receivedAnswer(submit(t, d, Request{Class: "once", Write: true}, timeout)); !answered || a.Outcome != Rejected {
+			t.Errorf("%v: %+v, %v", timeout, a, answered)
 		}
 	}
 	if transport.take(0) != nil || d.InFlight() != 0 {
@@ -83,53 +83,53 @@
 }
 
 // The id of a request that is in flight is rejected with nothing sent, until all its attempts have settled.
-func TestAnIdThatIsOutIsTurnedAway(t *testing.T) {
+func TestDuplicateTraceIDRejectedUntilReleased(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	first := submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
-	again := func() error {
+	resubmit := func() error {
 		_, err := d.Submit(Request{Class: "read", Key: "l", TraceID: first.TraceID}, time.Now(), time.Second)
 		return err
 	}
 	attempt := transport.take(0)
-	if err := again(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
+	if err := resubmit(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
 		t.Errorf("while it is out: %v", err)
 	}
 	first.Cancel()
-	if err := again(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
+	if err := resubmit(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
 		t.Errorf("while its attempt is out: %v", err)
 	}
 	attempt.Finish(Complete, Answer{})
-	if err := again(); err != nil || len(d.requests.byTraceID) != 1 {
+	if err := resubmit(); err != nil || len(d.requests.byTraceID) != 1 {
 		t.Errorf("afterwards: %v, %d ids are kept", err, len(d.requests.byTraceID))
 	}
 }
 
-func TestALimitBeyondTheTermsIsCut(t *testing.T) {
+func TestTimeoutCappedAtMaxDeadline(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	submit(t, d, Request{Class: "late", Key: "k"}, time.Hour)
-	if s := transport.take(0); s.Timeout > 750*time.Millisecond || s.Timeout < 700*time.Millisecond {
-		t.Errorf("the attempt has %v", s.Timeout)
+	if attempt := transport.take(0); attempt.Timeout > 750*time.Millisecond || attempt.Timeout < 700*time.Millisecond {
+		t.Errorf("the attempt has %v", attempt.Timeout)
 	}
 }
 
 // A panic of routing answers the request at hand with no promise; its index is not used again.
-func TestAPanicAnswersTheLookup(t *testing.T) {
+func TestPanicFailsRequest(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
-	whole := d.balancer
+	balancer := d.balancer
 	d.balancer = nil
 	pending := submit(t, d, Request{Class: "read"}, time.Second)
-	if a, came := receivedAnswer(pending); !came || a.Outcome != Failed {
-		t.Errorf("%+v, %v", a, came)
+	if a, answered := receivedAnswer(pending); !answered || a.Outcome != Failed {
+		t.Errorf("%+v, %v", a, answered)
 	}
-	d.balancer = whole
+	d.balancer = balancer
 	host{d}.Send(pending.index, 0, routing.Millisecond)
 	if transport.take(0) != nil || len(d.requests.byTraceID) != 0 {
 		t.Errorf("an attempt after the final answer, or %d ids are kept", len(d.requests.byTraceID))
 	}
-	if next := submit(t, d, Request{Class: "read"}, time.Second); next.index == pending.index || transport.take(0) == nil {
-		t.Errorf("the next request has index %d after %d", next.index, pending.index)
+	if second := submit(t, d, Request{Class: "read"}, time.Second); second.index == pending.index || transport.take(0) == nil {
+		t.Errorf("the next request has index %d after %d", second.index, pending.index)
 	}
 }
--- a/internal/net/dispatch/ejections_test.go
+++ b/internal/net/dispatch/ejections_test.go
@@ -12,138 +12,138 @@
 
 // Ejections, lists, restarts, new addresses and returns in any order: no attempt is decided to what is ejected or doesn't stand
 // ready on the list, an ejection ends by a call back only, and what is back starts cold.
-func TestBansHoldInAnyOrder(t *testing.T) {
-	seed, all := int64(0), map[string]int{}
-	random := func() bool {
+func TestRandomEventsKeepEjections(t *testing.T) {
+	seed, attemptCounts := int64(0), map[string]int{}
+	run := func() bool {
 		seed++
-		r := rand.New(rand.NewSource(seed))
-		f := &fakeTransport{}
-		d := startDispatcher(t, f)
+		random := rand.New(rand.NewSource(seed))
+		transport := &fakeTransport{}
+		d := startDispatcher(t, transport)
 		ids := []string{"a", "b", "c", "d"}
 		listed := map[string]Endpoint{}
-		for _, b := range testEndpoints {
-			listed[b.ID] = b
+		for _, endpoint := range testEndpoints {
+			listed[endpoint.ID] = endpoint
 		}
-		ejected := map[string]Ejection{}
-		clock := d.clock.start.UnixMilli() - 100000 // what happened then is warm by now
+		ejections := map[string]Ejection{}
+		unixMs := d.clock.start.UnixMilli() - 100000 // what happened then is warm by now
 		for step := range 300 {
-			clock++
-			id := ids[r.Intn(len(ids))]
-			b, there := listed[id]
-			if !there {
-				b = Endpoint{ID: id, Address: id + ":1", Model: "box"}
+			unixMs++
+			id := ids[random.Intn(len(ids))]
+			endpoint, isListed := listed[id]
+			if !isListed {
+				endpoint = Endpoint{ID: id, Address: id + ":1", Model: "box"}
 			}
-			switch r.Intn(9) {
+			switch random.Intn(9) {
 			case 0: // ejected, perhaps again
-				if ejected[id].EjectedAt == 0 || ejected[id].RestoredAt > 0 {
-					ejected[id] = Ejection{ID: id, EjectedAt: float64(clock)}
+				if ejections[id].EjectedAt == 0 || ejections[id].RestoredAt > 0 {
+					ejections[id] = Ejection{ID: id, EjectedAt: float64(unixMs)}
 				}
 			case 1:
-				if ejection := ejected[id]; ejection.EjectedAt > 0 && ejection.RestoredAt == 0 {
-					ejection.RestoredAt = float64(clock)
-					ejected[id] = ejection
+				if ejection := ejections[id]; ejection.EjectedAt > 0 && ejection.RestoredAt == 0 {
+					ejection.RestoredAt = float64(unixMs)
+					ejections[id] = ejection
 				}
 			case 2, 3:
-				b.State = []routing.State{routing.Ready, routing.Ready, routing.Draining}[r.Intn(3)]
-				listed[id] = b
-				d.UpdateEndpoints(routing.Incremental, []Endpoint{b})
+				endpoint.State = []routing.State{routing.Ready, routing.Ready, routing.Draining}[random.Intn(3)]
+				listed[id] = endpoint
+				d.UpdateEndpoints(routing.Incremental, []Endpoint{endpoint})
 			case 4: // restarted, perhaps at another address
-				b.StartedMs, b.State, b.Address = float64(clock), routing.Ready, fmt.Sprint(id, ":", r.Intn(3))
-				listed[id] = b
-				d.UpdateEndpoints(routing.Incremental, []Endpoint{b})
+				endpoint.StartedMs, endpoint.State, endpoint.Address = float64(unixMs), routing.Ready, fmt.Sprint(id, ":", random.Intn(3))
+				listed[id] = endpoint
+				d.UpdateEndpoints(routing.Incremental, []Endpoint{endpoint})
 			case 5:
-				if delete(listed, id); there {
-					b.State = routing.Gone
-					d.UpdateEndpoints(routing.Incremental, []Endpoint{b})
+				if delete(listed, id); isListed {
+					endpoint.State = routing.Gone
+					d.UpdateEndpoints(routing.Incremental, []Endpoint{endpoint})
 				}
 			case 6:
-				whole := []Endpoint{}
-				for _, b := range listed {
-					whole = append(whole, b)
+				full := []Endpoint{}
+				for _, endpoint := range listed {
+					full = append(full, endpoint)
 				}
-				d.UpdateEndpoints(routing.Full, whole)
+				d.UpdateEndpoints(routing.Full, full)
 			default:
-				in := Request{Class: "read", Key: fmt.Sprint("k", r.Intn(50)), TraceID: fmt.Sprint(seed, step)}
-				if _, err := d.Submit(in, d.clock.start, 1e9); err != nil {
+				request := Request{Class: "read", Key: fmt.Sprint("k", random.Intn(50)), TraceID: fmt.Sprint(seed, step)}
+				if _, err := d.Submit(request, d.clock.start, 1e9); err != nil {
 					t.Error(err)
 				}
 			}
-			list := []Ejection{}
-			for _, ejection := range ejected {
-				list = append(list, ejection)
+			ejectionList := []Ejection{}
+			for _, ejection := range ejections {
+				ejectionList = append(ejectionList, ejection)
 			}
-			d.SetEjections(list)
-			for s := f.take(0); s != nil; s = f.take(0) {
-				id, _, _ := strings.Cut(s.Address, ":")
-				ejection := ejected[id]
-				if at := listed[id]; at.Address != s.Address || at.State != routing.Ready || ejection.EjectedAt > 0 && ejection.RestoredAt == 0 {
-					t.Errorf("seed %d, step %d: an attempt to %s, listed %+v, ejection %+v", seed, step, s.Address, at, ejection)
+			d.SetEjections(ejectionList)
+			for attempt := transport.take(0); attempt != nil; attempt = transport.take(0) {
+				id, _, _ := strings.Cut(attempt.Address, ":")
+				ejection := ejections[id]
+				if current := listed[id]; current.Address != attempt.Address || current.State != routing.Ready || ejection.EjectedAt > 0 && ejection.RestoredAt == 0 {
+					t.Errorf("seed %d, step %d: an attempt to %s, listed %+v, ejection %+v", seed, step, attempt.Address, current, ejection)
 					return false
 				}
-				if all[id]++; ejection.RestoredAt > 0 {
-					all["back"]++
+				if attemptCounts[id]++; ejection.RestoredAt > 0 {
+					attemptCounts["back"]++
 				}
-				s.Finish(Complete, Answer{})
+				attempt.Finish(Complete, Answer{})
 			}
-			for id, ejection := range ejected {
+			for id, ejection := range ejections {
 				i, known := d.endpoints.byID[id]
 				if !known || d.endpoints.entries[i].gone {
 					continue
 				}
-				box := d.routingEndpoint(i)
-				if ejection.RestoredAt == 0 && box.State == routing.Ready || ejection.RestoredAt > 0 && box.StartedAt < fromUnix(ejection.EjectedAt) {
-					t.Errorf("seed %d, step %d: %s is shown as %+v, ejection %+v", seed, step, id, box, ejection)
+				reported := d.routingEndpoint(i)
+				if ejection.RestoredAt == 0 && reported.State == routing.Ready || ejection.RestoredAt > 0 && reported.StartedAt < fromUnix(ejection.EjectedAt) {
+					t.Errorf("seed %d, step %d: %s is shown as %+v, ejection %+v", seed, step, id, reported, ejection)
 					return false
 				}
 			}
 		}
 		return true
 	}
-	if err := quick.Check(random, &quick.Config{MaxCount: 60}); err != nil {
+	if err := quick.Check(run, &quick.Config{MaxCount: 60}); err != nil {
 		t.Error(err)
 	}
 	for _, kind := range []string{"a", "b", "c", "back"} {
-		if all[kind] == 0 {
-			t.Errorf("no attempts of the kind %q: %v", kind, all)
+		if attemptCounts[kind] == 0 {
+			t.Errorf("no attempts of the kind %q: %v", kind, attemptCounts)
 		}
 	}
 }
 
 // A new start that the list tells of after the return makes the server cold anew; the return alone does so once.
-func TestWhatIsBackStartsCold(t *testing.T) {
+func TestRestoredEndpointStartTime(t *testing.T) {
 	d := startDispatcher(t, &fakeTransport{})
-	out := float64(d.clock.start.UnixMilli())
-	since := func() routing.Time { return d.routingEndpoint(d.endpoints.byID["a"]).StartedAt }
-	d.SetEjections([]Ejection{{ID: "a", EjectedAt: out}})
-	if since() != 0 {
+	ejectedAt := float64(d.clock.start.UnixMilli())
+	startedAt := func() routing.Time { return d.routingEndpoint(d.endpoints.byID["a"]).StartedAt }
+	d.SetEjections([]Ejection{{ID: "a", EjectedAt: ejectedAt}})
+	if startedAt() != 0 {
 		t.Error("an ejection alone is no start")
 	}
-	d.SetEjections([]Ejection{{ID: "a", EjectedAt: out, RestoredAt: out + 100}})
+	d.SetEjections([]Ejection{{ID: "a", EjectedAt: ejectedAt, RestoredAt: ejectedAt + 100}})
 	d.UpdateEndpoints(routing.Full, testEndpoints) // which knows nothing yet
-	if got := since(); got != fromUnix(out+100) {
+	if got := startedAt(); got != fromUnix(ejectedAt+100) {
 		t.Errorf("since %v, want the return", got)
 	}
 	d.SetEjections(nil) // what is forgotten after its return changes nothing
-	if got := since(); got != fromUnix(out+100) {
+	if got := startedAt(); got != fromUnix(ejectedAt+100) {
 		t.Errorf("since %v, want the return", got)
 	}
-	later := testEndpoints[0]
-	later.StartedMs = out + 50
-	d.UpdateEndpoints(routing.Incremental, []Endpoint{later})
-	if got := since(); got != fromUnix(out+50) {
+	restarted := testEndpoints[0]
+	restarted.StartedMs = ejectedAt + 50
+	d.UpdateEndpoints(routing.Incremental, []Endpoint{restarted})
+	if got := startedAt(); got != fromUnix(ejectedAt+50) {
 		t.Errorf("since %v, want the start that the list told of", got)
 	}
 }
 
 // What remembers ids is bounded, and forgets the oldest first.
-func TestHeardIsBounded(t *testing.T) {
-	var h listedIDs
+func TestListedIDsBoundedOldestDropped(t *testing.T) {
+	var ids listedIDs
 	for i := range 3 * maxListedIDs {
-		h.add(fmt.Sprint(i))
-		h.add(fmt.Sprint(i)) // once
+		ids.add(fmt.Sprint(i))
+		ids.add(fmt.Sprint(i)) // once
 	}
-	if len(h.ids) != maxListedIDs || len(h.order) != maxListedIDs || h.ids[fmt.Sprint(2*maxListedIDs-1)] ||
-		!h.ids[fmt.Sprint(2*maxListedIDs)] || !h.ids[fmt.Sprint(3*maxListedIDs-1)] {
-		t.Errorf("%d ids are remembered", len(h.ids))
+	if len(ids.ids) != maxListedIDs || len(ids.order) != maxListedIDs || ids.ids[fmt.Sprint(2*maxListedIDs-1)] ||
+		!ids.ids[fmt.Sprint(2*maxListedIDs)] || !ids.ids[fmt.Sprint(3*maxListedIDs-1)] {
+		t.Errorf("%d ids are remembered", len(ids.ids))
 	}
 }
--- a/internal/net/dispatch/endpoint_latency_test.go
+++ b/internal/net/dispatch/endpoint_latency_test.go
@@ -11,81 +11,81 @@
 // A read that waits while later ones at its server are answered, for several of its mean times, may be on a connection
 // that has fallen silent: it goes to another server as well. It doesn't while none was answered, and a write or
 // an unsafe one never. The slow answer still counts, once.
-func TestAReadThatOthersPassGoesElsewhereToo(t *testing.T) {
+func TestBypassedReadHedged(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	d.UpdateEndpoints(routing.Full, []Endpoint{testEndpoints[0], testEndpoints[1], testEndpoints[3]})
 	for i := range d.endpoints.entries {
 		d.endpoints.entries[i].meanLatency = 5 * time.Millisecond
 	}
-	send := func(in Request) (*PendingRequest, *Attempt) {
-		return submit(t, d, in, time.Second), transport.take(0)
+	send := func(request Request) (*PendingRequest, *Attempt) {
+		return submit(t, d, request, time.Second), transport.take(0)
 	}
-	quiet := func() {
+	expectNoAttempt := func() {
 		t.Helper()
 		time.Sleep(4 * bypassFactor * 5 * time.Millisecond)
-		if s := transport.take(0); s != nil {
-			t.Fatalf("an attempt to %s", s.Address)
+		if attempt := transport.take(0); attempt != nil {
+			t.Fatalf("an attempt to %s", attempt.Address)
 		}
 	}
 	read := Request{Class: "read", Key: "k"}
 	pending, slow := send(read)
-	quiet() // nothing says that the server works
+	expectNoAttempt() // nothing says that the server works
 	_, later := send(read)
 	if later.Address != slow.Address {
 		t.Fatalf("the second went to %s, the first to %s", later.Address, slow.Address)
 	}
 	later.Finish(Complete, Answer{})
-	var other *Attempt
-	for end := time.Now().Add(time.Second); other == nil && time.Now().Before(end); other = transport.take(0) {
+	var hedge *Attempt
+	for deadline := time.Now().Add(time.Second); hedge == nil && time.Now().Before(deadline); hedge = transport.take(0) {
 		time.Sleep(time.Millisecond)
 	}
-	if other == nil || other.TraceID != slow.TraceID || other.Address == slow.Address {
-		t.Fatalf("passed, and then %v", other)
+	if hedge == nil || hedge.TraceID != slow.TraceID || hedge.Address == slow.Address {
+		t.Fatalf("passed, and then %v", hedge)
 	}
 	slow.Finish(Complete, Answer{Body: []byte("slow")})
 	if a, _ := receivedAnswer(pending); string(a.Body) != "slow" {
 		t.Errorf("the slow answer did not count: %v", a)
 	}
-	if other.ClientState() == admission.Granted { // its connection may come up only now
+	if hedge.ClientState() == admission.Granted { // its connection may come up only now
 		t.Error("an attempt may begin after the final answer")
 	}
-	var crossed *PendingRequest
-	crossed, attempt := send(Request{Class: "read", Key: "k", ClientGone: func() bool {
-		crossed.Cancel() // the request ends while the kernel is asked for its client
+	var ended *PendingRequest
+	ended, attempt := send(Request{Class: "read", Key: "k", ClientGone: func() bool {
+		ended.Cancel() // the request ends while the kernel is asked for its client
 		return false
 	}})
 	if attempt.ClientState() == admission.Granted {
 		t.Error("an attempt may begin when its request ended meanwhile")
 	}
 	attempt.Finish(Withheld, Answer{})
-	other.Finish(Complete, Answer{Body: []byte("other")})
-	if a, more := receivedAnswer(pending); more {
+	hedge.Finish(Complete, Answer{Body: []byte("other")})
+	if a, answeredTwice := receivedAnswer(pending); answeredTwice {
 		t.Errorf("another final answer: %v", a)
 	}
-	for _, in := range []Request{{Class: "read", Write: true}, {Class: "once", Key: "k"}} {
-		_, first := send(in)
-		_, second := send(in)
+	for _, request := range []Request{{Class: "read", Write: true}, {Class: "once", Key: "k"}} {
+		_, first := send(request)
+		_, second := send(request)
 		if first.ClientState() != admission.Granted {
 			t.Error("a request that has no answer yet is not wanted")
 		}
 		second.Finish(Complete, Answer{})
-		quiet() // another attempt of what isn't safe might be an effect twice
+		expectNoAttempt() // another attempt of what isn't safe might be an effect twice
 		first.Finish(Complete, Answer{})
 	}
-	if y := d.Stats(); y.Results[Bypassed] != 1 || y.Panics > 0 || len(d.requests.byTraceID) > 0 {
-		t.Errorf("tally %+v, %d ids out", y, len(d.requests.byTraceID))
+	if stats := d.Stats(); stats.Results[Bypassed] != 1 || stats.Panics > 0 || len(d.requests.byTraceID) > 0 {
+		t.Errorf("tally %+v, %d ids out", stats, len(d.requests.byTraceID))
 	}
-	for _, p := range d.endpoints.entries {
-		if len(p.inFlight) > 0 {
-			t.Errorf("%d attempts are still counted at %s", len(p.inFlight), p.id)
+	for _, entry := range d.endpoints.entries {
+		if len(entry.inFlight) > 0 {
+			t.Errorf("%d attempts are still counted at %s", len(entry.inFlight), entry.id)
 		}
 	}
 }
 
 // Where hedged requests are off, a read that later ones pass has no other attempt beside it; the balancer's next one waits for
 // its end.
-func TestNoSecondCopyWhereNoneIsAllowed(t *testing.T) {
+func TestBypassedReadNotHedgedWhenHedgingOff(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		transport := &fakeTransport{}
 		d := startDispatcher(t, transport)
@@ -99,8 +99,8 @@
 		submit(t, d, read, time.Second)
 		transport.take(0).Finish(Complete, Answer{})
 		time.Sleep(50 * time.Millisecond)
-		if other := transport.take(0); (other != nil) != allowed {
-			t.Errorf("hedging %v: %v beside the first attempt", allowed, other)
+		if hedge := transport.take(0); (hedge != nil) != allowed {
+			t.Errorf("hedging %v: %v beside the first attempt", allowed, hedge)
 		}
 		slow.Finish(ServerError, Answer{})
 		if next := transport.take(0); !allowed && next == nil {
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -21,16 +21,16 @@
 	closedIdle []uint64
 }
 
-func (f *fakeTransport) Send(s *Attempt) {
+func (f *fakeTransport) Send(a *Attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.attempts = append(f.attempts, s)
+	f.attempts = append(f.attempts, a)
 }
 
-func (f *fakeTransport) CloseIdle(place uint64, _ int) {
+func (f *fakeTransport) CloseIdle(incarnation uint64, _ int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closedIdle = append(f.closedIdle, place)
+	f.closedIdle = append(f.closedIdle, incarnation)
 }
 
 func (f *fakeTransport) SetMaxConns(int) {}
@@ -43,9 +43,9 @@
 		return nil
 	}
 	i := n % len(f.attempts)
-	s := f.attempts[i]
+	a := f.attempts[i]
 	f.attempts = append(f.attempts[:i], f.attempts[i+1:]...)
-	return s
+	return a
 }
 
 type fakeSource struct{}
@@ -83,9 +83,9 @@
 }
 
 // receivedAnswer gives the answer that has come, if one has.
-func receivedAnswer(t *PendingRequest) (Answer, bool) {
+func receivedAnswer(pending *PendingRequest) (Answer, bool) {
 	select {
-	case a := <-t.answers:
+	case a := <-pending.answers:
 		return a, true
 	default:
 		return Answer{}, false
@@ -94,10 +94,10 @@
 
 var traceIDs atomic.Int64
 
-func submit(t *testing.T, d *Dispatcher, in Request, within time.Duration) *PendingRequest {
+func submit(t *testing.T, d *Dispatcher, request Request, timeout time.Duration) *PendingRequest {
 	t.Helper()
-	in.TraceID = fmt.Sprint("t", traceIDs.Add(1)) // new with every request
-	pending, err := d.Submit(in, time.Now(), within)
+	request.TraceID = fmt.Sprint("t", traceIDs.Add(1)) // new with every request
+	pending, err := d.Submit(request, time.Now(), timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/dispatch/listed_ids_test.go
+++ b/internal/net/dispatch/listed_ids_test.go
@@ -10,22 +10,22 @@
 )
 
 // Every server that is on the list was heard of, however long the list is, and however many have come and gone.
-func TestEachListedServerWasHeardOf(t *testing.T) {
+func TestWasListedForLongList(t *testing.T) {
 	d := startDispatcher(t, &fakeTransport{})
 	d.log = zap.NewNop()
-	var all []Endpoint
+	var listed []Endpoint
 	for i := range maxListedIDs + 1600 {
-		all = append(all, Endpoint{ID: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("a:%d", i), Model: "box"})
+		listed = append(listed, Endpoint{ID: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("a:%d", i), Model: "box"})
 	}
-	d.UpdateEndpoints(routing.Full, all)
-	unknown := 0
-	for _, b := range all {
-		if !d.WasListed(b.ID) {
-			unknown++
+	d.UpdateEndpoints(routing.Full, listed)
+	missing := 0
+	for _, endpoint := range listed {
+		if !d.WasListed(endpoint.ID) {
+			missing++
 		}
 	}
-	if unknown > 0 {
-		t.Errorf("%d of %d listed servers are not known", unknown, len(all))
+	if missing > 0 {
+		t.Errorf("%d of %d listed servers are not known", missing, len(listed))
 	}
 	if d.WasListed("never") {
 		t.Error("one that was never listed is known")
--- a/internal/net/dispatch/random_test.go
+++ b/internal/net/dispatch/random_test.go
@@ -18,102 +18,102 @@
 }
 
 // check holds a request to the rules; it returns what is broken.
-func (f *trackedRequest) check() string {
-	f.PendingRequest.dispatcher.mu.Lock() // an attempt may be passed meanwhile
-	defer f.PendingRequest.dispatcher.mu.Unlock()
-	return f.checkLocked()
+func (r *trackedRequest) check() string {
+	r.PendingRequest.dispatcher.mu.Lock() // an attempt may be passed meanwhile
+	defer r.PendingRequest.dispatcher.mu.Unlock()
+	return r.checkLocked()
 }
 
 // checkLocked is check with the dispatcher's lock held.
-func (f *trackedRequest) checkLocked() string {
-	a, came := receivedAnswer(f.PendingRequest)
+func (r *trackedRequest) checkLocked() string {
+	answer, received := receivedAnswer(r.PendingRequest)
 	switch {
-	case came && (f.answered || f.abandoned):
+	case received && (r.answered || r.abandoned):
 		return "an answer after the end"
-	case came && a.Outcome == Rejected && f.mayHaveRun && f.Class == "once":
+	case received && answer.Outcome == Rejected && r.mayHaveRun && r.Class == "once":
 		return "a rejection though it may have run"
-	case f.PendingRequest.attempts > f.seenAttempts && (f.answered || f.abandoned):
+	case r.PendingRequest.attempts > r.seenAttempts && (r.answered || r.abandoned):
 		return "an attempt after the end"
-	case f.PendingRequest.attempts > f.seenAttempts && f.mayHaveRun && f.Class == "once":
+	case r.PendingRequest.attempts > r.seenAttempts && r.mayHaveRun && r.Class == "once":
 		return "a second attempt though the first may have run"
 	}
-	f.answered, f.seenAttempts = f.answered || came, f.PendingRequest.attempts
+	r.answered, r.seenAttempts = r.answered || received, r.PendingRequest.attempts
 	return ""
 }
 
 // Requests come, attempts end in any way and some are told of twice, clients leave, all in any order.
-func TestRandomRunsKeepTheRules(t *testing.T) {
+func TestRandomEventsKeepRequestRules(t *testing.T) {
 	run := func(seed int64) bool {
-		r, transport := rand.New(rand.NewSource(seed)), &fakeTransport{}
+		random, transport := rand.New(rand.NewSource(seed)), &fakeTransport{}
 		d := startDispatcher(t, transport)
-		var all []*trackedRequest
-		of := map[*PendingRequest]*trackedRequest{}
-		settle := func() bool {
-			s := transport.take(r.Intn(1000))
-			if s == nil {
+		var requests []*trackedRequest
+		byPending := map[*PendingRequest]*trackedRequest{}
+		finishAny := func() bool {
+			attempt := transport.take(random.Intn(1000))
+			if attempt == nil {
 				return false
 			}
-			if broken := of[s.pending].check(); broken != "" { // up to here, before more becomes known
-				t.Error(broken)
+			if violation := byPending[attempt.pending].check(); violation != "" { // up to here, before more becomes known
+				t.Error(violation)
 			}
-			end := AttemptResult(r.Intn(int(attemptResultCount)))
-			switch end.Code() {
+			result := AttemptResult(random.Intn(int(attemptResultCount)))
+			switch result.Code() {
 			case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.Withheld:
 			default:
-				of[s.pending].mayHaveRun = true
+				byPending[attempt.pending].mayHaveRun = true
 			}
-			s.Finish(end, Answer{Body: []byte("v")})
-			s.Finish(AttemptResult(r.Intn(int(attemptResultCount))), Answer{})
+			attempt.Finish(result, Answer{Body: []byte("v")})
+			attempt.Finish(AttemptResult(random.Intn(int(attemptResultCount))), Answer{})
 			return true
 		}
 		for step := 0; step < 300; step++ {
-			switch r.Intn(5) {
+			switch random.Intn(5) {
 			case 0, 1:
-				ns := []string{"read", "once"}[r.Intn(2)]
-				f := &trackedRequest{}
+				class := []string{"read", "once"}[random.Intn(2)]
+				tracked := &trackedRequest{}
 				// The attempt may be carried before Submit returns, but nobody settles it before that.
-				f.PendingRequest = submit(t, d, Request{Class: ns, Key: strconv.Itoa(r.Intn(20)), Write: r.Intn(4) == 0}, time.Minute)
-				of[f.PendingRequest] = f
-				all = append(all, f)
+				tracked.PendingRequest = submit(t, d, Request{Class: class, Key: strconv.Itoa(random.Intn(20)), Write: random.Intn(4) == 0}, time.Minute)
+				byPending[tracked.PendingRequest] = tracked
+				requests = append(requests, tracked)
 			case 2, 3:
-				settle()
+				finishAny()
 			case 4:
-				if len(all) > 0 {
-					f := all[r.Intn(len(all))]
-					broken := ""
+				if len(requests) > 0 {
+					tracked := requests[random.Intn(len(requests))]
+					violation := ""
 					// One step under the lock: an alarm between the check and the client's end may answer properly.
-					d.withLock("client gone", f.PendingRequest, func(now routing.Time) {
-						broken = f.checkLocked()
-						f.clientGone(now)
-						f.abandoned = true
+					d.withLock("client gone", tracked.PendingRequest, func(now routing.Time) {
+						violation = tracked.checkLocked()
+						tracked.clientGone(now)
+						tracked.abandoned = true
 					})
-					if broken != "" {
-						t.Error(broken)
+					if violation != "" {
+						t.Error(violation)
 						return false
 					}
 				}
 			}
-			used := map[int]bool{}
-			for _, f := range all {
-				if broken := f.check(); broken != "" {
-					t.Errorf("seed %d, step %d: %s", seed, step, broken)
+			usedIndices := map[int]bool{}
+			for _, tracked := range requests {
+				if violation := tracked.check(); violation != "" {
+					t.Errorf("seed %d, step %d: %s", seed, step, violation)
 					return false
 				}
 			}
 			d.mu.Lock()
-			for _, f := range all {
-				if !f.released && used[f.index] {
-					t.Errorf("seed %d, step %d: two requests share index %d", seed, step, f.index)
+			for _, tracked := range requests {
+				if !tracked.released && usedIndices[tracked.index] {
+					t.Errorf("seed %d, step %d: two requests share index %d", seed, step, tracked.index)
 				}
-				used[f.index] = used[f.index] || !f.released
+				usedIndices[tracked.index] = usedIndices[tracked.index] || !tracked.released
 			}
 			d.mu.Unlock()
 		}
-		for settle() {
+		for finishAny() {
 		}
-		for _, f := range all {
-			if broken := f.check(); broken != "" || !f.answered && !f.abandoned {
-				t.Errorf("seed %d: at the end: answered %v, left %v %s", seed, f.answered, f.abandoned, broken)
+		for _, tracked := range requests {
+			if violation := tracked.check(); violation != "" || !tracked.answered && !tracked.abandoned {
+				t.Errorf("seed %d: at the end: answered %v, left %v %s", seed, tracked.answered, tracked.abandoned, violation)
 				return false
 			}
 		}
--- a/internal/net/dispatch/retry_window_test.go
+++ b/internal/net/dispatch/retry_window_test.go
@@ -26,18 +26,18 @@
 // A repeat of what may have run begins within the span of its settings, counted from the first attempt, or not at all: whatever the
 // span is, some tenths of a millisecond included, whichever attempt it is, and where the process stood still amid the decision. A drain's
 // grace counts from the decision too.
-func TestARepeatBeginsWithinItsSpan(t *testing.T) {
-	r := rand.New(rand.NewSource(3))
-	repeats, stood := 0, 0
+func TestRetrySendByWithinDedupWindow(t *testing.T) {
+	random := rand.New(rand.NewSource(3))
+	retries, stalls := 0, 0
 	for range 150 {
-		span := time.Duration(r.Intn(50)) * time.Millisecond / 10
-		if r.Intn(2) == 0 {
-			span = time.Duration(1+r.Intn(30)) * time.Millisecond
+		window := time.Duration(random.Intn(50)) * time.Millisecond / 10
+		if random.Intn(2) == 0 {
+			window = time.Duration(1+random.Intn(30)) * time.Millisecond
 		}
-		grace := time.Duration(r.Intn(2)*(1+r.Intn(100))) * time.Millisecond
+		grace := time.Duration(random.Intn(2)*(1+random.Intn(100))) * time.Millisecond
 		settings := map[string]any{"models": []any{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1.},
 			"permissions": map[string]any{"most-shots": 4.},
-			"namespaces": []any{map[string]any{"name": "marked", "repeat": "keyed", "group": "all", "memory-span-ms": float64(span) / 1e6,
+			"namespaces": []any{map[string]any{"name": "marked", "repeat": "keyed", "group": "all", "memory-span-ms": float64(window) / 1e6,
 				"target-time-ms": 2000., "time-limit-ms": 3000.}}}
 		if grace > 0 {
 			settings["invariants"] = map[string]any{"stop-sending-within-ms": float64(grace) / 1e6}
@@ -48,41 +48,41 @@
 		}
 		transport := &stallingTransport{fakeTransport: &fakeTransport{}}
 		d := New(parsed, zap.NewNop())
-		d.Start(uint64(r.Int63()), transport, fakeSource{})
+		d.Start(uint64(random.Int63()), transport, fakeSource{})
 		d.UpdateEndpoints(routing.Full, testEndpoints)
 		submit(t, d, Request{Class: "marked", Key: "k", Write: true}, 3*time.Second)
-		var first time.Time // the earliest that the first attempt that may have run can have begun
-		for n := 0; ; n++ {
-			s := transport.take(0)
-			if s == nil {
+		var firstStart time.Time // the earliest that the first attempt that may have run can have begun
+		for number := 0; ; number++ {
+			attempt := transport.take(0)
+			if attempt == nil {
 				break
 			}
-			if !first.IsZero() {
-				repeats++
-				if by := s.SendBy.Sub(first); s.SendBy.IsZero() || by >= span {
-					t.Errorf("span %v, stalled for %v, attempt %d may begin by %v after the first, %v", span, transport.stall, n, by, s.SendBy)
+			if !firstStart.IsZero() {
+				retries++
+				if delay := attempt.SendBy.Sub(firstStart); attempt.SendBy.IsZero() || delay >= window {
+					t.Errorf("span %v, stalled for %v, attempt %d may begin by %v after the first, %v", window, transport.stall, number, delay, attempt.SendBy)
 				}
 			}
-			if grace > 0 && n > 0 && s.SendBy.After(transport.stalledAt.Add(sendWindow(grace))) {
-				t.Errorf("grace %v, stalled for %v: attempt %d may begin %v after the decision", grace, transport.stall, n, s.SendBy.Sub(transport.stalledAt))
+			if grace > 0 && number > 0 && attempt.SendBy.After(transport.stalledAt.Add(sendWindow(grace))) {
+				t.Errorf("grace %v, stalled for %v: attempt %d may begin %v after the decision", grace, transport.stall, number, attempt.SendBy.Sub(transport.stalledAt))
 			}
-			end := []AttemptResult{ConnectionLost, ConnectionLost, ConnectionLost, Truncated, ServerError, TimedOut, WriteFailed, NotConnected}[r.Intn(8)]
-			if first.IsZero() && end != WriteFailed && end != NotConnected {
-				first = s.startedAt
+			result := []AttemptResult{ConnectionLost, ConnectionLost, ConnectionLost, Truncated, ServerError, TimedOut, WriteFailed, NotConnected}[random.Intn(8)]
+			if firstStart.IsZero() && result != WriteFailed && result != NotConnected {
+				firstStart = attempt.startedAt
 			}
 			transport.stall = 0
-			if r.Intn(2) == 0 {
-				transport.stall = time.Duration(r.Int63n(int64(span) + 1))
-				stood++
+			if random.Intn(2) == 0 {
+				transport.stall = time.Duration(random.Int63n(int64(window) + 1))
+				stalls++
 			}
-			time.Sleep(time.Duration(r.Int63n(int64(span)/3 + 1))) // its dial, its way to the server
-			s.Finish(end, Answer{})
+			time.Sleep(time.Duration(random.Int63n(int64(window)/3 + 1))) // its dial, its way to the server
+			attempt.Finish(result, Answer{})
 		}
 		if d.Stats().Panics > 0 || d.InFlight() > 0 {
 			t.Fatal("a panic, or a request left over")
 		}
 	}
-	if repeats < 20 || stood < 20 {
-		t.Errorf("only %d repeats, %d stalls", repeats, stood)
+	if retries < 20 || stalls < 20 {
+		t.Errorf("only %d repeats, %d stalls", retries, stalls)
 	}
 }
--- a/internal/net/ejection/faults_test.go
+++ b/internal/net/ejection/faults_test.go
@@ -15,7 +15,7 @@
 
 // An ejection by the other process of a node is read again after a read failed for lack of descriptors or by the disk: it is in
 // force in both.
-func TestABanIsReadAgainAfterAFailure(t *testing.T) {
+func TestRefreshRetriesAfterReadError(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.EINTR, syscall.ENOMEM, syscall.EAGAIN} {
 		folder := t.TempDir()
@@ -33,7 +33,7 @@
 
 // A call while the file cannot be read fails, and loses no ejection of the other process: written from what
 // this process knew, the file would lack it.
-func TestAChangeKeepsWhatCannotBeRead(t *testing.T) {
+func TestEjectFailsWhileFileUnreadable(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.ENOMEM, syscall.EAGAIN} {
 		folder := t.TempDir()
@@ -55,7 +55,7 @@
 }
 
 // A call whose reading is only interrupted goes through, and keeps the ejections of the other process.
-func TestAnInterruptedReadIsMadeAgain(t *testing.T) {
+func TestEjectRetriesInterruptedRead(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	folder := t.TempDir()
 	one, other := open(folder, zap.NewNop()), open(folder, zap.NewNop())
--- a/internal/net/ejection/golden_test.go
+++ b/internal/net/ejection/golden_test.go
@@ -14,12 +14,12 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // The file outlives its process: the next one, of an older or a later version, reads it.
-func TestTheFileKeepsItsForm(t *testing.T) {
+func TestFileFormatUnchanged(t *testing.T) {
 	path := filepath.Join("testdata", "golden", "n1.bans")
 	entries := []Entry{{ID: "c-1", EjectedAt: 1764750000000}, {ID: "c-2", EjectedAt: 1764750000000, RestoredAt: 1764750001000}}
 	folder := t.TempDir()
-	b := Open(folder, "n1", func([]Entry) {}, zap.NewNop())
-	if err := b.write(entries); err != nil {
+	r := Open(folder, "n1", func([]Entry) {}, zap.NewNop())
+	if err := r.write(entries); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(filepath.Join(folder, "n1.bans"))
@@ -41,12 +41,12 @@
 	if !bytes.Equal(written, stored) {
 		t.Errorf("wrote %s, want %s", written, stored)
 	}
-	other := t.TempDir()
-	if err := os.WriteFile(filepath.Join(other, "n1.bans"), stored, 0o600); err != nil {
+	otherFolder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(otherFolder, "n1.bans"), stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var read []Entry
-	Open(other, "n1", func(all []Entry) { read = all }, zap.NewNop())
+	Open(otherFolder, "n1", func(all []Entry) { read = all }, zap.NewNop())
 	if !slices.Equal(read, entries) {
 		t.Errorf("read as %v, want %v", read, entries)
 	}
--- a/internal/net/ejection/registry_test.go
+++ b/internal/net/ejection/registry_test.go
@@ -23,20 +23,20 @@
 }
 
 func open(folder string, log *zap.Logger) *process {
-	r := &process{}
-	r.Registry = Open(folder, "n", func(entries []Entry) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.notified = entries
+	p := &process{}
+	p.Registry = Open(folder, "n", func(entries []Entry) {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.notified = entries
 	}, log)
-	return r
+	return p
 }
 
 // ejected returns the ids that are ejected, as last passed on, in order.
-func (r *process) ejected() (ids []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, e := range r.notified {
+func (p *process) ejected() (ids []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, e := range p.notified {
 		if e.RestoredAt == 0 {
 			ids = append(ids, e.ID)
 		}
@@ -52,49 +52,49 @@
 	}
 }
 
-func TestCallsMayBeRepeatedAndOneBackEndsThem(t *testing.T) {
+func TestEjectAndRestoreIdempotent(t *testing.T) {
 	for _, folder := range []string{t.TempDir(), ""} {
-		b := open(folder, zap.NewNop())
-		must(t, b.Eject("a"))
-		first := b.entries[0].EjectedAt
+		p := open(folder, zap.NewNop())
+		must(t, p.Eject("a"))
+		first := p.entries[0].EjectedAt
 		time.Sleep(2 * time.Millisecond)
-		must(t, b.Eject("a"))
-		must(t, b.Eject("b"))
-		if got := b.ejected(); !slices.Equal(got, []string{"a", "b"}) || b.entries[0].EjectedAt != first {
-			t.Errorf("%v, out since %d and then %d", got, first, b.entries[0].EjectedAt)
+		must(t, p.Eject("a"))
+		must(t, p.Eject("b"))
+		if got := p.ejected(); !slices.Equal(got, []string{"a", "b"}) || p.entries[0].EjectedAt != first {
+			t.Errorf("%v, out since %d and then %d", got, first, p.entries[0].EjectedAt)
 		}
-		must(t, b.Restore("a"))
-		must(t, b.Restore("never out"))
-		if got := b.ejected(); !slices.Equal(got, []string{"b"}) || !b.Contains("a") || b.Contains("never out") {
-			t.Errorf("%v %+v", got, b.entries)
+		must(t, p.Restore("a"))
+		must(t, p.Restore("never out"))
+		if got := p.ejected(); !slices.Equal(got, []string{"b"}) || !p.Contains("a") || p.Contains("never out") {
+			t.Errorf("%v %+v", got, p.entries)
 		}
-		must(t, b.Eject("a"))
-		if got := b.ejected(); !slices.Equal(got, []string{"a", "b"}) {
+		must(t, p.Eject("a"))
+		if got := p.ejected(); !slices.Equal(got, []string{"a", "b"}) {
 			t.Errorf("%v", got)
 		}
 	}
 }
 
 // What one process is told holds for the other one, for one that starts later, and when both are told at once.
-func TestProcessesShareTheList(t *testing.T) {
+func TestProcessesShareEjections(t *testing.T) {
 	folder := t.TempDir()
 	one, other := open(folder, zap.NewNop()), open(folder, zap.NewNop())
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	for _, r := range []*process{one, other} {
-		go r.Follow(ctx, 2*time.Millisecond)
+	for _, p := range []*process{one, other} {
+		go p.Follow(ctx, 2*time.Millisecond)
 	}
 	var calls sync.WaitGroup
 	var want []string
 	for i := range 40 {
 		id := fmt.Sprintf("s%02d", i)
-		r := []*process{one, other}[i%2]
+		p := []*process{one, other}[i%2]
 		calls.Go(func() {
-			if err := r.Eject(id); err != nil {
+			if err := p.Eject(id); err != nil {
 				t.Error(err)
 			}
 			if i%4 == 3 {
-				if err := r.Restore(id); err != nil {
+				if err := p.Restore(id); err != nil {
 					t.Error(err)
 				}
 			}
@@ -105,59 +105,59 @@
 	}
 	calls.Wait()
 	time.Sleep(50 * time.Millisecond)
-	for _, r := range []*process{one, other, open(folder, zap.NewNop())} {
-		if got := r.ejected(); !slices.Equal(got, want) {
+	for _, p := range []*process{one, other, open(folder, zap.NewNop())} {
+		if got := p.ejected(); !slices.Equal(got, want) {
 			t.Errorf("%v, want %v", got, want)
 		}
 	}
 }
 
 // A file that is truncated at any byte, or is no list, adds no ejection and ends none, and is logged once.
-func TestAFileThatCannotBeReadIsNone(t *testing.T) {
+func TestInvalidFileKeepsEjectionsInMemory(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "n.bans")
-	b := open(folder, zap.NewNop())
+	p := open(folder, zap.NewNop())
 	for _, id := range []string{"a", "b"} {
-		must(t, b.Eject(id))
+		must(t, p.Eject(id))
 	}
-	whole, err := os.ReadFile(path)
+	valid, err := os.ReadFile(path)
 	must(t, err)
-	spoilt := [][]byte{[]byte("noise"), []byte(`{"id":"x"}`), []byte(`[{"id":7}]`), bytes.Repeat([]byte(" "), maxFileBytes+1)}
-	for i := range len(whole) {
-		spoilt = append(spoilt, whole[:i])
+	invalid := [][]byte{[]byte("noise"), []byte(`{"id":"x"}`), []byte(`[{"id":7}]`), bytes.Repeat([]byte(" "), maxFileBytes+1)}
+	for i := range len(valid) {
+		invalid = append(invalid, valid[:i])
 	}
-	for _, text := range spoilt {
+	for _, text := range invalid {
 		must(t, os.WriteFile(path+".x", text, 0o600))
 		must(t, os.Rename(path+".x", path))
 		core, logs := observer.New(zap.InfoLevel)
-		fresh := open(folder, zap.New(core))
-		fresh.Refresh()
-		fresh.Refresh()
-		if len(fresh.ejected()) != 0 || logs.FilterMessage("ejections file is invalid, keeping the ejections in memory").Len() != 1 {
-			t.Fatalf("%.40q: %v, %d lines", text, fresh.ejected(), logs.Len())
+		opened := open(folder, zap.New(core))
+		opened.Refresh()
+		opened.Refresh()
+		if len(opened.ejected()) != 0 || logs.FilterMessage("ejections file is invalid, keeping the ejections in memory").Len() != 1 {
+			t.Fatalf("%.40q: %v, %d lines", text, opened.ejected(), logs.Len())
 		}
-		if b.Refresh(); !slices.Equal(b.ejected(), []string{"a", "b"}) {
-			t.Fatalf("%.40q ends ejections: %v", text, b.ejected())
+		if p.Refresh(); !slices.Equal(p.ejected(), []string{"a", "b"}) {
+			t.Fatalf("%.40q ends ejections: %v", text, p.ejected())
 		}
 	}
-	must(t, b.Eject("c")) // and the next call writes it whole again
+	must(t, p.Eject("c")) // and the next call writes it whole again
 	if got := open(folder, zap.NewNop()).ejected(); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("%v", got)
 	}
 }
 
 // A list that cannot be written is not changed, and the caller gets an error.
-func TestWhatCannotBeKeptHasNotHappened(t *testing.T) {
+func TestEjectErrorChangesNothing(t *testing.T) {
 	folder := t.TempDir()
-	b := open(folder, zap.NewNop())
-	must(t, b.Eject("a"))
+	p := open(folder, zap.NewNop())
+	must(t, p.Eject("a"))
 	must(t, os.Mkdir(filepath.Join(folder, "n.bans.new"), 0o700))
-	if err := b.Eject("b"); err == nil || !slices.Equal(b.ejected(), []string{"a"}) {
-		t.Errorf("%v: %v", err, b.ejected())
+	if err := p.Eject("b"); err == nil || !slices.Equal(p.ejected(), []string{"a"}) {
+		t.Errorf("%v: %v", err, p.ejected())
 	}
 	must(t, os.Remove(filepath.Join(folder, "n.bans.new")))
 	for i := range maxEntries + 1 {
-		if err := b.Eject(fmt.Sprint("s", i)); (err != nil) != (i >= maxEntries-1) {
+		if err := p.Eject(fmt.Sprint("s", i)); (err != nil) != (i >= maxEntries-1) {
 			t.Fatalf("call %d: %v", i, err)
 		}
 	}
