--- a/internal/net/admission/admission_test.go
+++ b/internal/net/admission/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Each fact that speaks against a first byte is a reason by itself, and none is one without it.
+// Each fact that forbids a first byte is sufficient by itself, and without any of them the first byte is granted.
 func TestSendDecide(t *testing.T) {
 	now := time.Now()
 	valid := Send{Now: now, GatherTime: time.Millisecond, SendBy: now.Add(time.Millisecond), ClientDeadline: now.Add(time.Second), DeclaredTimeout: time.Second}
@@ -27,7 +27,7 @@
 		}
 	}
 	if got := (Send{Now: now}).Decide(); got != Granted {
-		t.Errorf("with no times: %v", got)
+		t.Errorf("without deadlines: %v", got)
 	}
 }
 
@@ -39,18 +39,18 @@
 		attempt                 Attempt
 		wantAttempt, wantReject Reason
 	}{
-		{"the first", Attempt{}, Granted, Granted},
-		{"after the final answer", Attempt{Ended: true}, RequestOver, Granted},
-		{"a body that was sent in part", Attempt{BodySent: true}, BodySent, Granted},
-		{"beside another", Attempt{History: History{InFlight: 1, Safe: true}}, AttemptInFlight, Granted},
-		{"a hedge", Attempt{History: History{InFlight: 1, Safe: true}, Hedging: true}, Granted, Granted},
-		{"a hedge of an unsafe one", Attempt{History: History{InFlight: 1}, Hedging: true}, MayHaveRun, MayHaveRun},
-		{"a retry after a proof", Attempt{History: History{}}, Granted, Granted},
-		{"a retry without a proof", Attempt{History: History{MayHaveRun: true}}, MayHaveRun, MayHaveRun},
-		{"a safe one", Attempt{History: History{MayHaveRun: true, Safe: true}}, Granted, Granted},
-		{"a keyed one in its window", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: future}}, Granted, Granted},
-		{"a keyed one after it", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: past}}, DedupWindowOver, Granted},
-		{"a keyed one of a smaller group", Attempt{History: History{MayHaveRun: true, DedupUntil: future}}, MayHaveRun, MayHaveRun},
+		{"first attempt", Attempt{}, Granted, Granted},
+		{"request ended", Attempt{Ended: true}, RequestOver, Granted},
+		{"streamed body read", Attempt{BodySent: true}, BodySent, Granted},
+		{"attempt in flight, no hedging", Attempt{History: History{InFlight: 1, Safe: true}}, AttemptInFlight, Granted},
+		{"hedge of a safe request", Attempt{History: History{InFlight: 1, Safe: true}, Hedging: true}, Granted, Granted},
+		{"hedge of an unsafe request", Attempt{History: History{InFlight: 1}, Hedging: true}, MayHaveRun, MayHaveRun},
+		{"retry, not run", Attempt{History: History{}}, Granted, Granted},
+		{"retry, may have run", Attempt{History: History{MayHaveRun: true}}, MayHaveRun, MayHaveRun},
+		{"retry of a safe request", Attempt{History: History{MayHaveRun: true, Safe: true}}, Granted, Granted},
+		{"keyed retry within window", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: future}}, Granted, Granted},
+		{"keyed retry after window", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: past}}, DedupWindowOver, Granted},
+		{"keyed retry without shared dedup", Attempt{History: History{MayHaveRun: true, DedupUntil: future}}, MayHaveRun, MayHaveRun},
 	} {
 		c.attempt.Now = now
 		if got := c.attempt.Decide(); got != c.wantAttempt {
@@ -66,7 +66,7 @@
 	seen := map[string]bool{}
 	for r := Granted; r < NumReasons; r++ {
 		if r.String() == "" || seen[r.String()] {
-			t.Errorf("reason %d is named %q", r, r)
+			t.Errorf("reason %d has an empty or duplicate name %q", r, r)
 		}
 		seen[r.String()] = true
 	}
--- a/internal/net/dispatch/admission_test.go
+++ b/internal/net/dispatch/admission_test.go
@@ -8,25 +8,25 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// What a balancer orders against the rules is counted, and not carried out. The balancer at hand orders nothing of this, so the test
-// does in its place.
+// An order of the balancer that breaks a rule must be counted and not executed. The real balancer issues no such order,
+// so the test calls the host's methods itself.
 func TestForbiddenOrderCountedAndDropped(t *testing.T) {
 	const server = 0
 	for _, c := range []struct {
 		name        string
 		request     Request
-		firstResult AttemptResult // how the first attempt ends; endCount: it is out still
+		firstResult AttemptResult // result of the first attempt; attemptResultCount: it is in flight
 		order       func(h host, pending int)
 		want        admission.Reason
 		outcome     Outcome
 	}{
-		{"a second attempt beside an unsafe one", Request{Class: "once", Key: "k"}, attemptResultCount,
+		{"second attempt while unsafe one in flight", Request{Class: "once", Key: "k"}, attemptResultCount,
 			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
-		{"a retry of an unsafe one that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
+		{"retry of unsafe request that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
 			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
-		{"a refusal of an unsafe one that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
+		{"rejection of unsafe request that may have run", Request{Class: "once", Key: "k"}, ConnectionLost,
 			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
-		{"a refusal of an unsafe one that is out", Request{Class: "once", Key: "k"}, attemptResultCount,
+		{"rejection of unsafe request in flight", Request{Class: "once", Key: "k"}, attemptResultCount,
 			func(h host, i int) { h.Reject(i, 0) }, admission.MayHaveRun, Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 			pending := submit(t, d, c.request, time.Second)
 			first := transport.take(0)
 			if c.firstResult != attemptResultCount {
-				// As the balancer would be told, but for its own end of the request.
+				// As Finish does it, but without a report to the balancer, which would end the request itself.
 				d.mu.Lock()
 				first.finished, first.reported = true, true
 				pending.inFlight--
@@ -44,10 +44,10 @@
 			}
 			d.withLock("test", nil, func(routing.Time) { c.order(host{d}, pending.index) })
 			if n := d.metrics.Violations[c.want].Load(); n != 1 {
-				t.Errorf("%d violations by %v, want one", n, c.want)
+				t.Errorf("%d violations with reason %v, want one", n, c.want)
 			}
 			if attempt := transport.take(0); attempt != nil {
-				t.Error("an attempt was carried out")
+				t.Error("a forbidden attempt was sent")
 			}
 			a, answered := receivedAnswer(pending)
 			if answered != (c.outcome >= 0) || answered && a.Outcome != c.outcome {
@@ -57,12 +57,12 @@
 	}
 }
 
-// A second final answer, and an attempt after the final one, are counted and go nowhere.
+// A second final answer and an attempt after the final answer are counted as violations and not executed.
 func TestOrdersAfterFinalAnswerDropped(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	pending := submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
-	inFlight := transport.take(0) // stays out, so that the index is not used again
+	inFlight := transport.take(0) // stays in flight, so that the index is not reused
 	d.withLock("test", nil, func(routing.Time) {
 		h := host{d}
 		h.Fail(pending.index)
@@ -85,7 +85,7 @@
 	inFlight.Finish(Complete, Answer{})
 }
 
-// A keyed request is repeated while its servers remember its key, and not later.
+// A keyed request may be retried while its servers store its idempotency key, and not later.
 func TestKeyedRetryAllowedWithinDedupWindow(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
@@ -97,10 +97,10 @@
 	pending.noteMayHaveRun(first.startedAt)
 	attempt := admission.Attempt{History: pending.history(), Now: first.startedAt.Add(300 * time.Millisecond)}
 	if reason := attempt.Decide(); reason != admission.Granted {
-		t.Errorf("inside: %v", reason)
+		t.Errorf("within the window: %v", reason)
 	}
 	attempt.Now = first.startedAt.Add(500 * time.Millisecond)
 	if reason := attempt.Decide(); reason != admission.DedupWindowOver {
-		t.Errorf("after it: %v", reason)
+		t.Errorf("after the window: %v", reason)
 	}
 }
--- a/internal/net/dispatch/clock_test.go
+++ b/internal/net/dispatch/clock_test.go
@@ -7,8 +7,9 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Start times on the list are Unix times of clocks that agree. Where ours was stepped after the start of the process, a cache that starts
-// is as cold as without that; a start in the future, or an old one under a name that is known, counts from when it was heard of.
+// Start times in the endpoint list are Unix times of synchronized clocks. If the node's wall clock is stepped after the
+// start of the process, the age of a restarted cache must still be right, since slow start depends on it. A start time
+// in the future, or an old one that is new for a known id, counts from when it was received.
 func TestEndpointStartTimeWithWrongClock(t *testing.T) {
 	const tolerance = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
@@ -21,13 +22,13 @@
 		listed.StartedMs = float64(d.wallNow().UnixMilli()) - 500
 		d.UpdateEndpoints(routing.Incremental, []Endpoint{listed})
 		if got := age(); got < 400*time.Millisecond || got > 500*time.Millisecond+tolerance {
-			t.Errorf("stepped by %v: a cache that started 0.5 s ago counts as %v old", step, got)
+			t.Errorf("stepped by %v: a cache that started 0.5 s ago: age %v", step, got)
 		}
 		startedAt := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt
-		d.wallNow = func() time.Time { return time.Now().Round(0) } // stepped back
+		d.wallNow = func() time.Time { return time.Now().Round(0) } // the clock is stepped back
 		d.UpdateEndpoints(routing.Full, []Endpoint{listed, testEndpoints[1], testEndpoints[2], testEndpoints[3]})
 		if startedAgain := d.routingEndpoint(d.endpoints.byID["a"]).StartedAt; startedAgain != startedAt {
-			t.Errorf("stepped by %v: one start is two, at %v and %v", step, startedAt, startedAgain)
+			t.Errorf("stepped by %v: the start time changed from %v to %v", step, startedAt, startedAgain)
 		}
 	}
 	d := startDispatcher(t, &fakeTransport{})
@@ -35,19 +36,19 @@
 	future.StartedMs = float64(time.Now().Add(time.Hour).UnixMilli())
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{future})
 	if got := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); got < -tolerance || got > tolerance {
-		t.Errorf("a start an hour ahead counts as %v ago", got)
+		t.Errorf("a start one hour in the future: age %v", got)
 	}
-	d.UpdateEndpoints(routing.Incremental, []Endpoint{testEndpoints[1]}) // the list is live
+	d.UpdateEndpoints(routing.Incremental, []Endpoint{testEndpoints[1]}) // sets lastLiveUpdate
 	past := testEndpoints[0]
 	past.StartedMs = float64(time.Now().Add(-time.Hour).UnixMilli())
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{past})
 	if got := toDuration(d.clock.now() - d.routingEndpoint(d.endpoints.byID["a"]).StartedAt); got > tolerance {
-		t.Errorf("a cache that has started since the list was last told counts as %v old", got)
+		t.Errorf("a cache that has started since the latest update: age %v", got)
 	}
 }
 
-// What operators put back is cold, wherever the wall clock stood when it was taken out: its start was before that all the same. One that has started
-// since it was taken out is as old as its start.
+// A restored endpoint counts as started when it was restored, even if the wall clock was stepped between its start and
+// its ejection. If it has restarted since the ejection, its own start time counts.
 func TestRestoredEndpointStartTimeWithWrongClock(t *testing.T) {
 	const tolerance = 2 * time.Second
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
@@ -66,7 +67,7 @@
 		ejection.RestoredAt = wall() + 1
 		d.SetEjections([]Ejection{ejection})
 		if got := age(); got < -tolerance || got > tolerance {
-			t.Errorf("stepped by %v: what was just put back counts as %v old", step, got)
+			t.Errorf("stepped by %v: just restored: age %v", step, got)
 		}
 		ejection = Ejection{ID: "new", EjectedAt: wall() - 9_000}
 		d.SetEjections([]Ejection{ejection})
@@ -75,12 +76,12 @@
 		ejection.RestoredAt = wall()
 		d.SetEjections([]Ejection{ejection})
 		if got := age(); got < 5*time.Second-tolerance || got > 5*time.Second+tolerance {
-			t.Errorf("stepped by %v: what has started 5 s ago, after it was taken out, counts as %v old", step, got)
+			t.Errorf("stepped by %v: started 5 s ago, after its ejection: age %v", step, got)
 		}
 	}
 }
 
-// The clock starts at Unix time, so that the list's start times can be set beside it, and rounds down.
+// The clock starts at the Unix time, so that it can be compared with the list's start times, and rounds down.
 func TestClockMatchesUnixTimeRoundedDown(t *testing.T) {
 	start := time.UnixMilli(1_700_000_000_000)
 	c := clock{start}
--- a/internal/net/dispatch/dispatcher_test.go
+++ b/internal/net/dispatch/dispatcher_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// doubleFinisher settles each attempt twice at once, from two goroutines.
+// doubleFinisher is a transport that finishes each attempt twice, concurrently.
 type doubleFinisher struct {
 	fakeTransport
 	wg sync.WaitGroup
@@ -22,7 +22,8 @@
 	}
 }
 
-// Answer, time-out and the client's leaving come at once: one end for each request, and nothing is kept.
+// An answer, a timeout and a cancellation by the client occur concurrently. Each request must end exactly once, and
+// none may stay in the request table.
 func TestConcurrentEventsEndRequestOnce(t *testing.T) {
 	transport := &doubleFinisher{}
 	d := startDispatcher(t, transport)
@@ -37,7 +38,7 @@
 			select {
 			case <-pending.Answers():
 			case <-time.After(5 * time.Second):
-				t.Errorf("request %d had no answer", i)
+				t.Errorf("request %d was not answered", i)
 			}
 		})
 	}
@@ -45,11 +46,12 @@
 	transport.wg.Wait()
 	stats := d.Stats()
 	if ends := stats.Served + stats.Rejected + stats.Failed + stats.ClientGone; ends != 300 || d.InFlight() != 0 || stats.Panics != 0 {
-		t.Errorf("%d ends of 300, %d still known, %d panics", ends, d.InFlight(), stats.Panics)
+		t.Errorf("%d of 300 requests ended, %d in flight, %d panics", ends, d.InFlight(), stats.Panics)
 	}
 }
 
-// A request that waits for another's fetch is answered by its alarm, not before its limit and not long after.
+// A request that waits for another request's fetch is rejected by an alarm at its deadline, not earlier and not long
+// after.
 func TestWaitingRequestRejectedAtDeadline(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
@@ -58,13 +60,13 @@
 	submittedAt := time.Now()
 	second := submit(t, d, Request{Class: "late", Key: "k"}, 80*time.Millisecond)
 	if a := <-second.Answers(); a.Outcome != Rejected {
-		t.Errorf("got %+v", a)
+		t.Errorf("answer %+v, want a rejection", a)
 	}
 	if elapsed := time.Since(submittedAt); elapsed < 79*time.Millisecond || elapsed > 300*time.Millisecond {
 		t.Errorf("answered after %v", elapsed)
 	}
 	if transport.take(0).Finish(Complete, Answer{}); d.InFlight() != 0 {
-		t.Errorf("%d requests are still known", d.InFlight())
+		t.Errorf("%d requests are in flight, want none", d.InFlight())
 	}
 	<-first.Answers()
 }
@@ -78,11 +80,12 @@
 		}
 	}
 	if transport.take(0) != nil || d.InFlight() != 0 {
-		t.Error("an attempt was sent, or a request is still known")
+		t.Error("an attempt was sent, or a request is in flight")
 	}
 }
 
-// The id of a request that is in flight is rejected with nothing sent, until all its attempts have settled.
+// A request is rejected without an attempt if its trace id is in use, which lasts until all attempts of the first
+// request have finished, even if the first request was canceled.
 func TestDuplicateTraceIDRejectedUntilReleased(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
@@ -93,15 +96,15 @@
 	}
 	attempt := transport.take(0)
 	if err := resubmit(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
-		t.Errorf("while it is out: %v", err)
+		t.Errorf("while the request is pending: %v", err)
 	}
 	first.Cancel()
 	if err := resubmit(); !errors.Is(err, ErrDuplicateID) || transport.take(0) != nil {
-		t.Errorf("while its attempt is out: %v", err)
+		t.Errorf("while its attempt is in flight: %v", err)
 	}
 	attempt.Finish(Complete, Answer{})
 	if err := resubmit(); err != nil || len(d.requests.byTraceID) != 1 {
-		t.Errorf("afterwards: %v, %d ids are kept", err, len(d.requests.byTraceID))
+		t.Errorf("after its release: %v, %d trace ids stored", err, len(d.requests.byTraceID))
 	}
 }
 
@@ -110,11 +113,12 @@
 	d := startDispatcher(t, transport)
 	submit(t, d, Request{Class: "late", Key: "k"}, time.Hour)
 	if attempt := transport.take(0); attempt.Timeout > 750*time.Millisecond || attempt.Timeout < 700*time.Millisecond {
-		t.Errorf("the attempt has %v", attempt.Timeout)
+		t.Errorf("attempt timeout %v, want 700 ms to 750 ms", attempt.Timeout)
 	}
 }
 
-// A panic of routing answers the request at hand with no promise; its index is not used again.
+// A panic in routing fails the request whose event caused it, without a promise about its effect. The request's index
+// is not reused, as the balancer may still refer to it.
 func TestPanicFailsRequest(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
@@ -127,9 +131,9 @@
 	d.balancer = balancer
 	host{d}.Send(pending.index, 0, routing.Millisecond)
 	if transport.take(0) != nil || len(d.requests.byTraceID) != 0 {
-		t.Errorf("an attempt after the final answer, or %d ids are kept", len(d.requests.byTraceID))
+		t.Errorf("an attempt after the final answer, or %d trace ids stored", len(d.requests.byTraceID))
 	}
 	if second := submit(t, d, Request{Class: "read"}, time.Second); second.index == pending.index || transport.take(0) == nil {
-		t.Errorf("the next request has index %d after %d", second.index, pending.index)
+		t.Errorf("the next request has index %d or no attempt; the failed one had index %d", second.index, pending.index)
 	}
 }
--- a/internal/net/dispatch/ejections_test.go
+++ b/internal/net/dispatch/ejections_test.go
@@ -10,8 +10,9 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Ejections, lists, restarts, new addresses and returns in any order: no attempt is decided to what is ejected or doesn't stand
-// ready on the list, an ejection ends by a call back only, and what is back starts cold.
+// Ejections, restores, list updates, restarts and changes of address occur in random order. No attempt may go to an
+// endpoint that is ejected or not listed as ready, only a restore may end an ejection, and a restored endpoint must go
+// through slow start.
 func TestRandomEventsKeepEjections(t *testing.T) {
 	seed, attemptCounts := int64(0), map[string]int{}
 	run := func() bool {
@@ -25,7 +26,7 @@
 			listed[endpoint.ID] = endpoint
 		}
 		ejections := map[string]Ejection{}
-		unixMs := d.clock.start.UnixMilli() - 100000 // what happened then is warm by now
+		unixMs := d.clock.start.UnixMilli() - 100000 // long enough ago that slow start is over
 		for step := range 300 {
 			unixMs++
 			id := ids[random.Intn(len(ids))]
@@ -34,7 +35,7 @@
 				endpoint = Endpoint{ID: id, Address: id + ":1", Model: "box"}
 			}
 			switch random.Intn(9) {
-			case 0: // ejected, perhaps again
+			case 0: // ejected, possibly again
 				if ejections[id].EjectedAt == 0 || ejections[id].RestoredAt > 0 {
 					ejections[id] = Ejection{ID: id, EjectedAt: float64(unixMs)}
 				}
@@ -47,7 +48,7 @@
 				endpoint.State = []routing.State{routing.Ready, routing.Ready, routing.Draining}[random.Intn(3)]
 				listed[id] = endpoint
 				d.UpdateEndpoints(routing.Incremental, []Endpoint{endpoint})
-			case 4: // restarted, perhaps at another address
+			case 4: // restarted, possibly at another address
 				endpoint.StartedMs, endpoint.State, endpoint.Address = float64(unixMs), routing.Ready, fmt.Sprint(id, ":", random.Intn(3))
 				listed[id] = endpoint
 				d.UpdateEndpoints(routing.Incremental, []Endpoint{endpoint})
@@ -77,7 +78,7 @@
 				id, _, _ := strings.Cut(attempt.Address, ":")
 				ejection := ejections[id]
 				if current := listed[id]; current.Address != attempt.Address || current.State != routing.Ready || ejection.EjectedAt > 0 && ejection.RestoredAt == 0 {
-					t.Errorf("seed %d, step %d: an attempt to %s, listed %+v, ejection %+v", seed, step, attempt.Address, current, ejection)
+					t.Errorf("seed %d, step %d: attempt to %s, listed as %+v, ejection %+v", seed, step, attempt.Address, current, ejection)
 					return false
 				}
 				if attemptCounts[id]++; ejection.RestoredAt > 0 {
@@ -92,7 +93,7 @@
 				}
 				reported := d.routingEndpoint(i)
 				if ejection.RestoredAt == 0 && reported.State == routing.Ready || ejection.RestoredAt > 0 && reported.StartedAt < fromUnix(ejection.EjectedAt) {
-					t.Errorf("seed %d, step %d: %s is shown as %+v, ejection %+v", seed, step, id, reported, ejection)
+					t.Errorf("seed %d, step %d: %s is reported as %+v, ejection %+v", seed, step, id, reported, ejection)
 					return false
 				}
 			}
@@ -104,46 +105,47 @@
 	}
 	for _, kind := range []string{"a", "b", "c", "back"} {
 		if attemptCounts[kind] == 0 {
-			t.Errorf("no attempts of the kind %q: %v", kind, attemptCounts)
+			t.Errorf("no attempts counted for %q: %v", kind, attemptCounts)
 		}
 	}
 }
 
-// A new start that the list tells of after the return makes the server cold anew; the return alone does so once.
+// Restoring an endpoint sets its start time once, and a list update without a restart keeps it. A restart that the list
+// reports later sets it again.
 func TestRestoredEndpointStartTime(t *testing.T) {
 	d := startDispatcher(t, &fakeTransport{})
 	ejectedAt := float64(d.clock.start.UnixMilli())
 	startedAt := func() routing.Time { return d.routingEndpoint(d.endpoints.byID["a"]).StartedAt }
 	d.SetEjections([]Ejection{{ID: "a", EjectedAt: ejectedAt}})
 	if startedAt() != 0 {
-		t.Error("an ejection alone is no start")
+		t.Error("an ejection alone must not change the start time")
 	}
 	d.SetEjections([]Ejection{{ID: "a", EjectedAt: ejectedAt, RestoredAt: ejectedAt + 100}})
-	d.UpdateEndpoints(routing.Full, testEndpoints) // which knows nothing yet
+	d.UpdateEndpoints(routing.Full, testEndpoints) // without a new start time
 	if got := startedAt(); got != fromUnix(ejectedAt+100) {
-		t.Errorf("since %v, want the return", got)
+		t.Errorf("started at %v, want the time of the restore", got)
 	}
-	d.SetEjections(nil) // what is forgotten after its return changes nothing
+	d.SetEjections(nil) // removing the entry of a restored endpoint changes nothing
 	if got := startedAt(); got != fromUnix(ejectedAt+100) {
-		t.Errorf("since %v, want the return", got)
+		t.Errorf("started at %v, want the time of the restore", got)
 	}
 	restarted := testEndpoints[0]
 	restarted.StartedMs = ejectedAt + 50
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{restarted})
 	if got := startedAt(); got != fromUnix(ejectedAt+50) {
-		t.Errorf("since %v, want the start that the list told of", got)
+		t.Errorf("started at %v, want the start time in the list", got)
 	}
 }
 
-// What remembers ids is bounded, and forgets the oldest first.
+// The number of stored ids is bounded, and the oldest are dropped first.
 func TestListedIDsBoundedOldestDropped(t *testing.T) {
 	var ids listedIDs
 	for i := range 3 * maxListedIDs {
 		ids.add(fmt.Sprint(i))
-		ids.add(fmt.Sprint(i)) // once
+		ids.add(fmt.Sprint(i)) // stored once
 	}
 	if len(ids.ids) != maxListedIDs || len(ids.order) != maxListedIDs || ids.ids[fmt.Sprint(2*maxListedIDs-1)] ||
 		!ids.ids[fmt.Sprint(2*maxListedIDs)] || !ids.ids[fmt.Sprint(3*maxListedIDs-1)] {
-		t.Errorf("%d ids are remembered", len(ids.ids))
+		t.Errorf("%d ids are stored, or the wrong ones", len(ids.ids))
 	}
 }
--- a/internal/net/dispatch/endpoint_latency_test.go
+++ b/internal/net/dispatch/endpoint_latency_test.go
@@ -8,9 +8,10 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// A read that waits while later ones at its server are answered, for several of its mean times, may be on a connection
-// that has fallen silent: it goes to another server as well. It doesn't while none was answered, and a write or
-// an unsafe one never. The slow answer still counts, once.
+// A safe read that waits for bypassFactor times the endpoint's mean latency while a later one is answered may be on a
+// dead connection, so it is hedged at another endpoint. It is not hedged while no later one is answered. A write or an
+// unsafe request never is. The answer of the slow attempt is still delivered if it is the first, and only one answer
+// is.
 func TestBypassedReadHedged(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
@@ -30,10 +31,10 @@
 	}
 	read := Request{Class: "read", Key: "k"}
 	pending, slow := send(read)
-	expectNoAttempt() // nothing says that the server works
+	expectNoAttempt() // no later attempt was answered yet
 	_, later := send(read)
 	if later.Address != slow.Address {
-		t.Fatalf("the second went to %s, the first to %s", later.Address, slow.Address)
+		t.Fatalf("second attempt went to %s, the first to %s", later.Address, slow.Address)
 	}
 	later.Finish(Complete, Answer{})
 	var hedge *Attempt
@@ -41,50 +42,50 @@
 		time.Sleep(time.Millisecond)
 	}
 	if hedge == nil || hedge.TraceID != slow.TraceID || hedge.Address == slow.Address {
-		t.Fatalf("passed, and then %v", hedge)
+		t.Fatalf("hedge of the bypassed attempt: %v", hedge)
 	}
 	slow.Finish(Complete, Answer{Body: []byte("slow")})
 	if a, _ := receivedAnswer(pending); string(a.Body) != "slow" {
-		t.Errorf("the slow answer did not count: %v", a)
+		t.Errorf("the slow answer was not delivered, got %v", a)
 	}
-	if hedge.ClientState() == admission.Granted { // its connection may come up only now
+	if hedge.ClientState() == admission.Granted { // its connection may be established only now
 		t.Error("an attempt may begin after the final answer")
 	}
 	var ended *PendingRequest
 	ended, attempt := send(Request{Class: "read", Key: "k", ClientGone: func() bool {
-		ended.Cancel() // the request ends while the kernel is asked for its client
+		ended.Cancel() // the request ends during the system call that checks its client
 		return false
 	}})
 	if attempt.ClientState() == admission.Granted {
-		t.Error("an attempt may begin when its request ended meanwhile")
+		t.Error("an attempt may begin though its request ended during the check")
 	}
 	attempt.Finish(Withheld, Answer{})
 	hedge.Finish(Complete, Answer{Body: []byte("other")})
 	if a, answeredTwice := receivedAnswer(pending); answeredTwice {
-		t.Errorf("another final answer: %v", a)
+		t.Errorf("second final answer: %v", a)
 	}
 	for _, request := range []Request{{Class: "read", Write: true}, {Class: "once", Key: "k"}} {
 		_, first := send(request)
 		_, second := send(request)
 		if first.ClientState() != admission.Granted {
-			t.Error("a request that has no answer yet is not wanted")
+			t.Error("an attempt of a pending request may not begin")
 		}
 		second.Finish(Complete, Answer{})
-		expectNoAttempt() // another attempt of what isn't safe might be an effect twice
+		expectNoAttempt() // a second attempt might cause a second effect
 		first.Finish(Complete, Answer{})
 	}
 	if stats := d.Stats(); stats.Results[Bypassed] != 1 || stats.Panics > 0 || len(d.requests.byTraceID) > 0 {
-		t.Errorf("tally %+v, %d ids out", stats, len(d.requests.byTraceID))
+		t.Errorf("stats %+v, %d trace ids in use", stats, len(d.requests.byTraceID))
 	}
 	for _, entry := range d.endpoints.entries {
 		if len(entry.inFlight) > 0 {
-			t.Errorf("%d attempts are still counted at %s", len(entry.inFlight), entry.id)
+			t.Errorf("%d attempts are still tracked at %s", len(entry.inFlight), entry.id)
 		}
 	}
 }
 
-// Where hedged requests are off, a read that later ones pass has no other attempt beside it; the balancer's next one waits for
-// its end.
+// With hedging off, a bypassed read gets no concurrent attempt. The balancer retries it only after the first attempt
+// has ended.
 func TestBypassedReadNotHedgedWhenHedgingOff(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		transport := &fakeTransport{}
@@ -100,11 +101,11 @@
 		transport.take(0).Finish(Complete, Answer{})
 		time.Sleep(50 * time.Millisecond)
 		if hedge := transport.take(0); (hedge != nil) != allowed {
-			t.Errorf("hedging %v: %v beside the first attempt", allowed, hedge)
+			t.Errorf("hedging %v: concurrent attempt %v", allowed, hedge)
 		}
 		slow.Finish(ServerError, Answer{})
 		if next := transport.take(0); !allowed && next == nil {
-			t.Error("no further attempt once the first was over")
+			t.Error("no retry after the first attempt ended")
 		}
 	}
 }
--- a/internal/net/dispatch/endpoints_test.go
+++ b/internal/net/dispatch/endpoints_test.go
@@ -17,11 +17,11 @@
 	d.UpdateEndpoints(routing.Incremental, []Endpoint{moved})
 	submit(t, d, Request{Class: "read", Write: true}, time.Second)
 	if attempt := transport.take(0); attempt.Address != "elsewhere:1" || len(d.endpoints.entries) != len(testEndpoints) {
-		t.Errorf("sent to %s; %d indices for %d boxes", attempt.Address, len(d.endpoints.entries), len(testEndpoints))
+		t.Errorf("sent to %s; %d indices for %d endpoints", attempt.Address, len(d.endpoints.entries), len(testEndpoints))
 	}
 }
 
-// The order to close idle connections goes to the endpoint that it names.
+// An order to close idle connections is passed to the transport with the incarnation of the ordered endpoint.
 func TestCloseIdleUsesIncarnation(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
@@ -31,12 +31,13 @@
 	}
 }
 
-// Endpoints come under new ids all day, some at the address of one that has gone: nothing is kept of those that went, no
-// endpoint gets the index of another whose attempts are out, and each has connections of its own.
+// Endpoints with new ids are added all the time, some at the address of one that is gone. The state of gone endpoints
+// must be released, no endpoint may get the index of another with attempts in flight, and each needs its own
+// incarnation, so that it does not reuse connections.
 func TestGoneEndpointsReleased(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
-	submit(t, d, Request{Class: "late", Write: true}, time.Second) // at the origin while that is replaced
+	submit(t, d, Request{Class: "late", Write: true}, time.Second) // in flight while its origin is replaced
 	inFlight := transport.take(0)
 	seen := map[uint64]bool{inFlight.Incarnation: true}
 	const rounds = 768
@@ -52,7 +53,7 @@
 			submit(t, d, Request{Class: "late", Write: write}, time.Second)
 			attempt := transport.take(0)
 			if attempt == nil || seen[attempt.Incarnation] || attempt.endpointIndex == inFlight.endpointIndex || attempt.Address != listed[map[bool]int{true: 1}[write]].Address {
-				t.Fatalf("list %d, write %v: %+v", n, write, attempt)
+				t.Fatalf("list %d, write %v: attempt %+v", n, write, attempt)
 			}
 			seen[attempt.Incarnation] = true
 			attempt.Finish(Complete, Answer{})
@@ -60,7 +61,7 @@
 	}
 	inFlight.Finish(Complete, Answer{})
 	if len(d.endpoints.byID) != 2 || len(d.endpoints.entries) > 12 {
-		t.Errorf("%d ids and %d indices are kept", len(d.endpoints.byID), len(d.endpoints.entries))
+		t.Errorf("%d ids and %d indices are stored", len(d.endpoints.byID), len(d.endpoints.entries))
 	}
 	unchanged, restarted := testEndpoints[0], testEndpoints[0]
 	restarted.StartedMs = 5
@@ -68,7 +69,7 @@
 		d.UpdateEndpoints(routing.Full, []Endpoint{endpoint})
 	}
 	if entry := d.endpoints.entries[d.endpoints.byID["a"]]; entry.incarnation != d.endpoints.lastIncarnation || d.endpoints.lastIncarnation != uint64(len(testEndpoints)+2*rounds+2) {
-		t.Errorf("a restart is another place, the same list isn't: %+v of %d", entry, d.endpoints.lastIncarnation)
+		t.Errorf("a restart must change the incarnation, an unchanged list must not: %+v, last incarnation %d", entry, d.endpoints.lastIncarnation)
 	}
 }
 
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -13,12 +13,12 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// fakeTransport keeps the attempts for the test to settle.
+// fakeTransport stores the attempts until the test takes them, which then calls Finish for them.
 type fakeTransport struct {
 	mu       sync.Mutex
 	attempts []*Attempt
 
-	closedIdle []uint64
+	closedIdle []uint64 // incarnations passed to CloseIdle
 }
 
 func (f *fakeTransport) Send(a *Attempt) {
@@ -35,7 +35,7 @@
 
 func (f *fakeTransport) SetMaxConns(int) {}
 
-// take gives an attempt that is out, by a number that may be any.
+// take removes and returns attempt n modulo their number, or nil if there is none.
 func (f *fakeTransport) take(n int) *Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,7 +55,7 @@
 var testEndpoints = []Endpoint{{ID: "a", Address: "a:1", Model: "box"}, {ID: "b", Address: "b:1", Model: "box"},
 	{ID: "c", Address: "c:1", Model: "box"}, {ID: "z", Address: "z:1", Model: "origin"}}
 
-// startDispatcher gives a dispatcher that knows three caches and the origin.
+// startDispatcher returns a dispatcher whose endpoint list has three caches and the origin.
 func startDispatcher(t *testing.T, transport Transport) *Dispatcher {
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 200., "time-limit-ms": 750.}
@@ -82,7 +82,7 @@
 	return d
 }
 
-// receivedAnswer gives the answer that has come, if one has.
+// receivedAnswer returns the request's answer, or false if there is none yet.
 func receivedAnswer(pending *PendingRequest) (Answer, bool) {
 	select {
 	case a := <-pending.answers:
@@ -94,9 +94,10 @@
 
 var traceIDs atomic.Int64
 
+// submit submits a request, received now, under a new trace id.
 func submit(t *testing.T, d *Dispatcher, request Request, timeout time.Duration) *PendingRequest {
 	t.Helper()
-	request.TraceID = fmt.Sprint("t", traceIDs.Add(1)) // new with every request
+	request.TraceID = fmt.Sprint("t", traceIDs.Add(1))
 	pending, err := d.Submit(request, time.Now(), timeout)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/dispatch/listed_ids_test.go
+++ b/internal/net/dispatch/listed_ids_test.go
@@ -9,7 +9,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Every server that is on the list was heard of, however long the list is, and however many have come and gone.
+// Every listed endpoint is known, even if the list has more than maxListedIDs entries.
 func TestWasListedForLongList(t *testing.T) {
 	d := startDispatcher(t, &fakeTransport{})
 	d.log = zap.NewNop()
@@ -25,9 +25,9 @@
 		}
 	}
 	if missing > 0 {
-		t.Errorf("%d of %d listed servers are not known", missing, len(listed))
+		t.Errorf("%d of %d listed endpoints are not known", missing, len(listed))
 	}
 	if d.WasListed("never") {
-		t.Error("one that was never listed is known")
+		t.Error("an endpoint that was never listed is known")
 	}
 }
--- a/internal/net/dispatch/outliers_test.go
+++ b/internal/net/dispatch/outliers_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// What the fleet tells of a server reaches the balancer, by id and address; of another address, or none listed, it doesn't.
+// Probe results of other nodes reach the balancer if the endpoint is listed with this id and address, and are ignored
+// otherwise. A good result alone does not end an ejection: a request of this node has to succeed too.
 func TestProbeResultsOfOtherNodes(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
-	for range 40 { // each range's cache breaks a connection
+	for range 40 { // the cache of each range refuses a connection
 		submit(t, d, Request{Class: "read", Key: fmt.Sprint(traceIDs.Load())}, time.Second)
 		if attempt := transport.take(0); attempt != nil {
 			attempt.Finish(ConnectRefused, Answer{})
@@ -18,7 +19,7 @@
 	}
 	ejected := d.EjectedEndpoints()
 	if len(ejected) == 0 || ejected["a"] != "" && ejected["a"] != "a:1" {
-		t.Fatalf("%v rest", ejected)
+		t.Fatalf("ejected endpoints: %v", ejected)
 	}
 	for id, address := range ejected {
 		d.ProbeResult(id, "elsewhere:1", true, 0)
@@ -26,11 +27,11 @@
 		d.ProbeResult(id, address, true, 0)
 	}
 	if len(d.EjectedEndpoints()) != len(ejected) {
-		t.Error("a result alone ends no ejection: an own request has to")
+		t.Error("a probe result alone ended an ejection")
 	}
 	for n := 0; len(d.EjectedEndpoints()) > 0; n++ {
 		if n > 200 {
-			t.Fatalf("%v are ejected after good results and %d requests", d.EjectedEndpoints(), n)
+			t.Fatalf("%v are ejected after good probe results and %d requests", d.EjectedEndpoints(), n)
 		}
 		submit(t, d, Request{Class: "read", Key: fmt.Sprint(traceIDs.Load())}, time.Second)
 		if attempt := transport.take(0); attempt != nil {
--- a/internal/net/dispatch/random_test.go
+++ b/internal/net/dispatch/random_test.go
@@ -10,16 +10,16 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// trackedRequest is what a random run knows of one request.
+// trackedRequest is a request with the state that the test expects of it.
 type trackedRequest struct {
 	*PendingRequest
 	mayHaveRun, answered, abandoned bool
 	seenAttempts                    int
 }
 
-// check holds a request to the rules; it returns what is broken.
+// check returns which rule the request breaks, or an empty string.
 func (r *trackedRequest) check() string {
-	r.PendingRequest.dispatcher.mu.Lock() // an attempt may be passed meanwhile
+	r.PendingRequest.dispatcher.mu.Lock() // the dispatcher may start an attempt concurrently
 	defer r.PendingRequest.dispatcher.mu.Unlock()
 	return r.checkLocked()
 }
@@ -29,11 +29,11 @@
 	answer, received := receivedAnswer(r.PendingRequest)
 	switch {
 	case received && (r.answered || r.abandoned):
-		return "an answer after the end"
+		return "answered after its end"
 	case received && answer.Outcome == Rejected && r.mayHaveRun && r.Class == "once":
-		return "a rejection though it may have run"
+		return "rejected though an attempt may have run"
 	case r.PendingRequest.attempts > r.seenAttempts && (r.answered || r.abandoned):
-		return "an attempt after the end"
+		return "an attempt after its end"
 	case r.PendingRequest.attempts > r.seenAttempts && r.mayHaveRun && r.Class == "once":
 		return "a second attempt though the first may have run"
 	}
@@ -41,7 +41,8 @@
 	return ""
 }
 
-// Requests come, attempts end in any way and some are told of twice, clients leave, all in any order.
+// Requests are submitted, attempts finish with any result, each of them twice, and clients leave, in random order. Each
+// request must end once, get no attempt after its end, and no retry or rejection if that could cause a second effect.
 func TestRandomEventsKeepRequestRules(t *testing.T) {
 	run := func(seed int64) bool {
 		random, transport := rand.New(rand.NewSource(seed)), &fakeTransport{}
@@ -53,7 +54,8 @@
 			if attempt == nil {
 				return false
 			}
-			if violation := byPending[attempt.pending].check(); violation != "" { // up to here, before more becomes known
+			// Checked before Finish, as its result may change which orders are allowed.
+			if violation := byPending[attempt.pending].check(); violation != "" {
 				t.Error(violation)
 			}
 			result := AttemptResult(random.Intn(int(attemptResultCount)))
@@ -71,7 +73,7 @@
 			case 0, 1:
 				class := []string{"read", "once"}[random.Intn(2)]
 				tracked := &trackedRequest{}
-				// The attempt may be carried before Submit returns, but nobody settles it before that.
+				// The attempt may be sent before Submit returns, but it is finished only after that.
 				tracked.PendingRequest = submit(t, d, Request{Class: class, Key: strconv.Itoa(random.Intn(20)), Write: random.Intn(4) == 0}, time.Minute)
 				byPending[tracked.PendingRequest] = tracked
 				requests = append(requests, tracked)
@@ -81,7 +83,7 @@
 				if len(requests) > 0 {
 					tracked := requests[random.Intn(len(requests))]
 					violation := ""
-					// One step under the lock: an alarm between the check and the client's end may answer properly.
+					// Both under one lock: an alarm between the check and the cancellation could answer the request.
 					d.withLock("client gone", tracked.PendingRequest, func(now routing.Time) {
 						violation = tracked.checkLocked()
 						tracked.clientGone(now)
@@ -113,7 +115,7 @@
 		}
 		for _, tracked := range requests {
 			if violation := tracked.check(); violation != "" || !tracked.answered && !tracked.abandoned {
-				t.Errorf("seed %d: at the end: answered %v, left %v %s", seed, tracked.answered, tracked.abandoned, violation)
+				t.Errorf("seed %d: at the end: answered %v, abandoned %v %s", seed, tracked.answered, tracked.abandoned, violation)
 				return false
 			}
 		}
--- a/internal/net/dispatch/retry_window_test.go
+++ b/internal/net/dispatch/retry_window_test.go
@@ -11,11 +11,11 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// stallingTransport is a server side whose process has no core for a while in the middle of a decision.
+// stallingTransport simulates a process that gets no CPU time for a while during a decision.
 type stallingTransport struct {
 	*fakeTransport
 	stall     time.Duration
-	stalledAt time.Time // of the latest stall
+	stalledAt time.Time // start of the latest stall
 }
 
 func (s *stallingTransport) CloseIdle(uint64, int) {
@@ -23,9 +23,9 @@
 	time.Sleep(s.stall)
 }
 
-// A repeat of what may have run begins within the span of its settings, counted from the first attempt, or not at all: whatever the
-// span is, some tenths of a millisecond included, whichever attempt it is, and where the process stood still amid the decision. A drain's
-// grace counts from the decision too.
+// A retry of a request that may have run must begin within the deduplication window, counted from the first attempt
+// that may have run, or not at all. This holds for windows down to some tenths of a millisecond, for each retry, and if
+// the process stalls during the decision. The send window of a drain's grace period counts from the decision too.
 func TestRetrySendByWithinDedupWindow(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	retries, stalls := 0, 0
@@ -51,7 +51,7 @@
 		d.Start(uint64(random.Int63()), transport, fakeSource{})
 		d.UpdateEndpoints(routing.Full, testEndpoints)
 		submit(t, d, Request{Class: "marked", Key: "k", Write: true}, 3*time.Second)
-		var firstStart time.Time // the earliest that the first attempt that may have run can have begun
+		var firstStart time.Time // start of the first attempt that may have run
 		for number := 0; ; number++ {
 			attempt := transport.take(0)
 			if attempt == nil {
@@ -60,11 +60,11 @@
 			if !firstStart.IsZero() {
 				retries++
 				if delay := attempt.SendBy.Sub(firstStart); attempt.SendBy.IsZero() || delay >= window {
-					t.Errorf("span %v, stalled for %v, attempt %d may begin by %v after the first, %v", window, transport.stall, number, delay, attempt.SendBy)
+					t.Errorf("window %v, stalled for %v: attempt %d may begin until %v after the first, at %v", window, transport.stall, number, delay, attempt.SendBy)
 				}
 			}
 			if grace > 0 && number > 0 && attempt.SendBy.After(transport.stalledAt.Add(sendWindow(grace))) {
-				t.Errorf("grace %v, stalled for %v: attempt %d may begin %v after the decision", grace, transport.stall, number, attempt.SendBy.Sub(transport.stalledAt))
+				t.Errorf("grace %v, stalled for %v: attempt %d may begin until %v after the decision", grace, transport.stall, number, attempt.SendBy.Sub(transport.stalledAt))
 			}
 			result := []AttemptResult{ConnectionLost, ConnectionLost, ConnectionLost, Truncated, ServerError, TimedOut, WriteFailed, NotConnected}[random.Intn(8)]
 			if firstStart.IsZero() && result != WriteFailed && result != NotConnected {
@@ -75,14 +75,14 @@
 				transport.stall = time.Duration(random.Int63n(int64(window) + 1))
 				stalls++
 			}
-			time.Sleep(time.Duration(random.Int63n(int64(window)/3 + 1))) // its dial, its way to the server
+			time.Sleep(time.Duration(random.Int63n(int64(window)/3 + 1))) // dial and transfer to the server
 			attempt.Finish(result, Answer{})
 		}
 		if d.Stats().Panics > 0 || d.InFlight() > 0 {
-			t.Fatal("a panic, or a request left over")
+			t.Fatal("a panic, or a request still in flight")
 		}
 	}
 	if retries < 20 || stalls < 20 {
-		t.Errorf("only %d repeats, %d stalls", retries, stalls)
+		t.Errorf("only %d retries, %d stalls", retries, stalls)
 	}
 }
--- a/internal/net/dispatch/send_by_test.go
+++ b/internal/net/dispatch/send_by_test.go
@@ -10,12 +10,12 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// A process may be held up for 0.15 s between its last look at the clock and the write. A drain's grace has to cover that too,
-// beside the time that the news of the drain takes to be read, wherever the grace is long enough to hold it.
+// A process may stall for 0.15 s between its last check of the clock and the write. The grace period of a drain must
+// cover this stall and the time until the drain is read from the list, if the period is long enough for both.
 func TestSendByLeavesGraceForStall(t *testing.T) {
 	const (
 		stall     = 150 * time.Millisecond
-		listDelay = 20 * time.Millisecond // for the list to be read and told
+		listDelay = 20 * time.Millisecond // to read and apply the list
 	)
 	for _, grace := range []time.Duration{200, 220, 250, 300, 400, 500, 1000, 2000} {
 		grace *= time.Millisecond
@@ -32,18 +32,19 @@
 		submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
 		attempt := transport.take(0)
 		if window := attempt.SendBy.Sub(attempt.startedAt); window <= 0 || listDelay+window+stall > grace {
-			t.Errorf("grace %v: a first byte may be decided for up to %v, written up to %v later", grace, window, stall)
+			t.Errorf("grace %v: SendBy is %v after the decision, and the write may be %v later", grace, window, stall)
 		}
 	}
 }
 
-// A retry of a keyed request may wait for its connection for longer than its servers remember the first attempt: it begins within
-// three quarters of that span or not at all, whatever a drain's grace is. Nothing is remembered of a first attempt, or one that reads.
+// A retry of a keyed request may wait for a connection until its servers have dropped the key of the first attempt. It
+// must begin within three quarters of the deduplication window or not at all, whatever the grace period of a drain is.
+// First attempts and safe requests have no such limit.
 func TestKeyedRetrySendBy(t *testing.T) {
 	for _, grace := range []time.Duration{0, 100 * time.Millisecond, 1500 * time.Millisecond} {
 		for _, c := range []struct {
 			namespace   string
-			retryWindow time.Duration // 0: no bound of its own
+			retryWindow time.Duration // 0: not limited
 		}{{"marked", 100 * time.Millisecond}, {"read", 0}} {
 			transport := &fakeTransport{}
 			d := startDispatcher(t, transport)
@@ -57,7 +58,7 @@
 						bound = drainWindow
 					}
 					if bound == 0 != attempt.SendBy.IsZero() || bound > 0 && attempt.SendBy.Sub(attempt.startedAt) != bound {
-						t.Errorf("%s, grace %v, attempt %d: begins by %v after it was ordered, want %v", c.namespace, grace, number, attempt.SendBy.Sub(attempt.startedAt), bound)
+						t.Errorf("%s, grace %v, attempt %d: SendBy is %v after the decision, want %v", c.namespace, grace, number, attempt.SendBy.Sub(attempt.startedAt), bound)
 					}
 					attempt.Finish(ConnectionLost, Answer{})
 				}
--- a/internal/net/dispatch/streaming_test.go
+++ b/internal/net/dispatch/streaming_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// What of a long body has gone to one server can't go to another: no second attempt is carried, and the request ends.
+// A streamed body of which a part was read for one server can't be sent to another: there is no retry, and the request
+// ends.
 func TestStreamedBodyNotRetriedOnceRead(t *testing.T) {
 	for started, want := range map[bool]int{false: 2, true: 1} {
 		transport := &fakeTransport{}
@@ -31,48 +32,49 @@
 		}
 		a, answered := receivedAnswer(pending)
 		if attempts != want || !answered || (a.Outcome == Served) == started {
-			t.Errorf("begun %v: %d attempts, ended %v %v", started, attempts, answered, a.Outcome)
+			t.Errorf("body read %v: %d attempts, answered %v, outcome %v", started, attempts, answered, a.Outcome)
 		}
 		if d.InFlight() != 0 {
-			t.Error("a request is left over")
+			t.Error("a request is still in flight")
 		}
 	}
 }
 
-// A long answer is the request's from its first byte on, no other may follow, and the id is out until it is through.
+// A streamed answer is final from its first byte on, so no other answer may be delivered. The trace id stays in use
+// until the stream is closed.
 func TestStreamedAnswerIsOnlyAnswer(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	pending := submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
 	attempt := transport.take(0)
-	attempt.Stalled() // it goes elsewhere too
+	attempt.Stalled() // a second attempt is started
 	hedge := transport.take(0)
 	if hedge == nil {
 		t.Fatal("no second attempt")
 	}
 	rest := io.NopCloser(strings.NewReader("long"))
 	if !attempt.Finish(Complete, Answer{Rest: rest, Length: 4}) || hedge.Finish(Complete, Answer{Rest: rest, Length: 4}) {
-		t.Error("want the first answer, and only that")
+		t.Error("want the first answer delivered, and only that")
 	}
 	if a, answered := receivedAnswer(pending); !answered || a.Rest == nil {
-		t.Errorf("%v %+v", answered, a)
+		t.Errorf("answered %v: %+v", answered, a)
 	}
 	if _, err := d.Submit(pending.Request, time.Now(), time.Second); !errors.Is(err, ErrDuplicateID) {
-		t.Errorf("its id is out: %v", err)
+		t.Errorf("trace id in use: %v", err)
 	}
 	hedge.Release()
 	attempt.Release()
 	attempt.Release()
 	if d.InFlight() != 0 {
-		t.Errorf("%d requests are left", d.InFlight())
+		t.Errorf("%d requests are in flight", d.InFlight())
 	}
 	unsafe := submit(t, d, Request{Class: "once", Write: true}, time.Second)
 	attempt = transport.take(0)
 	if attempt.Stalled(); transport.take(0) != nil {
-		t.Error("what isn't safe must not go elsewhere")
+		t.Error("an unsafe request was hedged")
 	}
 	unsafe.Cancel()
 	if attempt.Finish(Complete, Answer{Rest: rest, Length: 4}) {
-		t.Error("nobody is there to take it")
+		t.Error("an answer was delivered after the client had left")
 	}
 }
--- a/internal/net/ejection/golden_test.go
+++ b/internal/net/ejection/golden_test.go
@@ -11,9 +11,10 @@
 	"go.uber.org/zap"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// The file outlives its process: the next one, of an older or a later version, reads it.
+// The file persists when its process ends. It must stay readable by the next process, which may run an older or a newer
+// version.
 func TestFileFormatUnchanged(t *testing.T) {
 	path := filepath.Join("testdata", "golden", "n1.bans")
 	entries := []Entry{{ID: "c-1", EjectedAt: 1764750000000}, {ID: "c-2", EjectedAt: 1764750000000, RestoredAt: 1764750001000}}
--- a/internal/net/ejection/registry_test.go
+++ b/internal/net/ejection/registry_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// process is one process of a node: its registry and what the registry last passed on.
+// process is one process of a node: its registry and the entries of the latest call of onChange.
 type process struct {
 	*Registry
 	mu       sync.Mutex
@@ -32,7 +32,7 @@
 	return p
 }
 
-// ejected returns the ids that are ejected, as last passed on, in order.
+// ejected returns the sorted ids of the servers that were ejected at the latest call of onChange.
 func (p *process) ejected() (ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 		must(t, p.Eject("a"))
 		must(t, p.Eject("b"))
 		if got := p.ejected(); !slices.Equal(got, []string{"a", "b"}) || p.entries[0].EjectedAt != first {
-			t.Errorf("%v, out since %d and then %d", got, first, p.entries[0].EjectedAt)
+			t.Errorf("ejected %v, since %d at first and since %d after the second call", got, first, p.entries[0].EjectedAt)
 		}
 		must(t, p.Restore("a"))
 		must(t, p.Restore("never out"))
@@ -75,7 +75,8 @@
 	}
 }
 
-// What one process is told holds for the other one, for one that starts later, and when both are told at once.
+// Ejections and restores made by one process apply to the other one and to one that starts later, also if both
+// processes change the file at the same time.
 func TestProcessesShareEjections(t *testing.T) {
 	folder := t.TempDir()
 	one, other := open(folder, zap.NewNop()), open(folder, zap.NewNop())
@@ -112,7 +113,8 @@
 	}
 }
 
-// A file that is truncated at any byte, or is no list, adds no ejection and ends none, and is logged once.
+// A file that is truncated at any byte, or is not a list of entries, neither adds nor ends an ejection, and is logged
+// once.
 func TestInvalidFileKeepsEjectionsInMemory(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "n.bans")
@@ -134,26 +136,26 @@
 		opened.Refresh()
 		opened.Refresh()
 		if len(opened.ejected()) != 0 || logs.FilterMessage("ejections file is invalid, keeping the ejections in memory").Len() != 1 {
-			t.Fatalf("%.40q: %v, %d lines", text, opened.ejected(), logs.Len())
+			t.Fatalf("%.40q: ejected %v, %d log lines", text, opened.ejected(), logs.Len())
 		}
 		if p.Refresh(); !slices.Equal(p.ejected(), []string{"a", "b"}) {
-			t.Fatalf("%.40q ends ejections: %v", text, p.ejected())
+			t.Fatalf("%.40q: ejected %v, want a and b", text, p.ejected())
 		}
 	}
-	must(t, p.Eject("c")) // and the next call writes it whole again
+	must(t, p.Eject("c")) // writes a complete file again
 	if got := open(folder, zap.NewNop()).ejected(); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("%v", got)
 	}
 }
 
-// A list that cannot be written is not changed, and the caller gets an error.
+// If the file cannot be written, or the registry is full, Eject returns an error and changes nothing.
 func TestEjectErrorChangesNothing(t *testing.T) {
 	folder := t.TempDir()
 	p := open(folder, zap.NewNop())
 	must(t, p.Eject("a"))
 	must(t, os.Mkdir(filepath.Join(folder, "n.bans.new"), 0o700))
 	if err := p.Eject("b"); err == nil || !slices.Equal(p.ejected(), []string{"a"}) {
-		t.Errorf("%v: %v", err, p.ejected())
+		t.Errorf("error %v, ejected %v", err, p.ejected())
 	}
 	must(t, os.Remove(filepath.Join(folder, "n.bans.new")))
 	for i := range maxEntries + 1 {
