--- a/internal/net/dispatch/admission_test.go
+++ b/internal/net/dispatch/admission_test.go
@@ -18,7 +18,7 @@
 		firstResult AttemptResult // result of the first attempt; attemptResultCount: it is in flight
 		order       func(h host, pending int)
 		want        admission.Reason
-		outcome     Outcome
+		outcome     Outcome // -1: the request is not answered
 	}{
 		{"second attempt while unsafe one in flight", Request{Class: "once", Key: "k"}, attemptResultCount,
 			func(h host, i int) { h.Send(i, server, 100) }, admission.MayHaveRun, -1},
--- a/internal/net/dispatch/ejections_test.go
+++ b/internal/net/dispatch/ejections_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Restoring an endpoint sets its start time once, and a list update without a restart keeps it. A restart that the list
-// reports later sets it again.
+// Restoring an endpoint sets its start time once, and a list update without a restart keeps it. A restart after the
+// ejection that the list reports only after the restore sets it again.
 func TestRestoredEndpointStartTime(t *testing.T) {
 	d := startDispatcher(t, &fakeTransport{})
 	ejectedAt := float64(d.clock.start.UnixMilli())
--- a/internal/net/dispatch/random_test.go
+++ b/internal/net/dispatch/random_test.go
@@ -83,7 +83,7 @@
 				if len(requests) > 0 {
 					tracked := requests[random.Intn(len(requests))]
 					violation := ""
-					// Both under one lock: an alarm between the check and the cancellation could answer the request.
+					// Both under one lock, as an alarm between the check and the cancellation may answer the request legitimately.
 					d.withLock("client gone", tracked.PendingRequest, func(now routing.Time) {
 						violation = tracked.checkLocked()
 						tracked.clientGone(now)
