--- a/internal/net/admission/admission_test.go
+++ b/internal/net/admission/admission_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Each fact that speaks against a first byte is a reason by itself, and none is one without it.
-func TestSend(t *testing.T) {
+// Each fact that forbids a first byte is sufficient by itself, and without any of them the first byte is granted.
+func TestSendDecide(t *testing.T) {
 	now := time.Now()
-	sound := Send{Now: now, GatherTime: time.Millisecond, SendBy: now.Add(time.Millisecond), ClientDeadline: now.Add(time.Second), DeclaredTimeout: time.Second}
+	valid := Send{Now: now, GatherTime: time.Millisecond, SendBy: now.Add(time.Millisecond), ClientDeadline: now.Add(time.Second), DeclaredTimeout: time.Second}
 	for want, change := range map[Reason]func(*Send){
 		Granted:          func(*Send) {},
 		NotQuiet:         func(s *Send) { s.Refused = NotQuiet },
@@ -21,52 +21,52 @@
 		FactsStale:       func(s *Send) { s.GatherTime = MaxFactAge },
 		FactsUnknown:     func(s *Send) { s.Unknown = true },
 	} {
-		s := sound
+		s := valid
 		if change(&s); s.Decide() != want {
 			t.Errorf("%v, want %v", s.Decide(), want)
 		}
 	}
 	if got := (Send{Now: now}).Decide(); got != Granted {
-		t.Errorf("with no times: %v", got)
+		t.Errorf("without deadlines: %v", got)
 	}
 }
 
-func TestAttemptAndRefusal(t *testing.T) {
+func TestAttemptDecideAndMayReject(t *testing.T) {
 	now := time.Now()
 	past, future := now.Add(-time.Millisecond), now.Add(time.Millisecond)
 	for _, c := range []struct {
-		name            string
-		is              Attempt
-		attempt, reject Reason
+		name                    string
+		attempt                 Attempt
+		wantAttempt, wantReject Reason
 	}{
-		{"the first", Attempt{}, Granted, Granted},
-		{"after the final answer", Attempt{Ended: true}, RequestOver, Granted},
-		{"a body that was sent in part", Attempt{BodySent: true}, BodySent, Granted},
-		{"beside another", Attempt{History: History{InFlight: 1, Safe: true}}, AttemptInFlight, Granted},
-		{"a hedge", Attempt{History: History{InFlight: 1, Safe: true}, Hedging: true}, Granted, Granted},
-		{"a hedge of an unsafe one", Attempt{History: History{InFlight: 1}, Hedging: true}, MayHaveRun, MayHaveRun},
-		{"a retry after a proof", Attempt{History: History{}}, Granted, Granted},
-		{"a retry without a proof", Attempt{History: History{MayHaveRun: true}}, MayHaveRun, MayHaveRun},
-		{"a safe one", Attempt{History: History{MayHaveRun: true, Safe: true}}, Granted, Granted},
-		{"a keyed one in its window", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: future}}, Granted, Granted},
-		{"a keyed one after it", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: past}}, DedupWindowOver, Granted},
-		{"a keyed one of a smaller group", Attempt{History: History{MayHaveRun: true, DedupUntil: future}}, MayHaveRun, MayHaveRun},
+		{"first attempt", Attempt{}, Granted, Granted},
+		{"request ended", Attempt{Ended: true}, RequestOver, Granted},
+		{"streamed body read", Attempt{BodySent: true}, BodySent, Granted},
+		{"attempt in flight, no hedging", Attempt{History: History{InFlight: 1, Safe: true}}, AttemptInFlight, Granted},
+		{"hedge of a safe request", Attempt{History: History{InFlight: 1, Safe: true}, Hedging: true}, Granted, Granted},
+		{"hedge of an unsafe request", Attempt{History: History{InFlight: 1}, Hedging: true}, MayHaveRun, MayHaveRun},
+		{"retry, not run", Attempt{History: History{}}, Granted, Granted},
+		{"retry, may have run", Attempt{History: History{MayHaveRun: true}}, MayHaveRun, MayHaveRun},
+		{"retry of a safe request", Attempt{History: History{MayHaveRun: true, Safe: true}}, Granted, Granted},
+		{"keyed retry within window", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: future}}, Granted, Granted},
+		{"keyed retry after window", Attempt{History: History{MayHaveRun: true, SharedDedup: true, DedupUntil: past}}, DedupWindowOver, Granted},
+		{"keyed retry without shared dedup", Attempt{History: History{MayHaveRun: true, DedupUntil: future}}, MayHaveRun, MayHaveRun},
 	} {
-		c.is.Now = now
-		if got := c.is.Decide(); got != c.attempt {
-			t.Errorf("%s: attempt %v, want %v", c.name, got, c.attempt)
+		c.attempt.Now = now
+		if got := c.attempt.Decide(); got != c.wantAttempt {
+			t.Errorf("%s: attempt %v, want %v", c.name, got, c.wantAttempt)
 		}
-		if got := c.is.MayReject(); got != c.reject {
-			t.Errorf("%s: rejection %v, want %v", c.name, got, c.reject)
+		if got := c.attempt.MayReject(); got != c.wantReject {
+			t.Errorf("%s: rejection %v, want %v", c.name, got, c.wantReject)
 		}
 	}
 }
 
-func TestReasonsHaveNames(t *testing.T) {
+func TestReasonNamesUniqueAndNotEmpty(t *testing.T) {
 	seen := map[string]bool{}
 	for r := Granted; r < NumReasons; r++ {
 		if r.String() == "" || seen[r.String()] {
-			t.Errorf("reason %d is named %q", r, r)
+			t.Errorf("reason %d has an empty or duplicate name %q", r, r)
 		}
 		seen[r.String()] = true
 	}
--- a/internal/net/dispatch/clock.go
+++ b/internal/net/dispatch/clock.go
@@ -10,23 +10,24 @@
 // tick is the unit of routing.Time.
 const tick = time.Millisecond / time.Duration(routing.Millisecond)
 
-// minClockStep is the difference from which on the wall clock counts as stepped. Smaller ones are clock discipline.
+// minClockStep is the smallest difference that counts as a step of the wall clock. Smaller ones come from clock
+// discipline, such as slewing.
 const minClockStep = time.Second
 
-// clock is the balancer's clock. It starts at the Unix time of start and goes on monotonically, so that it can be
-// compared with the start times of the endpoint list, which are Unix times.
+// clock is the balancer's clock. It starts at the Unix time of start and then follows the monotonic clock. Its times
+// can be compared with the start times in the endpoint list, which are Unix times.
 type clock struct{ start time.Time }
 
-// now returns the present time.
-func (c clock) now() routing.Time { return c.at(time.Now()) }
+// now returns the current time.
+func (c clock) now() routing.Time { return c.toRoutingTime(time.Now()) }
 
-// at converts a time that has a monotonic reading, rounding down.
-func (c clock) at(t time.Time) routing.Time {
+// toRoutingTime converts a time that has a monotonic reading, rounding down.
+func (c clock) toRoutingTime(t time.Time) routing.Time {
 	unix := c.start.UnixNano() + int64(t.Sub(c.start))
 	return routing.Time(unix / int64(tick))
 }
 
-// wallOffset returns by how much the wall clock was stepped since the start; 0 below minClockStep.
+// wallOffset returns by how much the wall clock was stepped since start; 0 if by less than minClockStep.
 func (c clock) wallOffset(now time.Time, wall time.Time) time.Duration {
 	offset := wall.Sub(c.start.Round(0)) - now.Sub(c.start)
 	if offset.Abs() < minClockStep {
@@ -35,19 +36,19 @@
 	return offset
 }
 
-// fromUnix converts a Unix time in milliseconds; 0 stays 0, which means long ago.
+// fromUnix converts a Unix time in milliseconds. 0 stays 0, which means long ago.
 func fromUnix(ms float64) routing.Time { return routing.Time(ms) * routing.Millisecond }
 
-// fromUnixNow converts a Unix time in milliseconds, as the wall clock tells it now, to the balancer's clock. A time in
-// the future comes of a wrong clock and counts as now. 0 stays 0, which means long ago.
+// fromUnixNow converts a Unix time in milliseconds to the balancer's clock, corrected by the steps of the wall clock
+// until now. A time in the future is due to a wrong clock and counts as now. 0 stays 0, which means long ago.
 func (d *Dispatcher) fromUnixNow(ms float64) routing.Time {
 	if ms == 0 {
 		return 0
 	}
 	now := time.Now()
-	at := fromUnix(ms) - config.Ticks(float64(d.clock.wallOffset(now, d.wall()))/float64(time.Millisecond))
-	if received := d.clock.at(now); at > received+config.Ticks(float64(minClockStep/time.Millisecond)) {
-		at = received
+	t := fromUnix(ms) - config.Ticks(float64(d.clock.wallOffset(now, d.wallNow()))/float64(time.Millisecond))
+	if routingNow := d.clock.toRoutingTime(now); t > routingNow+config.Ticks(float64(minClockStep/time.Millisecond)) {
+		t = routingNow
 	}
-	return max(1, at)
+	return max(1, t)
 }
