--- a/internal/net/upstream/answer.go
+++ b/internal/net/upstream/answer.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	firstBytes        = 4 << 10 // of an answer of unknown length, read before any of it is forwarded
+	initialReadBytes  = 4 << 10 // of an answer of unknown length, read before any of it is forwarded
 	bufferTimeDivisor = 2       // an answer of unknown length is streamed if it still comes after half of the attempt's time
 )
 
@@ -31,7 +31,7 @@
 	case resp.ContentLength > c.limits.MaxStreamed, resp.ContentLength > c.limits.MaxBuffered && !ok:
 		return dispatch.Malformed, dispatch.Answer{}, errTooLong
 	}
-	body, long, err := c.readBody(resp, ok, deadline)
+	body, hasRest, err := c.readBody(resp, ok, deadline)
 	switch {
 	case err != nil && isConnectionError(err):
 		return dispatch.Truncated, dispatch.Answer{}, err
@@ -41,7 +41,7 @@
 		return resultOfStatus(resp), dispatch.Answer{}, nil
 	}
 	answer := dispatch.Answer{Body: body, ContentType: resp.Header.Get("Content-Type")}
-	if long {
+	if hasRest {
 		answer.Length = resp.ContentLength
 	}
 	return dispatch.Complete, answer, nil
@@ -64,8 +64,8 @@
 
 // readBody reads a body to its end. It stops after the first bytes of a long one that may be streamed: one that tells
 // so, and one of unknown length that goes on beyond the buffer's bound or beyond a part of the attempt's time.
-func (c *Client) readBody(resp *http.Response, mayStream bool, deadline time.Time) (body []byte, long bool, err error) {
-	size := firstBytes
+func (c *Client) readBody(resp *http.Response, mayStream bool, deadline time.Time) (body []byte, hasRest bool, err error) {
+	size := initialReadBytes
 	knownLength := resp.ContentLength >= 0
 	if knownLength {
 		size = int(min(resp.ContentLength, c.limits.MaxBuffered)) + 1 // one more, so that the last read finds the end
--- a/internal/net/upstream/answer_stream.go
+++ b/internal/net/upstream/answer_stream.go
@@ -63,7 +63,7 @@
 	cancel    context.CancelCauseFunc
 	onError   func(error) // called when a Read fails, not for io.EOF
 	silence   *time.Timer
-	readBegan atomic.Int64 // clock.Moment at which the present Read began; 0: none waits
+	readStart atomic.Int64 // clock.Moment at which the present Read began; 0: none waits
 
 	closeOnce sync.Once
 	closed    chan struct{}
@@ -71,10 +71,10 @@
 
 // Read implements io.Reader. It returns io.EOF only where the server has ended the answer as it should.
 func (s *answerStream) Read(b []byte) (int, error) {
-	s.readBegan.Store(int64(clock.Now()))
+	s.readStart.Store(int64(clock.Now()))
 	s.silence.Reset(maxStreamSilence)
 	n, err := s.source.Read(b)
-	s.readBegan.Store(0)
+	s.readStart.Store(0)
 	s.silence.Stop()
 	s.remaining -= int64(n)
 	if s.remaining < 0 {
@@ -88,8 +88,8 @@
 
 // checkSilence cancels the exchange if a Read has waited for too long.
 func (s *answerStream) checkSilence() {
-	began := s.readBegan.Load()
-	if began != 0 && clock.Moment(began).Since() >= maxStreamSilence {
+	start := s.readStart.Load()
+	if start != 0 && clock.Moment(start).Since() >= maxStreamSilence {
 		s.cancel(errStalled)
 	}
 }
--- a/internal/net/upstream/attempt.go
+++ b/internal/net/upstream/attempt.go
@@ -15,23 +15,23 @@
 // send carries an attempt and returns how it ended. A connection that breaks before the request was written says little
 // about its server, and the request has not run: another connection is tried.
 func (c *Client) send(a *dispatch.Attempt) (dispatch.AttemptResult, dispatch.Answer) {
-	takenAt := time.Now()
-	deadline := a.AttemptDeadline(takenAt)
+	start := time.Now()
+	deadline := a.AttemptDeadline(start)
 	for try := 1; ; try++ {
 		x, result, answer, err := c.roundTrip(a, deadline)
 		if err != nil && x.conn != nil && x.conn.retire() {
 			_ = x.conn.Close() // now: the transport's own close may come after the next attempt has begun
 		}
-		denied := x.denial()
-		a.CountDenied(denied)
-		if try < maxConnTries && retryable(result, denied) && c.mayStillSend(a, deadline) {
+		reason := x.denial()
+		a.CountDenied(reason)
+		if try < maxConnTries && retryable(result, reason) && c.mayStillSend(a, deadline) {
 			continue
 		}
 		if result.Answered() && (a.Rest == nil || a.Rest.Complete()) {
 			a.Written() // an answer proves it, also where the transport's buffer was empty before the last byte
 		}
 		if err != nil {
-			c.logFailure(a, result, takenAt, err)
+			c.logFailure(a, result, start, err)
 		}
 		return result, answer
 	}
@@ -39,8 +39,8 @@
 
 // retryable reports whether another connection may do where this one did not: the request was not written, for a
 // reason that lies in the connection or passes with time.
-func retryable(result dispatch.AttemptResult, denied admission.Reason) bool {
-	switch denied {
+func retryable(result dispatch.AttemptResult, reason admission.Reason) bool {
+	switch reason {
 	case admission.NotQuiet, admission.ConnectionEnding, admission.DeadlineStale:
 		return true
 	}
@@ -62,9 +62,9 @@
 	return a.Rest == nil || !a.Rest.Started()
 }
 
-func (c *Client) logFailure(a *dispatch.Attempt, result dispatch.AttemptResult, takenAt time.Time, err error) {
+func (c *Client) logFailure(a *dispatch.Attempt, result dispatch.AttemptResult, start time.Time, err error) {
 	c.log.Info("attempt failed", zap.Stringer("end", result), zap.String("server", a.Address),
-		zap.String("trace", a.TraceID), zap.Duration("after", time.Since(takenAt)), zap.Error(err))
+		zap.String("trace", a.TraceID), zap.Duration("after", time.Since(start)), zap.Error(err))
 }
 
 // roundTrip sends an attempt's request on one connection. The returned exchange is closed.
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -52,11 +52,11 @@
 }
 
 // newConn wraps a connection. onClose is called once, after its descriptor is closed.
-func newConn(c socket, onClose func()) *conn {
-	raw, _ := c.SyscallConn() // fails for a nil connection only
-	own := &conn{Conn: c, raw: raw, onClose: onClose, lastUsed: time.Now(), request: &outgoingRequest{}}
-	own.changed.L = &own.mu
-	return own
+func newConn(s socket, onClose func()) *conn {
+	raw, _ := s.SyscallConn() // fails for a nil connection only
+	c := &conn{Conn: s, raw: raw, onClose: onClose, lastUsed: time.Now(), request: &outgoingRequest{}}
+	c.changed.L = &c.mu
+	return c
 }
 
 // acquire makes the connection ready for a request, and returns how many bytes were written and read before. After an
--- a/internal/net/upstream/conn_read.go
+++ b/internal/net/upstream/conn_read.go
@@ -97,11 +97,11 @@
 	return unread, unknown
 }
 
-// hasReadBeyond reports whether more than so many bytes have come.
-func (c *conn) hasReadBeyond(bytes int64) bool {
+// hasReadMoreThan reports whether more than so many bytes have come.
+func (c *conn) hasReadMoreThan(n int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.bytesRead > bytes
+	return c.bytesRead > n
 }
 
 // answerSilence returns for how long an answer that has begun has brought nothing; 0 before its first byte.
--- a/internal/net/upstream/conn_write.go
+++ b/internal/net/upstream/conn_write.go
@@ -18,8 +18,8 @@
 // Write implements io.Writer. It returns a denialError, and writes nothing, where the present request must not be written.
 func (c *conn) Write(b []byte) (int, error) {
 	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // first: nothing comes between the decision and the write
-	if denied := c.startWrite(); denied != admission.Granted {
-		return 0, denialError{denied}
+	if reason := c.startWrite(); reason != admission.Granted {
+		return 0, denialError{reason}
 	}
 	n, err := kernel.WriteAll(c.Conn.Write, b)
 	c.bytesWritten.Add(int64(n))
@@ -27,7 +27,7 @@
 	if n < len(b) {
 		return n, err
 	}
-	c.flushed()
+	c.callOnFlush()
 	return n, err
 }
 
@@ -58,9 +58,9 @@
 
 // decideWrite gathers the facts about a request, and decides whether its first byte may be written now. Facts that took
 // long to gather may be outdated, and are gathered again. Called with the lock held.
-func (c *conn) decideWrite(request *outgoingRequest) (denied admission.Reason) {
+func (c *conn) decideWrite(request *outgoingRequest) (reason admission.Reason) {
 	for range maxWriteChecks {
-		began := time.Now()
+		start := time.Now()
 		unread, unknown := c.hasUnreadInput()
 		request.unsolicited = request.unsolicited || unread
 		client := admission.Granted
@@ -68,35 +68,35 @@
 			client = request.clientState()
 		}
 		now := time.Now() // last, with no system call after it
-		denied = admission.Send{
+		reason = admission.Send{
 			Refused:          request.presetRefusal,
 			ConnectionEnding: c.retired || c.localFailure.Load(),
 			Unsolicited:      request.unsolicited || c.closing,
 			Unknown:          unknown,
 			Client:           client,
-			GatherTime:       now.Sub(began),
+			GatherTime:       now.Sub(start),
 			Now:              now,
 			SendBy:           request.sendBy,
 			ClientDeadline:   request.clientDeadline,
 			DeclaredTimeout:  request.declaredTimeout,
 		}.Decide()
-		if denied != admission.FactsStale {
+		if reason != admission.FactsStale {
 			break
 		}
 	}
-	return denied
+	return reason
 }
 
-// notifyFlushed has onFlush called once the next write has succeeded: the request's last byte is in the transport's
+// setOnFlush has onFlush called once the next write has succeeded: the request's last byte is in the transport's
 // buffer.
-func (c *conn) notifyFlushed(onFlush func()) {
+func (c *conn) setOnFlush(onFlush func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onFlush = onFlush
 }
 
-// flushed calls onFlush, once, without the lock.
-func (c *conn) flushed() {
+// callOnFlush calls onFlush, once, without the lock.
+func (c *conn) callOnFlush() {
 	c.mu.Lock()
 	onFlush := c.onFlush
 	c.onFlush = nil
--- a/internal/net/upstream/dialer.go
+++ b/internal/net/upstream/dialer.go
@@ -56,27 +56,27 @@
 	if !ok {
 		target.address = key
 	}
-	if !d.startDial(target.address, key, target.cache) {
+	if !d.startDial(target.address, key, target.toCache) {
 		return nil, errNoResources
 	}
-	c, err := kernel.Dialing(d.DialContext)(ctx, network, target.address)
+	socketConn, err := kernel.Dialing(d.DialContext)(ctx, network, target.address)
 	d.finishDial(target.address, err != nil)
 	if err != nil {
 		return nil, err
 	}
-	own := newConn(c.(socket), nil)
-	own.toCache = target.cache
-	own.onUnsolicited = func(sinceLastRead time.Duration) { d.quietPeriods.observe(key, sinceLastRead) }
-	own.onClose = sync.OnceFunc(func() { d.removeConn(key, own) })
-	d.addConn(key, own)
-	return own, nil
+	c := newConn(socketConn.(socket), nil)
+	c.toCache = target.toCache
+	c.onUnsolicited = func(sinceLastRead time.Duration) { d.quietPeriods.observe(key, sinceLastRead) }
+	c.onClose = sync.OnceFunc(func() { d.removeConn(key, c) })
+	d.addConn(key, c)
+	return c, nil
 }
 
 // startDial counts a dial and its descriptor, if the bounds permit them.
-func (d *dialer) startDial(address, key string, cache bool) bool {
+func (d *dialer) startDial(address, key string, toCache bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if cache && d.cacheBounded && len(d.connsByKey[key])+d.dialsByAddress[address] >= d.maxConnsPerCache {
+	if toCache && d.cacheBounded && len(d.connsByKey[key])+d.dialsByAddress[address] >= d.maxConnsPerCache {
 		return false
 	}
 	if d.openConns >= d.maxConns || d.dials >= max(1, d.maxConns/maxDialsDivisor) || d.dialsByAddress[address] >= d.maxDialsPerServer {
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -35,10 +35,10 @@
 	mu       sync.Mutex
 	answered bool // abort does nothing any more
 
-	conn          *conn // nil: it got none yet
-	outgoing      *outgoingRequest
-	writtenBefore int64 // bytes written to the connection before
-	readBefore    int64 // bytes read from the connection before
+	conn                *conn // nil: it got none yet
+	outgoing            *outgoingRequest
+	initialBytesWritten int64 // bytes written to the connection before
+	initialBytesRead    int64 // bytes read from the connection before
 }
 
 // newExchange returns an exchange whose timers run. It must be closed.
@@ -72,13 +72,13 @@
 	}
 	defer resp.Body.Close()
 	result, answer, err := x.client.readAnswer(resp, x.deadline)
-	if result == dispatch.Shed && x.writtenBefore == 0 && resp.Close {
+	if result == dispatch.Shed && x.initialBytesWritten == 0 && resp.Close {
 		result = dispatch.ConnectionLimit // a server whose queue is full keeps the connection
 	}
-	denied := x.denial()
+	reason := x.denial()
 	switch {
-	case denied != admission.Granted:
-		return resultOfDenial(denied), dispatch.Answer{}, denialError{denied}
+	case reason != admission.Granted:
+		return resultOfDenial(reason), dispatch.Answer{}, denialError{reason}
 	case err != nil && x.ctx.Err() != nil:
 		return x.resultOfCancel(), dispatch.Answer{}, err
 	case err != nil && x.conn.localFailure.Load():
@@ -99,7 +99,7 @@
 	x.releaseConn() // of an earlier call: the transport may have found that connection broken
 	x.conn, _ = info.Conn.(*conn)
 	x.outgoing = &outgoingRequest{clientState: a.ClientState, sendBy: a.SendBy}
-	x.writtenBefore, x.readBefore = x.conn.acquire(info.Reused, x.outgoing)
+	x.initialBytesWritten, x.initialBytesRead = x.conn.acquire(info.Reused, x.outgoing)
 	if info.Reused {
 		quietPeriod := x.client.dialer.quietPeriods.required(poolKey(a.Incarnation))
 		x.conn.awaitQuiet(x.ctx, x.outgoing, quietPeriod, earlier(x.deadline, a.SendBy))
@@ -121,7 +121,7 @@
 	if info.Err != nil || x.conn == nil {
 		return
 	}
-	x.conn.notifyFlushed(x.attempt.Written)
+	x.conn.setOnFlush(x.attempt.Written)
 	if x.attempt.Rest != nil {
 		x.attempt.BodySent()
 		x.timeout.Reset(x.attempt.Timeout)
@@ -136,8 +136,8 @@
 func (x *exchange) declareTimeout() time.Duration {
 	timeout := x.attempt.Timeout
 	clientDeadline := x.attempt.ClientDeadline()
-	if left := time.Until(x.deadline); timeout-left > maxDeadlineLag {
-		timeout = max(0, left)
+	if remaining := time.Until(x.deadline); timeout-remaining > maxDeadlineLag {
+		timeout = max(0, remaining)
 	}
 	if !clientDeadline.IsZero() {
 		timeout = admission.DeclaredTimeout(timeout, time.Until(clientDeadline))
@@ -186,7 +186,7 @@
 // unwritten reports whether the request's last byte was not written: it is in the last write, and that one failed or was
 // never made.
 func (x *exchange) unwritten() bool {
-	return x.conn.writeFailed.Load() || x.conn.bytesWritten.Load() == x.writtenBefore
+	return x.conn.writeFailed.Load() || x.conn.bytesWritten.Load() == x.initialBytesWritten
 }
 
 // earlier returns the first of two times; a zero one does not count.
--- a/internal/net/upstream/quiet_period.go
+++ b/internal/net/upstream/quiet_period.go
@@ -75,11 +75,11 @@
 		return
 	}
 	wait := period - time.Since(lastRead)
-	left := time.Until(deadline)
-	if lastRead.IsZero() || wait <= 0 || left <= 0 {
+	remaining := time.Until(deadline)
+	if lastRead.IsZero() || wait <= 0 || remaining <= 0 {
 		return // quiet, or too late in any case
 	}
-	if wait > left/quietWaitDivisor {
+	if wait > remaining/quietWaitDivisor {
 		c.refuse(request, admission.NotQuiet)
 		return
 	}
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -43,13 +43,13 @@
 	if a.IdempotencyKey != "" {
 		r.Header["Idempotency-Key"] = []string{a.IdempotencyKey}
 	}
-	target := dialTarget{address: a.Address, cache: !a.Origin}
+	target := dialTarget{address: a.Address, toCache: !a.Origin}
 	return r.WithContext(context.WithValue(ctx, dialTargetKey{}, target))
 }
 
 // formatExpiresIn formats a time for the X-Expires-In header, in microseconds.
-func formatExpiresIn(left time.Duration) string {
-	return strconv.FormatInt(left.Microseconds(), 10) + "u"
+func formatExpiresIn(remaining time.Duration) string {
+	return strconv.FormatInt(remaining.Microseconds(), 10) + "u"
 }
 
 // poolHost names an endpoint's incarnation as a host, by which the transport pools connections. No server sees it.
@@ -64,5 +64,5 @@
 // dialTarget is what a pool key stands for.
 type dialTarget struct {
 	address string
-	cache   bool // a cache server, not the origin
+	toCache bool // a cache server, not the origin
 }
--- a/internal/net/upstream/result.go
+++ b/internal/net/upstream/result.go
@@ -18,13 +18,13 @@
 	if x.conn == nil {
 		return x.resultWithoutConn(err)
 	}
-	denied := x.denial()
+	reason := x.denial()
 	rest := x.attempt.Rest
 	switch {
 	case errors.Is(err, errNoResources):
 		return dispatch.NoResources
-	case denied != admission.Granted && x.client.context.Err() == nil:
-		return resultOfDenial(denied)
+	case reason != admission.Granted && x.client.context.Err() == nil:
+		return resultOfDenial(reason)
 	case rest != nil && !rest.Complete():
 		return dispatch.WriteFailed // the client never sent the last byte
 	case x.ctx.Err() != nil:
@@ -35,7 +35,7 @@
 		return dispatch.WriteFailed
 	case x.conn.localFailure.Load():
 		return dispatch.Canceled
-	case x.conn.hasReadBeyond(x.readBefore) && !isConnectionError(err):
+	case x.conn.hasReadMoreThan(x.initialBytesRead) && !isConnectionError(err):
 		return dispatch.Malformed
 	default:
 		return dispatch.ConnectionLost
@@ -76,8 +76,8 @@
 
 // resultOfDenial returns how an attempt ended whose request was not written. Only what the server did on the connection
 // counts against the server.
-func resultOfDenial(denied admission.Reason) dispatch.AttemptResult {
-	switch denied {
+func resultOfDenial(reason admission.Reason) dispatch.AttemptResult {
+	switch reason {
 	case admission.RequestOver, admission.ClientGone:
 		return dispatch.Withheld
 	case admission.UnsolicitedBytes:
