--- a/internal/net/upstream/answer.go
+++ b/internal/net/upstream/answer.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	initialReadBytes  = 4 << 10 // of an answer of unknown length, read before any of it is forwarded
-	bufferTimeDivisor = 2       // an answer of unknown length is streamed if it still comes after half of the attempt's time
+	initialReadBytes  = 4 << 10 // read of an answer of unknown length before any of it is streamed
+	bufferTimeDivisor = 2       // an answer of unknown length is streamed if it is incomplete after half of the remaining time
 )
 
-// Errors of an answer that can't be used.
+// Errors of an answer that can't be delivered.
 var (
-	errTooLong  = errors.New("the answer's body is over its bound")
-	errUpgraded = errors.New("the server speaks another protocol from here on")
+	errTooLong  = errors.New("answer body exceeds the size limit")
+	errUpgraded = errors.New("server switched protocols")
 )
 
-// readAnswer reads an answer to its end before it counts, which also lets its connection be used again. Of a long one it
-// reads the first bytes only; its Length is not 0 then. An answer that doesn't tell its length is complete when the
-// server closes the connection; a server that dies resets it.
+// readAnswer reads an answer to its end before it is delivered, which also allows the connection to be reused. Of a long
+// answer it reads only the first bytes and sets Length to a value other than 0; the rest is to be streamed. An answer
+// without a declared length is complete when the server closes the connection; a server that crashes resets it instead.
 func (c *Client) readAnswer(resp *http.Response, deadline time.Time) (dispatch.AttemptResult, dispatch.Answer, error) {
 	ok := resp.StatusCode == http.StatusOK
 	switch {
@@ -47,7 +47,7 @@
 	return dispatch.Complete, answer, nil
 }
 
-// resultOfStatus returns what a status other than 200 says.
+// resultOfStatus returns the result for a status other than 200.
 func resultOfStatus(resp *http.Response) dispatch.AttemptResult {
 	switch resp.StatusCode {
 	case http.StatusNotFound:
@@ -62,13 +62,14 @@
 	return dispatch.UnclearStatus
 }
 
-// readBody reads a body to its end. It stops after the first bytes of a long one that may be streamed: one that tells
-// so, and one of unknown length that goes on beyond the buffer's bound or beyond a part of the attempt's time.
+// readBody reads a body to its end, except for a long body that may be streamed: then it stops after the first bytes, and
+// hasRest is true. A body is long if its declared length exceeds MaxBuffered. A body of unknown length is long if it exceeds
+// MaxBuffered, or is incomplete after a part of the remaining time, see bufferTimeDivisor.
 func (c *Client) readBody(resp *http.Response, mayStream bool, deadline time.Time) (body []byte, hasRest bool, err error) {
 	size := initialReadBytes
 	knownLength := resp.ContentLength >= 0
 	if knownLength {
-		size = int(min(resp.ContentLength, c.limits.MaxBuffered)) + 1 // one more, so that the last read finds the end
+		size = int(min(resp.ContentLength, c.limits.MaxBuffered)) + 1 // 1 more, so that the last Read returns io.EOF
 	}
 	now := time.Now()
 	bufferUntil := now.Add(deadline.Sub(now) / bufferTimeDivisor)
--- a/internal/net/upstream/answer_stream.go
+++ b/internal/net/upstream/answer_stream.go
@@ -15,14 +15,14 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// maxStreamSilence ends a streamed answer whose server sends nothing for so long.
+// maxStreamSilence is how long a server may send nothing before a streamed answer is aborted.
 const maxStreamSilence = 5 * time.Second
 
-// errStreamClosed is the cause of an exchange whose answer's stream was closed by its reader.
+// errStreamClosed is the cancellation cause of an exchange whose answerStream was closed by its reader.
 var errStreamClosed = errors.New("the client has left")
 
-// streamAnswer delivers a long answer, and waits until its reader has closed it. The timers stop, as the answer has come
-// in time: how long it takes is up to the server and the client.
+// streamAnswer delivers a long answer and waits until its reader closes it. The timers are stopped, because the answer
+// started in time; how long the rest takes is up to the server and the client.
 func (x *exchange) streamAnswer(resp *http.Response, answer dispatch.Answer) (dispatch.AttemptResult, dispatch.Answer, error) {
 	x.stopWaiting()
 	if x.ctx.Err() != nil {
@@ -39,37 +39,37 @@
 	stream.silence.Stop()
 	answer.Rest = stream
 	if !x.attempt.Finish(dispatch.Complete, answer) {
-		return dispatch.Complete, dispatch.Answer{}, nil // the request has another final answer
+		return dispatch.Complete, dispatch.Answer{}, nil // another attempt has given the final answer
 	}
 	<-stream.closed
 	return dispatch.Complete, dispatch.Answer{}, nil
 }
 
-// logStreamError logs that a server broke off a streamed answer.
+// logStreamError logs that a streamed answer failed before its end.
 func (x *exchange) logStreamError(err error) {
 	if errors.Is(context.Cause(x.ctx), errStreamClosed) {
-		return // the reader's doing
+		return // the client left, which is no error of the server
 	}
 	x.client.log.Info("a long answer broke off", zap.String("server", x.attempt.Address),
 		zap.String("trace", x.attempt.TraceID), zap.Error(err))
 }
 
-// answerStream is the part of a long answer that is forwarded as it comes. A server that sends nothing is given up after
-// maxStreamSilence. A client that takes nothing only holds up its own answer, as nothing is read meanwhile. Read must
-// not be called concurrently; Close may be called at any time.
+// answerStream is the part of a long answer that is forwarded to the client while it is received. If the server sends
+// nothing for maxStreamSilence during a Read, the exchange is canceled. A slow client delays only its own answer, because
+// nothing is read from the server meanwhile. Read must not be called concurrently; Close may be called at any time.
 type answerStream struct {
 	source    io.Reader
-	remaining int64 // bytes until the answer is too long
+	remaining int64 // bytes allowed before the answer is too long
 	cancel    context.CancelCauseFunc
-	onError   func(error) // called when a Read fails, not for io.EOF
+	onError   func(error) // called when Read fails, except with io.EOF
 	silence   *time.Timer
-	readStart atomic.Int64 // clock.Moment at which the present Read began; 0: none waits
+	readStart atomic.Int64 // clock.Moment at which the current Read started; 0: no Read is in progress
 
 	closeOnce sync.Once
 	closed    chan struct{}
 }
 
-// Read implements io.Reader. It returns io.EOF only where the server has ended the answer as it should.
+// Read implements io.Reader. It returns io.EOF only if the server completed the answer.
 func (s *answerStream) Read(b []byte) (int, error) {
 	s.readStart.Store(int64(clock.Now()))
 	s.silence.Reset(maxStreamSilence)
@@ -86,7 +86,7 @@
 	return n, err
 }
 
-// checkSilence cancels the exchange if a Read has waited for too long.
+// checkSilence cancels the exchange if the current Read has lasted maxStreamSilence.
 func (s *answerStream) checkSilence() {
 	start := s.readStart.Load()
 	if start != 0 && clock.Moment(start).Since() >= maxStreamSilence {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Close implements io.Closer. It closes the server's connection unless the answer is complete.
+// Close implements io.Closer. It closes the connection to the server unless the answer is complete.
 func (s *answerStream) Close() error {
 	s.closeOnce.Do(func() {
 		s.cancel(errStreamClosed)
--- a/internal/net/upstream/attempt.go
+++ b/internal/net/upstream/attempt.go
@@ -9,26 +9,28 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// maxConnTries bounds the connections that are tried for one attempt. More than that don't break by chance.
+// maxConnTries bounds the connections that are tried for one attempt. If so many in a row break, the cause is not chance.
 const maxConnTries = 3
 
-// send carries an attempt and returns how it ended. A connection that breaks before the request was written says little
-// about its server, and the request has not run: another connection is tried.
+// send sends an attempt and returns its result. If a connection breaks before the request was written, the request has
+// not run, and the failure says little about the server: send tries another connection.
 func (c *Client) send(a *dispatch.Attempt) (dispatch.AttemptResult, dispatch.Answer) {
 	start := time.Now()
 	deadline := a.AttemptDeadline(start)
 	for try := 1; ; try++ {
 		x, result, answer, err := c.roundTrip(a, deadline)
 		if err != nil && x.conn != nil && x.conn.retire() {
-			_ = x.conn.Close() // now: the transport's own close may come after the next attempt has begun
+			_ = x.conn.Close() // the transport may close it only after the next attempt has started
 		}
 		reason := x.denial()
 		a.CountDenied(reason)
 		if try < maxConnTries && retryable(result, reason) && c.mayStillSend(a, deadline) {
 			continue
 		}
+		// An answer proves that the request was written. The onFlush callback is not called if the transport's buffer was
+		// empty before the last byte.
 		if result.Answered() && (a.Rest == nil || a.Rest.Complete()) {
-			a.Written() // an answer proves it, also where the transport's buffer was empty before the last byte
+			a.Written()
 		}
 		if err != nil {
 			c.logFailure(a, result, start, err)
@@ -37,8 +39,8 @@
 	}
 }
 
-// retryable reports whether another connection may do where this one did not: the request was not written, for a
-// reason that lies in the connection or passes with time.
+// retryable reports whether the request may succeed on another connection: it was not written, and the reason lies in
+// the connection or is temporary.
 func retryable(result dispatch.AttemptResult, reason admission.Reason) bool {
 	switch reason {
 	case admission.NotQuiet, admission.ConnectionEnding, admission.DeadlineStale:
@@ -47,8 +49,8 @@
 	return result == dispatch.WriteFailed
 }
 
-// mayStillSend reports whether there is time for another connection, and no byte of a streamed body was read, which could
-// not be sent again.
+// mayStillSend reports whether the attempt may be sent on another connection: there is time left, and no byte of a
+// streamed body was read. Such a body can't be sent again.
 func (c *Client) mayStillSend(a *dispatch.Attempt, deadline time.Time) bool {
 	if c.context.Err() != nil {
 		return false
@@ -67,7 +69,7 @@
 		zap.String("trace", a.TraceID), zap.Duration("after", time.Since(start)), zap.Error(err))
 }
 
-// roundTrip sends an attempt's request on one connection. The returned exchange is closed.
+// roundTrip sends an attempt's request on one connection. The exchange that it returns is already closed.
 func (c *Client) roundTrip(a *dispatch.Attempt, deadline time.Time) (*exchange, dispatch.AttemptResult, dispatch.Answer, error) {
 	x := c.newExchange(a, deadline)
 	defer x.close()
--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -1,6 +1,6 @@
-// Package upstream carries attempts to the cache servers and the origin over http.Transport, and finds out how each one
-// ended. It bounds descriptors and dials, and makes sure that no request is written twice, or written after the client
-// has gone.
+// Package upstream sends attempts to the cache servers and the origin over http.Transport, and determines the result of
+// each attempt. It limits descriptors and dials, and ensures that no request is written twice, or written after its
+// client has disconnected.
 package upstream
 
 import (
@@ -15,27 +15,31 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Limits bounds what a Client may use.
+// Limits bounds the resources and times of a Client.
 type Limits struct {
 	Descriptors    int           // connections to servers, dials included
-	MaxAttempts    int           // in flight; one beyond them is not sent
-	ConnectTimeout time.Duration // a connection that isn't up by then is given up
-	IdleTimeout    time.Duration // after which a server closes an idle connection
-	MaxBuffered    int64         // bytes of an answer that is read whole before it counts
-	MaxStreamed    int64         // bytes of an answer that is forwarded as it comes
+	MaxAttempts    int           // in flight; further attempts end with NoResources and are not sent
+	ConnectTimeout time.Duration // of a dial
+	IdleTimeout    time.Duration // after which servers close an idle connection
+	MaxBuffered    int64         // largest body, in bytes, that is read to its end before the answer is delivered
+	MaxStreamed    int64         // largest body, in bytes, that is streamed to the client
 }
 
 const (
-	idleTimeoutFactor = 0.7      // of the servers' idle timeout: we close first, so that no request crosses their close
-	maxIdleDivisor    = 2        // half of the descriptors may be idle connections, so that a dial finds a free one
-	maxHeaderBytes    = 16 << 10 // of an answer's headers; real ones take some hundred bytes
-	bufferBytes       = 4 << 10  // of each connection's read and write buffer
+	// idleTimeoutFactor makes this side close an idle connection before the server does, so that no request is sent while the
+	// server is closing the connection.
+	idleTimeoutFactor = 0.7
+
+	maxIdleDivisor = 2        // at most half of the descriptors are idle connections, so that dials find free ones
+	maxHeaderBytes = 16 << 10 // of an answer's headers; usual ones take some hundred bytes
+	bufferBytes    = 4 << 10  // of each connection's read and write buffer
 )
 
-// earlyFinishDivisor is the part of an attempt's time after which the fault "one attempt" reports it as timed out.
+// earlyFinishDivisor is used when the safeguard faults.OneAttempt is disabled: every attempt is then reported as timed
+// out after 1/earlyFinishDivisor of its timeout.
 const earlyFinishDivisor = 8
 
-// Client implements dispatch.Transport. Its methods may be called from any goroutine and do not block.
+// Client implements dispatch.Transport. Its methods are safe for concurrent use and do not block.
 type Client struct {
 	log       *zap.Logger
 	transport *http.Transport
@@ -43,7 +47,7 @@
 	limits    Limits
 	inFlight  atomic.Int64
 	stalls    stallDetector
-	context   context.Context // ends with Close
+	context   context.Context // canceled by Close
 	stop      context.CancelFunc
 }
 
@@ -51,7 +55,7 @@
 func New(limits Limits, log *zap.Logger) *Client {
 	d := newDialer(limits)
 	c := &Client{log: log, dialer: d, limits: limits, transport: &http.Transport{
-		Proxy:                  nil, // never one from the environment
+		Proxy:                  nil, // ignore proxies set in the environment
 		DialContext:            d.dial,
 		DisableCompression:     true,
 		MaxIdleConns:           max(1, limits.Descriptors/maxIdleDivisor),
@@ -71,24 +75,24 @@
 	c.transport.CloseIdleConnections()
 }
 
-// Resize changes how many descriptors connections may take. Idle connections beyond that are closed.
+// Resize sets how many descriptors connections may use, and closes idle connections in excess of that.
 func (c *Client) Resize(descriptors int) { c.dialer.resize(descriptors) }
 
-// CloseIdle closes an endpoint's idle connections, except for keep of them, in a goroutine of its own.
+// CloseIdle closes all but keep of an endpoint's idle connections. It does so in a new goroutine.
 func (c *Client) CloseIdle(incarnation uint64, keep int) {
 	go c.dialer.closeIdle(poolKey(incarnation), keep)
 }
 
-// SetMaxConns bounds the connections to each cache server, dials included.
+// SetMaxConns limits the connections to each cache server, dials included.
 func (c *Client) SetMaxConns(n int) { c.dialer.setMaxConnsPerCache(n) }
 
-// Send carries an attempt, and finishes and releases it, in a goroutine of its own.
+// Send sends an attempt, then finishes and releases it. It does so in a new goroutine.
 func (c *Client) Send(a *dispatch.Attempt) {
 	go func() {
 		defer c.inFlight.Add(-1)
 		result := dispatch.NoResources
 		answer := dispatch.Answer{}
-		// An attempt that is never finished would keep its request for good, so a panic finishes it too.
+		// A panic must finish the attempt too: an attempt that is never finished keeps its request in flight forever.
 		defer func() {
 			if r := recover(); r != nil {
 				c.log.Error("attempt panicked", zap.Any("panic", r), zap.Stack("stack"))
--- a/internal/net/upstream/conn.go
+++ b/internal/net/upstream/conn.go
@@ -8,60 +8,60 @@
 	"time"
 )
 
-// conn is a connection to a server. It is what the transport gets for a net.Conn; beyond that it decides, just before a
-// request's first byte, whether the request may be written, and knows what was written: httptrace's WroteRequest comes
+// conn is a connection to a server, used by the transport as its net.Conn. Just before a request's first byte, conn
+// decides whether the request may be written. It also counts the bytes written, because httptrace's WroteRequest is called
 // before the transport has flushed its buffer.
 //
-// It also notices unsolicited bytes, which belong to no request. A server may send more than its answer, and the transport
-// may hand the connection on before it has seen the surplus; it would take that for the next request's answer.
+// conn detects unsolicited bytes, which belong to no request. A server may send more than its answer, and the transport may
+// reuse the connection before it has read the surplus. It would then take the surplus for the next request's answer.
 //
-// Its methods may be called from any goroutine.
+// Its methods are safe for concurrent use.
 type conn struct {
 	net.Conn
 	raw     syscall.RawConn
-	toCache bool   // it leads to a cache server, not to the origin
+	toCache bool   // the server is a cache server, not the origin
 	onClose func() // called after the descriptor is closed
-	// onUnsolicited is called, with the lock held, when unsolicited bytes come, with the time since the last read; nil: not
-	// called.
+	// onUnsolicited, if not nil, is called with the lock held when unsolicited bytes are read. Its argument is the time
+	// since the previous read.
 	onUnsolicited func(sinceLastRead time.Duration)
 
 	bytesWritten atomic.Int64
-	writeFailed  atomic.Bool // a write ended before its last byte
-	localFailure atomic.Bool // a read or a write failed for a reason of this machine
+	writeFailed  atomic.Bool // a write was incomplete
+	localFailure atomic.Bool // a read or write failed with a local error, see localErrors
 
 	mu             sync.Mutex // guards everything below
-	changed        sync.Cond  // broadcast when reading, closing or writing change
-	reading        bool       // the transport waits for bytes, so it holds none that are unread
-	writing        bool       // a write is under way
-	closing        bool       // closed by us, or about to be
-	retired        bool       // closing was the node's choice, so it says nothing about the server
-	inUse          int        // exchanges that have acquired it and not released it
-	lastUsed       time.Time  // when it was made or last released
+	changed        sync.Cond  // broadcast when reading, writing or closing changes
+	reading        bool       // the transport is in Read, so it has processed all earlier bytes
+	writing        bool       // a write is in progress
+	closing        bool       // closed by this node, or about to be
+	retired        bool       // closed by this node's choice, which says nothing about the server
+	inUse          int        // number of exchanges that have acquired and not yet released it
+	lastUsed       time.Time  // when it was established or last released
 	request        *outgoingRequest
-	onFlush        func() // called once when the transport's buffer is written; nil: not called
+	onFlush        func() // called after the next complete write, then reset; may be nil
 	bytesRead      int64
-	lastRead       time.Time     // zero: no bytes have come
-	lastAnswerRead time.Time     // of the present answer; zero: none of it has come
-	longestPause   time.Duration // between two reads of the present answer
+	lastRead       time.Time     // zero: no bytes were read yet
+	lastAnswerRead time.Time     // of the current answer; zero: none of it was read yet
+	longestPause   time.Duration // between two reads of the current answer
 }
 
-// socket is a connection that has a descriptor to look at.
+// socket is a net.Conn that gives access to its file descriptor.
 type socket interface {
 	net.Conn
 	syscall.Conn
 }
 
-// newConn wraps a connection. onClose is called once, after its descriptor is closed.
+// newConn wraps a connection. Close calls onClose after the descriptor is closed.
 func newConn(s socket, onClose func()) *conn {
-	raw, _ := s.SyscallConn() // fails for a nil connection only
+	raw, _ := s.SyscallConn() // fails only for a nil connection
 	c := &conn{Conn: s, raw: raw, onClose: onClose, lastUsed: time.Now(), request: &outgoingRequest{}}
 	c.changed.L = &c.mu
 	return c
 }
 
-// acquire makes the connection ready for a request, and returns how many bytes were written and read before. After an
-// answer the transport either reads on or, if there is more than the answer, closes the connection: acquire waits for one
-// of the two.
+// acquire prepares the connection for a request, and returns the numbers of bytes written and read so far. After an answer
+// the transport either reads again or, if it holds bytes beyond the answer, closes the connection. For a reused connection
+// acquire waits for one of the two.
 func (c *conn) acquire(reused bool, request *outgoingRequest) (written, read int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +76,7 @@
 	return c.bytesWritten.Load(), c.bytesRead
 }
 
-// release ends the use that acquire began.
+// release undoes one acquire.
 func (c *conn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,8 +84,8 @@
 	c.lastUsed = time.Now()
 }
 
-// retire reports whether the connection is idle, and then marks it as closing: whoever acquires it afterwards can write
-// nothing to it. Closed without that, it could be in the middle of a body that can't be sent again.
+// retire marks the connection as closing if it is idle, and reports whether it was. Writes of a request that acquires it
+// afterwards are denied. Without the mark, the connection could be closed in the middle of a body that can't be sent again.
 func (c *conn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +105,8 @@
 	return c.lastUsed, c.inUse > 0
 }
 
-// Close implements io.Closer. onClose is called last, as a dial that begins then must find the descriptor free.
+// Close implements io.Closer. It calls onClose last, because a dial started from then on relies on the descriptor being
+// free.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.closing = true
--- a/internal/net/upstream/conn_read.go
+++ b/internal/net/upstream/conn_read.go
@@ -12,8 +12,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// Read implements io.Reader. It takes bytes from the socket and notes them in one step under the lock. With a step between
-// the two, a request could be written when unsolicited bytes have left the socket and are not noted yet.
+// Read implements io.Reader. It reads from the socket and records the bytes under one lock. If the lock were released in
+// between, a request could be written after unsolicited bytes were read from the socket, but before they are recorded.
 func (c *conn) Read(b []byte) (n int, err error) {
 	c.mu.Lock()
 	c.reading = true
@@ -43,7 +43,7 @@
 	return n, nil
 }
 
-// noteRead notes that n bytes have come, and whether they are unsolicited. Called with the lock held.
+// noteRead records that n bytes were read, and whether they are unsolicited. Called with the lock held.
 func (c *conn) noteRead(n int) {
 	if n > 0 {
 		c.noteReadTime(time.Now())
@@ -52,7 +52,7 @@
 	c.request.unsolicited = c.request.unsolicited || n > 0 && !c.request.writeStarted
 }
 
-// noteReadTime notes when bytes have come. Called with the lock held.
+// noteReadTime records the time of a read and the pause before it. Called with the lock held.
 func (c *conn) noteReadTime(now time.Time) {
 	unsolicited := c.inUse == 0 || !c.request.writeStarted
 	if unsolicited && c.onUnsolicited != nil && !c.lastRead.IsZero() {
@@ -65,9 +65,10 @@
 	c.lastRead = now
 }
 
-// endOfInput tells the server's close from a reset. The kernel reports a reset once: if a failing write gets the report,
-// the next read finds a plain end, which would make an answer of unknown length complete. So it waits for a write that
-// is under way.
+// endOfInput returns the error of a read that found the end of the input: io.EOF if the server closed the connection, or
+// ECONNRESET if it reset it. The kernel reports a reset only once. If a failed write got the report, the next read returns
+// a plain EOF, which would make a truncated answer of unknown length look complete. Therefore endOfInput waits for a write
+// in progress.
 func (c *conn) endOfInput() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,31 +81,31 @@
 	return io.EOF
 }
 
-// readError wraps the error of a read(2) as package net does.
+// readError wraps an error of read(2) like package net.
 func (c *conn) readError(err error) error {
 	return &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
 }
 
-// hasUnreadInput reports whether bytes, or the connection's end, have come and were not read. unknown says that this
-// machine could not look.
+// hasUnreadInput reports whether the socket holds unread bytes, an EOF or an error. unknown reports that a local error
+// prevented the check.
 func (c *conn) hasUnreadInput() (unread, unknown bool) {
-	_ = c.raw.Control(func(fd uintptr) { // not raw.Read, which would wait for the transport's own
+	_ = c.raw.Control(func(fd uintptr) { // not raw.Read, which would wait for the transport's Read
 		_, err := kernel.PeekSocket(fd, make([]byte, 1))
 		none := errors.Is(err, syscall.EAGAIN)
 		unknown = !none && isLocalError(err)
-		unread = !none && !unknown // bytes, an end, a reset, or an error that makes the connection useless
+		unread = !none && !unknown // bytes, EOF, a reset, or another error that makes the connection unusable
 	})
 	return unread, unknown
 }
 
-// hasReadMoreThan reports whether more than so many bytes have come.
+// hasReadMoreThan reports whether more than n bytes were read since the connection was established.
 func (c *conn) hasReadMoreThan(n int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bytesRead > n
 }
 
-// answerSilence returns for how long an answer that has begun has brought nothing; 0 before its first byte.
+// answerSilence returns the time since the last read of the current answer, or 0 before its first byte.
 func (c *conn) answerSilence() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +115,7 @@
 	return time.Since(c.lastAnswerRead)
 }
 
-// longestAnswerPause returns the longest time between two reads of the present answer.
+// longestAnswerPause returns the longest time between two reads of the current answer.
 func (c *conn) longestAnswerPause() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/net/upstream/conn_write.go
+++ b/internal/net/upstream/conn_write.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// maxWriteChecks bounds how often the facts about a request are gathered. That takes microseconds; a process for which
-	// it takes long so many times gets too little processor time to act on them.
+	// maxWriteChecks bounds how often the facts about a request are gathered. Gathering usually takes microseconds. A process
+	// in which it is slow this many times in a row gets too little processor time to act on the facts.
 	maxWriteChecks = 4
-	// writeTimeout bounds a write, which waits for the server's window.
+	// writeTimeout bounds a write. A write blocks while the server's TCP receive window is full.
 	writeTimeout = 5 * time.Second
 )
 
-// Write implements io.Writer. It returns a denialError, and writes nothing, where the present request must not be written.
+// Write implements io.Writer. If the current request must not be written, it writes nothing and returns a denialError.
 func (c *conn) Write(b []byte) (int, error) {
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // first: nothing comes between the decision and the write
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // set first, so that the write directly follows the decision
 	if reason := c.startWrite(); reason != admission.Granted {
 		return 0, denialError{reason}
 	}
@@ -31,7 +31,8 @@
 	return n, err
 }
 
-// startWrite decides whether the present request may be written, once for each request, and returns the reason against it.
+// startWrite returns Granted if the current request may be written, or else the reason for the denial. It decides once for
+// each request.
 func (c *conn) startWrite() admission.Reason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +45,7 @@
 	return request.decision
 }
 
-// endWrite notes how a write ended.
+// endWrite records the result of a write. failed means that not all bytes were written.
 func (c *conn) endWrite(failed bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +58,7 @@
 }
 
 // decideWrite gathers the facts about a request, and decides whether its first byte may be written now. Facts that took
-// long to gather may be outdated, and are gathered again. Called with the lock held.
+// too long to gather may be outdated; they are gathered again. Called with the lock held.
 func (c *conn) decideWrite(request *outgoingRequest) (reason admission.Reason) {
 	for range maxWriteChecks {
 		start := time.Now()
@@ -67,7 +68,7 @@
 		if request.clientState != nil {
 			client = request.clientState()
 		}
-		now := time.Now() // last, with no system call after it
+		now := time.Now() // read last, so that no system call delays the decision
 		reason = admission.Send{
 			Refused:          request.presetRefusal,
 			ConnectionEnding: c.retired || c.localFailure.Load(),
@@ -87,15 +88,15 @@
 	return reason
 }
 
-// setOnFlush has onFlush called once the next write has succeeded: the request's last byte is in the transport's
-// buffer.
+// setOnFlush sets the function to be called after the next complete write. It is set when the request's last byte is in
+// the transport's buffer, so that write flushes the byte.
 func (c *conn) setOnFlush(onFlush func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onFlush = onFlush
 }
 
-// callOnFlush calls onFlush, once, without the lock.
+// callOnFlush calls and resets onFlush. It calls it without the lock.
 func (c *conn) callOnFlush() {
 	c.mu.Lock()
 	onFlush := c.onFlush
@@ -106,14 +107,14 @@
 	}
 }
 
-// refuse denies a request that was not written yet.
+// refuse sets a reason for which the request will be denied when its first byte is to be written.
 func (c *conn) refuse(request *outgoingRequest, reason admission.Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	request.presetRefusal = reason
 }
 
-// setDeclaredTimeout notes which time a request tells its server to have, and when its client stops waiting.
+// setDeclaredTimeout records the timeout that a request declares to its server, and when its client stops waiting.
 func (c *conn) setDeclaredTimeout(request *outgoingRequest, timeout time.Duration, clientDeadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +122,8 @@
 	request.clientDeadline = clientDeadline
 }
 
-// denial returns why a request was not written and won't be; admission.Granted where nothing speaks against it.
+// denial returns the reason why writing a request was denied, or admission.Granted. Unsolicited bytes are a reason even
+// before the request is written.
 func (c *conn) denial(request *outgoingRequest) admission.Reason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/net/upstream/dialer.go
+++ b/internal/net/upstream/dialer.go
@@ -12,17 +12,16 @@
 )
 
 const (
-	maxDialsDivisor   = 4  // a quarter of the descriptors may be dials, so that the rest can go on
-	maxDialsPerServer = 32 // more at once would not come up any sooner
+	maxDialsDivisor   = 4  // at most a quarter of the descriptors are dials, so that established connections keep the rest
+	maxDialsPerServer = 32 // more dials at a time would not complete any sooner
 )
 
-// errNoResources is the error of a dial that was not begun.
-var errNoResources = errors.New("no descriptor or dial left")
+// errNoResources is returned for a dial that was not started because a limit is reached.
+var errNoResources = errors.New("connection or dial limit reached")
 
-// dialer makes connections and bounds what they take: descriptors in all, and dials under way, in all and to each
-// address. A dial goes on when the attempt that wanted it is given up, so a server that has vanished would otherwise
-// gather one for each attempt. Connections are known by their pool key, see poolKey. Its methods may be called from any
-// goroutine.
+// dialer establishes connections. It limits the descriptors in total, and the dials in progress in total and to each
+// address. A dial continues after its attempt has ended, so without the limit an unreachable server would accumulate one
+// dial for each attempt. Connections are grouped by their pool key, see poolKey. Its methods are safe for concurrent use.
 type dialer struct {
 	net.Dialer
 	maxDialsPerServer int
@@ -34,11 +33,10 @@
 	dials            int
 	dialsByAddress   map[string]int
 	connsByKey       map[string]map[*conn]bool
-	cacheBounded     bool // maxConnsPerCache holds
+	cacheBounded     bool // maxConnsPerCache is set and applies
 	maxConnsPerCache int  // dials included
 }
 
-// newDialer returns a dialer with no connections.
 func newDialer(limits Limits) *dialer {
 	return &dialer{
 		Dialer:            net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1},
@@ -49,8 +47,8 @@
 	}
 }
 
-// dial is an http.Transport's DialContext. The address comes with the context, see dialTarget; where it doesn't, the key
-// is the address. It returns errNoResources where a bound is reached.
+// dial implements http.Transport's DialContext. The address is taken from the context, see dialTarget; without one, the
+// key is the address. It returns errNoResources if a limit is reached.
 func (d *dialer) dial(ctx context.Context, network, key string) (net.Conn, error) {
 	target, ok := ctx.Value(dialTargetKey{}).(dialTarget)
 	if !ok {
@@ -72,7 +70,7 @@
 	return c, nil
 }
 
-// startDial counts a dial and its descriptor, if the bounds permit them.
+// startDial counts a dial and its descriptor if the limits permit it, and reports whether they do.
 func (d *dialer) startDial(address, key string, toCache bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,7 +86,7 @@
 	return true
 }
 
-// finishDial ends the count of a dial, and of its descriptor if it failed.
+// finishDial stops counting a dial, and its descriptor too if the dial failed.
 func (d *dialer) finishDial(address string, failed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,7 +100,7 @@
 	}
 }
 
-// addConn notes a connection whose descriptor startDial has counted.
+// addConn registers a connection. Its descriptor was counted by startDial.
 func (d *dialer) addConn(key string, c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,7 +110,7 @@
 	d.connsByKey[key][c] = true
 }
 
-// removeConn forgets a closed connection and its descriptor.
+// removeConn unregisters a closed connection and stops counting its descriptor.
 func (d *dialer) removeConn(key string, c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,9 +121,9 @@
 	}
 }
 
-// closeIdle closes the idle connections of a key, except for keep of them: the longest idle first, as the transport
-// takes the latest. One may be acquired in the same moment; then nothing can be written to it any more, and its request
-// goes on another.
+// closeIdle closes all but keep of the idle connections of a key, the least recently used first, because the transport
+// reuses the most recently used one. If an exchange acquires a connection that is about to be closed, its write is denied
+// and the request is sent on another connection.
 func (d *dialer) closeIdle(key string, keep int) {
 	d.mu.Lock()
 	var idle, retired []*conn
@@ -148,8 +146,8 @@
 	closeAll(retired)
 }
 
-// setMaxConnsPerCache bounds the connections to each cache from now on. Idle ones beyond the bound are closed before it
-// returns, since the quota that is given up goes to other nodes.
+// setMaxConnsPerCache limits the connections to each cache. Idle connections in excess of the limit are closed before it
+// returns, because the released quota goes to other nodes.
 func (d *dialer) setMaxConnsPerCache(n int) {
 	d.mu.Lock()
 	d.cacheBounded = true
@@ -168,7 +166,7 @@
 	closeAll(retired)
 }
 
-// resize changes how many connections there may be, and closes as many idle ones as there are too many.
+// resize sets the maximum number of connections, and closes idle ones in excess of it.
 func (d *dialer) resize(maxConns int) {
 	d.mu.Lock()
 	d.maxConns = maxConns
@@ -185,8 +183,8 @@
 	closeAll(retired)
 }
 
-// closeAll closes retired connections. It is called without the dialer's lock, which removeConn takes. The transport's own
-// later close does nothing.
+// closeAll closes retired connections. It is called without the dialer's lock, because Close calls removeConn, which takes
+// the lock. The transport's later Close of the same connection has no effect.
 func closeAll(retired []*conn) {
 	for _, c := range retired {
 		_ = c.Close()
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -13,35 +13,37 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// maxDeadlineLag is by how much the time that a server is told to have may exceed what is left of the attempt's time.
+// maxDeadlineLag is by how much the timeout declared to a server may exceed the time that remains until the attempt's
+// deadline.
 const maxDeadlineLag = 50 * time.Millisecond
 
-// errTimedOut is the cause of an exchange that is canceled at its deadline.
+// errTimedOut is the cancellation cause of an exchange that reaches its deadline.
 var errTimedOut = errors.New("no answer in time")
 
-// exchange is an attempt's request and its answer on one connection. The transport calls the methods of its trace from
-// its own goroutines, in the order in which they stand here.
+// exchange is one request and its answer on one connection, made for an attempt. http.Transport calls the httptrace
+// hooks (gotConn, wroteHeaders, wroteRequest, gotFirstResponseByte) from its own goroutines, in this order unless the server
+// answers early.
 type exchange struct {
 	client   *Client
 	attempt  *dispatch.Attempt
-	deadline time.Time // when the node stops waiting for the answer
+	deadline time.Time // when the node stops waiting for an answer
 	request  *http.Request
 
-	ctx     context.Context // canceled, with a cause, when the exchange is given up
+	ctx     context.Context // canceled, with a cause, when the exchange is aborted
 	cancel  context.CancelCauseFunc
 	timeout *time.Timer // aborts at the deadline
 	stall   *time.Timer // aborts when the answer stalls
 
 	mu       sync.Mutex
-	answered bool // abort does nothing any more
+	answered bool // abort has no effect from now on
 
-	conn                *conn // nil: it got none yet
+	conn                *conn // nil until the transport provides one
 	outgoing            *outgoingRequest
-	initialBytesWritten int64 // bytes written to the connection before
-	initialBytesRead    int64 // bytes read from the connection before
+	initialBytesWritten int64 // conn.bytesWritten before this request
+	initialBytesRead    int64 // conn.bytesRead before this request
 }
 
-// newExchange returns an exchange whose timers run. It must be closed.
+// newExchange returns an exchange and starts its timeout. The caller must close it.
 func (c *Client) newExchange(a *dispatch.Attempt, deadline time.Time) *exchange {
 	x := &exchange{client: c, attempt: a, deadline: deadline}
 	x.ctx, x.cancel = context.WithCancelCause(c.context)
@@ -56,7 +58,7 @@
 	return x
 }
 
-// close ends whatever goes on.
+// close releases the connection, stops the timers and cancels the request if it is still running.
 func (x *exchange) close() {
 	x.releaseConn()
 	x.stall.Stop()
@@ -64,7 +66,8 @@
 	x.cancel(nil)
 }
 
-// run sends the request and returns how the attempt ended. An answer that is streamed is over when run returns.
+// run sends the request and returns the attempt's result. If the answer is streamed, run returns when the stream is
+// closed.
 func (x *exchange) run() (dispatch.AttemptResult, dispatch.Answer, error) {
 	resp, err := x.client.transport.RoundTrip(x.request)
 	if err != nil {
@@ -73,7 +76,7 @@
 	defer resp.Body.Close()
 	result, answer, err := x.client.readAnswer(resp, x.deadline)
 	if result == dispatch.Shed && x.initialBytesWritten == 0 && resp.Close {
-		result = dispatch.ConnectionLimit // a server whose queue is full keeps the connection
+		result = dispatch.ConnectionLimit // a server that sheds for a full queue does not close a new connection
 	}
 	reason := x.denial()
 	switch {
@@ -93,10 +96,10 @@
 	return result, answer, nil
 }
 
-// gotConn takes over a connection and completes the request's headers.
+// gotConn acquires the connection that the transport chose, waits until a reused one has been quiet, and sets X-Expires-In.
 func (x *exchange) gotConn(info httptrace.GotConnInfo) {
 	a := x.attempt
-	x.releaseConn() // of an earlier call: the transport may have found that connection broken
+	x.releaseConn() // the transport calls gotConn again if it found the previous connection broken
 	x.conn, _ = info.Conn.(*conn)
 	x.outgoing = &outgoingRequest{clientState: a.ClientState, sendBy: a.SendBy}
 	x.initialBytesWritten, x.initialBytesRead = x.conn.acquire(info.Reused, x.outgoing)
@@ -109,14 +112,14 @@
 	}
 }
 
-// wroteHeaders stops the timeout of a streamed body, whose time counts from its last byte.
+// wroteHeaders stops the timeout of a request with a streamed body; wroteRequest restarts it after the last byte.
 func (x *exchange) wroteHeaders() {
 	if x.attempt.Rest != nil {
 		x.timeout.Stop()
 	}
 }
 
-// wroteRequest is called when the last byte is in the transport's buffer, which may not be flushed yet.
+// wroteRequest is called when the request's last byte is in the transport's write buffer, which may not be flushed yet.
 func (x *exchange) wroteRequest(info httptrace.WroteRequestInfo) {
 	if info.Err != nil || x.conn == nil {
 		return
@@ -128,11 +131,12 @@
 	}
 }
 
-// gotFirstResponseByte starts the watch for stalls.
+// gotFirstResponseByte starts the stall timer.
 func (x *exchange) gotFirstResponseByte() { x.stall.Reset(x.client.stalls.threshold()) }
 
-// declareTimeout returns, and notes, the time that the server is told to have: what is left of the attempt's, since the
-// connection may have come up late, and of the client's.
+// declareTimeout returns the timeout to declare to the server, and records it for the check before the first byte. The
+// timeout is bounded by the time that remains for the attempt, as the connection may have been established late, and by
+// the time that remains for the client.
 func (x *exchange) declareTimeout() time.Duration {
 	timeout := x.attempt.Timeout
 	clientDeadline := x.attempt.ClientDeadline()
@@ -149,7 +153,7 @@
 	return timeout
 }
 
-// abort gives the exchange up, unless its answer has come. A timer that was stopped may still run late.
+// abort cancels the exchange, unless stopWaiting was called: a timer may still fire after it was stopped.
 func (x *exchange) abort(cause error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -158,7 +162,7 @@
 	}
 }
 
-// stopWaiting ends the effect of the timers.
+// stopWaiting stops the timers, and makes abort ineffective.
 func (x *exchange) stopWaiting() {
 	x.timeout.Stop()
 	x.stall.Stop()
@@ -167,15 +171,15 @@
 	x.answered = true
 }
 
-// releaseConn reports that nothing of the exchange is on its connection any more.
+// releaseConn reports that the exchange no longer uses its connection.
 func (x *exchange) releaseConn() {
 	if x.conn != nil {
 		x.conn.release()
 	}
 }
 
-// denial returns why the request was not written and won't be; admission.Granted where it was, or where it got no
-// connection.
+// denial returns the reason why writing the request was denied. It returns admission.Granted if writing was not denied or
+// the exchange has no connection.
 func (x *exchange) denial() admission.Reason {
 	if x.conn == nil {
 		return admission.Granted
@@ -183,13 +187,13 @@
 	return x.conn.denial(x.outgoing)
 }
 
-// unwritten reports whether the request's last byte was not written: it is in the last write, and that one failed or was
-// never made.
+// unwritten reports whether the request's last byte was not written. That byte is part of the last write, so it was not
+// written if a write failed or none was made.
 func (x *exchange) unwritten() bool {
 	return x.conn.writeFailed.Load() || x.conn.bytesWritten.Load() == x.initialBytesWritten
 }
 
-// earlier returns the first of two times; a zero one does not count.
+// earlier returns the earlier of two times, ignoring zero times.
 func earlier(a, b time.Time) time.Time {
 	if b.IsZero() || !a.IsZero() && a.Before(b) {
 		return a
--- a/internal/net/upstream/outgoing_request.go
+++ b/internal/net/upstream/outgoing_request.go
@@ -6,21 +6,21 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// outgoingRequest is a request on a connection, with what has to hold when its first byte is written. It belongs to the
-// request, not to the connection: the transport may hand the connection on before the request's sender has asked for its
-// denial. It is guarded by the connection's lock.
+// outgoingRequest is the state of a request on a connection: the conditions under which its first byte may be written,
+// and the decision. The state is kept per request, not per connection, because the transport may reuse the connection
+// for the next request before the exchange has read this request's denial. It is guarded by the connection's lock.
 type outgoingRequest struct {
-	writeStarted    bool                    // its first byte was written, or denied
-	unsolicited     bool                    // bytes came before that
-	decision        admission.Reason        // Granted, or why it was not written; made once, at the first byte
-	presetRefusal   admission.Reason        // Granted, or a reason that an earlier step has set
-	clientState     func() admission.Reason // whether the client still waits; nil: it does
-	sendBy          time.Time               // when the first byte must have been written; zero: any time
-	clientDeadline  time.Time               // when the client stops waiting; zero: the server is told no time
-	declaredTimeout time.Duration           // the time that the server is told to have
+	writeStarted    bool                    // the first byte was written or denied
+	unsolicited     bool                    // bytes arrived before writeStarted was set
+	decision        admission.Reason        // made once, before the first byte; Granted, or the reason for the denial
+	presetRefusal   admission.Reason        // a reason for denial found before the write, or Granted
+	clientState     func() admission.Reason // Granted while the client still waits; nil: it does
+	sendBy          time.Time               // latest time for the first byte; zero: no limit
+	clientDeadline  time.Time               // when the client stops waiting; zero: declaredTimeout is not checked
+	declaredTimeout time.Duration           // the timeout sent to the server in X-Expires-In
 }
 
-// denialError is the error of a request that was not written.
+// denialError is returned by conn.Write for a request that must not be written.
 type denialError struct{ reason admission.Reason }
 
 // Error implements error.
--- a/internal/net/upstream/quiet_period.go
+++ b/internal/net/upstream/quiet_period.go
@@ -10,38 +10,38 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// A server that answers a request twice sends the second answer some milliseconds after the first. Once the next request
-// is written on the connection, nothing tells the second answer from the next request's, so a connection has to be quiet
-// for a period before it is used again.
+// A server that answers a request twice sends the second answer some milliseconds after the first. If the next request is
+// written on the connection before, the second answer can't be distinguished from the answer to the next request.
+// Therefore a connection must be quiet, with no bytes read, for a period before it is reused.
 const (
 	minQuietPeriod    = 10 * time.Millisecond
 	maxQuietPeriod    = 60 * time.Millisecond
-	quietPeriodFactor = 2               // margin beyond the latest second answer that was seen
-	quietPeriodTTL    = 2 * time.Minute // for which a longer period is remembered
-	quietWaitDivisor  = 4               // a request waits for at most a quarter of its time; then another connection is tried
+	quietPeriodFactor = 2               // safety factor on the latest delay observed for a second answer
+	quietPeriodTTL    = 2 * time.Minute // how long a learned period applies
+	quietWaitDivisor  = 4               // waiting may take a quarter of the remaining time; beyond it another connection is tried
 )
 
-// quietPeriods learns which endpoints, by pool key, need more than minQuietPeriod. Its methods may be called from any
-// goroutine.
+// quietPeriods learns which endpoints, by pool key, need a longer quiet period than minQuietPeriod. Its methods are safe
+// for concurrent use.
 type quietPeriods struct {
 	mu    sync.Mutex
 	byKey map[string]quietPeriod
 }
 
-// quietPeriod is what one endpoint needs.
+// quietPeriod is the learned period of one endpoint.
 type quietPeriod struct {
 	duration   time.Duration
 	observedAt time.Time
 }
 
-// expired reports whether the period is too old to be heeded.
+// expired reports whether the period no longer applies.
 func (p quietPeriod) expired(now time.Time) bool { return now.Sub(p.observedAt) > quietPeriodTTL }
 
-// observe learns from unsolicited bytes that have come so long after the previous bytes.
+// observe records that unsolicited bytes were read sinceLastRead after the bytes before them.
 func (q *quietPeriods) observe(key string, sinceLastRead time.Duration) {
 	duration := min(quietPeriodFactor*sinceLastRead, maxQuietPeriod)
 	if sinceLastRead > maxQuietPeriod || duration <= minQuietPeriod {
-		return // too late to be waited for, or waited for in any case
+		return // waiting would take too long, or minQuietPeriod is enough
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// required returns how long a connection has to be quiet before it is used again.
+// required returns how long a connection must be quiet before it is reused.
 func (q *quietPeriods) required(key string) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -65,8 +65,8 @@
 	return minQuietPeriod
 }
 
-// awaitQuiet waits until a connection that is used again has been quiet for a period. It refuses the request if that
-// would take too much of the time until deadline, or if ctx ends meanwhile.
+// awaitQuiet waits until a reused connection has been quiet for the given period. It refuses the request if that would
+// take too much of the time until deadline, or if ctx ends during the wait.
 func (c *conn) awaitQuiet(ctx context.Context, request *outgoingRequest, period time.Duration, deadline time.Time) {
 	c.mu.Lock()
 	lastRead := c.lastRead
@@ -77,7 +77,7 @@
 	wait := period - time.Since(lastRead)
 	remaining := time.Until(deadline)
 	if lastRead.IsZero() || wait <= 0 || remaining <= 0 {
-		return // quiet, or too late in any case
+		return // already quiet, or too late for the request anyway
 	}
 	if wait > remaining/quietWaitDivisor {
 		c.refuse(request, admission.NotQuiet)
@@ -88,6 +88,6 @@
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		c.refuse(request, admission.NodeLeaving) // or the deadline has passed: ctx's cause says which
+		c.refuse(request, admission.NodeLeaving) // also used for a passed deadline; context.Cause(ctx) tells the two apart
 	}
 }
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -12,21 +12,23 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// unrewindableBody keeps the transport from sending a request again. When a kept connection breaks the transport repeats
-// a GET, or anything with an Idempotency-Key, whose body it can rewind or that has none; so even an empty body is
-// wrapped.
+// unrewindableBody prevents http.Transport from retrying a request by itself. When a reused connection breaks, the
+// transport retries a GET, or any request with an Idempotency-Key, if the request has no body or a body that can be
+// rewound. Therefore even an empty body is wrapped.
 type unrewindableBody struct{ io.Reader }
 
 // Close does nothing.
 func (unrewindableBody) Close() error { return nil }
 
-// newRequest returns the request that a server gets: the bytes as they came, and the time that is left.
+// newRequest returns the HTTP request for an attempt. Target and body are forwarded unchanged; X-Expires-In tells the
+// server how much time it has.
 func newRequest(ctx context.Context, a *dispatch.Attempt) *http.Request {
 	r := &http.Request{
 		Method: a.Method,
 		Host:   a.Address,
-		// Opaque: the target as it came, not parsed and not escaped. The transport pools connections by the URL's host: a
-		// new server at the address of one that has gone must not get a connection to the old one.
+		// Opaque carries the client's request target, neither parsed nor escaped. The transport pools connections by the
+		// URL's host. The host names the endpoint's incarnation instead of its address, so that a new server at the address
+		// of a removed one is never sent a request over a connection to the old one.
 		URL: &url.URL{Scheme: "http", Host: poolHost(a.Incarnation), Opaque: a.Target},
 		Header: http.Header{
 			"User-Agent":   nil,
@@ -47,22 +49,23 @@
 	return r.WithContext(context.WithValue(ctx, dialTargetKey{}, target))
 }
 
-// formatExpiresIn formats a time for the X-Expires-In header, in microseconds.
+// formatExpiresIn formats the remaining time for the X-Expires-In header, in microseconds.
 func formatExpiresIn(remaining time.Duration) string {
 	return strconv.FormatInt(remaining.Microseconds(), 10) + "u"
 }
 
-// poolHost names an endpoint's incarnation as a host, by which the transport pools connections. No server sees it.
+// poolHost returns the URL host by which the transport pools connections to an endpoint's incarnation. It is not sent to
+// the server.
 func poolHost(incarnation uint64) string { return "endpoint-" + strconv.FormatUint(incarnation, 10) }
 
-// poolKey is poolHost with the port, as the dialer gets it.
+// poolKey returns poolHost with the port, the form in which the transport passes it to the dialer.
 func poolKey(incarnation uint64) string { return poolHost(incarnation) + ":80" }
 
-// dialTargetKey is the key of a dialTarget in a dial's context.
+// dialTargetKey is the context key under which a dialTarget is passed to the dialer.
 type dialTargetKey struct{}
 
-// dialTarget is what a pool key stands for.
+// dialTarget is the endpoint that a pool key identifies.
 type dialTarget struct {
 	address string
-	toCache bool // a cache server, not the origin
+	toCache bool // the endpoint is a cache server, not the origin
 }
--- a/internal/net/upstream/result.go
+++ b/internal/net/upstream/result.go
@@ -11,9 +11,9 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// resultWithoutAnswer returns how an attempt without an answer ended, from the error of RoundTrip. The transport returns
-// only after it has stopped writing, unless the exchange was canceled: then it is unknown what was written, and the
-// request may have run.
+// resultWithoutAnswer returns the result of an attempt for which RoundTrip failed with err. RoundTrip returns only after
+// the transport has stopped writing, except when the exchange was canceled. In that case it is unknown how much was
+// written, and the request may have run.
 func (x *exchange) resultWithoutAnswer(err error) dispatch.AttemptResult {
 	if x.conn == nil {
 		return x.resultWithoutConn(err)
@@ -26,7 +26,7 @@
 	case reason != admission.Granted && x.client.context.Err() == nil:
 		return resultOfDenial(reason)
 	case rest != nil && !rest.Complete():
-		return dispatch.WriteFailed // the client never sent the last byte
+		return dispatch.WriteFailed // the last byte never arrived from the client
 	case x.ctx.Err() != nil:
 		return x.resultOfCancel()
 	case x.unwritten() && x.conn.localFailure.Load():
@@ -42,7 +42,7 @@
 	}
 }
 
-// resultWithoutConn returns how an attempt ended that got no connection.
+// resultWithoutConn returns the result of an attempt for which no connection was established.
 func (x *exchange) resultWithoutConn(err error) dispatch.AttemptResult {
 	var dialError *net.OpError
 	isDialError := errors.As(err, &dialError)
@@ -54,7 +54,7 @@
 	case x.ctx.Err() != nil && !isDialError:
 		return dispatch.NotConnected
 	case errors.Is(err, syscall.ECONNRESET):
-		return dispatch.WriteFailed // a dead server would refuse the connection
+		return dispatch.WriteFailed // a server that is down refuses the connection instead
 	case isDialError && dialError.Timeout():
 		return dispatch.ConnectTimeout
 	default:
@@ -62,7 +62,7 @@
 	}
 }
 
-// resultOfCancel returns how an attempt ended that the node gave up.
+// resultOfCancel returns the result of an attempt that this node canceled.
 func (x *exchange) resultOfCancel() dispatch.AttemptResult {
 	switch {
 	case x.client.context.Err() != nil:
@@ -74,8 +74,8 @@
 	}
 }
 
-// resultOfDenial returns how an attempt ended whose request was not written. Only what the server did on the connection
-// counts against the server.
+// resultOfDenial returns the result of an attempt whose request was not written. Only unsolicited bytes are the server's
+// doing; the other reasons don't count against it.
 func resultOfDenial(reason admission.Reason) dispatch.AttemptResult {
 	switch reason {
 	case admission.RequestOver, admission.ClientGone:
@@ -87,7 +87,7 @@
 	}
 }
 
-// isConnectionError reports whether an error is the connection's, not one of the bytes that came on it.
+// isConnectionError reports whether err is a failure of the connection, as opposed to a malformed answer.
 func isConnectionError(err error) bool {
 	var op *net.OpError
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &op)
--- a/internal/net/upstream/stall.go
+++ b/internal/net/upstream/stall.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	minStallThreshold    = 50 * time.Millisecond  // no answer counts as stalled sooner
-	maxLearnedPause      = 250 * time.Millisecond // longer pauses count as this
+	minStallThreshold    = 50 * time.Millisecond  // a shorter silence never counts as a stall
+	maxLearnedPause      = 250 * time.Millisecond // longer pauses are recorded as this
 	stallThresholdFactor = 2                      // of the longest pause seen
-	abortThresholdFactor = 4                      // of the stall threshold: a stalled answer is given up
-	pauseDecayDivisor    = 64                     // the longest pause fades over some hundred answers
+	abortThresholdFactor = 4                      // of the stall threshold: an answer silent for that long is aborted
+	pauseDecayDivisor    = 64                     // the recorded pause decays over some hundred answers
 )
 
-// errStalled is the cause of an exchange whose answer has begun and does not go on.
-var errStalled = errors.New("the answer has begun and does not go on")
+// errStalled is the cancellation cause of an exchange whose answer started and then stalled.
+var errStalled = errors.New("answer stalled")
 
-// stallDetector learns how long servers pause within answers that are complete in the end. From what silence on an answer
-// is likely stuck differs from cluster to cluster. Its methods may be called from any goroutine.
+// stallDetector learns how long servers pause within answers that are completed later, and derives the silence after
+// which an answer counts as stalled. The threshold is learned because usual pauses differ between clusters. Its methods
+// are safe for concurrent use.
 type stallDetector struct {
 	mu           sync.Mutex
-	longestPause time.Duration // fading
+	longestPause time.Duration // decaying maximum
 }
 
-// observe learns from the longest pause of a complete answer.
+// observe records the longest pause within a complete answer.
 func (d *stallDetector) observe(pause time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,15 +36,15 @@
 	}
 }
 
-// threshold returns the silence from which on an answer counts as stalled.
+// threshold returns the duration of silence after which an answer counts as stalled.
 func (d *stallDetector) threshold() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return max(minStallThreshold, stallThresholdFactor*d.longestPause)
 }
 
-// newStallTimer returns a stopped timer, to be started with the answer's first byte. It reports a stalled answer to the
-// attempt, once, and aborts the exchange if the answer goes on to be silent.
+// newStallTimer returns a stopped timer, to be started at the answer's first byte. When the answer stalls, the timer
+// reports that to the attempt, once; it aborts the exchange if the silence continues.
 func (x *exchange) newStallTimer() *time.Timer {
 	var timer *time.Timer
 	reported := false
