--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -23,17 +23,17 @@
 )
 
 // reset ends a connection by one, whatever the kernel still holds.
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// A reset is no end: an answer that it breaks off is never whole, however its length is told, whether the bytes before it have been
-// read by then, and whether the server resets by itself or since it closes over bytes that it has not read. What has ended before
+// A reset is no end: an answer that it breaks off is never whole, however its length is expiresIn, whether the bytes before it have been
+// read by then, and whether the server withReset by itself or since it closes over bytes that it has not read. What has ended before
 // is whole.
-func TestAResetIsNoEnd(t *testing.T) {
+func TestResetAnswerIsTruncated(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
-	for _, c := range []struct{ text, end, want string }{
+	for _, c := range []struct{ text, closeMode, want string }{
 		{ok + "Content-Length: 9\r\n\r\nshort", "reset", "truncated"},
 		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", "reset", "truncated"},
 		{ok + "\r\nshort", "reset", "truncated"},
@@ -53,7 +53,7 @@
 		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", "reset later", "complete"},
 		{ok + "\r\nwhole", "ended", "complete"},
 	} {
-		t.Run(c.end+" "+strconv.Quote(c.text), func(t *testing.T) {
+		t.Run(c.closeMode+" "+strconv.Quote(c.text), func(t *testing.T) {
 			t.Parallel()
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -74,18 +74,18 @@
 							}
 						}
 						_, _ = io.WriteString(conn, c.text)
-						switch c.end {
+						switch c.closeMode {
 						case "reset":
-							reset(conn)
+							resetConn(conn)
 						case "reset later":
 							time.Sleep(10 * time.Millisecond)
-							reset(conn)
+							resetConn(conn)
 						case "ended, then reset":
 							_ = conn.(*net.TCPConn).CloseWrite()
 							time.Sleep(5 * time.Millisecond)
-							reset(conn)
+							resetConn(conn)
 						case "over unread bytes":
-							waitFor(conn) // the body
+							waitForInput(conn) // the body
 							conn.Close()
 						default:
 							conn.Close()
@@ -94,13 +94,13 @@
 				}
 			}()
 			for range 10 {
-				sh := newAttempt(l.Addr().String(), "GET", "")
-				if c.end == "over unread bytes" {
-					sh = newAttempt(l.Addr().String(), "PUT", "value")
+				attempt := newAttempt(l.Addr().String(), "GET", "")
+				if c.closeMode == "over unread bytes" {
+					attempt = newAttempt(l.Addr().String(), "PUT", "value")
 				}
-				end, a := newTestClient(t).send(sh)
-				if end.String() != c.want || (string(a.Body) == "whole") != (c.want == "complete") {
-					t.Errorf("%v %q, want %s", end, a.Body, c.want)
+				result, a := newTestClient(t).send(attempt)
+				if result.String() != c.want || (string(a.Body) == "whole") != (c.want == "complete") {
+					t.Errorf("%v %q, want %s", result, a.Body, c.want)
 				}
 			}
 		})
@@ -108,26 +108,26 @@
 }
 
 // waitFor waits until bytes lie unread.
-func waitFor(c net.Conn) {
-	own := newConn(c.(socket), nil)
-	for by := time.Now().Add(time.Second); !unread(own) && time.Now().Before(by); {
+func waitForInput(c net.Conn) {
+	peeked := newConn(c.(socket), nil)
+	for deadline := time.Now().Add(time.Second); !hasUnread(peeked) && time.Now().Before(deadline); {
 		time.Sleep(100 * time.Microsecond)
 	}
 }
 
 // The kernel tells of a reset once. Where a write has taken its word, as of a long upload that the server answers early, the next read
 // must not find an end that would make an answer of unknown length whole.
-func TestAResetThatAWriteHasMetIsNoEnd(t *testing.T) {
-	near, far := tcp(t)
+func TestResetReportedToWriteIsNotEOF(t *testing.T) {
+	near, far := tcpPair(t)
 	c := newConn(near, func() {})
 	c.acquire(false, &outgoingRequest{})
 	if _, err := c.Write([]byte("head")); err != nil {
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\nhalf")
-	waitFor(near)
-	reset(far)
-	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	waitForInput(near)
+	resetConn(far)
+	for deadline := time.Now().Add(time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if _, err := c.Write([]byte("body")); err != nil {
 			break
 		}
@@ -142,48 +142,48 @@
 }
 
 // The same while the write is on its way: its end is waited for, and a server that has ended its answer, but not reset, is believed.
-func TestAnEndWaitsForTheWriteBesideIt(t *testing.T) {
-	for _, resets := range []bool{true, false} {
-		near, far := tcp(t)
+func TestEOFWaitsForWriteInProgress(t *testing.T) {
+	for _, withReset := range []bool{true, false} {
+		near, far := tcpPair(t)
 		c := newConn(near, func() {})
 		c.acquire(false, &outgoingRequest{})
-		wrote := make(chan error, 1)
+		writeErr := make(chan error, 1)
 		go func() {
 			_, err := c.Write(make([]byte, 32<<20)) // more than the kernel holds
-			wrote <- err
+			writeErr <- err
 		}()
-		waitFor(far)
+		waitForInput(far)
 		_ = far.CloseWrite() // an end, while the write waits for room
-		read := make(chan error, 1)
+		readErr := make(chan error, 1)
 		go func() {
 			_, err := io.ReadAll(c)
-			read <- err
+			readErr <- err
 		}()
 		select {
-		case err := <-read:
-			t.Errorf("resets %v: the end was told before the write was over: %v", resets, err)
+		case err := <-readErr:
+			t.Errorf("resets %v: the end was told before the write was over: %v", withReset, err)
 			continue
 		case <-time.After(30 * time.Millisecond):
 		}
-		if resets {
-			reset(far)
+		if withReset {
+			resetConn(far)
 		} else {
 			go func() { _, _ = io.Copy(io.Discard, far) }()
 		}
-		if err := <-read; errors.Is(err, syscall.ECONNRESET) != resets || !resets && err != nil {
-			t.Errorf("resets %v: the answer ends with %v", resets, err)
+		if err := <-readErr; errors.Is(err, syscall.ECONNRESET) != withReset || !withReset && err != nil {
+			t.Errorf("resets %v: the answer ends with %v", withReset, err)
 		}
-		<-wrote
+		<-writeErr
 	}
 }
 
-// Half a line from a server, alone, with its end or with a reset behind it, may come at any moment in which a connection rests, is
+// Half a line from a server, alone, with its end or with a reset suffix it, may come at any connState in which a connection rests, is
 // closed or is taken: it is no answer to anything, its connection takes no request any more, and each request reaches a server once.
-func TestHalfALineFromAServer(t *testing.T) {
+func TestUnsolicitedPartialAnswerIsNotServed(t *testing.T) {
 	const half = "HTTP/1.1 200 OK\r\nContent-Le"
-	for _, moment := range []string{"resting", "closed", "being closed", "taken", "before its request"} {
-		for _, behind := range []string{"", "end", "reset"} {
-			t.Run(moment+" "+behind, func(t *testing.T) {
+	for _, connState := range []string{"resting", "closed", "being closed", "taken", "before its request"} {
+		for _, suffix := range []string{"", "end", "reset"} {
+			t.Run(connState+" "+suffix, func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
 				seen, conns := map[string]int{}, make(chan net.Conn, 100)
@@ -194,50 +194,50 @@
 					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(r.Header.Get("X-Trace-Id")), r.Header.Get("X-Trace-Id"))
 					conns <- c
 				})
-				s := newTestClient(t)
-				last := trackLatestConn(s)
-				line := func() { // of the connection that answered last
+				client := newTestClient(t)
+				last := trackLatestConn(client)
+				sendPartialAnswer := func() { // on the connection that answered last
 					c := <-conns
 					_, _ = io.WriteString(c, half)
-					switch behind {
+					switch suffix {
 					case "end":
 						_ = c.(*net.TCPConn).CloseWrite()
 					case "reset":
-						reset(c)
+						resetConn(c)
 					}
 				}
 				for i := range 20 {
 					trace := fmt.Sprint("t", i)
-					sh := newAttempt(address, "GET", "")
-					sh.TraceID = trace
+					attempt := newAttempt(address, "GET", "")
+					attempt.TraceID = trace
 					if i > 0 {
-						switch moment {
+						switch connState {
 						case "resting":
-							line()
+							sendPartialAnswer()
 							time.Sleep(5 * time.Millisecond)
 						case "closed":
-							s.dialer.closeIdle(poolHost(0)+":80", 0)
-							line()
+							client.dialer.closeIdle(poolHost(0)+":80", 0)
+							sendPartialAnswer()
 						case "being closed": // chosen, and not closed yet
 							c := *last
 							c.retire()
-							line()
+							sendPartialAnswer()
 						case "taken":
-							line()
+							sendPartialAnswer()
 						case "before its request":
-							met := false
-							sh.ClientGone = func() bool {
-								if !met {
-									met = true
-									line()
+							sent := false
+							attempt.ClientGone = func() bool {
+								if !sent {
+									sent = true
+									sendPartialAnswer()
 									time.Sleep(admission.MaxFactAge + 5*time.Millisecond)
 								}
 								return false
 							}
 						}
 					}
-					if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != trace {
-						t.Errorf("shot %d: %v %q", i, end, a.Body)
+					if result, a := client.send(attempt); result != dispatch.Complete || string(a.Body) != trace {
+						t.Errorf("shot %d: %v %q", i, result, a.Body)
 					}
 				}
 				mu.Lock()
@@ -253,58 +253,58 @@
 }
 
 // The time by which a request has to begin may pass while the kernel is asked for the client.
-func TestARequestTooLateByTheEndOfTheLookIsNotWritten(t *testing.T) {
-	var came atomic.Int64
+func TestSendByPassedDuringClientCheckDeniesWrite(t *testing.T) {
+	var received atomic.Int64
 	address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
-		came.Add(1)
+		received.Add(1)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 	})
-	for left, want := range map[time.Duration]dispatch.AttemptResult{10 * time.Millisecond: dispatch.NotConnected, 5 * time.Second: dispatch.Complete} {
-		sh := newAttempt(address, "PUT", "v")
-		sh.SendBy = time.Now().Add(left)
-		sh.ClientGone = func() bool {
+	for timeLeft, want := range map[time.Duration]dispatch.AttemptResult{10 * time.Millisecond: dispatch.NotConnected, 5 * time.Second: dispatch.Complete} {
+		attempt := newAttempt(address, "PUT", "v")
+		attempt.SendBy = time.Now().Add(timeLeft)
+		attempt.ClientGone = func() bool {
 			time.Sleep(15 * time.Millisecond)
 			return false
 		}
-		if end, _ := newTestClient(t).send(sh); end != want {
-			t.Errorf("%v left: %v, want %v", left, end, want)
+		if result, _ := newTestClient(t).send(attempt); result != want {
+			t.Errorf("%v left: %v, want %v", timeLeft, result, want)
 		}
 	}
-	if came.Load() != 1 {
-		t.Errorf("%d came, want one", came.Load())
+	if received.Load() != 1 {
+		t.Errorf("%d received, want one", received.Load())
 	}
 }
 
 // A server hears what is left of an attempt's time, also where its connection came up late.
-func TestAServerHearsWhatIsLeft(t *testing.T) {
-	told := make(chan string, 10)
+func TestExpiresInIsRemainingTime(t *testing.T) {
+	expiresIn := make(chan string, 10)
 	address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
-		told <- r.Header.Get("X-Expires-In")
+		expiresIn <- r.Header.Get("X-Expires-In")
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 	})
-	s, dials := newTestClient(t), 0
-	dial := s.transport.DialContext
-	s.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
+	client, dials := newTestClient(t), 0
+	dial := client.transport.DialContext
+	client.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 		time.Sleep(100 * time.Millisecond)
 		if dials++; dials == 1 {
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // another is tried
 		}
 		return dial(ctx, network, to)
 	}
-	sh := newAttempt(address, "GET", "")
-	sh.Timeout = 2 * time.Second
-	if end, _ := s.send(sh); end != dispatch.Complete {
-		t.Fatal(end)
+	attempt := newAttempt(address, "GET", "")
+	attempt.Timeout = 2 * time.Second
+	if result, _ := client.send(attempt); result != dispatch.Complete {
+		t.Fatal(result)
 	}
-	us, err := strconv.Atoi(strings.TrimSuffix(<-told, "u"))
-	if left := time.Duration(us) * time.Microsecond; err != nil || left > sh.Timeout-200*time.Millisecond || left <= 0 {
-		t.Errorf("told %v of %v, 0.2 s and more before its request: %v", left, sh.Timeout, err)
+	us, err := strconv.Atoi(strings.TrimSuffix(<-expiresIn, "u"))
+	if remaining := time.Duration(us) * time.Microsecond; err != nil || remaining > attempt.Timeout-200*time.Millisecond || remaining <= 0 {
+		t.Errorf("told %v of %v, 0.2 s and more before its request: %v", remaining, attempt.Timeout, err)
 	}
 }
 
 // A connection that comes up long after its attempt was given up: the attempt ends in its own time, nothing is written to it, whoever comes
 // next may have it, and its descriptor comes back.
-func TestAConnectionThatComesUpLate(t *testing.T) {
+func TestConnectionEstablishedAfterAttemptIsNotWritten(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -315,31 +315,31 @@
 	}
 	name, _ := syscall.Getsockname(fd)
 	address := (&net.TCPAddr{IP: net.IP{127, 0, 0, 1}, Port: name.(*syscall.SockaddrInet4).Port}).String()
-	var fill []net.Conn
+	var backlog []net.Conn
 	for { // its queue of new ones is full: the kernel tries again after a second
 		c, err := net.DialTimeout("tcp", address, 50*time.Millisecond)
 		if err != nil {
 			break
 		}
-		fill = append(fill, c)
+		backlog = append(backlog, c)
 	}
-	s := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 4 * time.Second, IdleTimeout: 500 * time.Millisecond, MaxBuffered: 1 << 10,
+	client := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 4 * time.Second, IdleTimeout: 500 * time.Millisecond, MaxBuffered: 1 << 10,
 		MaxStreamed: 1 << 10}, zap.NewNop())
-	defer s.Close()
-	began := time.Now()
-	sh := newAttempt(address, "GET", "")
-	sh.Timeout = 200 * time.Millisecond
-	if end, _ := s.send(sh); end != dispatch.NotConnected || time.Since(began) < sh.Timeout || time.Since(began) > 2*time.Second {
-		t.Errorf("%v after %v", end, time.Since(began))
+	defer client.Close()
+	start := time.Now()
+	attempt := newAttempt(address, "GET", "")
+	attempt.Timeout = 200 * time.Millisecond
+	if result, _ := client.send(attempt); result != dispatch.NotConnected || time.Since(start) < attempt.Timeout || time.Since(start) > 2*time.Second {
+		t.Errorf("%v after %v", result, time.Since(start))
 	}
-	for range fill {
+	for range backlog {
 		c, _, err := syscall.Accept(fd)
 		if err != nil {
 			t.Fatal(err)
 		}
 		syscall.Close(c)
 	}
-	for _, c := range fill {
+	for _, c := range backlog {
 		c.Close()
 	}
 	c, _, err := syscall.Accept(fd) // waits for it
@@ -351,13 +351,13 @@
 	if n, err := syscall.Read(c, make([]byte, 100)); n != 0 || err != nil { // it idles, and is closed
 		t.Errorf("read %d, %v, want its end and nothing before", n, err)
 	}
-	for by := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		s.dialer.mu.Lock()
-		open, dialing := s.dialer.openConns, s.dialer.dials
-		s.dialer.mu.Unlock()
+	for deadline := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		client.dialer.mu.Lock()
+		open, dialing := client.dialer.openConns, client.dialer.dials
+		client.dialer.mu.Unlock()
 		if open == 0 && dialing == 0 {
 			break
-		} else if time.Now().After(by) {
+		} else if time.Now().After(deadline) {
 			t.Fatalf("%d open, %d dials", open, dialing)
 		}
 	}
@@ -365,38 +365,38 @@
 
 // Answers that go on without an end, byte by byte, so that no pause tells: heads, provisional answers, bodies with a length. Each ends in
 // its attempt's own time, and leaves no goroutine and no connection.
-func TestAnswersThatGoOnByByte(t *testing.T) {
+func TestSlowAnswersEndAtAttemptTimeout(t *testing.T) {
 	before := runtime.NumGoroutine()
-	s := newTestClient(t)
+	client := newTestClient(t)
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nX-More: \x00x", "\x00HTTP/1.1 103 Hints\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n\x00x",
 		"HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n\x001\r\nx\r\n", "HTTP/1.1 500 Oops\r\n\r\n\x00x"} {
-		ended := make(chan bool, 1)
+		serverDone := make(chan bool, 1)
 		address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
-			first, again, _ := strings.Cut(text, "\x00")
-			_, err := io.WriteString(c, first)
+			prefix, repeated, _ := strings.Cut(text, "\x00")
+			_, err := io.WriteString(c, prefix)
 			for ; err == nil; time.Sleep(2 * time.Millisecond) {
-				_, err = io.WriteString(c, again)
+				_, err = io.WriteString(c, repeated)
 			}
-			ended <- true
+			serverDone <- true
 		})
-		began := time.Now()
-		sh := newAttempt(address, "GET", "")
-		sh.Timeout = 300 * time.Millisecond
-		end, a := s.send(sh)
-		if took := time.Since(began); end != dispatch.TimedOut && end != dispatch.Malformed || took > 3*time.Second || len(a.Body) > 0 {
-			t.Errorf("%q: %v after %v", text, end, took)
+		start := time.Now()
+		attempt := newAttempt(address, "GET", "")
+		attempt.Timeout = 300 * time.Millisecond
+		result, a := client.send(attempt)
+		if elapsed := time.Since(start); result != dispatch.TimedOut && result != dispatch.Malformed || elapsed > 3*time.Second || len(a.Body) > 0 {
+			t.Errorf("%q: %v after %v", text, result, elapsed)
 		}
 		select {
-		case <-ended:
+		case <-serverDone:
 		case <-time.After(3 * time.Second):
 			t.Errorf("%q: its connection is open still", text)
 		}
 	}
-	s.Close()
+	client.Close()
 	// Five listeners are left, and what they hold.
-	for by := time.Now().Add(3 * time.Second); runtime.NumGoroutine() > before+10; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(by) {
+	for deadline := time.Now().Add(3 * time.Second); runtime.NumGoroutine() > before+10; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
 		}
 	}
--- a/internal/net/upstream/conn_test.go
+++ b/internal/net/upstream/conn_test.go
@@ -13,7 +13,7 @@
 )
 
 // A connection is counted until its descriptor is closed, so that there are never more than the bound.
-func TestAPlaceIsGivenBackAfterItsDescriptor(t *testing.T) {
+func TestOnCloseIsCalledAfterDescriptorIsClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,20 +27,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	given := 0
-	own := newConn(c.(socket), func() {
-		given++
+	calls := 0
+	wrapped := newConn(c.(socket), func() {
+		calls++
 		if raw.Control(func(uintptr) {}) == nil {
 			t.Error("the connection is no longer counted while its descriptor is open")
 		}
 	})
-	if err := own.Close(); err != nil || given != 1 {
-		t.Errorf("%v, given back %d times", err, given)
+	if err := wrapped.Close(); err != nil || calls != 1 {
+		t.Errorf("%v, given back %d times", err, calls)
 	}
 }
 
 // A connection that is about to be given back takes no request, and one that has a request is not given back.
-func TestARetiredConnectionTakesNothing(t *testing.T) {
+func TestRetiredConnectionDeniesWrites(t *testing.T) {
 	for _, first := range []string{"retire", "take"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -71,46 +71,46 @@
 }
 
 // What a server sends behind an answer must not be taken for the next one's, whether it comes with the answer, when
-// the transport has already handed the connection on, or later; the answer before it counts. The next attempt is sent
+// the transport has already handed the connection on, or delay; the answer before it counts. The next attempt is sent
 // once all has arrived: bytes that come when it is out can't be told from its answer.
-func TestBytesBehindAnAnswerSpoilTheConnection(t *testing.T) {
+func TestBytesAfterAnswerAreNotNextAnswer(t *testing.T) {
 	const head, second = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
-	for _, behind := range []string{second, "\x00noise\r\n\r\n", second[:20]} {
-		for _, later := range []time.Duration{-1, 0, 5 * time.Millisecond} { // -1: in one write with the answer
-			got, written := make(chan bool), make(chan bool)
+	for _, surplus := range []string{second, "\x00noise\r\n\r\n", second[:20]} {
+		for _, delay := range []time.Duration{-1, 0, 5 * time.Millisecond} { // -1: in one write with the answer
+			answerRead, surplusWritten := make(chan bool), make(chan bool)
 			address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 				answer := head + r.Header.Get("X-Trace-Id")
-				if later < 0 {
-					_, _ = io.WriteString(c, answer+behind)
-					<-got
+				if delay < 0 {
+					_, _ = io.WriteString(c, answer+surplus)
+					<-answerRead
 				} else {
 					_, _ = io.WriteString(c, answer)
-					<-got
-					_, _ = io.WriteString(c, behind)
+					<-answerRead
+					_, _ = io.WriteString(c, surplus)
 				}
-				written <- true
+				surplusWritten <- true
 			})
-			s := newTestClient(t)
-			last := trackLatestConn(s)
+			client := newTestClient(t)
+			last := trackLatestConn(client)
 			for i := range 30 {
-				sh := newAttempt(address, "GET", "")
-				sh.TraceID = string(rune('a' + i%26))
-				if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != sh.TraceID {
-					t.Fatalf("%q after %v, attempt %d: %v %q", behind, later, i, end, a.Body)
+				attempt := newAttempt(address, "GET", "")
+				attempt.TraceID = string(rune('a' + i%26))
+				if result, a := client.send(attempt); result != dispatch.Complete || string(a.Body) != attempt.TraceID {
+					t.Fatalf("%q after %v, attempt %d: %v %q", surplus, delay, i, result, a.Body)
 				}
-				got <- true
-				<-written
-				for end := time.Now().Add(time.Second); !beyond(*last, int64(len(head)+1)) && time.Now().Before(end); {
+				answerRead <- true
+				<-surplusWritten
+				for deadline := time.Now().Add(time.Second); !hasReceivedMoreThan(*last, int64(len(head)+1)) && time.Now().Before(deadline); {
 					time.Sleep(100 * time.Microsecond)
 				}
-				time.Sleep(later)
+				time.Sleep(delay)
 			}
 		}
 	}
 }
 
 // beyond says that more than so many bytes have come, read or not, or that the connection is closed for it.
-func beyond(c *conn, bytes int64) bool {
+func hasReceivedMoreThan(c *conn, bytes int64) bool {
 	there, _ := c.hasUnreadInput()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,12 +119,12 @@
 
 // The same where the transport's reading can't be ahead: bytes that lie there when a request is about to be written,
 // or that come before it is, are not its answer.
-func TestBytesBeforeARequestAreNotItsAnswer(t *testing.T) {
-	near, far := tcp(t)
+func TestBytesBeforeRequestDenyWrite(t *testing.T) {
+	near, far := tcpPair(t)
 	c := newConn(near, func() {})
 	c.acquire(false, &outgoingRequest{})
 	_, _ = far.Write([]byte("early"))
-	for end := time.Now().Add(time.Second); !unread(c) && time.Now().Before(end); {
+	for deadline := time.Now().Add(time.Second); !hasUnread(c) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	if n, err := c.Write([]byte("request")); n != 0 || err == nil || c.bytesWritten.Load() != 0 || !c.request.unsolicited {
@@ -141,7 +141,7 @@
 	}
 	c.acquire(false, &outgoingRequest{})
 	far.Close() // with the request unread, so that it is a reset
-	for end := time.Now().Add(time.Second); !unread(c) && time.Now().Before(end); {
+	for deadline := time.Now().Add(time.Second); !hasUnread(c) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	if n, err := c.Write([]byte("request")); n != 0 || err == nil {
@@ -150,25 +150,25 @@
 }
 
 // A connection that breaks before the attempt is written says nothing of the server: the attempt goes on another.
-func TestAStaleConnectionCostsNothing(t *testing.T) {
+func TestConnectionBrokenBeforeWriteIsReplaced(t *testing.T) {
 	address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 	})
-	s, dials := newTestClient(t), 0
-	dial := s.transport.DialContext
-	s.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
+	client, dials := newTestClient(t), 0
+	dial := client.transport.DialContext
+	client.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 		if dials++; dials%2 == 0 {
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // a new one that is reset
 		}
 		c, err := dial(ctx, network, to)
 		if err == nil {
-			c.(*conn).Conn = &failing{Conn: c.(*conn).Conn}
+			c.(*conn).Conn = &failSecondWriteConn{Conn: c.(*conn).Conn}
 		}
 		return c, err
 	}
 	for i := range 5 {
-		if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Complete {
-			t.Fatalf("shot %d: %v", i, end)
+		if result, _ := client.send(newAttempt(address, "GET", "")); result != dispatch.Complete {
+			t.Fatalf("shot %d: %v", i, result)
 		}
 	}
 	if dials < 5 {
--- a/internal/net/upstream/dialer_test.go
+++ b/internal/net/upstream/dialer_test.go
@@ -17,111 +17,111 @@
 
 // CloseIdle closes connections that carry nothing, leaves those that do, and loses no attempt that takes one in
 // the same moment.
-func TestHangUpClosesWhatIsIdle(t *testing.T) {
+func TestCloseIdleClosesOnlyIdleConnections(t *testing.T) {
 	var opened, served atomic.Int64
-	hold, begun := make(chan struct{}), make(chan struct{})
-	s, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
+	releaseSlow, slowStarted := make(chan struct{}), make(chan struct{})
+	client, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
 		if nth == 0 {
 			opened.Add(1)
 		}
 		if served.Add(1); r.RequestURI == "/slow" {
-			close(begun)
-			<-hold
+			close(slowStarted)
+			<-releaseSlow
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	send := func(target string) dispatch.AttemptResult {
-		sent := newAttempt(server, "GET", "")
-		sent.Target = target
-		end, _ := s.send(sent)
-		return end
+		attempt := newAttempt(server, "GET", "")
+		attempt.Target = target
+		result, _ := client.send(attempt)
+		return result
 	}
-	open := func(want int) {
+	waitForOpenConns := func(want int) {
 		t.Helper()
-		for end := time.Now().Add(time.Second); ; time.Sleep(time.Millisecond) {
-			s.dialer.mu.Lock()
-			got := s.dialer.openConns
-			s.dialer.mu.Unlock()
+		for deadline := time.Now().Add(time.Second); ; time.Sleep(time.Millisecond) {
+			client.dialer.mu.Lock()
+			got := client.dialer.openConns
+			client.dialer.mu.Unlock()
 			if got == want {
 				return
-			} else if time.Now().After(end) {
+			} else if time.Now().After(deadline) {
 				t.Fatalf("%d connections are open, want %d", got, want)
 			}
 		}
 	}
-	slow := make(chan dispatch.AttemptResult)
-	go func() { slow <- send("/slow") }()
-	<-begun // a connection that no request was written to yet carries nothing, and may be closed
-	open(1)
+	slowResult := make(chan dispatch.AttemptResult)
+	go func() { slowResult <- send("/slow") }()
+	<-slowStarted // a connection that no request was written to yet carries nothing, and may be closed
+	waitForOpenConns(1)
 	send("/quick")
-	open(2)
-	s.CloseIdle(1, 0) // another place
-	s.CloseIdle(0, 1) // the one that idles may stay
+	waitForOpenConns(2)
+	client.CloseIdle(1, 0) // another place
+	client.CloseIdle(0, 1) // the one that idles may stay
 	time.Sleep(10 * time.Millisecond)
-	open(2)
-	s.CloseIdle(0, 0)
-	open(1)
-	if close(hold); <-slow != dispatch.Complete {
+	waitForOpenConns(2)
+	client.CloseIdle(0, 0)
+	waitForOpenConns(1)
+	if close(releaseSlow); <-slowResult != dispatch.Complete {
 		t.Error("a connection in use was closed")
 	}
-	before := served.Load()
+	servedBefore := served.Load()
 	for range 200 {
-		s.CloseIdle(0, 0)
-		if end := send("/quick"); end != dispatch.Complete {
-			t.Fatalf("an attempt ended %v", end)
+		client.CloseIdle(0, 0)
+		if result := send("/quick"); result != dispatch.Complete {
+			t.Fatalf("an attempt ended %v", result)
 		}
 	}
-	if n := served.Load() - before; n != 200 {
+	if n := served.Load() - servedBefore; n != 200 {
 		t.Errorf("%d attempts reached the server, want 200; %d connections", n, opened.Load())
 	}
 }
 
 // Of connections that idle those used longest ago are closed first: the transport takes the latest.
-func TestHangUpLeavesTheLatest(t *testing.T) {
-	s, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
+func TestCloseIdleKeepsMostRecentlyUsedConnection(t *testing.T) {
+	client, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		time.Sleep(20 * time.Millisecond)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 3 {
-		all.Go(func() { s.send(newAttempt(server, "GET", "")) })
+		wg.Go(func() { client.send(newAttempt(server, "GET", "")) })
 	}
-	all.Wait()
-	s.send(newAttempt(server, "GET", ""))
+	wg.Wait()
+	client.send(newAttempt(server, "GET", ""))
 	key := poolHost(0) + ":80"
-	s.dialer.mu.Lock()
+	client.dialer.mu.Lock()
 	var latest *conn
-	for c := range s.dialer.connsByKey[key] {
+	for c := range client.dialer.connsByKey[key] {
 		if since, _ := c.idleSince(); latest == nil || since.After(latest.lastUsed) {
 			latest = c
 		}
 	}
-	s.dialer.mu.Unlock()
-	s.dialer.closeIdle(key, 1)
-	s.dialer.mu.Lock()
-	defer s.dialer.mu.Unlock()
-	if kept := s.dialer.connsByKey[key]; len(kept) != 1 || !kept[latest] {
+	client.dialer.mu.Unlock()
+	client.dialer.closeIdle(key, 1)
+	client.dialer.mu.Lock()
+	defer client.dialer.mu.Unlock()
+	if kept := client.dialer.connsByKey[key]; len(kept) != 1 || !kept[latest] {
 		t.Errorf("%d connections are left, want the latest", len(kept))
 	}
 }
 
 // A server at the address of one that has gone gets no connection that was made to the old one.
-func TestEachPlaceHasItsOwnConnections(t *testing.T) {
+func TestIncarnationsShareNoConnections(t *testing.T) {
 	address := rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", nth)
 	})
-	s := newTestClient(t)
+	client := newTestClient(t)
 	for i, want := range []string{"0", "1", "0", "2", "1"} { // requests before it on its connection
-		sh := newAttempt(address, "GET", "")
-		sh.Incarnation = []uint64{1, 1, 2, 1, 2}[i]
-		if end, a := s.send(sh); end != dispatch.Complete || string(a.Body) != want {
-			t.Errorf("shot %d: %v %q, want %s", i, end, a.Body, want)
+		attempt := newAttempt(address, "GET", "")
+		attempt.Incarnation = []uint64{1, 1, 2, 1, 2}[i]
+		if result, a := client.send(attempt); result != dispatch.Complete || string(a.Body) != want {
+			t.Errorf("shot %d: %v %q, want %s", i, result, a.Body, want)
 		}
 	}
 }
 
 // deaf gives an address whose connections never come up: its queue of new ones is full.
-func deaf(t *testing.T) string {
+func fullBacklogAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -143,34 +143,34 @@
 
 // Dials that attempts gave up on live on: they are bounded in time and number, and give their descriptors back.
 func TestDialsAreBounded(t *testing.T) {
-	address, s := deaf(t), newTestClient(t)
+	address, client := fullBacklogAddress(t), newTestClient(t)
 	var d dialer
 	d.maxConns, d.maxDialsPerServer, d.dialsByAddress = 8, 1, map[string]int{}
 	d.Timeout = 100 * time.Millisecond
-	s.transport.DialContext = d.dial
-	began, first := time.Now(), make(chan dispatch.AttemptResult)
+	client.transport.DialContext = d.dial
+	start, first := time.Now(), make(chan dispatch.AttemptResult)
 	go func() {
-		end, _ := s.send(newAttempt(address, "GET", ""))
-		first <- end
+		result, _ := client.send(newAttempt(address, "GET", ""))
+		first <- result
 	}()
 	time.Sleep(30 * time.Millisecond)
-	if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.NoResources {
-		t.Errorf("a second dial to one server: %v", end)
+	if result, _ := client.send(newAttempt(address, "GET", "")); result != dispatch.NoResources {
+		t.Errorf("a second dial to one server: %v", result)
 	}
-	if end := <-first; end != dispatch.ConnectTimeout || time.Since(began) > 450*time.Millisecond {
-		t.Errorf("%v after %v", end, time.Since(began))
+	if result := <-first; result != dispatch.ConnectTimeout || time.Since(start) > 450*time.Millisecond {
+		t.Errorf("%v after %v", result, time.Since(start))
 	}
-	hurried := newAttempt(address, "GET", "")
-	hurried.Timeout = 20 * time.Millisecond
-	if end, _ := s.send(hurried); end != dispatch.NotConnected {
-		t.Errorf("with less time than a dial has: %v", end)
+	shortAttempt := newAttempt(address, "GET", "")
+	shortAttempt.Timeout = 20 * time.Millisecond
+	if result, _ := client.send(shortAttempt); result != dispatch.NotConnected {
+		t.Errorf("with less time than a dial has: %v", result)
 	}
 	time.Sleep(150 * time.Millisecond) // that dial lives on for its own time
 	d.mu.Lock()
-	open, dialing, to := d.openConns, d.dials, len(d.dialsByAddress)
+	open, dialing, addresses := d.openConns, d.dials, len(d.dialsByAddress)
 	d.mu.Unlock()
-	if open != 0 || dialing != 0 || to != 0 {
-		t.Errorf("still counted: %d open, %d dials to %d servers", open, dialing, to)
+	if open != 0 || dialing != 0 || addresses != 0 {
+		t.Errorf("still counted: %d open, %d dials to %d servers", open, dialing, addresses)
 	}
 	for _, a := range []string{"1", "2"} {
 		if !d.startDial(a, "", false) {
@@ -182,10 +182,10 @@
 	}
 }
 
-func TestDescriptorsAreBoundedAndComeBack(t *testing.T) {
+func TestDescriptorsAreBoundedAndReleased(t *testing.T) {
 	address := rawServer(t, func(net.Conn, *http.Request, int) {})
-	s := newTestClient(t)
-	dial := func() (net.Conn, error) { return s.transport.DialContext(t.Context(), "tcp", address) }
+	client := newTestClient(t)
+	dial := func() (net.Conn, error) { return client.transport.DialContext(t.Context(), "tcp", address) }
 	var conns []net.Conn
 	for range 8 {
 		c, err := dial()
@@ -213,7 +213,7 @@
 }
 
 // An attempt must not cross the server's close of an idle connection, so the node closes it first.
-func TestIdleConnectionsAreClosedBeforeTheServersLimit(t *testing.T) {
+func TestIdleConnectionsCloseBeforeServerIdleTimeout(t *testing.T) {
 	closed := make(chan bool, 1)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -223,8 +223,8 @@
 	}
 	server.Start()
 	defer server.Close()
-	if end, _ := newTestClient(t).send(newAttempt(server.Listener.Addr().String(), "GET", "")); end != dispatch.Complete {
-		t.Fatal(end)
+	if result, _ := newTestClient(t).send(newAttempt(server.Listener.Addr().String(), "GET", "")); result != dispatch.Complete {
+		t.Fatal(result)
 	}
 	select {
 	case <-closed:
--- a/internal/net/upstream/helper_test.go
+++ b/internal/net/upstream/helper_test.go
@@ -14,10 +14,10 @@
 )
 
 func newTestClient(t *testing.T) *Client {
-	s := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, MaxBuffered: 1 << 10, MaxStreamed: 1 << 10},
+	client := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, MaxBuffered: 1 << 10, MaxStreamed: 1 << 10},
 		zap.NewNop())
-	t.Cleanup(s.Close)
-	return s
+	t.Cleanup(client.Close)
+	return client
 }
 
 func newAttempt(address, method string, body string) *dispatch.Attempt {
@@ -26,10 +26,10 @@
 }
 
 // trackLatestConn follows which connection was made last.
-func trackLatestConn(s *Client) **conn {
+func trackLatestConn(client *Client) **conn {
 	var last *conn
-	dial := s.transport.DialContext
-	s.transport.DialContext = func(ctx context.Context, network, key string) (net.Conn, error) {
+	dial := client.transport.DialContext
+	client.transport.DialContext = func(ctx context.Context, network, key string) (net.Conn, error) {
 		c, err := dial(ctx, network, key)
 		last, _ = c.(*conn)
 		return c, err
@@ -38,13 +38,13 @@
 }
 
 // unread says that bytes, or the connection's end, have come and wait to be read.
-func unread(c *conn) bool {
-	there, _ := c.hasUnreadInput()
-	return there
+func hasUnread(c *conn) bool {
+	unread, _ := c.hasUnreadInput()
+	return unread
 }
 
 // rawServer serves connections by hand; f gets each request on each.
-func rawServer(t *testing.T, f func(c net.Conn, r *http.Request, nth int)) string {
+func rawServer(t *testing.T, handle func(c net.Conn, r *http.Request, nth int)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,13 +58,13 @@
 			}
 			go func() {
 				defer c.Close()
-				for in, nth := bufio.NewReader(c), 0; ; nth++ {
-					r, err := http.ReadRequest(in)
+				for br, nth := bufio.NewReader(c), 0; ; nth++ {
+					r, err := http.ReadRequest(br)
 					if err != nil {
 						return
 					}
 					_, _ = io.Copy(io.Discard, r.Body)
-					f(c, r, nth)
+					handle(c, r, nth)
 				}
 			}()
 		}
@@ -73,20 +73,20 @@
 }
 
 // tcp gives two ends of a connection.
-func tcp(t *testing.T) (near, far *net.TCPConn) {
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	one, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := l.Accept()
+	server, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { one.Close(); other.Close() })
-	return one.(*net.TCPConn), other.(*net.TCPConn)
+	t.Cleanup(func() { client.Close(); server.Close() })
+	return client.(*net.TCPConn), server.(*net.TCPConn)
 }
--- a/internal/net/upstream/local_errors_test.go
+++ b/internal/net/upstream/local_errors_test.go
@@ -11,7 +11,7 @@
 
 // An error of this machine in making a connection tells nothing of the server. connect(2) and socket(2) document which there are; only
 // what the server's machine or the way to it answered counts against it.
-func TestTroubleOfThisMachineIsNotTheServers(t *testing.T) {
+func TestLocalDialErrorsAreNotServerFailures(t *testing.T) {
 	for err, want := range map[syscall.Errno]dispatch.AttemptResult{
 		syscall.EADDRNOTAVAIL: dispatch.NoResources, syscall.EADDRINUSE: dispatch.NoResources, syscall.EAGAIN: dispatch.NoResources, syscall.ENOBUFS: dispatch.NoResources,
 		syscall.ENOMEM: dispatch.NoResources, syscall.EMFILE: dispatch.NoResources, syscall.ENFILE: dispatch.NoResources, syscall.ENETUNREACH: dispatch.NoResources,
@@ -20,13 +20,13 @@
 		syscall.ECONNREFUSED: dispatch.ConnectRefused, syscall.EHOSTUNREACH: dispatch.ConnectRefused, syscall.EHOSTDOWN: dispatch.ConnectRefused,
 		syscall.ETIMEDOUT: dispatch.ConnectTimeout, syscall.ECONNRESET: dispatch.WriteFailed,
 	} {
-		s := newTestClient(t)
-		s.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", err) }
-		if end, _ := s.send(newAttempt("127.0.0.1:9", "GET", "")); end != want {
-			t.Errorf("%v: %v, want %v", err, end, want)
+		client := newTestClient(t)
+		client.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", err) }
+		if result, _ := client.send(newAttempt("127.0.0.1:9", "GET", "")); result != want {
+			t.Errorf("%v: %v, want %v", err, result, want)
 		}
-		if s.dialer.openConns != 0 || s.dialer.dials != 0 {
-			t.Errorf("%v: %d descriptors and %d dials are still counted", err, s.dialer.openConns, s.dialer.dials)
+		if client.dialer.openConns != 0 || client.dialer.dials != 0 {
+			t.Errorf("%v: %d descriptors and %d dials are still counted", err, client.dialer.openConns, client.dialer.dials)
 		}
 	}
 	if errors.Is(syscall.EAGAIN, os.ErrDeadlineExceeded) {
--- a/internal/net/upstream/result_test.go
+++ b/internal/net/upstream/result_test.go
@@ -14,8 +14,8 @@
 )
 
 // A full queue turns an attempt away on a kept connection too, and may end that; only a new one tells of too many.
-func TestOnlyANewConnectionIsOneTooMany(t *testing.T) {
-	s, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
+func TestConnectionLimitIsReportedOnNewConnectionOnly(t *testing.T) {
+	client, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			return
@@ -24,13 +24,13 @@
 		c.Close()
 	})
 	for _, want := range []dispatch.AttemptResult{dispatch.Complete, dispatch.Shed} {
-		if end, _ := s.send(newAttempt(server, "GET", "")); end != want {
-			t.Errorf("the attempt ended %v, want %v", end, want)
+		if result, _ := client.send(newAttempt(server, "GET", "")); result != want {
+			t.Errorf("the attempt ended %v, want %v", result, want)
 		}
 	}
 }
 
-func TestEachAnswerHasItsEnd(t *testing.T) {
+func TestResultOfAnswer(t *testing.T) {
 	answers := map[string]string{ // what the server writes before it closes
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv":                                                     "complete",
 		"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n":                                               "not_found",
@@ -66,68 +66,68 @@
 			_, _ = io.WriteString(c, text)
 			c.Close()
 		})
-		end, answer := newTestClient(t).send(newAttempt(address, "GET", ""))
-		if end.String() != want || (string(answer.Body) == "v") != (want == "complete") {
-			t.Errorf("%.60q: %v %q, want %s", text, end, answer.Body, want)
+		result, answer := newTestClient(t).send(newAttempt(address, "GET", ""))
+		if result.String() != want || (string(answer.Body) == "v") != (want == "complete") {
+			t.Errorf("%.60q: %v %q, want %s", text, result, answer.Body, want)
 		}
 	}
 }
 
 // An answer that has begun and doesn't end is given up before the attempt's own time is over.
-func TestAnAnswerThatDoesNotEndIsSpoilt(t *testing.T) {
+func TestStalledAnswerIsMalformed(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "HTTP/1.1 200 OK\r\nX-More: ",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n"} {
-		began := time.Now()
+		start := time.Now()
 		address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) { _, _ = io.WriteString(c, text) })
-		end, _ := newTestClient(t).send(newAttempt(address, "GET", ""))
-		if took := time.Since(began); end != dispatch.Malformed || took < abortThresholdFactor*minStallThreshold || took > 2*abortThresholdFactor*minStallThreshold {
-			t.Errorf("%q: %v after %v", text, end, took)
+		result, _ := newTestClient(t).send(newAttempt(address, "GET", ""))
+		if elapsed := time.Since(start); result != dispatch.Malformed || elapsed < abortThresholdFactor*minStallThreshold || elapsed > 2*abortThresholdFactor*minStallThreshold {
+			t.Errorf("%q: %v after %v", text, result, elapsed)
 		}
 	}
 }
 
 // narrow breaks once it has written so many bytes.
-type narrow struct {
+type limitedWriteConn struct {
 	*net.TCPConn
-	left int
+	limit int
 }
 
-func (c narrow) Write(b []byte) (int, error) {
-	n, err := c.TCPConn.Write(b[:min(len(b), c.left)])
+func (c limitedWriteConn) Write(b []byte) (int, error) {
+	n, err := c.TCPConn.Write(b[:min(len(b), c.limit)])
 	if err == nil && n < len(b) {
 		err = io.ErrClosedPipe
 	}
 	return n, err
 }
 
-func TestWhatNeverReachedAServerIsTold(t *testing.T) {
+func TestResultOfUnwrittenRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	if end, _ := newTestClient(t).send(newAttempt(l.Addr().String(), "GET", "")); end != dispatch.ConnectRefused {
-		t.Errorf("refused: %v", end)
+	if result, _ := newTestClient(t).send(newAttempt(l.Addr().String(), "GET", "")); result != dispatch.ConnectRefused {
+		t.Errorf("refused: %v", result)
 	}
 	// The peer takes a few bytes, or none, and breaks: the last byte was never written. Once it has all, it may run.
 	for _, c := range []struct {
 		method, body string
-		taken        int
+		bytesWritten int
 		want         dispatch.AttemptResult
 	}{{"PUT", "value", 10, dispatch.WriteFailed}, {"GET", "", 10, dispatch.WriteFailed}, {"GET", "", 0, dispatch.WriteFailed},
 		{"PUT", "value", 1 << 10, dispatch.ConnectionLost}, {"GET", "", 1 << 10, dispatch.ConnectionLost}} {
-		s := newTestClient(t)
-		s.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
-			near, far := tcp(t)
+		client := newTestClient(t)
+		client.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
+			near, far := tcpPair(t)
 			go func() {
 				_ = far.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-				_, _ = io.ReadFull(far, make([]byte, c.taken))
+				_, _ = io.ReadFull(far, make([]byte, c.bytesWritten))
 				far.Close()
 			}()
-			return newConn(narrow{near, c.taken}, func() {}), nil
+			return newConn(limitedWriteConn{near, c.bytesWritten}, func() {}), nil
 		}
-		if end, _ := s.send(newAttempt("pipe:1", c.method, c.body)); end != c.want {
-			t.Errorf("%s broken after %d bytes: %v", c.method, c.taken, end)
+		if result, _ := client.send(newAttempt("pipe:1", c.method, c.body)); result != c.want {
+			t.Errorf("%s broken after %d bytes: %v", c.method, c.bytesWritten, result)
 		}
 	}
 }
--- a/internal/net/upstream/unsolicited_test.go
+++ b/internal/net/upstream/unsolicited_test.go
@@ -14,48 +14,48 @@
 
 // A server that answers twice sends its second answer some milliseconds after the first, when the next request may be out on
 // the connection already. The second answer must not be taken for that request's, however soon the request follows.
-func TestASecondAnswerIsNotTheNextRequests(t *testing.T) {
+func TestSecondAnswerIsNotServedToNextRequest(t *testing.T) {
 	const (
-		rounds = 60
-		inTime = minQuietPeriod * 8 / 10 // a stand-in that has no core writes its second answer later than it is to; that is not judged
+		rounds   = 60
+		maxDelay = minQuietPeriod * 8 / 10 // a stand-in that has no core writes its second answer later than it is to; that is not judged
 	)
 	for _, after := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 7 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
-			var late sync.Map              // ids whose second answer came later than it was to
+			var delayed sync.Map           // ids whose second answer came later than it was to
 			var secondAnswers atomic.Int64 // that are not yet written and judged
 			address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 				trace := r.Header.Get("X-Trace-Id")
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(trace), trace)
 				time.Sleep(2 * after) // the work: the second answer to the request before comes meanwhile
-				began := time.Now()
+				start := time.Now()
 				fmt.Fprint(c, answer)
 				secondAnswers.Add(1)
 				time.AfterFunc(after, func() {
 					defer secondAnswers.Add(-1)
 					fmt.Fprint(c, answer)
-					if time.Since(began) > inTime {
-						late.Store(trace, true)
+					if time.Since(start) > maxDelay {
+						delayed.Store(trace, true)
 					}
 				})
 			})
-			s := newTestClient(t)
+			client := newTestClient(t)
 			servedBy := map[string]string{} // the id that an answer names, by the request's id
 			for i := range rounds {
-				sh := newAttempt(address, "GET", "")
-				sh.TraceID = fmt.Sprintf("trace-%d", i)
-				end, answer := s.send(sh)
-				if end != dispatch.Complete {
+				attempt := newAttempt(address, "GET", "")
+				attempt.TraceID = fmt.Sprintf("trace-%d", i)
+				result, answer := client.send(attempt)
+				if result != dispatch.Complete {
 					continue
 				}
-				servedBy[sh.TraceID] = string(answer.Body)
+				servedBy[attempt.TraceID] = string(answer.Body)
 			}
 			for secondAnswers.Load() > 0 { // a late one may be read before it is known to be late
 				time.Sleep(time.Millisecond)
 			}
 			wrong, judged := 0, 0
 			for requested, served := range servedBy {
-				if _, excused := late.Load(served); excused {
+				if _, wasDelayed := delayed.Load(served); wasDelayed {
 					continue
 				}
 				if judged++; served != requested {
@@ -70,17 +70,17 @@
 }
 
 // A server that answers once keeps its connection: requests in a row go out on the same one.
-func TestRequestsInARowShareAConnection(t *testing.T) {
+func TestSequentialRequestsShareConnection(t *testing.T) {
 	var opened atomic.Int64
-	s, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
+	client, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
 			opened.Add(1)
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	for i := range 20 {
-		if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Complete {
-			t.Fatalf("request %d ended %v", i, end)
+		if result, _ := client.send(newAttempt(address, "GET", "")); result != dispatch.Complete {
+			t.Fatalf("request %d ended %v", i, result)
 		}
 	}
 	if n := opened.Load(); n != 1 {
@@ -89,21 +89,21 @@
 }
 
 // Where a connection can't be known to be quiet in time, the request goes on another, and holds nothing against the server.
-func TestARequestWithLittleTimeDoesNotWaitForQuiet(t *testing.T) {
+func TestRequestWithShortTimeoutSkipsQuietPeriod(t *testing.T) {
 	var opened atomic.Int64
-	s, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
+	client, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
 			opened.Add(1)
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Complete {
-		t.Fatal(end)
+	if result, _ := client.send(newAttempt(address, "GET", "")); result != dispatch.Complete {
+		t.Fatal(result)
 	}
-	hurried := newAttempt(address, "GET", "")
-	hurried.Timeout = 2 * minQuietPeriod
-	if end, _ := s.send(hurried); end != dispatch.Complete {
-		t.Errorf("ended %v", end)
+	shortAttempt := newAttempt(address, "GET", "")
+	shortAttempt.Timeout = 2 * minQuietPeriod
+	if result, _ := client.send(shortAttempt); result != dispatch.Complete {
+		t.Errorf("ended %v", result)
 	}
 	if n := opened.Load(); n != 2 {
 		t.Errorf("%d connections were made, want two", n)
@@ -111,26 +111,26 @@
 }
 
 // A second answer that was seen to come later than usual makes later requests to that server wait for longer, for a while, and no others.
-func TestLaterSecondAnswersAreLearned(t *testing.T) {
-	const late = 20 * time.Millisecond
+func TestQuietPeriodGrowsAfterLateSecondAnswer(t *testing.T) {
+	const lateDelay = 20 * time.Millisecond
 	var q quietPeriods
-	wants := func(when, place string, want time.Duration) {
+	expect := func(when, key string, want time.Duration) {
 		t.Helper()
-		if got := q.required(place); got != want {
-			t.Errorf("%s: %s waits for %v, want %v", when, place, got, want)
+		if got := q.required(key); got != want {
+			t.Errorf("%s: %s waits for %v, want %v", when, key, got, want)
 		}
 	}
-	wants("at first", "a", minQuietPeriod)
+	expect("at first", "a", minQuietPeriod)
 	q.observe("a", time.Millisecond)
-	wants("after a soon one", "a", minQuietPeriod)
-	q.observe("a", late)
-	wants("after a late one", "a", quietPeriodFactor*late)
-	wants("after another's late one", "b", minQuietPeriod)
+	expect("after a soon one", "a", minQuietPeriod)
+	q.observe("a", lateDelay)
+	expect("after a late one", "a", quietPeriodFactor*lateDelay)
+	expect("after another's late one", "b", minQuietPeriod)
 	q.observe("a", time.Second)
-	wants("after one that nobody can wait for", "a", quietPeriodFactor*late)
-	q.byKey["a"] = quietPeriod{quietPeriodFactor * late, time.Now().Add(-quietPeriodTTL - time.Second)}
-	wants("long after", "a", minQuietPeriod)
-	q.observe("b", late)
+	expect("after one that nobody can wait for", "a", quietPeriodFactor*lateDelay)
+	q.byKey["a"] = quietPeriod{quietPeriodFactor * lateDelay, time.Now().Add(-quietPeriodTTL - time.Second)}
+	expect("long after", "a", minQuietPeriod)
+	q.observe("b", lateDelay)
 	if len(q.byKey) != 1 {
 		t.Errorf("%d places are kept, want the one that did so lately", len(q.byKey))
 	}
