--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -22,15 +22,15 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// reset ends a connection by one, whatever the kernel still holds.
+// resetConn closes a connection with a reset, and discards what is still in the kernel's send buffer.
 func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// A reset is no end: an answer that it breaks off is never whole, however its length is expiresIn, whether the bytes before it have been
-// read by then, and whether the server withReset by itself or since it closes over bytes that it has not read. What has ended before
-// is whole.
+// An answer that is cut off by a reset must never count as complete. This holds for every way to declare its length, whether
+// or not the bytes before the reset have been read, and whether the server resets the connection itself or closes it with
+// unread input. An answer that ended before the reset is complete.
 func TestResetAnswerIsTruncated(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct{ text, closeMode, want string }{
@@ -66,8 +66,8 @@
 					if err != nil {
 						return
 					}
-					go func() { // each by itself: a connection of somebody else's may come to a port that is used anew
-						// The head only; a body stays unread.
+					go func() { // one goroutine each: another test's client may connect to a reused port
+						// Read only the request's headers; a body stays unread.
 						for b, head := make([]byte, 1), ""; !strings.HasSuffix(head, "\r\n\r\n"); head += string(b) {
 							if _, err := conn.Read(b); err != nil {
 								break
@@ -107,7 +107,7 @@
 	}
 }
 
-// waitFor waits until bytes lie unread.
+// waitForInput waits until the socket holds unread input, for at most a second.
 func waitForInput(c net.Conn) {
 	peeked := newConn(c.(socket), nil)
 	for deadline := time.Now().Add(time.Second); !hasUnread(peeked) && time.Now().Before(deadline); {
@@ -115,8 +115,8 @@
 	}
 }
 
-// The kernel tells of a reset once. Where a write has taken its word, as of a long upload that the server answers early, the next read
-// must not find an end that would make an answer of unknown length whole.
+// The kernel reports a reset only once. If a write got the report, for example during a long upload that the server answers
+// early, the next read must not return io.EOF, which would make a truncated answer of unknown length look complete.
 func TestResetReportedToWriteIsNotEOF(t *testing.T) {
 	near, far := tcpPair(t)
 	c := newConn(near, func() {})
@@ -133,7 +133,7 @@
 		}
 	}
 	if !c.writeFailed.Load() {
-		t.Fatal("no write has met the reset")
+		t.Fatal("no write failed after the reset")
 	}
 	_, err := io.ReadAll(c)
 	if !errors.Is(err, syscall.ECONNRESET) {
@@ -141,7 +141,8 @@
 	}
 }
 
-// The same while the write is on its way: its end is waited for, and a server that has ended its answer, but not reset, is believed.
+// The same while a write is in progress. Read must wait for the write before it returns io.EOF. If the server closed its side
+// without a reset, the answer is complete.
 func TestEOFWaitsForWriteInProgress(t *testing.T) {
 	for _, withReset := range []bool{true, false} {
 		near, far := tcpPair(t)
@@ -153,7 +154,7 @@
 			writeErr <- err
 		}()
 		waitForInput(far)
-		_ = far.CloseWrite() // an end, while the write waits for room
+		_ = far.CloseWrite() // EOF while the write waits for buffer space
 		readErr := make(chan error, 1)
 		go func() {
 			_, err := io.ReadAll(c)
@@ -161,7 +162,7 @@
 		}()
 		select {
 		case err := <-readErr:
-			t.Errorf("resets %v: the end was told before the write was over: %v", withReset, err)
+			t.Errorf("resets %v: Read returned before the write ended: %v", withReset, err)
 			continue
 		case <-time.After(30 * time.Millisecond):
 		}
@@ -177,11 +178,12 @@
 	}
 }
 
-// Half a line from a server, alone, with its end or with a reset suffix it, may come at any connState in which a connection rests, is
-// closed or is taken: it is no answer to anything, its connection takes no request any more, and each request reaches a server once.
+// A server may send part of an answer without a request, possibly followed by EOF or a reset, while the connection is idle,
+// closed, being closed or reused. The part must not be taken for an answer, the connection must take no further request, and
+// each request must reach the server once.
 func TestUnsolicitedPartialAnswerIsNotServed(t *testing.T) {
 	const half = "HTTP/1.1 200 OK\r\nContent-Le"
-	for _, connState := range []string{"resting", "closed", "being closed", "taken", "before its request"} {
+	for _, connState := range []string{"idle", "closed", "being closed", "reused", "before the write"} {
 		for _, suffix := range []string{"", "end", "reset"} {
 			t.Run(connState+" "+suffix, func(t *testing.T) {
 				t.Parallel()
@@ -196,7 +198,7 @@
 				})
 				client := newTestClient(t)
 				last := trackLatestConn(client)
-				sendPartialAnswer := func() { // on the connection that answered last
+				sendPartialAnswer := func() { // on the connection of the latest answer
 					c := <-conns
 					_, _ = io.WriteString(c, half)
 					switch suffix {
@@ -212,19 +214,19 @@
 					attempt.TraceID = trace
 					if i > 0 {
 						switch connState {
-						case "resting":
+						case "idle":
 							sendPartialAnswer()
 							time.Sleep(5 * time.Millisecond)
 						case "closed":
 							client.dialer.closeIdle(poolHost(0)+":80", 0)
 							sendPartialAnswer()
-						case "being closed": // chosen, and not closed yet
+						case "being closed": // retired, and not closed yet
 							c := *last
 							c.retire()
 							sendPartialAnswer()
-						case "taken":
+						case "reused":
 							sendPartialAnswer()
-						case "before its request":
+						case "before the write":
 							sent := false
 							attempt.ClientGone = func() bool {
 								if !sent {
@@ -237,7 +239,7 @@
 						}
 					}
 					if result, a := client.send(attempt); result != dispatch.Complete || string(a.Body) != trace {
-						t.Errorf("shot %d: %v %q", i, result, a.Body)
+						t.Errorf("attempt %d: %v %q", i, result, a.Body)
 					}
 				}
 				mu.Lock()
@@ -252,7 +254,7 @@
 	}
 }
 
-// The time by which a request has to begin may pass while the kernel is asked for the client.
+// SendBy may pass while the client's connection is checked. The request must not be written then.
 func TestSendByPassedDuringClientCheckDeniesWrite(t *testing.T) {
 	var received atomic.Int64
 	address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
@@ -271,11 +273,11 @@
 		}
 	}
 	if received.Load() != 1 {
-		t.Errorf("%d received, want one", received.Load())
+		t.Errorf("the server received %d requests, want one", received.Load())
 	}
 }
 
-// A server hears what is left of an attempt's time, also where its connection came up late.
+// X-Expires-In must be the attempt's remaining time, even if its connection was established late.
 func TestExpiresInIsRemainingTime(t *testing.T) {
 	expiresIn := make(chan string, 10)
 	address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
@@ -287,7 +289,7 @@
 	client.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 		time.Sleep(100 * time.Millisecond)
 		if dials++; dials == 1 {
-			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // another is tried
+			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // another connection is tried
 		}
 		return dial(ctx, network, to)
 	}
@@ -298,12 +300,12 @@
 	}
 	us, err := strconv.Atoi(strings.TrimSuffix(<-expiresIn, "u"))
 	if remaining := time.Duration(us) * time.Microsecond; err != nil || remaining > attempt.Timeout-200*time.Millisecond || remaining <= 0 {
-		t.Errorf("told %v of %v, 0.2 s and more before its request: %v", remaining, attempt.Timeout, err)
+		t.Errorf("X-Expires-In is %v of %v, want at least 0.2 s less: %v", remaining, attempt.Timeout, err)
 	}
 }
 
-// A connection that comes up long after its attempt was given up: the attempt ends in its own time, nothing is written to it, whoever comes
-// next may have it, and its descriptor comes back.
+// A connection may be established long after its attempt timed out. The attempt must end at its own timeout, and nothing may be
+// written to the connection. It stays idle for a later attempt, is then closed, and its descriptor is released.
 func TestConnectionEstablishedAfterAttemptIsNotWritten(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -316,7 +318,7 @@
 	name, _ := syscall.Getsockname(fd)
 	address := (&net.TCPAddr{IP: net.IP{127, 0, 0, 1}, Port: name.(*syscall.SockaddrInet4).Port}).String()
 	var backlog []net.Conn
-	for { // its queue of new ones is full: the kernel tries again after a second
+	for { // fill the accept backlog: then the kernel retries a connect after a second
 		c, err := net.DialTimeout("tcp", address, 50*time.Millisecond)
 		if err != nil {
 			break
@@ -342,14 +344,14 @@
 	for _, c := range backlog {
 		c.Close()
 	}
-	c, _, err := syscall.Accept(fd) // waits for it
+	c, _, err := syscall.Accept(fd) // waits for the late connection
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer syscall.Close(c)
 	_ = syscall.SetsockoptTimeval(c, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Sec: 3})
-	if n, err := syscall.Read(c, make([]byte, 100)); n != 0 || err != nil { // it idles, and is closed
-		t.Errorf("read %d, %v, want its end and nothing before", n, err)
+	if n, err := syscall.Read(c, make([]byte, 100)); n != 0 || err != nil { // it stays idle, and is closed
+		t.Errorf("read %d bytes, %v, want EOF only", n, err)
 	}
 	for deadline := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		client.dialer.mu.Lock()
@@ -358,13 +360,13 @@
 		if open == 0 && dialing == 0 {
 			break
 		} else if time.Now().After(deadline) {
-			t.Fatalf("%d open, %d dials", open, dialing)
+			t.Fatalf("still counted: %d open, %d dials", open, dialing)
 		}
 	}
 }
 
-// Answers that go on without an end, byte by byte, so that no pause tells: heads, provisional answers, bodies with a length. Each ends in
-// its attempt's own time, and leaves no goroutine and no connection.
+// Answers that are sent byte by byte without an end have no pause that counts as a stall: headers, 1xx answers, and bodies.
+// Each attempt must end by its timeout, and leave no goroutine and no connection.
 func TestSlowAnswersEndAtAttemptTimeout(t *testing.T) {
 	before := runtime.NumGoroutine()
 	client := newTestClient(t)
@@ -390,14 +392,14 @@
 		select {
 		case <-serverDone:
 		case <-time.After(3 * time.Second):
-			t.Errorf("%q: its connection is open still", text)
+			t.Errorf("%q: the connection is still open", text)
 		}
 	}
 	client.Close()
-	// Five listeners are left, and what they hold.
+	// The five listeners and their goroutines remain.
 	for deadline := time.Now().Add(3 * time.Second); runtime.NumGoroutine() > before+10; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+			t.Fatalf("%d goroutines, %d before the test", runtime.NumGoroutine(), before)
 		}
 	}
 }
--- a/internal/net/upstream/client_test.go
+++ b/internal/net/upstream/client_test.go
@@ -18,8 +18,8 @@
 	"go.uber.org/zap"
 )
 
-// A dial may outlast a drain's grace: an attempt that comes to its connection too late is not written, on a new one or a
-// kept one, has not run, and tells nothing of its server.
+// A dial may take longer than a drain's grace period. An attempt that gets its connection after SendBy must not be written,
+// on a new or a reused connection. It counts as not run, and not against the server.
 func TestAttemptPastSendByIsNotWritten(t *testing.T) {
 	var served atomic.Int64
 	client, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
@@ -33,7 +33,7 @@
 		late := newAttempt(server, "GET", "")
 		late.SendBy = time.Now().Add(c.timeLeft)
 		if result, _ := client.send(late); result != c.want {
-			t.Errorf("shot %d ended %v, want %v", i, result, c.want)
+			t.Errorf("attempt %d ended %v, want %v", i, result, c.want)
 		}
 	}
 	if n := served.Load(); n != 1 {
@@ -41,8 +41,8 @@
 	}
 }
 
-// An attempt that ends without a whole answer is off its connection by then: where hedging is off the next one may be
-// written at once, and the first would still be out.
+// When an attempt ends without a complete answer, its connection must be closed already. Where hedging is off, the next
+// attempt may be written at once, and the failed one would still be in flight on the open connection.
 func TestFailedAttemptClosesConnectionBeforeReturn(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n", "HTTP/1.1 500 Oops\r\nContent-Length: 2000\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "what is this\r\n\r\n"} {
@@ -63,12 +63,12 @@
 			}
 		}
 		if open > 0 {
-			t.Errorf("%q: of 4 connections %d were open when the attempt had ended", text, open)
+			t.Errorf("%q: %d of 4 connections were still open after their attempt ended", text, open)
 		}
 	}
 }
 
-// failing breaks at its second write.
+// failSecondWriteConn fails its second write.
 type failSecondWriteConn struct {
 	net.Conn
 	writes int
@@ -81,8 +81,8 @@
 	return f.Conn.Write(b)
 }
 
-// Guards against the transport's own retries: a server that closes a kept connection once it has read a
-// request must see that request once, whatever its method and headers.
+// Guards against the transport's own retries. A server that closes a reused connection after it has read a request must
+// receive that request only once, whatever its method and headers.
 func TestTransportDoesNotRetryOnBrokenReusedConnection(t *testing.T) {
 	for _, c := range []struct{ method, body, key string }{
 		{"GET", "", ""}, {"GET", "", "id"}, {"PUT", "v", "id"}, {"PUT", "", "id"}, {"PUT", "v", ""}} {
@@ -99,7 +99,7 @@
 		first, _ := client.send(attempt)
 		second, _ := client.send(attempt)
 		if first != dispatch.NotFound || second != dispatch.ConnectionLost || seen.Load() != 2 {
-			t.Errorf("%v: %v, then %v; the server saw %d requests", c, first, second, seen.Load())
+			t.Errorf("%v: %v, then %v; the server received %d requests", c, first, second, seen.Load())
 		}
 	}
 }
@@ -112,8 +112,9 @@
 		body, _ = io.ReadAll(r.Body)
 	}))
 	defer server.Close()
-	if newTestClient(t).transport.Proxy != nil { // the environment's never holds for loopback, so a proxy there would show nothing
-		t.Error("a proxy may come between")
+	// Proxies from the environment are never used for loopback addresses, so the requests below would not reveal one.
+	if newTestClient(t).transport.Proxy != nil {
+		t.Error("the transport may use a proxy")
 	}
 	for _, c := range []struct{ method, body string }{{"PUT", "a\x00b"}, {"PUT", ""}, {"GET", ""}} {
 		attempt := newAttempt(server.Listener.Addr().String(), c.method, c.body)
@@ -135,7 +136,7 @@
 	defer close(release)
 	address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 		if r.Method == "PUT" {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nha") // silent in the middle
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nha") // then silent in the middle of the answer
 		}
 		<-release
 	})
@@ -149,16 +150,16 @@
 	client := newTestClient(t)
 	time.AfterFunc(20*time.Millisecond, client.Close)
 	if result, _ := client.send(newAttempt(address, "GET", "")); result != dispatch.Canceled {
-		t.Errorf("at the node's own end: %v", result)
+		t.Errorf("on Client.Close: %v", result)
 	}
 }
 
-// nobody follows no list.
+// noopSubscriber does not subscribe to an endpoint list.
 type noopSubscriber struct{}
 
 func (noopSubscriber) Subscribe() {}
 
-// An attempt beyond the bound, and one whose carrying panics, are settled all the same.
+// An attempt above MaxAttempts, and one whose goroutine panics, must be finished too; otherwise its request stays in flight.
 func TestUnsentAndPanickingAttemptsAreFinished(t *testing.T) {
 	for want, breakClient := range map[dispatch.AttemptResult]func(*Client){
 		dispatch.NoResources:    func(client *Client) { client.limits.MaxAttempts = 0 },
@@ -180,20 +181,20 @@
 		}
 		a := <-ticket.Answers()
 		if stats := dispatcher.Stats(); a.Outcome != dispatch.Rejected || stats.Results[want] != 1 || dispatcher.InFlight() != 0 {
-			t.Errorf("%v: %+v, ends %v", want, a, stats.Results)
+			t.Errorf("%v: %+v, results %v", want, a, stats.Results)
 		}
 		client.transport = transport
 	}
 }
 
-// The look whether an attempt is wanted comes with its first byte, on each connection that is tried: nothing is written after the
-// request's end, the server is not held to have failed, and an attempt that has begun goes on.
+// Whether the client still waits is checked just before the first byte, on each connection that is tried. After the request
+// has ended nothing is written, and that does not count against the server. An attempt that was already written continues.
 func TestAttemptIsNotWrittenAfterClientLeaves(t *testing.T) {
 	for _, c := range []struct {
 		cancelTime   string // when the client leaves
 		want         dispatch.AttemptResult
 		wantReceived int64
-	}{{"while a connection comes up", dispatch.Withheld, 0}, {"between two tries", dispatch.Withheld, 0}, {"once it was written", dispatch.Complete, 1}} {
+	}{{"during the dial", dispatch.Withheld, 0}, {"between two dials", dispatch.Withheld, 0}, {"after the write", dispatch.Complete, 1}} {
 		settings, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 700., "time-limit-ms": 750.}}})
 		if err != nil {
@@ -210,10 +211,10 @@
 		dial := client.transport.DialContext
 		client.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 			<-submitted
-			if dials++; dials == 1 && c.cancelTime == "between two tries" {
+			if dials++; dials == 1 && c.cancelTime == "between two dials" {
 				cancelRequest()
-				return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // another is tried
-			} else if c.cancelTime == "while a connection comes up" {
+				return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // another connection is tried
+			} else if c.cancelTime == "during the dial" {
 				cancelRequest()
 			}
 			return dial(ctx, network, to)
@@ -231,7 +232,7 @@
 		}
 		stats := dispatcher.Stats()
 		if stats.Results[c.want] != 1 || stats.ClientGone != 1 || received.Load() != c.wantReceived || dispatcher.Metrics().Written.Load() != c.wantReceived || len(dispatcher.EjectedEndpoints()) > 0 || dispatcher.InFlight() > 0 {
-			t.Errorf("%s: ends %v, %d left, %d received, %d written, resting %v, %d out", c.cancelTime, stats.Results, stats.ClientGone, received.Load(),
+			t.Errorf("%s: results %v, %d clients gone, %d received, %d written, ejected %v, %d in flight", c.cancelTime, stats.Results, stats.ClientGone, received.Load(),
 				dispatcher.Metrics().Written.Load(), dispatcher.EjectedEndpoints(), dispatcher.InFlight())
 		}
 	}
--- a/internal/net/upstream/conn_test.go
+++ b/internal/net/upstream/conn_test.go
@@ -12,7 +12,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// A connection is counted until its descriptor is closed, so that there are never more than the bound.
+// A connection must be counted until its descriptor is closed. Otherwise more descriptors than the limit could be open.
 func TestOnCloseIsCalledAfterDescriptorIsClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,13 +35,13 @@
 		}
 	})
 	if err := wrapped.Close(); err != nil || calls != 1 {
-		t.Errorf("%v, given back %d times", err, calls)
+		t.Errorf("%v, onClose was called %d times", err, calls)
 	}
 }
 
-// A connection that is about to be given back takes no request, and one that has a request is not given back.
+// After retire, a connection must not take a request; while it carries one, retire must fail.
 func TestRetiredConnectionDeniesWrites(t *testing.T) {
-	for _, first := range []string{"retire", "take"} {
+	for _, first := range []string{"retire", "acquire"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -53,26 +53,27 @@
 		}
 		c := newConn(raw.(socket), func() {})
 		defer c.Close()
-		if first == "take" {
+		if first == "acquire" {
 			c.acquire(false, &outgoingRequest{})
 			if c.retire() {
-				t.Error("given back with a request on it")
+				t.Error("a connection in use was retired")
 			}
 			c.release()
 		}
 		if !c.retire() {
-			t.Error("not given back")
+			t.Error("an idle connection was not retired")
 		}
 		c.acquire(true, &outgoingRequest{})
 		if n, err := c.Write([]byte("x")); n != 0 || err == nil {
-			t.Errorf("%d bytes written on what is about to be closed: %v", n, err)
+			t.Errorf("%d bytes written on a retired connection: %v", n, err)
 		}
 	}
 }
 
-// What a server sends behind an answer must not be taken for the next one's, whether it comes with the answer, when
-// the transport has already handed the connection on, or delay; the answer before it counts. The next attempt is sent
-// once all has arrived: bytes that come when it is out can't be told from its answer.
+// Bytes that a server sends after an answer must not be taken for the next request's answer. They may come together with the
+// answer, after the transport has already reused the connection, or later. The answer before them is valid. The test sends
+// the next request after all bytes have arrived, because bytes that arrive while it is in flight can't be told from its
+// answer.
 func TestBytesAfterAnswerAreNotNextAnswer(t *testing.T) {
 	const head, second = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
 	for _, surplus := range []string{second, "\x00noise\r\n\r\n", second[:20]} {
@@ -109,7 +110,8 @@
 	}
 }
 
-// beyond says that more than so many bytes have come, read or not, or that the connection is closed for it.
+// hasReceivedMoreThan reports whether more than the given number of bytes were received, or the connection is being closed
+// because of them. It counts any unread input as more.
 func hasReceivedMoreThan(c *conn, bytes int64) bool {
 	there, _ := c.hasUnreadInput()
 	c.mu.Lock()
@@ -117,8 +119,8 @@
 	return there || c.closing || c.bytesRead > bytes
 }
 
-// The same where the transport's reading can't be ahead: bytes that lie there when a request is about to be written,
-// or that come before it is, are not its answer.
+// The same without http.Transport, which may read ahead: bytes that are unread in the socket, or were read, before the request
+// is written must not be taken for its answer. The write is denied.
 func TestBytesBeforeRequestDenyWrite(t *testing.T) {
 	near, far := tcpPair(t)
 	c := newConn(near, func() {})
@@ -128,28 +130,28 @@
 		time.Sleep(time.Millisecond)
 	}
 	if n, err := c.Write([]byte("request")); n != 0 || err == nil || c.bytesWritten.Load() != 0 || !c.request.unsolicited {
-		t.Errorf("unread bytes: wrote %d, %v", n, err)
+		t.Errorf("with unread bytes: wrote %d, %v", n, err)
 	}
 	c.acquire(false, &outgoingRequest{})
 	_, _ = c.Read(make([]byte, 9))
 	if n, err := c.Write([]byte("request")); n != 0 || err == nil {
-		t.Errorf("bytes read before: wrote %d, %v", n, err)
+		t.Errorf("with bytes read before: wrote %d, %v", n, err)
 	}
 	c.acquire(false, &outgoingRequest{})
 	if n, err := c.Write([]byte("request")); n != 7 || err != nil || c.request.unsolicited {
-		t.Errorf("a clean connection: wrote %d, %v", n, err)
+		t.Errorf("without early bytes: wrote %d, %v", n, err)
 	}
 	c.acquire(false, &outgoingRequest{})
-	far.Close() // with the request unread, so that it is a reset
+	far.Close() // with the request unread, so the kernel sends a reset
 	for deadline := time.Now().Add(time.Second); !hasUnread(c) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	if n, err := c.Write([]byte("request")); n != 0 || err == nil {
-		t.Errorf("at the connection's end: wrote %d, %v", n, err)
+		t.Errorf("after a reset: wrote %d, %v", n, err)
 	}
 }
 
-// A connection that breaks before the attempt is written says nothing of the server: the attempt goes on another.
+// A connection that breaks before the request is written must not fail the attempt: the request is sent on another one.
 func TestConnectionBrokenBeforeWriteIsReplaced(t *testing.T) {
 	address := rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
@@ -158,7 +160,7 @@
 	dial := client.transport.DialContext
 	client.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 		if dials++; dials%2 == 0 {
-			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // a new one that is reset
+			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // the new connection is reset
 		}
 		c, err := dial(ctx, network, to)
 		if err == nil {
@@ -168,7 +170,7 @@
 	}
 	for i := range 5 {
 		if result, _ := client.send(newAttempt(address, "GET", "")); result != dispatch.Complete {
-			t.Fatalf("shot %d: %v", i, result)
+			t.Fatalf("attempt %d: %v", i, result)
 		}
 	}
 	if dials < 5 {
--- a/internal/net/upstream/denial_test.go
+++ b/internal/net/upstream/denial_test.go
@@ -7,8 +7,9 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// The transport hands a connection on when an answer's last byte was read, before who sent that request has asked what became of it. What the next
-// request was denied is not its denial: it would be sent again though it was answered.
+// The transport reuses a connection as soon as an answer's last byte was read, possibly before the first exchange has asked for
+// its denial. The denial of the next request must not be returned to the first exchange, which would send an answered request
+// again.
 func TestDenialAppliesToItsRequestOnly(t *testing.T) {
 	near, _ := tcpPair(t)
 	c := newConn(near, func() {})
@@ -19,13 +20,13 @@
 	}
 	c.acquire(false, second)
 	if reason := c.denial(first); reason != admission.Granted {
-		t.Errorf("the first request, which was written, was withheld: %v", reason)
+		t.Errorf("the first request was written, but its denial is %v", reason)
 	}
 	_, err := c.Write([]byte("second"))
 	if denied := (denialError{}); !errors.As(err, &denied) || denied.reason != admission.NotQuiet || c.denial(second) != admission.NotQuiet {
 		t.Errorf("the second request: %v", err)
 	}
 	if reason := c.denial(first); reason != admission.Granted {
-		t.Errorf("the first request counts as withheld when the second was: %v", reason)
+		t.Errorf("the second request's denial is returned for the first: %v", reason)
 	}
 }
--- a/internal/net/upstream/dialer_test.go
+++ b/internal/net/upstream/dialer_test.go
@@ -15,8 +15,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// CloseIdle closes connections that carry nothing, leaves those that do, and loses no attempt that takes one in
-// the same moment.
+// CloseIdle must close idle connections and keep those in use. An attempt that acquires a connection while it is being closed
+// must not fail.
 func TestCloseIdleClosesOnlyIdleConnections(t *testing.T) {
 	var opened, served atomic.Int64
 	releaseSlow, slowStarted := make(chan struct{}), make(chan struct{})
@@ -51,12 +51,12 @@
 	}
 	slowResult := make(chan dispatch.AttemptResult)
 	go func() { slowResult <- send("/slow") }()
-	<-slowStarted // a connection that no request was written to yet carries nothing, and may be closed
+	<-slowStarted // before the request is written, the connection counts as idle and may be closed
 	waitForOpenConns(1)
 	send("/quick")
 	waitForOpenConns(2)
-	client.CloseIdle(1, 0) // another place
-	client.CloseIdle(0, 1) // the one that idles may stay
+	client.CloseIdle(1, 0) // another endpoint
+	client.CloseIdle(0, 1) // the only idle connection is kept
 	time.Sleep(10 * time.Millisecond)
 	waitForOpenConns(2)
 	client.CloseIdle(0, 0)
@@ -76,7 +76,7 @@
 	}
 }
 
-// Of connections that idle those used longest ago are closed first: the transport takes the latest.
+// CloseIdle must close the least recently used connections first, because the transport reuses the most recently used one.
 func TestCloseIdleKeepsMostRecentlyUsedConnection(t *testing.T) {
 	client, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		time.Sleep(20 * time.Millisecond)
@@ -101,26 +101,26 @@
 	client.dialer.mu.Lock()
 	defer client.dialer.mu.Unlock()
 	if kept := client.dialer.connsByKey[key]; len(kept) != 1 || !kept[latest] {
-		t.Errorf("%d connections are left, want the latest", len(kept))
+		t.Errorf("%d connections are left, want only the most recently used", len(kept))
 	}
 }
 
-// A server at the address of one that has gone gets no connection that was made to the old one.
+// A new server at the address of a removed one must not be sent requests over connections to the old one.
 func TestIncarnationsShareNoConnections(t *testing.T) {
 	address := rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", nth)
 	})
 	client := newTestClient(t)
-	for i, want := range []string{"0", "1", "0", "2", "1"} { // requests before it on its connection
+	for i, want := range []string{"0", "1", "0", "2", "1"} { // number of earlier requests on the same connection
 		attempt := newAttempt(address, "GET", "")
 		attempt.Incarnation = []uint64{1, 1, 2, 1, 2}[i]
 		if result, a := client.send(attempt); result != dispatch.Complete || string(a.Body) != want {
-			t.Errorf("shot %d: %v %q, want %s", i, result, a.Body, want)
+			t.Errorf("attempt %d: %v %q, want %s", i, result, a.Body, want)
 		}
 	}
 }
 
-// deaf gives an address whose connections never come up: its queue of new ones is full.
+// fullBacklogAddress returns a listening address on which connects never complete, because its accept backlog is full.
 func fullBacklogAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -132,7 +132,7 @@
 	}
 	name, _ := syscall.Getsockname(fd)
 	address := (&net.TCPAddr{IP: net.IP{127, 0, 0, 1}, Port: name.(*syscall.SockaddrInet4).Port}).String()
-	for { // fill the queue
+	for { // fill the backlog
 		c, err := net.DialTimeout("tcp", address, 50*time.Millisecond)
 		if err != nil {
 			return address
@@ -141,7 +141,7 @@
 	}
 }
 
-// Dials that attempts gave up on live on: they are bounded in time and number, and give their descriptors back.
+// Dials continue after their attempts have ended. They must be limited in time and number, and release their descriptors.
 func TestDialsAreBounded(t *testing.T) {
 	address, client := fullBacklogAddress(t), newTestClient(t)
 	var d dialer
@@ -163,9 +163,9 @@
 	shortAttempt := newAttempt(address, "GET", "")
 	shortAttempt.Timeout = 20 * time.Millisecond
 	if result, _ := client.send(shortAttempt); result != dispatch.NotConnected {
-		t.Errorf("with less time than a dial has: %v", result)
+		t.Errorf("attempt timeout shorter than the dial timeout: %v", result)
 	}
-	time.Sleep(150 * time.Millisecond) // that dial lives on for its own time
+	time.Sleep(150 * time.Millisecond) // until the abandoned dial times out
 	d.mu.Lock()
 	open, dialing, addresses := d.openConns, d.dials, len(d.dialsByAddress)
 	d.mu.Unlock()
@@ -174,11 +174,11 @@
 	}
 	for _, a := range []string{"1", "2"} {
 		if !d.startDial(a, "", false) {
-			t.Errorf("no dial to %s", a)
+			t.Errorf("dial to %s was denied", a)
 		}
 	}
 	if d.startDial("3", "", false) {
-		t.Error("a third dial in all")
+		t.Error("a third dial was permitted")
 	}
 }
 
@@ -195,16 +195,16 @@
 		conns = append(conns, c)
 	}
 	if _, err := dial(); !errors.Is(err, errNoResources) {
-		t.Errorf("a ninth: %v", err)
+		t.Errorf("dial of a ninth connection: %v", err)
 	}
 	for _, c := range conns {
 		c.Close()
-		c.Close() // twice gives back but one
+		c.Close() // a second Close must not release another descriptor
 	}
 	for i := range 9 {
 		c, err := dial()
 		if (err == nil) != (i < 8) {
-			t.Fatalf("connection %d afterwards: %v", i, err)
+			t.Fatalf("connection %d after the release: %v", i, err)
 		}
 		if err == nil {
 			defer c.Close()
@@ -212,7 +212,8 @@
 	}
 }
 
-// An attempt must not cross the server's close of an idle connection, so the node closes it first.
+// The client must close idle connections before the server does. Otherwise a request may be sent while the server closes the
+// connection.
 func TestIdleConnectionsCloseBeforeServerIdleTimeout(t *testing.T) {
 	closed := make(chan bool, 1)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -229,6 +230,6 @@
 	select {
 	case <-closed:
 	case <-time.After(950 * time.Millisecond):
-		t.Error("open at the server's limit")
+		t.Error("connection is still open shortly before the server's idle timeout")
 	}
 }
--- a/internal/net/upstream/failing_test.go
+++ b/internal/net/upstream/failing_test.go
@@ -17,13 +17,15 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// A read or a write that fails by this machine tells nothing of the server: one that lacked memory for a moment is made again, and the
-// attempt is answered; one that goes on failing ends the attempt, as not run where its last byte was not written, and as in doubt after that.
+// Guards against blaming the server for a read or write that fails with a local error. A call that lacks memory for a moment
+// is repeated, and the attempt is answered. A call that keeps failing ends the attempt: as not run if the request's last byte
+// was not written, otherwise as one that may have run.
 func TestLocalReadAndWriteErrorsAreNotServerFailures(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	const transient, permanent = 2, 1 << 30
 	served, notSent := []routing.Result{routing.Served}, []routing.Result{routing.NotSent}
-	notSentOrCanceled := []routing.Result{routing.NotSent, routing.Canceled} // the connection's first read may fail before anything is written, or after it
+	// The connection's first read may fail before or after the request is written.
+	notSentOrCanceled := []routing.Result{routing.NotSent, routing.Canceled}
 	for _, c := range []struct {
 		call  kernel.Call
 		err   syscall.Errno
@@ -47,7 +49,7 @@
 			received.Add(1)
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		})
-		client.dialer.Timeout = time.Second // a connect that a busy machine holds up is not what is looked at here
+		client.dialer.Timeout = time.Second // a slow connect on a busy machine must not fail this test
 		kernel.FailTimes(c.call, c.err, c.times)
 		result, _ := client.send(newAttempt(server, "GET", ""))
 		kernel.Fail(nil)
@@ -55,7 +57,7 @@
 			t.Errorf("%s, %v, %d times: %v (%v), want one of %v", c.call, c.err, c.times, result, result.Code(), c.want)
 		}
 		if !result.MayHaveRun() && received.Load() > 0 {
-			t.Errorf("%s, %v, %d times: %v counts as not run, and has", c.call, c.err, c.times, result)
+			t.Errorf("%s, %v, %d times: %v counts as not run, but the server received the request", c.call, c.err, c.times, result)
 		}
 		if result == dispatch.Complete {
 			continue
@@ -74,16 +76,16 @@
 	}
 }
 
-// A read that fails by this machine in the middle of an answer is no word on the server either.
+// A read that fails with a local error in the middle of an answer must not count against the server either.
 func TestLocalReadErrorWithinAnswerIsNotServerFailure(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	client, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok")
-		time.Sleep(30 * time.Millisecond) // the first half is read
+		time.Sleep(30 * time.Millisecond) // until the client has read the first half
 		kernel.FailTimes(kernel.Read, syscall.EIO, 1<<30)
 		fmt.Fprint(c, "ok")
 	})
 	if result, _ := client.send(newAttempt(server, "GET", "")); result.Code() != routing.Canceled || !result.MayHaveRun() {
-		t.Errorf("%v (%v), want one that tells nothing of the server and is in doubt", result, result.Code())
+		t.Errorf("%v (%v), want canceled and may have run", result, result.Code())
 	}
 }
--- a/internal/net/upstream/helper_test.go
+++ b/internal/net/upstream/helper_test.go
@@ -25,7 +25,7 @@
 		Address: address, Timeout: 500 * time.Millisecond}
 }
 
-// trackLatestConn follows which connection was made last.
+// trackLatestConn returns a pointer to the connection that the client dialed last.
 func trackLatestConn(client *Client) **conn {
 	var last *conn
 	dial := client.transport.DialContext
@@ -37,13 +37,14 @@
 	return &last
 }
 
-// unread says that bytes, or the connection's end, have come and wait to be read.
+// hasUnread reports whether the socket holds unread bytes or an EOF.
 func hasUnread(c *conn) bool {
 	unread, _ := c.hasUnreadInput()
 	return unread
 }
 
-// rawServer serves connections by hand; f gets each request on each.
+// rawServer starts a TCP server and returns its address. handle is called for each request, and writes the answer to the
+// connection itself. nth is the number of earlier requests on that connection.
 func rawServer(t *testing.T, handle func(c net.Conn, r *http.Request, nth int)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +73,7 @@
 	return l.Addr().String()
 }
 
-// tcp gives two ends of a connection.
+// tcpPair returns the two ends of a TCP connection.
 func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/net/upstream/local_errors_test.go
+++ b/internal/net/upstream/local_errors_test.go
@@ -9,8 +9,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// An error of this machine in making a connection tells nothing of the server. connect(2) and socket(2) document which there are; only
-// what the server's machine or the way to it answered counts against it.
+// A local error of a dial must not count against the server. The errors are those documented for connect(2) and socket(2). Only
+// errors caused by the server's machine or the network path to it count against the server.
 func TestLocalDialErrorsAreNotServerFailures(t *testing.T) {
 	for err, want := range map[syscall.Errno]dispatch.AttemptResult{
 		syscall.EADDRNOTAVAIL: dispatch.NoResources, syscall.EADDRINUSE: dispatch.NoResources, syscall.EAGAIN: dispatch.NoResources, syscall.ENOBUFS: dispatch.NoResources,
@@ -30,6 +30,6 @@
 		}
 	}
 	if errors.Is(syscall.EAGAIN, os.ErrDeadlineExceeded) {
-		t.Error("EAGAIN can't be told from a time-out")
+		t.Error("EAGAIN can't be distinguished from a timeout")
 	}
 }
--- a/internal/net/upstream/result_test.go
+++ b/internal/net/upstream/result_test.go
@@ -13,7 +13,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// A full queue turns an attempt away on a kept connection too, and may end that; only a new one tells of too many.
+// A server with a full queue may shed a request on a reused connection and close the connection. Only a closed new connection
+// means that the server has reached its connection limit.
 func TestConnectionLimitIsReportedOnNewConnectionOnly(t *testing.T) {
 	client, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
@@ -25,13 +26,13 @@
 	})
 	for _, want := range []dispatch.AttemptResult{dispatch.Complete, dispatch.Shed} {
 		if result, _ := client.send(newAttempt(server, "GET", "")); result != want {
-			t.Errorf("the attempt ended %v, want %v", result, want)
+			t.Errorf("attempt ended %v, want %v", result, want)
 		}
 	}
 }
 
 func TestResultOfAnswer(t *testing.T) {
-	answers := map[string]string{ // what the server writes before it closes
+	answers := map[string]string{ // what the server writes before it closes the connection: result
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv":                                                     "complete",
 		"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n":                                               "not_found",
 		"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n":                                                    "server_error",
@@ -73,7 +74,7 @@
 	}
 }
 
-// An answer that has begun and doesn't end is given up before the attempt's own time is over.
+// An answer that starts and then stalls must be aborted before the attempt's timeout.
 func TestStalledAnswerIsMalformed(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "HTTP/1.1 200 OK\r\nX-More: ",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n"} {
@@ -86,7 +87,7 @@
 	}
 }
 
-// narrow breaks once it has written so many bytes.
+// limitedWriteConn fails a write after limit bytes.
 type limitedWriteConn struct {
 	*net.TCPConn
 	limit int
@@ -109,7 +110,8 @@
 	if result, _ := newTestClient(t).send(newAttempt(l.Addr().String(), "GET", "")); result != dispatch.ConnectRefused {
 		t.Errorf("refused: %v", result)
 	}
-	// The peer takes a few bytes, or none, and breaks: the last byte was never written. Once it has all, it may run.
+	// The peer reads some bytes or none, then closes. If the request's last byte was not written, it has not run; if all bytes
+	// were written, it may have run.
 	for _, c := range []struct {
 		method, body string
 		bytesWritten int
@@ -127,7 +129,7 @@
 			return newConn(limitedWriteConn{near, c.bytesWritten}, func() {}), nil
 		}
 		if result, _ := client.send(newAttempt("pipe:1", c.method, c.body)); result != c.want {
-			t.Errorf("%s broken after %d bytes: %v", c.method, c.bytesWritten, result)
+			t.Errorf("%s, connection broken after %d bytes: %v", c.method, c.bytesWritten, result)
 		}
 	}
 }
--- a/internal/net/upstream/unsolicited_test.go
+++ b/internal/net/upstream/unsolicited_test.go
@@ -12,22 +12,23 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// A server that answers twice sends its second answer some milliseconds after the first, when the next request may be out on
-// the connection already. The second answer must not be taken for that request's, however soon the request follows.
+// A server that answers twice sends its second answer some milliseconds after the first. The next request may already be in
+// flight on the connection by then. The second answer must not be taken for its answer, however soon that request follows.
 func TestSecondAnswerIsNotServedToNextRequest(t *testing.T) {
 	const (
-		rounds   = 60
-		maxDelay = minQuietPeriod * 8 / 10 // a stand-in that has no core writes its second answer later than it is to; that is not judged
+		rounds = 60
+		// A test server without a free core writes the second answer too late. Answers later than maxDelay are not checked.
+		maxDelay = minQuietPeriod * 8 / 10
 	)
 	for _, after := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 7 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
-			var delayed sync.Map           // ids whose second answer came later than it was to
-			var secondAnswers atomic.Int64 // that are not yet written and judged
+			var delayed sync.Map           // trace ids whose second answer was written later than maxDelay
+			var secondAnswers atomic.Int64 // that are still to be written and checked for delay
 			address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 				trace := r.Header.Get("X-Trace-Id")
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(trace), trace)
-				time.Sleep(2 * after) // the work: the second answer to the request before comes meanwhile
+				time.Sleep(2 * after) // long enough for the second answer to the previous request
 				start := time.Now()
 				fmt.Fprint(c, answer)
 				secondAnswers.Add(1)
@@ -40,7 +41,7 @@
 				})
 			})
 			client := newTestClient(t)
-			servedBy := map[string]string{} // the id that an answer names, by the request's id
+			servedBy := map[string]string{} // trace id in the answer, by the request's trace id
 			for i := range rounds {
 				attempt := newAttempt(address, "GET", "")
 				attempt.TraceID = fmt.Sprintf("trace-%d", i)
@@ -50,7 +51,7 @@
 				}
 				servedBy[attempt.TraceID] = string(answer.Body)
 			}
-			for secondAnswers.Load() > 0 { // a late one may be read before it is known to be late
+			for secondAnswers.Load() > 0 { // an answer may be read before it is recorded as delayed
 				time.Sleep(time.Millisecond)
 			}
 			wrong, judged := 0, 0
@@ -69,7 +70,7 @@
 	}
 }
 
-// A server that answers once keeps its connection: requests in a row go out on the same one.
+// Sequential requests to a server that answers each once must share one connection.
 func TestSequentialRequestsShareConnection(t *testing.T) {
 	var opened atomic.Int64
 	client, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
@@ -88,7 +89,8 @@
 	}
 }
 
-// Where a connection can't be known to be quiet in time, the request goes on another, and holds nothing against the server.
+// If waiting for the quiet period would take too much of the attempt's time, the request is sent on a new connection, and that
+// does not count against the server.
 func TestRequestWithShortTimeoutSkipsQuietPeriod(t *testing.T) {
 	var opened atomic.Int64
 	client, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
@@ -110,7 +112,8 @@
 	}
 }
 
-// A second answer that was seen to come later than usual makes later requests to that server wait for longer, for a while, and no others.
+// A second answer that arrives later than usual must extend the quiet period of its endpoint for quietPeriodTTL, and of no
+// other endpoint.
 func TestQuietPeriodGrowsAfterLateSecondAnswer(t *testing.T) {
 	const lateDelay = 20 * time.Millisecond
 	var q quietPeriods
@@ -120,18 +123,18 @@
 			t.Errorf("%s: %s waits for %v, want %v", when, key, got, want)
 		}
 	}
-	expect("at first", "a", minQuietPeriod)
+	expect("initially", "a", minQuietPeriod)
 	q.observe("a", time.Millisecond)
-	expect("after a soon one", "a", minQuietPeriod)
+	expect("after an early second answer", "a", minQuietPeriod)
 	q.observe("a", lateDelay)
-	expect("after a late one", "a", quietPeriodFactor*lateDelay)
-	expect("after another's late one", "b", minQuietPeriod)
+	expect("after a late second answer", "a", quietPeriodFactor*lateDelay)
+	expect("after another endpoint's late second answer", "b", minQuietPeriod)
 	q.observe("a", time.Second)
-	expect("after one that nobody can wait for", "a", quietPeriodFactor*lateDelay)
+	expect("after one beyond the maximum period", "a", quietPeriodFactor*lateDelay)
 	q.byKey["a"] = quietPeriod{quietPeriodFactor * lateDelay, time.Now().Add(-quietPeriodTTL - time.Second)}
-	expect("long after", "a", minQuietPeriod)
+	expect("after quietPeriodTTL", "a", minQuietPeriod)
 	q.observe("b", lateDelay)
 	if len(q.byKey) != 1 {
-		t.Errorf("%d places are kept, want the one that did so lately", len(q.byKey))
+		t.Errorf("%d endpoints are kept, want only the one observed recently", len(q.byKey))
 	}
 }
