--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -40,18 +40,18 @@
 		{ok + "\r\n", "reset", "truncated"},
 		{"HTTP/1.0 200 OK\r\n\r\nshort", "reset", "truncated"},
 		{ok + "Connection: close\r\n\r\nshort", "reset", "truncated"},
-		{ok + "\r\nshort", "over unread bytes", "truncated"},
-		{ok + "\r\nshort", "reset later", "truncated"},
+		{ok + "\r\nshort", "close with unread input", "truncated"},
+		{ok + "\r\nshort", "delayed reset", "truncated"},
 		{"HTTP/1.1 404 Not Found\r\n\r\nshort", "reset", "truncated"},
 		{"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\nshort", "reset", "truncated"},
 		{ok + "A: b\r\n", "reset", "connection_lost"},
 		{ok + "Content-Len", "reset", "malformed"},
-		{ok + "Content-Length: 9\r\n\r\nshort", "ended, then reset", "truncated"},
-		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", "ended, then reset", "truncated"},
-		{ok + "\r\nwhole", "ended, then reset", "complete"},
-		{ok + "Content-Length: 5\r\n\r\nwhole", "reset later", "complete"},
-		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", "reset later", "complete"},
-		{ok + "\r\nwhole", "ended", "complete"},
+		{ok + "Content-Length: 9\r\n\r\nshort", "EOF, then reset", "truncated"},
+		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", "EOF, then reset", "truncated"},
+		{ok + "\r\nwhole", "EOF, then reset", "complete"},
+		{ok + "Content-Length: 5\r\n\r\nwhole", "delayed reset", "complete"},
+		{ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", "delayed reset", "complete"},
+		{ok + "\r\nwhole", "close", "complete"},
 	} {
 		t.Run(c.closeMode+" "+strconv.Quote(c.text), func(t *testing.T) {
 			t.Parallel()
@@ -77,14 +77,14 @@
 						switch c.closeMode {
 						case "reset":
 							resetConn(conn)
-						case "reset later":
+						case "delayed reset":
 							time.Sleep(10 * time.Millisecond)
 							resetConn(conn)
-						case "ended, then reset":
+						case "EOF, then reset":
 							_ = conn.(*net.TCPConn).CloseWrite()
 							time.Sleep(5 * time.Millisecond)
 							resetConn(conn)
-						case "over unread bytes":
+						case "close with unread input":
 							waitForInput(conn) // the body
 							conn.Close()
 						default:
@@ -95,7 +95,7 @@
 			}()
 			for range 10 {
 				attempt := newAttempt(l.Addr().String(), "GET", "")
-				if c.closeMode == "over unread bytes" {
+				if c.closeMode == "close with unread input" {
 					attempt = newAttempt(l.Addr().String(), "PUT", "value")
 				}
 				result, a := newTestClient(t).send(attempt)
@@ -183,9 +183,9 @@
 // each request must reach the server once.
 func TestUnsolicitedPartialAnswerIsNotServed(t *testing.T) {
 	const half = "HTTP/1.1 200 OK\r\nContent-Le"
-	for _, connState := range []string{"idle", "closed", "being closed", "reused", "before the write"} {
+	for _, state := range []string{"idle", "closed", "being closed", "reused", "before the write"} {
 		for _, suffix := range []string{"", "end", "reset"} {
-			t.Run(connState+" "+suffix, func(t *testing.T) {
+			t.Run(state+" "+suffix, func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
 				seen, conns := map[string]int{}, make(chan net.Conn, 100)
@@ -213,7 +213,7 @@
 					attempt := newAttempt(address, "GET", "")
 					attempt.TraceID = trace
 					if i > 0 {
-						switch connState {
+						switch state {
 						case "idle":
 							sendPartialAnswer()
 							time.Sleep(5 * time.Millisecond)
--- a/internal/net/upstream/client_test.go
+++ b/internal/net/upstream/client_test.go
@@ -191,7 +191,7 @@
 // has ended nothing is written, and that does not count against the server. An attempt that was already written continues.
 func TestAttemptIsNotWrittenAfterClientLeaves(t *testing.T) {
 	for _, c := range []struct {
-		cancelTime   string // when the client leaves
+		cancelPoint  string // when the client leaves
 		want         dispatch.AttemptResult
 		wantReceived int64
 	}{{"during the dial", dispatch.Withheld, 0}, {"between two dials", dispatch.Withheld, 0}, {"after the write", dispatch.Complete, 1}} {
@@ -211,10 +211,10 @@
 		dial := client.transport.DialContext
 		client.transport.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
 			<-submitted
-			if dials++; dials == 1 && c.cancelTime == "between two dials" {
+			if dials++; dials == 1 && c.cancelPoint == "between two dials" {
 				cancelRequest()
 				return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET} // another connection is tried
-			} else if c.cancelTime == "during the dial" {
+			} else if c.cancelPoint == "during the dial" {
 				cancelRequest()
 			}
 			return dial(ctx, network, to)
@@ -232,7 +232,7 @@
 		}
 		stats := dispatcher.Stats()
 		if stats.Results[c.want] != 1 || stats.ClientGone != 1 || received.Load() != c.wantReceived || dispatcher.Metrics().Written.Load() != c.wantReceived || len(dispatcher.EjectedEndpoints()) > 0 || dispatcher.InFlight() > 0 {
-			t.Errorf("%s: results %v, %d clients gone, %d received, %d written, ejected %v, %d in flight", c.cancelTime, stats.Results, stats.ClientGone, received.Load(),
+			t.Errorf("%s: results %v, %d clients gone, %d received, %d written, ejected %v, %d in flight", c.cancelPoint, stats.Results, stats.ClientGone, received.Load(),
 				dispatcher.Metrics().Written.Load(), dispatcher.EjectedEndpoints(), dispatcher.InFlight())
 		}
 	}
--- a/internal/net/upstream/unsolicited_test.go
+++ b/internal/net/upstream/unsolicited_test.go
@@ -20,19 +20,19 @@
 		// A test server without a free core writes the second answer too late. Answers later than maxDelay are not checked.
 		maxDelay = minQuietPeriod * 8 / 10
 	)
-	for _, after := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 7 * time.Millisecond} {
-		t.Run(after.String(), func(t *testing.T) {
+	for _, delay := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 7 * time.Millisecond} {
+		t.Run(delay.String(), func(t *testing.T) {
 			t.Parallel()
 			var delayed sync.Map           // trace ids whose second answer was written later than maxDelay
 			var secondAnswers atomic.Int64 // that are still to be written and checked for delay
 			address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 				trace := r.Header.Get("X-Trace-Id")
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(trace), trace)
-				time.Sleep(2 * after) // long enough for the second answer to the previous request
+				time.Sleep(2 * delay) // long enough for the second answer to the previous request
 				start := time.Now()
 				fmt.Fprint(c, answer)
 				secondAnswers.Add(1)
-				time.AfterFunc(after, func() {
+				time.AfterFunc(delay, func() {
 					defer secondAnswers.Add(-1)
 					fmt.Fprint(c, answer)
 					if time.Since(start) > maxDelay {
@@ -41,7 +41,7 @@
 				})
 			})
 			client := newTestClient(t)
-			servedBy := map[string]string{} // trace id in the answer, by the request's trace id
+			answerTraces := map[string]string{} // trace id in the answer, by the request's trace id
 			for i := range rounds {
 				attempt := newAttempt(address, "GET", "")
 				attempt.TraceID = fmt.Sprintf("trace-%d", i)
@@ -49,22 +49,22 @@
 				if result != dispatch.Complete {
 					continue
 				}
-				servedBy[attempt.TraceID] = string(answer.Body)
+				answerTraces[attempt.TraceID] = string(answer.Body)
 			}
 			for secondAnswers.Load() > 0 { // an answer may be read before it is recorded as delayed
 				time.Sleep(time.Millisecond)
 			}
-			wrong, judged := 0, 0
-			for requested, served := range servedBy {
+			wrong, checked := 0, 0
+			for requested, served := range answerTraces {
 				if _, wasDelayed := delayed.Load(served); wasDelayed {
 					continue
 				}
-				if judged++; served != requested {
+				if checked++; served != requested {
 					wrong++
 				}
 			}
-			if wrong > 0 || judged < rounds/2 {
-				t.Errorf("%d of %d requests were served another request's answer", wrong, judged)
+			if wrong > 0 || checked < rounds/2 {
+				t.Errorf("%d of %d requests were served another request's answer", wrong, checked)
 			}
 		})
 	}
