--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	// idleTimeoutFactor makes this side close an idle connection before the server does, so that no request is sent while the
-	// server is closing the connection.
+	// idleTimeoutFactor is the part of the servers' idle timeout after which this side closes an idle connection. It closes
+	// before the server does, so that no request is sent while the server is closing the connection.
 	idleTimeoutFactor = 0.7
 
 	maxIdleDivisor = 2        // at most half of the descriptors are idle connections, so that dials find free ones
@@ -36,7 +36,7 @@
 )
 
 // earlyFinishDivisor is used when the safeguard faults.OneAttempt is disabled: every attempt is then reported as timed
-// out after 1/earlyFinishDivisor of its timeout.
+// out after this part of its timeout, while it is still in flight.
 const earlyFinishDivisor = 8
 
 // Client implements dispatch.Transport. Its methods are safe for concurrent use and do not block.
--- a/internal/net/upstream/conn_write.go
+++ b/internal/net/upstream/conn_write.go
@@ -88,8 +88,8 @@
 	return reason
 }
 
-// setOnFlush sets the function to be called after the next complete write. It is set when the request's last byte is in
-// the transport's buffer, so that write flushes the byte.
+// setOnFlush sets the function to be called after the next complete write. It is called when the request's last byte is in
+// the transport's buffer, so that the next write is the one that flushes it.
 func (c *conn) setOnFlush(onFlush func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/net/upstream/quiet_period.go
+++ b/internal/net/upstream/quiet_period.go
@@ -11,12 +11,12 @@
 )
 
 // A server that answers a request twice sends the second answer some milliseconds after the first. If the next request is
-// written on the connection before, the second answer can't be distinguished from the answer to the next request.
+// written on the connection before that, the second answer can't be distinguished from the answer to the next request.
 // Therefore a connection must be quiet, with no bytes read, for a period before it is reused.
 const (
 	minQuietPeriod    = 10 * time.Millisecond
 	maxQuietPeriod    = 60 * time.Millisecond
-	quietPeriodFactor = 2               // safety factor on the latest delay observed for a second answer
+	quietPeriodFactor = 2               // of the longest delay observed for a second answer, as a safety margin
 	quietPeriodTTL    = 2 * time.Minute // how long a learned period applies
 	quietWaitDivisor  = 4               // waiting may take a quarter of the remaining time; beyond it another connection is tried
 )
