--- a/internal/net/upstream/denial_test.go
+++ b/internal/net/upstream/denial_test.go
@@ -7,10 +7,11 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// The transport hands a connection on when an answer's last byte was read, before who sent that request has asked what became of it. What the next
-// request was denied is not its denial: it would be sent again though it was answered.
-func TestADenialIsOfItsOwnRequest(t *testing.T) {
-	near, _ := tcp(t)
+// The transport reuses a connection as soon as an answer's last byte was read, possibly before the first exchange has asked for
+// its denial. The denial of the next request must not be returned to the first exchange, which would send an answered request
+// again.
+func TestDenialAppliesToItsRequestOnly(t *testing.T) {
+	near, _ := tcpPair(t)
 	c := newConn(near, func() {})
 	first, second := &outgoingRequest{}, &outgoingRequest{presetRefusal: admission.NotQuiet}
 	c.acquire(false, first)
@@ -18,14 +19,14 @@
 		t.Fatal(err)
 	}
 	c.acquire(false, second)
-	if why := c.denial(first); why != admission.Granted {
-		t.Errorf("the first request, which was written, was withheld: %v", why)
+	if reason := c.denial(first); reason != admission.Granted {
+		t.Errorf("the first request was written, but its denial is %v", reason)
 	}
 	_, err := c.Write([]byte("second"))
-	if why := (denialError{}); !errors.As(err, &why) || why.reason != admission.NotQuiet || c.denial(second) != admission.NotQuiet {
+	if denied := (denialError{}); !errors.As(err, &denied) || denied.reason != admission.NotQuiet || c.denial(second) != admission.NotQuiet {
 		t.Errorf("the second request: %v", err)
 	}
-	if why := c.denial(first); why != admission.Granted {
-		t.Errorf("the first request counts as withheld when the second was: %v", why)
+	if reason := c.denial(first); reason != admission.Granted {
+		t.Errorf("the second request's denial is returned for the first: %v", reason)
 	}
 }
--- a/internal/net/upstream/unsolicited_test.go
+++ b/internal/net/upstream/unsolicited_test.go
@@ -12,75 +12,76 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// A server that answers twice sends its second answer some milliseconds after the first, when the next request may be out on
-// the connection already. The second answer must not be taken for that request's, however soon the request follows.
-func TestASecondAnswerIsNotTheNextRequests(t *testing.T) {
+// A server that answers twice sends its second answer some milliseconds after the first. The next request may already be in
+// flight on the connection by then. The second answer must not be taken for its answer, however soon that request follows.
+func TestSecondAnswerIsNotServedToNextRequest(t *testing.T) {
 	const (
 		rounds = 60
-		inTime = minQuietPeriod * 8 / 10 // a stand-in that has no core writes its second answer later than it is to; that is not judged
+		// A test server without a free core writes the second answer too late. Answers later than maxDelay are not checked.
+		maxDelay = minQuietPeriod * 8 / 10
 	)
-	for _, after := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 7 * time.Millisecond} {
-		t.Run(after.String(), func(t *testing.T) {
+	for _, delay := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 7 * time.Millisecond} {
+		t.Run(delay.String(), func(t *testing.T) {
 			t.Parallel()
-			var late sync.Map              // ids whose second answer came later than it was to
-			var secondAnswers atomic.Int64 // that are not yet written and judged
+			var delayed sync.Map           // trace ids whose second answer was written later than maxDelay
+			var secondAnswers atomic.Int64 // that are still to be written and checked for delay
 			address := rawServer(t, func(c net.Conn, r *http.Request, _ int) {
 				trace := r.Header.Get("X-Trace-Id")
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(trace), trace)
-				time.Sleep(2 * after) // the work: the second answer to the request before comes meanwhile
-				began := time.Now()
+				time.Sleep(2 * delay) // long enough for the second answer to the previous request
+				start := time.Now()
 				fmt.Fprint(c, answer)
 				secondAnswers.Add(1)
-				time.AfterFunc(after, func() {
+				time.AfterFunc(delay, func() {
 					defer secondAnswers.Add(-1)
 					fmt.Fprint(c, answer)
-					if time.Since(began) > inTime {
-						late.Store(trace, true)
+					if time.Since(start) > maxDelay {
+						delayed.Store(trace, true)
 					}
 				})
 			})
-			s := newTestClient(t)
-			servedBy := map[string]string{} // the id that an answer names, by the request's id
+			client := newTestClient(t)
+			answerTraces := map[string]string{} // trace id in the answer, by the request's trace id
 			for i := range rounds {
-				sh := newAttempt(address, "GET", "")
-				sh.TraceID = fmt.Sprintf("trace-%d", i)
-				end, answer := s.send(sh)
-				if end != dispatch.Complete {
+				attempt := newAttempt(address, "GET", "")
+				attempt.TraceID = fmt.Sprintf("trace-%d", i)
+				result, answer := client.send(attempt)
+				if result != dispatch.Complete {
 					continue
 				}
-				servedBy[sh.TraceID] = string(answer.Body)
+				answerTraces[attempt.TraceID] = string(answer.Body)
 			}
-			for secondAnswers.Load() > 0 { // a late one may be read before it is known to be late
+			for secondAnswers.Load() > 0 { // an answer may be read before it is recorded as delayed
 				time.Sleep(time.Millisecond)
 			}
-			wrong, judged := 0, 0
-			for requested, served := range servedBy {
-				if _, excused := late.Load(served); excused {
+			wrong, checked := 0, 0
+			for requested, served := range answerTraces {
+				if _, wasDelayed := delayed.Load(served); wasDelayed {
 					continue
 				}
-				if judged++; served != requested {
+				if checked++; served != requested {
 					wrong++
 				}
 			}
-			if wrong > 0 || judged < rounds/2 {
-				t.Errorf("%d of %d requests were served another request's answer", wrong, judged)
+			if wrong > 0 || checked < rounds/2 {
+				t.Errorf("%d of %d requests were served another request's answer", wrong, checked)
 			}
 		})
 	}
 }
 
-// A server that answers once keeps its connection: requests in a row go out on the same one.
-func TestRequestsInARowShareAConnection(t *testing.T) {
+// Sequential requests to a server that answers each once must share one connection.
+func TestSequentialRequestsShareConnection(t *testing.T) {
 	var opened atomic.Int64
-	s, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
+	client, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
 			opened.Add(1)
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	for i := range 20 {
-		if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Complete {
-			t.Fatalf("request %d ended %v", i, end)
+		if result, _ := client.send(newAttempt(address, "GET", "")); result != dispatch.Complete {
+			t.Fatalf("request %d ended %v", i, result)
 		}
 	}
 	if n := opened.Load(); n != 1 {
@@ -88,50 +89,52 @@
 	}
 }
 
-// Where a connection can't be known to be quiet in time, the request goes on another, and holds nothing against the server.
-func TestARequestWithLittleTimeDoesNotWaitForQuiet(t *testing.T) {
+// If waiting for the quiet period would take too much of the attempt's time, the request is sent on a new connection, and that
+// does not count against the server.
+func TestRequestWithShortTimeoutSkipsQuietPeriod(t *testing.T) {
 	var opened atomic.Int64
-	s, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
+	client, address := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, nth int) {
 		if nth == 0 {
 			opened.Add(1)
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	if end, _ := s.send(newAttempt(address, "GET", "")); end != dispatch.Complete {
-		t.Fatal(end)
+	if result, _ := client.send(newAttempt(address, "GET", "")); result != dispatch.Complete {
+		t.Fatal(result)
 	}
-	hurried := newAttempt(address, "GET", "")
-	hurried.Timeout = 2 * minQuietPeriod
-	if end, _ := s.send(hurried); end != dispatch.Complete {
-		t.Errorf("ended %v", end)
+	shortAttempt := newAttempt(address, "GET", "")
+	shortAttempt.Timeout = 2 * minQuietPeriod
+	if result, _ := client.send(shortAttempt); result != dispatch.Complete {
+		t.Errorf("ended %v", result)
 	}
 	if n := opened.Load(); n != 2 {
 		t.Errorf("%d connections were made, want two", n)
 	}
 }
 
-// A second answer that was seen to come later than usual makes later requests to that server wait for longer, for a while, and no others.
-func TestLaterSecondAnswersAreLearned(t *testing.T) {
-	const late = 20 * time.Millisecond
+// A second answer that arrives later than usual must extend the quiet period of its endpoint for quietPeriodTTL, and of no
+// other endpoint.
+func TestQuietPeriodGrowsAfterLateSecondAnswer(t *testing.T) {
+	const lateDelay = 20 * time.Millisecond
 	var q quietPeriods
-	wants := func(when, place string, want time.Duration) {
+	expect := func(when, key string, want time.Duration) {
 		t.Helper()
-		if got := q.required(place); got != want {
-			t.Errorf("%s: %s waits for %v, want %v", when, place, got, want)
+		if got := q.required(key); got != want {
+			t.Errorf("%s: %s waits for %v, want %v", when, key, got, want)
 		}
 	}
-	wants("at first", "a", minQuietPeriod)
+	expect("initially", "a", minQuietPeriod)
 	q.observe("a", time.Millisecond)
-	wants("after a soon one", "a", minQuietPeriod)
-	q.observe("a", late)
-	wants("after a late one", "a", quietPeriodFactor*late)
-	wants("after another's late one", "b", minQuietPeriod)
+	expect("after an early second answer", "a", minQuietPeriod)
+	q.observe("a", lateDelay)
+	expect("after a late second answer", "a", quietPeriodFactor*lateDelay)
+	expect("after another endpoint's late second answer", "b", minQuietPeriod)
 	q.observe("a", time.Second)
-	wants("after one that nobody can wait for", "a", quietPeriodFactor*late)
-	q.byKey["a"] = quietPeriod{quietPeriodFactor * late, time.Now().Add(-quietPeriodTTL - time.Second)}
-	wants("long after", "a", minQuietPeriod)
-	q.observe("b", late)
+	expect("after one beyond the maximum period", "a", quietPeriodFactor*lateDelay)
+	q.byKey["a"] = quietPeriod{quietPeriodFactor * lateDelay, time.Now().Add(-quietPeriodTTL - time.Second)}
+	expect("after quietPeriodTTL", "a", minQuietPeriod)
+	q.observe("b", lateDelay)
 	if len(q.byKey) != 1 {
-		t.Errorf("%d places are kept, want the one that did so lately", len(q.byKey))
+		t.Errorf("%d endpoints are kept, want only the one observed recently", len(q.byKey))
 	}
 }
