--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -21,8 +21,8 @@
 const divisionInterval = 20 * lease.Millisecond
 
 const (
-	entryVersion   = 2       // of the log's entries, the first one with budgets
-	moveEntriesFor = "parts" // the name under which entries of quota moves are stored
+	entryVersion  = 2       // of the log's entries, the first one with budgets
+	moveEntryName = "parts" // the name under which entries of quota moves are stored
 )
 
 // Host performs the actions of an Allocator. Its methods must neither block nor call back.
@@ -32,7 +32,7 @@
 	// Respond answers the request with this id.
 	Respond(id uint64, r Response)
 	// SetAlarm schedules a call of Allocator.Alarm at that time or soon after; it replaces an earlier alarm.
-	SetAlarm(at Time)
+	SetAlarm(t Time)
 }
 
 // Unsafe disables safeguards, so that tests can show that their checks detect each one's absence.
@@ -44,12 +44,12 @@
 
 // nodeRecord is the state of a node that has sent a request in this term.
 type nodeRecord struct {
-	token    uint64 // of the node's lease
-	weight   float64
-	holdings map[string]Holding // latest reports, by budget
-	shrinkTo map[string]int     // units that the node has to come down to, by budget
-	request  uint64             // id of the request that waits for an answer, 0: none
-	deadline Time               // of that request
+	token     uint64 // of the node's lease
+	weight    float64
+	holdings  map[string]Holding // latest reports, by budget
+	shrinkTo  map[string]int     // units that the node has to come down to, by budget
+	requestID uint64             // id of the request that waits for an answer, 0: none
+	deadline  Time               // of that request
 }
 
 // Allocator divides all budgets of a cluster on the node that leads. It remembers demand only; the quotas themselves are in
@@ -71,7 +71,7 @@
 	moveInFlight bool // one of the proposals is an entry of moves
 	stale        bool // something has changed since the last division
 	nextDivision Time // earliest time of the next division
-	retryAt      Time // when to divide again though nothing has changed, 0: no need
+	retryTime    Time // when to divide again though nothing has changed, 0: no need
 	moveRate     moveRate
 }
 
@@ -98,8 +98,8 @@
 func (a *Allocator) freeAllQuotas() {
 	var moves []lease.QuotaMove
 	for name, b := range a.state.Budgets {
-		for l, q := range b.Quotas {
-			moves = append(moves, lease.QuotaMove{Budget: name, Lease: l, Token: a.state.Leases[l].Token, FromToken: q.Token})
+		for leaseName, quota := range b.Quotas {
+			moves = append(moves, lease.QuotaMove{Budget: name, Lease: leaseName, Token: a.state.Leases[leaseName].Token, FromToken: quota.Token})
 		}
 	}
 	a.propose(lease.Entry{Kind: lease.KindMoveQuotas, Moves: moves})
@@ -133,27 +133,27 @@
 
 // Handle takes a node's request. Its id must be above 0 and different from those of all requests that wait.
 func (a *Allocator) Handle(now Time, id uint64, r Request) {
-	if err := a.check(r); err != nil {
+	if err := a.validate(r); err != nil {
 		a.host.Respond(id, Response{Err: err})
 		return
 	}
-	n := a.nodeOf(r)
+	n := a.getOrCreateNode(r)
 	a.reply(n, Response{Err: lease.ErrWithdrawn}) // a node's later request replaces its earlier one
-	n.request = id
+	n.requestID = id
 	n.deadline = now + min(max(r.Wait, 0), maxWait)
 	n.weight = cmp.Or(r.Weight, 1)
 	a.recordHoldings(n, r)
 	a.proposeDeclared(r.Declared)
-	a.notify(r.Lease)
+	a.notifyNode(r.Lease)
 	a.scheduleAlarm(now)
 }
 
-// check returns the error that a request is refused with, if any.
-func (a *Allocator) check(r Request) error {
+// validate returns the error that a request is refused with, if any.
+func (a *Allocator) validate(r Request) error {
 	if !a.leader {
 		return lease.ErrNotLeader
 	}
-	if held, ok := a.state.Leases[r.Lease]; !ok || held.Token != r.Token {
+	if current, ok := a.state.Leases[r.Lease]; !ok || current.Token != r.Token {
 		return lease.ErrLeaseExpired
 	}
 	if len(a.nodes) >= maxNodes && a.nodes[r.Lease] == nil {
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// nodeOf returns the record of the request's node, a new one if the node or its lease is new.
-func (a *Allocator) nodeOf(r Request) *nodeRecord {
+// getOrCreateNode returns the record of the request's node, a new one if the node or its lease is new.
+func (a *Allocator) getOrCreateNode(r Request) *nodeRecord {
 	n := a.nodes[r.Lease]
 	if n != nil && n.token == r.Token {
 		return n
@@ -183,10 +183,10 @@
 // recordHoldings keeps a node's reports, and notes whether one of them calls for a division.
 func (a *Allocator) recordHoldings(n *nodeRecord, r Request) {
 	for _, h := range r.Holdings {
-		before, known := n.holdings[h.Budget]
+		previous, known := n.holdings[h.Budget]
 		b := a.state.Budgets[h.Budget]
 		returned := b != nil && b.Quotas[r.Lease].Units > h.Units
-		if !known || before.Demand != h.Demand || returned {
+		if !known || previous.Demand != h.Demand || returned {
 			a.stale = true
 		}
 		n.holdings[h.Budget] = h
@@ -218,8 +218,8 @@
 // CallerGone drops a waiting request whose caller has disconnected. The node itself stays known.
 func (a *Allocator) CallerGone(id uint64) {
 	for _, n := range a.nodes {
-		if n.request == id {
-			n.request = 0
+		if n.requestID == id {
+			n.requestID = 0
 		}
 	}
 }
@@ -246,7 +246,7 @@
 		}
 	}
 	a.stale = true
-	a.notifyAll()
+	a.notifyAllNodes()
 	a.scheduleAlarm(now)
 }
 
@@ -254,7 +254,7 @@
 	e.Term = a.term
 	e.Version = entryVersion
 	if e.Kind == lease.KindMoveQuotas {
-		e.Name = moveEntriesFor
+		e.Name = moveEntryName
 		a.moveInFlight = true
 	}
 	a.lastRef++
@@ -264,24 +264,24 @@
 
 // reply answers a node's request, if one waits.
 func (a *Allocator) reply(n *nodeRecord, r Response) {
-	if n.request == 0 {
+	if n.requestID == 0 {
 		return
 	}
-	id := n.request
-	n.request = 0
+	id := n.requestID
+	n.requestID = 0
 	a.host.Respond(id, r)
 }
 
-func (a *Allocator) notifyAll() {
+func (a *Allocator) notifyAllNodes() {
 	for _, name := range slices.Sorted(maps.Keys(a.nodes)) {
-		a.notify(name)
+		a.notifyNode(name)
 	}
 }
 
-// notify answers a node's waiting request if something has changed for the node.
-func (a *Allocator) notify(name string) {
+// notifyNode answers a node's waiting request if something has changed for the node.
+func (a *Allocator) notifyNode(name string) {
 	n := a.nodes[name]
-	if n == nil || n.request == 0 {
+	if n == nil || n.requestID == 0 {
 		return
 	}
 	changed := false
@@ -324,7 +324,7 @@
 		return
 	}
 	a.expireNodes(now)
-	due := a.stale && now >= a.nextDivision || a.retryAt > 0 && now >= a.retryAt
+	due := a.stale && now >= a.nextDivision || a.retryTime > 0 && now >= a.retryTime
 	if due && !a.moveInFlight {
 		a.divide(now)
 	}
@@ -335,11 +335,11 @@
 func (a *Allocator) expireNodes(now Time) {
 	for _, name := range slices.Sorted(maps.Keys(a.nodes)) {
 		n := a.nodes[name]
-		if held, ok := a.state.Leases[name]; !ok || held.Token != n.token {
+		if current, ok := a.state.Leases[name]; !ok || current.Token != n.token {
 			a.reply(n, Response{Err: lease.ErrLeaseExpired})
 			delete(a.nodes, name)
 			a.stale = true
-		} else if n.request != 0 && now >= n.deadline {
+		} else if n.requestID != 0 && now >= n.deadline {
 			a.reply(n, Response{Err: lease.ErrStillHeld})
 		}
 	}
@@ -347,19 +347,19 @@
 
 // scheduleAlarm asks for a call at the next division or the next deadline of a request, whichever comes first.
 func (a *Allocator) scheduleAlarm(now Time) {
-	at := Time(math.MaxInt64)
+	alarmTime := Time(math.MaxInt64)
 	if a.stale && !a.moveInFlight {
-		at = a.nextDivision
+		alarmTime = a.nextDivision
 	}
-	if a.retryAt > 0 && !a.moveInFlight {
-		at = min(at, a.retryAt)
+	if a.retryTime > 0 && !a.moveInFlight {
+		alarmTime = min(alarmTime, a.retryTime)
 	}
 	for _, n := range a.nodes {
-		if n.request != 0 {
-			at = min(at, n.deadline)
+		if n.requestID != 0 {
+			alarmTime = min(alarmTime, n.deadline)
 		}
 	}
-	if at < math.MaxInt64 {
-		a.host.SetAlarm(max(at, now))
+	if alarmTime < math.MaxInt64 {
+		a.host.SetAlarm(max(alarmTime, now))
 	}
 }
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -502,10 +502,10 @@
 			fmt.Fprint(h, *l.state.Budgets[name])
 		}
 		if l.term > 0 {
-			fmt.Fprint(h, l.allocator.stale, l.allocator.nextDivision, l.allocator.retryAt, l.allocator.moveInFlight, l.allocator.turns)
+			fmt.Fprint(h, l.allocator.stale, l.allocator.nextDivision, l.allocator.retryTime, l.allocator.moveInFlight, l.allocator.turns)
 			for _, name := range slices.Sorted(maps.Keys(l.allocator.nodes)) {
 				m := l.allocator.nodes[name]
-				fmt.Fprint(h, name, m.token, m.holdings, m.shrinkTo, m.request != 0, m.deadline)
+				fmt.Fprint(h, name, m.token, m.holdings, m.shrinkTo, m.requestID != 0, m.deadline)
 			}
 		}
 	}
--- a/budget/division.go
+++ b/budget/division.go
@@ -19,14 +19,14 @@
 // Invariant: after its moves the quotas of all nodes together are no more than the budget has, or no more than before if the
 // budget was lowered. Only grow raises quotas, and only by units that no node may be using.
 type division struct {
-	allocator *Allocator
-	name      string
-	budget    *lease.Budget
-	reserve   int      // units held back for nodes that have none
-	leases    []string // of all nodes that have or may have a quota, sorted
-	claims    []claim  // one for each lease
-	demanding int      // how many of them want any units
-	target    []int    // units that each should have
+	allocator      *Allocator
+	name           string
+	budget         *lease.Budget
+	reserve        int      // units held back for nodes that have none
+	leaseNames     []string // of all nodes that have or may have a quota, sorted
+	claims         []claim  // one for each lease
+	demandingNodes int      // how many of them want any units
+	targets        []int    // units that each should have
 
 	moves    []lease.QuotaMove
 	shrinkTo map[string]int // units that nodes have to come down to, by lease
@@ -36,13 +36,13 @@
 func (a *Allocator) divide(now Time) {
 	a.stale = false
 	a.nextDivision = now + divisionInterval
-	a.retryAt = 0
+	a.retryTime = 0
 	size := noMove
 	names := slices.Sorted(maps.Keys(a.state.Budgets))
 	divisions := make([]*division, len(names))
 	for i, name := range names {
 		divisions[i] = a.divideBudget(now, name)
-		size = max(size, divisions[i].size())
+		size = max(size, divisions[i].moveSize())
 	}
 	allowed := a.mayMove(now, size)
 	var moves []lease.QuotaMove
@@ -58,17 +58,17 @@
 		a.moveRate.spend(now, size)
 		a.propose(lease.Entry{Kind: lease.KindMoveQuotas, Moves: moves})
 	}
-	a.notifyAll()
+	a.notifyAllNodes()
 }
 
 // mayMove reports whether an entry for moves of this size may be proposed now; if not, it sets the time to try again.
 func (a *Allocator) mayMove(now Time, size moveSize) bool {
-	at := a.moveRate.next(now, size, len(a.nodes))
+	earliest := a.moveRate.earliestEntryTime(now, size, len(a.nodes))
 	if size == noMove {
 		return false
 	}
-	if now < at {
-		a.retryAt = at
+	if now < earliest {
+		a.retryTime = earliest
 		return false
 	}
 	return true
@@ -79,8 +79,8 @@
 	for _, n := range a.nodes {
 		delete(n.shrinkTo, d.name)
 	}
-	for l, units := range d.shrinkTo {
-		a.nodes[l].shrinkTo[d.name] = units
+	for leaseName, units := range d.shrinkTo {
+		a.nodes[leaseName].shrinkTo[d.name] = units
 	}
 }
 
@@ -88,33 +88,33 @@
 // those below their target, and asks those above it to come down.
 func (a *Allocator) divideBudget(now Time, name string) *division {
 	b := a.state.Budgets[name]
-	leases := a.leasesOf(b)
-	d := &division{allocator: a, name: name, budget: b, leases: leases, shrinkTo: map[string]int{}}
-	d.reserve = reserveOf(b, len(leases))
+	leaseNames := a.leaseNames(b)
+	d := &division{allocator: a, name: name, budget: b, leaseNames: leaseNames, shrinkTo: map[string]int{}}
+	d.reserve = reserveUnits(b, len(leaseNames))
 	a.reserves[name] = d.reserve
-	d.claims = make([]claim, len(leases))
+	d.claims = make([]claim, len(leaseNames))
 	d.collectClaims()
 	a.updateTurns(now, d)
-	d.target = a.targets(now, d)
+	d.targets = a.computeTargets(now, d)
 	d.shrink()
 	d.grow()
 	return d
 }
 
-// leasesOf returns the leases of all nodes that have or may have a quota of a budget, sorted.
-func (a *Allocator) leasesOf(b *lease.Budget) []string {
-	all := map[string]bool{}
+// leaseNames returns the leases of all nodes that have or may have a quota of a budget, sorted.
+func (a *Allocator) leaseNames(b *lease.Budget) []string {
+	names := map[string]bool{}
 	for name := range b.Quotas {
-		all[name] = true
+		names[name] = true
 	}
 	for name := range a.nodes {
-		all[name] = true
+		names[name] = true
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(names))
 }
 
-// reserveOf returns how many units of a budget are held back for nodes that have none.
-func reserveOf(b *lease.Budget, nodes int) int {
+// reserveUnits returns how many units of a budget are held back for nodes that have none.
+func reserveUnits(b *lease.Budget, nodes int) int {
 	allocatable := b.Allocatable()
 	if allocatable < reserveMinPerNode*nodes+reserveFraction {
 		return 0
@@ -122,8 +122,8 @@
 	return allocatable / reserveFraction
 }
 
-// units returns what can be divided beside the reserve.
-func (d *division) units() int { return d.budget.Allocatable() - d.reserve }
+// divisibleUnits returns what can be divided beside the reserve.
+func (d *division) divisibleUnits() int { return d.budget.Allocatable() - d.reserve }
 
 // isOverAllocated reports whether more is allocated than there is, as after the budget was lowered.
 func (d *division) isOverAllocated() bool { return d.budget.Allocated() > d.budget.Allocatable() }
@@ -132,23 +132,23 @@
 // in this term claims what it has.
 func (d *division) collectClaims() {
 	minDemand := 0
-	if d.budget.ReservedPerNode == 0 && d.units() >= len(d.leases) {
+	if d.budget.ReservedPerNode == 0 && d.divisibleUnits() >= len(d.leaseNames) {
 		minDemand = 1 // an idle node then has a unit to begin with
 	}
-	for i, l := range d.leases {
-		quota := d.budget.Quotas[l]
+	for i, leaseName := range d.leaseNames {
+		quota := d.budget.Quotas[leaseName]
 		c := claim{demand: quota.Units, weight: 1, units: quota.Units, rank: i}
-		if n := d.allocator.nodes[l]; n != nil {
+		if n := d.allocator.nodes[leaseName]; n != nil {
 			h := n.holdings[d.name]
 			c.demand = max(h.Demand-d.budget.ReservedPerNode, minDemand)
 			c.weight = n.weight
 			if d.isCurrent(h, quota) && h.Units < quota.Units {
 				c.units = max(0, h.Units)
-				d.move(l, c.units)
+				d.addMove(leaseName, c.units)
 			}
 		}
 		if c.demand > 0 {
-			d.demanding++
+			d.demandingNodes++
 		}
 		d.claims[i] = c
 	}
@@ -160,26 +160,26 @@
 	return quota.Token != 0 && (h.Token == quota.Token || d.allocator.unsafe.AcceptStaleReports)
 }
 
-// move sets the units of a node that is in contact.
-func (d *division) move(name string, units int) {
+// addMove sets the units of a node that is in contact.
+func (d *division) addMove(leaseName string, units int) {
 	d.moves = append(d.moves, lease.QuotaMove{
 		Budget:    d.name,
-		Lease:     name,
-		Token:     d.allocator.nodes[name].token,
-		FromToken: d.budget.Quotas[name].Token,
+		Lease:     leaseName,
+		Token:     d.allocator.nodes[leaseName].token,
+		FromToken: d.budget.Quotas[leaseName].Token,
 		Units:     units,
 	})
 }
 
 // shrink asks nodes above their target to come down. Their units count as free only once they have reported that.
 func (d *division) shrink() {
-	for i, l := range d.leases {
-		if d.allocator.nodes[l] == nil || d.target[i] >= d.claims[i].units {
+	for i, leaseName := range d.leaseNames {
+		if d.allocator.nodes[leaseName] == nil || d.targets[i] >= d.claims[i].units {
 			continue
 		}
-		d.shrinkTo[l] = d.target[i]
+		d.shrinkTo[leaseName] = d.targets[i]
 		if d.allocator.unsafe.ReuseUnreturned {
-			d.move(l, d.target[i])
+			d.addMove(leaseName, d.targets[i])
 		}
 	}
 }
@@ -188,17 +188,17 @@
 func (d *division) grow() {
 	free := d.freeUnits()
 	for _, i := range d.growOrder() {
-		l, c := d.leases[i], d.claims[i]
+		leaseName, c := d.leaseNames[i], d.claims[i]
 		available := free
 		if c.units > 0 {
 			available -= d.reserve
 		}
-		more := min(d.target[i]-c.units, available)
-		if d.allocator.nodes[l] == nil || more <= 0 || d.hasMove(l) { // one move for each node and division
+		increase := min(d.targets[i]-c.units, available)
+		if d.allocator.nodes[leaseName] == nil || increase <= 0 || d.hasMove(leaseName) { // one move for each node and division
 			continue
 		}
-		free -= more
-		d.move(l, c.units+more)
+		free -= increase
+		d.addMove(leaseName, c.units+increase)
 	}
 }
 
@@ -207,8 +207,8 @@
 	free := d.budget.Allocatable()
 	for i, c := range d.claims {
 		free -= c.units
-		if _, ok := d.shrinkTo[d.leases[i]]; ok && d.allocator.unsafe.ReuseUnreturned {
-			free += c.units - d.target[i]
+		if _, ok := d.shrinkTo[d.leaseNames[i]]; ok && d.allocator.unsafe.ReuseUnreturned {
+			free += c.units - d.targets[i]
 		}
 	}
 	return free
@@ -222,20 +222,20 @@
 	})
 }
 
-func (d *division) hasMove(name string) bool {
-	return slices.ContainsFunc(d.moves, func(m lease.QuotaMove) bool { return m.Lease == name })
+func (d *division) hasMove(leaseName string) bool {
+	return slices.ContainsFunc(d.moves, func(m lease.QuotaMove) bool { return m.Lease == leaseName })
 }
 
-// size says how much has to be moved.
-func (d *division) size() moveSize {
+// moveSize says how much has to be moved.
+func (d *division) moveSize() moveSize {
 	difference, newcomer := 0, false
 	for i, c := range d.claims {
-		difference += max(d.target[i]-c.units, c.units-d.target[i])
-		newcomer = newcomer || c.units == 0 && d.target[i] > 0
+		difference += max(d.targets[i]-c.units, c.units-d.targets[i])
+		newcomer = newcomer || c.units == 0 && d.targets[i] > 0
 	}
-	large := 2 * (d.budget.Allocatable() / smallMoveFraction) // a unit that moves counts twice: where it is missing, and where it is too much
+	largeDifference := 2 * (d.budget.Allocatable() / smallMoveFraction) // a unit that moves counts twice: where it is missing, and where it is too much
 	switch {
-	case newcomer || difference > large || d.isOverAllocated():
+	case newcomer || difference > largeDifference || d.isOverAllocated():
 		return largeMove
 	case len(d.moves) > 0 || len(d.shrinkTo) > 0:
 		return smallMove
@@ -243,34 +243,34 @@
 	return noMove
 }
 
-// targets returns how many units each node should have. Where there are fewer units than nodes that want one, the nodes
+// computeTargets returns how many units each node should have. Where there are fewer units than nodes that want one, the nodes
 // take turns; else each that wants any has one, and the rest is divided by weighted max-min.
-func (a *Allocator) targets(now Time, d *division) []int {
-	if d.units() < d.demanding {
-		return a.targetsByTurn(now, d)
+func (a *Allocator) computeTargets(now Time, d *division) []int {
+	if d.divisibleUnits() < d.demandingNodes {
+		return a.computeTurnTargets(now, d)
 	}
-	units := d.units()
-	first := make([]int, len(d.claims))
-	rest := slices.Clone(d.claims)
-	for i := range rest {
-		first[i] = min(1, rest[i].demand)
-		rest[i].demand -= first[i]
-		units -= first[i]
+	units := d.divisibleUnits()
+	base := make([]int, len(d.claims))
+	remaining := slices.Clone(d.claims)
+	for i := range remaining {
+		base[i] = min(1, remaining[i].demand)
+		remaining[i].demand -= base[i]
+		units -= base[i]
 	}
-	target := maxMinShares(units, rest)
-	for i := range target {
-		target[i] += first[i]
+	targets := maxMinShares(units, remaining)
+	for i := range targets {
+		targets[i] += base[i]
 	}
-	keepSmallSurpluses(d.units(), d.claims, target)
-	return target
+	keepSmallSurpluses(d.divisibleUnits(), d.claims, targets)
+	return targets
 }
 
 // sortedIndices returns 0 to n-1 in the order of compare, a stable one.
 func sortedIndices(n int, compare func(i, j int) int) []int {
-	all := make([]int, n)
-	for i := range all {
-		all[i] = i
+	indices := make([]int, n)
+	for i := range indices {
+		indices[i] = i
 	}
-	slices.SortStableFunc(all, compare)
-	return all
+	slices.SortStableFunc(indices, compare)
+	return indices
 }
--- a/budget/max_min.go
+++ b/budget/max_min.go
@@ -20,77 +20,77 @@
 // maxMinShares divides units by weighted max-min fairness: no claim gets more than its demand, and what a satisfied claim
 // leaves goes to the others by weight. The units left over by rounding go one each, by rank.
 func maxMinShares(units int, claims []claim) []int {
-	result := make([]int, len(claims))
+	shares := make([]int, len(claims))
 	unsatisfied := demandingClaims(claims)
-	weights := 0.0
+	totalWeight := 0.0
 	for _, i := range unsatisfied {
-		weights += claims[i].weight
+		totalWeight += claims[i].weight
 	}
-	left := float64(units)
-	level := 0.0 // units for each unit of weight
+	remaining := float64(units)
+	unitsPerWeight := 0.0 // units for each unit of weight
 	for len(unsatisfied) > 0 {
 		i := unsatisfied[0]
 		c := claims[i]
-		level = left / weights
-		if float64(c.demand) > level*c.weight {
+		unitsPerWeight = remaining / totalWeight
+		if float64(c.demand) > unitsPerWeight*c.weight {
 			break
 		}
-		result[i] = c.demand
-		left -= float64(c.demand)
-		weights -= c.weight
+		shares[i] = c.demand
+		remaining -= float64(c.demand)
+		totalWeight -= c.weight
 		unsatisfied = unsatisfied[1:]
 	}
 	if len(unsatisfied) == 0 {
-		return result
+		return shares
 	}
-	rounding := int(math.Round(left)) // whole but for the float arithmetic
+	leftover := int(math.Round(remaining)) // whole but for the float arithmetic
 	for _, i := range unsatisfied {
-		result[i] = int(level * claims[i].weight)
-		rounding -= result[i]
+		shares[i] = int(unitsPerWeight * claims[i].weight)
+		leftover -= shares[i]
 	}
 	slices.SortFunc(unsatisfied, func(i, j int) int { return cmp.Compare(claims[i].rank, claims[j].rank) })
 	for _, i := range unsatisfied {
-		if rounding > 0 && result[i] < claims[i].demand {
-			result[i]++
-			rounding--
+		if leftover > 0 && shares[i] < claims[i].demand {
+			shares[i]++
+			leftover--
 		}
 	}
-	return result
+	return shares
 }
 
 // demandingClaims returns the indices of claims with any demand, the lowest demand for their weight first.
 func demandingClaims(claims []claim) []int {
-	all := make([]int, 0, len(claims))
+	indices := make([]int, 0, len(claims))
 	for i, c := range claims {
 		if c.demand > 0 {
-			all = append(all, i)
+			indices = append(indices, i)
 		}
 	}
-	slices.SortFunc(all, func(i, j int) int {
+	slices.SortFunc(indices, func(i, j int) int {
 		a, b := claims[i], claims[j]
 		byDemand := cmp.Compare(float64(a.demand)/a.weight, float64(b.demand)/b.weight)
 		return cmp.Or(byDemand, cmp.Compare(a.rank, b.rank))
 	})
-	return all
+	return indices
 }
 
 // keepSmallSurpluses keeps a division from oscillating: a node with slightly more than its target keeps the surplus,
 // unless the free units don't cover what others lack by more than slightly.
-func keepSmallSurpluses(units int, claims []claim, target []int) {
-	free, lacking := units, 0
+func keepSmallSurpluses(units int, claims []claim, targets []int) {
+	free, totalShortfall := units, 0
 	for i, c := range claims {
 		free -= c.units
-		if lack := target[i] - c.units; lack > c.units/surplusFraction {
-			lacking += lack
+		if shortfall := targets[i] - c.units; shortfall > c.units/surplusFraction {
+			totalShortfall += shortfall
 		}
 	}
-	if lacking > free {
+	if totalShortfall > free {
 		return
 	}
 	for i, c := range claims {
-		surplus := c.units - target[i]
+		surplus := c.units - targets[i]
 		if surplus > 0 && surplus <= max(1, c.units/surplusFraction) {
-			target[i] = c.units
+			targets[i] = c.units
 		}
 	}
 }
--- a/budget/move_rate.go
+++ b/budget/move_rate.go
@@ -22,44 +22,44 @@
 
 // moveRate limits the rate of log entries for moves: a token bucket for each size, and an interval between any two.
 type moveRate struct {
-	smallTokens float64
-	largeTokens float64
-	refilledAt  Time
-	lastEntry   Time
+	smallTokens   float64
+	largeTokens   float64
+	refilledAt    Time
+	lastEntryTime Time
 }
 
 // reset fills the bucket of large moves for a new term.
 func (r *moveRate) reset(now Time) {
 	r.largeTokens = largeMoveBurst
 	r.refilledAt = now
-	r.lastEntry = now - minMoveInterval
+	r.lastEntryTime = now - minMoveInterval
 }
 
-// next refills the buckets and returns the earliest time at which an entry for moves of this size may be proposed.
-func (r *moveRate) next(now Time, size moveSize, nodes int) Time {
+// earliestEntryTime refills the buckets and returns the earliest time at which an entry for moves of this size may be proposed.
+func (r *moveRate) earliestEntryTime(now Time, size moveSize, nodes int) Time {
 	elapsed := seconds(now - r.refilledAt)
 	smallRate := max(minSmallMoves, smallMovesPerNode*float64(nodes))
 	r.smallTokens = min(1, r.smallTokens+smallRate*elapsed)
 	r.largeTokens = min(largeMoveBurst, r.largeTokens+largeMoveRate*elapsed)
 	r.refilledAt = now
-	at := r.lastEntry + minMoveInterval
+	t := r.lastEntryTime + minMoveInterval
 	if size == smallMove && r.smallTokens < 1 {
-		at = max(at, whenFull(now, r.smallTokens, smallRate))
+		t = max(t, nextTokenTime(now, r.smallTokens, smallRate))
 	}
 	if size == largeMove && r.largeTokens < 1 {
-		at = max(at, whenFull(now, r.largeTokens, largeMoveRate))
+		t = max(t, nextTokenTime(now, r.largeTokens, largeMoveRate))
 	}
-	return at
+	return t
 }
 
-// whenFull returns when a bucket will have a whole token.
-func whenFull(now Time, tokens, perSecond float64) Time {
+// nextTokenTime returns when a bucket will have a whole token.
+func nextTokenTime(now Time, tokens, perSecond float64) Time {
 	return now + 1 + Time((1-tokens)/perSecond*float64(1000*lease.Millisecond))
 }
 
 // spend counts an entry.
 func (r *moveRate) spend(now Time, size moveSize) {
-	r.lastEntry = now
+	r.lastEntryTime = now
 	if size == largeMove {
 		r.largeTokens--
 	} else {
--- a/budget/turns.go
+++ b/budget/turns.go
@@ -14,8 +14,8 @@
 
 // turn is the history of one node's quota of a budget.
 type turn struct {
-	holds        bool // it has units
-	since        Time // when it last came to have units
+	hasUnits     bool // it has units
+	acquiredAt   Time // when it last came to have units
 	waitingSince Time // when it last came to have none
 }
 
@@ -24,18 +24,18 @@
 
 const (
 	turnRunning phase = iota // has had its unit for less than minTurn
-	turnWaited
-	turnOver
+	turnWaiting
+	turnExpired
 )
 
 func (t turn) phase(now Time) phase {
 	switch {
-	case t.holds && now < t.since+minTurn:
+	case t.hasUnits && now < t.acquiredAt+minTurn:
 		return turnRunning
-	case !t.holds:
-		return turnWaited
+	case !t.hasUnits:
+		return turnWaiting
 	}
-	return turnOver
+	return turnExpired
 }
 
 // compareTurns orders by phase, then those that wait by how long they have, and those that hold units by how recently they
@@ -44,8 +44,8 @@
 	if byPhase := cmp.Compare(a.phase(now), b.phase(now)); byPhase != 0 {
 		return byPhase
 	}
-	if a.holds {
-		return cmp.Compare(b.since, a.since)
+	if a.hasUnits {
+		return cmp.Compare(b.acquiredAt, a.acquiredAt)
 	}
 	return cmp.Compare(a.waitingSince, b.waitingSince)
 }
@@ -57,49 +57,49 @@
 		turns = map[string]turn{}
 		a.turns[d.name] = turns
 	}
-	for i, l := range d.leases {
-		t, known := turns[l]
-		holds := d.claims[i].units > 0
+	for i, leaseName := range d.leaseNames {
+		t, known := turns[leaseName]
+		hasUnits := d.claims[i].units > 0
 		switch {
-		case holds && !t.holds:
-			t.since = now
-		case !holds && t.holds || !known:
+		case hasUnits && !t.hasUnits:
+			t.acquiredAt = now
+		case !hasUnits && t.hasUnits || !known:
 			t.waitingSince = now
 		}
-		t.holds = holds
-		turns[l] = t
+		t.hasUnits = hasUnits
+		turns[leaseName] = t
 	}
-	maps.DeleteFunc(turns, func(l string, _ turn) bool {
-		_, found := slices.BinarySearch(d.leases, l)
+	maps.DeleteFunc(turns, func(leaseName string, _ turn) bool {
+		_, found := slices.BinarySearch(d.leaseNames, leaseName)
 		return !found
 	})
 }
 
-// targetsByTurn gives a unit to as many nodes as there are units for: to those whose turn runs, then to those that have
+// computeTurnTargets gives a unit to as many nodes as there are units for: to those whose turn runs, then to those that have
 // waited longest. It ranks the claims in this order.
-func (a *Allocator) targetsByTurn(now Time, d *division) []int {
+func (a *Allocator) computeTurnTargets(now Time, d *division) []int {
 	turns := a.turns[d.name]
-	order := sortedIndices(len(d.leases), func(i, j int) int {
-		return compareTurns(now, turns[d.leases[i]], turns[d.leases[j]])
+	order := sortedIndices(len(d.leaseNames), func(i, j int) int {
+		return compareTurns(now, turns[d.leaseNames[i]], turns[d.leaseNames[j]])
 	})
 	for rank, i := range order {
 		d.claims[i].rank = rank
 		d.claims[i].demand = min(d.claims[i].demand, 1)
 	}
-	a.retryAt = min(nextTurnEnd(now, d.leases, turns), now+minTurn/2)
-	return maxMinShares(d.units(), d.claims)
+	a.retryTime = min(nextTurnEnd(now, d.leaseNames, turns), now+minTurn/2)
+	return maxMinShares(d.divisibleUnits(), d.claims)
 }
 
 // nextTurnEnd returns when the first of the running turns ends, math.MaxInt64 if none does. A node that is alone has no
 // other to make room for.
-func nextTurnEnd(now Time, leases []string, turns map[string]turn) Time {
+func nextTurnEnd(now Time, leaseNames []string, turns map[string]turn) Time {
 	end := Time(math.MaxInt64)
-	if len(leases) == 1 {
+	if len(leaseNames) == 1 {
 		return end
 	}
-	for _, l := range leases {
-		if t := turns[l]; t.phase(now) == turnRunning {
-			end = min(end, t.since+minTurn)
+	for _, leaseName := range leaseNames {
+		if t := turns[leaseName]; t.phase(now) == turnRunning {
+			end = min(end, t.acquiredAt+minTurn)
 		}
 	}
 	return end
