--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -12,49 +12,49 @@
 // Limits on what an Allocator accepts.
 const (
 	maxNodes    = 4096
-	maxHoldings = 64  // budgets in one request
-	maxWeight   = 1e6 // of a node
+	maxHoldings = 64  // number of budgets in one request
+	maxWeight   = 1e6 // weight of one node
 	maxWait     = 10_000 * lease.Millisecond
 )
 
-// divisionInterval is the shortest time between two divisions, so that changes within it share one log entry.
+// divisionInterval is the minimum time between two divisions. Changes within this interval share one log entry.
 const divisionInterval = 20 * lease.Millisecond
 
 const (
-	entryVersion  = 2       // of the log's entries, the first one with budgets
-	moveEntryName = "parts" // the name under which entries of quota moves are stored
+	entryVersion  = 2       // log entry version; version 2 is the first with budgets
+	moveEntryName = "parts" // Name of log entries that move quotas
 )
 
-// Host performs the actions of an Allocator. Its methods must neither block nor call back.
+// Host performs the actions of an Allocator. Its methods must neither block nor call methods of the Allocator.
 type Host interface {
-	// Propose appends an entry to the replicated log; Allocator.Applied reports the outcome under the same ref.
+	// Propose appends an entry to the replicated log. The caller reports the outcome to Allocator.Applied with the same ref.
 	Propose(ref uint64, e lease.Entry)
-	// Respond answers the request with this id.
+	// Respond sends the response to the request that was passed to Allocator.Handle with this id.
 	Respond(id uint64, r Response)
-	// SetAlarm schedules a call of Allocator.Alarm at that time or soon after; it replaces an earlier alarm.
+	// SetAlarm schedules a call of Allocator.Alarm at time t or soon after. It replaces the previous alarm.
 	SetAlarm(t Time)
 }
 
-// Unsafe disables safeguards, so that tests can show that their checks detect each one's absence.
+// Unsafe disables safeguards. Tests use it to verify that their checks detect the absence of each safeguard.
 type Unsafe struct {
-	ReuseUnreturned    bool // units that a node was asked to give back count as free before it has done so
-	ForgetQuotas       bool // a new leader takes all quotas to be free
-	AcceptStaleReports bool // a report under an outdated quota token counts for the present quota
+	ReuseUnreturned    bool // units that a node was asked to give back count as free before the node has returned them
+	ForgetQuotas       bool // a new leader treats the units of all quotas as free
+	AcceptStaleReports bool // a report with an outdated quota token is applied to the current quota
 }
 
-// nodeRecord is the state of a node that has sent a request in this term.
+// nodeRecord is the leader's in-memory state of a node that has sent a request in this term.
 type nodeRecord struct {
-	token     uint64 // of the node's lease
+	token     uint64 // token of the node's lease
 	weight    float64
-	holdings  map[string]Holding // latest reports, by budget
-	shrinkTo  map[string]int     // units that the node has to come down to, by budget
-	requestID uint64             // id of the request that waits for an answer, 0: none
-	deadline  Time               // of that request
+	holdings  map[string]Holding // latest report of the node, by budget
+	shrinkTo  map[string]int     // units that the node has to shrink its usage to, by budget
+	requestID uint64             // ID of the request that waits for a response, 0: none
+	deadline  Time               // time by which that request must be answered
 }
 
-// Allocator divides all budgets of a cluster on the node that leads. It remembers demand only; the quotas themselves are in
-// the lease.State, so a new leader starts from these, and a node that hasn't reported to it yet keeps its quotas.
-// An Allocator is not safe for concurrent use.
+// Allocator runs on the leader and divides all budgets of the cluster. It keeps only demand in memory; the quotas are part
+// of the replicated lease.State. A new leader therefore starts from the quotas in force, and a node that hasn't reported to
+// the new leader yet keeps its quotas. An Allocator is not safe for concurrent use.
 type Allocator struct {
 	host   Host
 	state  *lease.State
@@ -62,27 +62,27 @@
 
 	leader    bool
 	term      uint64
-	nodes     map[string]*nodeRecord     // by lease
-	turns     map[string]map[string]turn // by budget and lease
-	reserves  map[string]int             // by budget, as of the last division
+	nodes     map[string]*nodeRecord     // by lease name
+	turns     map[string]map[string]turn // by budget and lease name
+	reserves  map[string]int             // units held back for nodes without units as of the last division, by budget
 	lastRef   uint64
-	proposals map[uint64]lease.Entry // not applied yet, by ref
+	proposals map[uint64]lease.Entry // proposed entries whose outcome is unknown, by ref
 
-	moveInFlight bool // one of the proposals is an entry of moves
-	stale        bool // something has changed since the last division
+	moveInFlight bool // one of the proposals moves quotas
+	stale        bool // demand, nodes or the replicated state may have changed since the last division
 	nextDivision Time // earliest time of the next division
-	retryTime    Time // when to divide again though nothing has changed, 0: no need
+	retryTime    Time // time to divide again even if nothing has changed, 0: none
 	moveRate     moveRate
 }
 
-// NewAllocator returns an Allocator that doesn't lead.
+// NewAllocator returns an Allocator that is not the leader.
 func NewAllocator(host Host, state *lease.State, u Unsafe) *Allocator {
 	a := &Allocator{host: host, state: state, unsafe: u}
 	a.Demote()
 	return a
 }
 
-// Promote makes the Allocator the leader's. An entry of this term must have been applied to the state already.
+// Promote starts the leadership of a term. The caller must have applied an entry of this term to the state.
 func (a *Allocator) Promote(now Time, term uint64) {
 	a.Demote()
 	a.leader = true
@@ -94,7 +94,7 @@
 	a.StateChanged(now)
 }
 
-// freeAllQuotas takes all units off all nodes, without asking them.
+// freeAllQuotas proposes to remove the quotas of all nodes, which may still use them. Only Unsafe.ForgetQuotas needs it.
 func (a *Allocator) freeAllQuotas() {
 	var moves []lease.QuotaMove
 	for name, b := range a.state.Budgets {
@@ -105,8 +105,8 @@
 	a.propose(lease.Entry{Kind: lease.KindMoveQuotas, Moves: moves})
 }
 
-// Demote ends leadership, or what may have been it: it answers all waiting requests with lease.ErrNotLeader and discards
-// everything remembered of the nodes.
+// Demote ends the leadership, if any. It answers all waiting requests with lease.ErrNotLeader and discards the state of all
+// nodes.
 func (a *Allocator) Demote() {
 	for _, name := range slices.Sorted(maps.Keys(a.nodes)) {
 		a.reply(a.nodes[name], Response{Err: lease.ErrNotLeader})
@@ -123,7 +123,8 @@
 // IsLeader reports whether the Allocator believes that it leads.
 func (a *Allocator) IsLeader() bool { return a.leader }
 
-// Demand returns the units of a budget that all nodes in contact could use, and those held back for nodes without any.
+// Demand returns the units of a budget that the nodes known in this term could use in total, and the units that are held
+// back for nodes without units.
 func (a *Allocator) Demand(name string) (demand, reserve int) {
 	for _, n := range a.nodes {
 		demand += n.holdings[name].Demand
@@ -131,14 +132,15 @@
 	return demand, a.reserves[name]
 }
 
-// Handle takes a node's request. Its id must be above 0 and different from those of all requests that wait.
+// Handle processes a node's request. The id must be above 0 and differ from the ids of all requests that wait for a
+// response.
 func (a *Allocator) Handle(now Time, id uint64, r Request) {
 	if err := a.validate(r); err != nil {
 		a.host.Respond(id, Response{Err: err})
 		return
 	}
 	n := a.getOrCreateNode(r)
-	a.reply(n, Response{Err: lease.ErrWithdrawn}) // a node's later request replaces its earlier one
+	a.reply(n, Response{Err: lease.ErrWithdrawn}) // a new request of a node replaces the one that waits
 	n.requestID = id
 	n.deadline = now + min(max(r.Wait, 0), maxWait)
 	n.weight = cmp.Or(r.Weight, 1)
@@ -148,7 +150,7 @@
 	a.scheduleAlarm(now)
 }
 
-// validate returns the error that a request is refused with, if any.
+// validate returns the error to refuse a request with, or nil.
 func (a *Allocator) validate(r Request) error {
 	if !a.leader {
 		return lease.ErrNotLeader
@@ -165,7 +167,8 @@
 	return nil
 }
 
-// getOrCreateNode returns the record of the request's node, a new one if the node or its lease is new.
+// getOrCreateNode returns the record of the node that sent the request. It creates a new record if the node is unknown or
+// its lease token has changed.
 func (a *Allocator) getOrCreateNode(r Request) *nodeRecord {
 	n := a.nodes[r.Lease]
 	if n != nil && n.token == r.Token {
@@ -180,7 +183,8 @@
 	return n
 }
 
-// recordHoldings keeps a node's reports, and notes whether one of them calls for a division.
+// recordHoldings stores a node's reports. It requests a division if a budget is reported for the first time, its demand has
+// changed, or units have been returned.
 func (a *Allocator) recordHoldings(n *nodeRecord, r Request) {
 	for _, h := range r.Holdings {
 		previous, known := n.holdings[h.Budget]
@@ -193,7 +197,7 @@
 	}
 }
 
-// proposeDeclared proposes the budgets of a node's configuration that the cluster doesn't have yet.
+// proposeDeclared proposes to create the budgets of a node's configuration that the cluster doesn't have yet.
 func (a *Allocator) proposeDeclared(declared map[string]lease.BudgetConfig) {
 	for _, name := range slices.Sorted(maps.Keys(declared)) {
 		if a.state.Budgets[name] != nil || a.isProposed(name) {
@@ -205,7 +209,7 @@
 	}
 }
 
-// isProposed reports whether a proposal for this budget is not applied yet.
+// isProposed reports whether the outcome of a proposal to create this budget is still unknown.
 func (a *Allocator) isProposed(name string) bool {
 	for _, e := range a.proposals {
 		if e.Kind == lease.KindSetBudget && e.Name == name {
@@ -215,7 +219,7 @@
 	return false
 }
 
-// CallerGone drops a waiting request whose caller has disconnected. The node itself stays known.
+// CallerGone drops a waiting request whose caller has disconnected. The record of the node stays.
 func (a *Allocator) CallerGone(id uint64) {
 	for _, n := range a.nodes {
 		if n.requestID == id {
@@ -224,7 +228,7 @@
 	}
 }
 
-// StateChanged must be called after any entry has been applied to the state.
+// StateChanged must be called after entries have been applied to the state.
 func (a *Allocator) StateChanged(now Time) {
 	if a.leader {
 		a.stale = true
@@ -232,7 +236,7 @@
 	}
 }
 
-// Applied reports the outcome of a proposal. lost means that it is unknown whether the entry is or will be applied.
+// Applied must be called with the outcome of a proposal. lost means that the entry may or may not be applied, now or later.
 func (a *Allocator) Applied(now Time, ref uint64, lost bool) {
 	e, ok := a.proposals[ref]
 	if !ok {
@@ -242,7 +246,7 @@
 	if e.Kind == lease.KindMoveQuotas {
 		a.moveInFlight = false
 		if lost {
-			a.nextDivision = now + divisionInterval // the state may show the outcome by then
+			a.nextDivision = now + divisionInterval // the entry may be applied to the state by then
 		}
 	}
 	a.stale = true
@@ -262,7 +266,7 @@
 	a.host.Propose(a.lastRef, e)
 }
 
-// reply answers a node's request, if one waits.
+// reply answers the waiting request of a node, if there is one.
 func (a *Allocator) reply(n *nodeRecord, r Response) {
 	if n.requestID == 0 {
 		return
@@ -278,7 +282,7 @@
 	}
 }
 
-// notifyNode answers a node's waiting request if something has changed for the node.
+// notifyNode answers a node's waiting request if there is an update that the node doesn't know yet.
 func (a *Allocator) notifyNode(name string) {
 	n := a.nodes[name]
 	if n == nil || n.requestID == 0 {
@@ -310,7 +314,7 @@
 	}
 }
 
-// differs reports whether the node that sent this report must be notified of the update.
+// differs reports whether the update contains anything that the node didn't know when it sent the report.
 func (u QuotaUpdate) differs(h Holding) bool {
 	if u.Quota.Token > h.Token || u.Config.Revision != h.Revision {
 		return true
@@ -318,7 +322,7 @@
 	return u.Quota.Token == h.Token && u.ShrinkTo != h.ShrinkTo
 }
 
-// Alarm must be called at or soon after the time that Host.SetAlarm named.
+// Alarm must be called at or soon after the time passed to Host.SetAlarm.
 func (a *Allocator) Alarm(now Time) {
 	if !a.leader {
 		return
@@ -331,7 +335,7 @@
 	a.scheduleAlarm(now)
 }
 
-// expireNodes drops nodes whose lease has ended, and ends the requests that have waited long enough.
+// expireNodes removes the nodes whose lease has ended, and answers the requests whose deadline has passed.
 func (a *Allocator) expireNodes(now Time) {
 	for _, name := range slices.Sorted(maps.Keys(a.nodes)) {
 		n := a.nodes[name]
@@ -345,7 +349,7 @@
 	}
 }
 
-// scheduleAlarm asks for a call at the next division or the next deadline of a request, whichever comes first.
+// scheduleAlarm sets the alarm to the next division or the next request deadline, whichever comes first.
 func (a *Allocator) scheduleAlarm(now Time) {
 	alarmTime := Time(math.MaxInt64)
 	if a.stale && !a.moveInFlight {
--- a/budget/division.go
+++ b/budget/division.go
@@ -9,30 +9,34 @@
 )
 
 const (
-	reserveFraction   = 50 // one in so many allocatable units is held back for nodes that have none,
-	reserveMinPerNode = 2  // unless that leaves less than so many units for each node
-	smallMoveFraction = 32 // moves of less than one in so many of a budget's units are small
+	// The reserve for nodes without units is 1/reserveFraction of the allocatable units.
+	reserveFraction = 50
+	// A budget has no reserve if it has less than reserveMinPerNode allocatable units for each node, plus reserveFraction
+	// units.
+	reserveMinPerNode = 2
+	// Moves of at most 1/smallMoveFraction of a budget's allocatable units count as small.
+	smallMoveFraction = 32
 )
 
-// division is the work of dividing one budget once.
+// division computes the moves of one budget at one time.
 //
-// Invariant: after its moves the quotas of all nodes together are no more than the budget has, or no more than before if the
-// budget was lowered. Only grow raises quotas, and only by units that no node may be using.
+// Invariant: its moves never raise the sum of all quotas above the budget's units. If the budget was lowered and the sum is
+// above already, the moves don't raise it further. Only grow raises quotas, and only by units that no node may be using.
 type division struct {
 	allocator      *Allocator
 	name           string
 	budget         *lease.Budget
-	reserve        int      // units held back for nodes that have none
-	leaseNames     []string // of all nodes that have or may have a quota, sorted
-	claims         []claim  // one for each lease
-	demandingNodes int      // how many of them want any units
-	targets        []int    // units that each should have
+	reserve        int      // units held back for nodes without units
+	leaseNames     []string // leases of all nodes that have a quota or have sent a request, sorted
+	claims         []claim  // by index in leaseNames
+	demandingNodes int      // number of claims with demand
+	targets        []int    // units that each node should have, by index in leaseNames
 
 	moves    []lease.QuotaMove
-	shrinkTo map[string]int // units that nodes have to come down to, by lease
+	shrinkTo map[string]int // units that nodes have to shrink their usage to, by lease name
 }
 
-// divide divides all budgets, and proposes one entry for all moves if the rate of entries allows it.
+// divide divides all budgets. It proposes one log entry with all moves if the rate limit of such entries allows it.
 func (a *Allocator) divide(now Time) {
 	a.stale = false
 	a.nextDivision = now + divisionInterval
@@ -50,7 +54,7 @@
 		if allowed {
 			moves = append(moves, d.moves...)
 		}
-		if allowed || d.isOverAllocated() { // nodes give back what a lowered budget lacks without waiting for an entry
+		if allowed || d.isOverAllocated() { // after a budget was lowered, nodes give units back without waiting for a log entry
 			a.setShrinkTargets(d)
 		}
 	}
@@ -61,7 +65,8 @@
 	a.notifyAllNodes()
 }
 
-// mayMove reports whether an entry for moves of this size may be proposed now; if not, it sets the time to try again.
+// mayMove reports whether a log entry with moves of this size may be proposed now. If the rate limit forbids it, mayMove sets
+// the time to try again.
 func (a *Allocator) mayMove(now Time, size moveSize) bool {
 	earliest := a.moveRate.earliestEntryTime(now, size, len(a.nodes))
 	if size == noMove {
@@ -74,7 +79,7 @@
 	return true
 }
 
-// setShrinkTargets replaces the nodes' shrink targets of one budget.
+// setShrinkTargets replaces the shrink targets of all nodes for one budget.
 func (a *Allocator) setShrinkTargets(d *division) {
 	for _, n := range a.nodes {
 		delete(n.shrinkTo, d.name)
@@ -84,8 +89,8 @@
 	}
 }
 
-// divideBudget works out the moves of one budget: it takes off the nodes what they have given back, gives free units to
-// those below their target, and asks those above it to come down.
+// divideBudget computes the moves and shrink targets of one budget. It removes returned units from the quotas of the nodes
+// that returned them, sets a shrink target for nodes above their target, and gives free units to nodes below their target.
 func (a *Allocator) divideBudget(now Time, name string) *division {
 	b := a.state.Budgets[name]
 	leaseNames := a.leaseNames(b)
@@ -101,7 +106,7 @@
 	return d
 }
 
-// leaseNames returns the leases of all nodes that have or may have a quota of a budget, sorted.
+// leaseNames returns the leases of all nodes that have a quota of a budget or have sent a request in this term, sorted.
 func (a *Allocator) leaseNames(b *lease.Budget) []string {
 	names := map[string]bool{}
 	for name := range b.Quotas {
@@ -113,7 +118,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// reserveUnits returns how many units of a budget are held back for nodes that have none.
+// reserveUnits returns how many units of a budget are held back for nodes without units.
 func reserveUnits(b *lease.Budget, nodes int) int {
 	allocatable := b.Allocatable()
 	if allocatable < reserveMinPerNode*nodes+reserveFraction {
@@ -122,18 +127,18 @@
 	return allocatable / reserveFraction
 }
 
-// divisibleUnits returns what can be divided beside the reserve.
+// divisibleUnits returns the allocatable units without the reserve.
 func (d *division) divisibleUnits() int { return d.budget.Allocatable() - d.reserve }
 
-// isOverAllocated reports whether more is allocated than there is, as after the budget was lowered.
+// isOverAllocated reports whether more units are allocated than the budget has, which happens when the budget is lowered.
 func (d *division) isOverAllocated() bool { return d.budget.Allocated() > d.budget.Allocatable() }
 
-// collectClaims makes the claim of each node, and a move for each that has given units back. A node that hasn't reported
-// in this term claims what it has.
+// collectClaims sets the claim of each node, and adds a move for each node that has returned units. A node that hasn't sent a
+// request in this term claims the units of its quota.
 func (d *division) collectClaims() {
 	minDemand := 0
 	if d.budget.ReservedPerNode == 0 && d.divisibleUnits() >= len(d.leaseNames) {
-		minDemand = 1 // an idle node then has a unit to begin with
+		minDemand = 1 // an idle node then has a unit for its first requests
 	}
 	for i, leaseName := range d.leaseNames {
 		quota := d.budget.Quotas[leaseName]
@@ -154,13 +159,13 @@
 	}
 }
 
-// isCurrent reports whether a holding speaks of the quota that the node has now. An older report says nothing about units
-// that were given since.
+// isCurrent reports whether a holding refers to the current quota of the node. An older report doesn't cover units that were
+// added to the quota later.
 func (d *division) isCurrent(h Holding, quota lease.Quota) bool {
 	return quota.Token != 0 && (h.Token == quota.Token || d.allocator.unsafe.AcceptStaleReports)
 }
 
-// addMove sets the units of a node that is in contact.
+// addMove adds a move that sets the quota of a node. The node must have sent a request in this term.
 func (d *division) addMove(leaseName string, units int) {
 	d.moves = append(d.moves, lease.QuotaMove{
 		Budget:    d.name,
@@ -171,7 +176,8 @@
 	})
 }
 
-// shrink asks nodes above their target to come down. Their units count as free only once they have reported that.
+// shrink sets a shrink target for each node above its target. The surplus counts as free only once the node has reported
+// that it no longer uses it.
 func (d *division) shrink() {
 	for i, leaseName := range d.leaseNames {
 		if d.allocator.nodes[leaseName] == nil || d.targets[i] >= d.claims[i].units {
@@ -184,7 +190,8 @@
 	}
 }
 
-// grow gives free units to nodes below their target. Nodes without any come first, and only they may use the reserve.
+// grow gives free units to nodes below their target. Nodes without units come first, and only they may take units from the
+// reserve.
 func (d *division) grow() {
 	free := d.freeUnits()
 	for _, i := range d.growOrder() {
@@ -194,7 +201,7 @@
 			available -= d.reserve
 		}
 		increase := min(d.targets[i]-c.units, available)
-		if d.allocator.nodes[leaseName] == nil || increase <= 0 || d.hasMove(leaseName) { // one move for each node and division
+		if d.allocator.nodes[leaseName] == nil || increase <= 0 || d.hasMove(leaseName) { // at most one move per node in a division
 			continue
 		}
 		free -= increase
@@ -214,7 +221,7 @@
 	return free
 }
 
-// growOrder returns the indices of the claims: those of nodes without units first, each group by rank.
+// growOrder returns the indices of the claims sorted by rank, with those of nodes without units first.
 func (d *division) growOrder() []int {
 	return sortedIndices(len(d.claims), func(i, j int) int {
 		a, b := d.claims[i], d.claims[j]
@@ -226,14 +233,15 @@
 	return slices.ContainsFunc(d.moves, func(m lease.QuotaMove) bool { return m.Lease == leaseName })
 }
 
-// moveSize says how much has to be moved.
+// moveSize classifies the difference between the nodes' units and their targets.
 func (d *division) moveSize() moveSize {
 	difference, newcomer := 0, false
 	for i, c := range d.claims {
 		difference += max(d.targets[i]-c.units, c.units-d.targets[i])
 		newcomer = newcomer || c.units == 0 && d.targets[i] > 0
 	}
-	largeDifference := 2 * (d.budget.Allocatable() / smallMoveFraction) // a unit that moves counts twice: where it is missing, and where it is too much
+	// A unit that moves counts twice in the difference: once for the node that gives it and once for the node that gets it.
+	largeDifference := 2 * (d.budget.Allocatable() / smallMoveFraction)
 	switch {
 	case newcomer || difference > largeDifference || d.isOverAllocated():
 		return largeMove
@@ -243,8 +251,9 @@
 	return noMove
 }
 
-// computeTargets returns how many units each node should have. Where there are fewer units than nodes that want one, the nodes
-// take turns; else each that wants any has one, and the rest is divided by weighted max-min.
+// computeTargets returns how many units each node should have. If there are fewer units than nodes with demand, the nodes
+// take turns. Otherwise each node with demand gets one unit, and the remaining units are divided by weighted max-min
+// fairness.
 func (a *Allocator) computeTargets(now Time, d *division) []int {
 	if d.divisibleUnits() < d.demandingNodes {
 		return a.computeTurnTargets(now, d)
@@ -265,7 +274,7 @@
 	return targets
 }
 
-// sortedIndices returns 0 to n-1 in the order of compare, a stable one.
+// sortedIndices returns the integers from 0 to n-1, sorted by compare with a stable sort.
 func sortedIndices(n int, compare func(i, j int) int) []int {
 	indices := make([]int, n)
 	for i := range indices {
--- a/budget/max_min.go
+++ b/budget/max_min.go
@@ -6,19 +6,20 @@
 	"slices"
 )
 
-// surplusFraction: a surplus of one in so many of a node's units isn't worth taking from it.
+// A node keeps a surplus of one unit, or of up to 1/surplusFraction of its units.
 const surplusFraction = 16
 
-// claim is what one node brings to a division.
+// claim is the input of one node to a division.
 type claim struct {
-	demand int     // units that it can use
-	weight float64 // relative to the other claims, above 0
-	units  int     // units that it has
-	rank   int     // lower ones come first where single units are left over
+	demand int     // units that the node can use
+	weight float64 // weight relative to the other claims, above 0
+	units  int     // units that the node has
+	rank   int     // claims of lower rank come first when single units remain after rounding
 }
 
-// maxMinShares divides units by weighted max-min fairness: no claim gets more than its demand, and what a satisfied claim
-// leaves goes to the others by weight. The units left over by rounding go one each, by rank.
+// maxMinShares divides units by weighted max-min fairness. No claim gets more than its demand. Units that satisfied claims
+// don't need are divided among the other claims by weight. Units that remain after rounding down go to these claims one
+// each, by rank.
 func maxMinShares(units int, claims []claim) []int {
 	shares := make([]int, len(claims))
 	unsatisfied := demandingClaims(claims)
@@ -43,7 +44,7 @@
 	if len(unsatisfied) == 0 {
 		return shares
 	}
-	leftover := int(math.Round(remaining)) // whole but for the float arithmetic
+	leftover := int(math.Round(remaining)) // an integer except for floating-point errors
 	for _, i := range unsatisfied {
 		shares[i] = int(unitsPerWeight * claims[i].weight)
 		leftover -= shares[i]
@@ -58,7 +59,7 @@
 	return shares
 }
 
-// demandingClaims returns the indices of claims with any demand, the lowest demand for their weight first.
+// demandingClaims returns the indices of the claims with demand, sorted by demand per weight, lowest first.
 func demandingClaims(claims []claim) []int {
 	indices := make([]int, 0, len(claims))
 	for i, c := range claims {
@@ -74,8 +75,9 @@
 	return indices
 }
 
-// keepSmallSurpluses keeps a division from oscillating: a node with slightly more than its target keeps the surplus,
-// unless the free units don't cover what others lack by more than slightly.
+// keepSmallSurpluses prevents oscillation between divisions. It raises the target of a node that has slightly more units than
+// its target, so that the node keeps the surplus. It changes nothing if the free units don't cover the total shortfall of the
+// nodes that are more than slightly below their target.
 func keepSmallSurpluses(units int, claims []claim, targets []int) {
 	free, totalShortfall := units, 0
 	for i, c := range claims {
--- a/budget/move_rate.go
+++ b/budget/move_rate.go
@@ -2,16 +2,16 @@
 
 import "github.com/thistlerudder/thistlerudder/lease"
 
-// How many entries of moves the log takes. Steady demand, where moves are small, costs few of them.
+// Rate limits on log entries that move quotas. Under steady demand, moves are small and take few entries.
 const (
-	smallMovesPerNode = 0.05 // entries a second for small moves, for each node,
-	minSmallMoves     = 0.8  // and at least so many a second for all
-	largeMoveRate     = 4.0  // entries a second for large moves
-	largeMoveBurst    = 12.0 // and so many at once
-	minMoveInterval   = 150 * lease.Millisecond
+	smallMovesPerNode = 0.05                    // entries per second with small moves, for each node
+	minSmallMoves     = 0.8                     // lower bound on the entries per second with small moves, for all nodes
+	largeMoveRate     = 4.0                     // entries per second with large moves
+	largeMoveBurst    = 12.0                    // burst of entries with large moves
+	minMoveInterval   = 150 * lease.Millisecond // between any two entries
 )
 
-// moveSize says how much a division has to move.
+// moveSize classifies the moves of a division.
 type moveSize int
 
 const (
@@ -20,7 +20,8 @@
 	largeMove
 )
 
-// moveRate limits the rate of log entries for moves: a token bucket for each size, and an interval between any two.
+// moveRate limits the rate of log entries that move quotas. It has a token bucket for each move size and enforces a minimum
+// interval between any two entries.
 type moveRate struct {
 	smallTokens   float64
 	largeTokens   float64
@@ -28,14 +29,15 @@
 	lastEntryTime Time
 }
 
-// reset fills the bucket of large moves for a new term.
+// reset fills the bucket for large moves at the start of a term.
 func (r *moveRate) reset(now Time) {
 	r.largeTokens = largeMoveBurst
 	r.refilledAt = now
 	r.lastEntryTime = now - minMoveInterval
 }
 
-// earliestEntryTime refills the buckets and returns the earliest time at which an entry for moves of this size may be proposed.
+// earliestEntryTime refills the buckets. It returns the earliest time at which an entry with moves of this size may be
+// proposed.
 func (r *moveRate) earliestEntryTime(now Time, size moveSize, nodes int) Time {
 	elapsed := seconds(now - r.refilledAt)
 	smallRate := max(minSmallMoves, smallMovesPerNode*float64(nodes))
@@ -52,12 +54,12 @@
 	return t
 }
 
-// nextTokenTime returns when a bucket will have a whole token.
+// nextTokenTime returns when a bucket that now holds less than one token will hold one.
 func nextTokenTime(now Time, tokens, perSecond float64) Time {
 	return now + 1 + Time((1-tokens)/perSecond*float64(1000*lease.Millisecond))
 }
 
-// spend counts an entry.
+// spend takes one token for an entry with moves of this size.
 func (r *moveRate) spend(now Time, size moveSize) {
 	r.lastEntryTime = now
 	if size == largeMove {
--- a/budget/turns.go
+++ b/budget/turns.go
@@ -9,23 +9,23 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// minTurn is how long a node keeps its unit where there are fewer units than nodes that want one.
+// minTurn is the minimum time for which a node keeps its unit if there are fewer units than nodes with demand.
 const minTurn = 500 * lease.Millisecond
 
-// turn is the history of one node's quota of a budget.
+// turn records since when a node has had units of a budget, or has been without.
 type turn struct {
-	hasUnits     bool // it has units
-	acquiredAt   Time // when it last came to have units
-	waitingSince Time // when it last came to have none
+	hasUnits     bool
+	acquiredAt   Time // division at which the node last acquired units
+	waitingSince Time // division at which the node lost its units or was first seen without units
 }
 
-// phase orders nodes that take turns.
+// phase is the state of a node that takes turns. Nodes in a lower phase get units first.
 type phase int
 
 const (
-	turnRunning phase = iota // has had its unit for less than minTurn
-	turnWaiting
-	turnExpired
+	turnRunning phase = iota // has had units for less than minTurn
+	turnWaiting              // has no units
+	turnExpired              // has had units for minTurn or longer
 )
 
 func (t turn) phase(now Time) phase {
@@ -38,8 +38,8 @@
 	return turnExpired
 }
 
-// compareTurns orders by phase, then those that wait by how long they have, and those that hold units by how recently they
-// came to have them.
+// compareTurns orders nodes by phase. Within a phase, nodes without units come in the order of their waiting time, longest
+// first, and nodes with units in the order in which they acquired them, latest first.
 func compareTurns(now Time, a, b turn) int {
 	if byPhase := cmp.Compare(a.phase(now), b.phase(now)); byPhase != 0 {
 		return byPhase
@@ -50,7 +50,8 @@
 	return cmp.Compare(a.waitingSince, b.waitingSince)
 }
 
-// updateTurns notes which nodes have come to have units of a budget, or to have none, since the last division.
+// updateTurns records which nodes have acquired units of a budget, or have lost all of them, since the last division. It
+// removes the records of nodes that are no longer part of the division.
 func (a *Allocator) updateTurns(now Time, d *division) {
 	turns := a.turns[d.name]
 	if turns == nil {
@@ -75,8 +76,9 @@
 	})
 }
 
-// computeTurnTargets gives a unit to as many nodes as there are units for: to those whose turn runs, then to those that have
-// waited longest. It ranks the claims in this order.
+// computeTurnTargets returns a target of one unit for as many nodes as there are units. Nodes whose turn is running come
+// first, then those that have waited longest, then those whose turn has expired. The ranks of the claims are set to this
+// order.
 func (a *Allocator) computeTurnTargets(now Time, d *division) []int {
 	turns := a.turns[d.name]
 	order := sortedIndices(len(d.leaseNames), func(i, j int) int {
@@ -90,8 +92,8 @@
 	return maxMinShares(d.divisibleUnits(), d.claims)
 }
 
-// nextTurnEnd returns when the first of the running turns ends, math.MaxInt64 if none does. A node that is alone has no
-// other to make room for.
+// nextTurnEnd returns when the first of the running turns ends, or math.MaxInt64 if no turn is running. With a single node
+// it returns math.MaxInt64 too, because no other node waits for the unit.
 func nextTurnEnd(now Time, leaseNames []string, turns map[string]turn) Time {
 	end := Time(math.MaxInt64)
 	if len(leaseNames) == 1 {
