--- a/budget/allowance/limiter.go
+++ b/budget/allowance/limiter.go
@@ -23,12 +23,12 @@
 }
 
 // Max returns the larger of each field.
-func (u Usage) Max(o Usage) Usage {
+func (u Usage) Max(other Usage) Usage {
 	return Usage{
-		Wanted:      max(u.Wanted, o.Wanted),
-		Done:        max(u.Done, o.Done),
-		InFlight:    max(u.InFlight, o.InFlight),
-		MeanSeconds: max(u.MeanSeconds, o.MeanSeconds),
+		Wanted:      max(u.Wanted, other.Wanted),
+		Done:        max(u.Done, other.Done),
+		InFlight:    max(u.InFlight, other.InFlight),
+		MeanSeconds: max(u.MeanSeconds, other.MeanSeconds),
 	}
 }
 
--- a/budget/demand.go
+++ b/budget/demand.go
@@ -36,11 +36,11 @@
 type demandEstimate struct {
 	units int // as reported to the leader
 
-	recentRate   float64 // requests a second over the recent window
-	meanRate     float64 // requests a second over the mean window
-	meanAge      float64 // seconds that meanRate covers
-	shiftSeconds float64 // for which meanRate still follows recentRate, since demand has shifted
-	meanSeconds  float64 // that a request takes
+	recentRate         float64 // requests a second over the recent window
+	meanRate           float64 // requests a second over the mean window
+	meanSpan           float64 // seconds that meanRate covers
+	shiftSecondsLeft   float64 // for which meanRate still follows recentRate, since demand has shifted
+	meanRequestSeconds float64 // that a request takes
 
 	countedUntil Time
 	uncounted    float64 // requests since countedUntil
@@ -53,7 +53,7 @@
 // has passed.
 func (e *demandEstimate) record(now Time, u allowance.Usage) bool {
 	if u.MeanSeconds > 0 {
-		e.meanSeconds = u.MeanSeconds
+		e.meanRequestSeconds = u.MeanSeconds
 	}
 	elapsed := seconds(now - e.countedUntil)
 	if elapsed <= 0 {
@@ -61,30 +61,30 @@
 		return false
 	}
 	e.countedUntil = now
-	e.average((u.Wanted+e.uncounted)/elapsed, elapsed)
+	e.updateAverages((u.Wanted+e.uncounted)/elapsed, elapsed)
 	e.uncounted = 0
 	return true
 }
 
-// average takes the rate over the last elapsed seconds into the averages.
-func (e *demandEstimate) average(rate, elapsed float64) {
+// updateAverages takes the rate over the last elapsed seconds into the averages.
+func (e *demandEstimate) updateAverages(rate, elapsed float64) {
 	e.recentRate += (rate - e.recentRate) * min(1, elapsed/seconds(recentWindow))
-	e.meanAge = min(e.meanAge+elapsed, seconds(meanWindow))
-	e.meanRate += (rate - e.meanRate) * min(1, elapsed/e.meanAge)
+	e.meanSpan = min(e.meanSpan+elapsed, seconds(meanWindow))
+	e.meanRate += (rate - e.meanRate) * min(1, elapsed/e.meanSpan)
 	// The variance of a Poisson rate that is averaged exponentially is the rate divided by twice the window.
 	difference := e.recentRate - e.meanRate
 	if difference*difference > shiftThreshold*shiftThreshold*max(e.meanRate, 1/seconds(recentWindow))/2/seconds(recentWindow) {
-		e.shiftSeconds = seconds(shiftDuration)
+		e.shiftSecondsLeft = seconds(shiftDuration)
 	}
-	e.shiftSeconds -= elapsed
+	e.shiftSecondsLeft -= elapsed
 	if e.hasShifted() {
 		e.meanRate = e.recentRate
-		e.meanAge = seconds(recentWindow)
+		e.meanSpan = seconds(recentWindow)
 	}
 }
 
 // hasShifted reports whether demand has shifted of late.
-func (e *demandEstimate) hasShifted() bool { return e.shiftSeconds > 0 }
+func (e *demandEstimate) hasShifted() bool { return e.shiftSecondsLeft > 0 }
 
 // need returns how many units the node could use, headroom included and not rounded.
 func (e *demandEstimate) need(config lease.BudgetConfig) float64 {
@@ -92,7 +92,7 @@
 	if config.Kind == lease.RateKind {
 		mean = e.meanRate / config.RatePerUnit
 	} else {
-		mean = e.meanRate * e.meanSeconds // Little's law
+		mean = e.meanRate * e.meanRequestSeconds // Little's law
 		mean += concurrencyHeadroom * math.Sqrt(mean)
 	}
 	return mean*(1+rateHeadroom) + roundUpUnits
@@ -112,18 +112,18 @@
 	unchanged := units >= e.units || units > 0 && need >= float64(e.units)-tolerance
 	switch {
 	case shifted || risen:
-		return e.set(units)
+		return e.setUnits(units)
 	case unchanged:
 		e.lowerSince = 0
 	case e.lowerSince == 0:
 		e.lowerSince = now
 	case now-e.lowerSince >= lowerDelay:
-		return e.set(units)
+		return e.setUnits(units)
 	}
 	return false
 }
 
-func (e *demandEstimate) set(units int) bool {
+func (e *demandEstimate) setUnits(units int) bool {
 	e.units = units
 	e.lowerSince = 0
 	return true
--- a/budget/loan.go
+++ b/budget/loan.go
@@ -20,7 +20,7 @@
 
 // Lend lets the node's next process use half of the units that are not in use, for the duration returned. Each call renews
 // the loan. A closed client lends no more than it has lent already.
-func (c *QuotaClient) Lend(now Time) (all []LentQuota, duration Time) {
+func (c *QuotaClient) Lend(now Time) (lent []LentQuota, duration Time) {
 	if c.closed && now >= c.loanEnd {
 		return nil, 0
 	}
@@ -31,10 +31,10 @@
 		if !c.closed {
 			b.lendHalf()
 		}
-		all = append(all, LentQuota{Name: b.name, Units: b.loan.units + b.loan.reserved, Config: b.config})
+		lent = append(lent, LentQuota{Name: b.name, Units: b.loan.units + b.loan.reserved, Config: b.config})
 	}
 	c.sample(now)
-	return all, max(0, c.loanEnd-now)
+	return lent, max(0, c.loanEnd-now)
 }
 
 // lendHalf raises the loan to half of what is idle. It never lowers it: the borrower may be using it.
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -25,7 +25,7 @@
 	// sent in between.
 	Send(r Request)
 	// SetAlarm schedules a call of QuotaClient.Alarm at that time or soon after; it replaces an earlier alarm.
-	SetAlarm(at Time)
+	SetAlarm(t Time)
 }
 
 // clientBudget is a node's side of one budget.
@@ -64,7 +64,7 @@
 	cutoffMargin Time // before the lease's end, from which on no request begins under a concurrency budget
 	lastSample   Time
 	nextRequest  Time // earliest time of the next request to the leader
-	changed      bool // there is something to report
+	reportNeeded bool // there is something to report
 	loanEnd      Time
 	closed       bool
 }
@@ -81,7 +81,7 @@
 		leaseEnd:     leaseEnd,
 		cutoffMargin: cutoffMargin,
 		lastSample:   now,
-		changed:      true,
+		reportNeeded: true,
 		nextRequest:  now,
 	}
 	for _, name := range slices.Sorted(maps.Keys(configs)) {
@@ -116,14 +116,14 @@
 	if c.closed {
 		units, reserved = 0, 0
 	}
-	own := max(0, units-b.loan.units)
+	ownUnits := max(0, units-b.loan.units)
 	reserved = max(0, reserved-b.loan.reserved)
-	usage := c.host.SetQuota(b.name, b.config, own+reserved, reserved, c.quotaEnd(b))
+	usage := c.host.SetQuota(b.name, b.config, ownUnits+reserved, reserved, c.quotaEnd(b))
 	b.requestsInFlight = usage.InFlight
 	b.requestsDone = usage.Done
-	b.unitsInUse = b.inUse(units, reserved)
+	b.unitsInUse = b.maxUnitsInUse(units, reserved)
 	if b.demand.record(now, usage) {
-		c.changed = b.demand.update(now, b.config) || c.changed
+		c.reportNeeded = b.demand.update(now, b.config) || c.reportNeeded
 	}
 }
 
@@ -136,20 +136,20 @@
 	return c.leaseEnd
 }
 
-// inUse returns the new bound on the units in use, under a quota of these units and these reserved ones.
-func (b *clientBudget) inUse(units, reserved int) int {
-	inUse := max(units, b.loan.units)
+// maxUnitsInUse returns the new bound on the units in use, under a quota of these units and these reserved ones.
+func (b *clientBudget) maxUnitsInUse(units, reserved int) int {
+	bound := max(units, b.loan.units)
 	if b.config.Kind == lease.ConcurrencyKind { // units come back only as requests end
-		busy := b.loan.units + max(0, b.requestsInFlight-reserved)
-		inUse = max(inUse, min(b.unitsInUse, busy))
+		occupied := b.loan.units + max(0, b.requestsInFlight-reserved)
+		bound = max(bound, min(b.unitsInUse, occupied))
 	}
-	return inUse
+	return bound
 }
 
 // holdings returns the reports on all budgets.
-func (c *QuotaClient) holdings() (all []Holding) {
+func (c *QuotaClient) holdings() (reports []Holding) {
 	for _, b := range c.budgets {
-		all = append(all, Holding{
+		reports = append(reports, Holding{
 			Budget:   b.name,
 			Token:    b.token,
 			Units:    b.unitsInUse,
@@ -158,7 +158,7 @@
 			Revision: b.revision(),
 		})
 	}
-	return all
+	return reports
 }
 
 // revision returns the revision of the cluster's configuration that the node knows, 0 for none.
@@ -177,7 +177,7 @@
 			declared[b.name] = b.config
 		}
 	}
-	c.changed = false
+	c.reportNeeded = false
 	c.nextRequest = now + minRequestInterval
 	c.host.Send(Request{
 		Lease:    c.lease,
@@ -202,13 +202,13 @@
 	if r.Err != nil && !errors.Is(r.Err, lease.ErrStillHeld) {
 		c.nextRequest = now + retryInterval
 	}
-	c.changed = true // the next request waits at the leader for what follows
+	c.reportNeeded = true // the next request waits at the leader for what follows
 	for _, u := range r.Updates {
-		at := slices.IndexFunc(c.budgets, func(b *clientBudget) bool { return b.name == u.Budget })
-		if at < 0 {
+		i := slices.IndexFunc(c.budgets, func(b *clientBudget) bool { return b.name == u.Budget })
+		if i < 0 {
 			continue
 		}
-		b := c.budgets[at]
+		b := c.budgets[i]
 		if !b.confirmed && !sameBudget(b.config, u.Config) {
 			mismatches = append(mismatches, ConfigMismatch{Name: u.Budget, Local: b.config, Agreed: u.Config})
 		}
@@ -245,7 +245,7 @@
 
 // HandleTimeout reports that the request sent last got no answer. The leader may have received it.
 func (c *QuotaClient) HandleTimeout(now Time) {
-	c.changed = true
+	c.reportNeeded = true
 	c.nextRequest = now + retryInterval
 	c.host.SetAlarm(c.nextRequest)
 }
@@ -253,21 +253,21 @@
 // Alarm must be called at or soon after the time that ClientHost.SetAlarm named.
 func (c *QuotaClient) Alarm(now Time) {
 	if now >= c.lastSample+sampleInterval {
-		before := c.holdings()
+		previous := c.holdings()
 		c.sample(now)
 		for i, h := range c.holdings() {
-			c.changed = c.changed || h.Units < before[i].Units // requests have ended, so units can be given back
+			c.reportNeeded = c.reportNeeded || h.Units < previous[i].Units // requests have ended, so units can be given back
 		}
 	}
-	if c.changed && now >= c.nextRequest {
+	if c.reportNeeded && now >= c.nextRequest {
 		c.send(now)
 		return
 	}
-	at := c.lastSample + sampleInterval
-	if c.changed {
-		at = min(at, c.nextRequest)
+	alarmTime := c.lastSample + sampleInterval
+	if c.reportNeeded {
+		alarmTime = min(alarmTime, c.nextRequest)
 	}
-	c.host.SetAlarm(max(at, now+1))
+	c.host.SetAlarm(max(alarmTime, now+1))
 }
 
 // QuotaStatus is a node's view of one budget, for display.
@@ -283,9 +283,9 @@
 }
 
 // Status returns the node's view of all budgets.
-func (c *QuotaClient) Status() (all []QuotaStatus) {
+func (c *QuotaClient) Status() (statuses []QuotaStatus) {
 	for _, b := range c.budgets {
-		all = append(all, QuotaStatus{
+		statuses = append(statuses, QuotaStatus{
 			Name:      b.name,
 			Config:    b.config,
 			Confirmed: b.confirmed,
@@ -298,7 +298,7 @@
 			End:       c.leaseEnd,
 		})
 	}
-	return all
+	return statuses
 }
 
 // Close stops all new use of the quotas. They end with the lease, which may be released once Idle returns true.
@@ -310,6 +310,6 @@
 // Idle reports whether nothing is in flight any more, here or in the process that quotas were lent to.
 func (c *QuotaClient) Idle(now Time) bool {
 	c.sample(now)
-	busy := func(b *clientBudget) bool { return b.requestsInFlight > 0 || b.unitsInUse > 0 }
-	return now >= c.loanEnd && !slices.ContainsFunc(c.budgets, busy)
+	inUse := func(b *clientBudget) bool { return b.requestsInFlight > 0 || b.unitsInUse > 0 }
+	return now >= c.loanEnd && !slices.ContainsFunc(c.budgets, inUse)
 }
