--- a/budget/allowance/limiter.go
+++ b/budget/allowance/limiter.go
@@ -1,28 +1,29 @@
-// Package allowance limits what a node does by its quota of a budget: a rate by a token bucket, or a concurrency, until the
-// quota ends, and a lower limit after that. It does no I/O and reads no clock: its times are in ticks of a tenth of a
-// millisecond. What to do with a request that the limit denies is the caller's decision.
+// Package allowance limits the requests of a node to its quota of a budget. A quota limits either the request rate, with a
+// token bucket, or the number of requests in flight. After the end of the quota a lower limit applies. The package does no
+// I/O and reads no clock: callers pass times in ticks of a tenth of a millisecond. The caller decides what happens to a
+// request that the limit denies.
 package allowance
 
 import "math"
 
 const ticksPerSecond = 10000.0
 
-// Quota is a limit that falls to another at its end.
+// Quota is a limit with an end, and the lower limit that applies after the end.
 type Quota struct {
-	Concurrency         bool    // limits requests in flight, to Burst; else it limits a rate
-	Rate, Burst         float64 // tokens a second, and the bucket's size
-	Until               int64   // the end, in ticks
-	ThenRate, ThenBurst float64 // the limit after the end; never above the one before
+	Concurrency         bool    // if true, Burst limits the requests in flight; otherwise Rate and Burst limit the request rate
+	Rate, Burst         float64 // tokens per second, and size of the token bucket
+	Until               int64   // end of the quota, in ticks
+	ThenRate, ThenBurst float64 // Rate and Burst after the end, never above those before
 }
 
-// Usage is what was asked of a limiter since Set was last called.
+// Usage counts the requests at a limiter since the last call of Set.
 type Usage struct {
-	Wanted, Done float64 // requests that wanted to begin, and those that did
+	Wanted, Done float64 // requests that asked to begin, and those that began
 	InFlight     int     // requests in flight now, under a concurrency limit
-	MeanSeconds  float64 // that a request takes, 0: not known
+	MeanSeconds  float64 // mean duration of a request, 0: unknown
 }
 
-// Max returns the larger of each field.
+// Max returns the maximum of u and other, field by field.
 func (u Usage) Max(other Usage) Usage {
 	return Usage{
 		Wanted:      max(u.Wanted, other.Wanted),
@@ -32,7 +33,7 @@
 	}
 }
 
-// Limiter enforces a Quota. A nil Limiter limits nothing. It is not safe for concurrent use.
+// Limiter enforces a Quota. A nil Limiter doesn't limit anything. A Limiter is not safe for concurrent use.
 type Limiter struct {
 	quota      Quota
 	tokens     float64
@@ -40,9 +41,9 @@
 	usage      Usage
 }
 
-// Set replaces the quota of *l, which it creates if it is nil, and returns the usage since the call before. A new limiter has
-// no tokens. An older one has those that it got at the old rate, as far as the new bucket holds them: a quota that moves to
-// another node must not leave its burst behind.
+// Set replaces the quota of *l and returns the usage since the previous call. If *l is nil, Set creates a limiter without
+// tokens. An existing limiter keeps the tokens that it accumulated at the old rate, up to the size of the new bucket. A quota
+// that shrinks because its units move to another node must not leave their burst behind.
 func Set(l **Limiter, now int64, q Quota) Usage {
 	if *l == nil {
 		*l = &Limiter{quota: q, refilledAt: now}
@@ -56,7 +57,7 @@
 	return usage
 }
 
-// Clone returns a new limiter under the same quota, with no tokens.
+// Clone returns a new limiter with the same quota and without tokens.
 func (l *Limiter) Clone(now int64) *Limiter {
 	if l == nil {
 		return nil
@@ -64,8 +65,9 @@
 	return &Limiter{quota: l.quota, refilledAt: now}
 }
 
-// Available returns how many requests may begin now; it is negative when more are in flight than the limit allows. Once
-// the quota has ended, all time since the call before counts at the rate after the end.
+// Available returns how many requests may begin now. It is negative if more requests are in flight than the limit allows.
+// After the end of the quota, the bucket refills at the lower rate for all the time since the previous call, also for the part
+// before the end.
 func (l *Limiter) Available(now int64) float64 {
 	if l == nil {
 		return math.Inf(1)
@@ -82,7 +84,7 @@
 	return l.tokens
 }
 
-// Spend counts a request that begins.
+// Spend records the start of a request.
 func (l *Limiter) Spend() {
 	if l == nil {
 		return
@@ -96,7 +98,7 @@
 	}
 }
 
-// Ended counts a request in flight that has ended. meanDuration is the mean of recent requests, in ticks.
+// Ended records the end of a request in flight. meanDuration is the mean duration of recent requests, in ticks.
 func (l *Limiter) Ended(meanDuration int64) {
 	if l == nil {
 		return
@@ -105,7 +107,7 @@
 	l.usage.MeanSeconds = float64(meanDuration) / ticksPerSecond
 }
 
-// Denied counts a request that the limit kept from beginning.
+// Denied records a request that the limit denied.
 func (l *Limiter) Denied() {
 	if l != nil {
 		l.usage.Wanted++
--- a/budget/demand.go
+++ b/budget/demand.go
@@ -7,50 +7,54 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// How the rate of requests is averaged.
+// Averaging of the request rate.
 const (
 	recentWindow = 400 * lease.Millisecond
 	meanWindow   = 8000 * lease.Millisecond
-	// A recent rate that is off the mean by so many standard deviations of a Poisson process is a shift of demand; steady
-	// demand shows one in some ten thousand samples.
+	// Demand has shifted if the recent rate differs from the mean rate by more than shiftThreshold standard deviations of a
+	// Poisson process. Steady demand exceeds this threshold in about one of ten thousand samples.
 	shiftThreshold = 4.5
-	shiftDuration  = 1000 * lease.Millisecond // after a shift, for which only the recent rate counts
+	// For shiftDuration after a shift only the recent rate counts.
+	shiftDuration = 1000 * lease.Millisecond
 )
 
-// How the rate is turned into units.
+// Conversion of the request rate to units.
 const (
-	idleRate            = 0.02 // requests a second up to which there is no demand: a sixth of a request in a mean window
-	rateHeadroom        = 0.05 // of the mean, added since demand is uneven; more would starve other nodes
-	concurrencyHeadroom = 1.5  // standard deviations added to a mean concurrency
-	roundUpUnits        = 0.6  // added before rounding down
+	idleRate            = 0.02 // highest rate, in requests per second, without demand: a sixth of a request in meanWindow
+	rateHeadroom        = 0.05 // fraction of the mean that is added because demand is uneven; more would starve other nodes
+	concurrencyHeadroom = 1.5  // number of standard deviations that are added to the mean concurrency
+	roundUpUnits        = 0.6  // units that are added before rounding down
 )
 
-// When the units reported to the leader are changed.
+// Hysteresis of the units reported to the leader.
 const (
-	demandTolerance    = 0.1                      // of them, that the need may be off,
-	minDemandTolerance = 0.6                      // and at least so many units
-	lowerDelay         = 2000 * lease.Millisecond // for which demand must have been lower before less is reported
+	// The reported units stay while the need differs from them by at most demandTolerance, a fraction of the reported units,
+	// or by at most minDemandTolerance units.
+	demandTolerance    = 0.1
+	minDemandTolerance = 0.6
+	// Fewer units are reported only after demand has been lower for lowerDelay.
+	lowerDelay = 2000 * lease.Millisecond
 )
 
 // demandEstimate estimates how many units of a budget a node could use.
 type demandEstimate struct {
-	units int // as reported to the leader
+	units int // units reported to the leader
 
-	recentRate         float64 // requests a second over the recent window
-	meanRate           float64 // requests a second over the mean window
-	meanSpan           float64 // seconds that meanRate covers
-	shiftSecondsLeft   float64 // for which meanRate still follows recentRate, since demand has shifted
-	meanRequestSeconds float64 // that a request takes
+	recentRate         float64 // requests per second, averaged over recentWindow
+	meanRate           float64 // requests per second, averaged over meanWindow
+	meanSpan           float64 // seconds that meanRate covers, up to meanWindow
+	shiftSecondsLeft   float64 // remaining seconds for which meanRate equals recentRate after a shift of demand
+	meanRequestSeconds float64 // mean duration of a request
 
 	countedUntil Time
-	uncounted    float64 // requests since countedUntil
-	lowerSince   Time    // since when fewer units would do, 0: they would not
+	uncounted    float64 // requests recorded since countedUntil but not in the rates yet
+	lowerSince   Time    // start of the period for which the node has needed fewer units than reported, 0: none
 }
 
 func seconds(t Time) float64 { return float64(t) / float64(1000*lease.Millisecond) }
 
-// record takes in the usage since the last call, and reports whether the rates have been updated: they can't be when no time
-// has passed.
+// record adds the usage since the previous call. It reports whether the rates have been updated. If no time has passed since
+// the last update, the rates stay and the requests count towards the next update.
 func (e *demandEstimate) record(now Time, u allowance.Usage) bool {
 	if u.MeanSeconds > 0 {
 		e.meanRequestSeconds = u.MeanSeconds
@@ -66,12 +70,12 @@
 	return true
 }
 
-// updateAverages takes the rate over the last elapsed seconds into the averages.
+// updateAverages adds the rate of the last elapsed seconds to the averages.
 func (e *demandEstimate) updateAverages(rate, elapsed float64) {
 	e.recentRate += (rate - e.recentRate) * min(1, elapsed/seconds(recentWindow))
 	e.meanSpan = min(e.meanSpan+elapsed, seconds(meanWindow))
 	e.meanRate += (rate - e.meanRate) * min(1, elapsed/e.meanSpan)
-	// The variance of a Poisson rate that is averaged exponentially is the rate divided by twice the window.
+	// The variance of the exponential moving average of a Poisson process is its rate divided by twice the window.
 	difference := e.recentRate - e.meanRate
 	if difference*difference > shiftThreshold*shiftThreshold*max(e.meanRate, 1/seconds(recentWindow))/2/seconds(recentWindow) {
 		e.shiftSecondsLeft = seconds(shiftDuration)
@@ -83,10 +87,10 @@
 	}
 }
 
-// hasShifted reports whether demand has shifted of late.
+// hasShifted reports whether demand has shifted within the last shiftDuration.
 func (e *demandEstimate) hasShifted() bool { return e.shiftSecondsLeft > 0 }
 
-// need returns how many units the node could use, headroom included and not rounded.
+// need returns how many units the node could use, including headroom and before rounding down.
 func (e *demandEstimate) need(config lease.BudgetConfig) float64 {
 	mean := 0.0
 	if config.Kind == lease.RateKind {
@@ -98,8 +102,8 @@
 	return mean*(1+rateHeadroom) + roundUpUnits
 }
 
-// update sets the units to report, and reports whether they have changed. A shift and a rise are followed at once, a fall
-// only once it has lasted.
+// update sets the units to report to the leader. It returns true if it has set them. A shift of demand and a rise above the
+// tolerance take effect immediately, a fall only after lowerDelay.
 func (e *demandEstimate) update(now Time, config lease.BudgetConfig) bool {
 	need := e.need(config)
 	units := 0
--- a/budget/loan.go
+++ b/budget/loan.go
@@ -2,24 +2,24 @@
 
 import "github.com/thistlerudder/thistlerudder/lease"
 
-// loanDuration is how long a loan lasts unless it is renewed; the borrower renews it three times within.
+// loanDuration is the lifetime of a loan that is not renewed. The borrower renews the loan three times within this time.
 const loanDuration = 300 * lease.Millisecond
 
-// loan is what a node's process lends of one budget to the node's next process, during a handover.
+// loan is the part of a budget that a process lends to the next process of the same node during a handover.
 type loan struct {
-	units    int // of the quota
-	reserved int // of the units reserved for the node
+	units    int // units lent from the quota
+	reserved int // units lent from those reserved for the node
 }
 
-// LentQuota is the loan of one budget, as the borrowing process gets it.
+// LentQuota is the loan of one budget, as sent to the borrowing process.
 type LentQuota struct {
 	Name   string             `json:"Name"`
 	Units  int                `json:"Units"`
 	Config lease.BudgetConfig `json:"Terms"`
 }
 
-// Lend lets the node's next process use half of the units that are not in use, for the duration returned. Each call renews
-// the loan. A closed client lends no more than it has lent already.
+// Lend lends up to half of each budget's units, as far as they are idle, to the next process of this node for the returned
+// duration. Each call renews the loan. A closed client neither raises nor renews its loans.
 func (c *QuotaClient) Lend(now Time) (lent []LentQuota, duration Time) {
 	if c.closed && now >= c.loanEnd {
 		return nil, 0
@@ -37,7 +37,8 @@
 	return lent, max(0, c.loanEnd-now)
 }
 
-// lendHalf raises the loan to half of what is idle. It never lowers it: the borrower may be using it.
+// lendHalf raises the loan to half of the quota and half of the reserved units, as far as these are idle. It never lowers the
+// loan, because the borrower may be using it.
 func (b *clientBudget) lendHalf() {
 	idle := b.units + b.config.ReservedPerNode
 	if b.config.Kind == lease.ConcurrencyKind {
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -10,68 +10,69 @@
 )
 
 const (
-	sampleInterval     = 100 * lease.Millisecond  // between two samples of what was asked for
-	minRequestInterval = 30 * lease.Millisecond   // between two requests to the leader
-	retryInterval      = 100 * lease.Millisecond  // after a request that failed
-	requestWait        = 1000 * lease.Millisecond // that the leader may let a request wait
+	sampleInterval     = 100 * lease.Millisecond  // time between two samples of the usage
+	minRequestInterval = 30 * lease.Millisecond   // minimum time between two requests to the leader
+	retryInterval      = 100 * lease.Millisecond  // delay of the next request after a failed one
+	requestWait        = 1000 * lease.Millisecond // maximum time for which the leader may delay its response
 )
 
-// ClientHost performs the actions of a QuotaClient. Its methods must not call back.
+// ClientHost performs the actions of a QuotaClient. Its methods must not call methods of the QuotaClient.
 type ClientHost interface {
-	// SetQuota sets how many units may be used until the given time, and how many after it. It returns the usage since the
-	// call before. Under a concurrency budget a request counts until it ends.
+	// SetQuota sets a budget's limit on this node: units until the given time, and reserved units after it. It returns the
+	// usage since the previous call. Under a concurrency budget a request counts until it ends.
 	SetQuota(name string, config lease.BudgetConfig, units, reserved int, until Time) allowance.Usage
-	// Send sends a request to the leader. HandleResponse or HandleTimeout reports the outcome, unless a later request was
-	// sent in between.
+	// Send sends a request to the leader. The caller reports the outcome to HandleResponse or HandleTimeout, unless a later
+	// request has been sent in the meantime.
 	Send(r Request)
-	// SetAlarm schedules a call of QuotaClient.Alarm at that time or soon after; it replaces an earlier alarm.
+	// SetAlarm schedules a call of QuotaClient.Alarm at time t or soon after. It replaces the previous alarm.
 	SetAlarm(t Time)
 }
 
-// clientBudget is a node's side of one budget.
+// clientBudget is the state of one budget on a node.
 type clientBudget struct {
 	name      string
 	config    lease.BudgetConfig
-	confirmed bool   // config is the cluster's, not only this node's
-	token     uint64 // of the latest quota
-	units     int    // that new requests may use, this node's reserved ones not included
-	shrinkTo  int    // units that the leader asked to come down to, -1: no need to
+	confirmed bool   // config comes from the cluster, not from this node's configuration
+	token     uint64 // token of the latest quota that the node knows, 0: none
+	units     int    // units that new requests may use, without this node's reserved units
+	shrinkTo  int    // units that the leader asked the node to shrink its usage to, -1: none
 
-	// unitsInUse is an upper bound on the units that this node uses, here or in the process that it lends to. It falls below
-	// the quota only as far as requests in flight allow.
+	// unitsInUse is an upper bound on the units in use by this process and the process that it lends to. After the quota has
+	// shrunk, the bound falls only as far as requests in flight allow.
 	unitsInUse int
 
 	demand demandEstimate
 
 	loan             loan
 	requestsInFlight int
-	requestsDone     float64 // between the last two samples
+	requestsDone     float64 // requests that began between the last two samples
 
-	allocated int // units allocated to all nodes, as last reported
-	reserve   int // units held back for newcomers, as last reported
+	allocated int // units allocated to all nodes, as last reported by the leader
+	reserve   int // units held back for nodes without units, as last reported by the leader
 }
 
-// QuotaClient is a node's side of all budgets, for as long as the node holds the lease of its name: it applies the node's
-// quotas, reports its demand, and gives units back. It is not safe for concurrent use.
+// QuotaClient handles all budgets on a node while the node holds the lease of its name. It applies the node's quotas,
+// reports demand to the leader, and gives units back. It is not safe for concurrent use.
 type QuotaClient struct {
 	host    ClientHost
 	lease   string
 	token   uint64
 	weight  float64
-	budgets []*clientBudget // by name
+	budgets []*clientBudget // sorted by name
 
 	leaseEnd     Time
-	cutoffMargin Time // before the lease's end, from which on no request begins under a concurrency budget
+	cutoffMargin Time // time before the end of the lease during which no request begins under a concurrency budget
 	lastSample   Time
 	nextRequest  Time // earliest time of the next request to the leader
-	reportNeeded bool // there is something to report
+	reportNeeded bool // a request to the leader is due once nextRequest is reached
 	loanEnd      Time
 	closed       bool
 }
 
-// NewQuotaClient returns a client without any quota, under the node's lease, which is held until leaseEnd, and sends its first request. configs
-// are the budgets of the node's own configuration, by name. Under a concurrency budget no request begins within
-// cutoffMargin of the lease's end, since what still runs at the end is cut off.
+// NewQuotaClient returns a client without quotas and sends its first request. leaseName and token identify the lease of the
+// node's name, which the node holds until leaseEnd. configs contains the budgets of the node's own configuration, by name.
+// Under a concurrency budget no request begins within cutoffMargin before the end of the lease, because requests that are
+// still in flight at the end are aborted.
 func NewQuotaClient(host ClientHost, now Time, leaseName string, token uint64, weight float64, configs map[string]lease.BudgetConfig, leaseEnd, cutoffMargin Time) *QuotaClient {
 	c := &QuotaClient{
 		host:         host,
@@ -100,7 +101,7 @@
 // ExtendLease sets the end of the lease after a renewal. An earlier end than the present one has no effect.
 func (c *QuotaClient) ExtendLease(end Time) { c.leaseEnd = max(c.leaseEnd, end) }
 
-// sample applies the quotas, and takes in the usage since the sample before.
+// sample applies the quotas and records the usage since the previous sample. It ends the loans if they have expired.
 func (c *QuotaClient) sample(now Time) {
 	c.lastSample = now
 	for _, b := range c.budgets {
@@ -127,8 +128,8 @@
 	}
 }
 
-// quotaEnd returns until when units of a budget may be used. Under a concurrency budget that is the margin before the
-// lease's end, when the requests in flight are cut off.
+// quotaEnd returns the time until which the units of a budget may be used. Under a rate budget this is the end of the lease.
+// Under a concurrency budget it is earlier by cutoffMargin, because requests in flight are aborted at the end of the lease.
 func (c *QuotaClient) quotaEnd(b *clientBudget) Time {
 	if b.config.Kind == lease.ConcurrencyKind {
 		return c.leaseEnd - c.cutoffMargin
@@ -136,17 +137,18 @@
 	return c.leaseEnd
 }
 
-// maxUnitsInUse returns the new bound on the units in use, under a quota of these units and these reserved ones.
+// maxUnitsInUse returns the upper bound on the units in use under a quota of the given units. reserved is the number of
+// units reserved for this node and not lent.
 func (b *clientBudget) maxUnitsInUse(units, reserved int) int {
 	bound := max(units, b.loan.units)
-	if b.config.Kind == lease.ConcurrencyKind { // units come back only as requests end
+	if b.config.Kind == lease.ConcurrencyKind { // units in use become free only when requests end
 		occupied := b.loan.units + max(0, b.requestsInFlight-reserved)
 		bound = max(bound, min(b.unitsInUse, occupied))
 	}
 	return bound
 }
 
-// holdings returns the reports on all budgets.
+// holdings returns the node's report on each budget.
 func (c *QuotaClient) holdings() (reports []Holding) {
 	for _, b := range c.budgets {
 		reports = append(reports, Holding{
@@ -161,7 +163,7 @@
 	return reports
 }
 
-// revision returns the revision of the cluster's configuration that the node knows, 0 for none.
+// revision returns the revision of the cluster's budget configuration that the node knows, or 0 if it knows none.
 func (b *clientBudget) revision() uint64 {
 	if !b.confirmed {
 		return 0
@@ -169,7 +171,7 @@
 	return b.config.Revision
 }
 
-// send sends a request to the leader.
+// send sends a request with the reports on all budgets to the leader.
 func (c *QuotaClient) send(now Time) {
 	declared := map[string]lease.BudgetConfig{}
 	for _, b := range c.budgets {
@@ -190,19 +192,19 @@
 	c.host.SetAlarm(c.lastSample + sampleInterval)
 }
 
-// ConfigMismatch is a budget that the cluster has under another configuration than this node's own.
+// ConfigMismatch describes a budget whose configuration on this node (Local) differs from the cluster's (Agreed).
 type ConfigMismatch struct {
 	Name          string
 	Local, Agreed lease.BudgetConfig
 }
 
-// HandleResponse takes the answer to the request that was sent last. It returns the budgets whose configuration turns out
-// to differ from the cluster's; each is returned once.
+// HandleResponse processes the response to the latest request. It returns the budgets whose local configuration differs from
+// the cluster's. It returns each of them only once, with the first response that contains the budget.
 func (c *QuotaClient) HandleResponse(now Time, r Response) (mismatches []ConfigMismatch) {
 	if r.Err != nil && !errors.Is(r.Err, lease.ErrStillHeld) {
 		c.nextRequest = now + retryInterval
 	}
-	c.reportNeeded = true // the next request waits at the leader for what follows
+	c.reportNeeded = true // the next request waits at the leader for the next update
 	for _, u := range r.Updates {
 		i := slices.IndexFunc(c.budgets, func(b *clientBudget) bool { return b.name == u.Budget })
 		if i < 0 {
@@ -219,14 +221,14 @@
 	return mismatches
 }
 
-// sameBudget compares two configurations but for their revisions.
+// sameBudget reports whether two configurations are equal apart from their revisions.
 func sameBudget(x, y lease.BudgetConfig) bool {
 	x.Revision, y.Revision = 0, 0
 	return x == y
 }
 
-// apply takes in the leader's update on the budget. An update with an older token than the known one, or the same, never
-// raises the units: the node may have reported since that it has come down.
+// apply updates the budget from the leader's update. Only an update with a newer quota token can raise the units. With the
+// same or an older token it can't, because the node may have reported lower usage since.
 func (b *clientBudget) apply(u QuotaUpdate) {
 	b.config = u.Config
 	b.confirmed = true
@@ -243,20 +245,20 @@
 	}
 }
 
-// HandleTimeout reports that the request sent last got no answer. The leader may have received it.
+// HandleTimeout must be called when the latest request got no response. The leader may have received that request.
 func (c *QuotaClient) HandleTimeout(now Time) {
 	c.reportNeeded = true
 	c.nextRequest = now + retryInterval
 	c.host.SetAlarm(c.nextRequest)
 }
 
-// Alarm must be called at or soon after the time that ClientHost.SetAlarm named.
+// Alarm must be called at or soon after the time passed to ClientHost.SetAlarm.
 func (c *QuotaClient) Alarm(now Time) {
 	if now >= c.lastSample+sampleInterval {
 		previous := c.holdings()
 		c.sample(now)
 		for i, h := range c.holdings() {
-			c.reportNeeded = c.reportNeeded || h.Units < previous[i].Units // requests have ended, so units can be given back
+			c.reportNeeded = c.reportNeeded || h.Units < previous[i].Units // units became free when requests ended; report that they can be given back
 		}
 	}
 	if c.reportNeeded && now >= c.nextRequest {
@@ -270,16 +272,16 @@
 	c.host.SetAlarm(max(alarmTime, now+1))
 }
 
-// QuotaStatus is a node's view of one budget, for display.
+// QuotaStatus is a node's view of one budget, for status output.
 type QuotaStatus struct {
 	Name               string
 	Config             lease.BudgetConfig
-	Confirmed          bool    // Config is the cluster's; else it is from the node's own configuration
-	Units, Demand      int     // the node's quota, and what it could use
-	InFlight           int     // requests under a concurrency budget
-	Used               float64 // requests between the last two samples, a tenth of a second apart
-	Allocated, Reserve int     // units of the whole budget, as last reported
-	End                Time    // of the lease
+	Confirmed          bool    // Config comes from the cluster; otherwise it comes from the node's own configuration
+	Units, Demand      int     // units of the node's quota, and units that the node could use
+	InFlight           int     // requests in flight, under a concurrency budget
+	Used               float64 // requests that began between the last two samples, which are a tenth of a second apart
+	Allocated, Reserve int     // units allocated to all nodes, and held back for nodes without units, as last reported by the leader
+	End                Time    // end of the node's lease
 }
 
 // Status returns the node's view of all budgets.
@@ -301,13 +303,14 @@
 	return statuses
 }
 
-// Close stops all new use of the quotas. They end with the lease, which may be released once Idle returns true.
+// Close sets the quotas of this process to 0, so that no new request begins under them. The quotas end with the lease, which the
+// caller may release once Idle returns true.
 func (c *QuotaClient) Close(now Time) {
 	c.closed = true
 	c.sample(now)
 }
 
-// Idle reports whether nothing is in flight any more, here or in the process that quotas were lent to.
+// Idle reports whether no request is in flight and no unit is in use, in this process or in the process that borrows from it.
 func (c *QuotaClient) Idle(now Time) bool {
 	c.sample(now)
 	inUse := func(b *clientBudget) bool { return b.requestsInFlight > 0 || b.unitsInUse > 0 }
