--- a/budget/allocator_test.go
+++ b/budget/allocator_test.go
@@ -70,8 +70,8 @@
 func (f *steadyFleet) join(terms lease.BudgetConfig) *node {
 	n := &node{fleet: f, n: len(f.nodes), lastHadUnits: f.now}
 	f.nodes = append(f.nodes, n)
-	r := f.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: nameOf(n.n), Holder: lease.Holder{Name: fmt.Sprint(n.n)}})
-	n.client = NewQuotaClient(n, f.now, nameOf(n.n), r.Token, 1, map[string]lease.BudgetConfig{limit: terms}, 1<<60, 0)
+	r := f.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: leaseNameOf(n.n), Holder: lease.Holder{Name: fmt.Sprint(n.n)}})
+	n.client = NewQuotaClient(n, f.now, leaseNameOf(n.n), r.Token, 1, map[string]lease.BudgetConfig{budgetName: terms}, 1<<60, 0)
 	return n
 }
 
@@ -119,7 +119,7 @@
 				f.allocator.Handle(f.now, uint64(f.now)*1000+uint64(n.n), *a)
 			}
 		}
-		if b := f.state.Budgets[limit]; b != nil && b.Allocated() > b.Allocatable() && !f.lowered {
+		if b := f.state.Budgets[budgetName]; b != nil && b.Allocated() > b.Allocatable() && !f.lowered {
 			f.t.Fatalf("%d units are allocated, the budget has %d", b.Allocated(), b.Allocatable())
 		}
 	}
@@ -176,8 +176,8 @@
 	if f.entries > 20 {
 		t.Errorf("%d entries in 20 s of steady demand", f.entries)
 	}
-	b := f.state.Budgets[limit]
-	f.state.Apply(lease.Entry{Version: 2, Kind: lease.KindSetBudget, Name: limit, Budget: &lease.BudgetConfig{Units: 60, Revision: b.Revision}})
+	b := f.state.Budgets[budgetName]
+	f.state.Apply(lease.Entry{Version: 2, Kind: lease.KindSetBudget, Name: budgetName, Budget: &lease.BudgetConfig{Units: 60, Revision: b.Revision}})
 	f.allocator.StateChanged(f.now)
 	out := 0
 	f.lowered = true // more is allocated than there is, for a while
--- a/budget/history_test.go
+++ b/budget/history_test.go
@@ -12,93 +12,93 @@
 )
 
 var (
-	rates         = lease.BudgetConfig{Kind: lease.RateKind, Units: 4, RatePerUnit: 10, MaxNodes: 3}
-	concurrencies = lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 4, MaxNodes: 3}
-	oneUnit       = lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 1, MaxNodes: 3}
-	reservedRates = lease.BudgetConfig{Kind: lease.RateKind, Units: 7, RatePerUnit: 10, ReservedPerNode: 1, MaxNodes: 3}
+	rateBudget         = lease.BudgetConfig{Kind: lease.RateKind, Units: 4, RatePerUnit: 10, MaxNodes: 3}
+	concurrencyBudget  = lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 4, MaxNodes: 3}
+	oneUnitBudget      = lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 1, MaxNodes: 3}
+	reservedRateBudget = lease.BudgetConfig{Kind: lease.RateKind, Units: 7, RatePerUnit: 10, ReservedPerNode: 1, MaxNodes: 3}
 )
 
 type bounds struct {
-	steps, elections, losses, demandChanges, regrants, renewals, requests int
-	allBusy                                                               bool // both nodes have demand from the beginning
+	steps, elections, messageLosses, demandChanges, regrants, renewals, requests int
+	allHaveDemand                                                                bool // both nodes have demand from the beginning
 }
 
 const maxStates = 150_000 // far beyond what the bounds below reach
 
 // explore plays all histories within the bounds, and returns the first one that exceeds the budget.
-func explore(disabled string, t lease.BudgetConfig, nodes int, b bounds) (states int, history []move, fault string) {
-	type node struct {
-		c    *testCluster
-		from int
-		by   move
+func explore(disabled string, config lease.BudgetConfig, nodes int, b bounds) (states int, history []event, violation string) {
+	type searchState struct {
+		cluster *testCluster
+		parent  int // index of the previous state, -1: none
+		event   event
 	}
-	c := newTestCluster(disabled, t, nodes)
-	c.olderMessages = 1
-	for _, p := range c.processes {
-		p.busy = p.busy || b.allBusy
+	initial := newTestCluster(disabled, config, nodes)
+	initial.maxOlderRequests = 1
+	for _, p := range initial.processes {
+		p.hasDemand = p.hasDemand || b.allHaveDemand
 	}
-	c.settle(8)
-	c.elections, c.losses, c.demandChanges, c.regrants, c.renewals, c.requests = b.elections, b.losses, b.demandChanges, b.regrants, b.renewals, b.requests
-	all, seen, h := []node{{c: c, from: -1}}, map[uint64]bool{}, xxhash.New()
-	for at := 0; at < len(all) && at < maxStates; at++ {
-		now := all[at].c
-		for _, m := range now.moves(b.steps) {
-			next := now.clone()
-			next.play(m)
-			if next.fault != "" {
-				for history = []move{m}; all[at].from >= 0; at = all[at].from {
-					history = append([]move{all[at].by}, history...)
+	initial.settle(8)
+	initial.elections, initial.messageLosses, initial.demandChanges = b.elections, b.messageLosses, b.demandChanges
+	initial.regrants, initial.renewals, initial.requests = b.regrants, b.renewals, b.requests
+	queue, seen, h := []searchState{{cluster: initial, parent: -1}}, map[uint64]bool{}, xxhash.New()
+	for i := 0; i < len(queue) && i < maxStates; i++ {
+		current := queue[i].cluster
+		for _, e := range current.possibleEvents(b.steps) {
+			next := current.clone()
+			next.execute(e)
+			if next.violation != "" {
+				for history = []event{e}; queue[i].parent >= 0; i = queue[i].parent {
+					history = append([]event{queue[i].event}, history...)
 				}
-				return len(seen), history, next.fault
+				return len(seen), history, next.violation
 			}
-			if p := next.fingerprint(h); !seen[p] {
-				seen[p] = true
-				all = append(all, node{next, at, m})
+			if fingerprint := next.fingerprint(h); !seen[fingerprint] {
+				seen[fingerprint] = true
+				queue = append(queue, searchState{next, i, e})
 			}
 		}
-		all[at].c = nil
+		queue[i].cluster = nil
 	}
 	return len(seen), nil, ""
 }
 
 // All histories of two nodes within small bounds: a step is a quarter of a lease, so that quotas are requested, granted,
 // returned, and expire within them.
-func TestAllSmallHistories(t *testing.T) {
+func TestExhaustiveHistoriesStayWithinBudget(t *testing.T) {
 	for _, c := range []struct {
-		terms lease.BudgetConfig
+		config lease.BudgetConfig
 		bounds
 	}{
-		{rates, bounds{steps: 3, demandChanges: 1}},
-		{rates, bounds{steps: 3, renewals: 1, allBusy: true}},
-		{oneUnit, bounds{steps: 4, demandChanges: 1, requests: 1}},
-		{reservedRates, bounds{steps: 2, elections: 1, demandChanges: 1}},
-		{concurrencies, bounds{steps: 3, demandChanges: 1, requests: 2}},
-		{rates, bounds{steps: 4, regrants: 1, allBusy: true}},
-		{rates, bounds{steps: 3, elections: 1, allBusy: true}},
+		{rateBudget, bounds{steps: 3, demandChanges: 1}},
+		{rateBudget, bounds{steps: 3, renewals: 1, allHaveDemand: true}},
+		{oneUnitBudget, bounds{steps: 4, demandChanges: 1, requests: 1}},
+		{reservedRateBudget, bounds{steps: 2, elections: 1, demandChanges: 1}},
+		{concurrencyBudget, bounds{steps: 3, demandChanges: 1, requests: 2}},
+		{rateBudget, bounds{steps: 4, regrants: 1, allHaveDemand: true}},
+		{rateBudget, bounds{steps: 3, elections: 1, allHaveDemand: true}},
 	} {
-		t.Run(fmt.Sprintf("%s %d/%d %+v", c.terms.Kind, c.terms.Units, c.terms.ReservedPerNode, c.bounds), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s %d/%d %+v", c.config.Kind, c.config.Units, c.config.ReservedPerNode, c.bounds), func(t *testing.T) {
 			if testing.Short() {
 				t.Skip("too many for the race detector")
 			}
 			t.Parallel()
-			states, history, fault := explore("", c.terms, 2, c.bounds)
+			states, history, violation := explore("", c.config, 2, c.bounds)
 			t.Log(states, "states")
-			if fault != "" || states >= maxStates {
-				t.Errorf("%d states; %s after %v", states, fault, history)
+			if violation != "" || states >= maxStates {
+				t.Errorf("%d states; %s after %v", states, violation, history)
 			}
 		})
 	}
 }
 
-// With a safeguard disabled, the same exploration finds a fault, where such short histories can have one.
-func TestSmallHistoriesShowWhatIsMissing(t *testing.T) {
-	for disabled, b := range map[string]bounds{withoutDriftMargin: {steps: 5, renewals: 1, allBusy: true}, reuseEarly: {steps: 3, demandChanges: 1},
+// With a safeguard disabled, the same exploration finds a violation, where such short histories can have one.
+func TestExhaustiveHistoriesDetectDisabledSafeguard(t *testing.T) {
+	for disabled, b := range map[string]bounds{noDriftMargin: {steps: 5, renewals: 1, allHaveDemand: true}, reuseEarly: {steps: 3, demandChanges: 1},
 		forgetQuotas: {steps: 3, elections: 1, demandChanges: 1}, forgetInFlight: {steps: 4, demandChanges: 1, requests: 3}} {
 		t.Run(disabled, func(t *testing.T) {
 			t.Parallel()
-			of := concurrencies
-			states, history, fault := explore(disabled, of, 2, b)
-			if t.Logf("%d states; %s after %v", states, fault, history); fault == "" {
+			states, history, violation := explore(disabled, concurrencyBudget, 2, b)
+			if t.Logf("%d states; %s after %v", states, violation, history); violation == "" {
 				t.Error("none of them shows it")
 			}
 		})
@@ -106,37 +106,37 @@
 }
 
 // playRandom plays a random history, with larger bounds than can be explored.
-func playRandom(disabled string, seed uint64, moves int) (c *testCluster, history []move) {
+func playRandom(disabled string, seed uint64, steps int) (c *testCluster, history []event) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	c = newTestCluster(disabled, []lease.BudgetConfig{rates, concurrencies, oneUnit, reservedRates}[rnd.IntN(4)], 2+rnd.IntN(2))
-	c.demandChanges, c.regrants, c.renewals, c.requests, c.olderMessages = 10, 5, 1<<20, 80, 2
+	c = newTestCluster(disabled, []lease.BudgetConfig{rateBudget, concurrencyBudget, oneUnitBudget, reservedRateBudget}[rnd.IntN(4)], 2+rnd.IntN(2))
+	c.demandChanges, c.regrants, c.renewals, c.requests, c.maxOlderRequests = 10, 5, 1<<20, 80, 2
 	if rnd.IntN(2) == 0 { // else there are no faults
-		c.elections, c.losses = 6, 20
+		c.elections, c.messageLosses = 6, 20
 	}
-	for range moves {
-		all := c.moves(1 << 20)
-		m := all[rnd.IntN(len(all))]
-		if m.what == "finish" && rnd.IntN(8) > 0 { // requests take several moves
+	for range steps {
+		events := c.possibleEvents(1 << 20)
+		e := events[rnd.IntN(len(events))]
+		if e.kind == finishRequest && rnd.IntN(8) > 0 { // requests take several moves
 			continue
 		}
-		if rare := m.what == "elect" || m.what == "lose" || m.what == "tick" || m.what == "demand"; rare && rnd.IntN(3) > 0 {
-			m = all[rnd.IntN(len(all))]
+		if rare := e.kind == electLeader || e.kind == loseMessage || e.kind == eventTick || e.kind == changeDemand; rare && rnd.IntN(3) > 0 {
+			e = events[rnd.IntN(len(events))]
 		}
-		c.play(m)
-		if history = append(history, m); c.fault != "" {
+		c.execute(e)
+		if history = append(history, e); c.violation != "" {
 			break
 		}
 	}
 	return c, history
 }
 
-func TestRandomHistories(t *testing.T) {
+func TestRandomHistoriesStayWithinBudget(t *testing.T) {
 	tokens, runs := uint64(0), uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
 		c, history := playRandom("", rapid.Uint64().Draw(t, "seed"), 300)
 		runs++
-		if tokens += c.truth.LastToken; c.fault != "" {
-			t.Fatalf("%s after %v", c.fault, history)
+		if tokens += c.committed.LastToken; c.violation != "" {
+			t.Fatalf("%s after %v", c.violation, history)
 		}
 	})
 	if tokens < 5*runs {
@@ -145,12 +145,12 @@
 }
 
 // With any one safeguard disabled some history exceeds the budget: otherwise the histories above prove nothing.
-func TestEachSafeguardIsNeeded(t *testing.T) {
+func TestRandomHistoriesDetectDisabledSafeguard(t *testing.T) {
 	for _, disabled := range safeguards {
 		t.Run(disabled, func(t *testing.T) {
 			for seed := range uint64(3_000) {
-				if c, history := playRandom(disabled, seed, 400); c.fault != "" {
-					t.Logf("seed %d, %d moves: %s", seed, len(history), c.fault)
+				if c, history := playRandom(disabled, seed, 400); c.violation != "" {
+					t.Logf("seed %d, %d moves: %s", seed, len(history), c.violation)
 					return
 				}
 			}
