--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -10,26 +10,27 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// A model of a small cluster: a log, two leaders of which one may be outdated without knowing it, and nodes under leases that
-// expire. The tests explore the order of messages, elections and clock rates. That a lease ends for its holder before it does
-// for its granter is shown by the tests of package lease; here both ends are plain times.
+// This file models a small cluster: a replicated log, two leaders, and nodes whose leases expire. One of the leaders may be
+// deposed without knowing it. The tests explore the order of messages and elections under drifting clocks. In the model the
+// ends of a lease at its holder and at its granter are plain times. The tests of package lease verify that a lease ends at its
+// holder before it ends at its granter.
 
 const (
-	trueRate      = 1000 // ticks of a clock in a step; the others drift as far as the bound allows
-	fastRate      = 1250
-	slowRate      = 750
+	trueRate      = 1000 // clock ticks per step without drift
+	fastRate      = 1250 // clock ticks per step with the maximum drift upwards; the granter's clock
+	slowRate      = 750  // clock ticks per step with the maximum drift downwards; the processes' clocks
 	leaseDuration = Time(4 * trueRate)
 	drift         = 0.25
 )
 
-// The safeguards that can be disabled.
+// Safeguards that a test can disable. The comments say what happens without them.
 const (
-	noDriftMargin      = "drift-margin"        // lease ends have no margin for clock drift
-	countFromResponse  = "count-from-answer"   // lease ends count from the response, not from the request
-	keepBurst          = "burst-kept"          // tokens stay when a quota shrinks
-	reuseEarly         = "reuse-early"         // units that are asked back count as free at once
-	forgetQuotas       = "leader-forgets"      // a new leader takes all quotas to be free
-	acceptStaleReports = "stale-report"        // a report under an outdated token counts
+	noDriftMargin      = "drift-margin"        // lease durations have no margin for clock drift
+	countFromResponse  = "count-from-answer"   // the holder counts a lease's duration from the response, not from the request
+	keepBurst          = "burst-kept"          // a process keeps its tokens when its quota shrinks
+	reuseEarly         = "reuse-early"         // units that a node was asked to give back count as free immediately
+	forgetQuotas       = "leader-forgets"      // a new leader treats the units of all quotas as free
+	acceptStaleReports = "stale-report"        // a report with an outdated quota token is applied to the current quota
 	forgetInFlight     = "in-flight-forgotten" // requests in flight don't count as units in use
 )
 
@@ -38,19 +39,20 @@
 const budgetName = "limit"
 
 type message struct {
-	process  int // process
+	process  int // index of the process that sent the request
 	id       uint64
-	request  *Request
-	response *Response
-	renewal  bool // of the lease
+	request  *Request  // nil for a renewal
+	response *Response // nil until the leader responds
+	renewal  bool      // the message renews the lease of the node
 	sentAt   Time
-	received bool
+	received bool // a leader has received the request or renewal
 }
 
-// process is a process of a node; a node may have an earlier one that hasn't noticed the end of its lease.
+// process is a process of a node. A node may have several processes, of which the earlier ones haven't noticed the end of
+// their lease.
 type process struct {
 	cluster         *testCluster
-	index, node     int
+	index, node     int // index in testCluster.processes, number of the node
 	client          *QuotaClient
 	token           uint64
 	leaseEnd        Time
@@ -58,9 +60,9 @@
 	quotaEnd        Time
 	inFlight        int
 	tokens          int
-	hasDemand       bool // it has demand
+	hasDemand       bool
 	alarmTime       Time
-	latestRequestID uint64 // id of its latest request
+	latestRequestID uint64
 	renewalInFlight bool
 }
 
@@ -68,9 +70,9 @@
 	cluster   *testCluster
 	index     int
 	state     *lease.State
-	applied   int
+	applied   int // number of log entries applied to state
 	allocator *Allocator
-	term      int // 0: it doesn't believe that it leads
+	term      int // term that this leader believes to lead in, 0: none
 	proposals []uint64
 	alarmTime Time
 	alarmSet  bool
@@ -80,20 +82,20 @@
 	disabledSafeguard string
 	config            lease.BudgetConfig
 	step              int
-	startStep         int // the step that an exploration begins at
+	startStep         int // step at which an exploration begins
 	log               []lease.Entry
-	committed         *lease.State
-	leaseEnds         map[string]Time // as the granter counts
+	committed         *lease.State    // state after all entries of the log
+	leaseEnds         map[string]Time // end of each lease at the granter, by lease name
 	leaders           [2]*leader
 	processes         []*process
 	messages          []message
 	term              int
 	lastMessageID     uint64
-	violation         string
-	// Events that may still happen, by kind.
+	violation         string // first state that exceeded the budget, empty: none
+	// Number of events of each kind that may still happen.
 	elections, messageLosses, demandChanges, regrants, renewals, requests int
 
-	maxOlderRequests int // requests of a process that may be in flight beside its latest
+	maxOlderRequests int // number of older requests of a process that may be in flight in addition to its latest
 }
 
 func leaseNameOf(node int) string { return fmt.Sprint("node/n", node) }
@@ -156,7 +158,7 @@
 	return lease.HolderDuration(leaseDuration, drift)
 }
 
-// grant gives a node's lease to a new process of it.
+// grant starts a new process of a node and grants the node's lease to it.
 func (c *testCluster) grant(node int) {
 	r := c.append(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: leaseNameOf(node), Holder: lease.Holder{Name: fmt.Sprint("n", node), Process: len(c.processes)}})
 	c.leaseEnds[leaseNameOf(node)] = c.granterNow() + c.granterDuration()
@@ -194,7 +196,7 @@
 
 func (p *process) Send(r Request) {
 	inFlight := 0
-	for i := len(p.cluster.messages) - 1; i >= 0; i-- { // drops the oldest
+	for i := len(p.cluster.messages) - 1; i >= 0; i-- { // newest first; drops the requests beyond maxOlderRequests
 		if m := p.cluster.messages[i]; m.process == p.index && !m.renewal {
 			if inFlight++; inFlight > p.cluster.maxOlderRequests {
 				p.cluster.messages = slices.Delete(p.cluster.messages, i, i+1)
@@ -229,35 +231,39 @@
 	return p.reserved
 }
 
-// abortAtLeaseEnd ends requests in flight at the lease's end: none begins that would outlast it.
+// abortAtLeaseEnd ends the requests in flight beyond the reserved units once the lease has ended, since a request must not
+// outlast the lease.
 func (p *process) abortAtLeaseEnd() {
 	if p.now() >= p.leaseEnd {
 		p.inFlight = min(p.inFlight, p.reserved)
 	}
 }
 
+// Kinds of events. possibleEvents sorts events by these values, so they determine which event a random index selects.
 const (
-	eventTick       = "tick"
-	deliverRequest  = "ask"
-	deliverResponse = "answer"
-	sendRenewal     = "extend"
-	deliverRenewal  = "renew"
-	loseMessage     = "lose"
-	commitProposal  = "commit"
-	electLeader     = "elect"
-	deposeLeader    = "depose"
-	changeDemand    = "demand"
-	regrantLease    = "regrant"
-	beginRequest    = "begin"
-	finishRequest   = "finish"
+	eventTick       = "tick"    // advances all clocks by one step and runs the alarms of processes
+	deliverRequest  = "ask"     // delivers a request to a leader
+	deliverResponse = "answer"  // delivers a response to a process
+	sendRenewal     = "extend"  // a process sends a renewal of its lease
+	deliverRenewal  = "renew"   // delivers a renewal to the granter
+	loseMessage     = "lose"    // drops a request, a response or a renewal
+	commitProposal  = "commit"  // commits the first proposal of a leader, or drops it if the leader is deposed
+	electLeader     = "elect"   // starts a new term of a leader
+	deposeLeader    = "depose"  // a leader learns that another one has been elected
+	changeDemand    = "demand"  // turns the demand of a process on or off
+	regrantLease    = "regrant" // grants an expired lease to a new process of the node
+	beginRequest    = "begin"   // a process begins a request under a concurrency budget
+	finishRequest   = "finish"  // a request in flight ends
 )
 
 type event struct {
 	kind   string
-	index  int
-	leader int
+	index  int // of the message, leader, process or node, depending on kind
+	leader int // index of the leader that receives a request
 }
 
+// possibleEvents returns all events that can happen next, in a fixed order. Ticks are among them until maxSteps steps have
+// passed since startStep.
 func (c *testCluster) possibleEvents(maxSteps int) (events []event) {
 	if c.step-c.startStep < maxSteps {
 		events = append(events, event{kind: eventTick})
@@ -418,7 +424,7 @@
 	case finishRequest:
 		c.processes[e.index].inFlight--
 	}
-	for range 4 { // alarms that are due at once
+	for range 4 { // an alarm may set another one that is due immediately
 		for _, l := range c.leaders {
 			if l.term > 0 && l.alarmSet && l.alarmTime <= l.now() {
 				l.alarmSet = false
@@ -429,7 +435,7 @@
 	c.checkBounds()
 }
 
-// checkBounds checks that the units, requests in flight and tokens of all processes together don't exceed the budget.
+// checkBounds records a violation if the units, requests in flight or tokens of all processes together exceed the budget.
 func (c *testCluster) checkBounds() {
 	usedUnits, savedTokens := 0, 0
 	hasLaterProcess := map[int]bool{}
@@ -438,7 +444,7 @@
 		p := c.processes[i]
 		units := p.usableUnits()
 		if p.now() >= p.quotaEnd && hasLaterProcess[p.node] {
-			units = 0 // the later process has the node's address, and its reserved units with it
+			units = 0 // the later process has taken over the node's address and its reserved units
 		}
 		if p.now() >= p.quotaEnd && units == 0 {
 			p.tokens = min(p.tokens, units)
@@ -446,14 +452,14 @@
 		hasLaterProcess[p.node] = true
 		usedUnits += max(units, p.inFlight)
 		savedTokens += p.tokens
-		descriptions = append(descriptions, fmt.Sprintf("process %d of n%d: %d, %d going on, %d saved", p.index, p.node, units, p.inFlight, p.tokens))
+		descriptions = append(descriptions, fmt.Sprintf("process %d of n%d: %d units, %d requests in flight, %d tokens", p.index, p.node, units, p.inFlight, p.tokens))
 	}
 	if c.violation == "" && (usedUnits > c.config.Units || c.config.Kind == lease.RateKind && savedTokens > c.config.Units) {
-		c.violation = fmt.Sprintf("of %d units: %v", c.config.Units, descriptions)
+		c.violation = fmt.Sprintf("budget of %d units exceeded: %v", c.config.Units, descriptions)
 	}
 }
 
-// settle plays some steps without faults.
+// settle runs the given number of steps without faults, with up to 10 lease renewals in each step.
 func (c *testCluster) settle(steps int) {
 	c.renewals = 100
 	for end := c.step + steps; c.step < end; {
@@ -470,7 +476,7 @@
 	c.startStep = c.step
 }
 
-// clone returns a deep copy.
+// clone returns a deep copy of the cluster.
 func (c *testCluster) clone() *testCluster {
 	clusterCopy := *c
 	cloneState := func(s *lease.State) *lease.State {
@@ -521,7 +527,7 @@
 	return &clusterCopy
 }
 
-// fingerprint returns a hash of everything that tells one state from another.
+// fingerprint returns a hash of everything that distinguishes one state of the cluster from another.
 func (c *testCluster) fingerprint(h hash.Hash64) uint64 {
 	h.Reset()
 	fmt.Fprint(h, c.step, c.term, c.elections, c.messageLosses, c.demandChanges, c.regrants, c.renewals, c.requests, c.leaseEnds, c.committed.Leases)
@@ -544,7 +550,7 @@
 			fmt.Fprint(h, *b)
 		}
 	}
-	var messages []string // in whatever order
+	var messages []string // sorted, because the order of messages doesn't matter
 	for _, m := range c.messages {
 		description := fmt.Sprint(m.process, m.sentAt, m.received, m.renewal, m.id == c.processes[m.process].latestRequestID)
 		if m.request != nil {
--- a/budget/history_test.go
+++ b/budget/history_test.go
@@ -18,14 +18,16 @@
 	reservedRateBudget = lease.BudgetConfig{Kind: lease.RateKind, Units: 7, RatePerUnit: 10, ReservedPerNode: 1, MaxNodes: 3}
 )
 
+// bounds limits the number of steps and events in a history.
 type bounds struct {
 	steps, elections, messageLosses, demandChanges, regrants, renewals, requests int
-	allHaveDemand                                                                bool // both nodes have demand from the beginning
+	allHaveDemand                                                                bool // all nodes have demand from the beginning, not only the first one
 }
 
-const maxStates = 150_000 // far beyond what the bounds below reach
+const maxStates = 150_000 // far more than the bounds in the tests reach
 
-// explore plays all histories within the bounds, and returns the first one that exceeds the budget.
+// explore executes all histories within the bounds by breadth-first search. It returns the number of distinct states, and the
+// first history that exceeds the budget.
 func explore(disabled string, config lease.BudgetConfig, nodes int, b bounds) (states int, history []event, violation string) {
 	type searchState struct {
 		cluster *testCluster
@@ -62,8 +64,8 @@
 	return len(seen), nil, ""
 }
 
-// All histories of two nodes within small bounds: a step is a quarter of a lease, so that quotas are requested, granted,
-// returned, and expire within them.
+// No history of two nodes within small bounds exceeds the budget. A step is a quarter of a lease, so quotas are requested,
+// granted and returned, and expire, within the bounds.
 func TestExhaustiveHistoriesStayWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		config lease.BudgetConfig
@@ -79,44 +81,45 @@
 	} {
 		t.Run(fmt.Sprintf("%s %d/%d %+v", c.config.Kind, c.config.Units, c.config.ReservedPerNode, c.bounds), func(t *testing.T) {
 			if testing.Short() {
-				t.Skip("too many for the race detector")
+				t.Skip("too many states for the race detector")
 			}
 			t.Parallel()
 			states, history, violation := explore("", c.config, 2, c.bounds)
 			t.Log(states, "states")
 			if violation != "" || states >= maxStates {
-				t.Errorf("%d states; %s after %v", states, violation, history)
+				t.Errorf("explored %d states, violation %q after %v", states, violation, history)
 			}
 		})
 	}
 }
 
-// With a safeguard disabled, the same exploration finds a violation, where such short histories can have one.
+// With a safeguard disabled, the exploration finds a history that exceeds the budget. The test covers only safeguards whose
+// absence shows in such short histories.
 func TestExhaustiveHistoriesDetectDisabledSafeguard(t *testing.T) {
 	for disabled, b := range map[string]bounds{noDriftMargin: {steps: 5, renewals: 1, allHaveDemand: true}, reuseEarly: {steps: 3, demandChanges: 1},
 		forgetQuotas: {steps: 3, elections: 1, demandChanges: 1}, forgetInFlight: {steps: 4, demandChanges: 1, requests: 3}} {
 		t.Run(disabled, func(t *testing.T) {
 			t.Parallel()
 			states, history, violation := explore(disabled, concurrencyBudget, 2, b)
-			if t.Logf("%d states; %s after %v", states, violation, history); violation == "" {
-				t.Error("none of them shows it")
+			if t.Logf("explored %d states, violation %q after %v", states, violation, history); violation == "" {
+				t.Errorf("no history exceeds the budget without safeguard %s", disabled)
 			}
 		})
 	}
 }
 
-// playRandom plays a random history, with larger bounds than can be explored.
-func playRandom(disabled string, seed uint64, steps int) (c *testCluster, history []event) {
+// executeRandom executes a random history, with larger bounds than explore can cover.
+func executeRandom(disabled string, seed uint64, steps int) (c *testCluster, history []event) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	c = newTestCluster(disabled, []lease.BudgetConfig{rateBudget, concurrencyBudget, oneUnitBudget, reservedRateBudget}[rnd.IntN(4)], 2+rnd.IntN(2))
 	c.demandChanges, c.regrants, c.renewals, c.requests, c.maxOlderRequests = 10, 5, 1<<20, 80, 2
-	if rnd.IntN(2) == 0 { // else there are no faults
+	if rnd.IntN(2) == 0 { // otherwise there are no elections and no lost messages
 		c.elections, c.messageLosses = 6, 20
 	}
 	for range steps {
 		events := c.possibleEvents(1 << 20)
 		e := events[rnd.IntN(len(events))]
-		if e.kind == finishRequest && rnd.IntN(8) > 0 { // requests take several moves
+		if e.kind == finishRequest && rnd.IntN(8) > 0 { // requests last for several events
 			continue
 		}
 		if rare := e.kind == electLeader || e.kind == loseMessage || e.kind == eventTick || e.kind == changeDemand; rare && rnd.IntN(3) > 0 {
@@ -133,28 +136,29 @@
 func TestRandomHistoriesStayWithinBudget(t *testing.T) {
 	tokens, runs := uint64(0), uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
-		c, history := playRandom("", rapid.Uint64().Draw(t, "seed"), 300)
+		c, history := executeRandom("", rapid.Uint64().Draw(t, "seed"), 300)
 		runs++
 		if tokens += c.committed.LastToken; c.violation != "" {
-			t.Fatalf("%s after %v", c.violation, history)
+			t.Fatalf("violation %q after %v", c.violation, history)
 		}
 	})
 	if tokens < 5*runs {
-		t.Errorf("%d tokens in %d histories: they show nothing", tokens, runs)
+		t.Errorf("%d quota tokens granted in %d histories, too few to verify anything", tokens, runs)
 	}
 }
 
-// With any one safeguard disabled some history exceeds the budget: otherwise the histories above prove nothing.
+// With any one safeguard disabled, some random history exceeds the budget. Otherwise TestRandomHistoriesStayWithinBudget could
+// pass without the safeguard.
 func TestRandomHistoriesDetectDisabledSafeguard(t *testing.T) {
 	for _, disabled := range safeguards {
 		t.Run(disabled, func(t *testing.T) {
 			for seed := range uint64(3_000) {
-				if c, history := playRandom(disabled, seed, 400); c.violation != "" {
-					t.Logf("seed %d, %d moves: %s", seed, len(history), c.violation)
+				if c, history := executeRandom(disabled, seed, 400); c.violation != "" {
+					t.Logf("seed %d, %d events: %s", seed, len(history), c.violation)
 					return
 				}
 			}
-			t.Error("no history exceeds the budget without it")
+			t.Errorf("no history exceeds the budget without safeguard %s", disabled)
 		})
 	}
 }
