--- a/budget/allocator_test.go
+++ b/budget/allocator_test.go
@@ -30,22 +30,22 @@
 	}
 }
 
-// steadyFleet is a leader and many nodes without faults: requests take no time, log entries 10 ms.
-type steadyFleet struct {
-	t         *testing.T
-	now       Time
-	state     *lease.State
-	allocator *Allocator
-	wake      Time
-	nodes     []*node
-	proposals []uint64
-	entries   int
-	lowered   bool
+// faultFreeCluster is a leader and many nodes without faults: requests take no time, log entries 10 ms.
+type faultFreeCluster struct {
+	t              *testing.T
+	now            Time
+	state          *lease.State
+	allocator      *Allocator
+	alarmTime      Time
+	nodes          []*testNode
+	proposals      []uint64
+	appliedEntries int
+	budgetLowered  bool
 }
 
-type node struct {
-	fleet                     *steadyFleet
-	n                         int
+type testNode struct {
+	cluster                   *faultFreeCluster
+	index                     int
 	client                    *QuotaClient
 	rate                      float64 // requests a second
 	units                     int
@@ -53,139 +53,139 @@
 	lastHadUnits, longestWait Time // when it last had units, and for how long it had none
 	request                   *Request
 	responses                 []Response
-	wake                      Time
+	alarmTime                 Time
 }
 
-func newFleet(t *testing.T, terms lease.BudgetConfig, nodes int) *steadyFleet {
-	f := &steadyFleet{t: t, now: 1, state: lease.NewState()}
-	f.state.Apply(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
-	f.allocator = NewAllocator(f, f.state, Unsafe{})
-	f.allocator.Promote(f.now, f.state.Apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"}).Term)
+func newFaultFreeCluster(t *testing.T, config lease.BudgetConfig, nodes int) *faultFreeCluster {
+	c := &faultFreeCluster{t: t, now: 1, state: lease.NewState()}
+	c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
+	c.allocator = NewAllocator(c, c.state, Unsafe{})
+	c.allocator.Promote(c.now, c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"}).Term)
 	for range nodes {
-		f.join(terms)
+		c.addNode(config)
 	}
-	return f
+	return c
 }
 
-func (f *steadyFleet) join(terms lease.BudgetConfig) *node {
-	n := &node{fleet: f, n: len(f.nodes), lastHadUnits: f.now}
-	f.nodes = append(f.nodes, n)
-	r := f.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: leaseNameOf(n.n), Holder: lease.Holder{Name: fmt.Sprint(n.n)}})
-	n.client = NewQuotaClient(n, f.now, leaseNameOf(n.n), r.Token, 1, map[string]lease.BudgetConfig{budgetName: terms}, 1<<60, 0)
+func (c *faultFreeCluster) addNode(config lease.BudgetConfig) *testNode {
+	n := &testNode{cluster: c, index: len(c.nodes), lastHadUnits: c.now}
+	c.nodes = append(c.nodes, n)
+	r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: leaseNameOf(n.index), Holder: lease.Holder{Name: fmt.Sprint(n.index)}})
+	n.client = NewQuotaClient(n, c.now, leaseNameOf(n.index), r.Token, 1, map[string]lease.BudgetConfig{budgetName: config}, 1<<60, 0)
 	return n
 }
 
-func (f *steadyFleet) SetAlarm(at Time)                  { f.wake = at }
-func (f *steadyFleet) Propose(ref uint64, _ lease.Entry) { f.proposals = append(f.proposals, ref) }
-func (f *steadyFleet) Respond(id uint64, a Response) {
-	f.nodes[id%1000].responses = append(f.nodes[id%1000].responses, a)
+func (c *faultFreeCluster) SetAlarm(t Time)                   { c.alarmTime = t }
+func (c *faultFreeCluster) Propose(ref uint64, _ lease.Entry) { c.proposals = append(c.proposals, ref) }
+func (c *faultFreeCluster) Respond(id uint64, r Response) {
+	c.nodes[id%1000].responses = append(c.nodes[id%1000].responses, r)
 }
-func (n *node) Send(a Request)   { n.request = &a }
-func (n *node) SetAlarm(at Time) { n.wake = at }
-func (n *node) SetQuota(_ string, _ lease.BudgetConfig, units, _ int, _ Time) allowance.Usage {
+func (n *testNode) Send(r Request)  { n.request = &r }
+func (n *testNode) SetAlarm(t Time) { n.alarmTime = t }
+func (n *testNode) SetQuota(_ string, _ lease.BudgetConfig, units, _ int, _ Time) allowance.Usage {
 	if n.units > 0 {
-		n.lastHadUnits = n.fleet.now
+		n.lastHadUnits = n.cluster.now
 	}
-	n.longestWait = max(n.longestWait, n.fleet.now-n.lastHadUnits)
-	u := allowance.Usage{Wanted: n.rate * seconds(n.fleet.now-n.lastSample), MeanSeconds: 0.1}
-	n.units, n.lastSample = units, n.fleet.now
-	return u
+	n.longestWait = max(n.longestWait, n.cluster.now-n.lastHadUnits)
+	usage := allowance.Usage{Wanted: n.rate * seconds(n.cluster.now-n.lastSample), MeanSeconds: 0.1}
+	n.units, n.lastSample = units, n.cluster.now
+	return usage
 }
 
 // run advances the clock in steps of 10 ms.
-func (f *steadyFleet) run(span Time) {
-	for end := f.now + span; f.now < end; f.now += 10 * lease.Millisecond {
-		for _, ref := range f.proposals {
-			e := f.allocator.proposals[ref]
-			f.state.Apply(e)
-			f.entries++
-			f.allocator.Applied(f.now, ref, false)
+func (c *faultFreeCluster) run(duration Time) {
+	for end := c.now + duration; c.now < end; c.now += 10 * lease.Millisecond {
+		for _, ref := range c.proposals {
+			e := c.allocator.proposals[ref]
+			c.state.Apply(e)
+			c.appliedEntries++
+			c.allocator.Applied(c.now, ref, false)
 		}
-		f.proposals = nil
-		if f.now >= f.wake {
-			f.allocator.Alarm(f.now)
+		c.proposals = nil
+		if c.now >= c.alarmTime {
+			c.allocator.Alarm(c.now)
 		}
-		for _, n := range f.nodes {
-			if f.now >= n.wake {
-				n.client.Alarm(f.now)
+		for _, n := range c.nodes {
+			if c.now >= n.alarmTime {
+				n.client.Alarm(c.now)
 			}
-			told := n.responses
+			responses := n.responses
 			n.responses = nil
-			for _, a := range told {
-				n.client.HandleResponse(f.now, a)
+			for _, r := range responses {
+				n.client.HandleResponse(c.now, r)
 			}
-			if a := n.request; a != nil {
+			if r := n.request; r != nil {
 				n.request = nil
-				f.allocator.Handle(f.now, uint64(f.now)*1000+uint64(n.n), *a)
+				c.allocator.Handle(c.now, uint64(c.now)*1000+uint64(n.index), *r)
 			}
 		}
-		if b := f.state.Budgets[budgetName]; b != nil && b.Allocated() > b.Allocatable() && !f.lowered {
-			f.t.Fatalf("%d units are allocated, the budget has %d", b.Allocated(), b.Allocatable())
+		if b := c.state.Budgets[budgetName]; b != nil && b.Allocated() > b.Allocatable() && !c.budgetLowered {
+			c.t.Fatalf("%d units are allocated, the budget has %d", b.Allocated(), b.Allocatable())
 		}
 	}
 }
 
 // Twenty units for sixty nodes that all want some: the nodes take turns, and none waits for longer than the others' turns take.
-func TestFewUnitsAreTakenInTurns(t *testing.T) {
-	f := newFleet(t, lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 20, MaxNodes: 60}, 60)
-	for _, n := range f.nodes {
+func TestScarceUnitsRotateAmongNodes(t *testing.T) {
+	c := newFaultFreeCluster(t, lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 20, MaxNodes: 60}, 60)
+	for _, n := range c.nodes {
 		n.rate = 20
 	}
-	f.run(5000 * lease.Millisecond)
-	for _, n := range f.nodes {
+	c.run(5000 * lease.Millisecond)
+	for _, n := range c.nodes {
 		n.longestWait = 0
 	}
-	f.run(20_000 * lease.Millisecond)
-	longest := Time(0)
-	for _, n := range f.nodes {
-		longest = max(longest, n.longestWait)
+	c.run(20_000 * lease.Millisecond)
+	longestWait := Time(0)
+	for _, n := range c.nodes {
+		longestWait = max(longestWait, n.longestWait)
 	}
-	t.Logf("the longest wait is %d ms", longest/lease.Millisecond)
-	if most := 60 / 20 * (minTurn + 500*lease.Millisecond); longest > most {
-		t.Errorf("a node waited for %d ms, want %d at most", longest/lease.Millisecond, most/lease.Millisecond)
+	t.Logf("the longest wait is %d ms", longestWait/lease.Millisecond)
+	if maxWait := 60 / 20 * (minTurn + 500*lease.Millisecond); longestWait > maxWait {
+		t.Errorf("a node waited for %d ms, want %d at most", longestWait/lease.Millisecond, maxWait/lease.Millisecond)
 	}
 }
 
 // Quotas follow a shift of demand within a second, a newcomer has some at once, a lowered budget is respected within a second,
 // and steady demand costs few log entries.
 func TestQuotasFollowDemand(t *testing.T) {
-	terms := lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, MaxNodes: 20}
-	f := newFleet(t, terms, 10)
-	for _, n := range f.nodes {
+	config := lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, MaxNodes: 20}
+	c := newFaultFreeCluster(t, config, 10)
+	for _, n := range c.nodes {
 		n.rate = 4
 	}
-	f.nodes[0].rate = 200
-	f.run(6000 * lease.Millisecond)
-	if got := f.nodes[0].units; got < 50 {
+	c.nodes[0].rate = 200
+	c.run(6000 * lease.Millisecond)
+	if got := c.nodes[0].units; got < 50 {
 		t.Errorf("the node with most of the demand has %d of 100", got)
 	}
-	f.nodes[0].rate, f.nodes[5].rate = 4, 200
-	f.run(1000 * lease.Millisecond)
-	if got := f.nodes[5].units; got < 45 {
+	c.nodes[0].rate, c.nodes[5].rate = 4, 200
+	c.run(1000 * lease.Millisecond)
+	if got := c.nodes[5].units; got < 45 {
 		t.Errorf("a second after demand has shifted to it, a node has %d of 100", got)
 	}
-	n := f.join(terms)
+	n := c.addNode(config)
 	n.rate = 4
-	f.run(400 * lease.Millisecond)
+	c.run(400 * lease.Millisecond)
 	if n.units == 0 {
 		t.Error("a newcomer has nothing after 0.4 s")
 	}
-	f.run(10_000 * lease.Millisecond)
-	f.entries = 0
-	f.run(20_000 * lease.Millisecond)
-	if f.entries > 20 {
-		t.Errorf("%d entries in 20 s of steady demand", f.entries)
+	c.run(10_000 * lease.Millisecond)
+	c.appliedEntries = 0
+	c.run(20_000 * lease.Millisecond)
+	if c.appliedEntries > 20 {
+		t.Errorf("%d entries in 20 s of steady demand", c.appliedEntries)
 	}
-	b := f.state.Budgets[budgetName]
-	f.state.Apply(lease.Entry{Version: 2, Kind: lease.KindSetBudget, Name: budgetName, Budget: &lease.BudgetConfig{Units: 60, Revision: b.Revision}})
-	f.allocator.StateChanged(f.now)
-	out := 0
-	f.lowered = true // more is allocated than there is, for a while
-	f.run(1000 * lease.Millisecond)
-	for _, n := range f.nodes {
-		out += n.units
+	b := c.state.Budgets[budgetName]
+	c.state.Apply(lease.Entry{Version: 2, Kind: lease.KindSetBudget, Name: budgetName, Budget: &lease.BudgetConfig{Units: 60, Revision: b.Revision}})
+	c.allocator.StateChanged(c.now)
+	unitsInUse := 0
+	c.budgetLowered = true // more is allocated than there is, for a while
+	c.run(1000 * lease.Millisecond)
+	for _, n := range c.nodes {
+		unitsInUse += n.units
 	}
-	if out > 60 || b.Allocated() > 60 {
-		t.Errorf("a second after the budget was lowered to 60, %d are in use, %d are allocated", out, b.Allocated())
+	if unitsInUse > 60 || b.Allocated() > 60 {
+		t.Errorf("a second after the budget was lowered to 60, %d are in use, %d are allocated", unitsInUse, b.Allocated())
 	}
 }
