--- a/budget/allocator_test.go
+++ b/budget/allocator_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// faultFreeCluster is a leader and many nodes without faults: requests take no time, log entries 10 ms.
+// faultFreeCluster is a leader with many nodes. No messages are lost and no node fails. Requests take no time, log entries 10 ms.
 type faultFreeCluster struct {
 	t              *testing.T
 	now            Time
@@ -50,7 +50,7 @@
 	rate                      float64 // requests a second
 	units                     int
 	lastSample                Time
-	lastHadUnits, longestWait Time // when it last had units, and for how long it had none
+	lastHadUnits, longestWait Time // last sample with units, longest time without units
 	request                   *Request
 	responses                 []Response
 	alarmTime                 Time
@@ -92,7 +92,7 @@
 	return usage
 }
 
-// run advances the clock in steps of 10 ms.
+// run advances the clock by duration, in steps of 10 ms.
 func (c *faultFreeCluster) run(duration Time) {
 	for end := c.now + duration; c.now < end; c.now += 10 * lease.Millisecond {
 		for _, ref := range c.proposals {
@@ -125,7 +125,8 @@
 	}
 }
 
-// Twenty units for sixty nodes that all want some: the nodes take turns, and none waits for longer than the others' turns take.
+// With 20 units and 60 nodes that all have demand, the nodes take turns. No node waits for longer than the turns of the other
+// nodes take.
 func TestScarceUnitsRotateAmongNodes(t *testing.T) {
 	c := newFaultFreeCluster(t, lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 20, MaxNodes: 60}, 60)
 	for _, n := range c.nodes {
@@ -146,8 +147,8 @@
 	}
 }
 
-// Quotas follow a shift of demand within a second, a newcomer has some at once, a lowered budget is respected within a second,
-// and steady demand costs few log entries.
+// A shift of demand between nodes moves the quotas within a second. A new node gets units within 0.4 s. The nodes shrink to a
+// lowered budget within a second. Steady demand takes few log entries.
 func TestQuotasFollowDemand(t *testing.T) {
 	config := lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, MaxNodes: 20}
 	c := newFaultFreeCluster(t, config, 10)
@@ -157,35 +158,35 @@
 	c.nodes[0].rate = 200
 	c.run(6000 * lease.Millisecond)
 	if got := c.nodes[0].units; got < 50 {
-		t.Errorf("the node with most of the demand has %d of 100", got)
+		t.Errorf("node with most of the demand has %d of 100 units, want 50 or more", got)
 	}
 	c.nodes[0].rate, c.nodes[5].rate = 4, 200
 	c.run(1000 * lease.Millisecond)
 	if got := c.nodes[5].units; got < 45 {
-		t.Errorf("a second after demand has shifted to it, a node has %d of 100", got)
+		t.Errorf("node has %d of 100 units 1 s after demand has shifted to it, want 45 or more", got)
 	}
 	n := c.addNode(config)
 	n.rate = 4
 	c.run(400 * lease.Millisecond)
 	if n.units == 0 {
-		t.Error("a newcomer has nothing after 0.4 s")
+		t.Error("new node has no units after 0.4 s")
 	}
 	c.run(10_000 * lease.Millisecond)
 	c.appliedEntries = 0
 	c.run(20_000 * lease.Millisecond)
 	if c.appliedEntries > 20 {
-		t.Errorf("%d entries in 20 s of steady demand", c.appliedEntries)
+		t.Errorf("%d log entries in 20 s of steady demand, want 20 at most", c.appliedEntries)
 	}
 	b := c.state.Budgets[budgetName]
 	c.state.Apply(lease.Entry{Version: 2, Kind: lease.KindSetBudget, Name: budgetName, Budget: &lease.BudgetConfig{Units: 60, Revision: b.Revision}})
 	c.allocator.StateChanged(c.now)
 	unitsInUse := 0
-	c.budgetLowered = true // more is allocated than there is, for a while
+	c.budgetLowered = true // until the nodes have shrunk, more units are allocated than the budget has
 	c.run(1000 * lease.Millisecond)
 	for _, n := range c.nodes {
 		unitsInUse += n.units
 	}
 	if unitsInUse > 60 || b.Allocated() > 60 {
-		t.Errorf("a second after the budget was lowered to 60, %d are in use, %d are allocated", unitsInUse, b.Allocated())
+		t.Errorf("%d units in use and %d allocated 1 s after the budget was lowered to 60", unitsInUse, b.Allocated())
 	}
 }
--- a/budget/allowance/limiter_test.go
+++ b/budget/allowance/limiter_test.go
@@ -6,8 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Units move between nodes at random, each granted only once another node has returned it: all nodes together never exceed the
-// budget's rate and burst in any window. Each limiter spends every token that it has.
+// Units move between nodes at random. A unit is granted only after another node has returned it. Each limiter spends all of
+// its tokens. All nodes together never exceed the budget's rate and burst in any time window. With keepTokens, a limiter keeps
+// its burst when its quota shrinks, and the budget must be exceeded.
 func TestQuotaMovesStayWithinBudget(t *testing.T) {
 	for _, keepTokens := range []bool{false, true} {
 		budgetExceeded := false
@@ -20,7 +21,7 @@
 			setQuota := func(i int) {
 				burst := nodeUnits[i]
 				if keepTokens {
-					burst = units // tokens stay
+					burst = units // a shrinking quota doesn't reduce the tokens
 				}
 				Set(&limiters[i], now, Quota{Rate: nodeUnits[i], Burst: burst, Until: 1 << 60})
 			}
@@ -45,7 +46,7 @@
 						tokensAboveRate = max(0, tokensAboveRate-units*float64(now-lastSpend)/ticksPerSecond) + 1
 						if lastSpend = now; tokensAboveRate > units+1e-6 {
 							if budgetExceeded = true; !keepTokens {
-								t.Fatalf("%.3f beyond the rate, want at most %g", tokensAboveRate, units)
+								t.Fatalf("%.3f tokens above the rate, want at most %g", tokensAboveRate, units)
 							}
 						}
 					}
@@ -54,16 +55,16 @@
 		}
 		rapid.Check(t, check)
 		if keepTokens && !budgetExceeded {
-			t.Error("with tokens kept no run exceeds the budget: the test proves nothing")
+			t.Error("no run exceeds the budget although limiters keep their tokens; the test can't detect a violation")
 		}
 	}
 }
 
-// The end of a quota, a concurrency limit, and the usage reported.
+// Covers the lower limit after the end of a quota, the concurrency limit, and the usage that Set returns.
 func TestLimiterQuotaEndAndUsage(t *testing.T) {
 	var concurrencyLimiter *Limiter
 	if concurrencyLimiter.Available(5) < 1e300 || concurrencyLimiter.Clone(5) != nil {
-		t.Error("a nil limiter limits something")
+		t.Error("nil limiter limits requests or has a non-nil clone")
 	}
 	concurrencyLimiter.Spend()
 	Set(&concurrencyLimiter, 0, Quota{Concurrency: true, Burst: 3, Until: 100, ThenBurst: 1})
@@ -73,22 +74,22 @@
 	for now, want := range map[int64]float64{99: 1, 100: -1} {
 		limiterCopy := *concurrencyLimiter
 		if got := limiterCopy.Available(now); got != want {
-			t.Errorf("at %d: %g left, want %g", now, got, want)
+			t.Errorf("at tick %d: Available = %g, want %g", now, got, want)
 		}
 	}
 	concurrencyLimiter.Ended(2500)
 	if usage := Set(&concurrencyLimiter, 50, Quota{Concurrency: true, Burst: 3, Until: 100}); usage != (Usage{Wanted: 3, Done: 2, InFlight: 1, MeanSeconds: 0.25}) {
-		t.Errorf("%+v", usage)
+		t.Errorf("Set returned %+v, want 3 requests wanted, 2 done, 1 in flight, a mean of 0.25 s", usage)
 	}
 	if usage := Set(&concurrencyLimiter, 60, Quota{Concurrency: true}); usage.InFlight != 1 || usage.Wanted != 0 {
-		t.Errorf("requests in flight must stay counted: %+v", usage)
+		t.Errorf("Set returned %+v, want 1 request in flight and the other counts reset", usage)
 	}
 	if clone := concurrencyLimiter.Clone(70); clone.Available(70) != 0 {
-		t.Errorf("%g available from the clone of an empty quota", clone.Available(70))
+		t.Errorf("clone under an empty quota: Available = %g, want 0", clone.Available(70))
 	}
 	var rateLimiter *Limiter
 	Set(&rateLimiter, 0, Quota{Rate: 2, Burst: 4, Until: 10000, ThenRate: 1, ThenBurst: 1})
 	if rateLimiter.Available(5000) != 1 || rateLimiter.Available(20000) != 1 {
-		t.Error("want tokens to fill with time, and the bucket to shrink when the quota ends")
+		t.Error("tokens don't accumulate with time, or the bucket doesn't shrink when the quota ends")
 	}
 }
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -10,15 +10,15 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// benchCluster is a leader and many nodes; entries are applied as soon as they are proposed.
+// benchCluster is a leader with many nodes. Log entries are committed without delay when applyProposals is called.
 type benchCluster struct {
 	now            Time
 	state          *lease.State
 	allocator      *Allocator
 	proposalRefs   []uint64
 	responses      map[uint64]Response
-	requests       []Request // by node
-	lastRequestIDs []uint64
+	requests       []Request // latest request, by node
+	lastRequestIDs []uint64  // ID of the latest request, by node
 	lastRequestID  uint64
 }
 
@@ -44,7 +44,8 @@
 	c.allocator.Handle(c.now, c.lastRequestID, c.requests[node])
 }
 
-// handleResponse lets a node take its response, and send its next request if there were updates.
+// handleResponse applies the response to a node's latest request, if there is one. The node sends its next request if the
+// response contains updates.
 func (c *benchCluster) handleResponse(node int) {
 	response, ok := c.responses[c.lastRequestIDs[node]]
 	if !ok {
@@ -66,7 +67,7 @@
 	}
 }
 
-// newBenchCluster has nodes share budgets of two units for each, in steady demand of one unit each.
+// newBenchCluster returns a cluster in which each budget has two units per node, and each node a steady demand of one unit.
 func newBenchCluster(nodes, budgets int) *benchCluster {
 	c := &benchCluster{now: 1, state: lease.NewState(), responses: map[uint64]Response{}, requests: make([]Request, nodes), lastRequestIDs: make([]uint64, nodes)}
 	c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindFoundCluster, Name: "f"})
@@ -104,8 +105,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRequests measures a leader in steady demand: each node's request waits for a second without an update, and is sent
-// again. One op is one node's request and the alarm at its end. The leader's share of a core is nodes times that.
+// BenchmarkRequests measures the leader under steady demand. Each node's request waits for a second without an update, and is
+// then sent again. One op is the request of one node and the alarm at its deadline. The metric "cores" is the leader's use of
+// processor cores, which is the number of nodes times the processor seconds per op.
 func BenchmarkRequests(b *testing.B) {
 	for _, nodes := range []int{100, 232, 500, 1000, 2000, 4090} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
@@ -116,7 +118,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			step, n := max(1, 1000*lease.Millisecond/Time(nodes)), 0
-			for i := range nodes { // spread over a second
+			for i := range nodes { // spreads the requests over a second
 				c.now += step
 				c.allocator.Alarm(c.now)
 				c.sendRequest(i)
@@ -144,14 +146,14 @@
 	}
 }
 
-// BenchmarkDivisions measures what one log entry costs the leader: a node's demand changes, the budget is divided, and all
-// requests that wait are checked for updates.
+// BenchmarkDivisions measures the leader's cost of one change of demand. The demand of a node changes, the leader divides the
+// budget, and it checks all waiting requests for updates.
 func BenchmarkDivisions(b *testing.B) {
 	for _, nodes := range []int{100, 232, 500, 1000, 2000, 4090} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
 			c := newBenchCluster(nodes, 2)
 			for _, n := range c.allocator.nodes {
-				n.deadline = 1 << 60 // BenchmarkRequests measures the waits
+				n.deadline = 1 << 60 // excludes deadlines, which BenchmarkRequests measures
 			}
 			entries, i := 0, 0
 			start := cpuTime()
@@ -159,10 +161,10 @@
 			for b.Loop() {
 				n := i * 7 % nodes
 				i++
-				c.requests[n].Holdings[0].Demand = 3 - c.requests[n].Holdings[0].Demand // one or two units
+				c.requests[n].Holdings[0].Demand = 3 - c.requests[n].Holdings[0].Demand // alternates between one and two units
 				c.sendRequest(n)
 				c.allocator.nodes[c.requests[n].Lease].deadline = 1 << 60
-				for range 2 { // units that are asked back are free in the second one
+				for range 2 { // the second division reuses the units that the first one asked back
 					c.now += 1000 * lease.Millisecond
 					c.allocator.Alarm(c.now)
 					entries += c.applyProposals()
