--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -116,7 +116,11 @@
 }
 
 func (c *testCluster) newAllocator(l *leader) *Allocator {
-	return NewAllocator(l, l.state, Unsafe{ReuseUnreturned: c.disabledSafeguard == reuseEarly, ForgetQuotas: c.disabledSafeguard == forgetQuotas, AcceptStaleReports: c.disabledSafeguard == acceptStaleReports})
+	return NewAllocator(l, l.state, Unsafe{
+		ReuseUnreturned:    c.disabledSafeguard == reuseEarly,
+		ForgetQuotas:       c.disabledSafeguard == forgetQuotas,
+		AcceptStaleReports: c.disabledSafeguard == acceptStaleReports,
+	})
 }
 
 func (c *testCluster) append(e lease.Entry) lease.Result {
@@ -465,7 +469,13 @@
 	for end := c.step + steps; c.step < end; {
 		events := c.possibleEvents(end)
 		i := slices.IndexFunc(events, func(e event) bool {
-			return e.kind == deliverResponse || e.kind == commitProposal || e.kind == deliverRenewal || e.kind == deliverRequest || e.kind == sendRenewal && c.renewals > 90
+			switch e.kind {
+			case deliverRequest, deliverResponse, deliverRenewal, commitProposal:
+				return true
+			case sendRenewal:
+				return c.renewals > 90
+			}
+			return false
 		})
 		if i < 0 {
 			c.renewals = 100
--- a/budget/demand.go
+++ b/budget/demand.go
@@ -111,13 +111,13 @@
 		units = max(1, min(config.Units, int(need)))
 	}
 	tolerance := max(minDemandTolerance, demandTolerance*float64(e.units))
-	shifted := e.hasShifted() && math.Abs(need-float64(e.units)) > 1+tolerance
-	risen := units > e.units && (need >= float64(e.units+1)+tolerance || e.units == 0 || units == config.Units)
-	unchanged := units >= e.units || units > 0 && need >= float64(e.units)-tolerance
+	shiftDetected := e.hasShifted() && math.Abs(need-float64(e.units)) > 1+tolerance
+	riseDetected := units > e.units && (need >= float64(e.units+1)+tolerance || e.units == 0 || units == config.Units)
+	withinTolerance := units >= e.units || units > 0 && need >= float64(e.units)-tolerance
 	switch {
-	case shifted || risen:
+	case shiftDetected || riseDetected:
 		return e.setUnits(units)
-	case unchanged:
+	case withinTolerance:
 		e.lowerSince = 0
 	case e.lowerSince == 0:
 		e.lowerSince = now
--- a/budget/division.go
+++ b/budget/division.go
@@ -235,15 +235,15 @@
 
 // moveSize classifies the difference between the nodes' units and their targets.
 func (d *division) moveSize() moveSize {
-	difference, newcomer := 0, false
+	difference, nodeWithoutUnits := 0, false
 	for i, c := range d.claims {
 		difference += max(d.targets[i]-c.units, c.units-d.targets[i])
-		newcomer = newcomer || c.units == 0 && d.targets[i] > 0
+		nodeWithoutUnits = nodeWithoutUnits || c.units == 0 && d.targets[i] > 0
 	}
 	// A unit that moves counts twice in the difference: once for the node that gives it and once for the node that gets it.
 	largeDifference := 2 * (d.budget.Allocatable() / smallMoveFraction)
 	switch {
-	case newcomer || difference > largeDifference || d.isOverAllocated():
+	case nodeWithoutUnits || difference > largeDifference || d.isOverAllocated():
 		return largeMove
 	case len(d.moves) > 0 || len(d.shrinkTo) > 0:
 		return smallMove
