--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -12,9 +12,9 @@
 // Limits on what an Allocator accepts.
 const (
 	maxNodes    = 4096
-	maxHoldings = 64  // number of budgets in one request
-	maxWeight   = 1e6 // weight of one node
-	maxWait     = 10_000 * lease.Millisecond
+	maxHoldings = 64                         // number of budgets in one request
+	maxWeight   = 1e6                        // weight of one node
+	maxWait     = 10_000 * lease.Millisecond // longer waits of requests are shortened to this
 )
 
 // divisionInterval is the minimum time between two divisions. Changes within this interval share one log entry.
@@ -22,12 +22,13 @@
 
 const (
 	entryVersion  = 2       // log entry version; version 2 is the first with budgets
-	moveEntryName = "parts" // Name of log entries that move quotas
+	moveEntryName = "parts" // name of log entries that move quotas
 )
 
 // Host performs the actions of an Allocator. Its methods must neither block nor call methods of the Allocator.
 type Host interface {
-	// Propose appends an entry to the replicated log. The caller reports the outcome to Allocator.Applied with the same ref.
+	// Propose appends an entry to the replicated log. Its outcome must be reported to Allocator.Applied with the same
+	// ref.
 	Propose(ref uint64, e lease.Entry)
 	// Respond sends the response to the request that was passed to Allocator.Handle with this id.
 	Respond(id uint64, r Response)
--- a/budget/demand.go
+++ b/budget/demand.go
@@ -46,7 +46,7 @@
 	shiftSecondsLeft   float64 // remaining seconds for which meanRate equals recentRate after a shift of demand
 	meanRequestSeconds float64 // mean duration of a request
 
-	countedUntil Time
+	countedUntil Time    // time of the last update of the rates
 	uncounted    float64 // requests recorded since countedUntil but not in the rates yet
 	lowerSince   Time    // start of the period for which the node has needed fewer units than reported, 0: none
 }
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -21,8 +21,8 @@
 	// SetQuota sets a budget's limit on this node: units until the given time, and reserved units after it. It returns the
 	// usage since the previous call. Under a concurrency budget a request counts until it ends.
 	SetQuota(name string, config lease.BudgetConfig, units, reserved int, until Time) allowance.Usage
-	// Send sends a request to the leader. The caller reports the outcome to HandleResponse or HandleTimeout, unless a later
-	// request has been sent in the meantime.
+	// Send sends a request to the leader. Its outcome must be reported to QuotaClient.HandleResponse or
+	// QuotaClient.HandleTimeout, unless a later request has been sent in the meantime.
 	Send(r Request)
 	// SetAlarm schedules a call of QuotaClient.Alarm at time t or soon after. It replaces the previous alarm.
 	SetAlarm(t Time)
@@ -65,8 +65,8 @@
 	lastSample   Time
 	nextRequest  Time // earliest time of the next request to the leader
 	reportNeeded bool // a request to the leader is due once nextRequest is reached
-	loanEnd      Time
-	closed       bool
+	loanEnd      Time // end of the loans to the next process of this node
+	closed       bool // Close has been called
 }
 
 // NewQuotaClient returns a client without quotas and sends its first request. leaseName and token identify the lease of the
@@ -98,7 +98,7 @@
 	return c
 }
 
-// ExtendLease sets the end of the lease after a renewal. An earlier end than the present one has no effect.
+// ExtendLease sets the end of the lease after a renewal. An end before the current one has no effect.
 func (c *QuotaClient) ExtendLease(end Time) { c.leaseEnd = max(c.leaseEnd, end) }
 
 // sample applies the quotas and records the usage since the previous sample. It ends the loans if they have expired.
--- a/budget/turns.go
+++ b/budget/turns.go
@@ -12,7 +12,7 @@
 // minTurn is the minimum time for which a node keeps its unit if there are fewer units than nodes with demand.
 const minTurn = 500 * lease.Millisecond
 
-// turn records since when a node has had units of a budget, or has been without.
+// turn records when a node last acquired or lost its units of a budget.
 type turn struct {
 	hasUnits     bool
 	acquiredAt   Time // division at which the node last acquired units
