--- a/budget/division.go
+++ b/budget/division.go
@@ -9,40 +9,44 @@
 )
 
 const (
-	reserveFraction   = 50 // one in so many allocatable units is held back for nodes that have none,
-	reserveMinPerNode = 2  // unless that leaves less than so many units for each node
-	smallMoveFraction = 32 // moves of less than one in so many of a budget's units are small
+	// The reserve for nodes without units is 1/reserveFraction of the allocatable units.
+	reserveFraction = 50
+	// A budget has no reserve if it has less than reserveMinPerNode allocatable units for each node, plus reserveFraction
+	// units.
+	reserveMinPerNode = 2
+	// Moves of at most 1/smallMoveFraction of a budget's allocatable units count as small.
+	smallMoveFraction = 32
 )
 
-// division is the work of dividing one budget once.
+// division computes the moves of one budget at one time.
 //
-// Invariant: after its moves the quotas of all nodes together are no more than the budget has, or no more than before if the
-// budget was lowered. Only grow raises quotas, and only by units that no node may be using.
+// Invariant: its moves never raise the sum of all quotas above the budget's units. If the budget was lowered and the sum is
+// above already, the moves don't raise it further. Only grow raises quotas, and only by units that no node may be using.
 type division struct {
-	allocator *Allocator
-	name      string
-	budget    *lease.Budget
-	reserve   int      // units held back for nodes that have none
-	leases    []string // of all nodes that have or may have a quota, sorted
-	claims    []claim  // one for each lease
-	demanding int      // how many of them want any units
-	target    []int    // units that each should have
+	allocator      *Allocator
+	name           string
+	budget         *lease.Budget
+	reserve        int      // units held back for nodes without units
+	leaseNames     []string // leases of all nodes that have a quota or have sent a request, sorted
+	claims         []claim  // by index in leaseNames
+	demandingNodes int      // number of claims with demand
+	targets        []int    // units that each node should have, by index in leaseNames
 
 	moves    []lease.QuotaMove
-	shrinkTo map[string]int // units that nodes have to come down to, by lease
+	shrinkTo map[string]int // units that nodes have to shrink their usage to, by lease name
 }
 
-// divide divides all budgets, and proposes one entry for all moves if the rate of entries allows it.
+// divide divides all budgets. It proposes one log entry with all moves if the rate limit of such entries allows it.
 func (a *Allocator) divide(now Time) {
 	a.stale = false
 	a.nextDivision = now + divisionInterval
-	a.retryAt = 0
+	a.retryTime = 0
 	size := noMove
 	names := slices.Sorted(maps.Keys(a.state.Budgets))
 	divisions := make([]*division, len(names))
 	for i, name := range names {
 		divisions[i] = a.divideBudget(now, name)
-		size = max(size, divisions[i].size())
+		size = max(size, divisions[i].moveSize())
 	}
 	allowed := a.mayMove(now, size)
 	var moves []lease.QuotaMove
@@ -50,7 +54,7 @@
 		if allowed {
 			moves = append(moves, d.moves...)
 		}
-		if allowed || d.isOverAllocated() { // nodes give back what a lowered budget lacks without waiting for an entry
+		if allowed || d.isOverAllocated() { // after a budget was lowered, nodes give units back without waiting for a log entry
 			a.setShrinkTargets(d)
 		}
 	}
@@ -58,63 +62,64 @@
 		a.moveRate.spend(now, size)
 		a.propose(lease.Entry{Kind: lease.KindMoveQuotas, Moves: moves})
 	}
-	a.notifyAll()
+	a.notifyAllNodes()
 }
 
-// mayMove reports whether an entry for moves of this size may be proposed now; if not, it sets the time to try again.
+// mayMove reports whether a log entry with moves of this size may be proposed now. If the rate limit forbids it, mayMove sets
+// the time to try again.
 func (a *Allocator) mayMove(now Time, size moveSize) bool {
-	at := a.moveRate.next(now, size, len(a.nodes))
+	earliest := a.moveRate.earliestEntryTime(now, size, len(a.nodes))
 	if size == noMove {
 		return false
 	}
-	if now < at {
-		a.retryAt = at
+	if now < earliest {
+		a.retryTime = earliest
 		return false
 	}
 	return true
 }
 
-// setShrinkTargets replaces the nodes' shrink targets of one budget.
+// setShrinkTargets replaces the shrink targets of all nodes for one budget.
 func (a *Allocator) setShrinkTargets(d *division) {
 	for _, n := range a.nodes {
 		delete(n.shrinkTo, d.name)
 	}
-	for l, units := range d.shrinkTo {
-		a.nodes[l].shrinkTo[d.name] = units
+	for leaseName, units := range d.shrinkTo {
+		a.nodes[leaseName].shrinkTo[d.name] = units
 	}
 }
 
-// divideBudget works out the moves of one budget: it takes off the nodes what they have given back, gives free units to
-// those below their target, and asks those above it to come down.
+// divideBudget computes the moves and shrink targets of one budget. It removes returned units from the quotas of the nodes
+// that returned them, sets a shrink target for nodes above their target, and gives free units to nodes below their target.
 func (a *Allocator) divideBudget(now Time, name string) *division {
 	b := a.state.Budgets[name]
-	leases := a.leasesOf(b)
-	d := &division{allocator: a, name: name, budget: b, leases: leases, shrinkTo: map[string]int{}}
-	d.reserve = reserveOf(b, len(leases))
+	leaseNames := a.leaseNames(b)
+	d := &division{allocator: a, name: name, budget: b, leaseNames: leaseNames, shrinkTo: map[string]int{}}
+	d.reserve = reserveUnits(b, len(leaseNames))
 	a.reserves[name] = d.reserve
-	d.claims = make([]claim, len(leases))
+	d.claims = make([]claim, len(leaseNames))
 	d.collectClaims()
 	a.updateTurns(now, d)
-	d.target = a.targets(now, d)
+	d.targets = a.computeTargets(now, d)
 	d.shrink()
 	d.grow()
 	return d
 }
 
-// leasesOf returns the leases of all nodes that have or may have a quota of a budget, sorted.
-func (a *Allocator) leasesOf(b *lease.Budget) []string {
-	all := map[string]bool{}
+// leaseNames returns the leases of all nodes that have a quota of a budget or have sent a request in this term, sorted.
+func (a *Allocator) leaseNames(b *lease.Budget) []string {
+	names := map[string]bool{}
 	for name := range b.Quotas {
-		all[name] = true
+		names[name] = true
 	}
 	for name := range a.nodes {
-		all[name] = true
+		names[name] = true
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(names))
 }
 
-// reserveOf returns how many units of a budget are held back for nodes that have none.
-func reserveOf(b *lease.Budget, nodes int) int {
+// reserveUnits returns how many units of a budget are held back for nodes without units.
+func reserveUnits(b *lease.Budget, nodes int) int {
 	allocatable := b.Allocatable()
 	if allocatable < reserveMinPerNode*nodes+reserveFraction {
 		return 0
@@ -122,83 +127,85 @@
 	return allocatable / reserveFraction
 }
 
-// units returns what can be divided beside the reserve.
-func (d *division) units() int { return d.budget.Allocatable() - d.reserve }
+// divisibleUnits returns the allocatable units without the reserve.
+func (d *division) divisibleUnits() int { return d.budget.Allocatable() - d.reserve }
 
-// isOverAllocated reports whether more is allocated than there is, as after the budget was lowered.
+// isOverAllocated reports whether more units are allocated than the budget has, which happens when the budget is lowered.
 func (d *division) isOverAllocated() bool { return d.budget.Allocated() > d.budget.Allocatable() }
 
-// collectClaims makes the claim of each node, and a move for each that has given units back. A node that hasn't reported
-// in this term claims what it has.
+// collectClaims sets the claim of each node, and adds a move for each node that has returned units. A node that hasn't sent a
+// request in this term claims the units of its quota.
 func (d *division) collectClaims() {
 	minDemand := 0
-	if d.budget.ReservedPerNode == 0 && d.units() >= len(d.leases) {
-		minDemand = 1 // an idle node then has a unit to begin with
+	if d.budget.ReservedPerNode == 0 && d.divisibleUnits() >= len(d.leaseNames) {
+		minDemand = 1 // an idle node then has a unit for its first requests
 	}
-	for i, l := range d.leases {
-		quota := d.budget.Quotas[l]
+	for i, leaseName := range d.leaseNames {
+		quota := d.budget.Quotas[leaseName]
 		c := claim{demand: quota.Units, weight: 1, units: quota.Units, rank: i}
-		if n := d.allocator.nodes[l]; n != nil {
+		if n := d.allocator.nodes[leaseName]; n != nil {
 			h := n.holdings[d.name]
 			c.demand = max(h.Demand-d.budget.ReservedPerNode, minDemand)
 			c.weight = n.weight
 			if d.isCurrent(h, quota) && h.Units < quota.Units {
 				c.units = max(0, h.Units)
-				d.move(l, c.units)
+				d.addMove(leaseName, c.units)
 			}
 		}
 		if c.demand > 0 {
-			d.demanding++
+			d.demandingNodes++
 		}
 		d.claims[i] = c
 	}
 }
 
-// isCurrent reports whether a holding speaks of the quota that the node has now. An older report says nothing about units
-// that were given since.
+// isCurrent reports whether a holding refers to the current quota of the node. An older report doesn't cover units that were
+// added to the quota later.
 func (d *division) isCurrent(h Holding, quota lease.Quota) bool {
 	return quota.Token != 0 && (h.Token == quota.Token || d.allocator.unsafe.AcceptStaleReports)
 }
 
-// move sets the units of a node that is in contact.
-func (d *division) move(name string, units int) {
+// addMove adds a move that sets the quota of a node. The node must have sent a request in this term.
+func (d *division) addMove(leaseName string, units int) {
 	d.moves = append(d.moves, lease.QuotaMove{
 		Budget:    d.name,
-		Lease:     name,
-		Token:     d.allocator.nodes[name].token,
-		FromToken: d.budget.Quotas[name].Token,
+		Lease:     leaseName,
+		Token:     d.allocator.nodes[leaseName].token,
+		FromToken: d.budget.Quotas[leaseName].Token,
 		Units:     units,
 	})
 }
 
-// shrink asks nodes above their target to come down. Their units count as free only once they have reported that.
+// shrink sets a shrink target for each node above its target. The surplus counts as free only once the node has reported
+// that it no longer uses it.
 func (d *division) shrink() {
-	for i, l := range d.leases {
-		if d.allocator.nodes[l] == nil || d.target[i] >= d.claims[i].units {
+	for i, leaseName := range d.leaseNames {
+		if d.allocator.nodes[leaseName] == nil || d.targets[i] >= d.claims[i].units {
 			continue
 		}
-		d.shrinkTo[l] = d.target[i]
+		d.shrinkTo[leaseName] = d.targets[i]
 		if d.allocator.unsafe.ReuseUnreturned {
-			d.move(l, d.target[i])
+			d.addMove(leaseName, d.targets[i])
 		}
 	}
 }
 
-// grow gives free units to nodes below their target. Nodes without any come first, and only they may use the reserve.
+// grow gives free units to nodes below their target. Nodes without units come first, and only they may take units from the
+// reserve.
 func (d *division) grow() {
 	free := d.freeUnits()
 	for _, i := range d.growOrder() {
-		l, c := d.leases[i], d.claims[i]
+		leaseName, c := d.leaseNames[i], d.claims[i]
 		available := free
 		if c.units > 0 {
 			available -= d.reserve
 		}
-		more := min(d.target[i]-c.units, available)
-		if d.allocator.nodes[l] == nil || more <= 0 || d.hasMove(l) { // one move for each node and division
+		increase := min(d.targets[i]-c.units, available)
+		if d.allocator.nodes[leaseName] == nil || increase <= 0 || d.hasMove(leaseName) { // at most one move per node in a division
 			continue
 		}
-		free -= more
-		d.move(l, c.units+more)
+		free -= increase
+		d.addMove(leaseName, c.units+increase)
 	}
 }
 
@@ -207,14 +214,14 @@
 	free := d.budget.Allocatable()
 	for i, c := range d.claims {
 		free -= c.units
-		if _, ok := d.shrinkTo[d.leases[i]]; ok && d.allocator.unsafe.ReuseUnreturned {
-			free += c.units - d.target[i]
+		if _, ok := d.shrinkTo[d.leaseNames[i]]; ok && d.allocator.unsafe.ReuseUnreturned {
+			free += c.units - d.targets[i]
 		}
 	}
 	return free
 }
 
-// growOrder returns the indices of the claims: those of nodes without units first, each group by rank.
+// growOrder returns the indices of the claims sorted by rank, with those of nodes without units first.
 func (d *division) growOrder() []int {
 	return sortedIndices(len(d.claims), func(i, j int) int {
 		a, b := d.claims[i], d.claims[j]
@@ -222,20 +229,21 @@
 	})
 }
 
-func (d *division) hasMove(name string) bool {
-	return slices.ContainsFunc(d.moves, func(m lease.QuotaMove) bool { return m.Lease == name })
+func (d *division) hasMove(leaseName string) bool {
+	return slices.ContainsFunc(d.moves, func(m lease.QuotaMove) bool { return m.Lease == leaseName })
 }
 
-// size says how much has to be moved.
-func (d *division) size() moveSize {
-	difference, newcomer := 0, false
+// moveSize classifies the difference between the nodes' units and their targets.
+func (d *division) moveSize() moveSize {
+	difference, nodeWithoutUnits := 0, false
 	for i, c := range d.claims {
-		difference += max(d.target[i]-c.units, c.units-d.target[i])
-		newcomer = newcomer || c.units == 0 && d.target[i] > 0
+		difference += max(d.targets[i]-c.units, c.units-d.targets[i])
+		nodeWithoutUnits = nodeWithoutUnits || c.units == 0 && d.targets[i] > 0
 	}
-	large := 2 * (d.budget.Allocatable() / smallMoveFraction) // a unit that moves counts twice: where it is missing, and where it is too much
+	// A unit that moves counts twice in the difference: once for the node that gives it and once for the node that gets it.
+	largeDifference := 2 * (d.budget.Allocatable() / smallMoveFraction)
 	switch {
-	case newcomer || difference > large || d.isOverAllocated():
+	case nodeWithoutUnits || difference > largeDifference || d.isOverAllocated():
 		return largeMove
 	case len(d.moves) > 0 || len(d.shrinkTo) > 0:
 		return smallMove
@@ -243,34 +251,35 @@
 	return noMove
 }
 
-// targets returns how many units each node should have. Where there are fewer units than nodes that want one, the nodes
-// take turns; else each that wants any has one, and the rest is divided by weighted max-min.
-func (a *Allocator) targets(now Time, d *division) []int {
-	if d.units() < d.demanding {
-		return a.targetsByTurn(now, d)
+// computeTargets returns how many units each node should have. If there are fewer units than nodes with demand, the nodes
+// take turns. Otherwise each node with demand gets one unit, and the remaining units are divided by weighted max-min
+// fairness.
+func (a *Allocator) computeTargets(now Time, d *division) []int {
+	if d.divisibleUnits() < d.demandingNodes {
+		return a.computeTurnTargets(now, d)
 	}
-	units := d.units()
-	first := make([]int, len(d.claims))
-	rest := slices.Clone(d.claims)
-	for i := range rest {
-		first[i] = min(1, rest[i].demand)
-		rest[i].demand -= first[i]
-		units -= first[i]
+	units := d.divisibleUnits()
+	base := make([]int, len(d.claims))
+	remaining := slices.Clone(d.claims)
+	for i := range remaining {
+		base[i] = min(1, remaining[i].demand)
+		remaining[i].demand -= base[i]
+		units -= base[i]
 	}
-	target := maxMinShares(units, rest)
-	for i := range target {
-		target[i] += first[i]
+	targets := maxMinShares(units, remaining)
+	for i := range targets {
+		targets[i] += base[i]
 	}
-	keepSmallSurpluses(d.units(), d.claims, target)
-	return target
+	keepSmallSurpluses(d.divisibleUnits(), d.claims, targets)
+	return targets
 }
 
-// sortedIndices returns 0 to n-1 in the order of compare, a stable one.
+// sortedIndices returns the integers from 0 to n-1, sorted by compare with a stable sort.
 func sortedIndices(n int, compare func(i, j int) int) []int {
-	all := make([]int, n)
-	for i := range all {
-		all[i] = i
+	indices := make([]int, n)
+	for i := range indices {
+		indices[i] = i
 	}
-	slices.SortStableFunc(all, compare)
-	return all
+	slices.SortStableFunc(indices, compare)
+	return indices
 }
--- a/budget/turns.go
+++ b/budget/turns.go
@@ -9,97 +9,99 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// minTurn is how long a node keeps its unit where there are fewer units than nodes that want one.
+// minTurn is the minimum time for which a node keeps its unit if there are fewer units than nodes with demand.
 const minTurn = 500 * lease.Millisecond
 
-// turn is the history of one node's quota of a budget.
+// turn records when a node last acquired or lost its units of a budget.
 type turn struct {
-	holds        bool // it has units
-	since        Time // when it last came to have units
-	waitingSince Time // when it last came to have none
+	hasUnits     bool
+	acquiredAt   Time // division at which the node last acquired units
+	waitingSince Time // division at which the node lost its units or was first seen without units
 }
 
-// phase orders nodes that take turns.
+// phase is the state of a node that takes turns. Nodes in a lower phase get units first.
 type phase int
 
 const (
-	turnRunning phase = iota // has had its unit for less than minTurn
-	turnWaited
-	turnOver
+	turnRunning phase = iota // has had units for less than minTurn
+	turnWaiting              // has no units
+	turnExpired              // has had units for minTurn or longer
 )
 
 func (t turn) phase(now Time) phase {
 	switch {
-	case t.holds && now < t.since+minTurn:
+	case t.hasUnits && now < t.acquiredAt+minTurn:
 		return turnRunning
-	case !t.holds:
-		return turnWaited
+	case !t.hasUnits:
+		return turnWaiting
 	}
-	return turnOver
+	return turnExpired
 }
 
-// compareTurns orders by phase, then those that wait by how long they have, and those that hold units by how recently they
-// came to have them.
+// compareTurns orders nodes by phase. Within a phase, nodes without units come in the order of their waiting time, longest
+// first, and nodes with units in the order in which they acquired them, latest first.
 func compareTurns(now Time, a, b turn) int {
 	if byPhase := cmp.Compare(a.phase(now), b.phase(now)); byPhase != 0 {
 		return byPhase
 	}
-	if a.holds {
-		return cmp.Compare(b.since, a.since)
+	if a.hasUnits {
+		return cmp.Compare(b.acquiredAt, a.acquiredAt)
 	}
 	return cmp.Compare(a.waitingSince, b.waitingSince)
 }
 
-// updateTurns notes which nodes have come to have units of a budget, or to have none, since the last division.
+// updateTurns records which nodes have acquired units of a budget, or have lost all of them, since the last division. It
+// removes the records of nodes that are no longer part of the division.
 func (a *Allocator) updateTurns(now Time, d *division) {
 	turns := a.turns[d.name]
 	if turns == nil {
 		turns = map[string]turn{}
 		a.turns[d.name] = turns
 	}
-	for i, l := range d.leases {
-		t, known := turns[l]
-		holds := d.claims[i].units > 0
+	for i, leaseName := range d.leaseNames {
+		t, known := turns[leaseName]
+		hasUnits := d.claims[i].units > 0
 		switch {
-		case holds && !t.holds:
-			t.since = now
-		case !holds && t.holds || !known:
+		case hasUnits && !t.hasUnits:
+			t.acquiredAt = now
+		case !hasUnits && t.hasUnits || !known:
 			t.waitingSince = now
 		}
-		t.holds = holds
-		turns[l] = t
+		t.hasUnits = hasUnits
+		turns[leaseName] = t
 	}
-	maps.DeleteFunc(turns, func(l string, _ turn) bool {
-		_, found := slices.BinarySearch(d.leases, l)
+	maps.DeleteFunc(turns, func(leaseName string, _ turn) bool {
+		_, found := slices.BinarySearch(d.leaseNames, leaseName)
 		return !found
 	})
 }
 
-// targetsByTurn gives a unit to as many nodes as there are units for: to those whose turn runs, then to those that have
-// waited longest. It ranks the claims in this order.
-func (a *Allocator) targetsByTurn(now Time, d *division) []int {
+// computeTurnTargets returns a target of one unit for as many nodes as there are units. Nodes whose turn is running come
+// first, then those that have waited longest, then those whose turn has expired. The ranks of the claims are set to this
+// order.
+func (a *Allocator) computeTurnTargets(now Time, d *division) []int {
 	turns := a.turns[d.name]
-	order := sortedIndices(len(d.leases), func(i, j int) int {
-		return compareTurns(now, turns[d.leases[i]], turns[d.leases[j]])
+	order := sortedIndices(len(d.leaseNames), func(i, j int) int {
+		return compareTurns(now, turns[d.leaseNames[i]], turns[d.leaseNames[j]])
 	})
 	for rank, i := range order {
 		d.claims[i].rank = rank
 		d.claims[i].demand = min(d.claims[i].demand, 1)
 	}
-	a.retryAt = min(nextTurnEnd(now, d.leases, turns), now+minTurn/2)
-	return maxMinShares(d.units(), d.claims)
+	a.retryTime = min(nextTurnEnd(now, d.leaseNames, turns), now+minTurn/2)
+	return maxMinShares(d.divisibleUnits(), d.claims)
 }
 
-// nextTurnEnd returns when the first of the running turns ends, math.MaxInt64 if none does. A node that is alone has no
-// other to make room for.
-func nextTurnEnd(now Time, leases []string, turns map[string]turn) Time {
+// nextTurnEnd returns when the first of the running turns ends, or math.MaxInt64 if no turn is running. With a single node
+// it returns math.MaxInt64 too, because no other node waits for the unit.
+func nextTurnEnd(now Time, leaseNames []string, turns map[string]turn) Time {
 	end := Time(math.MaxInt64)
-	if len(leases) == 1 {
+	if len(leaseNames) == 1 {
 		return end
 	}
-	for _, l := range leases {
-		if t := turns[l]; t.phase(now) == turnRunning {
-			end = min(end, t.since+minTurn)
+	for _, leaseName := range leaseNames {
+		if t := turns[leaseName]; t.phase(now) == turnRunning {
+			end = min(end, t.acquiredAt+minTurn)
 		}
 	}
 	return end
