--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -12,41 +12,41 @@
 func BenchmarkRead(b *testing.B) {
 	for _, size := range []int{1, 10, 25, 50, 100} {
 		b.Run(fmt.Sprint("KB=", size), func(b *testing.B) {
-			var all map[string]any
-			if err := json.Unmarshal([]byte(validNode), &all); err != nil {
+			var config map[string]any
+			if err := json.Unmarshal([]byte(validNode), &config); err != nil {
 				b.Fatal(err)
 			}
-			settings := all["settings"].(map[string]any)
-			var file []byte
-			for tenants := []any(nil); len(file) < size*1000; {
-				for range max(1, (size*1000-len(file))/60) {
+			settings := config["settings"].(map[string]any)
+			var data []byte
+			for tenants := []any(nil); len(data) < size*1000; {
+				for range max(1, (size*1000-len(data))/60) {
 					tenants = append(tenants, map[string]any{"name": fmt.Sprintf("customer-%05d", len(tenants)), "quota-rps": 218.5, "plan": "b"})
 				}
 				settings["tenants"] = tenants
 				var err error
-				if file, err = json.Marshal(all); err != nil {
+				if data, err = json.Marshal(config); err != nil {
 					b.Fatal(err)
 				}
 			}
 			path := filepath.Join(b.TempDir(), "config.json")
-			if err := os.WriteFile(path, file, 0o600); err != nil {
+			if err := os.WriteFile(path, data, 0o600); err != nil {
 				b.Fatal(err)
 			}
-			s, err := Read(path)
+			node, err := Read(path)
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				next, err := s.Reload()
+				reloaded, err := node.Reload()
 				if err != nil {
 					b.Fatal(err)
 				}
-				if keys := s.ImmutableChanges(next); len(keys) > 0 {
+				if keys := node.ImmutableChanges(reloaded); len(keys) > 0 {
 					b.Fatal(keys)
 				}
 			}
-			b.ReportMetric(float64(len(file)), "file-B")
+			b.ReportMetric(float64(len(data)), "file-B")
 		})
 	}
 }
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -39,8 +39,8 @@
 	lease.BudgetConfig
 }
 
-// limits gives the routing limit for each kind of budget of each resource.
-var limits = map[string]map[string]routing.Limit{
+// limitsByResource gives the routing limit for each kind of budget of each resource.
+var limitsByResource = map[string]map[string]routing.Limit{
 	boundsOrigin:    {lease.RateKind: routing.OriginRate, lease.ConcurrencyKind: routing.OriginConcurrency},
 	boundsTenant:    {lease.RateKind: routing.TenantRate},
 	boundsDiscovery: {lease.RateKind: routing.DiscoveryRate},
@@ -48,13 +48,13 @@
 	boundsCache:     {lease.ConcurrencyKind: routing.CacheConcurrency},
 }
 
-var reservedForm = numberForm("a share from 0 to 1", func(x float64) bool { return x >= 0 && x <= 1 })
+var reservedFractionParser = newNumberParser("a share from 0 to 1", func(x float64) bool { return x >= 0 && x <= 1 })
 
 // readBudget reads a budget. earlier are those before it in the list, maxNodes is the most nodes that there may ever be.
 func readBudget(o object, earlier []Budget, maxNodes int, tenants []string) Budget {
-	b := Budget{Name: o.stringAt("name")}
-	b.Kind = o.stringAt("kind")
-	b.Resource = o.stringAt("bounds")
+	b := Budget{Name: o.stringValue("name")}
+	b.Kind = o.stringValue("kind")
+	b.Resource = o.stringValue("bounds")
 	b.MaxNodes = maxNodes
 	b.checkNameAndKind(o, earlier)
 	b.readLimit(o, earlier, tenants)
@@ -66,56 +66,56 @@
 // checkNameAndKind reports the first fault of the keys that say what the budget is.
 func (b *Budget) checkNameAndKind(o object, earlier []Budget) {
 	sameName := func(other Budget) bool { return other.Name == b.Name }
-	kinds := limits[b.Resource]
-	_, known := kinds[b.Kind]
+	kinds := limitsByResource[b.Resource]
+	_, supported := kinds[b.Kind]
 	switch {
 	case !lease.ValidName(b.Name) || strings.ContainsAny(b.Name, "./:"):
-		o.fault("name", "a name of letters, digits and -_@")
+		o.addError("name", "a name of letters, digits and -_@")
 	case slices.ContainsFunc(earlier, sameName):
-		o.fault("name", fmt.Sprintf("another name than %q, which a budget before it has", b.Name))
+		o.addError("name", fmt.Sprintf("another name than %q, which a budget before it has", b.Name))
 	case kinds == nil:
-		o.fault("bounds", "one of origin, partner, discovery, cold, cache")
-	case !known:
+		o.addError("bounds", "one of origin, partner, discovery, cold, cache")
+	case !supported:
 		names := slices.Sorted(maps.Keys(kinds))
-		o.fault("kind", "for "+b.Resource+" "+strings.Join(names, " or "))
+		o.addError("kind", "for "+b.Resource+" "+strings.Join(names, " or "))
 	}
 }
 
 // readLimit reads what the budget limits, which no earlier one may limit already.
 func (b *Budget) readLimit(o object, earlier []Budget, tenants []string) {
-	limit, known := limits[b.Resource][b.Kind]
+	limit, supported := limitsByResource[b.Resource][b.Kind]
 	b.Limit = limit
 	if b.Resource == boundsTenant {
-		b.Tenant = o.stringAt("partner")
+		b.Tenant = o.stringValue("partner")
 		if !slices.Contains(tenants, b.Tenant) {
-			o.fault("partner", "the name of one of settings.tenants")
+			o.addError("partner", "the name of one of settings.tenants")
 		}
 	}
 	sameLimit := func(other Budget) bool { return other.Limit == b.Limit && other.Tenant == b.Tenant }
-	if known && slices.ContainsFunc(earlier, sameLimit) {
-		o.fault("bounds", "something that no budget before it bounds already")
+	if supported && slices.ContainsFunc(earlier, sameLimit) {
+		o.addError("bounds", "something that no budget before it bounds already")
 	}
 }
 
 // readUnits reads the size of the budget, and returns its units. At fault they are 1, so that the other keys can be checked.
 func (b *Budget) readUnits(o object) float64 {
-	whole := o.numberAt("whole")
-	units := whole
+	total := o.numberValue("whole")
+	units := total
 	b.RatePerUnit = 1
 	if b.Kind == lease.RateKind {
-		units = o.numberAt("burst")
+		units = o.numberValue("burst")
 		if units < 1 || units != math.Trunc(units) || units > maxUnits {
-			o.fault("burst", "a whole number, 1 or more: how much of the rate may be saved up, and in how many units it is divided")
+			o.addError("burst", "a whole number, 1 or more: how much of the rate may be saved up, and in how many units it is divided")
 			units = 1
 		}
-		b.RatePerUnit = whole / units
+		b.RatePerUnit = total / units
 	}
-	expected, valid := "a number above 0", whole > 0 && whole <= maxUnits
+	expected, valid := "a number above 0", total > 0 && total <= maxUnits
 	if b.Kind == lease.ConcurrencyKind {
-		expected, valid = "a whole number above 0", valid && whole == math.Trunc(whole)
+		expected, valid = "a whole number above 0", valid && total == math.Trunc(total)
 	}
 	if !valid {
-		o.fault("whole", expected)
+		o.addError("whole", expected)
 		units = 1
 	}
 	b.Units = int(units)
@@ -125,9 +125,9 @@
 // readReserved reads the fraction of the units that is reserved for nodes out of contact, and gives each node its part.
 func (b *Budget) readReserved(o object, units float64) {
 	reserved := defaultReservedFraction
-	optional(o, "apart", reservedForm, &reserved)
+	readOptional(o, "apart", reservedFractionParser, &reserved)
 	b.ReservedPerNode = int(reserved*units/float64(b.MaxNodes) + unitRounding)
 	if b.Resource == boundsDiscovery && b.ReservedPerNode < 1 {
-		o.fault("apart", "a share that leaves each of fleet.nodes a whole unit of burst: a node without the list serves nothing")
+		o.addError("apart", "a share that leaves each of fleet.nodes a whole unit of burst: a node without the list serves nothing")
 	}
 }
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -76,30 +76,30 @@
 
 // The forms of the section's values.
 var (
-	folderForm    = textForm("a folder that lasts", func(s string) bool { return s != "" })
-	probePathForm = textForm("a path as /up", func(s string) bool { return s[:min(1, len(s))] == "/" })
-	delayForm     = durationForm(minMaxDelay, maxMaxDelay)
-	leaseForm     = durationForm(minLease, maxLease)
-	rollUpForm    = durationForm(minRollUp, maxRollUp)
-	driftForm     = numberForm(fmt.Sprintf("a share from 0 to %g", maxMaxDrift), func(x float64) bool { return x >= 0 && x <= maxMaxDrift })
-	weightForm    = numberForm(fmt.Sprintf("a number above 0, %g at most", maxWeight), func(x float64) bool { return x > 0 && x <= maxWeight })
-	routesForm    = form[map[string]string]{"addresses by address", parseRoutes}
-	tasksForm     = form[[]string]{"a list of probe, roll-up", parseTasks}
+	folderParser        = newStringParser("a folder that lasts", func(s string) bool { return s != "" })
+	probePathParser     = newStringParser("a path as /up", func(s string) bool { return s[:min(1, len(s))] == "/" })
+	delayParser         = newDurationParser(minMaxDelay, maxMaxDelay)
+	leaseParser         = newDurationParser(minLease, maxLease)
+	rollUpParser        = newDurationParser(minRollUp, maxRollUp)
+	driftParser         = newNumberParser(fmt.Sprintf("a share from 0 to %g", maxMaxDrift), func(x float64) bool { return x >= 0 && x <= maxMaxDrift })
+	weightParser        = newNumberParser(fmt.Sprintf("a number above 0, %g at most", maxWeight), func(x float64) bool { return x > 0 && x <= maxWeight })
+	dialOverridesParser = valueParser[map[string]string]{"addresses by address", parseDialOverrides}
+	tasksParser         = valueParser[[]string]{"a list of probe, roll-up", parseTasks}
 )
 
 // readCluster reads the section "fleet" of a file, nil if there is none. The keys are read in a fixed order, which is the
 // order of the errors.
 func readCluster(root object, node string) *Cluster {
-	v, found := find(root.values, "fleet")
+	v, found := lookup(root.values, "fleet")
 	if !found {
 		return nil
 	}
 	values, ok := v.(map[string]any)
 	if !ok {
-		root.fault("fleet", "a JSON object")
+		root.addError("fleet", "a JSON object")
 		return nil
 	}
-	o := object{values: values, path: "fleet.", faults: root.faults}
+	o := object{values: values, path: "fleet.", errs: root.errs}
 	c := &Cluster{
 		Node:           node,
 		Lease:          defaultLease,
@@ -110,68 +110,68 @@
 		DialOverrides:  map[string]string{},
 		Weight:         defaultWeight,
 	}
-	required(o, "name", leaseName, &c.Name)
-	required(o, "address", hostPort, &c.Address)
-	optional(o, "folder", folderForm, &c.DataDir)
-	optional(o, "probe_path", probePathForm, &c.ProbePath)
+	readRequired(o, "name", leaseNameParser, &c.Name)
+	readRequired(o, "address", hostPortParser, &c.Address)
+	readOptional(o, "folder", folderParser, &c.DataDir)
+	readOptional(o, "probe_path", probePathParser, &c.ProbePath)
 	if !lease.ValidName(node) {
-		root.fault("name", leaseName.expected+", since the fleet knows the node by it")
+		root.addError("name", leaseNameParser.expected+", since the fleet knows the node by it")
 	}
 	c.readTimes(o)
-	optional(o, "drift", driftForm, &c.MaxDrift)
+	readOptional(o, "drift", driftParser, &c.MaxDrift)
 	c.readVoters(o)
-	optional(o, "routes", routesForm, &c.DialOverrides)
-	optional(o, "weight", weightForm, &c.Weight)
+	readOptional(o, "routes", dialOverridesParser, &c.DialOverrides)
+	readOptional(o, "weight", weightParser, &c.Weight)
 	c.readBudgets(o, tenantNames(root))
-	optional(o, "tasks", tasksForm, &c.Tasks)
+	readOptional(o, "tasks", tasksParser, &c.Tasks)
 	return c
 }
 
 func (c *Cluster) readTimes(o object) {
-	optional(o, "delay_ms", delayForm, &c.MaxDelay)
-	optional(o, "lease_ms", leaseForm, &c.Lease)
-	optional(o, "roll_up_ms", rollUpForm, &c.RollUpInterval)
-	if shortest := minLeaseDelays * c.MaxDelay; c.Lease < shortest {
-		o.fault("lease_ms", fmt.Sprintf("%d delays at least (fleet.delay_ms is %d), so %d or more",
-			minLeaseDelays, c.MaxDelay.Milliseconds(), shortest.Milliseconds()))
+	readOptional(o, "delay_ms", delayParser, &c.MaxDelay)
+	readOptional(o, "lease_ms", leaseParser, &c.Lease)
+	readOptional(o, "roll_up_ms", rollUpParser, &c.RollUpInterval)
+	if minimum := minLeaseDelays * c.MaxDelay; c.Lease < minimum {
+		o.addError("lease_ms", fmt.Sprintf("%d delays at least (fleet.delay_ms is %d), so %d or more",
+			minLeaseDelays, c.MaxDelay.Milliseconds(), minimum.Milliseconds()))
 	}
 }
 
-func (c *Cluster) readVoters(o object) {
-	voters := items(o.values["voters"])
+func (c *Cluster) readVoters(section object) {
+	voters := listItems(section.values["voters"])
 	for i, v := range voters {
-		x := o.element("voters", i, v)
-		voter := Voter{Name: x.stringAt("name"), Address: x.stringAt("address")}
-		c.checkVoter(o, x, voter)
+		entry := section.element("voters", i, v)
+		voter := Voter{Name: entry.stringValue("name"), Address: entry.stringValue("address")}
+		c.checkVoter(section, entry, voter)
 		c.Voters = append(c.Voters, voter)
 	}
 	if len(voters) != 3 && len(voters) != 5 {
-		o.fault("voters", "a list of 3 or 5, each with name and address")
+		section.addError("voters", "a list of 3 or 5, each with name and address")
 	}
 }
 
-// checkVoter reports the first fault of a voter, the object x of the section o, beside those before it.
-func (c *Cluster) checkVoter(o, x object, voter Voter) {
+// checkVoter reports the first fault of a voter, the object entry of the section section, beside those before it.
+func (c *Cluster) checkVoter(section, entry object, voter Voter) {
 	sameName := func(other Voter) bool { return other.Name == voter.Name }
 	sameAddress := func(other Voter) bool { return other.Address == voter.Address }
-	self := voter.Name == c.Node
+	isSelf := voter.Name == c.Node
 	switch {
 	case !lease.ValidName(voter.Name):
-		x.fault("name", leaseName.expected)
+		entry.addError("name", leaseNameParser.expected)
 	case slices.ContainsFunc(c.Voters, sameName):
-		x.fault("name", fmt.Sprintf("another name than %q, which a voter before it has", voter.Name))
+		entry.addError("name", fmt.Sprintf("another name than %q, which a voter before it has", voter.Name))
 	case !isAddress(voter.Address):
-		x.fault("address", hostPort.expected)
+		entry.addError("address", hostPortParser.expected)
 	case slices.ContainsFunc(c.Voters, sameAddress):
-		x.fault("address", fmt.Sprintf("another address than %q, which a voter before it has", voter.Address))
-	case self && c.DataDir == "":
-		o.fault("folder", folderForm.expected+", since this node is one of fleet.voters")
-	case self && c.Address != voter.Address:
-		x.fault("address", fmt.Sprintf("%q as in fleet.address, since this is the node itself", c.Address))
+		entry.addError("address", fmt.Sprintf("another address than %q, which a voter before it has", voter.Address))
+	case isSelf && c.DataDir == "":
+		section.addError("folder", folderParser.expected+", since this node is one of fleet.voters")
+	case isSelf && c.Address != voter.Address:
+		entry.addError("address", fmt.Sprintf("%q as in fleet.address, since this is the node itself", c.Address))
 	}
 }
 
-func parseRoutes(v any) (map[string]string, bool) {
+func parseDialOverrides(v any) (map[string]string, bool) {
 	values, ok := v.(map[string]any)
 	routes := map[string]string{}
 	for from, to := range values {
@@ -198,44 +198,44 @@
 
 // readBudgets reads the budgets, and the number of nodes that they are divided by.
 func (c *Cluster) readBudgets(o object, tenants []string) {
-	v, found := find(o.values, "budgets")
+	v, found := lookup(o.values, "budgets")
 	if !found {
 		return
 	}
 	list, ok := v.([]any)
 	if !ok {
-		o.fault("budgets", "a list, each with name, kind, bounds and whole")
+		o.addError("budgets", "a list, each with name, kind, bounds and whole")
 		return
 	}
-	nodes := o.numberAt("nodes")
+	nodes := o.numberValue("nodes")
 	if nodes < 1 || nodes != math.Trunc(nodes) || nodes > maxNodes {
-		o.fault("nodes", fmt.Sprintf("a whole number from 1 to %d: the most nodes that there may ever be, since fleet.budgets are divided by it", maxNodes))
+		o.addError("nodes", fmt.Sprintf("a whole number from 1 to %d: the most nodes that there may ever be, since fleet.budgets are divided by it", maxNodes))
 	}
 	for i, v := range list {
-		x := o.element("budgets", i, v)
-		c.Budgets = append(c.Budgets, readBudget(x, c.Budgets, max(1, int(nodes)), tenants))
+		entry := o.element("budgets", i, v)
+		c.Budgets = append(c.Budgets, readBudget(entry, c.Budgets, max(1, int(nodes)), tenants))
 	}
 }
 
 // tenantNames returns the names of the settings' tenants.
-func tenantNames(root object) (all []string) {
-	tenants, _ := find(root.values, "settings.tenants")
-	for i, v := range items(tenants) {
-		all = append(all, root.element("settings.tenants", i, v).stringAt("name"))
+func tenantNames(root object) (names []string) {
+	tenants, _ := lookup(root.values, "settings.tenants")
+	for i, v := range listItems(tenants) {
+		names = append(names, root.element("settings.tenants", i, v).stringValue("name"))
 	}
-	return all
+	return names
 }
 
 // ReadCluster reads only the section "fleet" of a file, for commands that query a cluster without running a node.
 func ReadCluster(path string) (*Cluster, error) {
-	values, err := load(path, "name")
+	values, err := loadFile(path, "name")
 	if err != nil {
 		return nil, err
 	}
-	root := newRoot(values)
-	c := readCluster(root, root.stringAt("name"))
-	if c == nil && len(*root.faults) == 0 {
+	root := newRootObject(values)
+	c := readCluster(root, root.stringValue("name"))
+	if c == nil && len(*root.errs) == 0 {
 		return nil, fmt.Errorf("%s: fleet: expected a section, docs/leases.md has one", path)
 	}
-	return c, errors.Join(*root.faults...)
+	return c, errors.Join(*root.errs...)
 }
--- a/internal/config/cluster_test.go
+++ b/internal/config/cluster_test.go
@@ -11,25 +11,25 @@
 )
 
 // A valid section is read; each faulty key is named, with what was expected.
-func TestReadFleet(t *testing.T) {
+func TestReadFleetSectionValuesAndErrors(t *testing.T) {
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","folder":"/x","lease_ms":2000.0,"drift":0.02,"delay_ms":40.0,
 "voters":[{"name":"n3","address":"127.0.0.1:7100"},{"name":"n4","address":"127.0.0.2:7100"},{"name":"n5","address":"127.0.0.3:7100"}],
 "tasks":["probe","roll-up"],"routes":{"127.0.0.2:7100":"127.0.0.9:1"}},"settings"`
-	with := func(old, replacement string) (*Node, error) {
+	readWith := func(old, replacement string) (*Node, error) {
 		if !strings.Contains(section, old) {
 			t.Fatalf("no %s in the section", old)
 		}
-		return read(t, `"settings"`, strings.Replace(section, old, replacement, 1))
+		return readEdited(t, `"settings"`, strings.Replace(section, old, replacement, 1))
 	}
-	s, err := with("", "")
+	node, err := readWith("", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := s.Cluster; f.Name != "f" || f.Node != "n3" || f.Lease != 2*time.Second || f.MaxDrift != 0.02 || f.MaxDelay != 40*time.Millisecond ||
-		len(f.Voters) != 3 || f.Voters[2] != (Voter{"n5", "127.0.0.3:7100"}) || len(f.Tasks) != 2 || f.DialOverrides["127.0.0.2:7100"] == "" {
-		t.Errorf("%+v", f)
+	if c := node.Cluster; c.Name != "f" || c.Node != "n3" || c.Lease != 2*time.Second || c.MaxDrift != 0.02 || c.MaxDelay != 40*time.Millisecond ||
+		len(c.Voters) != 3 || c.Voters[2] != (Voter{"n5", "127.0.0.3:7100"}) || len(c.Tasks) != 2 || c.DialOverrides["127.0.0.2:7100"] == "" {
+		t.Errorf("%+v", c)
 	}
-	for want, c := range map[string][2]string{
+	for wantErr, edit := range map[string][2]string{
 		"fleet.name: expected":                              {`"name":"f"`, `"name":"f f"`},
 		"fleet.address: expected an address":                {`"address":"127.0.0.1:7100","folder"`, `"address":"here","folder"`},
 		"fleet.folder: expected a folder":                   {`"folder":"/x",`, ``},
@@ -44,34 +44,34 @@
 		"fleet.tasks: expected a list of probe, roll-up":    {`"roll-up"`, `"tea"`},
 		"fleet.routes: expected addresses":                  {`"127.0.0.9:1"`, `"there"`},
 	} {
-		if _, err := with(c[0], c[1]); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: want %s", err, want)
+		if _, err := readWith(edit[0], edit[1]); err == nil || !strings.Contains(err.Error(), wantErr) {
+			t.Errorf("%v: want %s", err, wantErr)
 		}
 	}
 }
 
 // Valid budgets are read as whole units; each faulty key is named.
-func TestReadBudgets(t *testing.T) {
+func TestReadBudgetsValuesAndErrors(t *testing.T) {
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","voters":[{"name":"a","address":"127.0.0.7:7100"},{"name":"b","address":"127.0.0.2:7100"},
 {"name":"c","address":"127.0.0.3:7100"}],"nodes":10,"weight":2.5,"budgets":[{"name":"fetches","kind":"rate","bounds":"origin","whole":100,"burst":200},
 {"name":"room","kind":"number","bounds":"origin","whole":40,"apart":0.5},{"name":"acme","kind":"rate","bounds":"partner","partner":"acme","whole":50,"burst":5}]},"settings"`
-	with := func(old, replacement string) (*Node, error) {
+	readWith := func(old, replacement string) (*Node, error) {
 		if !strings.Contains(section, old) {
 			t.Fatalf("no %s in the section", old)
 		}
-		return read(t, `"settings"`, strings.Replace(section, old, replacement, 1))
+		return readEdited(t, `"settings"`, strings.Replace(section, old, replacement, 1))
 	}
-	s, err := with("", "")
+	node, err := readWith("", "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []Budget{{"fetches", routing.OriginRate, "", lease.BudgetConfig{Kind: "rate", Resource: "origin", Units: 200, RatePerUnit: 0.5, ReservedPerNode: 2, MaxNodes: 10}},
 		{"room", routing.OriginConcurrency, "", lease.BudgetConfig{Kind: "number", Resource: "origin", Units: 40, RatePerUnit: 1, ReservedPerNode: 2, MaxNodes: 10}},
 		{"acme", routing.TenantRate, "acme", lease.BudgetConfig{Kind: "rate", Resource: "partner", Units: 5, RatePerUnit: 10, MaxNodes: 10}}}
-	if !reflect.DeepEqual(s.Cluster.Budgets, want) || s.Cluster.Weight != 2.5 {
-		t.Errorf("%+v, weight %g", s.Cluster.Budgets, s.Cluster.Weight)
+	if !reflect.DeepEqual(node.Cluster.Budgets, want) || node.Cluster.Weight != 2.5 {
+		t.Errorf("%+v, weight %g", node.Cluster.Budgets, node.Cluster.Weight)
 	}
-	for want, c := range map[string][2]string{
+	for wantErr, edit := range map[string][2]string{
 		"fleet.nodes: expected a whole number":                {`"nodes":10,`, ``},
 		"fleet.weight: expected a number above 0":             {`2.5`, `0`},
 		"fleet.budgets[0].name: expected a name":              {`"fetches"`, `"a.b"`},
@@ -86,8 +86,8 @@
 		"fleet.budgets[1].apart: expected a share":            {`0.5`, `2`},
 		"fleet.budgets[2].apart: expected a share that":       {`"bounds":"partner"`, `"bounds":"discovery"`},
 	} {
-		if _, err := with(c[0], c[1]); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: want %s", err, want)
+		if _, err := readWith(edit[0], edit[1]); err == nil || !strings.Contains(err.Error(), wantErr) {
+			t.Errorf("%v: want %s", err, wantErr)
 		}
 	}
 }
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	variablePrefix       = "BALANCER_"
-	passedSocketVariable = variablePrefix + "PASSED_SOCKET"
+	envPrefix       = "BALANCER_"
+	passedSocketEnv = envPrefix + "PASSED_SOCKET"
 )
 
 // The keys that a variable may override.
@@ -73,14 +73,14 @@
 
 // The forms of the file's values.
 var (
-	listenForm    = textForm("an address as 10.0.0.4:7070", isAddress)
-	adminForm     = textForm("an address as 10.0.0.4:9600", isAddress)
-	nonEmptyForm  = textForm("a text", func(s string) bool { return s != "" })
-	seedForm      = form[uint64]{"up to 16 hexadecimal digits", parseSeed}
-	coresForm     = numberForm("a number above 0", func(x float64) bool { return x > 0 })
-	memoryForm    = integerForm(fmt.Sprintf("a whole number of megabytes, %d or more", minMemoryMB), minMemoryMB)
-	socketsForm   = integerForm(fmt.Sprintf("a whole number of descriptors, %d or more", minDescriptors), minDescriptors)
-	endpointsForm = form[[]byte]{"a box list", encodeJSON}
+	listenParser      = newStringParser("an address as 10.0.0.4:7070", isAddress)
+	adminParser       = newStringParser("an address as 10.0.0.4:9600", isAddress)
+	nonEmptyParser    = newStringParser("a text", func(s string) bool { return s != "" })
+	seedParser        = valueParser[uint64]{"up to 16 hexadecimal digits", parseSeed}
+	coresParser       = newNumberParser("a number above 0", func(x float64) bool { return x > 0 })
+	memoryParser      = newIntegerParser(fmt.Sprintf("a whole number of megabytes, %d or more", minMemoryMB), minMemoryMB)
+	descriptorsParser = newIntegerParser(fmt.Sprintf("a whole number of descriptors, %d or more", minDescriptors), minDescriptors)
+	endpointsParser   = valueParser[[]byte]{"a box list", encodeJSON}
 )
 
 // Read reads a node's file. The variables BALANCER_NAME, BALANCER_LISTEN, BALANCER_DISCOVERY and BALANCER_ADMIN_ADDR override
@@ -112,8 +112,8 @@
 	return keys
 }
 
-// load decodes a file over the defaults; the variables of the given keys override it. Without a path there is no file.
-func load(path string, overridable ...string) (map[string]any, error) {
+// loadFile decodes a file over the defaults; the variables of the given keys override it. Without a path there is no file.
+func loadFile(path string, envKeys ...string) (map[string]any, error) {
 	k := koanf.New(".")
 	defaults := map[string]any{
 		nameKey:            defaultName,
@@ -129,71 +129,71 @@
 			return nil, fmt.Errorf("%s: expected a JSON object: %w", path, err)
 		}
 	}
-	variables := env.Opt{Prefix: variablePrefix, TransformFunc: func(variable, value string) (string, any) {
-		key := strings.ToLower(strings.TrimPrefix(variable, variablePrefix))
-		if !slices.Contains(overridable, key) {
+	envOptions := env.Opt{Prefix: envPrefix, TransformFunc: func(name, value string) (string, any) {
+		key := strings.ToLower(strings.TrimPrefix(name, envPrefix))
+		if !slices.Contains(envKeys, key) {
 			return "", nil
 		}
 		return key, value
 	}}
-	if err := k.Load(env.Provider(".", variables), nil); err != nil {
+	if err := k.Load(env.Provider(".", envOptions), nil); err != nil {
 		return nil, err
 	}
 	return k.Raw(), nil
 }
 
 // readNode reads a node's file; the variables of the given keys override it.
-func readNode(path string, overridable ...string) (*Node, error) {
-	values, err := load(path, overridable...)
+func readNode(path string, envKeys ...string) (*Node, error) {
+	values, err := loadFile(path, envKeys...)
 	if err != nil {
 		return nil, err
 	}
-	root := newRoot(values)
+	root := newRootObject(values)
 	n := &Node{path: path, raw: values}
 	n.readAddresses(root)
 	n.readPassedSocket(root)
-	optional(root, "seed", seedForm, &n.Seed)
-	required(root, "limits.cores", coresForm, &n.Cores)
-	required(root, "limits.memory_mb", memoryForm, &n.MemoryMB)
-	required(root, "limits.sockets", socketsForm, &n.Descriptors)
-	optional(root, "known", endpointsForm, &n.CachedEndpoints)
+	readOptional(root, "seed", seedParser, &n.Seed)
+	readRequired(root, "limits.cores", coresParser, &n.Cores)
+	readRequired(root, "limits.memory_mb", memoryParser, &n.MemoryMB)
+	readRequired(root, "limits.sockets", descriptorsParser, &n.Descriptors)
+	readOptional(root, "known", endpointsParser, &n.CachedEndpoints)
 	n.Cluster = readCluster(root, n.Name)
 	settings, ok := values["settings"].(map[string]any)
 	if !ok {
-		root.fault("settings", "the deployment's settings, a JSON object")
-		return nil, errors.Join(*root.faults...)
+		root.addError("settings", "the deployment's settings, a JSON object")
+		return nil, errors.Join(*root.errs...)
 	}
 	n.Settings, err = ParseSettings(settings)
 	if err != nil {
-		*root.faults = append(*root.faults, err)
+		*root.errs = append(*root.errs, err)
 	}
-	return n, errors.Join(*root.faults...)
+	return n, errors.Join(*root.errs...)
 }
 
 func (n *Node) readAddresses(root object) {
-	required(root, nameKey, nonEmptyForm, &n.Name)
-	requiredAddress(root, listenKey, &n.Listen)
-	requiredAddress(root, discoveryKey, &n.Discovery)
-	optional(root, adminKey, adminForm, &n.Admin)
+	readRequired(root, nameKey, nonEmptyParser, &n.Name)
+	readRequiredAddress(root, listenKey, &n.Listen)
+	readRequiredAddress(root, discoveryKey, &n.Discovery)
+	readOptional(root, adminKey, adminParser, &n.Admin)
 }
 
-// requiredAddress tells a key that is absent from one that holds no address.
-func requiredAddress(root object, key string, into *string) {
-	required(root, key, nonEmptyForm, into)
-	if *into != "" {
-		required(root, key, listenForm, into)
+// readRequiredAddress tells a key that is absent from one that holds no address.
+func readRequiredAddress(root object, key string, field *string) {
+	readRequired(root, key, nonEmptyParser, field)
+	if *field != "" {
+		readRequired(root, key, listenParser, field)
 	}
 }
 
 // readPassedSocket reads the descriptor that the platform passes in a variable of its own.
 func (n *Node) readPassedSocket(root object) {
-	value := os.Getenv(passedSocketVariable)
+	value := os.Getenv(passedSocketEnv)
 	if value == "" {
 		return
 	}
 	descriptor, err := strconv.Atoi(value)
 	if err != nil || descriptor <= 0 {
-		root.fault("$"+passedSocketVariable, "the number of a descriptor")
+		root.addError("$"+passedSocketEnv, "the number of a descriptor")
 		return
 	}
 	n.PassedSocket = descriptor
@@ -206,6 +206,6 @@
 }
 
 func encodeJSON(v any) ([]byte, bool) {
-	text, err := json.Marshal(v)
-	return text, err == nil
+	data, err := json.Marshal(v)
+	return data, err == nil
 }
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -20,8 +20,8 @@
 "namespaces":[{"name":"read","repeat":"safe","target-time-ms":200.19,"time-limit-ms":750.0},
 {"name":"log","repeat":"keyed","group":"all","memory-span-ms":2000.0,"target-time-ms":400.0,"time-limit-ms":800.0}]}}`
 
-// read reads the valid file with one text in it replaced.
-func read(t *testing.T, old, replacement string) (*Node, error) {
+// readEdited reads the valid file with one text in it replaced.
+func readEdited(t *testing.T, old, replacement string) (*Node, error) {
 	t.Helper()
 	if !strings.Contains(validNode, old) {
 		t.Fatalf("no %s in the file", old)
@@ -33,59 +33,59 @@
 	return Read(path)
 }
 
-func TestReadNode(t *testing.T) {
+func TestReadNodeValues(t *testing.T) {
 	t.Setenv("BALANCER_NAME", "n4")
 	t.Setenv("BALANCER_LIMITS", "not ours")
-	s, err := read(t, "", "")
+	node, err := readEdited(t, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Name != "n4" || s.Listen != "127.0.0.1:7070" || s.Discovery != "127.0.0.2:8500" || s.Seed != 0x8c1f30d27a5be964 ||
-		s.Cores != 1.5 || s.MemoryMB != 256 || s.Descriptors != 512 || !json.Valid(s.CachedEndpoints) {
-		t.Errorf("%+v", s)
+	if node.Name != "n4" || node.Listen != "127.0.0.1:7070" || node.Discovery != "127.0.0.2:8500" || node.Seed != 0x8c1f30d27a5be964 ||
+		node.Cores != 1.5 || node.MemoryMB != 256 || node.Descriptors != 512 || !json.Valid(node.CachedEndpoints) {
+		t.Errorf("%+v", node)
 	}
-	if s.ConnectTimeout != 75*time.Millisecond || s.IdleTimeout != 15*time.Second || s.MaxDeadline != 800*time.Millisecond || s.MaxRetryAfter != 400*time.Millisecond ||
-		s.Classes["log"] != 1 || s.Tenants["acme"] != 0 ||
-		s.Models["origin"] != 1 {
-		t.Errorf("%+v", s.Settings)
+	if node.ConnectTimeout != 75*time.Millisecond || node.IdleTimeout != 15*time.Second || node.MaxDeadline != 800*time.Millisecond || node.MaxRetryAfter != 400*time.Millisecond ||
+		node.Classes["log"] != 1 || node.Tenants["acme"] != 0 ||
+		node.Models["origin"] != 1 {
+		t.Errorf("%+v", node.Settings)
 	}
-	classes := s.Routing.Classes
+	classes := node.Routing.Classes
 	if classes[0].Idempotence != routing.Safe || classes[0].LatencyTarget != routing.Time(2001) || classes[1].Idempotence != routing.IdempotentByKey ||
-		s.Routing.MaxRetryAfter != 400*routing.Millisecond || s.Routing.Nodes != 3 || !s.Routing.CacheAside ||
-		!s.IsSafe("read") || s.IsSafe("log") {
-		t.Errorf("%+v", s.Routing)
+		node.Routing.MaxRetryAfter != 400*routing.Millisecond || node.Routing.Nodes != 3 || !node.Routing.CacheAside ||
+		!node.IsSafe("read") || node.IsSafe("log") {
+		t.Errorf("%+v", node.Routing)
 	}
 }
 
 // On a reload the file's discovery address overrides the variable; a faulty file is an error that names the key.
-func TestReloadPrefersTheFilesDiscoveryAddress(t *testing.T) {
+func TestReloadPrefersDiscoveryAddressOfFile(t *testing.T) {
 	t.Setenv("BALANCER_DISCOVERY", "127.0.0.9:1")
-	s, err := read(t, "", "")
-	if err != nil || s.Discovery != "127.0.0.9:1" {
-		t.Fatal(s.Discovery, err)
+	node, err := readEdited(t, "", "")
+	if err != nil || node.Discovery != "127.0.0.9:1" {
+		t.Fatal(node.Discovery, err)
 	}
-	for _, c := range []struct{ text, discovery, fixed, fault string }{
+	for _, c := range []struct{ contents, wantDiscovery, wantChanges, wantErr string }{
 		{validNode, "127.0.0.2:8500", "[]", ""},
 		{strings.Replace(validNode, `"sockets":512`, `"sockets":256`, 1), "127.0.0.2:8500", "[limits]", ""},
 		{strings.Replace(validNode, `,"discovery":"127.0.0.2:8500"`, "", 1), "127.0.0.9:1", "[]", ""},
 		{strings.Replace(validNode, `"127.0.0.2:8500"`, `"nowhere"`, 1), "", "", "discovery: "},
 		{validNode[:len(validNode)/2], "", "", "expected a JSON object"},
 	} {
-		if err := os.WriteFile(s.path, []byte(c.text), 0o600); err != nil {
+		if err := os.WriteFile(node.path, []byte(c.contents), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		again, err := s.Reload()
+		reloaded, err := node.Reload()
 		switch {
-		case c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)):
-			t.Errorf("%v, want %q", err, c.fault)
-		case c.fault == "" && (err != nil || again.Discovery != c.discovery || fmt.Sprint(s.ImmutableChanges(again)) != c.fixed):
-			t.Errorf("%v, %+v, fixed %v", err, again, s.ImmutableChanges(again))
+		case c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)):
+			t.Errorf("%v, want %q", err, c.wantErr)
+		case c.wantErr == "" && (err != nil || reloaded.Discovery != c.wantDiscovery || fmt.Sprint(node.ImmutableChanges(reloaded)) != c.wantChanges):
+			t.Errorf("%v, %+v, fixed %v", err, reloaded, node.ImmutableChanges(reloaded))
 		}
 	}
 }
 
-func TestErrorsNameTheKey(t *testing.T) {
-	for _, c := range []struct{ old, new, key string }{
+func TestReadErrorNamesKey(t *testing.T) {
+	for _, c := range []struct{ old, replacement, wantErr string }{
 		{`"127.0.0.1:7070"`, `7070`, "listen: "},
 		{`"127.0.0.2:8500"`, `"nowhere"`, "discovery: "},
 		{`,"discovery":"127.0.0.2:8500"`, ``, "discovery: "},
@@ -109,8 +109,8 @@
 		{`"quota-rps":218.0`, `"quota-rps":[]`, "settings.tenants[0].quota-rps: expected a number"},
 		{`{"name":"n3"`, `["name":"n3"`, "expected a JSON object"},
 	} {
-		if _, err := read(t, c.old, c.new); err == nil || !strings.Contains(err.Error(), c.key) {
-			t.Errorf("%s for %s: %v, want %q", c.new, c.old, err, c.key)
+		if _, err := readEdited(t, c.old, c.replacement); err == nil || !strings.Contains(err.Error(), c.wantErr) {
+			t.Errorf("%s for %s: %v, want %q", c.replacement, c.old, err, c.wantErr)
 		}
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); err == nil || !strings.Contains(err.Error(), "none") {
@@ -118,33 +118,33 @@
 	}
 }
 
-func TestDefaults(t *testing.T) {
-	s, err := read(t, `"limits":{"cores":1.5,"memory_mb":256,"sockets":512,"newer":1},`, "")
-	if err != nil || s.Cores != defaultCores || s.MemoryMB != defaultMemoryMB || s.Descriptors != defaultDescriptors {
-		t.Errorf("%+v, %v", s, err)
+func TestReadDefaultsAndOptionalKeys(t *testing.T) {
+	node, err := readEdited(t, `"limits":{"cores":1.5,"memory_mb":256,"sockets":512,"newer":1},`, "")
+	if err != nil || node.Cores != defaultCores || node.MemoryMB != defaultMemoryMB || node.Descriptors != defaultDescriptors {
+		t.Errorf("%+v, %v", node, err)
 	}
-	s, err = read(t, `"connect-timeout-ms":75.0,"conn-idle-ms":15000.0,"retry-after":true`, `"retry-after":false`)
-	if err != nil || s.ConnectTimeout != defaultConnectTimeout || s.IdleTimeout != defaultIdleTimeout {
-		t.Errorf("%+v, %v", s, err)
+	node, err = readEdited(t, `"connect-timeout-ms":75.0,"conn-idle-ms":15000.0,"retry-after":true`, `"retry-after":false`)
+	if err != nil || node.ConnectTimeout != defaultConnectTimeout || node.IdleTimeout != defaultIdleTimeout {
+		t.Errorf("%+v, %v", node, err)
 	}
-	if s.DrainGrace != 0 || s.HedgingAllowed() {
+	if node.DrainGrace != 0 || node.HedgingAllowed() {
 		t.Error("want no grace and no hedging by default")
 	}
 	for value, want := range map[string]bool{"true": true, "false": false, "null": false} {
-		if s, err := read(t, `"most-shots":3`, `"parallel-tries":`+value); err != nil || s.HedgingAllowed() != want {
-			t.Errorf("%s: hedging %v, %v", value, s.HedgingAllowed(), err)
+		if node, err := readEdited(t, `"most-shots":3`, `"parallel-tries":`+value); err != nil || node.HedgingAllowed() != want {
+			t.Errorf("%s: hedging %v, %v", value, node.HedgingAllowed(), err)
 		}
 	}
-	if s, err := read(t, `"cold-from":0.17`, `"stop-sending-within-ms":100.0`); err != nil || s.DrainGrace != 100*time.Millisecond {
-		t.Errorf("grace %v, %v", s.DrainGrace, err)
+	if node, err := readEdited(t, `"cold-from":0.17`, `"stop-sending-within-ms":100.0`); err != nil || node.DrainGrace != 100*time.Millisecond {
+		t.Errorf("grace %v, %v", node.DrainGrace, err)
 	}
-	if s.Routing.MaxRetryAfter != 0 || s.MaxRetryAfter != 0 {
+	if node.Routing.MaxRetryAfter != 0 || node.MaxRetryAfter != 0 {
 		t.Error("want no Retry-After where the settings switch it off")
 	}
 }
 
 // The variable overrides the file's address for operators; a malformed address is an error.
-func TestAdminAddress(t *testing.T) {
+func TestAdminAddressOfFileAndEnvironment(t *testing.T) {
 	write := func(address string) string {
 		path := filepath.Join(t.TempDir(), "node.json")
 		text := `{"listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500"` + address + `,
@@ -155,8 +155,8 @@
 		return path
 	}
 	for address, want := range map[string]string{``: "", `, "admin_addr": "127.0.0.1:9600"`: "127.0.0.1:9600"} {
-		if s, err := Read(write(address)); err != nil || s.Admin != want {
-			t.Errorf("%q: %v %v", address, s, err)
+		if node, err := Read(write(address)); err != nil || node.Admin != want {
+			t.Errorf("%q: %v %v", address, node, err)
 		}
 	}
 	for _, address := range []string{`, "admin_addr": "nowhere"`, `, "admin_addr": 7`, `, "admin_addr": ""`} {
@@ -164,7 +164,7 @@
 			t.Errorf("%q: %v", address, err)
 		}
 	}
-	s, err := Read(write(`, "admin_addr": "127.0.0.1:9600"`))
+	node, err := Read(write(`, "admin_addr": "127.0.0.1:9600"`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,31 +172,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if keys := s.ImmutableChanges(other); len(keys) != 1 || keys[0] != "admin_addr" {
+	if keys := node.ImmutableChanges(other); len(keys) != 1 || keys[0] != "admin_addr" {
 		t.Errorf("keys that take effect at a start: %v", keys)
 	}
 	t.Setenv("BALANCER_ADMIN_ADDR", "127.0.0.1:9602")
-	if s, err := Read(write(`, "admin_addr": "127.0.0.1:9600"`)); err != nil || s.Admin != "127.0.0.1:9602" {
-		t.Errorf("%v %v", s, err)
+	if node, err := Read(write(`, "admin_addr": "127.0.0.1:9600"`)); err != nil || node.Admin != "127.0.0.1:9602" {
+		t.Errorf("%v %v", node, err)
 	}
 }
 
 // Where endpoint lists are pushed, or nothing is said of it, routing gets the drain's grace: it runs from the change at the
 // discovery service. Where they are polled, or there is no grace, routing keeps its default.
-func TestPushedGrace(t *testing.T) {
-	unknown := routing.DefaultConfig().PushedGrace
-	for with, want := range map[string]routing.Time{
+func TestPushedGraceByRegistryMode(t *testing.T) {
+	defaultGrace := routing.DefaultConfig().PushedGrace
+	for replacement, want := range map[string]routing.Time{
 		`"registry-mode":"push","invariants":{"stop-sending-within-ms":1500.0,`: 1500 * routing.Millisecond,
 		`"invariants":{"stop-sending-within-ms":1500.0,`:                        1500 * routing.Millisecond,
-		`"registry-mode":"ask","invariants":{"stop-sending-within-ms":1500.0,`:  unknown,
-		`"registry-mode":"push","invariants":{`:                                 unknown,
+		`"registry-mode":"ask","invariants":{"stop-sending-within-ms":1500.0,`:  defaultGrace,
+		`"registry-mode":"push","invariants":{`:                                 defaultGrace,
 	} {
-		s, err := read(t, `"invariants":{`, with)
+		node, err := readEdited(t, `"invariants":{`, replacement)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Routing.PushedGrace; got != want {
-			t.Errorf("%s: %v, want %v", with, got, want)
+		if got := node.Routing.PushedGrace; got != want {
+			t.Errorf("%s: %v, want %v", replacement, got, want)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -73,16 +73,16 @@
 func (s *Settings) HedgingAllowed() bool { return s.Routing.Hedging }
 
 const (
-	modeCacheAside = "aside" // domain.mode: caches are filled from an origin
-	groupAll       = "all"   // namespaces[].group: all servers drop repeats of a key together
-	modePolled     = "ask"   // registry-mode: nodes poll the endpoint list
+	domainModeCacheAside = "aside" // domain.mode: caches are filled from an origin
+	groupAllServers      = "all"   // namespaces[].group: all servers drop repeats of a key together
+	registryModePolled   = "ask"   // registry-mode: nodes poll the endpoint list
 )
 
 // ParseSettings reads a deployment's settings. A key that is absent or malformed leaves the default; the error names each
 // key that is malformed, or absent though required. Unknown keys are ignored: they may be of a newer version.
 func ParseSettings(settings map[string]any) (*Settings, error) {
-	var faults []error
-	o := object{settings, "settings.", &faults}
+	var errs []error
+	o := object{settings, "settings.", &errs}
 	s := &Settings{
 		Routing:        routing.DefaultConfig(),
 		ConnectTimeout: defaultConnectTimeout,
@@ -93,82 +93,82 @@
 	s.readClasses(o)
 	s.readTenants(o)
 	s.Models = map[string]int{}
-	for i, m := range items(settings["models"]) {
+	for i, m := range listItems(settings["models"]) {
 		s.Models[fmt.Sprint(m)] = i
 	}
 	s.readTimeouts(o)
-	return s, errors.Join(faults...)
+	return s, errors.Join(errs...)
 }
 
 // readGeneral reads the keys that hold for all classes and tenants.
 func (s *Settings) readGeneral(o object) {
 	c := &s.Routing
-	optional(o, "balancers", positiveInteger, &c.Nodes)
+	readOptional(o, "balancers", positiveIntegerParser, &c.Nodes)
 	var mode string
-	optional(o, "domain.mode", text, &mode)
-	c.CacheAside = mode == modeCacheAside
-	if v, found := find(o.values, "domain.origin-kind"); found {
-		_, s.originKindSet = integer.parse(v)
+	readOptional(o, "domain.mode", stringParser, &mode)
+	c.CacheAside = mode == domainModeCacheAside
+	if v, found := lookup(o.values, "domain.origin-kind"); found {
+		_, s.originKindSet = integerParser.parse(v)
 	}
-	optional(o, "domain.origin-kind", integer, &c.OriginModel)
-	optional(o, "permissions.most-shots", positiveInteger, &c.MaxAttempts)
-	optional(o, "permissions.parallel-tries", boolean, &c.Hedging)
-	optional(o, "permissions.max-retry-after-ms", duration, &c.MaxRetryAfter)
-	optional(o, "invariants.cold-from", fraction, &c.SlowStartShare)
-	optional(o, "invariants.warm-up-ms", duration, &c.SlowStartWindow)
-	optional(o, "invariants.overload-factor", nonNegative, &c.OverloadFactor)
-	optional(o, "invariants.fall-ms", duration, &c.OverloadWindow)
-	optional(o, "invariants.ask-within-ms", duration, &c.MaxPollInterval)
-	optional(o, "tick-ms", duration, &c.Tick)
-	if advice, found := find(o.values, "permissions.retry-after"); found && advice == false {
+	readOptional(o, "domain.origin-kind", integerParser, &c.OriginModel)
+	readOptional(o, "permissions.most-shots", positiveIntegerParser, &c.MaxAttempts)
+	readOptional(o, "permissions.parallel-tries", boolParser, &c.Hedging)
+	readOptional(o, "permissions.max-retry-after-ms", durationParser, &c.MaxRetryAfter)
+	readOptional(o, "invariants.cold-from", fractionParser, &c.SlowStartShare)
+	readOptional(o, "invariants.warm-up-ms", durationParser, &c.SlowStartWindow)
+	readOptional(o, "invariants.overload-factor", nonNegativeParser, &c.OverloadFactor)
+	readOptional(o, "invariants.fall-ms", durationParser, &c.OverloadWindow)
+	readOptional(o, "invariants.ask-within-ms", durationParser, &c.MaxPollInterval)
+	readOptional(o, "tick-ms", durationParser, &c.Tick)
+	if enabled, found := lookup(o.values, "permissions.retry-after"); found && enabled == false {
 		c.MaxRetryAfter = 0
 	}
 	s.MaxRetryAfter = Duration(c.MaxRetryAfter)
 }
 
 func (s *Settings) readClasses(o object) {
-	classes, indices := objects(o, "namespaces")
+	classes, indices := namedObjects(o, "namespaces")
 	s.Classes = indices
-	for _, x := range classes {
+	for _, entry := range classes {
 		c := routing.DefaultClass()
 		var group string
 		var deadline routing.Time
 		var utility float64 // checked but not used
-		required(x, "repeat", idempotence, &c.Idempotence)
-		optional(x, "group", text, &group)
-		required(x, "target-time-ms", duration, &c.LatencyTarget)
-		required(x, "time-limit-ms", duration, &deadline)
-		optional(x, "memory-span-ms", duration, &c.DedupWindow)
-		optional(x, "late-utility", fraction, &c.LateUtility)
-		optional(x, "utility", nonNegative, &utility)
-		c.SharedDedup = group == groupAll
+		readRequired(entry, "repeat", idempotenceParser, &c.Idempotence)
+		readOptional(entry, "group", stringParser, &group)
+		readRequired(entry, "target-time-ms", durationParser, &c.LatencyTarget)
+		readRequired(entry, "time-limit-ms", durationParser, &deadline)
+		readOptional(entry, "memory-span-ms", durationParser, &c.DedupWindow)
+		readOptional(entry, "late-utility", fractionParser, &c.LateUtility)
+		readOptional(entry, "utility", nonNegativeParser, &utility)
+		c.SharedDedup = group == groupAllServers
 		s.MaxDeadline = max(s.MaxDeadline, Duration(deadline))
 		s.Routing.Classes = append(s.Routing.Classes, c)
 	}
 	if len(classes) == 0 {
-		o.fault("namespaces", "a list of one namespace at least")
+		o.addError("namespaces", "a list of one namespace at least")
 	}
 }
 
 func (s *Settings) readTenants(o object) {
-	tenants, indices := objects(o, "tenants")
+	tenants, indices := namedObjects(o, "tenants")
 	s.Tenants = indices
-	for _, x := range tenants {
+	for _, entry := range tenants {
 		c := routing.DefaultTenant()
-		optional(x, "quota-rps", nonNegative, &c.Quota)
+		readOptional(entry, "quota-rps", nonNegativeParser, &c.Quota)
 		s.Routing.Tenants = append(s.Routing.Tenants, c)
 	}
 }
 
 func (s *Settings) readTimeouts(o object) {
-	optionalTimeout(o, "permissions.connect-timeout-ms", &s.ConnectTimeout)
-	optionalTimeout(o, "permissions.conn-idle-ms", &s.IdleTimeout)
-	optionalTimeout(o, "invariants.ask-within-ms", &s.PollInterval)
-	optionalTimeout(o, "invariants.stop-sending-within-ms", &s.DrainGrace)
+	readOptionalTimeout(o, "permissions.connect-timeout-ms", &s.ConnectTimeout)
+	readOptionalTimeout(o, "permissions.conn-idle-ms", &s.IdleTimeout)
+	readOptionalTimeout(o, "invariants.ask-within-ms", &s.PollInterval)
+	readOptionalTimeout(o, "invariants.stop-sending-within-ms", &s.DrainGrace)
 	// The grace of a drain begins once the node is notified of it. A polled endpoint list notifies the node when it is sent, a
 	// pushed one as soon as the discovery service has it, so that routing has to allow for the delay. Without the key, the
 	// stricter of the two holds.
-	if mode, _ := find(o.values, "registry-mode"); mode != modePolled && s.DrainGrace > 0 {
+	if mode, _ := lookup(o.values, "registry-mode"); mode != registryModePolled && s.DrainGrace > 0 {
 		s.Routing.PushedGrace = routing.Time(s.DrainGrace / tick)
 	}
 }
