--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// BenchmarkRead reads a node's file of so many kilobytes anew, as at each SIGHUP: mostly tenants.
+// BenchmarkRead reloads a node's file, as on each SIGHUP. The file has the given size in kilobytes and consists mostly of tenants.
 func BenchmarkRead(b *testing.B) {
 	for _, size := range []int{1, 10, 25, 50, 100} {
 		b.Run(fmt.Sprint("KB=", size), func(b *testing.B) {
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	defaultReservedFraction = 0.1     // a node's reserved units are its own in normal operation too, so they cost little
-	maxUnits                = 1 << 20 // of a budget; also the largest rate a second
-	unitRounding            = 1e-9    // corrects the float arithmetic where a product should be whole
+	defaultReservedFraction = 0.1     // of the units; low cost, since a node uses its reserved units in normal operation too
+	maxUnits                = 1 << 20 // of a budget; also the maximum rate per second
+	unitRounding            = 1e-9    // makes up for floating-point errors in products that should be integers
 )
 
-// Values of a budget's key "bounds".
+// Values of the key "bounds" of a budget.
 const (
 	boundsOrigin    = "origin"
 	boundsTenant    = "partner"
@@ -30,16 +30,17 @@
 type Budget struct {
 	// Name is unique among the budgets. Required.
 	Name string
-	// Bound is the routing limit that the node's quota is applied to.
+	// Limit is the routing limit that the node applies its quota of the budget to.
 	Limit routing.Limit
-	// Partner is the tenant whose requests are limited; empty for other limits.
+	// Tenant is the name of the tenant whose requests are limited; empty if the limit is not per tenant.
 	Tenant string
-	// BudgetConfig holds the size: Units of RatePerUnit requests a second each, or of 1 request in flight each.
-	// ReservedPerNode is the fraction "apart" of the units, 0.1 by default, divided by the key "nodes" and rounded down.
+	// BudgetConfig holds the size of the budget. Each of its Units stands for RatePerUnit requests per second, or for 1 request
+	// in flight. ReservedPerNode is the fraction "apart" of the units, 0.1 by default, divided by the key "nodes" and rounded
+	// down.
 	lease.BudgetConfig
 }
 
-// limitsByResource gives the routing limit for each kind of budget of each resource.
+// limitsByResource maps a resource and a kind of budget to the routing limit.
 var limitsByResource = map[string]map[string]routing.Limit{
 	boundsOrigin:    {lease.RateKind: routing.OriginRate, lease.ConcurrencyKind: routing.OriginConcurrency},
 	boundsTenant:    {lease.RateKind: routing.TenantRate},
@@ -50,7 +51,8 @@
 
 var reservedFractionParser = newNumberParser("a share from 0 to 1", func(x float64) bool { return x >= 0 && x <= 1 })
 
-// readBudget reads a budget. earlier are those before it in the list, maxNodes is the most nodes that there may ever be.
+// readBudget reads one budget. earlier are the budgets before it in the list, and maxNodes is the maximum number of nodes that the
+// cluster can ever have.
 func readBudget(o object, earlier []Budget, maxNodes int, tenants []string) Budget {
 	b := Budget{Name: o.stringValue("name")}
 	b.Kind = o.stringValue("kind")
@@ -63,7 +65,7 @@
 	return b
 }
 
-// checkNameAndKind reports the first fault of the keys that say what the budget is.
+// checkNameAndKind reports the first error in the keys "name", "bounds" and "kind".
 func (b *Budget) checkNameAndKind(o object, earlier []Budget) {
 	sameName := func(other Budget) bool { return other.Name == b.Name }
 	kinds := limitsByResource[b.Resource]
@@ -81,7 +83,7 @@
 	}
 }
 
-// readLimit reads what the budget limits, which no earlier one may limit already.
+// readLimit sets the routing limit and the tenant of the budget. Two budgets with the same limit and tenant are an error.
 func (b *Budget) readLimit(o object, earlier []Budget, tenants []string) {
 	limit, supported := limitsByResource[b.Resource][b.Kind]
 	b.Limit = limit
@@ -97,7 +99,8 @@
 	}
 }
 
-// readUnits reads the size of the budget, and returns its units. At fault they are 1, so that the other keys can be checked.
+// readUnits reads the size of the budget and returns the number of units. If a key is invalid it returns 1, so that the remaining
+// keys can be checked.
 func (b *Budget) readUnits(o object) float64 {
 	total := o.numberValue("whole")
 	units := total
@@ -122,7 +125,8 @@
 	return units
 }
 
-// readReserved reads the fraction of the units that is reserved for nodes out of contact, and gives each node its part.
+// readReserved reads the fraction of the units that is reserved for nodes without contact to the cluster, and sets the reserved
+// units per node.
 func (b *Budget) readReserved(o object, units float64) {
 	reserved := defaultReservedFraction
 	readOptional(o, "apart", reservedFractionParser, &reserved)
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -11,14 +11,14 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// The tasks that a cluster assigns to its nodes.
+// Tasks that a cluster assigns to its nodes.
 const (
 	TaskProbe     = "probe"
 	TaskRollUp    = "roll-up"
 	TaskFaultTest = "trial" // only in builds for fault tests
 )
 
-// Defaults and limits of the section.
+// Defaults and limits of the section "fleet".
 const (
 	defaultLease     = 3 * time.Second
 	minLease         = 200 * time.Millisecond
@@ -26,8 +26,8 @@
 	defaultMaxDelay  = 50 * time.Millisecond
 	minMaxDelay      = time.Millisecond
 	maxMaxDelay      = 10 * time.Second
-	minLeaseDelays   = 20   // delays in a lease: a tenth of a lease must hold a request and its response
-	defaultMaxDrift  = 0.01 // far above the error of a sound oscillator, since virtual machines' clocks may be worse
+	minLeaseDelays   = 20   // MaxDelays in a lease: a tenth of a lease must be enough for a request and its response
+	defaultMaxDrift  = 0.01 // far above the error of a working oscillator, because clocks of virtual machines can be worse
 	maxMaxDrift      = 0.2
 	defaultRollUp    = time.Minute
 	minRollUp        = time.Second
@@ -38,43 +38,43 @@
 	maxNodes         = 4096
 )
 
-// Cluster is the section "fleet" of a node's file: the node's peers, and what it does with them. A node without the section has
-// no peers.
+// Cluster is the section "fleet" of a node's file. It configures the peers of the node, the tasks that it takes part in, and the
+// budgets that it shares with its peers. A node without this section has no peers.
 type Cluster struct {
-	// Name is the cluster's name, the same at all nodes. Required.
+	// Name is the name of the cluster, the same on all nodes. Required.
 	Name string
 	// Node is this node's name in the cluster, from the file's key "name".
 	Node string
-	// Address is HOST:PORT at which peers reach this node. Required.
+	// Address is the HOST:PORT where peers connect to this node. Required.
 	Address string
-	// Voters are the 3 or 5 nodes of the quorum, the same at all nodes. Required.
+	// Voters are the 3 or 5 voting members of the cluster, the same on all nodes. Required.
 	Voters []Voter
-	// Folder is the directory of a voter's durable state. Required if this node is a voter; empty for others.
+	// DataDir is the directory of the voter's durable state. Required if this node is a voter; empty on other nodes.
 	DataDir string
 	// Lease is the duration of a lease; 3 s by default, at least 20 times MaxDelay.
 	Lease time.Duration
-	// MaxDrift is how far the rate of any node's clock may be off, as a fraction; 0.01 by default.
+	// MaxDrift is the maximum error of the clock rate of any node, as a fraction; 0.01 by default.
 	MaxDrift float64
-	// MaxDelay is the longest usual delay of a message between nodes; 50 ms by default.
+	// MaxDelay is the longest delay of a message between nodes in normal operation; 50 ms by default.
 	MaxDelay time.Duration
-	// Routes maps a peer's address to the one to dial instead, as for a proxy; empty by default.
+	// DialOverrides maps the address of a peer to the address to dial instead, for example that of a proxy; empty by default.
 	DialOverrides map[string]string
-	// Tasks are those that this node takes part in: each runs at one node at a time. None by default.
+	// Tasks are the tasks that this node takes part in; none by default. Each task runs on one node at a time.
 	Tasks []string
-	// RollUp is the interval of TaskRollUp; 1 min by default.
+	// RollUpInterval is the interval of TaskRollUp; 1 min by default.
 	RollUpInterval time.Duration
-	// ProbePath is the path that TaskProbe requests of a server; "/up" by default.
+	// ProbePath is the path that TaskProbe requests from a server; "/up" by default.
 	ProbePath string
-	// Budgets are the limits that all nodes share; none by default.
+	// Budgets are the limits that all nodes of the cluster share; none by default.
 	Budgets []Budget
-	// Weight is this node's relative share of a budget that doesn't cover the demand of all; 1 by default.
+	// Weight is the relative share of this node in a budget that doesn't cover the demand of all nodes; 1 by default.
 	Weight float64
 }
 
-// Voter is a node of the quorum.
+// Voter is a voting member of the cluster.
 type Voter struct{ Name, Address string }
 
-// The forms of the section's values.
+// Parsers of the values in the section.
 var (
 	folderParser        = newStringParser("a folder that lasts", func(s string) bool { return s != "" })
 	probePathParser     = newStringParser("a path as /up", func(s string) bool { return s[:min(1, len(s))] == "/" })
@@ -87,8 +87,8 @@
 	tasksParser         = valueParser[[]string]{"a list of probe, roll-up", parseTasks}
 )
 
-// readCluster reads the section "fleet" of a file, nil if there is none. The keys are read in a fixed order, which is the
-// order of the errors.
+// readCluster reads the section "fleet" of a file. It returns nil if the section is absent, or not a JSON object, which is an
+// error. The keys are read in a fixed order, which is the order of the errors.
 func readCluster(root object, node string) *Cluster {
 	v, found := lookup(root.values, "fleet")
 	if !found {
@@ -150,7 +150,8 @@
 	}
 }
 
-// checkVoter reports the first fault of a voter, the object entry of the section section, beside those before it.
+// checkVoter reports the first error of a voter, including conflicts with earlier voters. section is the section "fleet", and entry
+// is the JSON object of the voter.
 func (c *Cluster) checkVoter(section, entry object, voter Voter) {
 	sameName := func(other Voter) bool { return other.Name == voter.Name }
 	sameAddress := func(other Voter) bool { return other.Address == voter.Address }
@@ -196,7 +197,7 @@
 	return name == TaskProbe || name == TaskRollUp || faults.On && name == TaskFaultTest
 }
 
-// readBudgets reads the budgets, and the number of nodes that they are divided by.
+// readBudgets reads the budgets, and the maximum number of nodes that the budgets are divided by.
 func (c *Cluster) readBudgets(o object, tenants []string) {
 	v, found := lookup(o.values, "budgets")
 	if !found {
@@ -217,7 +218,7 @@
 	}
 }
 
-// tenantNames returns the names of the settings' tenants.
+// tenantNames returns the names of the tenants in the section "settings".
 func tenantNames(root object) (names []string) {
 	tenants, _ := lookup(root.values, "settings.tenants")
 	for i, v := range listItems(tenants) {
@@ -226,7 +227,7 @@
 	return names
 }
 
-// ReadCluster reads only the section "fleet" of a file, for commands that query a cluster without running a node.
+// ReadCluster reads only the section "fleet" of a file. Commands that query a cluster without running a node use it.
 func ReadCluster(path string) (*Cluster, error) {
 	values, err := loadFile(path, "name")
 	if err != nil {
--- a/internal/config/cluster_test.go
+++ b/internal/config/cluster_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// A valid section is read; each faulty key is named, with what was expected.
+// A valid section "fleet" is read completely. The error for each invalid key names the key and the expected value.
 func TestReadFleetSectionValuesAndErrors(t *testing.T) {
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","folder":"/x","lease_ms":2000.0,"drift":0.02,"delay_ms":40.0,
 "voters":[{"name":"n3","address":"127.0.0.1:7100"},{"name":"n4","address":"127.0.0.2:7100"},{"name":"n5","address":"127.0.0.3:7100"}],
@@ -50,7 +50,7 @@
 	}
 }
 
-// Valid budgets are read as whole units; each faulty key is named.
+// Valid budgets are converted to whole units. The error for each invalid key names the key.
 func TestReadBudgetsValuesAndErrors(t *testing.T) {
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","voters":[{"name":"a","address":"127.0.0.7:7100"},{"name":"b","address":"127.0.0.2:7100"},
 {"name":"c","address":"127.0.0.3:7100"}],"nodes":10,"weight":2.5,"budgets":[{"name":"fetches","kind":"rate","bounds":"origin","whole":100,"burst":200},
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,9 +1,10 @@
-// Package config reads the configuration files of nodes. It is the only package that knows the operators' keys: it checks
-// each value, fills in defaults, and returns typed configuration in the terms of the rest of the program.
+// Package config reads the configuration files of nodes. It is the only package that uses the key names of the files. It
+// checks each value, sets defaults, and returns typed configuration that uses the names of the rest of the program.
 //
-//   - Settings (settings.go) is the section "settings": what a deployment sets for all its nodes. The simulator reads the same.
-//   - Node (node.go) is the rest of a node's file: addresses, limits of the machine, and the sections above.
-//   - Cluster (cluster.go) is the section "fleet": the node's peers, with Budget (budgets.go) for the limits they share.
+//   - Settings (settings.go) is the section "settings": the settings that all nodes of a deployment have in common. The
+//     simulator reads this section too.
+//   - Node (node.go) is a node's whole file: addresses, resource limits, and the two sections.
+//   - Cluster (cluster.go) is the section "fleet": the node's peers and, as Budget (budgets.go), the limits that the nodes share.
 //
-// Every error names the key at fault and what was expected there, as "KEY: expected ...".
+// An error about a value names the key and the expected value: "KEY: expected ...".
 package config
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -17,14 +17,14 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// Defaults of the machine's limits: the smallest machine that operators name.
+// The default resource limits are those of the smallest machine that operators specify.
 const (
 	defaultName        = "node"
 	defaultCores       = 1.0
 	defaultMemoryMB    = 192
 	defaultDescriptors = 1024
-	minMemoryMB        = 32 // the program itself needs this much
-	minDescriptors     = 64 // the program keeps some in reserve, the others are for connections
+	minMemoryMB        = 32 // the memory that the program itself needs
+	minDescriptors     = 64 // the program reserves some of them and uses the others for connections
 )
 
 const (
@@ -32,7 +32,7 @@
 	passedSocketEnv = envPrefix + "PASSED_SOCKET"
 )
 
-// The keys that a variable may override.
+// Keys that an environment variable can override.
 const (
 	nameKey      = "name"
 	listenKey    = "listen"
@@ -48,30 +48,32 @@
 	Listen string
 	// Discovery is HOST:PORT of the discovery service. Required.
 	Discovery string
-	// Admin is HOST:PORT for operators; empty, the default: none.
+	// Admin is HOST:PORT of the admin server for operators. Empty, the default, disables it.
 	Admin string
-	// PassedSocket is the descriptor of the clients' listening socket where the platform opens it; 0, the default: it doesn't.
+	// PassedSocket is the file descriptor of the clients' listening socket if the platform opens that socket and passes it to
+	// the process. 0, the default, means that the node opens the socket itself.
 	PassedSocket int
-	// Seed starts the node's random numbers; 0 by default.
+	// Seed is the seed of the node's random number generators; 0 by default.
 	Seed uint64
-	// Cores is the share of processors that the node may use; 1 by default.
+	// Cores is the number of processor cores that the node may use; 1 by default.
 	Cores float64
 	// MemoryMB is the memory that the node may use, in megabytes; 192 by default.
 	MemoryMB int
 	// Descriptors is the number of file descriptors that the node may open; 1024 by default.
 	Descriptors int
-	// CachedEndpoints is an endpoint list to start with, in the discovery service's JSON form; nil, the default: none.
+	// CachedEndpoints is the endpoint list to use until the first one arrives, in the discovery service's JSON format. nil, the
+	// default, means that there is none.
 	CachedEndpoints []byte
-	// Fleet configures the node's cluster; nil, the default: the node has no peers.
+	// Cluster configures the node's cluster. nil, the default, means that the node has no peers.
 	Cluster *Cluster
-	// Settings is what the deployment sets for all nodes. Required.
+	// Settings are the settings that all nodes of the deployment have in common. Required.
 	*Settings
 
 	path string
-	raw  map[string]any // the file as decoded, with defaults and variables
+	raw  map[string]any // the decoded file, merged with the defaults and the environment variables
 }
 
-// The forms of the file's values.
+// Parsers of the values in the file.
 var (
 	listenParser      = newStringParser("an address as 10.0.0.4:7070", isAddress)
 	adminParser       = newStringParser("an address as 10.0.0.4:9600", isAddress)
@@ -83,14 +85,14 @@
 	endpointsParser   = valueParser[[]byte]{"a box list", encodeJSON}
 )
 
-// Read reads a node's file. The variables BALANCER_NAME, BALANCER_LISTEN, BALANCER_DISCOVERY and BALANCER_ADMIN_ADDR override
-// its keys. The error names every key at fault, and what was expected there.
+// Read reads the configuration file of a node. The environment variables BALANCER_NAME, BALANCER_LISTEN, BALANCER_DISCOVERY
+// and BALANCER_ADMIN_ADDR override the corresponding keys. The error names each invalid key and the expected value.
 func Read(path string) (*Node, error) {
 	return readNode(path, nameKey, listenKey, discoveryKey, adminKey)
 }
 
-// Reload reads the node's file again. Unlike at the start, the file's discovery address overrides BALANCER_DISCOVERY, whose
-// value is as old as the process.
+// Reload reads the node's file again. Unlike in Read, a discovery address in the file overrides BALANCER_DISCOVERY, because the
+// variable still has the value from the start of the process.
 func (n *Node) Reload() (*Node, error) {
 	k := koanf.New(".")
 	if err := k.Load(file.Provider(n.path), koanfjson.Parser()); err != nil {
@@ -102,7 +104,7 @@
 	return Read(n.path)
 }
 
-// ImmutableChanges returns the keys whose values differ between two readings although they take effect only at a start.
+// ImmutableChanges returns the keys whose values differ between n and other but take effect only when the process starts.
 func (n *Node) ImmutableChanges(other *Node) (keys []string) {
 	for _, key := range []string{listenKey, adminKey, "limits", "settings", "fleet"} {
 		if !reflect.DeepEqual(n.raw[key], other.raw[key]) {
@@ -112,7 +114,8 @@
 	return keys
 }
 
-// loadFile decodes a file over the defaults; the variables of the given keys override it. Without a path there is no file.
+// loadFile merges the defaults, the file, and the environment variables of the keys in envKeys; later ones take precedence. If
+// path is empty, no file is read.
 func loadFile(path string, envKeys ...string) (map[string]any, error) {
 	k := koanf.New(".")
 	defaults := map[string]any{
@@ -142,7 +145,7 @@
 	return k.Raw(), nil
 }
 
-// readNode reads a node's file; the variables of the given keys override it.
+// readNode reads a node's file. The environment variables of the keys in envKeys override the file.
 func readNode(path string, envKeys ...string) (*Node, error) {
 	values, err := loadFile(path, envKeys...)
 	if err != nil {
@@ -177,7 +180,7 @@
 	readOptional(root, adminKey, adminParser, &n.Admin)
 }
 
-// readRequiredAddress tells a key that is absent from one that holds no address.
+// readRequiredAddress reads an address. The error distinguishes an empty or absent value from one that is not an address.
 func readRequiredAddress(root object, key string, field *string) {
 	readRequired(root, key, nonEmptyParser, field)
 	if *field != "" {
@@ -185,7 +188,7 @@
 	}
 }
 
-// readPassedSocket reads the descriptor that the platform passes in a variable of its own.
+// readPassedSocket reads the number of the file descriptor that the platform passes in BALANCER_PASSED_SOCKET.
 func (n *Node) readPassedSocket(root object) {
 	value := os.Getenv(passedSocketEnv)
 	if value == "" {
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -20,7 +20,7 @@
 "namespaces":[{"name":"read","repeat":"safe","target-time-ms":200.19,"time-limit-ms":750.0},
 {"name":"log","repeat":"keyed","group":"all","memory-span-ms":2000.0,"target-time-ms":400.0,"time-limit-ms":800.0}]}}`
 
-// readEdited reads the valid file with one text in it replaced.
+// readEdited reads a copy of validNode in which the first occurrence of old is replaced.
 func readEdited(t *testing.T, old, replacement string) (*Node, error) {
 	t.Helper()
 	if !strings.Contains(validNode, old) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// On a reload the file's discovery address overrides the variable; a faulty file is an error that names the key.
+// On a reload, the discovery address in the file overrides the environment variable. The error for an invalid file names the key.
 func TestReloadPrefersDiscoveryAddressOfFile(t *testing.T) {
 	t.Setenv("BALANCER_DISCOVERY", "127.0.0.9:1")
 	node, err := readEdited(t, "", "")
@@ -79,7 +79,7 @@
 		case c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)):
 			t.Errorf("%v, want %q", err, c.wantErr)
 		case c.wantErr == "" && (err != nil || reloaded.Discovery != c.wantDiscovery || fmt.Sprint(node.ImmutableChanges(reloaded)) != c.wantChanges):
-			t.Errorf("%v, %+v, fixed %v", err, reloaded, node.ImmutableChanges(reloaded))
+			t.Errorf("%v, %+v, immutable changes %v", err, reloaded, node.ImmutableChanges(reloaded))
 		}
 	}
 }
@@ -139,11 +139,11 @@
 		t.Errorf("grace %v, %v", node.DrainGrace, err)
 	}
 	if node.Routing.MaxRetryAfter != 0 || node.MaxRetryAfter != 0 {
-		t.Error("want no Retry-After where the settings switch it off")
+		t.Error("want no Retry-After if the settings disable it")
 	}
 }
 
-// The variable overrides the file's address for operators; a malformed address is an error.
+// The environment variable overrides the admin address in the file. A malformed address is an error.
 func TestAdminAddressOfFileAndEnvironment(t *testing.T) {
 	write := func(address string) string {
 		path := filepath.Join(t.TempDir(), "node.json")
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	if keys := node.ImmutableChanges(other); len(keys) != 1 || keys[0] != "admin_addr" {
-		t.Errorf("keys that take effect at a start: %v", keys)
+		t.Errorf("changed keys that take effect only at the start: %v", keys)
 	}
 	t.Setenv("BALANCER_ADMIN_ADDR", "127.0.0.1:9602")
 	if node, err := Read(write(`, "admin_addr": "127.0.0.1:9600"`)); err != nil || node.Admin != "127.0.0.1:9602" {
@@ -181,8 +181,8 @@
 	}
 }
 
-// Where endpoint lists are pushed, or nothing is said of it, routing gets the drain's grace: it runs from the change at the
-// discovery service. Where they are polled, or there is no grace, routing keeps its default.
+// If endpoint lists are pushed, or registry-mode is absent, routing gets the drain grace, which starts with the change at the
+// discovery service. If endpoint lists are polled, or there is no drain grace, routing keeps its default.
 func TestPushedGraceByRegistryMode(t *testing.T) {
 	defaultGrace := routing.DefaultConfig().PushedGrace
 	for replacement, want := range map[string]routing.Time{
--- a/internal/config/parsers.go
+++ b/internal/config/parsers.go
@@ -11,13 +11,13 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// A valueParser parses and checks a JSON value of one kind.
+// valueParser parses and validates a decoded JSON value.
 type valueParser[T any] struct {
 	expected string // completes the error "KEY: expected ..."
 	parse    func(any) (value T, ok bool)
 }
 
-// newNumberParser returns a form of the numbers that fulfil a condition.
+// newNumberParser returns a parser of numbers for which valid returns true.
 func newNumberParser(expected string, valid func(float64) bool) valueParser[float64] {
 	return valueParser[float64]{expected, func(v any) (float64, bool) {
 		x, ok := v.(float64)
@@ -25,7 +25,7 @@
 	}}
 }
 
-// newStringParser returns a form of the strings that fulfil a condition.
+// newStringParser returns a parser of strings for which valid returns true.
 func newStringParser(expected string, valid func(string) bool) valueParser[string] {
 	return valueParser[string]{expected, func(v any) (string, bool) {
 		x, ok := v.(string)
@@ -33,7 +33,7 @@
 	}}
 }
 
-// newIntegerParser returns a form of the integers from minimum on.
+// newIntegerParser returns a parser of integers that are at least minimum.
 func newIntegerParser(expected string, minimum int) valueParser[int] {
 	return valueParser[int]{expected, func(v any) (int, bool) {
 		x, ok := integerParser.parse(v)
@@ -41,7 +41,7 @@
 	}}
 }
 
-// newDurationParser returns a form of the times in milliseconds from minimum to maximum.
+// newDurationParser returns a parser of durations in milliseconds that are at least minimum and at most maximum.
 func newDurationParser(minimum, maximum time.Duration) valueParser[time.Duration] {
 	expected := fmt.Sprintf("a time in milliseconds from %d to %d", minimum.Milliseconds(), maximum.Milliseconds())
 	return valueParser[time.Duration]{expected, func(v any) (time.Duration, bool) {
@@ -51,15 +51,15 @@
 	}}
 }
 
-// isAddress reports whether s is HOST:PORT.
+// isAddress reports whether s has the format HOST:PORT.
 func isAddress(s string) bool {
 	_, _, err := net.SplitHostPort(s)
 	return err == nil
 }
 
 const (
-	maxInteger      = 1e15 // JSON numbers hold integers up to 2^53, some 9e15, exactly
-	maxMilliseconds = 1e12 // some thirty years
+	maxInteger      = 1e15 // float64 represents all integers up to 2^53, about 9e15, exactly
+	maxMilliseconds = 1e12 // about thirty years
 )
 
 var (
@@ -103,30 +103,31 @@
 	}}
 )
 
-// object is a JSON object of the configuration. Reading its keys collects the errors.
+// object is a JSON object of the configuration. Errors in its keys are collected in errs.
 type object struct {
-	values map[string]any // as decoded; unknown keys are ignored
-	path   string         // prefix of its keys in errors
+	values map[string]any // decoded JSON; unknown keys are ignored
+	path   string         // prefix of the keys in error messages
 	errs   *[]error
 }
 
-// newRootObject returns the object of a whole file.
+// newRootObject returns the top-level object of a file, with no errors yet.
 func newRootObject(values map[string]any) object {
 	return object{values: values, errs: new([]error)}
 }
 
+// addError adds the error "KEY: expected ..." for a key of the object.
 func (o object) addError(key, expected string) {
 	*o.errs = append(*o.errs, fmt.Errorf("%s%s: expected %s", o.path, key, expected))
 }
 
-// readOptional reads a key into a field, which keeps its value where the key is absent or at fault.
+// readOptional reads a key into a field. The field keeps its value if the key is absent or invalid.
 func readOptional[T any](o object, key string, p valueParser[T], field *T) {
 	if v, found := lookup(o.values, key); found {
 		parseField(o, key, p, v, field)
 	}
 }
 
-// readRequired reads a key into a field; its absence is an error.
+// readRequired reads a key into a field. An absent key is an error.
 func readRequired[T any](o object, key string, p valueParser[T], field *T) {
 	v, _ := lookup(o.values, key)
 	parseField(o, key, p, v, field)
@@ -141,7 +142,7 @@
 	*field = x
 }
 
-// readOptionalTimeout reads a key that is a time above 0.
+// readOptionalTimeout reads a key that holds a duration above 0, in milliseconds.
 func readOptionalTimeout(o object, key string, field *time.Duration) {
 	v, found := lookup(o.values, key)
 	if !found {
@@ -155,25 +156,26 @@
 	*field = Duration(t)
 }
 
-// element returns the i-th object of a list in o, an empty one if v is no object.
+// element returns v, the i-th element of the list at a key of o, as an object. The object is empty if v is not a JSON object.
 func (o object) element(key string, i int, v any) object {
 	values, _ := v.(map[string]any)
 	return object{values: values, path: fmt.Sprintf("%s%s[%d].", o.path, key, i), errs: o.errs}
 }
 
-// stringValue returns the value of a key, "" if it is absent or no string.
+// stringValue returns the value of a key, or "" if it is absent or not a string.
 func (o object) stringValue(key string) string {
 	s, _ := o.values[key].(string)
 	return s
 }
 
-// numberValue returns the value of a key, 0 if it is absent or no number.
+// numberValue returns the value of a key, or 0 if it is absent or not a number.
 func (o object) numberValue(key string) float64 {
 	x, _ := o.values[key].(float64)
 	return x
 }
 
-// namedObjects returns the named objects of a list, and their indices by name.
+// namedObjects returns the elements of the list at a key, and their indices by the value of "name". An element without a name is
+// an error.
 func namedObjects(o object, key string) (list []object, indices map[string]int) {
 	indices = map[string]int{}
 	for i, v := range listItems(o.values[key]) {
@@ -188,7 +190,7 @@
 	return list, indices
 }
 
-// lookup returns the value at a dotted path. null counts as absent.
+// lookup returns the value at a dotted path, and whether it exists. A null value counts as absent.
 func lookup(m map[string]any, path string) (any, bool) {
 	var v any = m
 	for name := range strings.SplitSeq(path, ".") {
@@ -201,7 +203,7 @@
 	return v, v != nil
 }
 
-// listItems returns the elements of a list, none if v is no list.
+// listItems returns the elements of v, or nil if v is not a list.
 func listItems(v any) []any {
 	list, _ := v.([]any)
 	return list
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,47 +9,49 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Defaults, each on the cautious side of what deployments set.
+// Defaults. Each is more conservative than the values that deployments usually set.
 const (
 	defaultConnectTimeout = 100 * time.Millisecond
 	defaultIdleTimeout    = 5 * time.Second
 	defaultPollInterval   = 10 * time.Second
 )
 
-// Settings is what a deployment sets for all its nodes.
+// Settings are the settings that all nodes of a deployment have in common.
 type Settings struct {
 	// Routing is the configuration of package routing, with that package's defaults.
 	Routing routing.Config
 
-	// Classes, Tenants and Models map names to indices: of Routing.Classes, of Routing.Tenants, and of the kinds of machine.
+	// Classes and Tenants map names to indices of Routing.Classes and Routing.Tenants. Models maps the names of server models to
+	// their indices.
 	Classes, Tenants, Models map[string]int
 
 	// MaxDeadline is the longest deadline of all classes.
 	MaxDeadline time.Duration
-	// MaxRetryAfter is the longest Retry-After that clients heed; 0: send none, which is also the default.
+	// MaxRetryAfter is the longest Retry-After that clients obey. 0, the default, sends no Retry-After.
 	MaxRetryAfter time.Duration
-	// ConnectTimeout limits connecting to a cache server or the origin; 100 ms by default.
+	// ConnectTimeout is the timeout of a connection attempt to a cache server or the origin; 100 ms by default.
 	ConnectTimeout time.Duration
 	// IdleTimeout is the time after which servers close an idle connection; 5 s by default.
 	IdleTimeout time.Duration
 	// PollInterval is the time between two polls of the endpoint list; 10 s by default.
 	PollInterval time.Duration
-	// DrainGrace is the time from a drain's notice in which the first byte of an attempt may still reach the draining server;
-	// 0, the default: no limit.
+	// DrainGrace is the time after a drain notification during which the first byte of an attempt may still reach the draining
+	// server. 0, the default, sets no limit.
 	DrainGrace time.Duration
 
-	originKindSet bool // the settings name the origin's kind
+	originKindSet bool // the key domain.origin-kind holds an integer
 }
 
-// class returns a class by its name, which must be one of Classes.
+// class returns the class with the given name, which must be a key of Classes.
 func (s *Settings) class(name string) routing.Class { return s.Routing.Classes[s.Classes[name]] }
 
-// IsSafe reports whether requests of a class may be executed any number of times.
+// IsSafe reports whether a request of the class may be executed more than once.
 func (s *Settings) IsSafe(class string) bool {
 	return s.class(class).Idempotence == routing.Safe
 }
 
-// DedupWindow returns the time in which servers drop repeats of a request with an idempotency key, 0 for classes without.
+// DedupWindow returns how long servers deduplicate requests of the class by their idempotency key. It returns 0 for classes
+// without idempotency keys.
 func (s *Settings) DedupWindow(class string) time.Duration {
 	if c := s.class(class); c.Idempotence == routing.IdempotentByKey {
 		return Duration(c.DedupWindow)
@@ -57,29 +59,29 @@
 	return 0
 }
 
-// SharedDedup reports whether all servers together drop repeats of a request of this class by its idempotency key; else
-// each server knows only the keys that it has seen itself.
+// SharedDedup reports whether the servers share the idempotency keys of the class for deduplication. If not, each server knows
+// only the keys of the requests that it received itself.
 func (s *Settings) SharedDedup(class string) bool {
 	c := s.class(class)
 	return c.Idempotence == routing.IdempotentByKey && c.SharedDedup
 }
 
-// IsOrigin reports whether a kind of machine, an index of Models, is the origin's.
+// IsOrigin reports whether a server model, given as an index of Models, is that of the origin.
 func (s *Settings) IsOrigin(kind int) bool {
 	return s.originKindSet && s.Routing.CacheAside && kind == s.Routing.OriginModel
 }
 
-// HedgingAllowed reports whether two attempts of a request may be in flight at once. The default is no.
+// HedgingAllowed reports whether two attempts of a request may be in flight at the same time; false by default.
 func (s *Settings) HedgingAllowed() bool { return s.Routing.Hedging }
 
 const (
-	domainModeCacheAside = "aside" // domain.mode: caches are filled from an origin
-	groupAllServers      = "all"   // namespaces[].group: all servers drop repeats of a key together
-	registryModePolled   = "ask"   // registry-mode: nodes poll the endpoint list
+	domainModeCacheAside = "aside" // value of domain.mode: caches fetch missing objects from an origin
+	groupAllServers      = "all"   // value of namespaces[].group: all servers share the idempotency keys
+	registryModePolled   = "ask"   // value of registry-mode: nodes poll the endpoint list
 )
 
-// ParseSettings reads a deployment's settings. A key that is absent or malformed leaves the default; the error names each
-// key that is malformed, or absent though required. Unknown keys are ignored: they may be of a newer version.
+// ParseSettings reads the settings of a deployment. An absent or invalid key keeps its default. The error names each invalid
+// key and each required key that is absent. Unknown keys are ignored, as they may come from a newer version.
 func ParseSettings(settings map[string]any) (*Settings, error) {
 	var errs []error
 	o := object{settings, "settings.", &errs}
@@ -100,7 +102,7 @@
 	return s, errors.Join(errs...)
 }
 
-// readGeneral reads the keys that hold for all classes and tenants.
+// readGeneral reads the keys that apply to all classes and tenants.
 func (s *Settings) readGeneral(o object) {
 	c := &s.Routing
 	readOptional(o, "balancers", positiveIntegerParser, &c.Nodes)
@@ -133,7 +135,7 @@
 		c := routing.DefaultClass()
 		var group string
 		var deadline routing.Time
-		var utility float64 // checked but not used
+		var utility float64 // validated but not used
 		readRequired(entry, "repeat", idempotenceParser, &c.Idempotence)
 		readOptional(entry, "group", stringParser, &group)
 		readRequired(entry, "target-time-ms", durationParser, &c.LatencyTarget)
@@ -165,21 +167,21 @@
 	readOptionalTimeout(o, "permissions.conn-idle-ms", &s.IdleTimeout)
 	readOptionalTimeout(o, "invariants.ask-within-ms", &s.PollInterval)
 	readOptionalTimeout(o, "invariants.stop-sending-within-ms", &s.DrainGrace)
-	// The grace of a drain begins once the node is notified of it. A polled endpoint list notifies the node when it is sent, a
-	// pushed one as soon as the discovery service has it, so that routing has to allow for the delay. Without the key, the
-	// stricter of the two holds.
+	// DrainGrace starts when the node counts as notified of the drain. With polling, that is when the discovery service sends the
+	// endpoint list to the node. With pushing, it is when the discovery service itself has the change, so routing has to allow
+	// for the delay until the list arrives. If registry-mode is absent, the stricter rule (pushing) applies.
 	if mode, _ := lookup(o.values, "registry-mode"); mode != registryModePolled && s.DrainGrace > 0 {
 		s.Routing.PushedGrace = routing.Time(s.DrainGrace / tick)
 	}
 }
 
-// tick is one unit of routing.Time.
+// tick is the duration of one unit of routing.Time.
 const tick = time.Millisecond / time.Duration(routing.Millisecond)
 
-// Ticks converts milliseconds to routing.Time, rounded down.
+// Ticks converts milliseconds to routing.Time, rounding down.
 func Ticks(ms float64) routing.Time { return routing.Time(math.Floor(ms * 10)) }
 
-// Duration converts routing.Time to the standard library's type.
+// Duration converts routing.Time to time.Duration.
 func Duration(t routing.Time) time.Duration {
 	return time.Duration(t) * tick
 }
