--- a/internal/cluster/transport/dialer.go
+++ b/internal/cluster/transport/dialer.go
@@ -22,11 +22,11 @@
 // Dial opens a connection for a purpose and waits until the peer has accepted it. voterID names the voter that is meant;
 // empty: whoever has the address. timeout bounds the dial, and again the exchange of the first lines.
 func (d Dialer) Dial(address, purpose, voterID string, timeout time.Duration) (net.Conn, error) {
-	route := address
-	if other, found := d.Routes[address]; found {
-		route = other
+	dialAddress := address
+	if override, found := d.Routes[address]; found {
+		dialAddress = override
 	}
-	c, err := net.DialTimeout("tcp", route, timeout)
+	c, err := net.DialTimeout("tcp", dialAddress, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 }
 
 func (d Dialer) handshake(c net.Conn, address, purpose, voterID string) error {
-	if err := writeLine(c, hello{Cluster: d.Cluster, Purpose: purpose, From: d.Node, To: voterID}); err != nil {
+	if err := writeLine(c, hello{Cluster: d.Cluster, Purpose: purpose, NodeName: d.Node, VoterID: voterID}); err != nil {
 		return err
 	}
 	var w welcome
--- a/internal/cluster/transport/hello.go
+++ b/internal/cluster/transport/hello.go
@@ -16,10 +16,10 @@
 
 // hello is the first line of a connection, from the dialing side.
 type hello struct {
-	Cluster string `json:"fleet"`
-	Purpose string `json:"for"`
-	From    string `json:"from"`
-	To      string `json:"to,omitempty"` // id of the voter that is meant
+	Cluster  string `json:"fleet"`
+	Purpose  string `json:"for"`
+	NodeName string `json:"from"`
+	VoterID  string `json:"to,omitempty"` // id of the voter that is meant
 }
 
 // welcome is the first line of the accepting side.
@@ -38,14 +38,14 @@
 }
 
 // readLine reads one line of JSON and nothing beyond it, which belongs to the protocol that follows.
-func readLine(c net.Conn, into any) error {
+func readLine(c net.Conn, value any) error {
 	line := make([]byte, 0, 128)
-	for next := make([]byte, 1); len(line) < maxHelloBytes; line = append(line, next[0]) {
-		if _, err := c.Read(next); err != nil {
+	for buf := make([]byte, 1); len(line) < maxHelloBytes; line = append(line, buf[0]) {
+		if _, err := c.Read(buf); err != nil {
 			return err
 		}
-		if next[0] == '\n' {
-			return json.Unmarshal(line, into)
+		if buf[0] == '\n' {
+			return json.Unmarshal(line, value)
 		}
 	}
 	return fmt.Errorf("the first line has more than %d bytes", maxHelloBytes)
--- a/internal/cluster/transport/listener.go
+++ b/internal/cluster/transport/listener.go
@@ -31,11 +31,11 @@
 	listener  net.Listener
 	raftConns chan net.Conn
 
-	mu     sync.Mutex
-	open   map[*Conn]bool
-	idle   *list.List // of *Conn, all of them open, the longest idle first
-	closed bool
-	done   chan struct{} // closed by Close
+	mu        sync.Mutex
+	openConns map[*Conn]bool
+	idleConns *list.List // of *Conn, all of them open, the longest idle first
+	closed    bool
+	done      chan struct{} // closed by Close
 }
 
 // NewListener returns a Listener on a socket, which it closes with itself. Serve has to be called for it to accept.
@@ -44,8 +44,8 @@
 		ListenerConfig: config,
 		listener:       l,
 		raftConns:      make(chan net.Conn),
-		open:           map[*Conn]bool{},
-		idle:           list.New(),
+		openConns:      map[*Conn]bool{},
+		idleConns:      list.New(),
 		done:           make(chan struct{}),
 	}
 }
@@ -96,7 +96,7 @@
 	_ = conn.SetDeadline(time.Time{})
 	if h.Purpose == PurposeRPC {
 		defer l.closeConn(conn)
-		if h.To == "" {
+		if h.VoterID == "" {
 			l.markNodeConn(conn, time.Now())
 		}
 		l.ServeRPC(conn)
@@ -111,15 +111,15 @@
 
 // refusal returns why a connection is refused, empty if it isn't.
 func (l *Listener) refusal(h hello) string {
-	id := l.VoterID()
+	voterID := l.VoterID()
 	switch {
 	case h.Cluster != l.Cluster:
 		return fmt.Sprintf("fleet.name: this is %q, not %q", l.Cluster, h.Cluster)
-	case h.Purpose == PurposeRaft && id == "":
+	case h.Purpose == PurposeRaft && voterID == "":
 		return "no voter: fleet.folder is empty or can't be used"
-	case (h.Purpose == PurposeRaft || h.To != "") && h.To != id && !faults.Without(faults.Vote):
+	case (h.Purpose == PurposeRaft || h.VoterID != "") && h.VoterID != voterID && !faults.Without(faults.Vote):
 		// A voter that has lost its folder may have forgotten a vote: it is another voter, which is no member yet.
-		return fmt.Sprintf("this voter is %s, not %s, whose folder is gone", id, h.To)
+		return fmt.Sprintf("this voter is %s, not %s, whose folder is gone", voterID, h.VoterID)
 	case h.Purpose != PurposeRaft && h.Purpose != PurposeRPC:
 		return "expected a connection for votes or asks"
 	}
@@ -144,7 +144,7 @@
 	l.closed = true
 	close(l.done)
 	_ = l.listener.Close()
-	for conn := range l.open {
+	for conn := range l.openConns {
 		_ = conn.Close()
 	}
 }
@@ -153,5 +153,5 @@
 func (l *Listener) Connections() (open, idle int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open), l.idle.Len()
+	return len(l.openConns), l.idleConns.Len()
 }
--- a/internal/cluster/transport/listener_test.go
+++ b/internal/cluster/transport/listener_test.go
@@ -7,192 +7,192 @@
 	"time"
 )
 
-// Peers have no more connections than the limit: the next is closed, and admitted once one has gone.
-func TestPeersStayWithinTheirLimit(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// Peers have no more connections than the limit: the next is closed, and admitted once one has ended.
+func TestListenerClosesConnectionsAboveLimit(t *testing.T) {
+	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const limit = 3
-	gone := make(chan struct{})
-	p := NewListener(l, ListenerConfig{Cluster: "f", MaxConnections: limit, MinIdle: time.Minute, HelloTimeout: time.Second,
+	ended := make(chan struct{})
+	listener := NewListener(socket, ListenerConfig{Cluster: "f", MaxConnections: limit, MinIdle: time.Minute, HelloTimeout: time.Second,
 		VoterID: func() string { return "" },
 		ServeRPC: func(c *Conn) {
-			_, _ = c.Read(make([]byte, 1)) // until its end
-			gone <- struct{}{}
+			_, _ = c.Read(make([]byte, 1)) // blocks until the connection ends
+			ended <- struct{}{}
 		}})
-	go p.Serve()
-	defer p.Close()
-	d := Dialer{Cluster: "f", Node: "n"}
+	go listener.Serve()
+	defer listener.Close()
+	dialer := Dialer{Cluster: "f", Node: "n"}
 	var conns []net.Conn
 	for range limit {
-		c, err := d.Dial(l.Addr().String(), PurposeRPC, "", time.Second)
+		c, err := dialer.Dial(socket.Addr().String(), PurposeRPC, "", time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		conns = append(conns, c)
 	}
-	if c, err := d.Dial(l.Addr().String(), PurposeRPC, "", time.Second); err == nil {
+	if c, err := dialer.Dial(socket.Addr().String(), PurposeRPC, "", time.Second); err == nil {
 		c.Close()
 		t.Error("one more than the limit is open")
 	}
 	_ = conns[0].Close()
-	<-gone
-	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		c, err := d.Dial(l.Addr().String(), PurposeRPC, "", time.Second)
+	<-ended
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
+		c, err := dialer.Dial(socket.Addr().String(), PurposeRPC, "", time.Second)
 		if err == nil {
-			go func() { <-gone }()
+			go func() { <-ended }()
 			c.Close()
 			break
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
-	go func() { // the rest end with the test
+	go func() { // the remaining connections end with the test
 		for range limit {
-			<-gone
+			<-ended
 		}
 	}()
 }
 
 // A call that was received counts before it is read.
-func TestUnreadBytesAreSeen(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestUnreadCheckReportsReceivedBytes(t *testing.T) {
+	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	out, err := net.Dial("tcp", l.Addr().String())
+	defer socket.Close()
+	client, err := net.Dial("tcp", socket.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer out.Close()
-	in, err := l.Accept()
+	defer client.Close()
+	server, err := socket.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
-	waits := unreadCheck(in)
-	if waits() {
+	defer server.Close()
+	hasUnread := unreadCheck(server)
+	if hasUnread() {
 		t.Error("nothing has come")
 	}
-	if _, err = out.Write([]byte("x")); err != nil {
+	if _, err = client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(20 * time.Second); !waits(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !hasUnread(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the byte is not seen")
 		}
 	}
-	if _, err = in.Read(make([]byte, 1)); err != nil || waits() {
+	if _, err = server.Read(make([]byte, 1)); err != nil || hasUnread() {
 		t.Errorf("all is read: %v", err)
 	}
-	_ = in.Close()
-	if waits() {
+	_ = server.Close()
+	if hasUnread() {
 		t.Error("it is closed")
 	}
 }
 
 // Whatever comes and goes: no more connections are open than the limit, an evicted one has been idle for longest of all that may
-// be evicted, and none is refused while one may be.
-func TestTheLongestIdleConnectionIsEvicted(t *testing.T) {
-	type seen struct {
-		node, greeted, waits bool
-		calls                int
-		since                time.Time
+// be evicted, and none is rejected while one may be.
+func TestListenerEvictsLongestIdleConnection(t *testing.T) {
+	type connState struct {
+		isNode, greeted, unread bool
+		calls                   int
+		idleSince               time.Time
 	}
-	evictions, refused := 0, 0
+	evictions, rejected := 0, 0
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		limit, minIdle := 1+r.IntN(8), time.Duration(1+r.IntN(50))*time.Millisecond
-		p := NewListener(nil, ListenerConfig{Cluster: "f", MaxConnections: limit, MinIdle: minIdle, HelloTimeout: time.Second})
-		at := time.Unix(1000, 0)
-		all := map[*Conn]*seen{} // those that are open
+		listener := NewListener(nil, ListenerConfig{Cluster: "f", MaxConnections: limit, MinIdle: minIdle, HelloTimeout: time.Second})
+		now := time.Unix(1000, 0)
+		states := map[*Conn]*connState{} // those that are open
 		var order []*Conn
-		drop := func(in *Conn) {
-			delete(all, in)
-			for i, x := range order {
-				if x == in {
+		forget := func(conn *Conn) {
+			delete(states, conn)
+			for i, c := range order {
+				if c == conn {
 					order = append(order[:i], order[i+1:]...)
 					return
 				}
 			}
 		}
 		for step := range 2000 {
-			at = at.Add(time.Duration(r.IntN(8)) * time.Millisecond)
-			var in *Conn
+			now = now.Add(time.Duration(r.IntN(8)) * time.Millisecond)
+			var conn *Conn
 			if len(order) > 0 {
-				in = order[r.IntN(len(order))]
+				conn = order[r.IntN(len(order))]
 			}
-			x := all[in]
-			switch what := r.IntN(10); {
-			case what < 3 || in == nil:
-				x := &seen{node: r.IntN(4) > 0}
-				fresh := &Conn{listener: p, hasUnread: func() bool { return x.waits }}
-				var may time.Time // since when the longest idle of those that may be evicted is idle
-				for _, x := range all {
-					if x.node && x.greeted && x.calls == 0 && !x.waits && at.Sub(x.since) >= minIdle && (may.IsZero() || x.since.Before(may)) {
-						may = x.since
+			state := states[conn]
+			switch action := r.IntN(10); {
+			case action < 3 || conn == nil:
+				state := &connState{isNode: r.IntN(4) > 0}
+				newConn := &Conn{listener: listener, hasUnread: func() bool { return state.unread }}
+				var longestIdleSince time.Time // since when the longest idle of those that may be evicted is idle
+				for _, state := range states {
+					if state.isNode && state.greeted && state.calls == 0 && !state.unread && now.Sub(state.idleSince) >= minIdle && (longestIdleSince.IsZero() || state.idleSince.Before(longestIdleSince)) {
+						longestIdleSince = state.idleSince
 					}
 				}
-				full := len(all) == limit
-				admitted, evicted := p.admit(fresh, at)
-				if admitted != (!full || !may.IsZero()) || (evicted != nil) != (full && !may.IsZero()) {
-					t.Fatalf("seed %d, step %d: admitted %v, evicted %v, full %v, one may be since %v", seed, step, admitted, evicted != nil, full, may)
+				full := len(states) == limit
+				admitted, evicted := listener.admit(newConn, now)
+				if admitted != (!full || !longestIdleSince.IsZero()) || (evicted != nil) != (full && !longestIdleSince.IsZero()) {
+					t.Fatalf("seed %d, step %d: admitted %v, evicted %v, full %v, one may be since %v", seed, step, admitted, evicted != nil, full, longestIdleSince)
 				}
 				if evicted != nil {
-					if x := all[evicted]; x == nil || !x.node || !x.greeted || x.calls > 0 || x.waits || !x.since.Equal(may) {
-						t.Fatalf("seed %d, step %d: %+v evicted, not the one that is idle since %v", seed, step, x, may)
+					if e := states[evicted]; e == nil || !e.isNode || !e.greeted || e.calls > 0 || e.unread || !e.idleSince.Equal(longestIdleSince) {
+						t.Fatalf("seed %d, step %d: %+v evicted, not the one that is idle since %v", seed, step, e, longestIdleSince)
 					}
-					drop(evicted)
+					forget(evicted)
 					if evicted.BeginCall() == nil {
 						t.Fatalf("seed %d, step %d: a call begins on an evicted connection", seed, step)
 					}
 					evictions++
 				}
 				if admitted {
-					all[fresh], order = x, append(order, fresh)
+					states[newConn], order = state, append(order, newConn)
 				} else {
-					refused++
+					rejected++
 				}
-			case what == 3 && !x.greeted:
-				if x.greeted = true; x.node {
-					x.since = at
-					p.markNodeConn(in, at)
+			case action == 3 && !state.greeted:
+				if state.greeted = true; state.isNode {
+					state.idleSince = now
+					listener.markNodeConn(conn, now)
 				}
-			case what < 6 && x.greeted:
-				if x.calls, x.waits = x.calls+1, false; in.BeginCall() != nil {
+			case action < 6 && state.greeted:
+				if state.calls, state.unread = state.calls+1, false; conn.BeginCall() != nil {
 					t.Fatalf("seed %d, step %d: it is open", seed, step)
 				}
-			case what < 8 && x.calls > 0:
-				x.calls--
-				x.since = at
-				in.EndCall(at)
-			case what == 8:
-				x.waits = !x.waits
-			case what == 9 && r.IntN(3) == 0:
-				p.mu.Lock()
-				p.remove(in)
-				p.mu.Unlock()
-				drop(in)
-				if in.EndCall(at); in.idleElement != nil { // its last answer comes after it has gone
+			case action < 8 && state.calls > 0:
+				state.calls--
+				state.idleSince = now
+				conn.EndCall(now)
+			case action == 8:
+				state.unread = !state.unread
+			case action == 9 && r.IntN(3) == 0:
+				listener.mu.Lock()
+				listener.remove(conn)
+				listener.mu.Unlock()
+				forget(conn)
+				if conn.EndCall(now); conn.idleElement != nil { // its last answer comes after it has gone
 					t.Fatalf("seed %d, step %d: what has gone is idle", seed, step)
 				}
 			}
-			idle := 0
-			for _, x := range all {
-				if x.node && x.greeted && x.calls == 0 {
-					idle++
+			wantIdle := 0
+			for _, state := range states {
+				if state.isNode && state.greeted && state.calls == 0 {
+					wantIdle++
 				}
 			}
-			if open, in := p.Connections(); open > limit || open != len(all) || in != idle {
-				t.Fatalf("seed %d, step %d: %d open and %d idle, want %d and %d, at most %d", seed, step, open, in, len(all), idle, limit)
+			if open, idle := listener.Connections(); open > limit || open != len(states) || idle != wantIdle {
+				t.Fatalf("seed %d, step %d: %d open and %d idle, want %d and %d, at most %d", seed, step, open, idle, len(states), wantIdle, limit)
 			}
 		}
 	}
-	if evictions < 500 || refused < 500 {
-		t.Errorf("%d made way and %d were refused: the run shows too little", evictions, refused)
+	if evictions < 500 || rejected < 500 {
+		t.Errorf("%d made way and %d were refused: the run shows too little", evictions, rejected)
 	}
 }
--- a/internal/cluster/transport/stream_layer.go
+++ b/internal/cluster/transport/stream_layer.go
@@ -24,16 +24,16 @@
 // StreamLayer is the network of the consensus library's transport, a raft.StreamLayer. Its connections come from a Listener,
 // which outlives it: another StreamLayer may follow on the same Listener.
 type StreamLayer struct {
-	listener *Listener
-	dialer   Dialer
-	self     raft.ServerAddress
-	closed   chan struct{}
-	once     sync.Once
+	listener  *Listener
+	dialer    Dialer
+	localAddr raft.ServerAddress
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // NewStreamLayer returns the StreamLayer of the voter with an address.
-func NewStreamLayer(l *Listener, d Dialer, self raft.ServerAddress) *StreamLayer {
-	return &StreamLayer{listener: l, dialer: d, self: self, closed: make(chan struct{})}
+func NewStreamLayer(l *Listener, d Dialer, localAddr raft.ServerAddress) *StreamLayer {
+	return &StreamLayer{listener: l, dialer: d, localAddr: localAddr, closed: make(chan struct{})}
 }
 
 // Accept returns the next connection for consensus.
@@ -50,16 +50,16 @@
 
 // Close ends Accept. It leaves the Listener open.
 func (s *StreamLayer) Close() error {
-	s.once.Do(func() { close(s.closed) })
+	s.closeOnce.Do(func() { close(s.closed) })
 	return nil
 }
 
 // Addr returns the voter's own address.
-func (s *StreamLayer) Addr() net.Addr { return voterAddr(s.self) }
+func (s *StreamLayer) Addr() net.Addr { return voterAddr(s.localAddr) }
 
 // Dial opens a connection to another voter.
-func (s *StreamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	address, id := SplitRaftAddress(to)
+func (s *StreamLayer) Dial(target raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	address, id := SplitRaftAddress(target)
 	return s.dialer.Dial(address, PurposeRaft, id, timeout)
 }
 
