--- a/internal/cluster/transport/conn.go
+++ b/internal/cluster/transport/conn.go
@@ -10,25 +10,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// errConnEvicted ends the reading of an evicted connection: a call that comes after the eviction isn't run.
+// errConnEvicted is the error of BeginCall on a closed connection. A call that arrives after the eviction must not run.
 var errConnEvicted = errors.New("connection evicted for another one")
 
-// Conn is an accepted connection. It may be evicted only while it is idle: not during its handshake, which has a timeout,
-// nor with a call in progress. Connections for consensus and a voter's RPC connections are never evicted: these are few, and
-// a leader proves its leadership by them.
+// Conn is an accepted connection. Only an idle connection can be evicted. A connection is not idle during its handshake, which
+// has a timeout, or while a call is in progress. Raft connections, and RPC connections that are addressed to a voter by its id,
+// are never evicted, because there are few of them and a leader confirms its leadership over them.
 type Conn struct {
 	net.Conn
 	listener  *Listener
-	hasUnread func() bool // reports whether received bytes wait to be read; nil: not known
+	hasUnread func() bool // reports whether received bytes are unread; nil if the connection doesn't support it
 
-	// The listener's lock guards what follows.
-	isNodeRPC   bool // an RPC connection of a node
-	activeCalls int  // in progress
+	// The fields below are guarded by listener.mu.
+	isNodeRPC   bool // an RPC connection that isn't addressed to a voter
+	activeCalls int  // calls in progress
 	idleSince   time.Time
-	idleElement *list.Element // in Listener.idleConns; nil: it isn't idle
+	idleElement *list.Element // element of Listener.idleConns; nil if the connection isn't idle
 }
 
-// BeginCall notes that a call has come in. An error says that the connection is closed and the call must not run.
+// BeginCall records the start of a call. It returns an error if the connection is closed; the call must not run then.
 func (c *Conn) BeginCall() error {
 	l := c.listener
 	l.mu.Lock()
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// EndCall notes that a call was answered at a time.
+// EndCall records that a call was answered at the time now.
 func (c *Conn) EndCall(now time.Time) {
 	l := c.listener
 	l.mu.Lock()
@@ -52,7 +52,8 @@
 	}
 }
 
-// admit admits a connection below the limit, or in place of an evicted one, which the caller has to close.
+// admit registers a connection if the listener is below its limit or can evict another connection. The caller must close the
+// evicted connection.
 func (l *Listener) admit(c *Conn, now time.Time) (admitted bool, evicted *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,8 +71,9 @@
 	return true, evicted
 }
 
-// evictionCandidate returns the connection that has been idle for longest, if that is long enough. One with a call that was
-// received but not read yet doesn't count as idle: after a stall that may be so with all of them.
+// evictionCandidate returns the connection that has been idle for the longest time, or nil if none has been idle for MinIdle. It
+// skips connections with received but unread bytes, which are a pending call. After a stall of the process, every connection can
+// have one. The caller must hold l.mu.
 func (l *Listener) evictionCandidate(now time.Time) *Conn {
 	for e := l.idleConns.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*Conn)
@@ -85,13 +87,13 @@
 	return nil
 }
 
-// remove frees a connection's place. The caller has the lock.
+// remove unregisters a connection, so that it no longer counts towards the limit. The caller must hold l.mu.
 func (l *Listener) remove(c *Conn) {
 	delete(l.openConns, c)
 	l.unmarkIdle(c)
 }
 
-// markIdle notes that a node's connection is idle. The caller has the lock.
+// markIdle adds a connection to the idle list if it can be evicted and is open. The caller must hold l.mu.
 func (l *Listener) markIdle(c *Conn, now time.Time) {
 	if c.isNodeRPC && l.openConns[c] && c.idleElement == nil {
 		c.idleSince = now
@@ -99,7 +101,7 @@
 	}
 }
 
-// unmarkIdle notes that a connection isn't idle. The caller has the lock.
+// unmarkIdle removes a connection from the idle list. The caller must hold l.mu.
 func (l *Listener) unmarkIdle(c *Conn) {
 	if c.idleElement != nil {
 		l.idleConns.Remove(c.idleElement)
@@ -107,7 +109,7 @@
 	}
 }
 
-// markNodeConn notes that a connection is an RPC connection of a node, and idle.
+// markNodeConn marks a connection as an RPC connection that can be evicted, and as idle.
 func (l *Listener) markNodeConn(c *Conn, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,8 +117,8 @@
 	l.markIdle(c, now)
 }
 
-// unreadCheck returns a function that reports whether received bytes wait to be read on a connection, or nil if that can't
-// be seen.
+// unreadCheck returns a function that reports whether the receive buffer of a connection holds unread bytes. It returns nil if
+// the connection has no file descriptor to query.
 func unreadCheck(c net.Conn) func() bool {
 	sysConn, ok := c.(syscall.Conn)
 	if !ok {
@@ -133,10 +135,10 @@
 	}
 }
 
-// raftConn is a connection for consensus, whose place is freed when the library closes it.
+// raftConn is a Raft connection. Its Close, which the consensus library calls, also unregisters it from the listener.
 type raftConn struct{ *Conn }
 
-// Close closes the connection.
+// Close closes the connection and unregisters it.
 func (c *raftConn) Close() error {
 	c.listener.closeConn(c.Conn)
 	return nil
--- a/internal/cluster/transport/dialer.go
+++ b/internal/cluster/transport/dialer.go
@@ -9,18 +9,18 @@
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 )
 
-// ErrRefused says that a peer was reached and refused the connection; the text has its reason.
+// ErrRefused is wrapped by errors of Dial if the peer was reached but refused the connection. The error text contains the reason.
 var ErrRefused = errors.New("refused by")
 
 // Dialer opens connections to the other nodes of a cluster. It is safe for concurrent use.
 type Dialer struct {
 	Cluster string            // name of the cluster
 	Node    string            // name of the dialing node
-	Routes  map[string]string // addresses to dial in place of others; may be nil
+	Routes  map[string]string // maps a peer's address to the address to dial instead; may be nil
 }
 
-// Dial opens a connection for a purpose and waits until the peer has accepted it. voterID names the voter that is meant;
-// empty: whoever has the address. timeout bounds the dial, and again the exchange of the first lines.
+// Dial opens a connection for a purpose and waits until the peer has accepted it. If voterID is not empty, the peer refuses the
+// connection unless it is the voter with this id. timeout applies separately to the TCP connection and to the handshake.
 func (d Dialer) Dial(address, purpose, voterID string, timeout time.Duration) (net.Conn, error) {
 	dialAddress := address
 	if override, found := d.Routes[address]; found {
@@ -40,6 +40,7 @@
 	return c, nil
 }
 
+// handshake sends the hello line and reads the welcome line.
 func (d Dialer) handshake(c net.Conn, address, purpose, voterID string) error {
 	if err := writeLine(c, hello{Cluster: d.Cluster, Purpose: purpose, NodeName: d.Node, VoterID: voterID}); err != nil {
 		return err
--- a/internal/cluster/transport/doc.go
+++ b/internal/cluster/transport/doc.go
@@ -1,6 +1,6 @@
-// Package transport connects the nodes of a cluster. One address takes two kinds of connection, told apart by the first
-// line: the consensus library's own protocol between voters, and JSON-RPC.
+// Package transport connects the nodes of a cluster. A node accepts two protocols on one address: the consensus library's Raft
+// protocol between voters, and JSON-RPC. The first line of a connection says which of the two follows.
 //
-// Dialer opens connections, Listener accepts them within a limit, and StreamLayer is what the consensus library's transport
-// runs on.
+// Dialer opens connections, Listener accepts them up to a limit, and StreamLayer connects the consensus library's network
+// transport to both.
 package transport
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// The first lines cross the wire to peers of other versions, and a voter's address stands in the log.
+// The first lines are exchanged with peers of other versions, and the address of a voter is stored in the Raft log, so the encoding
+// of both must not change.
 func TestHelloAndWelcomeMatchGoldenFiles(t *testing.T) {
 	for name, value := range map[string]any{
 		"hello-votes.json":     hello{Cluster: "f", Purpose: PurposeRaft, NodeName: "n1", VoterID: "n2.0badcafe"},
--- a/internal/cluster/transport/hello.go
+++ b/internal/cluster/transport/hello.go
@@ -6,25 +6,25 @@
 	"net"
 )
 
-// The purposes of a connection, as they stand in its first line.
+// Purposes of a connection, as written in its first line.
 const (
-	PurposeRaft = "votes" // the consensus library's protocol between voters
-	PurposeRPC  = "asks"  // JSON-RPC of nodes, voters and operators
+	PurposeRaft = "votes" // the consensus library's Raft protocol between voters
+	PurposeRPC  = "asks"  // JSON-RPC from nodes, voters and operators
 )
 
 const maxHelloBytes = 1 << 10
 
-// hello is the first line of a connection, from the dialing side.
+// hello is the first line that the dialing side sends.
 type hello struct {
 	Cluster  string `json:"fleet"`
 	Purpose  string `json:"for"`
 	NodeName string `json:"from"`
-	VoterID  string `json:"to,omitempty"` // id of the voter that is meant
+	VoterID  string `json:"to,omitempty"` // required id of the accepting voter; empty: any
 }
 
-// welcome is the first line of the accepting side.
+// welcome is the first line that the accepting side sends, in reply to hello.
 type welcome struct {
-	Refusal string `json:"refused,omitempty"` // reason; empty: the connection is accepted
+	Refusal string `json:"refused,omitempty"` // reason for refusing the connection; empty if it is accepted
 }
 
 // writeLine writes a value as one line of JSON.
@@ -37,7 +37,7 @@
 	return err
 }
 
-// readLine reads one line of JSON and nothing beyond it, which belongs to the protocol that follows.
+// readLine reads one line of JSON. It reads byte by byte, because the bytes after the line belong to the protocol that follows.
 func readLine(c net.Conn, value any) error {
 	line := make([]byte, 0, 128)
 	for buf := make([]byte, 1); len(line) < maxHelloBytes; line = append(line, buf[0]) {
--- a/internal/cluster/transport/listener.go
+++ b/internal/cluster/transport/listener.go
@@ -10,22 +10,22 @@
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 )
 
-// acceptRetryDelay follows a failed accept, which is most likely for want of file descriptors.
+// acceptRetryDelay is the delay after a failed accept. The usual cause is a lack of file descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
 // ListenerConfig configures a Listener.
 type ListenerConfig struct {
-	Cluster        string        // name of the cluster; other clusters' connections are refused
-	MaxConnections int           // open at once
-	MinIdle        time.Duration // without a call, before a connection may be evicted
-	HelloTimeout   time.Duration // for the exchange of the first lines
-	VoterID        func() string // id of this node's voter; empty: it has none
-	ServeRPC       func(*Conn)   // serves an RPC connection until it ends; the Listener closes it afterwards
+	Cluster        string        // name of the cluster; connections from other clusters are refused
+	MaxConnections int           // maximum number of open connections
+	MinIdle        time.Duration // time without a call after which a connection can be evicted
+	HelloTimeout   time.Duration // timeout of the handshake
+	VoterID        func() string // returns the id of this node's voter; empty if it has none
+	ServeRPC       func(*Conn)   // serves an RPC connection until it ends; the Listener closes the connection then
 }
 
-// Listener accepts connections of peers and hands them on by their purpose. At its limit, the RPC connection of a node that
-// has been idle for longest is evicted for the next one: a node that has turned elsewhere, or vanished without closing its
-// connection, keeps no other out. It is safe for concurrent use.
+// Listener accepts connections of peers and dispatches them by their purpose. At MaxConnections, a new connection evicts the RPC
+// connection that has been idle for the longest time. So a node that now uses another peer, or that disappeared without closing
+// its connection, doesn't block other nodes. Listener is safe for concurrent use.
 type Listener struct {
 	ListenerConfig
 	listener  net.Listener
@@ -33,12 +33,12 @@
 
 	mu        sync.Mutex
 	openConns map[*Conn]bool
-	idleConns *list.List // of *Conn, all of them open, the longest idle first
+	idleConns *list.List // of *Conn; all are open, and the one that has been idle for the longest time is first
 	closed    bool
 	done      chan struct{} // closed by Close
 }
 
-// NewListener returns a Listener on a socket, which it closes with itself. Serve has to be called for it to accept.
+// NewListener returns a Listener on the socket l. Close closes the socket too. Connections are accepted only once Serve runs.
 func NewListener(l net.Listener, config ListenerConfig) *Listener {
 	return &Listener{
 		ListenerConfig: config,
@@ -50,7 +50,7 @@
 	}
 }
 
-// Serve accepts connections until Close.
+// Serve accepts connections until Close is called.
 func (l *Listener) Serve() {
 	for {
 		c, err := l.listener.Accept()
@@ -66,12 +66,12 @@
 	}
 }
 
-// accept admits a connection and begins its handshake, or closes it.
+// accept admits a connection and starts its handshake, or closes the connection if the limit is reached.
 func (l *Listener) accept(c net.Conn) {
 	conn := &Conn{Conn: faults.Counted("taken", c), listener: l, hasUnread: unreadCheck(c)}
 	admitted, evicted := l.admit(conn, time.Now())
 	if evicted != nil {
-		_ = evicted.Close() // returns once its descriptor is free, so that the limit holds for descriptors too
+		_ = evicted.Close() // frees the descriptor before it returns, so MaxConnections also limits the number of descriptors
 	}
 	if !admitted {
 		_ = conn.Close()
@@ -80,7 +80,7 @@
 	go l.handshake(conn)
 }
 
-// handshake exchanges the first lines and hands the connection on.
+// handshake reads the hello line, replies with the welcome line, and dispatches the connection by its purpose.
 func (l *Listener) handshake(conn *Conn) {
 	_ = conn.SetDeadline(time.Now().Add(l.HelloTimeout))
 	var h hello
@@ -109,7 +109,7 @@
 	}
 }
 
-// refusal returns why a connection is refused, empty if it isn't.
+// refusal returns the reason for refusing a connection, or "" if it is accepted.
 func (l *Listener) refusal(h hello) string {
 	voterID := l.VoterID()
 	switch {
@@ -118,7 +118,7 @@
 	case h.Purpose == PurposeRaft && voterID == "":
 		return "no voter: fleet.folder is empty or can't be used"
 	case (h.Purpose == PurposeRaft || h.VoterID != "") && h.VoterID != voterID && !faults.Without(faults.Vote):
-		// A voter that has lost its folder may have forgotten a vote: it is another voter, which is no member yet.
+		// A voter without its old folder may have lost a vote that it cast. It has a new id and must join as a new voter.
 		return fmt.Sprintf("this voter is %s, not %s, whose folder is gone", voterID, h.VoterID)
 	case h.Purpose != PurposeRaft && h.Purpose != PurposeRPC:
 		return "expected a connection for votes or asks"
@@ -126,7 +126,7 @@
 	return ""
 }
 
-// closeConn closes a connection and frees its place.
+// closeConn closes a connection and unregisters it.
 func (l *Listener) closeConn(conn *Conn) {
 	_ = conn.Conn.Close()
 	l.mu.Lock()
@@ -134,7 +134,7 @@
 	l.mu.Unlock()
 }
 
-// Close closes the socket and all connections. Further calls do nothing.
+// Close closes the socket and all connections. It may be called more than once.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +149,7 @@
 	}
 }
 
-// Connections returns how many connections are open, and how many of them are idle connections of nodes.
+// Connections returns the number of open connections and the number of those that are on the idle list.
 func (l *Listener) Connections() (open, idle int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cluster/transport/listener_test.go
+++ b/internal/cluster/transport/listener_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Peers have no more connections than the limit: the next is closed, and admitted once one has ended.
+// At MaxConnections the listener closes a new connection. It admits one again after an open connection has ended.
 func TestListenerClosesConnectionsAboveLimit(t *testing.T) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 	if c, err := dialer.Dial(socket.Addr().String(), PurposeRPC, "", time.Second); err == nil {
 		c.Close()
-		t.Error("one more than the limit is open")
+		t.Error("connection above the limit was accepted")
 	}
 	_ = conns[0].Close()
 	<-ended
@@ -57,7 +57,7 @@
 	}()
 }
 
-// A call that was received counts before it is read.
+// unreadCheck detects a call that was received but not read yet.
 func TestUnreadCheckReportsReceivedBytes(t *testing.T) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,27 +76,28 @@
 	defer server.Close()
 	hasUnread := unreadCheck(server)
 	if hasUnread() {
-		t.Error("nothing has come")
+		t.Error("unread bytes reported before the client sent any")
 	}
 	if _, err = client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	for deadline := time.Now().Add(20 * time.Second); !hasUnread(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the byte is not seen")
+			t.Fatal("unread byte not reported")
 		}
 	}
 	if _, err = server.Read(make([]byte, 1)); err != nil || hasUnread() {
-		t.Errorf("all is read: %v", err)
+		t.Errorf("unread bytes reported after reading all, or read failed: %v", err)
 	}
 	_ = server.Close()
 	if hasUnread() {
-		t.Error("it is closed")
+		t.Error("unread bytes reported on a closed connection")
 	}
 }
 
-// Whatever comes and goes: no more connections are open than the limit, an evicted one has been idle for longest of all that may
-// be evicted, and none is rejected while one may be.
+// Random sequences of connections, calls and closes check three properties of admission. The number of open connections stays
+// within the limit. An evicted connection has been idle for the longest time of those that can be evicted. No connection is
+// rejected while another can be evicted.
 func TestListenerEvictsLongestIdleConnection(t *testing.T) {
 	type connState struct {
 		isNode, greeted, unread bool
@@ -109,7 +110,7 @@
 		limit, minIdle := 1+r.IntN(8), time.Duration(1+r.IntN(50))*time.Millisecond
 		listener := NewListener(nil, ListenerConfig{Cluster: "f", MaxConnections: limit, MinIdle: minIdle, HelloTimeout: time.Second})
 		now := time.Unix(1000, 0)
-		states := map[*Conn]*connState{} // those that are open
+		states := map[*Conn]*connState{} // of the open connections
 		var order []*Conn
 		forget := func(conn *Conn) {
 			delete(states, conn)
@@ -131,7 +132,7 @@
 			case action < 3 || conn == nil:
 				state := &connState{isNode: r.IntN(4) > 0}
 				newConn := &Conn{listener: listener, hasUnread: func() bool { return state.unread }}
-				var longestIdleSince time.Time // since when the longest idle of those that may be evicted is idle
+				var longestIdleSince time.Time // start of the longest idle time among connections that can be evicted; zero if there are none
 				for _, state := range states {
 					if state.isNode && state.greeted && state.calls == 0 && !state.unread && now.Sub(state.idleSince) >= minIdle && (longestIdleSince.IsZero() || state.idleSince.Before(longestIdleSince)) {
 						longestIdleSince = state.idleSince
@@ -140,15 +141,15 @@
 				full := len(states) == limit
 				admitted, evicted := listener.admit(newConn, now)
 				if admitted != (!full || !longestIdleSince.IsZero()) || (evicted != nil) != (full && !longestIdleSince.IsZero()) {
-					t.Fatalf("seed %d, step %d: admitted %v, evicted %v, full %v, one may be since %v", seed, step, admitted, evicted != nil, full, longestIdleSince)
+					t.Fatalf("seed %d, step %d: admitted %v, evicted %v, full %v, eviction candidate idle since %v", seed, step, admitted, evicted != nil, full, longestIdleSince)
 				}
 				if evicted != nil {
 					if e := states[evicted]; e == nil || !e.isNode || !e.greeted || e.calls > 0 || e.unread || !e.idleSince.Equal(longestIdleSince) {
-						t.Fatalf("seed %d, step %d: %+v evicted, not the one that is idle since %v", seed, step, e, longestIdleSince)
+						t.Fatalf("seed %d, step %d: evicted %+v, want the connection idle since %v", seed, step, e, longestIdleSince)
 					}
 					forget(evicted)
 					if evicted.BeginCall() == nil {
-						t.Fatalf("seed %d, step %d: a call begins on an evicted connection", seed, step)
+						t.Fatalf("seed %d, step %d: BeginCall succeeded on an evicted connection", seed, step)
 					}
 					evictions++
 				}
@@ -164,7 +165,7 @@
 				}
 			case action < 6 && state.greeted:
 				if state.calls, state.unread = state.calls+1, false; conn.BeginCall() != nil {
-					t.Fatalf("seed %d, step %d: it is open", seed, step)
+					t.Fatalf("seed %d, step %d: BeginCall failed on an open connection", seed, step)
 				}
 			case action < 8 && state.calls > 0:
 				state.calls--
@@ -177,8 +178,8 @@
 				listener.remove(conn)
 				listener.mu.Unlock()
 				forget(conn)
-				if conn.EndCall(now); conn.idleElement != nil { // its last answer comes after it has gone
-					t.Fatalf("seed %d, step %d: what has gone is idle", seed, step)
+				if conn.EndCall(now); conn.idleElement != nil { // the last call ends after the connection was removed
+					t.Fatalf("seed %d, step %d: a removed connection is on the idle list", seed, step)
 				}
 			}
 			wantIdle := 0
@@ -193,6 +194,6 @@
 		}
 	}
 	if evictions < 500 || rejected < 500 {
-		t.Errorf("%d made way and %d were refused: the run shows too little", evictions, rejected)
+		t.Errorf("%d connections evicted and %d rejected, want at least 500 of each", evictions, rejected)
 	}
 }
--- a/internal/cluster/transport/stream_layer.go
+++ b/internal/cluster/transport/stream_layer.go
@@ -9,20 +9,20 @@
 	"github.com/hashicorp/raft"
 )
 
-// RaftAddress returns a voter's address in the consensus library: its network address and its id, so that a dialer can say
-// which voter it means.
+// RaftAddress returns the address of a voter in the consensus library. It consists of the network address and the id of the voter,
+// so that a dialer can require the peer to be this voter.
 func RaftAddress(id, address string) raft.ServerAddress {
 	return raft.ServerAddress(address + "#" + id)
 }
 
-// SplitRaftAddress is the inverse of RaftAddress.
+// SplitRaftAddress splits an address that RaftAddress returned.
 func SplitRaftAddress(a raft.ServerAddress) (address, id string) {
 	address, id, _ = strings.Cut(string(a), "#")
 	return address, id
 }
 
-// StreamLayer is the network of the consensus library's transport, a raft.StreamLayer. Its connections come from a Listener,
-// which outlives it: another StreamLayer may follow on the same Listener.
+// StreamLayer implements raft.StreamLayer, on which the consensus library's network transport runs. It accepts connections from
+// a Listener. The Listener stays open when the StreamLayer is closed, so that a restarted voter can use it with a new one.
 type StreamLayer struct {
 	listener  *Listener
 	dialer    Dialer
@@ -31,12 +31,12 @@
 	closeOnce sync.Once
 }
 
-// NewStreamLayer returns the StreamLayer of the voter with an address.
+// NewStreamLayer returns the StreamLayer of the voter with the address localAddr.
 func NewStreamLayer(l *Listener, d Dialer, localAddr raft.ServerAddress) *StreamLayer {
 	return &StreamLayer{listener: l, dialer: d, localAddr: localAddr, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection for consensus.
+// Accept waits for the next Raft connection and returns it.
 func (s *StreamLayer) Accept() (net.Conn, error) {
 	select {
 	case c := <-s.listener.raftConns:
@@ -48,25 +48,25 @@
 	}
 }
 
-// Close ends Accept. It leaves the Listener open.
+// Close unblocks Accept, which then returns net.ErrClosed. The Listener stays open.
 func (s *StreamLayer) Close() error {
 	s.closeOnce.Do(func() { close(s.closed) })
 	return nil
 }
 
-// Addr returns the voter's own address.
+// Addr returns the address of this voter.
 func (s *StreamLayer) Addr() net.Addr { return voterAddr(s.localAddr) }
 
-// Dial opens a connection to another voter.
+// Dial opens a Raft connection to another voter.
 func (s *StreamLayer) Dial(target raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	address, id := SplitRaftAddress(target)
 	return s.dialer.Dial(address, PurposeRaft, id, timeout)
 }
 
-// Dialer returns the dialer to the other nodes.
+// Dialer returns the Dialer that opens the connections of this StreamLayer.
 func (s *StreamLayer) Dialer() Dialer { return s.dialer }
 
-// voterAddr is a voter's address as a net.Addr.
+// voterAddr implements net.Addr for the address of a voter.
 type voterAddr string
 
 func (voterAddr) Network() string  { return "tcp" }
