--- a/internal/cluster/voterstore/identity.go
+++ b/internal/cluster/voterstore/identity.go
@@ -30,14 +30,14 @@
 		return identity, errFolderNotWritable(err)
 	}
 	path := filepath.Join(folder, IdentityFile)
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return createIdentity(folder, cluster, node)
 	}
 	if err != nil {
 		return identity, fmt.Errorf("fleet.folder: %w", err)
 	}
-	if err := json.Unmarshal(text, &identity); err != nil || identity.ID == "" {
+	if err := json.Unmarshal(data, &identity); err != nil || identity.ID == "" {
 		return identity, fmt.Errorf("fleet.folder: %s can't be read: %w", path, errors.Join(err, errors.New("expected fleet, node and id")))
 	}
 	if identity.Cluster != cluster || identity.Node != node {
@@ -53,11 +53,11 @@
 		return identity, fmt.Errorf("fleet.folder: %s is missing beside %s: it is unknown which voter the log belongs to", IdentityFile, LogFile)
 	}
 	identity = Identity{Cluster: cluster, Node: node, ID: node + "." + uuid.NewString()[:8]}
-	text, err := json.Marshal(identity)
+	data, err := json.Marshal(identity)
 	if err != nil {
 		return identity, err
 	}
-	if err := writeAtomically(filepath.Join(folder, IdentityFile), text); err != nil {
+	if err := writeAtomically(filepath.Join(folder, IdentityFile), data); err != nil {
 		return identity, errFolderNotWritable(err)
 	}
 	return identity, nil
@@ -68,28 +68,28 @@
 }
 
 // writeAtomically writes a file so that, after a crash, either all of it is there or nothing.
-func writeAtomically(path string, text []byte) error {
+func writeAtomically(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "new-*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name())
-	_, err = f.Write(text)
+	_, err = f.Write(data)
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
 	}
 	if err := os.Rename(f.Name(), path); err != nil {
 		return err
 	}
-	return syncDirectory(filepath.Dir(path))
+	return syncDir(filepath.Dir(path))
 }
 
-// syncDirectory syncs a directory's own entries.
-func syncDirectory(path string) error {
-	d, err := os.Open(path)
+// syncDir syncs a directory's own entries.
+func syncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	defer dir.Close()
+	return dir.Sync()
 }
--- a/internal/cluster/voterstore/log.go
+++ b/internal/cluster/voterstore/log.go
@@ -81,17 +81,17 @@
 	if err := os.Rename(copyPath, path); err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
 	}
-	return syncDirectory(folder)
+	return syncDir(folder)
 }
 
 // copyLog copies a log and syncs the copy.
-func copyLog(from, to string) error {
-	db, err := bbolt.Open(from, 0o600, &bbolt.Options{ReadOnly: true, Timeout: logOpenTimeout})
+func copyLog(srcPath, dstPath string) error {
+	db, err := bbolt.Open(srcPath, 0o600, &bbolt.Options{ReadOnly: true, Timeout: logOpenTimeout})
 	if err != nil {
 		return err
 	}
 	defer db.Close()
-	f, err := os.OpenFile(to, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(dstPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/voterstore/log_test.go
+++ b/internal/cluster/voterstore/log_test.go
@@ -14,28 +14,28 @@
 	raftbolt "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// contents returns what a voter's log holds: its entries, its term and its vote.
-func contents(t *testing.T, path string) string {
+// readLog returns what a voter's log holds: its entries, its term and its vote.
+func readLog(t *testing.T, path string) string {
 	t.Helper()
 	if err := CheckLog(path); err != nil {
 		t.Fatal(err)
 	}
-	log, err := raftbolt.New(raftbolt.Options{Path: path})
+	store, err := raftbolt.New(raftbolt.Options{Path: path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
-	first, _ := log.FirstIndex()
-	last, err := log.LastIndex()
+	defer store.Close()
+	first, _ := store.FirstIndex()
+	last, err := store.LastIndex()
 	if err != nil {
 		t.Fatal(err)
 	}
-	term, _ := log.GetUint64([]byte("CurrentTerm"))
-	vote, _ := log.Get([]byte("LastVoteCand"))
+	term, _ := store.GetUint64([]byte("CurrentTerm"))
+	vote, _ := store.Get([]byte("LastVoteCand"))
 	text := fmt.Sprintf("term %d, vote %s:", term, vote)
 	for i := max(first, 1); i <= last; i++ {
 		var entry raft.Log
-		if err := log.GetLog(i, &entry); err != nil {
+		if err := store.GetLog(i, &entry); err != nil {
 			t.Fatal(err)
 		}
 		text += fmt.Sprintf(" %d.%d.%x", entry.Index, entry.Term, entry.Data)
@@ -45,8 +45,8 @@
 
 // A kill in the middle of a write leaves a prefix of it: the log's new pages in their order, then the one that makes them count. At any prefix the
 // voter has what it had before the write, or after it, and whole. A write is an entry, several, a term or a vote.
-func TestAKillAmidAWriteLeavesTheLogBeforeOrAfter(t *testing.T) {
-	const page, step = 4096, 509 // a prefix at each so many bytes; prime, so that it falls everywhere in pages
+func TestLogAfterTornWriteHoldsStateBeforeOrAfter(t *testing.T) {
+	const pageSize, stepBytes = 4096, 509 // a prefix at each so many bytes; prime, so that it falls everywhere in pages
 	path := filepath.Join(t.TempDir(), LogFile)
 	entry := func(i uint64) *raft.Log {
 		return &raft.Log{Index: i, Term: 1 + i/3, Data: bytes.Repeat([]byte{byte(i)}, 300)}
@@ -58,31 +58,31 @@
 		"a vote":          func(s *raftbolt.BoltStore) error { return s.Set([]byte("LastVoteCand"), []byte("n2")) },
 		"a cut":           func(s *raftbolt.BoltStore) error { return s.DeleteRange(7, 9) },
 	}
-	read := func() []byte {
+	readFile := func() []byte {
 		t.Helper()
-		text, err := os.ReadFile(path)
+		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return text
+		return data
 	}
-	with := func(f func(*raftbolt.BoltStore) error) (base, after []byte) { // opening alone may write
+	apply := func(write func(*raftbolt.BoltStore) error) (opened, after []byte) { // opening alone may write
 		t.Helper()
 		s, err := raftbolt.New(raftbolt.Options{Path: path})
 		if err != nil {
 			t.Fatal(err)
 		}
-		base = read()
-		if err := f(s); err != nil {
+		opened = readFile()
+		if err := write(s); err != nil {
 			t.Fatal(err)
 		}
-		after = read()
+		after = readFile()
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		return base, after
+		return opened, after
 	}
-	_, before := with(func(s *raftbolt.BoltStore) error {
+	_, initial := apply(func(s *raftbolt.BoltStore) error {
 		for i := uint64(1); i < 10; i++ {
 			if err := s.StoreLog(entry(i)); err != nil {
 				return err
@@ -90,56 +90,56 @@
 		}
 		return s.SetUint64([]byte("CurrentTerm"), 4)
 	})
-	was := contents(t, path)
-	for what, write := range writes {
-		if err := os.WriteFile(path, before, 0o600); err != nil {
+	oldState := readLog(t, path)
+	for name, write := range writes {
+		if err := os.WriteFile(path, initial, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		base, after := with(write)
-		is := contents(t, path)
+		opened, after := apply(write)
+		newState := readLog(t, path)
 		var changed []int // pages, the two that make others count last
-		for at := 0; at < len(after); at += page {
-			if at >= len(base) || !bytes.Equal(base[at:at+page], after[at:at+page]) {
-				changed = append(changed, at)
+		for offset := 0; offset < len(after); offset += pageSize {
+			if offset >= len(opened) || !bytes.Equal(opened[offset:offset+pageSize], after[offset:offset+pageSize]) {
+				changed = append(changed, offset)
 			}
 		}
 		slices.SortStableFunc(changed, func(x, y int) int {
-			meta := func(at int) int {
-				if at < 2*page {
+			meta := func(offset int) int {
+				if offset < 2*pageSize {
 					return 1
 				}
 				return 0
 			}
 			return meta(x) - meta(y)
 		})
-		old, fresh := 0, 0
-		for n := 0; n <= len(changed)*page; n += step {
-			torn := slices.Clone(base)
-			torn = append(torn, make([]byte, max(0, len(after)-len(base)))...)
-			for i, at := range changed {
-				copy(torn[at:at+page], after[at:at+min(page, max(0, n-i*page))])
+		oldCount, newCount := 0, 0
+		for n := 0; n <= len(changed)*pageSize; n += stepBytes {
+			torn := slices.Clone(opened)
+			torn = append(torn, make([]byte, max(0, len(after)-len(opened)))...)
+			for i, offset := range changed {
+				copy(torn[offset:offset+pageSize], after[offset:offset+min(pageSize, max(0, n-i*pageSize))])
 			}
 			if err := os.WriteFile(path, torn, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			switch got := contents(t, path); got {
-			case was:
-				old++
-			case is:
-				fresh++
+			switch got := readLog(t, path); got {
+			case oldState:
+				oldCount++
+			case newState:
+				newCount++
 			default:
-				t.Errorf("%s, after %d bytes: %.300s\nwant %.300s\nor %.300s", what, n, got, was, is)
+				t.Errorf("%s, after %d bytes: %.300s\nwant %.300s\nor %.300s", name, n, got, oldState, newState)
 			}
 		}
-		if was == is || old == 0 || len(changed) == 0 {
-			t.Errorf("%s: nothing is shown: %d prefixes before, %d after, %d pages", what, old, fresh, len(changed))
+		if oldState == newState || oldCount == 0 || len(changed) == 0 {
+			t.Errorf("%s: nothing is shown: %d prefixes before, %d after, %d pages", name, oldCount, newCount, len(changed))
 		}
 	}
 }
 
-// A log of which one page is spoilt, by zeros, by other bytes or by another of its pages, is refused, or opened by the library without ending the process.
-func TestALogWithASpoiltPageEndsNoProcess(t *testing.T) {
-	const page = 4096
+// A log of which one page is corrupt, by zeros, by other bytes or by another of its pages, is refused, or opened by the library without ending the process.
+func TestCheckLogRefusesCorruptPageOrStoreOpens(t *testing.T) {
+	const pageSize = 4096
 	path := filepath.Join(t.TempDir(), LogFile)
 	s, err := raftbolt.New(raftbolt.Options{Path: path})
 	if err != nil {
@@ -153,11 +153,11 @@
 	if err := errors.Join(s.DeleteRange(1, 30), s.Close()); err != nil {
 		t.Fatal(err)
 	}
-	sound, err := os.ReadFile(path)
+	valid, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	opens := func(path string) (panicked any) {
+	open := func(path string) (panicked any) {
 		defer func() { panicked = recover() }()
 		defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 		if s, err := raftbolt.New(raftbolt.Options{Path: path}); err == nil {
@@ -167,19 +167,19 @@
 		return nil
 	}
 	refused := 0
-	for at := 0; at < len(sound); at += page {
-		for what, with := range map[string][]byte{"zeros": make([]byte, page), "ones": bytes.Repeat([]byte{1}, page), "another page": sound[2*page : 3*page],
-			"a leaf": sound[3*page : 4*page]} {
+	for offset := 0; offset < len(valid); offset += pageSize {
+		for name, contents := range map[string][]byte{"zeros": make([]byte, pageSize), "ones": bytes.Repeat([]byte{1}, pageSize), "another page": valid[2*pageSize : 3*pageSize],
+			"a leaf": valid[3*pageSize : 4*pageSize]} {
 			path := filepath.Join(t.TempDir(), LogFile) // an opening that panics keeps its lock on the file
-			spoilt := slices.Clone(sound)
-			copy(spoilt[at:at+page], with)
-			if err := os.WriteFile(path, spoilt, 0o600); err != nil {
+			corrupt := slices.Clone(valid)
+			copy(corrupt[offset:offset+pageSize], contents)
+			if err := os.WriteFile(path, corrupt, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if CheckLog(path) != nil {
 				refused++
-			} else if p := opens(path); p != nil {
-				t.Errorf("page %d, %s: passed, and opening it panics: %v", at/page, what, p)
+			} else if p := open(path); p != nil {
+				t.Errorf("page %d, %s: passed, and opening it panics: %v", offset/pageSize, name, p)
 			}
 		}
 	}
--- a/internal/cluster/voterstore/store.go
+++ b/internal/cluster/voterstore/store.go
@@ -40,17 +40,17 @@
 func (s *Store) FirstWriteError() error { return s.firstWriteErr }
 
 // WriteFault lets tests fail a write to a folder's log, before or after it is made; nil: none fails.
-var WriteFault atomic.Pointer[func(folder string, made bool) error]
+var WriteFault atomic.Pointer[func(folder string, written bool) error]
 
 // write makes a write to the log.
-func (s *Store) write(write func() error) error {
+func (s *Store) write(op func() error) error {
 	fault := WriteFault.Load()
 	if fault != nil {
 		if err := (*fault)(s.folder, false); err != nil {
 			return err
 		}
 	}
-	err := write()
+	err := op()
 	if err == nil && fault != nil {
 		err = (*fault)(s.folder, true)
 	}
@@ -83,11 +83,11 @@
 }
 
 // StoreLog stores one entry.
-func (s *Store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+func (s *Store) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
 // StoreLogs stores entries. After an error the library steps down by itself.
-func (s *Store) StoreLogs(l []*raft.Log) error {
-	err := s.write(func() error { return s.BoltStore.StoreLogs(l) })
+func (s *Store) StoreLogs(entries []*raft.Log) error {
+	err := s.write(func() error { return s.BoltStore.StoreLogs(entries) })
 	if err != nil {
 		s.onFailure(err)
 	}
