--- a/internal/cluster/voterstore/doc.go
+++ b/internal/cluster/voterstore/doc.go
@@ -1,3 +1,3 @@
-// Package voterstore has the files of a voter's folder: its identity and the log of the consensus library. A folder that is
-// damaged or another's is refused and left as it is.
+// Package voterstore manages the files in the data folder of a voter: its identity and the Raft log of the consensus library. A
+// folder that is damaged or belongs to another node is refused and not modified.
 package voterstore
--- a/internal/cluster/voterstore/identity.go
+++ b/internal/cluster/voterstore/identity.go
@@ -11,20 +11,21 @@
 	"github.com/google/uuid"
 )
 
-// The files of a voter's folder, beside the consensus library's snapshots.
+// The files in the folder of a voter. The consensus library's snapshots are in the same folder.
 const (
 	IdentityFile = "voter.json"
 	LogFile      = "log.db"
 )
 
-// Identity is what a voter's folder says of itself.
+// Identity identifies the voter that a folder belongs to. It is stored in IdentityFile.
 type Identity struct {
 	Cluster string `json:"fleet"`
 	Node    string `json:"node"`
-	ID      string `json:"id"` // new for each folder: a node that comes back without its folder is another voter
+	ID      string `json:"id"` // generated for each new folder, so a node that has lost its folder becomes a new voter
 }
 
-// OpenIdentity reads the identity of a folder, or creates one in an empty folder. It never overwrites anything.
+// OpenIdentity reads the identity in a folder, or creates one if the folder has neither an identity nor a log. It never overwrites
+// an existing file. An identity of another cluster or node is an error.
 func OpenIdentity(folder, cluster, node string) (identity Identity, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return identity, errFolderNotWritable(err)
@@ -47,7 +48,7 @@
 	return identity, nil
 }
 
-// createIdentity writes a new identity into a folder that has no log.
+// createIdentity writes a new identity into a folder. A folder with a log is an error.
 func createIdentity(folder, cluster, node string) (identity Identity, err error) {
 	if _, err := os.Stat(filepath.Join(folder, LogFile)); err == nil {
 		return identity, fmt.Errorf("fleet.folder: %s is missing beside %s: it is unknown which voter the log belongs to", IdentityFile, LogFile)
@@ -67,7 +68,7 @@
 	return fmt.Errorf("fleet.folder: expected a folder that can be written: %w", err)
 }
 
-// writeAtomically writes a file so that, after a crash, either all of it is there or nothing.
+// writeAtomically writes a file such that after a crash either the complete file exists or none.
 func writeAtomically(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "new-*")
 	if err != nil {
@@ -84,7 +85,7 @@
 	return syncDir(filepath.Dir(path))
 }
 
-// syncDir syncs a directory's own entries.
+// syncDir syncs the entries of a directory to disk, so that a renamed file is durable.
 func syncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
--- a/internal/cluster/voterstore/log.go
+++ b/internal/cluster/voterstore/log.go
@@ -14,31 +14,32 @@
 	"go.etcd.io/bbolt"
 )
 
-const logOpenTimeout = time.Second // for a log that another process may still have open
+const logOpenTimeout = time.Second // time to wait for the file lock of a log that another process still has open
 
-// transientErrors are the errors of a folder that may pass, as write(2), fsync(2) and open(2) document them. A folder that is
-// damaged or another's stays unused until a person has looked at it.
+// transientErrors are the errors that can disappear without an operator's action, according to write(2), fsync(2) and open(2). A
+// folder that is damaged or belongs to another node, in contrast, stays unused until an operator has examined it.
 var transientErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, syscall.EIO, syscall.EROFS, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR, syscall.EBUSY}
 
-// IsTransient reports whether an error of a folder may pass by itself.
+// IsTransient reports whether an error in accessing a folder can disappear without an operator's action.
 func IsTransient(err error) bool {
 	return slices.ContainsFunc(transientErrors, func(transient error) bool { return errors.Is(err, transient) })
 }
 
-// CheckLog reads all of a log, so that a truncated or corrupted one is found here and not by the library, which ends the
-// process over it. A log that doesn't exist is no error.
+// CheckLog reads a whole log to detect truncation and corruption. Otherwise the library would find them, and it ends the process
+// then. A log that doesn't exist is not an error.
 func CheckLog(path string) (err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a mapped file that is too short faults
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading a memory-mapped file beyond its end causes a fault
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("fleet.folder: %s is damaged: %v", path, r)
 		}
 	}()
-	// With the free list: the library reads it only when a log is opened for writing, and panics if it is corrupted.
+	// PreLoadFreelist checks the free list too. The library reads it only when it opens a log for writing, and panics if it is
+	// corrupt.
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, PreLoadFreelist: true, Timeout: logOpenTimeout})
 	if err != nil {
 		return fmt.Errorf("fleet.folder: %s is damaged or in use: %w", path, err)
@@ -47,24 +48,26 @@
 	return db.View(readAllPages)
 }
 
+// readAllPages reads each byte of each value in all buckets.
 func readAllPages(tx *bbolt.Tx) error {
 	return tx.ForEach(func(_ []byte, bucket *bbolt.Bucket) error {
 		sum := 0
 		return bucket.ForEach(func(_, value []byte) error {
 			for _, b := range value {
-				sum += int(b) // touches each byte
+				sum += int(b) // forces a read of the mapped page
 			}
 			return nil
 		})
 	})
 }
 
-// RewriteLog writes a folder's log anew and syncs it, before anything builds on it. After a failed sync the kernel takes pages
-// as clean that the disk may not have, and no later sync writes them; a copy is written and synced by itself.
+// RewriteLog replaces the log in a folder by a synced copy. It must be called before a voter restarts after a failed write. After
+// a failed sync, the kernel marks pages as clean that may not be on disk, and no later sync writes them. The pages of the copy are
+// new, so its own sync writes all of them.
 func RewriteLog(folder string) error {
 	path := filepath.Join(folder, LogFile)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		return nil // the voter never started
+		return nil // the voter has never started
 	}
 	if err := CheckLog(path); err != nil {
 		return err
--- a/internal/cluster/voterstore/log_test.go
+++ b/internal/cluster/voterstore/log_test.go
@@ -14,7 +14,7 @@
 	raftbolt "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// readLog returns what a voter's log holds: its entries, its term and its vote.
+// readLog returns the contents of a voter's log as text: the term, the vote and the entries.
 func readLog(t *testing.T, path string) string {
 	t.Helper()
 	if err := CheckLog(path); err != nil {
@@ -43,10 +43,11 @@
 	return text
 }
 
-// A kill in the middle of a write leaves a prefix of it: the log's new pages in their order, then the one that makes them count. At any prefix the
-// voter has what it had before the write, or after it, and whole. A write is an entry, several, a term or a vote.
+// A process that is killed during a write leaves a prefix of the write on disk: first the new pages of the log in their order,
+// then the meta page that makes them valid. For each prefix, the log must hold the complete state from before or after the write.
+// The writes are an entry, several entries, a term, a vote and a deletion of entries.
 func TestLogAfterTornWriteHoldsStateBeforeOrAfter(t *testing.T) {
-	const pageSize, stepBytes = 4096, 509 // a prefix at each so many bytes; prime, so that it falls everywhere in pages
+	const pageSize, stepBytes = 4096, 509 // stepBytes is the distance between tested prefixes, a prime so that they end at different offsets within pages
 	path := filepath.Join(t.TempDir(), LogFile)
 	entry := func(i uint64) *raft.Log {
 		return &raft.Log{Index: i, Term: 1 + i/3, Data: bytes.Repeat([]byte{byte(i)}, 300)}
@@ -66,7 +67,7 @@
 		}
 		return data
 	}
-	apply := func(write func(*raftbolt.BoltStore) error) (opened, after []byte) { // opening alone may write
+	apply := func(write func(*raftbolt.BoltStore) error) (opened, after []byte) { // opened is the file after opening, which may write too
 		t.Helper()
 		s, err := raftbolt.New(raftbolt.Options{Path: path})
 		if err != nil {
@@ -97,7 +98,7 @@
 		}
 		opened, after := apply(write)
 		newState := readLog(t, path)
-		var changed []int // pages, the two that make others count last
+		var changed []int // offsets of changed pages; the two meta pages come last
 		for offset := 0; offset < len(after); offset += pageSize {
 			if offset >= len(opened) || !bytes.Equal(opened[offset:offset+pageSize], after[offset:offset+pageSize]) {
 				changed = append(changed, offset)
@@ -132,12 +133,13 @@
 			}
 		}
 		if oldState == newState || oldCount == 0 || len(changed) == 0 {
-			t.Errorf("%s: nothing is shown: %d prefixes before, %d after, %d pages", name, oldCount, newCount, len(changed))
+			t.Errorf("%s: test is not conclusive: %d prefixes with the old state, %d with the new state, %d changed pages", name, oldCount, newCount, len(changed))
 		}
 	}
 }
 
-// A log of which one page is corrupt, by zeros, by other bytes or by another of its pages, is refused, or opened by the library without ending the process.
+// One page of a log is overwritten with zeros, ones or another page of the log. CheckLog must refuse the log, or the library must
+// open it without a panic, which would end the process.
 func TestCheckLogRefusesCorruptPageOrStoreOpens(t *testing.T) {
 	const pageSize = 4096
 	path := filepath.Join(t.TempDir(), LogFile)
@@ -170,7 +172,7 @@
 	for offset := 0; offset < len(valid); offset += pageSize {
 		for name, contents := range map[string][]byte{"zeros": make([]byte, pageSize), "ones": bytes.Repeat([]byte{1}, pageSize), "another page": valid[2*pageSize : 3*pageSize],
 			"a leaf": valid[3*pageSize : 4*pageSize]} {
-			path := filepath.Join(t.TempDir(), LogFile) // an opening that panics keeps its lock on the file
+			path := filepath.Join(t.TempDir(), LogFile) // a new file, since an open that panics keeps its file lock
 			corrupt := slices.Clone(valid)
 			copy(corrupt[offset:offset+pageSize], contents)
 			if err := os.WriteFile(path, corrupt, 0o600); err != nil {
@@ -179,11 +181,11 @@
 			if CheckLog(path) != nil {
 				refused++
 			} else if p := open(path); p != nil {
-				t.Errorf("page %d, %s: passed, and opening it panics: %v", offset/pageSize, name, p)
+				t.Errorf("page %d, %s: CheckLog passed, but opening the log panicked: %v", offset/pageSize, name, p)
 			}
 		}
 	}
 	if refused == 0 {
-		t.Error("no spoilt log was refused")
+		t.Error("CheckLog refused no corrupt log")
 	}
 }
--- a/internal/cluster/voterstore/store.go
+++ b/internal/cluster/voterstore/store.go
@@ -10,8 +10,8 @@
 	raftbolt "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Store is the consensus library's log and vote store in a voter's folder. A failed write ends the voter where the library
-// would end the process.
+// Store is the consensus library's log store and stable store in the folder of a voter. Where the library would end the process
+// after a failed write, Store ends only the voter.
 type Store struct {
 	*raftbolt.BoltStore
 	folder    string
@@ -21,8 +21,8 @@
 	firstWriteErr error
 }
 
-// Open opens the log of a folder, after CheckLog. onFailure is called with each write that fails, but for the first one; it
-// must not block.
+// Open checks the log in a folder with CheckLog and opens it. onFailure is called with the error of each failed write, but not
+// for the first SetUint64 (see FirstWriteError). onFailure must not block.
 func Open(folder string, onFailure func(error)) (*Store, error) {
 	path := filepath.Join(folder, LogFile)
 	if err := CheckLog(path); err != nil {
@@ -35,14 +35,15 @@
 	return &Store{BoltStore: bolt, folder: folder, onFailure: onFailure}, nil
 }
 
-// FirstWriteError returns the error of the first write, which the library makes before it has started any goroutine, and
-// over whose failure it panics.
+// FirstWriteError returns the error of the first SetUint64. The library makes this write before it starts any goroutine, and
+// panics if the write fails.
 func (s *Store) FirstWriteError() error { return s.firstWriteErr }
 
-// WriteFault lets tests fail a write to a folder's log, before or after it is made; nil: none fails.
+// WriteFault lets tests inject errors into writes to a folder's log. The function is called before each write, and again with
+// written set after a successful write. If it is nil, no errors are injected.
 var WriteFault atomic.Pointer[func(folder string, written bool) error]
 
-// write makes a write to the log.
+// write runs a write operation on the log, with the errors that WriteFault injects.
 func (s *Store) write(op func() error) error {
 	fault := WriteFault.Load()
 	if fault != nil {
@@ -57,8 +58,8 @@
 	return err
 }
 
-// endOnFailure ends the voter and the library's calling goroutine after a failed write, which the library would follow by a
-// panic, or by a vote that isn't stored.
+// endOnFailure ends the voter and the library's calling goroutine if a write failed. If it returned the error, the library would
+// panic, or would grant a vote that isn't stored.
 func (s *Store) endOnFailure(err error) error {
 	if err != nil {
 		s.onFailure(err)
@@ -67,25 +68,25 @@
 	return nil
 }
 
-// SetUint64 stores a number.
+// SetUint64 stores a number such as the term.
 func (s *Store) SetUint64(key []byte, value uint64) error {
 	err := s.write(func() error { return s.BoltStore.SetUint64(key, value) })
 	if s.firstWritten.CompareAndSwap(false, true) {
 		s.firstWriteErr = err
-		return err // the library panics, and its starter recovers
+		return err // the library panics, and the function that starts the library recovers
 	}
 	return s.endOnFailure(err)
 }
 
-// Set stores a value.
+// Set stores a value such as the vote.
 func (s *Store) Set(key, value []byte) error {
 	return s.endOnFailure(s.write(func() error { return s.BoltStore.Set(key, value) }))
 }
 
-// StoreLog stores one entry.
+// StoreLog stores one log entry.
 func (s *Store) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs stores entries. After an error the library steps down by itself.
+// StoreLogs stores log entries. It returns errors to the library, which then steps down as leader.
 func (s *Store) StoreLogs(entries []*raft.Log) error {
 	err := s.write(func() error { return s.BoltStore.StoreLogs(entries) })
 	if err != nil {
