--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	defaultReservedFraction = 0.1     // a node's reserved units are its own in normal operation too, so they cost little
-	maxUnits                = 1 << 20 // of a budget; also the largest rate a second
-	unitRounding            = 1e-9    // corrects the float arithmetic where a product should be whole
+	defaultReservedFraction = 0.1     // of the units; low cost, since a node uses its reserved units in normal operation too
+	maxUnits                = 1 << 20 // of a budget; also the maximum rate per second
+	unitRounding            = 1e-9    // makes up for floating-point errors in products that should be integers
 )
 
-// Values of a budget's key "bounds".
+// Values of the key "bounds" of a budget.
 const (
 	boundsOrigin    = "origin"
 	boundsTenant    = "partner"
@@ -30,17 +30,18 @@
 type Budget struct {
 	// Name is unique among the budgets. Required.
 	Name string
-	// Bound is the routing limit that the node's quota is applied to.
+	// Limit is the routing limit that the node applies its quota of the budget to.
 	Limit routing.Limit
-	// Partner is the tenant whose requests are limited; empty for other limits.
+	// Tenant is the name of the tenant whose requests are limited; empty if the limit is not per tenant.
 	Tenant string
-	// BudgetConfig holds the size: Units of RatePerUnit requests a second each, or of 1 request in flight each.
-	// ReservedPerNode is the fraction "apart" of the units, 0.1 by default, divided by the key "nodes" and rounded down.
+	// BudgetConfig holds the size of the budget. Each of its Units stands for RatePerUnit requests per second, or for 1 request
+	// in flight. ReservedPerNode is the fraction "apart" of the units, 0.1 by default, divided by the key "nodes" and rounded
+	// down.
 	lease.BudgetConfig
 }
 
-// limits gives the routing limit for each kind of budget of each resource.
-var limits = map[string]map[string]routing.Limit{
+// limitsByResource maps a resource and a kind of budget to the routing limit.
+var limitsByResource = map[string]map[string]routing.Limit{
 	boundsOrigin:    {lease.RateKind: routing.OriginRate, lease.ConcurrencyKind: routing.OriginConcurrency},
 	boundsTenant:    {lease.RateKind: routing.TenantRate},
 	boundsDiscovery: {lease.RateKind: routing.DiscoveryRate},
@@ -48,13 +49,14 @@
 	boundsCache:     {lease.ConcurrencyKind: routing.CacheConcurrency},
 }
 
-var reservedForm = numberForm("a share from 0 to 1", func(x float64) bool { return x >= 0 && x <= 1 })
+var reservedFractionParser = newNumberParser("a share from 0 to 1", func(x float64) bool { return x >= 0 && x <= 1 })
 
-// readBudget reads a budget. earlier are those before it in the list, maxNodes is the most nodes that there may ever be.
+// readBudget reads one budget. earlier are the budgets before it in the list, and maxNodes is the maximum number of nodes that the
+// cluster can ever have.
 func readBudget(o object, earlier []Budget, maxNodes int, tenants []string) Budget {
-	b := Budget{Name: o.stringAt("name")}
-	b.Kind = o.stringAt("kind")
-	b.Resource = o.stringAt("bounds")
+	b := Budget{Name: o.stringValue("name")}
+	b.Kind = o.stringValue("kind")
+	b.Resource = o.stringValue("bounds")
 	b.MaxNodes = maxNodes
 	b.checkNameAndKind(o, earlier)
 	b.readLimit(o, earlier, tenants)
@@ -63,71 +65,73 @@
 	return b
 }
 
-// checkNameAndKind reports the first fault of the keys that say what the budget is.
+// checkNameAndKind reports the first error in the keys "name", "bounds" and "kind".
 func (b *Budget) checkNameAndKind(o object, earlier []Budget) {
 	sameName := func(other Budget) bool { return other.Name == b.Name }
-	kinds := limits[b.Resource]
-	_, known := kinds[b.Kind]
+	kinds := limitsByResource[b.Resource]
+	_, supported := kinds[b.Kind]
 	switch {
 	case !lease.ValidName(b.Name) || strings.ContainsAny(b.Name, "./:"):
-		o.fault("name", "a name of letters, digits and -_@")
+		o.addError("name", "a name of letters, digits and -_@")
 	case slices.ContainsFunc(earlier, sameName):
-		o.fault("name", fmt.Sprintf("another name than %q, which a budget before it has", b.Name))
+		o.addError("name", fmt.Sprintf("another name than %q, which a budget before it has", b.Name))
 	case kinds == nil:
-		o.fault("bounds", "one of origin, partner, discovery, cold, cache")
-	case !known:
+		o.addError("bounds", "one of origin, partner, discovery, cold, cache")
+	case !supported:
 		names := slices.Sorted(maps.Keys(kinds))
-		o.fault("kind", "for "+b.Resource+" "+strings.Join(names, " or "))
+		o.addError("kind", "for "+b.Resource+" "+strings.Join(names, " or "))
 	}
 }
 
-// readLimit reads what the budget limits, which no earlier one may limit already.
+// readLimit sets the routing limit and the tenant of the budget. Two budgets with the same limit and tenant are an error.
 func (b *Budget) readLimit(o object, earlier []Budget, tenants []string) {
-	limit, known := limits[b.Resource][b.Kind]
+	limit, supported := limitsByResource[b.Resource][b.Kind]
 	b.Limit = limit
 	if b.Resource == boundsTenant {
-		b.Tenant = o.stringAt("partner")
+		b.Tenant = o.stringValue("partner")
 		if !slices.Contains(tenants, b.Tenant) {
-			o.fault("partner", "the name of one of settings.tenants")
+			o.addError("partner", "the name of one of settings.tenants")
 		}
 	}
 	sameLimit := func(other Budget) bool { return other.Limit == b.Limit && other.Tenant == b.Tenant }
-	if known && slices.ContainsFunc(earlier, sameLimit) {
-		o.fault("bounds", "something that no budget before it bounds already")
+	if supported && slices.ContainsFunc(earlier, sameLimit) {
+		o.addError("bounds", "something that no budget before it bounds already")
 	}
 }
 
-// readUnits reads the size of the budget, and returns its units. At fault they are 1, so that the other keys can be checked.
+// readUnits reads the size of the budget and returns the number of units. If a key is invalid it returns 1, so that the remaining
+// keys can be checked.
 func (b *Budget) readUnits(o object) float64 {
-	whole := o.numberAt("whole")
-	units := whole
+	total := o.numberValue("whole")
+	units := total
 	b.RatePerUnit = 1
 	if b.Kind == lease.RateKind {
-		units = o.numberAt("burst")
+		units = o.numberValue("burst")
 		if units < 1 || units != math.Trunc(units) || units > maxUnits {
-			o.fault("burst", "a whole number, 1 or more: how much of the rate may be saved up, and in how many units it is divided")
+			o.addError("burst", "a whole number, 1 or more: how much of the rate may be saved up, and in how many units it is divided")
 			units = 1
 		}
-		b.RatePerUnit = whole / units
+		b.RatePerUnit = total / units
 	}
-	expected, valid := "a number above 0", whole > 0 && whole <= maxUnits
+	expected, valid := "a number above 0", total > 0 && total <= maxUnits
 	if b.Kind == lease.ConcurrencyKind {
-		expected, valid = "a whole number above 0", valid && whole == math.Trunc(whole)
+		expected, valid = "a whole number above 0", valid && total == math.Trunc(total)
 	}
 	if !valid {
-		o.fault("whole", expected)
+		o.addError("whole", expected)
 		units = 1
 	}
 	b.Units = int(units)
 	return units
 }
 
-// readReserved reads the fraction of the units that is reserved for nodes out of contact, and gives each node its part.
+// readReserved reads the fraction of the units that is reserved for nodes without contact to the cluster, and sets the reserved
+// units per node.
 func (b *Budget) readReserved(o object, units float64) {
 	reserved := defaultReservedFraction
-	optional(o, "apart", reservedForm, &reserved)
+	readOptional(o, "apart", reservedFractionParser, &reserved)
 	b.ReservedPerNode = int(reserved*units/float64(b.MaxNodes) + unitRounding)
 	if b.Resource == boundsDiscovery && b.ReservedPerNode < 1 {
-		o.fault("apart", "a share that leaves each of fleet.nodes a whole unit of burst: a node without the list serves nothing")
+		o.addError("apart", "a share that leaves each of fleet.nodes a whole unit of burst: a node without the list serves nothing")
 	}
 }
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -11,14 +11,14 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// The tasks that a cluster assigns to its nodes.
+// Tasks that a cluster assigns to its nodes.
 const (
 	TaskProbe     = "probe"
 	TaskRollUp    = "roll-up"
 	TaskFaultTest = "trial" // only in builds for fault tests
 )
 
-// Defaults and limits of the section.
+// Defaults and limits of the section "fleet".
 const (
 	defaultLease     = 3 * time.Second
 	minLease         = 200 * time.Millisecond
@@ -26,8 +26,8 @@
 	defaultMaxDelay  = 50 * time.Millisecond
 	minMaxDelay      = time.Millisecond
 	maxMaxDelay      = 10 * time.Second
-	minLeaseDelays   = 20   // delays in a lease: a tenth of a lease must hold a request and its response
-	defaultMaxDrift  = 0.01 // far above the error of a sound oscillator, since virtual machines' clocks may be worse
+	minLeaseDelays   = 20   // MaxDelays in a lease: a tenth of a lease must be enough for a request and its response
+	defaultMaxDrift  = 0.01 // far above the error of a working oscillator, because clocks of virtual machines can be worse
 	maxMaxDrift      = 0.2
 	defaultRollUp    = time.Minute
 	minRollUp        = time.Second
@@ -38,68 +38,68 @@
 	maxNodes         = 4096
 )
 
-// Cluster is the section "fleet" of a node's file: the node's peers, and what it does with them. A node without the section has
-// no peers.
+// Cluster is the section "fleet" of a node's file. It configures the peers of the node, the tasks that it takes part in, and the
+// budgets that it shares with its peers. A node without this section has no peers.
 type Cluster struct {
-	// Name is the cluster's name, the same at all nodes. Required.
+	// Name is the name of the cluster, the same on all nodes. Required.
 	Name string
 	// Node is this node's name in the cluster, from the file's key "name".
 	Node string
-	// Address is HOST:PORT at which peers reach this node. Required.
+	// Address is the HOST:PORT where peers connect to this node. Required.
 	Address string
-	// Voters are the 3 or 5 nodes of the quorum, the same at all nodes. Required.
+	// Voters are the 3 or 5 voting members of the cluster, the same on all nodes. Required.
 	Voters []Voter
-	// Folder is the directory of a voter's durable state. Required if this node is a voter; empty for others.
+	// DataDir is the directory of the voter's durable state. Required if this node is a voter; empty on other nodes.
 	DataDir string
 	// Lease is the duration of a lease; 3 s by default, at least 20 times MaxDelay.
 	Lease time.Duration
-	// MaxDrift is how far the rate of any node's clock may be off, as a fraction; 0.01 by default.
+	// MaxDrift is the maximum error of the clock rate of any node, as a fraction; 0.01 by default.
 	MaxDrift float64
-	// MaxDelay is the longest usual delay of a message between nodes; 50 ms by default.
+	// MaxDelay is the longest delay of a message between nodes in normal operation; 50 ms by default.
 	MaxDelay time.Duration
-	// Routes maps a peer's address to the one to dial instead, as for a proxy; empty by default.
+	// DialOverrides maps the address of a peer to the address to dial instead, for example that of a proxy; empty by default.
 	DialOverrides map[string]string
-	// Tasks are those that this node takes part in: each runs at one node at a time. None by default.
+	// Tasks are the tasks that this node takes part in; none by default. Each task runs on one node at a time.
 	Tasks []string
-	// RollUp is the interval of TaskRollUp; 1 min by default.
+	// RollUpInterval is the interval of TaskRollUp; 1 min by default.
 	RollUpInterval time.Duration
-	// ProbePath is the path that TaskProbe requests of a server; "/up" by default.
+	// ProbePath is the path that TaskProbe requests from a server; "/up" by default.
 	ProbePath string
-	// Budgets are the limits that all nodes share; none by default.
+	// Budgets are the limits that all nodes of the cluster share; none by default.
 	Budgets []Budget
-	// Weight is this node's relative share of a budget that doesn't cover the demand of all; 1 by default.
+	// Weight is the relative share of this node in a budget that doesn't cover the demand of all nodes; 1 by default.
 	Weight float64
 }
 
-// Voter is a node of the quorum.
+// Voter is a voting member of the cluster.
 type Voter struct{ Name, Address string }
 
-// The forms of the section's values.
+// Parsers of the values in the section.
 var (
-	folderForm    = textForm("a folder that lasts", func(s string) bool { return s != "" })
-	probePathForm = textForm("a path as /up", func(s string) bool { return s[:min(1, len(s))] == "/" })
-	delayForm     = durationForm(minMaxDelay, maxMaxDelay)
-	leaseForm     = durationForm(minLease, maxLease)
-	rollUpForm    = durationForm(minRollUp, maxRollUp)
-	driftForm     = numberForm(fmt.Sprintf("a share from 0 to %g", maxMaxDrift), func(x float64) bool { return x >= 0 && x <= maxMaxDrift })
-	weightForm    = numberForm(fmt.Sprintf("a number above 0, %g at most", maxWeight), func(x float64) bool { return x > 0 && x <= maxWeight })
-	routesForm    = form[map[string]string]{"addresses by address", parseRoutes}
-	tasksForm     = form[[]string]{"a list of probe, roll-up", parseTasks}
+	folderParser        = newStringParser("a folder that lasts", func(s string) bool { return s != "" })
+	probePathParser     = newStringParser("a path as /up", func(s string) bool { return s[:min(1, len(s))] == "/" })
+	delayParser         = newDurationParser(minMaxDelay, maxMaxDelay)
+	leaseParser         = newDurationParser(minLease, maxLease)
+	rollUpParser        = newDurationParser(minRollUp, maxRollUp)
+	driftParser         = newNumberParser(fmt.Sprintf("a share from 0 to %g", maxMaxDrift), func(x float64) bool { return x >= 0 && x <= maxMaxDrift })
+	weightParser        = newNumberParser(fmt.Sprintf("a number above 0, %g at most", maxWeight), func(x float64) bool { return x > 0 && x <= maxWeight })
+	dialOverridesParser = valueParser[map[string]string]{"addresses by address", parseDialOverrides}
+	tasksParser         = valueParser[[]string]{"a list of probe, roll-up", parseTasks}
 )
 
-// readCluster reads the section "fleet" of a file, nil if there is none. The keys are read in a fixed order, which is the
-// order of the errors.
+// readCluster reads the section "fleet" of a file. It returns nil if the section is absent, or not a JSON object, which is an
+// error. The keys are read in a fixed order, which is the order of the errors.
 func readCluster(root object, node string) *Cluster {
-	v, found := find(root.values, "fleet")
+	v, found := lookup(root.values, "fleet")
 	if !found {
 		return nil
 	}
 	values, ok := v.(map[string]any)
 	if !ok {
-		root.fault("fleet", "a JSON object")
+		root.addError("fleet", "a JSON object")
 		return nil
 	}
-	o := object{values: values, path: "fleet.", faults: root.faults}
+	o := object{values: values, path: "fleet.", errs: root.errs}
 	c := &Cluster{
 		Node:           node,
 		Lease:          defaultLease,
@@ -110,68 +110,69 @@
 		DialOverrides:  map[string]string{},
 		Weight:         defaultWeight,
 	}
-	required(o, "name", leaseName, &c.Name)
-	required(o, "address", hostPort, &c.Address)
-	optional(o, "folder", folderForm, &c.DataDir)
-	optional(o, "probe_path", probePathForm, &c.ProbePath)
+	readRequired(o, "name", leaseNameParser, &c.Name)
+	readRequired(o, "address", hostPortParser, &c.Address)
+	readOptional(o, "folder", folderParser, &c.DataDir)
+	readOptional(o, "probe_path", probePathParser, &c.ProbePath)
 	if !lease.ValidName(node) {
-		root.fault("name", leaseName.expected+", since the fleet knows the node by it")
+		root.addError("name", leaseNameParser.expected+", since the fleet knows the node by it")
 	}
 	c.readTimes(o)
-	optional(o, "drift", driftForm, &c.MaxDrift)
+	readOptional(o, "drift", driftParser, &c.MaxDrift)
 	c.readVoters(o)
-	optional(o, "routes", routesForm, &c.DialOverrides)
-	optional(o, "weight", weightForm, &c.Weight)
+	readOptional(o, "routes", dialOverridesParser, &c.DialOverrides)
+	readOptional(o, "weight", weightParser, &c.Weight)
 	c.readBudgets(o, tenantNames(root))
-	optional(o, "tasks", tasksForm, &c.Tasks)
+	readOptional(o, "tasks", tasksParser, &c.Tasks)
 	return c
 }
 
 func (c *Cluster) readTimes(o object) {
-	optional(o, "delay_ms", delayForm, &c.MaxDelay)
-	optional(o, "lease_ms", leaseForm, &c.Lease)
-	optional(o, "roll_up_ms", rollUpForm, &c.RollUpInterval)
-	if shortest := minLeaseDelays * c.MaxDelay; c.Lease < shortest {
-		o.fault("lease_ms", fmt.Sprintf("%d delays at least (fleet.delay_ms is %d), so %d or more",
-			minLeaseDelays, c.MaxDelay.Milliseconds(), shortest.Milliseconds()))
+	readOptional(o, "delay_ms", delayParser, &c.MaxDelay)
+	readOptional(o, "lease_ms", leaseParser, &c.Lease)
+	readOptional(o, "roll_up_ms", rollUpParser, &c.RollUpInterval)
+	if minimum := minLeaseDelays * c.MaxDelay; c.Lease < minimum {
+		o.addError("lease_ms", fmt.Sprintf("%d delays at least (fleet.delay_ms is %d), so %d or more",
+			minLeaseDelays, c.MaxDelay.Milliseconds(), minimum.Milliseconds()))
 	}
 }
 
-func (c *Cluster) readVoters(o object) {
-	voters := items(o.values["voters"])
+func (c *Cluster) readVoters(section object) {
+	voters := listItems(section.values["voters"])
 	for i, v := range voters {
-		x := o.element("voters", i, v)
-		voter := Voter{Name: x.stringAt("name"), Address: x.stringAt("address")}
-		c.checkVoter(o, x, voter)
+		entry := section.element("voters", i, v)
+		voter := Voter{Name: entry.stringValue("name"), Address: entry.stringValue("address")}
+		c.checkVoter(section, entry, voter)
 		c.Voters = append(c.Voters, voter)
 	}
 	if len(voters) != 3 && len(voters) != 5 {
-		o.fault("voters", "a list of 3 or 5, each with name and address")
+		section.addError("voters", "a list of 3 or 5, each with name and address")
 	}
 }
 
-// checkVoter reports the first fault of a voter, the object x of the section o, beside those before it.
-func (c *Cluster) checkVoter(o, x object, voter Voter) {
+// checkVoter reports the first error of a voter, including conflicts with earlier voters. section is the section "fleet", and entry
+// is the JSON object of the voter.
+func (c *Cluster) checkVoter(section, entry object, voter Voter) {
 	sameName := func(other Voter) bool { return other.Name == voter.Name }
 	sameAddress := func(other Voter) bool { return other.Address == voter.Address }
-	self := voter.Name == c.Node
+	isSelf := voter.Name == c.Node
 	switch {
 	case !lease.ValidName(voter.Name):
-		x.fault("name", leaseName.expected)
+		entry.addError("name", leaseNameParser.expected)
 	case slices.ContainsFunc(c.Voters, sameName):
-		x.fault("name", fmt.Sprintf("another name than %q, which a voter before it has", voter.Name))
+		entry.addError("name", fmt.Sprintf("another name than %q, which a voter before it has", voter.Name))
 	case !isAddress(voter.Address):
-		x.fault("address", hostPort.expected)
+		entry.addError("address", hostPortParser.expected)
 	case slices.ContainsFunc(c.Voters, sameAddress):
-		x.fault("address", fmt.Sprintf("another address than %q, which a voter before it has", voter.Address))
-	case self && c.DataDir == "":
-		o.fault("folder", folderForm.expected+", since this node is one of fleet.voters")
-	case self && c.Address != voter.Address:
-		x.fault("address", fmt.Sprintf("%q as in fleet.address, since this is the node itself", c.Address))
+		entry.addError("address", fmt.Sprintf("another address than %q, which a voter before it has", voter.Address))
+	case isSelf && c.DataDir == "":
+		section.addError("folder", folderParser.expected+", since this node is one of fleet.voters")
+	case isSelf && c.Address != voter.Address:
+		entry.addError("address", fmt.Sprintf("%q as in fleet.address, since this is the node itself", c.Address))
 	}
 }
 
-func parseRoutes(v any) (map[string]string, bool) {
+func parseDialOverrides(v any) (map[string]string, bool) {
 	values, ok := v.(map[string]any)
 	routes := map[string]string{}
 	for from, to := range values {
@@ -196,46 +197,46 @@
 	return name == TaskProbe || name == TaskRollUp || faults.On && name == TaskFaultTest
 }
 
-// readBudgets reads the budgets, and the number of nodes that they are divided by.
+// readBudgets reads the budgets, and the maximum number of nodes that the budgets are divided by.
 func (c *Cluster) readBudgets(o object, tenants []string) {
-	v, found := find(o.values, "budgets")
+	v, found := lookup(o.values, "budgets")
 	if !found {
 		return
 	}
 	list, ok := v.([]any)
 	if !ok {
-		o.fault("budgets", "a list, each with name, kind, bounds and whole")
+		o.addError("budgets", "a list, each with name, kind, bounds and whole")
 		return
 	}
-	nodes := o.numberAt("nodes")
+	nodes := o.numberValue("nodes")
 	if nodes < 1 || nodes != math.Trunc(nodes) || nodes > maxNodes {
-		o.fault("nodes", fmt.Sprintf("a whole number from 1 to %d: the most nodes that there may ever be, since fleet.budgets are divided by it", maxNodes))
+		o.addError("nodes", fmt.Sprintf("a whole number from 1 to %d: the most nodes that there may ever be, since fleet.budgets are divided by it", maxNodes))
 	}
 	for i, v := range list {
-		x := o.element("budgets", i, v)
-		c.Budgets = append(c.Budgets, readBudget(x, c.Budgets, max(1, int(nodes)), tenants))
+		entry := o.element("budgets", i, v)
+		c.Budgets = append(c.Budgets, readBudget(entry, c.Budgets, max(1, int(nodes)), tenants))
 	}
 }
 
-// tenantNames returns the names of the settings' tenants.
-func tenantNames(root object) (all []string) {
-	tenants, _ := find(root.values, "settings.tenants")
-	for i, v := range items(tenants) {
-		all = append(all, root.element("settings.tenants", i, v).stringAt("name"))
+// tenantNames returns the names of the tenants in the section "settings".
+func tenantNames(root object) (names []string) {
+	tenants, _ := lookup(root.values, "settings.tenants")
+	for i, v := range listItems(tenants) {
+		names = append(names, root.element("settings.tenants", i, v).stringValue("name"))
 	}
-	return all
+	return names
 }
 
-// ReadCluster reads only the section "fleet" of a file, for commands that query a cluster without running a node.
+// ReadCluster reads only the section "fleet" of a file. Commands that query a cluster without running a node use it.
 func ReadCluster(path string) (*Cluster, error) {
-	values, err := load(path, "name")
+	values, err := loadFile(path, "name")
 	if err != nil {
 		return nil, err
 	}
-	root := newRoot(values)
-	c := readCluster(root, root.stringAt("name"))
-	if c == nil && len(*root.faults) == 0 {
+	root := newRootObject(values)
+	c := readCluster(root, root.stringValue("name"))
+	if c == nil && len(*root.errs) == 0 {
 		return nil, fmt.Errorf("%s: fleet: expected a section, docs/leases.md has one", path)
 	}
-	return c, errors.Join(*root.faults...)
+	return c, errors.Join(*root.errs...)
 }
