--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -89,8 +89,8 @@
 	if c, ok := r.Context().Value(connKey{}).(net.Conn); ok {
 		s.conns.requestRead(c)
 	}
-	control := http.NewResponseController(w)
-	_ = control.EnableFullDuplex() // do not wait for a body
+	rc := http.NewResponseController(w)
+	_ = rc.EnableFullDuplex() // do not wait for a body
 	status, text := s.answer(w.Header(), r)
 	w.Header().Set("Connection", "close")
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -98,14 +98,14 @@
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, text)
 	if r.ContentLength != 0 {
-		discardBody(control, r)
+		discardBody(rc, r)
 	}
 }
 
 // discardBody reads a body: closing a connection with unread bytes would reset it, and lose the answer.
-func discardBody(control *http.ResponseController, r *http.Request) {
-	_ = control.Flush()
-	_ = control.SetReadDeadline(time.Now().Add(discardTimeout))
+func discardBody(rc *http.ResponseController, r *http.Request) {
+	_ = rc.Flush()
+	_ = rc.SetReadDeadline(time.Now().Add(discardTimeout))
 	_, _ = io.CopyN(io.Discard, r.Body, maxDiscardedBytes)
 }
 
@@ -153,12 +153,12 @@
 }
 
 // change ejects or restores the server with an escaped id; state is what it is afterwards.
-func (s *Server) change(escapedID, state string, do func(id string) error) (int, string) {
+func (s *Server) change(escapedID, state string, apply func(id string) error) (int, string) {
 	id, err := url.PathUnescape(escapedID) // once
 	if err != nil || id == "" || len(id) > maxIDBytes {
 		return http.StatusNotFound, "no such server\n"
 	}
-	switch err := do(id); {
+	switch err := apply(id); {
 	case errors.Is(err, ErrUnknownServer):
 		return http.StatusNotFound, err.Error() + "\n"
 	case err != nil:
--- a/internal/net/admin/conns.go
+++ b/internal/net/admin/conns.go
@@ -20,7 +20,7 @@
 // connLimiter bounds the number of connections. Callers may keep one for seconds without a whole request; if all are taken, the one that has
 // waited longest for its request is closed for a new one.
 type connLimiter struct {
-	max int
+	maxConns int
 
 	mu      sync.Mutex
 	waiting *list.List                 // of waitingConn: those whose request is not read yet, oldest first
@@ -28,16 +28,16 @@
 }
 
 type waitingConn struct {
-	conn  net.Conn
-	since time.Time
+	conn    net.Conn
+	addedAt time.Time
 }
 
-func newConnLimiter(limit int) *connLimiter {
-	return &connLimiter{max: limit, waiting: list.New(), conns: map[net.Conn]*list.Element{}}
+func newConnLimiter(maxConns int) *connLimiter {
+	return &connLimiter{maxConns: maxConns, waiting: list.New(), conns: map[net.Conn]*list.Element{}}
 }
 
 // listener returns l with its connections limited.
-func (l *connLimiter) listener(inner net.Listener) net.Listener { return limitedListener{inner, l} }
+func (l *connLimiter) listener(wrapped net.Listener) net.Listener { return limitedListener{wrapped, l} }
 
 type limitedListener struct {
 	net.Listener
@@ -63,17 +63,17 @@
 func (l *connLimiter) add(conn net.Conn) (wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.conns) >= l.max {
-		oldest := l.waiting.Front()
-		if oldest == nil {
+	if len(l.conns) >= l.maxConns {
+		element := l.waiting.Front()
+		if element == nil {
 			return retryInterval // all requests are read; their connections close once they are answered
 		}
-		longest := oldest.Value.(waitingConn)
-		if age := time.Since(longest.since); age < requestTimeout {
+		oldest := element.Value.(waitingConn)
+		if age := time.Since(oldest.addedAt); age < requestTimeout {
 			return min(requestTimeout-age, retryInterval)
 		}
-		l.remove(longest.conn)
-		_ = longest.conn.Close()
+		l.remove(oldest.conn)
+		_ = oldest.conn.Close()
 	}
 	l.conns[conn] = l.waiting.PushBack(waitingConn{conn, time.Now()})
 	return 0
