--- a/internal/net/admin/accept_test.go
+++ b/internal/net/admin/accept_test.go
@@ -16,7 +16,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 )
 
-// failingListener is a listener whose accept fails for a number of calls in a row.
+// failingListener is a listener whose next failuresLeft calls of Accept fail.
 type failingListener struct {
 	net.Listener
 	failuresLeft atomic.Int64
@@ -29,7 +29,7 @@
 	return l.Listener.Accept()
 }
 
-// The operators' address goes on answering after errors of accept.
+// net/http ends Serve at most errors of Accept. The admin server has to keep serving after them.
 func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// What came up of withheld attempts and broken rules is on the page, by reason, and nothing else of them.
+// The metrics page lists withheld attempts and violated rules by reason, and leaves out reasons that have not occurred.
 func TestMetricsPageListsReasonsThatOccurred(t *testing.T) {
 	m := metrics.New(nil)
 	m.Denied[admission.ClientGone].Add(2)
@@ -58,6 +58,6 @@
 		}
 	}
 	if strings.Contains(page, "too_late") {
-		t.Errorf("%q has a reason that never came up", page)
+		t.Errorf("%q has a reason that has not occurred", page)
 	}
 }
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves operators at an address of their own: the node's status and metrics, and calls that eject or restore a server. It decides
-// nothing; the Node does.
+// Package admin implements the node's admin HTTP server, which operators reach at an address separate from the clients'. It reports the
+// node's status and metrics, and has calls that eject or restore a cache server. The Node carries them out.
 package admin
 
 import (
@@ -21,28 +21,28 @@
 
 const (
 	maxHeaderBytes    = 4 << 10
-	headerTimeout     = 10 * time.Second       // connLimiter ends slow callers sooner when others wait
-	writeTimeout      = 2 * time.Second        // beyond headerTimeout; answers are small and due within 1 s
-	maxDiscardedBytes = 64 << 10               // of a body, which no call needs
-	discardTimeout    = 300 * time.Millisecond // for reading that
+	headerTimeout     = 10 * time.Second       // connLimiter closes slow connections sooner when others wait
+	writeTimeout      = 2 * time.Second        // added to headerTimeout; responses are small and due within 1 s
+	maxDiscardedBytes = 64 << 10               // of a request body, which no call uses
+	discardTimeout    = 300 * time.Millisecond // for reading maxDiscardedBytes
 	maxIDBytes        = 256
 )
 
-// ErrUnknownServer says that a server was never on the endpoint list.
+// ErrUnknownServer is returned for a server that was never on the endpoint list.
 var ErrUnknownServer = errors.New("no such server was ever listed")
 
-// Node is what the calls are about.
+// Node is the node that the admin server reports on and changes.
 type Node interface {
-	// Serving reports whether the node takes clients.
+	// Serving reports whether the node accepts client requests.
 	Serving() bool
-	// Eject sends nothing new to a server; Restore ends that. Either is stored and in force when it returns nil.
+	// Eject takes a server out of use: it gets no new requests until Restore. When either returns nil, the change is stored and in effect.
 	Eject(id string) error
 	Restore(id string) error
-	// ClusterMetrics returns the metrics of the node's cluster by name; none if it has no cluster.
+	// ClusterMetrics returns the metrics of the node's cluster by name; empty if the node has no cluster.
 	ClusterMetrics() map[string]any
 }
 
-// Server serves the admin address.
+// Server is the admin HTTP server.
 type Server struct {
 	log     *zap.Logger
 	node    Node
@@ -73,7 +73,7 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Serve serves until Close.
+// Serve accepts connections on l until Close.
 func (s *Server) Serve(l net.Listener) {
 	err := s.server.Serve(s.conns.listener(acceptor.New(l, s.log)))
 	if !errors.Is(err, http.ErrServerClosed) {
@@ -81,16 +81,16 @@
 	}
 }
 
-// Close ends the service at once.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles one call and closes its connection.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(net.Conn); ok {
 		s.conns.requestRead(c)
 	}
 	rc := http.NewResponseController(w)
-	_ = rc.EnableFullDuplex() // do not wait for a body
+	_ = rc.EnableFullDuplex() // respond without reading the body first
 	status, text := s.answer(w.Header(), r)
 	w.Header().Set("Connection", "close")
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -102,7 +102,8 @@
 	}
 }
 
-// discardBody reads a body: closing a connection with unread bytes would reset it, and lose the answer.
+// discardBody reads the request body. If unread bytes were left, closing the connection would reset it, and the client could lose the
+// response.
 func discardBody(rc *http.ResponseController, r *http.Request) {
 	_ = rc.Flush()
 	_ = rc.SetReadDeadline(time.Now().Add(discardTimeout))
@@ -113,11 +114,11 @@
 const (
 	statusPath  = "/status"
 	metricsPath = "/status/metrics"
-	ejectPath   = "/maintenance/enter/" // and the server's id
+	ejectPath   = "/maintenance/enter/" // followed by the server's id
 	restorePath = "/maintenance/exit/"
 )
 
-// answer returns the status and the body for a call, and sets headers particular to it.
+// answer handles a call and returns the response's status and body. It sets headers that only this response has.
 func (s *Server) answer(header http.Header, r *http.Request) (status int, text string) {
 	method, handle := s.route(r.URL.EscapedPath())
 	if handle == nil {
@@ -130,7 +131,7 @@
 	return handle()
 }
 
-// route returns the method and the handler of a path; a nil handler if there is none.
+// route returns the method and the handler of a path; the handler is nil if no call has that path.
 func (s *Server) route(path string) (method string, handle func() (status int, text string)) {
 	switch {
 	case path == statusPath:
@@ -152,9 +153,9 @@
 	return http.StatusServiceUnavailable, "no clients are served\n"
 }
 
-// change ejects or restores the server with an escaped id; state is what it is afterwards.
+// change runs apply, Eject or Restore, for the server with the given escaped id. The response and the log name the server's new state.
 func (s *Server) change(escapedID, state string, apply func(id string) error) (int, string) {
-	id, err := url.PathUnescape(escapedID) // once
+	id, err := url.PathUnescape(escapedID) // decoded only once: an id may contain %
 	if err != nil || id == "" || len(id) > maxIDBytes {
 		return http.StatusNotFound, "no such server\n"
 	}
--- a/internal/net/admin/admin_test.go
+++ b/internal/net/admin/admin_test.go
@@ -17,7 +17,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/metrics"
 )
 
-// stubNode is a node that knows one server.
+// stubNode is a Node that records the calls of Eject and Restore. It has one server, "s/1%"; a change of "full" fails.
 type stubNode struct {
 	mu      sync.Mutex
 	serving bool
@@ -47,6 +47,7 @@
 func (s *stubNode) Eject(id string) error          { return s.record("eject", id) }
 func (s *stubNode) Restore(id string) error        { return s.record("restore", id) }
 
+// startServer starts an admin server on loopback and returns its address.
 func startServer(t *testing.T, n Node, m *metrics.Metrics, maxConns int) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +60,7 @@
 	return l.Addr().String()
 }
 
-// roundTrip writes bytes and gives the answer; a status of 0 says that there was none.
+// roundTrip sends a raw request and returns the response's status, header and body; status 0 if there is no response.
 func roundTrip(t *testing.T, address, request string) (int, http.Header, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -80,6 +81,7 @@
 	return resp.StatusCode, resp.Header, string(body)
 }
 
+// rawRequest returns an HTTP/1.1 request with the given method and path, and without a body.
 func rawRequest(requestLine string) string { return requestLine + " HTTP/1.1\r\nHost: n1\r\n\r\n" }
 
 func TestAdminCalls(t *testing.T) {
@@ -115,13 +117,13 @@
 		status, header, body := roundTrip(t, address, c.request)
 		if status != c.wantStatus || header.Get("Allow") != c.wantAllow || strings.Join(n.calls, ",") != c.wantCall ||
 			time.Since(start) > time.Second {
-			t.Errorf("%.60q: %d %v %q, done %q after %v, want %d and %q", c.request, status, header, body, n.calls,
+			t.Errorf("%.60q: %d %v %q, calls %q after %v, want %d and %q", c.request, status, header, body, n.calls,
 				time.Since(start), c.wantStatus, c.wantCall)
 		}
 	}
 	n.serving = false
 	if status, _, _ := roundTrip(t, address, rawRequest("GET /status")); status != 503 {
-		t.Errorf("a node that takes no clients says %d", status)
+		t.Errorf("status %d from a node that isn't serving, want 503", status)
 	}
 }
 
@@ -139,7 +141,7 @@
 		t.Errorf("%q", got)
 	}
 	if m.Of("made up") != nil {
-		t.Error("a namespace that the terms don't name must not be counted")
+		t.Error("Of returned counts for a class that isn't configured")
 	}
 	m.Of("read").Served.Add(1)
 	m.Of("read").Rejected.Add(2)
@@ -156,8 +158,7 @@
 	}
 }
 
-// Whoever holds connections without a whole call, silent or with half a head, keeps no true call waiting, and takes
-// no more places than there are.
+// Connections that send nothing or only part of a request must not delay a complete request, nor exceed the connection limit.
 func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	const maxConns = 8
 	address := startServer(t, &stubNode{serving: true}, metrics.New(nil), maxConns)
@@ -185,6 +186,6 @@
 		open++
 	}
 	if open > maxConns || open == 0 {
-		t.Errorf("%d holders are left on %d places", open, maxConns)
+		t.Errorf("%d idle connections are open, limit %d", open, maxConns)
 	}
 }
--- a/internal/net/admin/conns.go
+++ b/internal/net/admin/conns.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// requestTimeout is how long each connection may wait for its request, even if others need the connection: a caller sends it at
-	// once, but a busy node may take a while to read it.
+	// requestTimeout is the time within which a connection isn't closed for a new one, although its request isn't read yet. A caller sends
+	// the request at once, but a busy node may take a while to read it.
 	requestTimeout = 50 * time.Millisecond
 
-	// retryInterval is the longest time between two checks for a free connection.
+	// retryInterval is the longest time between two checks whether a new connection can be added.
 	retryInterval = requestTimeout / 10
 )
 
-// connLimiter bounds the number of connections. Callers may keep one for seconds without a whole request; if all are taken, the one that has
-// waited longest for its request is closed for a new one.
+// connLimiter bounds the number of open connections. A caller may hold a connection for seconds without sending a complete request. At the
+// limit, a new connection therefore replaces the one that has waited longest for its request.
 type connLimiter struct {
 	maxConns int
 
 	mu      sync.Mutex
-	waiting *list.List                 // of waitingConn: those whose request is not read yet, oldest first
-	conns   map[net.Conn]*list.Element // all connections; nil once the request is read
+	waiting *list.List                 // of waitingConn: the connections whose request is not read yet, oldest first
+	conns   map[net.Conn]*list.Element // all open connections; the element is nil once the request is read
 }
 
+// waitingConn is a connection whose request is not read yet.
 type waitingConn struct {
 	conn    net.Conn
 	addedAt time.Time
@@ -36,7 +37,7 @@
 	return &connLimiter{maxConns: maxConns, waiting: list.New(), conns: map[net.Conn]*list.Element{}}
 }
 
-// listener returns l with its connections limited.
+// listener returns a listener that limits the connections of the wrapped one.
 func (l *connLimiter) listener(wrapped net.Listener) net.Listener { return limitedListener{wrapped, l} }
 
 type limitedListener struct {
@@ -44,7 +45,7 @@
 	limiter *connLimiter
 }
 
-// Accept returns the next connection once the limit allows for it.
+// Accept returns the next connection. It blocks while the limit allows no further one.
 func (l limitedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -55,18 +56,19 @@
 		if wait <= 0 {
 			return conn, nil
 		}
-		time.Sleep(wait) // further connections stay in the kernel's queue
+		time.Sleep(wait) // further connections wait in the kernel's accept queue
 	}
 }
 
-// add counts a connection in, closing the longest waiting one if need be, or returns the time to the next attempt.
+// add registers a connection and returns 0. At the limit it first closes the connection that has waited longest for its request; if that has
+// waited less than requestTimeout, add registers nothing and returns the time to wait before the next try.
 func (l *connLimiter) add(conn net.Conn) (wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.conns) >= l.maxConns {
 		element := l.waiting.Front()
 		if element == nil {
-			return retryInterval // all requests are read; their connections close once they are answered
+			return retryInterval // all requests are read; their connections close after the response
 		}
 		oldest := element.Value.(waitingConn)
 		if age := time.Since(oldest.addedAt); age < requestTimeout {
@@ -79,7 +81,7 @@
 	return 0
 }
 
-// requestRead keeps a connection, whose request has been read, from being closed for another.
+// requestRead records that a connection's request has been read. The connection is no longer closed for a new one.
 func (l *connLimiter) requestRead(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 }
 
-// remove is called with mu locked.
+// remove unregisters a connection. The caller holds mu.
 func (l *connLimiter) remove(conn net.Conn) {
 	if element := l.conns[conn]; element != nil {
 		l.waiting.Remove(element)
--- a/internal/net/admin/conns_test.go
+++ b/internal/net/admin/conns_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 )
 
-// Calls that are being answered hold their places too: with bodies that don't come each does so for a while, and their
-// number would grow with the callers'.
+// Connections whose request is read count towards the limit too. With a request body that never arrives, each stays open for
+// discardTimeout; uncounted, their number would grow with the number of callers.
 func TestUnfinishedRequestsStayWithinConnLimit(t *testing.T) {
 	const maxConns, callers = 4, 40
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,9 +38,9 @@
 		s.conns.mu.Unlock()
 	}
 	if maxOpen != maxConns {
-		t.Errorf("%d connections are held, want %d", maxOpen, maxConns)
+		t.Errorf("%d connections were open at most, want %d", maxOpen, maxConns)
 	}
-	start := time.Now() // a true call waits for those before it, and no longer
+	start := time.Now() // a complete request waits only for the connections before it
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/admin/metrics.go
+++ b/internal/net/admin/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// metricsPage returns the metrics, a line each. Operators' scripts read the names.
+// metricsPage returns the metrics as name=value, a line each. Operators' scripts match the names.
 func (s *Server) metricsPage() string {
 	var page strings.Builder
 	s.writeClasses(&page)
@@ -22,7 +22,7 @@
 	return page.String()
 }
 
-// writeClasses writes the results of the requests of each class.
+// writeClasses writes how many requests of each class were served, rejected and failed.
 func (s *Server) writeClasses(page *strings.Builder) {
 	for _, name := range s.metrics.Classes() {
 		class := s.metrics.Of(name)
@@ -32,7 +32,8 @@
 	}
 }
 
-// writeReasons writes why attempts were withheld and which rules decisions would have violated, a line for each reason that occurred.
+// writeReasons writes a line for each reason for which attempts were withheld, and for each rule that a routing decision would have
+// violated. Reasons that have not occurred are left out.
 func (s *Server) writeReasons(page *strings.Builder) {
 	for reason := admission.Granted + 1; reason < admission.NumReasons; reason++ {
 		if n := s.metrics.Denied[reason].Load(); n > 0 {
@@ -44,7 +45,7 @@
 	}
 }
 
-// writeCluster writes the metrics of the node's cluster, by name.
+// writeCluster writes the metrics of the node's cluster, sorted by name.
 func (s *Server) writeCluster(page *strings.Builder) {
 	cluster := s.node.ClusterMetrics()
 	for _, name := range slices.Sorted(maps.Keys(cluster)) {
--- a/internal/net/metrics/metrics.go
+++ b/internal/net/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts a node's totals since the start of its process. They are atomics, counted where things happen
-// and read without a lock, so that a node under full load can still be looked at.
+// Package metrics holds a node's counters since the start of its process, and its gauges. They are atomics, which the code that handles
+// requests updates directly. They are read without a lock, so that a node under full load can still be observed.
 package metrics
 
 import (
@@ -9,26 +9,26 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 )
 
-// Outcomes counts how the requests of one class have ended.
+// Outcomes counts the requests of one class by their final outcome.
 type Outcomes struct{ Served, Rejected, Failed atomic.Int64 }
 
-// Metrics holds one node's totals and gauges. The zero value is not ready for use, see New.
+// Metrics holds one node's counters and gauges. Use New to create it: the zero value has no classes.
 type Metrics struct {
 	Written atomic.Int64 // attempts whose last byte was written
-	Open    atomic.Int64 // gauge: requests that have come and whose answer is not complete
+	Open    atomic.Int64 // gauge: requests received whose response is not complete
 	Listed  atomic.Int64 // gauge: cache servers on the endpoint list
-	Avoided atomic.Int64 // gauge: those of them that get no requests at present
+	Avoided atomic.Int64 // gauge: listed cache servers that currently get no requests
 
 	// Denied counts attempts whose first byte was not written, by reason.
 	Denied [admission.NumReasons]atomic.Int64
-	// Violations counts orders of package routing that a rule forbids, and that were not carried out, by reason.
+	// Violations counts decisions of package routing that violated a rule and were therefore not carried out, by reason.
 	Violations [admission.NumReasons]atomic.Int64
 
-	classes  []string // in order
+	classes  []string // sorted
 	outcomes map[string]*Outcomes
 }
 
-// New returns Metrics for these classes. No other class is ever counted, so clients can't add any.
+// New returns Metrics for the given classes. Requests of any other class are not counted, so clients can't add classes.
 func New(classes []string) *Metrics {
 	m := &Metrics{classes: slices.Sorted(slices.Values(classes)), outcomes: map[string]*Outcomes{}}
 	for _, class := range m.classes {
@@ -37,8 +37,8 @@
 	return m
 }
 
-// Of returns the counts of a class; nil where there is no such class.
+// Of returns the counts of a class, or nil for a class that New wasn't given.
 func (m *Metrics) Of(class string) *Outcomes { return m.outcomes[class] }
 
-// Classes returns the names of the classes in order. The caller must not change them.
+// Classes returns the sorted names of the classes. The caller must not change them.
 func (m *Metrics) Classes() []string { return m.classes }
