--- a/internal/net/acceptor/acceptor.go
+++ b/internal/net/acceptor/acceptor.go
@@ -23,9 +23,9 @@
 // Listener retries accept until it succeeds, the listener is closed, or the socket itself is unusable.
 type Listener struct {
 	net.Listener
-	log    *zap.Logger
-	closed chan struct{}
-	close  func() error
+	log       *zap.Logger
+	closed    chan struct{}
+	closeOnce func() error
 
 	// Used by Accept only, which has one caller at a time.
 	lastLogged time.Time
@@ -33,13 +33,13 @@
 }
 
 // New returns l with retries.
-func New(l net.Listener, log *zap.Logger) *Listener {
-	wrapped := &Listener{Listener: l, log: log, closed: make(chan struct{})}
-	wrapped.close = sync.OnceValue(func() error {
-		close(wrapped.closed)
-		return l.Close()
+func New(inner net.Listener, log *zap.Logger) *Listener {
+	l := &Listener{Listener: inner, log: log, closed: make(chan struct{})}
+	l.closeOnce = sync.OnceValue(func() error {
+		close(l.closed)
+		return inner.Close()
 	})
-	return wrapped
+	return l
 }
 
 // Accept returns the next connection. An error means that there will be no further one: the listener was closed, or its descriptor
@@ -47,10 +47,10 @@
 func (l *Listener) Accept() (net.Conn, error) {
 	for wait := minRetryWait; ; wait = min(2*wait, maxRetryWait) {
 		c, err := l.accept()
-		if err == nil || permanent(err) {
+		if err == nil || isPermanent(err) {
 			return c, err
 		}
-		l.report(err)
+		l.logError(err)
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
@@ -67,9 +67,9 @@
 	return l.Listener.Accept()
 }
 
-// permanent reports whether accept cannot succeed again on this socket. accept(2) documents these of the descriptor and the call; all
+// isPermanent reports whether accept cannot succeed again on this socket. accept(2) documents these of the descriptor and the call; all
 // other errors belong to one connection or to the state of the machine.
-func permanent(err error) bool {
+func isPermanent(err error) bool {
 	for _, target := range []error{net.ErrClosed, syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK} {
 		if errors.Is(err, target) {
 			return true
@@ -78,8 +78,8 @@
 	return false
 }
 
-// report counts an error, and logs the count at most once per logInterval.
-func (l *Listener) report(err error) {
+// logError counts an error, and logs the count at most once per logInterval.
+func (l *Listener) logError(err error) {
 	l.errorCount++
 	now := time.Now()
 	if now.Sub(l.lastLogged) < logInterval {
@@ -91,7 +91,7 @@
 }
 
 // Close closes the socket, and ends the wait before a retry.
-func (l *Listener) Close() error { return l.close() }
+func (l *Listener) Close() error { return l.closeOnce() }
 
 // SyscallConn returns the socket's descriptor, where the wrapped listener has one.
 func (l *Listener) SyscallConn() (syscall.RawConn, error) {
--- a/internal/net/acceptor/acceptor_test.go
+++ b/internal/net/acceptor/acceptor_test.go
@@ -11,29 +11,29 @@
 	"go.uber.org/zap"
 )
 
-// broken is a listener whose accept always fails.
-type broken struct {
+// failingListener is a listener whose accept always fails.
+type failingListener struct {
 	net.Listener
 	err error
 }
 
-func (b broken) Accept() (net.Conn, error) { return nil, b.err }
-func (broken) Close() error                { return nil }
-func (broken) Addr() net.Addr              { return &net.TCPAddr{} }
+func (l failingListener) Accept() (net.Conn, error) { return nil, l.err }
+func (failingListener) Close() error                { return nil }
+func (failingListener) Addr() net.Addr              { return &net.TCPAddr{} }
 
-func accepted(l *Listener) <-chan error {
-	ended := make(chan error, 1)
+func startAccept(l *Listener) <-chan error {
+	result := make(chan error, 1)
 	go func() {
 		_, err := l.Accept()
-		ended <- err
+		result <- err
 	}()
-	return ended
+	return result
 }
 
-func TestAnUnusableSocketIsNotRetried(t *testing.T) {
+func TestAcceptReturnsPermanentErrors(t *testing.T) {
 	for _, err := range []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK} {
 		select {
-		case got := <-accepted(New(broken{err: os.NewSyscallError("accept4", err)}, zap.NewNop())):
+		case got := <-startAccept(New(failingListener{err: os.NewSyscallError("accept4", err)}, zap.NewNop())):
 			if !errors.Is(got, err) {
 				t.Errorf("%v: ended with %v", err, got)
 			}
@@ -43,17 +43,17 @@
 	}
 }
 
-func TestCloseEndsTheRetries(t *testing.T) {
-	l := New(broken{err: syscall.ENETDOWN}, zap.NewNop())
-	ended := accepted(l)
+func TestCloseEndsRetries(t *testing.T) {
+	l := New(failingListener{err: syscall.ENETDOWN}, zap.NewNop())
+	result := startAccept(l)
 	select {
-	case err := <-ended:
+	case err := <-result:
 		t.Fatalf("ended with %v before it was closed", err)
 	case <-time.After(5 * maxRetryWait):
 	}
 	_ = l.Close()
 	select {
-	case err := <-ended:
+	case err := <-result:
 		if !errors.Is(err, net.ErrClosed) {
 			t.Errorf("ended with %v", err)
 		}
--- a/internal/net/handover/golden_test.go
+++ b/internal/net/handover/golden_test.go
@@ -9,35 +9,35 @@
 )
 
 // Processes of different versions count each other: by a write lock on one of the first eight bytes of this file.
-func TestTheSeatsFileKeepsItsForm(t *testing.T) {
+func TestSeatsFileFormat(t *testing.T) {
 	folder := t.TempDir()
-	s, err := Join(folder, "n1")
+	m, err := Join(folder, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Leave()
+	defer m.Leave()
 	f, err := os.OpenFile(filepath.Join(folder, "n1.seats"), os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if i, err := f.Stat(); err != nil || i.Size() != 0 {
-		t.Errorf("the file holds bytes: %v, %v", i, err)
+	if info, err := f.Stat(); err != nil || info.Size() != 0 {
+		t.Errorf("the file holds bytes: %v, %v", info, err)
 	}
-	for nth := range int64(9) {
-		at := unix.Flock_t{Type: unix.F_WRLCK, Start: nth, Len: 1}
-		if err := unix.FcntlFlock(f.Fd(), unix.F_OFD_GETLK, &at); err != nil {
+	for slot := range int64(9) {
+		lock := unix.Flock_t{Type: unix.F_WRLCK, Start: slot, Len: 1}
+		if err := unix.FcntlFlock(f.Fd(), unix.F_OFD_GETLK, &lock); err != nil {
 			t.Fatal(err)
 		}
-		if locked := at.Type != unix.F_UNLCK; locked != (nth == 0) {
-			t.Errorf("byte %d: locked %v", nth, locked)
+		if locked := lock.Type != unix.F_UNLCK; locked != (slot == 0) {
+			t.Errorf("byte %d: locked %v", slot, locked)
 		}
 	}
-	at := unix.Flock_t{Type: unix.F_WRLCK, Start: 7, Len: 1}
-	if err := unix.FcntlFlock(f.Fd(), unix.F_OFD_SETLK, &at); err != nil {
+	lock := unix.Flock_t{Type: unix.F_WRLCK, Start: 7, Len: 1}
+	if err := unix.FcntlFlock(f.Fd(), unix.F_OFD_SETLK, &lock); err != nil {
 		t.Fatal(err)
 	}
-	if n := s.Others(); n != 1 {
+	if n := m.Others(); n != 1 {
 		t.Errorf("%d others, want the one on byte 7", n)
 	}
 }
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -25,15 +25,15 @@
 }
 
 // Two processes that hold a passed socket both take connections from it; when one has closed it, all are the other's.
-func TestAPassedSocketOutlivesWhoClosesIt(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+func TestPassedSocketStaysOpenAfterOneListenerCloses(t *testing.T) {
+	original, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer original.Close()
 	var listeners []net.Listener
 	for range 2 {
-		f, err := held.(*net.TCPListener).File()
+		f, err := original.(*net.TCPListener).File()
 		l, err := Socket(dup(t, f, err))
 		if err != nil {
 			t.Fatal(err)
@@ -41,7 +41,7 @@
 		defer l.Close()
 		listeners = append(listeners, l)
 	}
-	came := make(chan int, 100)
+	acceptedBy := make(chan int, 100)
 	for i, l := range listeners {
 		go func() {
 			for {
@@ -50,13 +50,13 @@
 					return
 				}
 				c.Close()
-				came <- i
+				acceptedBy <- i
 			}
 		}()
 	}
-	dial := func(n int) {
-		for range n {
-			c, err := net.Dial("tcp", held.Addr().String())
+	dial := func(times int) {
+		for range times {
+			c, err := net.Dial("tcp", original.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -65,13 +65,13 @@
 	}
 	dial(20)
 	for range 20 {
-		<-came
+		<-acceptedBy
 	}
 	listeners[0].Close()
 	dial(20)
 	for range 20 {
 		select {
-		case i := <-came:
+		case i := <-acceptedBy:
 			if i == 0 {
 				t.Error("taken by the one that has closed it")
 			}
@@ -81,9 +81,9 @@
 	}
 }
 
-func TestWhatIsNoListeningSocketIsNamed(t *testing.T) {
+func TestSocketRejectsOtherDescriptors(t *testing.T) {
 	f, err := os.Open(os.DevNull)
-	file := dup(t, f, err)
+	fileFD := dup(t, f, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -95,55 +95,55 @@
 	}
 	defer c.Close()
 	f, err = c.(*net.TCPConn).File()
-	connection := dup(t, f, err)
-	local, err := net.Listen("unix", t.TempDir()+"/s")
+	connFD := dup(t, f, err)
+	unixListener, err := net.Listen("unix", t.TempDir()+"/s")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer local.Close()
-	f, err = local.(*net.UnixListener).File()
-	for what, fd := range map[string]int{"a file": file, "a connection": connection, "nothing": 1 << 20,
+	defer unixListener.Close()
+	f, err = unixListener.(*net.UnixListener).File()
+	for kind, fd := range map[string]int{"a file": fileFD, "a connection": connFD, "nothing": 1 << 20,
 		"a socket of another family": dup(t, f, err)} {
 		if _, err := Socket(fd); err == nil || !strings.Contains(err.Error(), "expected a listening TCP socket") {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", kind, err)
 		}
 		_ = syscall.Close(fd)
 	}
 }
 
-func TestMembersAreCountedAndLeave(t *testing.T) {
+func TestMembershipCountsOtherProcesses(t *testing.T) {
 	folder := t.TempDir()
 	join := func(name string) *Membership {
-		s, err := Join(folder, name)
+		m, err := Join(folder, name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s
+		return m
 	}
-	one, stranger := join("n"), join("another node")
-	if one.Others() != 0 || stranger.Others() != 0 {
+	first, otherNode := join("n"), join("another node")
+	if first.Others() != 0 || otherNode.Others() != 0 {
 		t.Error("nobody else is there")
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	told := make(chan int, 10)
-	go one.Follow(ctx, 0, time.Millisecond, func(n int) { told <- n })
-	other := join("n")
-	if n := <-told; n != 1 || other.Others() != 1 {
-		t.Errorf("%d and %d others, want one each", n, other.Others())
+	counts := make(chan int, 10)
+	go first.Follow(ctx, 0, time.Millisecond, func(n int) { counts <- n })
+	second := join("n")
+	if n := <-counts; n != 1 || second.Others() != 1 {
+		t.Errorf("%d and %d others, want one each", n, second.Others())
 	}
 	third := join("n")
-	if n := <-told; n != 2 {
+	if n := <-counts; n != 2 {
 		t.Errorf("%d others, want two", n)
 	}
 	third.Leave()
-	other.Leave()
-	for n := <-told; n != 0; n = <-told {
+	second.Leave()
+	for n := <-counts; n != 0; n = <-counts {
 	}
-	if again := join("n"); again.slot != 1 {
-		t.Errorf("slot %d, want the one that was left", again.slot)
+	if rejoined := join("n"); rejoined.slot != 1 {
+		t.Errorf("slot %d, want the one that was left", rejoined.slot)
 	}
-	if s, err := Join("", "n"); err != nil || s.Others() != 0 {
+	if m, err := Join("", "n"); err != nil || m.Others() != 0 {
 		t.Error("without a folder no member is seen")
 	}
 	if _, err := Join(folder+"/none", "n"); err == nil {
