--- a/internal/net/acceptor/acceptor.go
+++ b/internal/net/acceptor/acceptor.go
@@ -1,5 +1,5 @@
-// Package acceptor keeps a listening socket in service: an error of accept that belongs to one connection, or that passes, is
-// retried instead of being returned, since net/http ends its service at most of them.
+// Package acceptor wraps a listener so that its Accept is retried after errors that concern a single connection or a transient state
+// of the machine. net/http stops serving at most errors of Accept.
 package acceptor
 
 import (
@@ -15,24 +15,24 @@
 )
 
 const (
-	minRetryWait = time.Millisecond      // doubles with each error in a row
-	maxRetryWait = 16 * time.Millisecond // well under the shortest deadline of a request
-	logInterval  = time.Second           // minimum between two log lines
+	minRetryWait = time.Millisecond      // doubles with each consecutive error
+	maxRetryWait = 16 * time.Millisecond // well below the shortest deadline of a request
+	logInterval  = time.Second           // minimum time between two log lines
 )
 
-// Listener retries accept until it succeeds, the listener is closed, or the socket itself is unusable.
+// Listener retries Accept until it succeeds, the listener is closed, or the socket itself is unusable.
 type Listener struct {
 	net.Listener
 	log       *zap.Logger
 	closed    chan struct{}
 	closeOnce func() error
 
-	// Used by Accept only, which has one caller at a time.
+	// Used only by Accept, which has one caller at a time.
 	lastLogged time.Time
-	errorCount int // since lastLogged
+	errorCount int // errors since lastLogged
 }
 
-// New returns l with retries.
+// New returns a listener that retries Accept of inner.
 func New(inner net.Listener, log *zap.Logger) *Listener {
 	l := &Listener{Listener: inner, log: log, closed: make(chan struct{})}
 	l.closeOnce = sync.OnceValue(func() error {
@@ -42,8 +42,8 @@
 	return l
 }
 
-// Accept returns the next connection. An error means that there will be no further one: the listener was closed, or its descriptor
-// is not a listening socket.
+// Accept returns the next connection. It returns an error only if no further connection can be accepted: the listener was closed, or
+// its descriptor is not a listening socket.
 func (l *Listener) Accept() (net.Conn, error) {
 	for wait := minRetryWait; ; wait = min(2*wait, maxRetryWait) {
 		c, err := l.accept()
@@ -59,7 +59,7 @@
 	}
 }
 
-// accept makes one attempt.
+// accept calls Accept of the wrapped listener once.
 func (l *Listener) accept() (net.Conn, error) {
 	if err := kernel.Failure(kernel.Accept); err != nil {
 		return nil, err
@@ -67,8 +67,8 @@
 	return l.Listener.Accept()
 }
 
-// isPermanent reports whether accept cannot succeed again on this socket. accept(2) documents these of the descriptor and the call; all
-// other errors belong to one connection or to the state of the machine.
+// isPermanent reports whether accept cannot succeed again on this socket. accept(2) documents the listed errors for an invalid descriptor or
+// invalid arguments; all other errors concern a single connection or the state of the machine.
 func isPermanent(err error) bool {
 	for _, target := range []error{net.ErrClosed, syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK} {
 		if errors.Is(err, target) {
@@ -78,7 +78,7 @@
 	return false
 }
 
-// logError counts an error, and logs the count at most once per logInterval.
+// logError counts an error. At most once per logInterval it logs the latest error and the number of errors since the last log line.
 func (l *Listener) logError(err error) {
 	l.errorCount++
 	now := time.Now()
@@ -90,10 +90,10 @@
 	l.errorCount = 0
 }
 
-// Close closes the socket, and ends the wait before a retry.
+// Close closes the socket and ends the retries of a running Accept.
 func (l *Listener) Close() error { return l.closeOnce() }
 
-// SyscallConn returns the socket's descriptor, where the wrapped listener has one.
+// SyscallConn returns the raw connection of the wrapped listener, or errors.ErrUnsupported if it has none.
 func (l *Listener) SyscallConn() (syscall.RawConn, error) {
 	socket, ok := l.Listener.(syscall.Conn)
 	if !ok {
--- a/internal/net/acceptor/acceptor_test.go
+++ b/internal/net/acceptor/acceptor_test.go
@@ -21,6 +21,7 @@
 func (failingListener) Close() error                { return nil }
 func (failingListener) Addr() net.Addr              { return &net.TCPAddr{} }
 
+// startAccept calls Accept in a goroutine and returns a channel that receives its error.
 func startAccept(l *Listener) <-chan error {
 	result := make(chan error, 1)
 	go func() {
@@ -35,10 +36,10 @@
 		select {
 		case got := <-startAccept(New(failingListener{err: os.NewSyscallError("accept4", err)}, zap.NewNop())):
 			if !errors.Is(got, err) {
-				t.Errorf("%v: ended with %v", err, got)
+				t.Errorf("%v: Accept returned %v", err, got)
 			}
 		case <-time.After(time.Second):
-			t.Errorf("%v: retried for ever", err)
+			t.Errorf("%v: Accept did not return within a second", err)
 		}
 	}
 }
@@ -48,16 +49,16 @@
 	result := startAccept(l)
 	select {
 	case err := <-result:
-		t.Fatalf("ended with %v before it was closed", err)
+		t.Fatalf("Accept returned %v before Close", err)
 	case <-time.After(5 * maxRetryWait):
 	}
 	_ = l.Close()
 	select {
 	case err := <-result:
 		if !errors.Is(err, net.ErrClosed) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Accept returned %v after Close, want net.ErrClosed", err)
 		}
 	case <-time.After(time.Second):
-		t.Error("retried after the close")
+		t.Error("Accept did not return within a second of Close")
 	}
 }
--- a/internal/net/handover/faults_test.go
+++ b/internal/net/handover/faults_test.go
@@ -9,8 +9,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// A count of the members that fails changes nothing: taken for none, it would give this process the share of the limits that
-// another one uses.
+// If the locks can't be queried, Others returns the last count. If it returned 0, this process would also use the share of the node's
+// limits that another process uses.
 func TestOthersKeepsLastCountAfterLockError(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	folder := t.TempDir()
@@ -23,22 +23,22 @@
 		t.Fatal(err)
 	}
 	if n := first.Others(); n != 1 {
-		t.Fatalf("%d others, want one", n)
+		t.Fatalf("%d others, want 1", n)
 	}
 	for _, err := range []error{syscall.EINTR, syscall.EAGAIN, syscall.ENOLCK, syscall.EIO} {
 		kernel.FailTimes(kernel.Lock, err, 20)
 		if n := first.Others(); n != 1 {
-			t.Errorf("%v: %d others, want one as before", err, n)
+			t.Errorf("%v: %d others, want 1, the last count", err, n)
 		}
 	}
 	kernel.Fail(nil)
 	second.Leave()
 	if n := first.Others(); n != 0 {
-		t.Errorf("%d others once the other has left", n)
+		t.Errorf("%d others after the other process left, want 0", n)
 	}
 }
 
-// A slot is found where a lock was interrupted.
+// A lock call that a signal interrupts (EINTR) is retried; Join must not take the slot for locked by another process.
 func TestJoinRetriesInterruptedLock(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	kernel.FailTimes(kernel.Lock, syscall.EINTR, 3)
--- a/internal/net/handover/golden_test.go
+++ b/internal/net/handover/golden_test.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Processes of different versions count each other: by a write lock on one of the first eight bytes of this file.
+// Processes of different versions count each other, so the format must not change: each member holds a write lock on one of the first eight
+// bytes of the file, and the file is empty.
 func TestSeatsFileFormat(t *testing.T) {
 	folder := t.TempDir()
 	m, err := Join(folder, "n1")
@@ -22,7 +23,7 @@
 	}
 	defer f.Close()
 	if info, err := f.Stat(); err != nil || info.Size() != 0 {
-		t.Errorf("the file holds bytes: %v, %v", info, err)
+		t.Errorf("the file is not empty: %v, %v", info, err)
 	}
 	for slot := range int64(9) {
 		lock := unix.Flock_t{Type: unix.F_WRLCK, Start: slot, Len: 1}
@@ -38,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if n := m.Others(); n != 1 {
-		t.Errorf("%d others, want the one on byte 7", n)
+		t.Errorf("%d others, want 1, which holds byte 7", n)
 	}
 }
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// dup gives a descriptor of its own for a file or socket, as a process inherits one.
+// dup closes f and returns a duplicate of its descriptor, like one that a process inherits.
 func dup(t *testing.T, f *os.File, err error) int {
 	t.Helper()
 	if err != nil {
@@ -24,7 +24,7 @@
 	return fd
 }
 
-// Two processes that hold a passed socket both take connections from it; when one has closed it, all are the other's.
+// Two processes that have a passed socket open both accept connections. After one has closed it, the other accepts all further connections.
 func TestPassedSocketStaysOpenAfterOneListenerCloses(t *testing.T) {
 	original, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,10 +73,10 @@
 		select {
 		case i := <-acceptedBy:
 			if i == 0 {
-				t.Error("taken by the one that has closed it")
+				t.Error("accepted by the listener that was closed")
 			}
 		case <-time.After(2 * time.Second):
-			t.Fatal("a connection is lost")
+			t.Fatal("a connection was not accepted")
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	}
 	first, otherNode := join("n"), join("another node")
 	if first.Others() != 0 || otherNode.Others() != 0 {
-		t.Error("nobody else is there")
+		t.Error("a single process counts other members")
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -130,23 +130,23 @@
 	go first.Follow(ctx, 0, time.Millisecond, func(n int) { counts <- n })
 	second := join("n")
 	if n := <-counts; n != 1 || second.Others() != 1 {
-		t.Errorf("%d and %d others, want one each", n, second.Others())
+		t.Errorf("%d and %d others, want 1 each", n, second.Others())
 	}
 	third := join("n")
 	if n := <-counts; n != 2 {
-		t.Errorf("%d others, want two", n)
+		t.Errorf("%d others, want 2", n)
 	}
 	third.Leave()
 	second.Leave()
 	for n := <-counts; n != 0; n = <-counts {
 	}
 	if rejoined := join("n"); rejoined.slot != 1 {
-		t.Errorf("slot %d, want the one that was left", rejoined.slot)
+		t.Errorf("slot %d, want 1, which was released", rejoined.slot)
 	}
 	if m, err := Join("", "n"); err != nil || m.Others() != 0 {
-		t.Error("without a folder no member is seen")
+		t.Error("without a folder Join must succeed and count no other members")
 	}
 	if _, err := Join(folder+"/none", "n"); err == nil {
-		t.Error("a folder that isn't there must be told")
+		t.Error("Join must fail for a folder that doesn't exist")
 	}
 }
--- a/internal/net/handover/membership.go
+++ b/internal/net/handover/membership.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// maxProcesses is how many processes of one node may serve at once: two during an upgrade, more when some are killed.
+	// maxProcesses is the number of processes that may serve as one node at the same time: two during an upgrade, more when some are
+	// killed.
 	maxProcesses = 8
 
 	fileSuffix = ".seats"
 )
 
-// ErrTooManyProcesses says that no further process can join.
+// ErrTooManyProcesses is returned by Join if maxProcesses processes of the node are members.
 var ErrTooManyProcesses = fmt.Errorf("handover: %d processes of this node serve already", maxProcesses)
 
-// Membership is one process's entry among those that serve as one node: a lock on one byte of a file that they share. The kernel releases
-// it however the process ends. The methods may be called from several goroutines.
+// Membership registers a process as one of those that serve as the same node. It holds a lock on one byte (the slot) of a file that these
+// processes share. The kernel releases the lock however the process ends. The methods are safe for concurrent use.
 type Membership struct {
-	slot int64 // the byte that is locked
+	slot int64 // offset of the locked byte
 
 	mu         sync.Mutex
-	file       *os.File // nil: not a member, or no folder
-	lastOthers int      // result of the last count that succeeded
+	file       *os.File // nil if the process is not a member, or Join had no folder
+	lastOthers int      // result of the last successful count
 }
 
-// Join makes this process a member, by the file name.seats in folder. Without a folder it is the only one. The Membership is never nil;
-// with an error it counts no others.
+// Join makes this process a member of the node with the given name, whose members share the file name.seats in folder. If folder is empty,
+// the process counts as the only member. The Membership is never nil; if Join fails, its Others returns 0.
 func Join(folder, name string) (*Membership, error) {
 	if folder == "" {
 		return &Membership{}, nil
@@ -52,13 +53,13 @@
 	return &Membership{}, ErrTooManyProcesses
 }
 
-// slotLock describes a write lock on the byte of a slot.
+// slotLock returns the fcntl argument for a write lock on the byte of a slot.
 func slotLock(slot int64) *unix.Flock_t {
 	return &unix.Flock_t{Type: unix.F_WRLCK, Start: slot, Len: 1}
 }
 
-// Others returns the number of other members, or that of the last count if this one fails. It only queries the locks: a lock that is taken
-// to test it would count as a member elsewhere.
+// Others returns the number of other members. If counting fails, it returns the result of the last successful count. It only queries the
+// locks: if it took a lock to test it, other processes would count that lock as a member.
 func (m *Membership) Others() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,8 +83,8 @@
 	return others
 }
 
-// Follow counts the other members at each interval and calls onChange when the number differs from the last, at first from last, until ctx
-// ends.
+// Follow counts the other members once per interval, until ctx ends. It calls onChange when the number differs from that of the previous
+// count; the first count is compared with last.
 func (m *Membership) Follow(ctx context.Context, last int, interval time.Duration, onChange func(others int)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -100,7 +101,7 @@
 	}
 }
 
-// Leave ends the membership. It may be called more than once.
+// Leave ends the membership and releases the lock. It may be called more than once.
 func (m *Membership) Leave() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
