--- a/internal/net/admin/accept_test.go
+++ b/internal/net/admin/accept_test.go
@@ -29,7 +29,7 @@
 	return l.Listener.Accept()
 }
 
-// net/http ends Serve at most errors of Accept. The admin server has to keep serving after them.
+// Serve of net/http returns on most errors of Accept. The admin server has to keep serving after them.
 func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/net/handover/socket.go
+++ b/internal/net/handover/socket.go
@@ -1,4 +1,4 @@
-// Package handover lets a new process of a node take over from an old one without refusing clients in between. It opens the clients' socket
+// Package handover lets a new process of a node take over from an old one without refusing connections in between. It opens the clients' socket
 // that the platform passes to each process, and counts the processes that serve as the same node, among which the node's limits are divided.
 package handover
 
