--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// origin has a reading of both clocks from the start of the process.
-var origin = time.Now()
+// processStart has a reading of both clocks from the start of the process.
+var processStart = time.Now()
 
 // Wall returns the wall clock's time, without a monotonic reading.
 func Wall() time.Time { return time.Now().Round(0) }
@@ -17,7 +17,7 @@
 type Moment int64
 
 // Now returns the present moment.
-func Now() Moment { return Moment(time.Since(origin)) + 1 }
+func Now() Moment { return Moment(time.Since(processStart)) + 1 }
 
 // Since returns the time that has passed since a moment, math.MaxInt64 for zero.
 func (m Moment) Since() time.Duration {
@@ -30,9 +30,9 @@
 // Time returns the moment as a time that compares with others by the monotonic clock. Zero is a year before the process's start.
 func (m Moment) Time() time.Time {
 	if m == 0 {
-		return origin.Add(-farPast)
+		return processStart.Add(-farPast)
 	}
-	return origin.Add(time.Duration(m - 1))
+	return processStart.Add(time.Duration(m - 1))
 }
 
 // farPast is longer than any duration that is measured.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-func TestMoments(t *testing.T) {
-	if never := Moment(0); never.Since() < time.Hour || !never.Time().Before(time.Now().Add(-time.Hour)) {
+func TestMoment(t *testing.T) {
+	if zero := Moment(0); zero.Since() < time.Hour || !zero.Time().Before(time.Now().Add(-time.Hour)) {
 		t.Error("the zero moment is not long ago")
 	}
 	before := time.Now()
 	m := Now()
 	after := time.Now()
-	if at := m.Time(); at.Before(before) || at.After(after) {
-		t.Errorf("%v is not between %v and %v", at, before, after)
+	if got := m.Time(); got.Before(before) || got.After(after) {
+		t.Errorf("%v is not between %v and %v", got, before, after)
 	}
 	if m.Since() < 0 || m.Since() > time.Second {
 		t.Errorf("%v ago", m.Since())
@@ -30,11 +30,11 @@
 	}
 }
 
-// wallCalls are the methods by which a time loses its monotonic reading, or is read as the wall clock's.
-var wallCalls = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "Truncate"}
+// wallClockMethods are the methods by which a time loses its monotonic reading, or is read as the wall clock's.
+var wallClockMethods = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "Truncate"}
 
-// wallFiles may use them, for the reasons given.
-var wallFiles = map[string]string{
+// wallClockFiles may use them, for the reasons given.
+var wallClockFiles = map[string]string{
 	"internal/clock/clock.go":           "the one place that reads the wall clock",
 	"internal/net/dispatch/clock.go":    "start times on the list are Unix times",
 	"internal/net/ejection/registry.go": "ejections are kept beside start times on the list, as Unix times",
@@ -43,10 +43,10 @@
 }
 
 // The wall clock may be stepped, so that no duration may be measured by it: only the files above may use its readings.
-func TestTheWallClockMeasuresNoSpan(t *testing.T) {
+func TestWallClockMeasuresNoDuration(t *testing.T) {
 	const root = "../.."
-	for _, folder := range []string{"internal/net", "internal/cluster", "internal/clock", "internal/config", "routing", "lease", "budget", "changelog", "cmd"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, d fs.DirEntry, err error) error {
+	for _, dir := range []string{"internal/net", "internal/cluster", "internal/clock", "internal/config", "routing", "lease", "budget", "changelog", "cmd"} {
+		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
@@ -54,17 +54,17 @@
 			if err != nil {
 				return err
 			}
-			if wallFiles[filepath.ToSlash(name)] != "" {
+			if wallClockFiles[filepath.ToSlash(name)] != "" {
 				return nil
 			}
-			files := token.NewFileSet()
-			file, err := parser.ParseFile(files, path, nil, 0)
+			fset := token.NewFileSet()
+			file, err := parser.ParseFile(fset, path, nil, 0)
 			if err != nil {
 				return err
 			}
 			ast.Inspect(file, func(n ast.Node) bool {
-				if s, is := n.(*ast.SelectorExpr); is && slices.Contains(wallCalls, s.Sel.Name) && !isPackageOS(s) {
-					t.Errorf("%s: %s: a duration measured by the wall clock", files.Position(s.Pos()), s.Sel.Name)
+				if selector, ok := n.(*ast.SelectorExpr); ok && slices.Contains(wallClockMethods, selector.Sel.Name) && !isPackageOS(selector) {
+					t.Errorf("%s: %s: a duration measured by the wall clock", fset.Position(selector.Pos()), selector.Sel.Name)
 				}
 				return true
 			})
@@ -77,7 +77,7 @@
 }
 
 // isPackageOS reports whether a selector is of package os, which has a Truncate of its own.
-func isPackageOS(s *ast.SelectorExpr) bool {
-	of, is := s.X.(*ast.Ident)
-	return is && of.Name == "os"
+func isPackageOS(selector *ast.SelectorExpr) bool {
+	pkg, ok := selector.X.(*ast.Ident)
+	return ok && pkg.Name == "os"
 }
--- a/internal/kernel/faults_on.go
+++ b/internal/kernel/faults_on.go
@@ -38,11 +38,11 @@
 }
 
 // FailTimes injects an error into the next calls of one kind, a number of times, until the next call of Fail.
-func FailTimes(of Call, err error, times int64) {
-	var left atomic.Int64
-	left.Store(times)
+func FailTimes(target Call, err error, times int64) {
+	var remaining atomic.Int64
+	remaining.Store(times)
 	Fail(func(call Call) error {
-		if call == of && left.Add(-1) >= 0 {
+		if call == target && remaining.Add(-1) >= 0 {
 			return os.NewSyscallError(string(call), err)
 		}
 		return nil
--- a/internal/kernel/faults_test.go
+++ b/internal/kernel/faults_test.go
@@ -13,11 +13,11 @@
 // An interrupted call is retried without limit, one that lacked memory a few times; any other error is returned at once.
 func TestTransientErrorsAreRetried(t *testing.T) {
 	t.Cleanup(func() { Fail(nil) })
-	near, far, raw := pair(t)
-	if _, err := far.Write(make([]byte, 64)); err != nil {
+	conn, peer, raw := connPair(t)
+	if _, err := peer.Write(make([]byte, 64)); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, func() bool { there, _ := poll(raw, unix.POLLIN); return there != 0 })
+	waitFor(t, func() bool { ready, _ := poll(raw, unix.POLLIN); return ready != 0 })
 	path := t.TempDir() + "/f"
 	calls := map[Call]func() error{
 		Peek: func() (err error) {
@@ -29,7 +29,7 @@
 			return err
 		},
 		Poll:     func() error { _, err := poll(raw, unix.POLLIN); return err },
-		Write:    func() error { _, err := WriteAll(near.Write, []byte("x")); return err },
+		Write:    func() error { _, err := WriteAll(conn.Write, []byte("x")); return err },
 		Put:      func() error { return PutFile(path, []byte("x")) },
 		ReadFile: func() error { _, err := FileText("/dev/null"); return err },
 	}
@@ -38,14 +38,14 @@
 		if err := do(); err != nil {
 			t.Errorf("%s: %v after an interruption", call, err)
 		}
-		for _, lack := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
-			FailTimes(call, lack, maxTransientRetries)
+		for _, transient := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
+			FailTimes(call, transient, maxTransientRetries)
 			if err := do(); err != nil {
 				t.Errorf("%s: %v after a transient lack", call, err)
 			}
-			FailTimes(call, lack, maxTransientRetries+1)
-			if err := do(); !errors.Is(err, lack) {
-				t.Errorf("%s: %v after the retries, want %v", call, err, lack)
+			FailTimes(call, transient, maxTransientRetries+1)
+			if err := do(); !errors.Is(err, transient) {
+				t.Errorf("%s: %v after the retries, want %v", call, err, transient)
 			}
 		}
 		if call == Poll {
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -92,8 +92,8 @@
 }
 
 // FileLock runs an fcntl lock command on an open file.
-func FileLock(fd uintptr, command int, at *unix.Flock_t) error {
-	_, err := retry(Lock, func() (struct{}, error) { return struct{}{}, unix.FcntlFlock(fd, command, at) })
+func FileLock(fd uintptr, command int, lock *unix.Flock_t) error {
+	_, err := retry(Lock, func() (struct{}, error) { return struct{}{}, unix.FcntlFlock(fd, command, lock) })
 	return err
 }
 
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -12,71 +12,71 @@
 	"golang.org/x/sys/unix"
 )
 
-// pair returns both ends of a connection on loopback, and the first one's descriptor.
-func pair(t *testing.T) (near *net.TCPConn, far net.Conn, raw syscall.RawConn) {
+// connPair returns both ends of a connection on loopback, and the first one's descriptor.
+func connPair(t *testing.T) (conn *net.TCPConn, peer net.Conn, raw syscall.RawConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err = net.Dial("tcp", l.Addr().String())
+	peer, err = net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	near = c.(*net.TCPConn)
-	t.Cleanup(func() { far.Close(); near.Close() })
-	if raw, err = near.SyscallConn(); err != nil {
+	conn = accepted.(*net.TCPConn)
+	t.Cleanup(func() { peer.Close(); conn.Close() })
+	if raw, err = conn.SyscallConn(); err != nil {
 		t.Fatal(err)
 	}
-	return near, far, raw
+	return conn, peer, raw
 }
 
 // Bytes can be peeked at and then read; without any both return EAGAIN, and 0 bytes at the end of the stream.
-func TestSocketReadsDoNotWait(t *testing.T) {
-	_, far, raw := pair(t)
+func TestSocketReadsDoNotBlock(t *testing.T) {
+	_, peer, raw := connPair(t)
 	buffer := make([]byte, 8)
 	var n int
 	var err error
-	control := func(f func(uintptr, []byte) (int, error)) {
+	callOnSocket := func(f func(uintptr, []byte) (int, error)) {
 		t.Helper()
-		if e := raw.Control(func(fd uintptr) { n, err = f(fd, buffer) }); e != nil {
-			t.Fatal(e)
+		if controlErr := raw.Control(func(fd uintptr) { n, err = f(fd, buffer) }); controlErr != nil {
+			t.Fatal(controlErr)
 		}
 	}
 	for _, f := range []func(uintptr, []byte) (int, error){PeekSocket, ReadSocket} {
-		if control(f); n != 0 || !errors.Is(err, syscall.EAGAIN) {
+		if callOnSocket(f); n != 0 || !errors.Is(err, syscall.EAGAIN) {
 			t.Errorf("%d bytes, %v, want none and EAGAIN", n, err)
 		}
 	}
-	if _, err := far.Write([]byte("ab")); err != nil {
+	if _, err := peer.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, func() bool { there, _ := poll(raw, unix.POLLIN); return there != 0 })
+	waitFor(t, func() bool { ready, _ := poll(raw, unix.POLLIN); return ready != 0 })
 	for _, f := range []func(uintptr, []byte) (int, error){PeekSocket, ReadSocket} {
-		if control(f); n != 2 || err != nil {
+		if callOnSocket(f); n != 2 || err != nil {
 			t.Errorf("%d bytes, %v, want two", n, err)
 		}
 	}
-	far.Close()
-	waitFor(t, func() bool { there, _ := poll(raw, unix.POLLRDHUP); return there != 0 })
-	if control(ReadSocket); n != 0 || err != nil {
+	peer.Close()
+	waitFor(t, func() bool { ready, _ := poll(raw, unix.POLLRDHUP); return ready != 0 })
+	if callOnSocket(ReadSocket); n != 0 || err != nil {
 		t.Errorf("%d bytes, %v, want the end", n, err)
 	}
 }
 
-func poll(raw syscall.RawConn, events int16) (there int16, err error) {
-	_ = raw.Control(func(fd uintptr) { there, err = PollNow(fd, events) })
-	return there, err
+func poll(raw syscall.RawConn, events int16) (ready int16, err error) {
+	_ = raw.Control(func(fd uintptr) { ready, err = PollNow(fd, events) })
+	return ready, err
 }
 
-func waitFor(t *testing.T, holds func() bool) {
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("condition not met within a second")
 		}
