--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads the monotonic clock and the wall clock. Durations are measured by the monotonic clock alone, since the wall
-// clock may be stepped at any moment. Wall clock times are only for exchange with other processes and for stored data.
+// Package clock reads the monotonic clock and the wall clock. Durations are measured only with the monotonic clock, because the wall
+// clock may be stepped at any time. Wall clock times are only for exchange with other processes and for stored data.
 package clock
 
 import (
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// processStart has a reading of both clocks from the start of the process.
+// processStart holds readings of both clocks, taken at the start of the process.
 var processStart = time.Now()
 
-// Wall returns the wall clock's time, without a monotonic reading.
+// Wall returns the current wall clock time, without a monotonic reading.
 func Wall() time.Time { return time.Now().Round(0) }
 
-// Moment is a reading of the monotonic clock that fits an atomic integer, in nanoseconds. Zero means never.
+// Moment is a reading of the monotonic clock in nanoseconds, which fits an atomic integer. Zero means never.
 type Moment int64
 
-// Now returns the present moment.
+// Now returns the current reading of the monotonic clock. It is never zero.
 func Now() Moment { return Moment(time.Since(processStart)) + 1 }
 
-// Since returns the time that has passed since a moment, math.MaxInt64 for zero.
+// Since returns the time elapsed since m, or math.MaxInt64 if m is zero.
 func (m Moment) Since() time.Duration {
 	if m == 0 {
 		return math.MaxInt64
@@ -27,7 +27,7 @@
 	return time.Duration(Now() - m)
 }
 
-// Time returns the moment as a time that compares with others by the monotonic clock. Zero is a year before the process's start.
+// Time returns m as a time.Time with a monotonic reading, which comparisons use. A zero m yields a year before the start of the process.
 func (m Moment) Time() time.Time {
 	if m == 0 {
 		return processStart.Add(-farPast)
@@ -35,5 +35,5 @@
 	return processStart.Add(time.Duration(m - 1))
 }
 
-// farPast is longer than any duration that is measured.
+// farPast is a year, longer than any duration that is measured.
 const farPast = 24 * 365 * time.Hour
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,7 +14,7 @@
 
 func TestMoment(t *testing.T) {
 	if zero := Moment(0); zero.Since() < time.Hour || !zero.Time().Before(time.Now().Add(-time.Hour)) {
-		t.Error("the zero moment is not long ago")
+		t.Error("the zero moment is less than an hour ago")
 	}
 	before := time.Now()
 	m := Now()
@@ -23,26 +23,26 @@
 		t.Errorf("%v is not between %v and %v", got, before, after)
 	}
 	if m.Since() < 0 || m.Since() > time.Second {
-		t.Errorf("%v ago", m.Since())
+		t.Errorf("Since returned %v right after Now", m.Since())
 	}
 	if strings.Contains(Wall().String(), "m=") {
-		t.Error("the wall clock's time has a monotonic reading")
+		t.Error("Wall returned a time with a monotonic reading")
 	}
 }
 
-// wallClockMethods are the methods by which a time loses its monotonic reading, or is read as the wall clock's.
+// wallClockMethods are the methods of time.Time that drop the monotonic reading or return the wall clock time.
 var wallClockMethods = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "Truncate"}
 
-// wallClockFiles may use them, for the reasons given.
+// wallClockFiles are the files that may use wallClockMethods, each with the reason.
 var wallClockFiles = map[string]string{
-	"internal/clock/clock.go":           "the one place that reads the wall clock",
-	"internal/net/dispatch/clock.go":    "start times on the list are Unix times",
-	"internal/net/ejection/registry.go": "ejections are kept beside start times on the list, as Unix times",
-	"internal/cluster/client.go":        "tells processes apart, by no order",
-	"internal/cluster/task_rollup.go":   "periods of the roll-up are the wall clock's",
+	"internal/clock/clock.go":           "the only place that reads the wall clock",
+	"internal/net/dispatch/clock.go":    "start times on the endpoint list are Unix times",
+	"internal/net/ejection/registry.go": "ejections are stored with start times of the endpoint list, as Unix times",
+	"internal/cluster/client.go":        "only distinguishes processes, doesn't order them",
+	"internal/cluster/task_rollup.go":   "roll-up periods are wall clock times",
 }
 
-// The wall clock may be stepped, so that no duration may be measured by it: only the files above may use its readings.
+// The wall clock may be stepped, so durations must not be measured with it. Only the files in wallClockFiles may use its readings.
 func TestWallClockMeasuresNoDuration(t *testing.T) {
 	const root = "../.."
 	for _, dir := range []string{"internal/net", "internal/cluster", "internal/clock", "internal/config", "routing", "lease", "budget", "changelog", "cmd"} {
@@ -64,7 +64,7 @@
 			}
 			ast.Inspect(file, func(n ast.Node) bool {
 				if selector, ok := n.(*ast.SelectorExpr); ok && slices.Contains(wallClockMethods, selector.Sel.Name) && !isPackageOS(selector) {
-					t.Errorf("%s: %s: a duration measured by the wall clock", fset.Position(selector.Pos()), selector.Sel.Name)
+					t.Errorf("%s: %s: wall clock reading outside of wallClockFiles", fset.Position(selector.Pos()), selector.Sel.Name)
 				}
 				return true
 			})
@@ -76,7 +76,7 @@
 	}
 }
 
-// isPackageOS reports whether a selector is of package os, which has a Truncate of its own.
+// isPackageOS reports whether selector is a function of package os, which has its own Truncate.
 func isPackageOS(selector *ast.SelectorExpr) bool {
 	pkg, ok := selector.X.(*ast.Ident)
 	return ok && pkg.Name == "os"
--- a/internal/kernel/faults_off.go
+++ b/internal/kernel/faults_off.go
@@ -4,8 +4,8 @@
 
 import "net"
 
-// injectedFailure returns the error to inject into a call. A release injects none.
+// injectedFailure returns nil: builds without the tag faults inject no errors.
 func injectedFailure(Call) error { return nil }
 
-// wrapConn returns the connection as it is.
+// wrapConn returns c unchanged.
 func wrapConn(c net.Conn) net.Conn { return c }
--- a/internal/kernel/faults_on.go
+++ b/internal/kernel/faults_on.go
@@ -11,8 +11,8 @@
 	"syscall"
 )
 
-// Documented has the errors that each call's manual page documents, but for those that a caller's mistake causes (EBADF, EFAULT, EINVAL,
-// ENOTSOCK).
+// Documented maps each call to the errors that its manual page documents, except those that a programming error causes (EBADF, EFAULT,
+// EINVAL, ENOTSOCK).
 var Documented = map[Call][]syscall.Errno{
 	Read:     {syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EIO},
 	Peek:     {syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EIO},
@@ -26,9 +26,10 @@
 	Accept: {syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM},
 }
 
+// injected returns the error to inject into a call; nil if injection is off.
 var injected atomic.Pointer[func(Call) error]
 
-// Fail injects the errors that f returns, nil for none, into all calls from now on. A nil f ends the injection.
+// Fail injects the errors that f returns into all following calls; a nil error lets the call run. A nil f ends the injection.
 func Fail(f func(Call) error) {
 	if f == nil {
 		injected.Store(nil)
@@ -37,7 +38,8 @@
 	injected.Store(&f)
 }
 
-// FailTimes injects an error into the next calls of one kind, a number of times, until the next call of Fail.
+// FailTimes injects err into the next calls of the target kind, as many as times says. It replaces any earlier injection, and the next call
+// of Fail or FailTimes ends it.
 func FailTimes(target Call, err error, times int64) {
 	var remaining atomic.Int64
 	remaining.Store(times)
@@ -49,6 +51,7 @@
 	})
 }
 
+// injectedFailure returns the error to inject into a call, or nil.
 func injectedFailure(call Call) error {
 	if f := injected.Load(); f != nil {
 		return (*f)(call)
@@ -56,6 +59,7 @@
 	return nil
 }
 
+// init turns on random failures if the environment variable RateVariable is a number above 0.
 func init() {
 	rate, err := strconv.ParseFloat(os.Getenv(RateVariable), 64)
 	if err != nil || rate <= 0 {
@@ -74,9 +78,10 @@
 	})
 }
 
-// failingConn injects errors into reads and writes.
+// failingConn injects errors into the reads and writes of a connection.
 type failingConn struct{ net.Conn }
 
+// wrapConn returns c with errors injected into its reads and writes.
 func wrapConn(c net.Conn) net.Conn { return failingConn{c} }
 
 func (c failingConn) Read(b []byte) (int, error) {
--- a/internal/kernel/faults_test.go
+++ b/internal/kernel/faults_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// An interrupted call is retried without limit, one that lacked memory a few times; any other error is returned at once.
+// EINTR is retried without limit, a lack of kernel memory at most maxTransientRetries times. Any other error is returned at once.
 func TestTransientErrorsAreRetried(t *testing.T) {
 	t.Cleanup(func() { Fail(nil) })
 	conn, peer, raw := connPair(t)
@@ -36,12 +36,12 @@
 	for call, do := range calls {
 		FailTimes(call, syscall.EINTR, 20)
 		if err := do(); err != nil {
-			t.Errorf("%s: %v after an interruption", call, err)
+			t.Errorf("%s: %v after EINTR", call, err)
 		}
 		for _, transient := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
 			FailTimes(call, transient, maxTransientRetries)
 			if err := do(); err != nil {
-				t.Errorf("%s: %v after a transient lack", call, err)
+				t.Errorf("%s: %v after a transient error", call, err)
 			}
 			FailTimes(call, transient, maxTransientRetries+1)
 			if err := do(); !errors.Is(err, transient) {
@@ -56,7 +56,7 @@
 		}
 		FailTimes(call, syscall.EIO, 1)
 		if err := do(); !errors.Is(err, syscall.EIO) {
-			t.Errorf("%s: %v, want the input/output error", call, err)
+			t.Errorf("%s: %v, want EIO", call, err)
 		}
 	}
 }
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,6 +1,6 @@
-// Package kernel makes the system calls that the node doesn't leave to the standard library. It retries a call that a signal
-// interrupted, and a few times one for which the machine lacked memory. Builds with the tag faults can inject errors into these calls,
-// and into connect, read and write of the standard library's connections.
+// Package kernel makes the system calls that the node doesn't leave to the standard library. It retries calls that a signal
+// interrupted without limit, and calls that failed for lack of kernel memory at most maxTransientRetries times. Builds with the tag faults
+// can inject errors into these calls, and into connect, read and write of the standard library's connections.
 package kernel
 
 import (
@@ -19,19 +19,20 @@
 
 // The kinds of system call.
 const (
-	Read     Call = "read"  // of a socket, without waiting
-	Peek     Call = "peek"  // recv with MSG_PEEK, without waiting
+	Read     Call = "read"  // of a socket, non-blocking
+	Peek     Call = "peek"  // recv with MSG_PEEK, non-blocking
 	Write    Call = "write" // of a socket
 	Poll     Call = "poll"
-	Lock     Call = "lock"      // fcntl, on an open file description
-	ReadFile Call = "read file" // open, read and close
-	Put      Call = "put file"  // write a new file, and rename it
+	Lock     Call = "lock"      // fcntl lock commands on an open file description
+	ReadFile Call = "read file" // open, read and close a file
+	Put      Call = "put file"  // write a temporary file and rename it
 	Connect  Call = "connect"   // socket and connect
 	Accept   Call = "accept"
 )
 
-// RateVariable is the environment variable with the fraction of calls that fail in a build with the tag faults. They fail with their
-// documented errors, but for those that end a connection, after which no client could be answered.
+// RateVariable is the name of the environment variable that sets the fraction of calls that fail in a build with the tag faults. Each
+// failure is one of the call's documented errors. Errors that end a connection are left out, since the client couldn't get a response
+// after them.
 const RateVariable = "THISTLERUDDER_KERNEL_FAILURES"
 
 const (
@@ -39,14 +40,15 @@
 	transientRetryDelay = 500 * time.Microsecond
 )
 
-// isTransient reports whether a call failed for lack of memory in the kernel, so that a retry may succeed. poll(2) may return EAGAIN
-// for that.
+// isTransient reports whether a call failed because the kernel lacked memory, so that a retry may succeed. poll(2) may return EAGAIN in
+// that case.
 func isTransient(call Call, err error) bool {
 	return errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ENOBUFS) || call == Poll && errors.Is(err, syscall.EAGAIN)
 }
 
-// retry makes a call until it succeeds or fails with an error that isn't transient. It blocks for at most maxTransientRetries times
-// transientRetryDelay beside the calls themselves.
+// retry repeats a call after EINTR, without limit, and after transient errors, at most maxTransientRetries times with
+// transientRetryDelay before each retry, so it blocks for at most their product in addition to the calls themselves. It returns the result
+// of the last call.
 func retry[T any](call Call, do func() (T, error)) (result T, err error) {
 	for retries := 0; ; {
 		if err = injectedFailure(call); err == nil {
@@ -63,17 +65,18 @@
 	}
 }
 
-// Failure returns the error to inject into a call that the standard library makes, nil for none. A release injects none.
+// Failure returns the error to inject into a call that the standard library makes, or nil. It is always nil in builds without the tag
+// faults.
 func Failure(call Call) error { return injectedFailure(call) }
 
-// ReadSocket reads the bytes available from a socket, without waiting. It returns 0 and no error at the end of the stream, and EAGAIN
+// ReadSocket reads the bytes available from a socket, without blocking. It returns 0 and no error at the end of the stream, and EAGAIN
 // if no bytes are available.
 func ReadSocket(fd uintptr, b []byte) (n int, err error) {
 	n, err = retry(Read, func() (int, error) { return syscall.Read(int(fd), b) })
 	return max(n, 0), err
 }
 
-// PeekSocket is like ReadSocket but leaves the bytes in the socket.
+// PeekSocket is like ReadSocket but leaves the bytes in the socket's receive buffer.
 func PeekSocket(fd uintptr, b []byte) (n int, err error) {
 	n, err = retry(Peek, func() (int, error) {
 		n, _, err := syscall.Recvfrom(int(fd), b, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -82,7 +85,7 @@
 	return max(n, 0), err
 }
 
-// PollNow returns which of the events a descriptor has, without waiting.
+// PollNow returns the subset of events that are ready on a descriptor, without blocking.
 func PollNow(fd uintptr, events int16) (ready int16, err error) {
 	descriptors := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	if _, err := retry(Poll, func() (int, error) { return unix.Poll(descriptors, 0) }); err != nil {
@@ -91,7 +94,7 @@
 	return descriptors[0].Revents & events, nil
 }
 
-// FileLock runs an fcntl lock command on an open file.
+// FileLock runs an fcntl lock command on an open file description.
 func FileLock(fd uintptr, command int, lock *unix.Flock_t) error {
 	_, err := retry(Lock, func() (struct{}, error) { return struct{}{}, unix.FcntlFlock(fd, command, lock) })
 	return err
@@ -102,8 +105,8 @@
 	return retry(ReadFile, func() ([]byte, error) { return os.ReadFile(path) })
 }
 
-// PutFile replaces the file at path atomically with respect to a kill of the process, not to a loss of power: there is no fsync. It
-// writes path + ".new" first, so callers must not run it concurrently for one path.
+// PutFile replaces the file at path. The replacement is atomic if the process is killed, but not if the machine loses power, as there is
+// no fsync. PutFile first writes path + ".new", so it must not run concurrently for the same path.
 func PutFile(path string, text []byte) error {
 	_, err := retry(Put, func() (struct{}, error) {
 		temporary := path + ".new"
@@ -115,7 +118,7 @@
 	return err
 }
 
-// WriteAll writes all of b to a connection, and returns how many bytes it has written.
+// WriteAll writes all of b to a connection and returns the number of bytes written. A retry continues after the bytes already written.
 func WriteAll(write func([]byte) (int, error), b []byte) (n int, err error) {
 	_, err = retry(Write, func() (int, error) {
 		written, err := write(b[n:])
@@ -125,10 +128,10 @@
 	return n, err
 }
 
-// Dialer connects as net.Dialer.DialContext does.
+// Dialer has the signature of net.Dialer.DialContext.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialing returns a dialer into which errors of connect(2) and socket(2) can be injected.
+// Dialing returns a dialer that calls dial, and into which errors of connect(2) and socket(2) can be injected.
 func Dialing(dial Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if err := injectedFailure(Connect); err != nil {
@@ -138,7 +141,8 @@
 	}
 }
 
-// DialingWhole is like Dialing, for connections that only the standard library reads and writes: errors can be injected there too.
+// DialingWhole is like Dialing, but errors can also be injected into reads and writes of the connection. It is for connections that only
+// the standard library reads and writes; the calls of this package inject errors themselves.
 func DialingWhole(dial Dialer) Dialer {
 	connect := Dialing(dial)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// connPair returns both ends of a connection on loopback, and the first one's descriptor.
+// connPair returns both ends of a loopback connection, and the raw connection of conn.
 func connPair(t *testing.T) (conn *net.TCPConn, peer net.Conn, raw syscall.RawConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,8 @@
 	return conn, peer, raw
 }
 
-// Bytes can be peeked at and then read; without any both return EAGAIN, and 0 bytes at the end of the stream.
+// PeekSocket leaves the bytes for ReadSocket. Without available bytes both return EAGAIN; at the end of the stream ReadSocket returns 0 bytes
+// and no error.
 func TestSocketReadsDoNotBlock(t *testing.T) {
 	_, peer, raw := connPair(t)
 	buffer := make([]byte, 8)
@@ -50,7 +51,7 @@
 	}
 	for _, f := range []func(uintptr, []byte) (int, error){PeekSocket, ReadSocket} {
 		if callOnSocket(f); n != 0 || !errors.Is(err, syscall.EAGAIN) {
-			t.Errorf("%d bytes, %v, want none and EAGAIN", n, err)
+			t.Errorf("%d bytes, %v, want 0 and EAGAIN", n, err)
 		}
 	}
 	if _, err := peer.Write([]byte("ab")); err != nil {
@@ -59,21 +60,23 @@
 	waitFor(t, func() bool { ready, _ := poll(raw, unix.POLLIN); return ready != 0 })
 	for _, f := range []func(uintptr, []byte) (int, error){PeekSocket, ReadSocket} {
 		if callOnSocket(f); n != 2 || err != nil {
-			t.Errorf("%d bytes, %v, want two", n, err)
+			t.Errorf("%d bytes, %v, want 2", n, err)
 		}
 	}
 	peer.Close()
 	waitFor(t, func() bool { ready, _ := poll(raw, unix.POLLRDHUP); return ready != 0 })
 	if callOnSocket(ReadSocket); n != 0 || err != nil {
-		t.Errorf("%d bytes, %v, want the end", n, err)
+		t.Errorf("%d bytes, %v, want 0 and no error at the end of the stream", n, err)
 	}
 }
 
+// poll runs PollNow on the descriptor of raw.
 func poll(raw syscall.RawConn, events int16) (ready int16, err error) {
 	_ = raw.Control(func(fd uintptr) { ready, err = PollNow(fd, events) })
 	return ready, err
 }
 
+// waitFor waits until condition returns true, for at most a second.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -83,7 +86,7 @@
 	}
 }
 
-// PutFile replaces a file and leaves no temporary one; a path that can't be written is an error.
+// PutFile replaces a file and leaves no temporary file behind. It returns an error for a path that can't be written.
 func TestPutFileReplacesAtomically(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	for _, text := range []string{"one", "two"} {
