--- a/internal/net/acceptor/acceptor.go
+++ b/internal/net/acceptor/acceptor.go
@@ -1,5 +1,5 @@
 // Package acceptor wraps a listener so that its Accept is retried after errors that concern a single connection or a transient state
-// of the machine. Serve of net/http returns on most errors of Accept.
+// of the machine. Without it, Serve of net/http would return on most errors of Accept.
 package acceptor
 
 import (
--- a/internal/net/admin/conns.go
+++ b/internal/net/admin/conns.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// requestTimeout is the time within which a connection isn't closed for a new one, although its request isn't read yet. A caller sends
+	// requestTimeout is the minimum time that a connection has for its request before it may be closed for a new connection. A caller sends
 	// the request at once, but a busy node may take a while to read it.
 	requestTimeout = 50 * time.Millisecond
 
@@ -60,8 +60,8 @@
 	}
 }
 
-// add registers a connection and returns 0. At the limit it first closes the connection that has waited longest for its request; if that has
-// waited less than requestTimeout, add registers nothing and returns the time to wait before the next try.
+// add registers a connection and returns 0. At the limit it first closes the connection that has waited longest for its request. If there is
+// none, or it has waited less than requestTimeout, add registers nothing and returns the time to wait before the next try.
 func (l *connLimiter) add(conn net.Conn) (wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
