--- a/internal/net/handover/faults_test.go
+++ b/internal/net/handover/faults_test.go
@@ -9,41 +9,41 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// A count of the members that fails changes nothing: taken for none, it would give this process the share of the limits that
-// another one uses.
-func TestALookThatFailsTellsNothing(t *testing.T) {
+// If the locks can't be queried, Others returns the last count. If it returned 0, this process would also use the share of the node's
+// limits that another process uses.
+func TestOthersKeepsLastCountAfterLockError(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	folder := t.TempDir()
-	one, err := Join(folder, "n")
+	first, err := Join(folder, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := Join(folder, "n")
+	second, err := Join(folder, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := one.Others(); n != 1 {
-		t.Fatalf("%d others, want one", n)
+	if n := first.Others(); n != 1 {
+		t.Fatalf("%d others, want 1", n)
 	}
 	for _, err := range []error{syscall.EINTR, syscall.EAGAIN, syscall.ENOLCK, syscall.EIO} {
 		kernel.FailTimes(kernel.Lock, err, 20)
-		if n := one.Others(); n != 1 {
-			t.Errorf("%v: %d others, want one as before", err, n)
+		if n := first.Others(); n != 1 {
+			t.Errorf("%v: %d others, want 1, the last count", err, n)
 		}
 	}
 	kernel.Fail(nil)
-	other.Leave()
-	if n := one.Others(); n != 0 {
-		t.Errorf("%d others once the other has left", n)
+	second.Leave()
+	if n := first.Others(); n != 0 {
+		t.Errorf("%d others after the other process left, want 0", n)
 	}
 }
 
-// A slot is found where a lock was interrupted.
-func TestASlotIsFoundThoughALockWasInterrupted(t *testing.T) {
+// A lock call that a signal interrupts (EINTR) is retried; Join must not take the slot for locked by another process.
+func TestJoinRetriesInterruptedLock(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	kernel.FailTimes(kernel.Lock, syscall.EINTR, 3)
-	s, err := Join(t.TempDir(), "n")
-	if err != nil || s.slot != 0 {
-		t.Errorf("slot %d, %v", s.slot, err)
+	m, err := Join(t.TempDir(), "n")
+	if err != nil || m.slot != 0 {
+		t.Errorf("slot %d, %v", m.slot, err)
 	}
 }
