--- a/internal/net/frontend/body.go
+++ b/internal/net/frontend/body.go
@@ -108,7 +108,7 @@
 
 func (b *pacedBody) firstDeadline() time.Time {
 	deadline := time.Now().Add(bodyTimeout)
-	if fromAccept := b.conn.accepted.Add(bodyTimeoutFromAccept); fromAccept.After(deadline) {
+	if fromAccept := b.conn.acceptedAt.Add(bodyTimeoutFromAccept); fromAccept.After(deadline) {
 		return fromAccept
 	}
 	return deadline
--- a/internal/net/frontend/client_conn.go
+++ b/internal/net/frontend/client_conn.go
@@ -36,25 +36,25 @@
 // clientConn is a connection that counts towards its listener's limit until it is closed. It follows the framing of the requests.
 type clientConn struct {
 	*net.TCPConn
-	raw      syscall.RawConn
-	listener *limitedListener
-	release  func() // counts the connection out of the limit, once
-	accepted time.Time
+	raw        syscall.RawConn
+	listener   *limitedListener
+	release    func() // counts the connection out of the limit, once
+	acceptedAt time.Time
 
 	// Each a clock.Moment: of the latest read that brought bytes, of the first such since the HTTP server's last change of the connection's
 	// state, and of that change.
 	lastRead, firstRead, stateChanged atomic.Int64
 
-	closeRequested atomic.Bool // the connection was woken to close; bytes that cross this keep it
-	responseBegun  atomic.Bool
-	sendClosed     atomic.Bool
-	closeOnce      sync.Once
-	lingeringSince time.Time
-	discarded      int // bytes, while lingering
+	closeRequested  atomic.Bool // the connection was woken to close; bytes that cross this keep it
+	responseStarted atomic.Bool
+	sendClosed      atomic.Bool
+	closeOnce       sync.Once
+	lingeringSince  time.Time
+	discarded       int // bytes, while lingering
 
 	// Used by whoever reads the connection.
 	framing   framing
-	headBegan time.Time // the first byte of the latest head
+	headStart time.Time // the first byte of the latest head
 
 	readAhead readAhead
 }
@@ -85,7 +85,7 @@
 		return 0, c.rejectHeader()
 	}
 	if !wasMidHead && n > 0 {
-		c.headBegan = time.Now()
+		c.headStart = time.Now()
 	}
 	if n > 0 {
 		c.recordRead()
@@ -103,7 +103,7 @@
 // extendHeaderDeadline gives a head that has begun headerTimeout from its first byte, if a deadline of its connection has passed meanwhile: the first
 // deadline counts from the accept, and the client may have been idle since. A connection that was asked to close gets no more.
 func (c *clientConn) extendHeaderDeadline() bool {
-	deadline := c.headBegan.Add(headerTimeout)
+	deadline := c.headStart.Add(headerTimeout)
 	if c.closeRequested.Load() || !c.framing.midHead() || !time.Now().Before(deadline) {
 		return false
 	}
@@ -124,7 +124,7 @@
 }
 
 func (c *clientConn) Write(b []byte) (int, error) {
-	c.responseBegun.Store(true)
+	c.responseStarted.Store(true)
 	return kernel.WriteAll(c.TCPConn.Write, b)
 }
 
@@ -157,7 +157,7 @@
 
 // closeWithoutLinger shuts the sending side, and reports whether nothing is to be waited for.
 func (c *clientConn) closeWithoutLinger() bool {
-	if c.CloseWrite() != nil || !c.responseBegun.Load() {
+	if c.CloseWrite() != nil || !c.responseStarted.Load() {
 		return true
 	}
 	ended := false
--- a/internal/net/frontend/closing_test.go
+++ b/internal/net/frontend/closing_test.go
@@ -223,7 +223,7 @@
 					near = time.Duration(i%10) * 20 * time.Microsecond
 					c.conns.mu.Lock()
 					for _, e := range c.conns.idleByConn {
-						e.Value.(*idleConn).since = time.Now().Add(-time.Hour)
+						e.Value.(*idleConn).idleSince = time.Now().Add(-time.Hour)
 					}
 					c.conns.mu.Unlock()
 					go c.conns.closeIdle(1, 0)
--- a/internal/net/frontend/conn_tracker.go
+++ b/internal/net/frontend/conn_tracker.go
@@ -44,10 +44,10 @@
 
 // idleConn is a connection that carries no request, as far as net/http knows.
 type idleConn struct {
-	conn         net.Conn
-	unused       bool // it never had a request
-	requestBegun bool // the beginning of the next request came with the last one
-	since        time.Time
+	conn           net.Conn
+	unused         bool // it never had a request
+	requestStarted bool // the beginning of the next request came with the last one
+	idleSince      time.Time
 }
 
 func newConnTracker(maxOpen int) *connTracker {
@@ -69,10 +69,10 @@
 		if t.open > t.maxOpen {
 			t.closeIdleLocked(1, 0)
 		}
-		t.addIdle(&idleConn{conn: conn, unused: true, since: time.Now()})
+		t.addIdle(&idleConn{conn: conn, unused: true, idleSince: time.Now()})
 	case http.StateIdle:
-		requestBegun := isClient && client.framing.midRequest()
-		t.addIdle(&idleConn{conn: conn, requestBegun: requestBegun, since: time.Now()})
+		requestStarted := isClient && client.framing.midRequest()
+		t.addIdle(&idleConn{conn: conn, requestStarted: requestStarted, idleSince: time.Now()})
 	case http.StateClosed, http.StateHijacked:
 		t.open--
 	}
@@ -89,18 +89,18 @@
 	}
 }
 
-// closeIdle closes up to n idle connections, as far as they may be closed. waited is how long a new connection has waited.
-func (t *connTracker) closeIdle(n int, waited time.Duration) {
+// closeIdle closes up to n idle connections, as far as they may be closed. acceptWait is how long a new connection has waited.
+func (t *connTracker) closeIdle(n int, acceptWait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.closeIdleLocked(n, waited)
+	t.closeIdleLocked(n, acceptWait)
 }
 
 // closeIdleLocked does not close a connection itself: to net/http it is idle until the head of the next request is read, and a request that was read
 // must be answered. It wakes the server's read, which closes the connection if nothing has come and serves it if something has.
-func (t *connTracker) closeIdleLocked(n int, waited time.Duration) {
+func (t *connTracker) closeIdleLocked(n int, acceptWait time.Duration) {
 	for ; n > 0; n-- {
-		element := t.nextToClose(time.Now(), waited)
+		element := t.nextToClose(time.Now(), acceptWait)
 		if element == nil {
 			return
 		}
@@ -114,12 +114,12 @@
 }
 
 // nextToClose returns the connection to close first; nil if none may be closed.
-func (t *connTracker) nextToClose(now time.Time, waited time.Duration) *list.Element {
+func (t *connTracker) nextToClose(now time.Time, acceptWait time.Duration) *list.Element {
 	var best *list.Element
 	bestRank := notClosable
 	longest := time.Duration(0)
 	for element := t.idle.Front(); element != nil; element = element.Next() {
-		rank, quiet := element.Value.(*idleConn).closeRank(now, waited)
+		rank, quiet := element.Value.(*idleConn).closeRank(now, acceptWait)
 		if rank > bestRank || rank == bestRank && rank != notClosable && quiet > longest {
 			best = element
 			bestRank = rank
@@ -140,14 +140,14 @@
 )
 
 // closeRank returns a connection's rank, and how long it has been quiet.
-func (c *idleConn) closeRank(now time.Time, waited time.Duration) (rank closeRank, quiet time.Duration) {
-	quiet = now.Sub(c.since)
-	requestBegun := c.requestBegun
-	stallTimeout := max(minQuietTime, stalledRequestTimeout-waitFactor*waited)
+func (c *idleConn) closeRank(now time.Time, acceptWait time.Duration) (rank closeRank, quiet time.Duration) {
+	quiet = now.Sub(c.idleSince)
+	requestStarted := c.requestStarted
+	stallTimeout := max(minQuietTime, stalledRequestTimeout-waitFactor*acceptWait)
 	if client, isClient := c.conn.(*clientConn); isClient {
 		// net/http does not tell of a request before its head is read.
-		if lastRead := clock.Moment(client.lastRead.Load()).Time(); lastRead.After(c.since) {
-			requestBegun = true
+		if lastRead := clock.Moment(client.lastRead.Load()).Time(); lastRead.After(c.idleSince) {
+			requestStarted = true
 			quiet = now.Sub(lastRead)
 			if lastRead.Sub(clock.Moment(client.firstRead.Load()).Time()) >= progressTime {
 				stallTimeout = stalledRequestTimeout
@@ -155,11 +155,11 @@
 		}
 	}
 	switch {
-	case requestBegun && quiet >= stallTimeout:
+	case requestStarted && quiet >= stallTimeout:
 		return stalledRequest, quiet
-	case !requestBegun && c.unused && quiet >= max(minQuietTime, newConnTimeout-waitFactor*waited):
+	case !requestStarted && c.unused && quiet >= max(minQuietTime, newConnTimeout-waitFactor*acceptWait):
 		return neverUsed, quiet
-	case !requestBegun && !c.unused && quiet >= usedConnTimeout:
+	case !requestStarted && !c.unused && quiet >= usedConnTimeout:
 		return betweenRequests, quiet
 	}
 	return notClosable, quiet
--- a/internal/net/frontend/conn_tracker_test.go
+++ b/internal/net/frontend/conn_tracker_test.go
@@ -154,7 +154,7 @@
 				c.conns.mu.Lock()
 				for _, e := range c.conns.idleByConn {
 					p := e.Value.(*idleConn)
-					p.since = time.Now().Add(-time.Hour) // idle for long, and nothing heard since
+					p.idleSince = time.Now().Add(-time.Hour) // idle for long, and nothing heard since
 					p.conn.(*clientConn).lastRead.Store(0)
 				}
 				c.conns.mu.Unlock()
--- a/internal/net/frontend/framing.go
+++ b/internal/net/frontend/framing.go
@@ -12,8 +12,8 @@
 type framing struct {
 	state     framingState
 	line      []byte // the beginning of the present line
-	lines     int    // of the present head
-	size      int    // of the present head, in bytes
+	headLines int    // of the present head
+	headBytes int    // of the present head
 	length    int64  // from the head, then what is left of a body or a chunk
 	hasLength bool
 	chunked   bool
@@ -73,12 +73,12 @@
 func (f *framing) readLine(b []byte) []byte {
 	n := bytes.IndexByte(b, '\n')
 	if n < 0 {
-		f.size += len(b)
+		f.headBytes += len(b)
 		f.appendLine(b)
 		return nil
 	}
 	f.appendLine(b[:n])
-	f.size += n + 1
+	f.headBytes += n + 1
 	f.endLine(bytes.TrimSuffix(f.line, []byte("\r")))
 	f.line = f.line[:0]
 	return b[n+1:]
@@ -90,8 +90,8 @@
 
 func (f *framing) startHead() {
 	f.state = inHead
-	f.lines = 0
-	f.size = 0
+	f.headLines = 0
+	f.headBytes = 0
 	f.length = 0
 	f.hasLength = false
 	f.chunked = false
@@ -99,10 +99,10 @@
 }
 
 // headTooLong reports whether the present head is longer than maxHeaderBytes.
-func (f *framing) headTooLong() bool { return f.state == inHead && f.size > maxHeaderBytes }
+func (f *framing) headTooLong() bool { return f.state == inHead && f.headBytes > maxHeaderBytes }
 
 // midRequest reports whether a request has begun and has not come to its end.
-func (f *framing) midRequest() bool { return f.state != inHead || f.lines > 0 || len(f.line) > 0 }
+func (f *framing) midRequest() bool { return f.state != inHead || f.headLines > 0 || len(f.line) > 0 }
 
 // midHead reports whether a head has begun and has not come to its end.
 func (f *framing) midHead() bool { return f.state == inHead && f.midRequest() }
@@ -113,7 +113,7 @@
 	case inHead:
 		if len(line) > 0 {
 			f.parseField(line)
-		} else if f.lines > 0 {
+		} else if f.headLines > 0 {
 			f.endHead()
 		}
 	case inChunkLine:
@@ -146,7 +146,7 @@
 
 // parseField follows a line of a head.
 func (f *framing) parseField(line []byte) {
-	f.lines++
+	f.headLines++
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	switch string(bytes.ToLower(bytes.TrimSpace(name))) {
 	case "content-length":
--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -90,7 +90,7 @@
 	overLimit := h.inFlight.Add(1) > h.maxInFlight.Load()
 	defer h.inFlight.Add(-1)
 	request, status, err := h.readBody()
-	bodyRead := time.Now()
+	bodyReadAt := time.Now()
 	if err != nil {
 		h.refuseBody(status, err)
 		return
@@ -109,12 +109,12 @@
 		return
 	}
 	request.ClientGone = h.conn.clientGone
-	ticket, err := h.dispatcher.Submit(request, bodyRead, timeout)
+	pending, err := h.dispatcher.Submit(request, bodyReadAt, timeout)
 	if err != nil {
 		h.refuseInvalid(submitStatus(err), err)
 		return
 	}
-	h.await(ticket)
+	h.await(pending)
 }
 
 func submitStatus(err error) int {
@@ -125,25 +125,25 @@
 }
 
 // await writes the dispatcher's answer, or abandons the request once its client has gone.
-func (h *handler) await(ticket *dispatch.PendingRequest) {
+func (h *handler) await(pending *dispatch.PendingRequest) {
 	clientGone := h.r.Context().Done()
 	if faults.Without(faults.ClientLook) {
 		clientGone = nil
 	}
 	select {
-	case answer := <-ticket.Answers():
+	case answer := <-pending.Answers():
 		h.writeAnswer(answer)
 	case <-clientGone:
-		h.abandon(ticket)
+		h.abandon(pending)
 	}
 }
 
 // abandon gives up a request whose client has gone.
-func (h *handler) abandon(ticket *dispatch.PendingRequest) {
+func (h *handler) abandon(pending *dispatch.PendingRequest) {
 	h.log.Debug("client closed its connection", zap.String("trace", h.traceID()))
-	ticket.Cancel()
+	pending.Cancel()
 	select {
-	case answer := <-ticket.Answers(): // came at the same moment
+	case answer := <-pending.Answers(): // came at the same moment
 		if answer.Rest != nil {
 			_ = answer.Rest.Close()
 		}
@@ -214,18 +214,18 @@
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
 	next := answer.Body
-	sent := int64(0)
+	sentBytes := int64(0)
 	var readErr error // of the read that brought next; io.EOF at the end
 	for {
-		sent += int64(len(next))
-		if answer.Length >= 0 && sent > answer.Length {
+		sentBytes += int64(len(next))
+		if answer.Length >= 0 && sentBytes > answer.Length {
 			return errAnswerLength
 		}
 		if err := h.writeFlushed(next); err != nil {
 			return err
 		}
 		switch {
-		case readErr != nil && answer.Length >= 0 && sent < answer.Length:
+		case readErr != nil && answer.Length >= 0 && sentBytes < answer.Length:
 			return errAnswerLength
 		case readErr != nil:
 			return nil
--- a/internal/net/frontend/listener.go
+++ b/internal/net/frontend/listener.go
@@ -38,13 +38,13 @@
 	lastFull   atomic.Int64 // clock.Moment at which Accept last waited for the limit
 	closed     chan struct{}
 	close      func() error
-	onFull     func(waited time.Duration) // called at intervals while Accept waits for the limit
+	onFull     func(acceptWait time.Duration) // called at intervals while Accept waits for the limit
 
 	mu        sync.Mutex
 	lingering *list.List // of *clientConn, longest first
 }
 
-func newLimitedListener(l net.Listener, maxConns int, onFull func(waited time.Duration), log *zap.Logger) *limitedListener {
+func newLimitedListener(l net.Listener, maxConns int, onFull func(acceptWait time.Duration), log *zap.Logger) *limitedListener {
 	l = acceptor.New(l, log)
 	limited := &limitedListener{Listener: l, onFull: onFull, closed: make(chan struct{}), lingering: list.New()}
 	limited.maxConns.Store(int64(maxConns))
@@ -75,25 +75,25 @@
 	}
 	raw, _ := tcp.SyscallConn() // fails for a nil connection only
 	return &clientConn{
-		TCPConn:   tcp,
-		raw:       raw,
-		listener:  l,
-		release:   release,
-		accepted:  time.Now(),
-		readAhead: readAhead{total: &l.readAhead},
+		TCPConn:    tcp,
+		raw:        raw,
+		listener:   l,
+		release:    release,
+		acceptedAt: time.Now(),
+		readAhead:  readAhead{total: &l.readAhead},
 	}, nil
 }
 
 // waitForLimit waits until there are fewer connections than the limit, or returns net.ErrClosed.
 func (l *limitedListener) waitForLimit() error {
-	began := time.Now()
+	start := time.Now()
 	var lastCall time.Time
 	for l.conns.Load() >= l.maxConns.Load() {
 		l.lastFull.Store(int64(clock.Now()))
 		if time.Since(lastCall) >= fullInterval {
 			lastCall = time.Now()
 			l.endLingering(lastCall)
-			l.onFull(lastCall.Sub(began))
+			l.onFull(lastCall.Sub(start))
 		}
 		select {
 		case <-l.closed:
@@ -123,14 +123,14 @@
 }
 
 // pollNow reports whether one of the events is pending at a descriptor, and whether poll succeeded. A closed descriptor has none.
-func pollNow(raw syscall.RawConn, events int16) (pending, known bool) {
-	known = true
+func pollNow(raw syscall.RawConn, events int16) (pending, ok bool) {
+	ok = true
 	_ = raw.Control(func(fd uintptr) {
-		found, err := kernel.PollNow(fd, events)
-		pending = found != 0
-		known = err == nil
+		revents, err := kernel.PollNow(fd, events)
+		pending = revents != 0
+		ok = err == nil
 	})
-	return pending, known
+	return pending, ok
 }
 
 // recentlyFull reports whether the limit was reached lately: several connections may be closed before the next is accepted.
--- a/internal/net/frontend/read_ahead.go
+++ b/internal/net/frontend/read_ahead.go
@@ -71,7 +71,7 @@
 
 // readAheadForEnd reads ahead if much lies behind a request: the client's end comes only once the bytes before it have been read. It reports whether it
 // did.
-func (c *clientConn) readAheadForEnd() (did bool) {
+func (c *clientConn) readAheadForEnd() (started bool) {
 	if c.readAhead.total == nil {
 		return false
 	}
@@ -83,11 +83,11 @@
 		_ = c.raw.Control(func(fd uintptr) {
 			c.readAhead.mu.Lock()
 			defer c.readAhead.mu.Unlock()
-			if !did {
+			if !started {
 				n, err := kernel.PeekSocket(fd, (*buffer)[:readAheadThreshold])
-				did = err == nil && n == readAheadThreshold
+				started = err == nil && n == readAheadThreshold
 			}
-			if did {
+			if started {
 				more = c.readAhead.fill(fd, *buffer)
 			}
 		})
@@ -95,12 +95,12 @@
 		if more {
 			quietPauses = 0
 		}
-		if !did || quietPauses == maxQuietPauses {
+		if !started || quietPauses == maxQuietPauses {
 			break
 		}
 		time.Sleep(readAheadPause)
 	}
-	return did
+	return started
 }
 
 // fill reads what the kernel has, up to the bounds, and reports whether that was anything. It is called with mu locked.
--- a/internal/net/frontend/server.go
+++ b/internal/net/frontend/server.go
@@ -81,7 +81,7 @@
 
 // Serve serves clients until Shutdown has ended, or the listener fails.
 func (s *Server) Serve(l net.Listener) error {
-	onFull := func(waited time.Duration) { s.conns.closeIdle(1, waited) }
+	onFull := func(acceptWait time.Duration) { s.conns.closeIdle(1, acceptWait) }
 	limited := newLimitedListener(l, s.limits.Descriptors+s.limits.OverflowConns, onFull, s.log)
 	s.listener.Store(limited)
 	err := s.httpServer.Serve(limited)
@@ -108,12 +108,12 @@
 // It does not use Shutdown or SetKeepAlivesEnabled of http.Server, which close idle connections even while a request on them is being read.
 func (s *Server) Shutdown(hasSuccessor bool) error {
 	s.draining.Store(true)
-	began := time.Now()
+	start := time.Now()
 	lastOpen := time.Duration(0) // when a connection was last open
 	end := s.maxDrainTime()
 	for ; ; time.Sleep(drainPollInterval) {
 		listener := s.listener.Load() // nil until Serve begins
-		elapsed := time.Since(began)
+		elapsed := time.Since(start)
 		if listener != nil && (hasSuccessor || s.queueDrained(listener, elapsed)) {
 			_ = listener.Close()
 		}
