--- a/internal/net/frontend/body.go
+++ b/internal/net/frontend/body.go
@@ -10,15 +10,15 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Time for a body. An answer is due 3 s after the connection came.
+// Time limits for reading a body. Clients expect an answer within 3 s of connecting.
 const (
-	bodyTimeout           = 2 * time.Second         // from the first read,
-	bodyTimeoutFromAccept = 2600 * time.Millisecond // or this from the accept, if that is later,
-	minBodyBytesPerSecond = 48 << 10                // and a second more for so many bytes: clients send 64 KB in one
-	maxBodyPause          = 2 * time.Second         // to the next bytes
+	bodyTimeout           = 2 * time.Second         // counted from the first read of the body
+	bodyTimeoutFromAccept = 2600 * time.Millisecond // counted from the accept; the later of the two deadlines applies
+	minBodyBytesPerSecond = 48 << 10                // each such amount received extends the deadline by 1 s; clients send 64 KB in 1 s
+	maxBodyPause          = 2 * time.Second         // maximum wait for the next bytes
 )
 
-// Clients receive these texts as bodies.
+// Clients receive these texts as response bodies.
 var (
 	errVersion         = errors.New("expected HTTP/1.1")
 	errAmbiguousLength = errors.New("both Content-Length and Transfer-Encoding: expected one")
@@ -27,8 +27,9 @@
 	errBodyTooSlow     = errors.New("the body has not come in time")
 )
 
-// readBody reads a request's body, or the beginning of a long one, or returns the status of its rejection. A body whose length is given in two
-// ways, or in one that HTTP/1.0 did not know, may hide another request.
+// readBody reads a request's body, or the beginning of a body longer than MaxBuffered. If the request must be rejected, it returns the status and the
+// reason. It rejects a body whose length is given in two ways, or in a way that HTTP/1.0 does not define: such a body may hide another request
+// (request smuggling).
 func (h *handler) readBody() (request dispatch.Request, status int, err error) {
 	r := h.r
 	switch {
@@ -60,13 +61,13 @@
 	return request, 0, nil
 }
 
-// streamBody leaves the rest of a body to be forwarded as it comes.
+// streamBody makes request forward the rest of the body while it is received.
 func (h *handler) streamBody(request *dispatch.Request, body *pacedBody) {
-	_ = h.control.EnableFullDuplex() // the answer may come before the end of the body
+	_ = h.control.EnableFullDuplex() // the answer may be written before the end of the body is read
 	request.Rest = dispatch.NewBodyStream(body)
 }
 
-// bodyError returns the status and the error that the client gets for a failed read.
+// bodyError maps an error of reading the body to the status and the error text that the client receives.
 func bodyError(err error) (status int, reason error) {
 	var tooLong *http.MaxBytesError
 	switch {
@@ -78,11 +79,11 @@
 	return http.StatusBadRequest, errBody
 }
 
-// pacedBody reads a body that must come at minBodyBytesPerSecond at least: a slower client would use up connections.
+// pacedBody reads a body and requires at least minBodyBytesPerSecond, because slow clients would otherwise hold too many connections.
 type pacedBody struct {
 	*handler
 	reader   io.Reader
-	deadline time.Time // moves on with the bytes read; zero before the first read
+	deadline time.Time // extended with the bytes read; zero before the first read
 }
 
 func (h *handler) newPacedBody() *pacedBody {
@@ -90,14 +91,14 @@
 }
 
 func (b *pacedBody) Read(buffer []byte) (int, error) {
-	if b.deadline.IsZero() { // the wait of a long body before its first read is not the client's fault
+	if b.deadline.IsZero() { // the client is not charged for the time before the first read of a long body
 		b.deadline = b.firstDeadline()
 	}
 	deadline := b.deadline
 	if pause := time.Now().Add(maxBodyPause); pause.Before(deadline) {
 		deadline = pause
 	}
-	_ = b.control.SetReadDeadline(deadline) // cannot fail: each connection here has deadlines
+	_ = b.control.SetReadDeadline(deadline) // cannot fail: all connections here support deadlines
 	n, err := b.reader.Read(buffer)
 	b.deadline = b.deadline.Add(time.Duration(n) * time.Second / minBodyBytesPerSecond)
 	if errors.Is(err, io.EOF) {
@@ -114,7 +115,7 @@
 	return deadline
 }
 
-// complete is called at the end of the body: a further read only tells that the client has gone.
+// complete is called at the end of the body. After that, a read only serves to detect that the client has disconnected.
 func (b *pacedBody) complete() {
 	_ = b.control.SetReadDeadline(time.Now().Add(b.httpServer.WriteTimeout))
 }
--- a/internal/net/frontend/client_conn.go
+++ b/internal/net/frontend/client_conn.go
@@ -19,52 +19,53 @@
 )
 
 const (
-	// maxLinger is how long a closed connection waits for its client's end, as in net/http. What a client still writes would reset a socket that
-	// is closed, and the end of a long answer may be lost with it.
+	// maxLinger is how long a closed connection waits for the client to close its side, as in net/http. If the client still writes to a socket that
+	// is already closed, the kernel resets the connection, and the end of a long answer may be lost.
 	maxLinger = 500 * time.Millisecond
 
-	// minLinger is how long it waits if others want the connection, or the node shuts down: a client that reads has closed by then.
+	// minLinger is how long it waits if other clients need the connection slot or the node shuts down. A client that reads its answer closes its
+	// side within this time.
 	minLinger = 50 * time.Millisecond
 
-	// maxLingerBytes is how much is read and discarded meanwhile: some requests, or a body that is buffered.
+	// maxLingerBytes is how much is read and discarded while lingering. It covers several requests, or a body short enough to be buffered.
 	maxLingerBytes = 256 << 10
 )
 
 // pastDeadline is a deadline that wakes a blocked read.
 var pastDeadline = time.Now().Add(-time.Hour)
 
-// clientConn is a connection that counts towards its listener's limit until it is closed. It follows the framing of the requests.
+// clientConn is a client's connection that counts towards its listener's limit until it is closed. It parses the framing of the requests it reads.
 type clientConn struct {
 	*net.TCPConn
 	raw        syscall.RawConn
 	listener   *limitedListener
-	release    func() // counts the connection out of the limit, once
+	release    func() // removes the connection from the listener's count; idempotent
 	acceptedAt time.Time
 
-	// Each a clock.Moment: of the latest read that brought bytes, of the first such since the HTTP server's last change of the connection's
-	// state, and of that change.
+	// Each a clock.Moment: lastRead is the latest read that returned bytes, firstRead the first such read since stateChanged, and stateChanged the
+	// last change of the connection's http.ConnState.
 	lastRead, firstRead, stateChanged atomic.Int64
 
-	closeRequested  atomic.Bool // the connection was woken to close; bytes that cross this keep it
+	closeRequested  atomic.Bool // its read was woken in order to close it; cleared if bytes have arrived meanwhile
 	responseStarted atomic.Bool
 	sendClosed      atomic.Bool
 	closeOnce       sync.Once
 	lingeringSince  time.Time
 	discarded       int // bytes, while lingering
 
-	// Used by whoever reads the connection.
+	// Used only by the goroutine that reads the connection.
 	framing   framing
-	headStart time.Time // the first byte of the latest head
+	headStart time.Time // when the first byte of the latest head was read
 
 	readAhead readAhead
 }
 
-// Read also returns what came before a deadline that has passed since: net's Read gives up at such a deadline without a look at the kernel, where a
-// request may lie unread, and closing over it would reset the connection.
+// Read also returns bytes that arrived before a deadline that has passed by the time Read is called. net's Read fails at such a deadline without
+// reading from the kernel, although a request may be in its receive buffer; closing the connection over unread bytes would reset it.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.readWait(b)
 	for n == 0 && len(b) > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		_ = c.raw.Control(func(fd uintptr) { n, _ = c.readNow(fd, b) }) // does not wait
+		_ = c.raw.Control(func(fd uintptr) { n, _ = c.readNow(fd, b) }) // does not block
 		if n > 0 {
 			err = nil
 		}
@@ -77,7 +78,7 @@
 		n, err = c.readWait(b)
 	}
 	if c.sendClosed.Load() {
-		return 0, net.ErrClosed // a request that is read after the client was told of the end must not be forwarded
+		return 0, net.ErrClosed // a request read after the sending side was shut down must not be forwarded
 	}
 	wasMidHead := c.framing.midHead()
 	c.framing.read(b[:n])
@@ -100,8 +101,9 @@
 	}
 }
 
-// extendHeaderDeadline gives a head that has begun headerTimeout from its first byte, if a deadline of its connection has passed meanwhile: the first
-// deadline counts from the accept, and the client may have been idle since. A connection that was asked to close gets no more.
+// extendHeaderDeadline is called when a deadline of the connection has passed. If a head has been read partially, it sets the deadline to headerTimeout
+// after the head's first byte: the first deadline counts from the accept, and the client may have been idle since then. It reports whether it extended
+// the deadline; a connection with closeRequested gets no extension.
 func (c *clientConn) extendHeaderDeadline() bool {
 	deadline := c.headStart.Add(headerTimeout)
 	if c.closeRequested.Load() || !c.framing.midHead() || !time.Now().Before(deadline) {
@@ -111,15 +113,15 @@
 	return true
 }
 
-// rejectHeader answers a head that is too long. net/http would keep the connection for half a second, even if its client has gone: a flood of such
-// heads would keep others out.
+// rejectHeader answers a head that is too long with 431. net/http would keep the connection for half a second, even if its client has disconnected, so
+// that a flood of such heads would use up the connection limit.
 func (c *clientConn) rejectHeader() error {
 	const text = "431 Request Header Fields Too Large"
 	_ = c.SetWriteDeadline(time.Now().Add(maxLinger))
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
 		text, len(text), text)
 	c.sendClosed.Store(true)
-	_ = c.CloseWrite() // net/http may still answer 400 to what it has
+	_ = c.CloseWrite() // net/http may still write a 400 for the part of the head that it has read
 	return io.EOF
 }
 
@@ -128,19 +130,20 @@
 	return kernel.WriteAll(c.TCPConn.Write, b)
 }
 
-// clientGone reports whether the client has closed its connection, also where bytes before that are unread, behind which net/http does not see it.
-// A client that has only closed its sending side counts as gone too.
+// clientGone reports whether the client has closed its connection. It also detects a close behind unread bytes, which net/http does not. A client that
+// has only closed its sending side counts as gone too.
 func (c *clientConn) clientGone() bool {
 	const endEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
-	gone, _ := pollNow(c.raw, endEvents) // if poll fails the client counts as there; net/http's own check remains
+	gone, _ := pollNow(c.raw, endEvents) // if poll fails, the client counts as connected; net/http's own check remains
 	if !gone && c.readAheadForEnd() {
 		gone, _ = pollNow(c.raw, endEvents)
 	}
 	return gone
 }
 
-// Close ends the connection so that the client can read all that was written. The kernel resets a socket that is closed over unread bytes, or that
-// receives some later, and discards what it has not sent. So Close shuts the sending side, and discards what comes until the client's end.
+// Close closes the connection in such a way that the client can read everything that was written. The kernel resets a socket that is closed with unread
+// bytes, or that receives bytes after its close, and discards the data that it has not sent yet. Close therefore shuts down the sending side, then reads
+// and discards until the client closes its side.
 func (c *clientConn) Close() error {
 	c.closeOnce.Do(func() {
 		c.sendClosed.Store(true)
@@ -155,27 +158,27 @@
 	return nil
 }
 
-// closeWithoutLinger shuts the sending side, and reports whether nothing is to be waited for.
+// closeWithoutLinger shuts down the sending side, and reports whether the connection can be closed at once.
 func (c *clientConn) closeWithoutLinger() bool {
 	if c.CloseWrite() != nil || !c.responseStarted.Load() {
 		return true
 	}
 	ended := false
 	_ = c.raw.Control(func(fd uintptr) { ended = c.discard(fd) })
-	// When many connections are rejected, they would keep others out if they lingered. The kernel still sends what was written; only further
-	// bytes would reset it.
+	// When many connections are rejected, lingering ones would use up the connection limit. After the close, the kernel still sends what was written;
+	// only further bytes from the client would reset the connection.
 	return ended || c.discarded == 0 && c.listener.recentlyFull()
 }
 
-// linger waits for the client's end.
+// linger reads and discards until the client closes its side or the read deadline passes, and then closes the connection.
 func (c *clientConn) linger(element *list.Element) {
 	_ = c.raw.Read(c.discard)                                 // until the deadline
-	_ = c.raw.Control(func(fd uintptr) { _ = c.discard(fd) }) // what came at that moment
+	_ = c.raw.Control(func(fd uintptr) { _ = c.discard(fd) }) // bytes that arrived at the deadline
 	c.listener.removeLingering(element)
 	c.closeNow()
 }
 
-// discard reads what has come, and reports whether the client has ended too or has sent more than maxLingerBytes.
+// discard reads the available bytes, and reports whether the client has closed its side or has sent maxLingerBytes or more.
 func (c *clientConn) discard(fd uintptr) bool {
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
--- a/internal/net/frontend/conn_tracker.go
+++ b/internal/net/frontend/conn_tracker.go
@@ -10,43 +10,46 @@
 	"github.com/thistlerudder/thistlerudder/internal/clock"
 )
 
-// How long a connection must have been quiet before it may be closed for a new one.
+// How long a connection must have sent nothing before it may be closed in favor of a new one.
 const (
-	// newConnTimeout holds for a connection that never had a request: clients open one when they have a request, so this is ample for the first
-	// byte, also if the node reads it late.
+	// newConnTimeout applies to a connection that has not carried a request yet. Clients open a connection only when they have a request to send, so
+	// the first byte arrives well within this time, even if the node is slow to read it.
 	newConnTimeout = 300 * time.Millisecond
 
-	// stalledRequestTimeout holds within a request. Clients take up to 2 s to write one, and send some bytes all along.
+	// stalledRequestTimeout applies while a request is being received. Clients take up to 2 s to write one, and send bytes throughout that time.
 	stalledRequestTimeout = 1 * time.Second
 
-	// minQuietTime bounds both from below as waitFactor times the others' wait is taken off, unless the request makes progress.
+	// The time that a new connection has waited for its accept, times waitFactor, is subtracted from the two timeouts above, down to minQuietTime. A
+	// request that makes progress (see progressTime) keeps the full stalledRequestTimeout.
 	minQuietTime = 100 * time.Millisecond
 	waitFactor   = 5
 
-	// progressTime from a request's first bytes to its latest tells a slow client from one that wrote half a request at once.
+	// progressTime is the minimum time between the first and the latest bytes of a request that makes progress. It distinguishes a slow client from
+	// one that wrote half a request at once and then stopped.
 	progressTime = 100 * time.Millisecond
 
-	// usedConnTimeout holds for a connection between requests: a busy client sends the next one at once.
+	// usedConnTimeout applies to a connection between requests: a busy client sends its next request immediately.
 	usedConnTimeout = 50 * time.Millisecond
 )
 
-// connTracker counts the client connections and knows which carry no request. Clients keep connections that they do not use, and some never send
-// anything; if such have reached the limit, the one that has been quiet longest is closed for a new one. Those that had a request go first, then those
-// that never sent anything, then those that stalled within a request. A close may cross a request: the client sends it again.
+// connTracker counts the client connections and tracks which of them carry no request. Clients keep connections open without using them, and some
+// never send anything. Once the limit is reached, an idle connection is closed for each new one: first those between requests, then those that never
+// sent anything, then those that stalled within a request, and in each group the one that has been quiet longest. A request may arrive while its
+// connection is being closed; the client then sends it again.
 type connTracker struct {
 	maxOpen int
 
 	mu         sync.Mutex
 	open       int
-	idle       *list.List // of *idleConn, the longest idle first
+	idle       *list.List // of *idleConn, longest idle first
 	idleByConn map[net.Conn]*list.Element
 }
 
 // idleConn is a connection that carries no request, as far as net/http knows.
 type idleConn struct {
 	conn           net.Conn
-	unused         bool // it never had a request
-	requestStarted bool // the beginning of the next request came with the last one
+	unused         bool // has not carried a request yet
+	requestStarted bool // the beginning of the next request was read together with the last one
 	idleSince      time.Time
 }
 
@@ -54,7 +57,7 @@
 	return &connTracker{maxOpen: maxOpen, idle: list.New(), idleByConn: map[net.Conn]*list.Element{}}
 }
 
-// connState follows the HTTP server's connections.
+// connState is the http.Server's ConnState hook.
 func (t *connTracker) connState(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,15 +92,16 @@
 	}
 }
 
-// closeIdle closes up to n idle connections, as far as they may be closed. acceptWait is how long a new connection has waited.
+// closeIdle closes up to n of the idle connections that may be closed. acceptWait is how long a new connection has waited to be accepted.
 func (t *connTracker) closeIdle(n int, acceptWait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closeIdleLocked(n, acceptWait)
 }
 
-// closeIdleLocked does not close a connection itself: to net/http it is idle until the head of the next request is read, and a request that was read
-// must be answered. It wakes the server's read, which closes the connection if nothing has come and serves it if something has.
+// closeIdleLocked does not call Close on a connection: net/http reports it as idle until the head of the next request is read, and a request that has
+// been read must be answered. Instead it sets a read deadline in the past, which wakes the server's blocked read. The server then closes the connection
+// if no bytes have arrived, and serves the request if some have.
 func (t *connTracker) closeIdleLocked(n int, acceptWait time.Duration) {
 	for ; n > 0; n-- {
 		element := t.nextToClose(time.Now(), acceptWait)
@@ -113,7 +117,7 @@
 	}
 }
 
-// nextToClose returns the connection to close first; nil if none may be closed.
+// nextToClose returns the connection to close next, or nil if none may be closed.
 func (t *connTracker) nextToClose(now time.Time, acceptWait time.Duration) *list.Element {
 	var best *list.Element
 	bestRank := notClosable
@@ -129,7 +133,7 @@
 	return best
 }
 
-// closeRank orders idle connections: the highest is closed first.
+// closeRank orders idle connections: the highest rank is closed first.
 type closeRank int
 
 const (
@@ -139,13 +143,13 @@
 	betweenRequests
 )
 
-// closeRank returns a connection's rank, and how long it has been quiet.
+// closeRank returns a connection's rank and how long it has sent nothing.
 func (c *idleConn) closeRank(now time.Time, acceptWait time.Duration) (rank closeRank, quiet time.Duration) {
 	quiet = now.Sub(c.idleSince)
 	requestStarted := c.requestStarted
 	stallTimeout := max(minQuietTime, stalledRequestTimeout-waitFactor*acceptWait)
 	if client, isClient := c.conn.(*clientConn); isClient {
-		// net/http does not tell of a request before its head is read.
+		// net/http does not report a request before it has read its whole head.
 		if lastRead := clock.Moment(client.lastRead.Load()).Time(); lastRead.After(c.idleSince) {
 			requestStarted = true
 			quiet = now.Sub(lastRead)
@@ -165,7 +169,7 @@
 	return notClosable, quiet
 }
 
-// resize changes the limit.
+// resize changes the limit and closes idle connections that exceed it.
 func (t *connTracker) resize(maxOpen int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/net/frontend/framing.go
+++ b/internal/net/frontend/framing.go
@@ -6,24 +6,24 @@
 	"sync"
 )
 
-// framing follows the requests on a connection as their bytes come, to see what net/http does not show to a handler: a head that gives both a length
-// and a transfer coding may hide another request in its body. Bodies are skipped, so that nothing in them counts. All methods but nextUnambiguous are
-// for whoever reads the connection.
+// framing parses the message framing of the requests on a connection, to detect what net/http does not expose to a handler: a head with both
+// Content-Length and Transfer-Encoding, whose body may hide another request. Bodies are skipped, so that their content is never parsed as headers.
+// All methods except nextUnambiguous must be called by the goroutine that reads the connection.
 type framing struct {
 	state     framingState
-	line      []byte // the beginning of the present line
-	headLines int    // of the present head
-	headBytes int    // of the present head
-	length    int64  // from the head, then what is left of a body or a chunk
+	line      []byte // the first maxLineBytes of the current line
+	headLines int    // lines of the current head
+	headBytes int    // bytes of the current head
+	length    int64  // Content-Length of the head, then the remaining bytes of the body or chunk
 	hasLength bool
 	chunked   bool
 	malformed bool
 
 	mu      sync.Mutex
-	pending []bool // heads that no handler has asked for yet, oldest first: whether each is unambiguous
+	pending []bool // for each head that no handler has requested yet, oldest first: whether it is unambiguous
 }
 
-// framingState is where in a request the next byte stands.
+// framingState is the part of a request that the next byte belongs to.
 type framingState int
 
 const (
@@ -33,15 +33,15 @@
 	inChunk
 	inChunkEnd
 	inTrailer
-	unknown // the framing is lost for the rest of the connection
+	unknown // the rest of the connection cannot be parsed
 )
 
 const (
-	maxLineBytes    = 64 // of a line that are parsed: the names, lengths and chunk sizes that matter are shorter
-	maxPendingHeads = 64 // net/http buffers 4 KiB
+	maxLineBytes    = 64 // prefix of a line that is kept for parsing; all relevant names, lengths and chunk sizes are shorter
+	maxPendingHeads = 64 // more than fit into the 4 KiB that net/http buffers
 )
 
-// read follows the next bytes.
+// read parses the next bytes of the connection.
 func (f *framing) read(b []byte) {
 	for len(b) > 0 {
 		switch f.state {
@@ -55,7 +55,7 @@
 	}
 }
 
-// skip follows bytes of a body or a chunk, and returns those after it.
+// skip consumes bytes of a body or a chunk, and returns the bytes after it.
 func (f *framing) skip(b []byte) []byte {
 	n := min(f.length, int64(len(b)))
 	f.length -= n
@@ -69,7 +69,7 @@
 	return b[n:]
 }
 
-// readLine follows bytes up to the end of a line, and returns those after it.
+// readLine consumes bytes up to the end of a line, and returns the bytes after it.
 func (f *framing) readLine(b []byte) []byte {
 	n := bytes.IndexByte(b, '\n')
 	if n < 0 {
@@ -98,16 +98,16 @@
 	f.malformed = false
 }
 
-// headTooLong reports whether the present head is longer than maxHeaderBytes.
+// headTooLong reports whether the current head is longer than maxHeaderBytes.
 func (f *framing) headTooLong() bool { return f.state == inHead && f.headBytes > maxHeaderBytes }
 
-// midRequest reports whether a request has begun and has not come to its end.
+// midRequest reports whether a request was read partially.
 func (f *framing) midRequest() bool { return f.state != inHead || f.headLines > 0 || len(f.line) > 0 }
 
-// midHead reports whether a head has begun and has not come to its end.
+// midHead reports whether a head was read partially.
 func (f *framing) midHead() bool { return f.state == inHead && f.midRequest() }
 
-// endLine follows a complete line.
+// endLine parses a complete line and moves to the next state.
 func (f *framing) endLine(line []byte) {
 	switch f.state {
 	case inHead:
@@ -144,7 +144,7 @@
 	}
 }
 
-// parseField follows a line of a head.
+// parseField parses a line of a head.
 func (f *framing) parseField(line []byte) {
 	f.headLines++
 	name, value, _ := bytes.Cut(line, []byte(":"))
@@ -177,7 +177,7 @@
 	}
 }
 
-// nextUnambiguous reports whether the next head, in the order in which they came, gives its body's length in one way. Each handler calls it once.
+// nextUnambiguous reports whether the next head, in the order of arrival, gives its body's length in only one way. Each handler calls it once.
 func (f *framing) nextUnambiguous() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -23,19 +23,19 @@
 	w           http.ResponseWriter
 	r           *http.Request
 	control     *http.ResponseController
-	conn        *clientConn // nil: not accepted by a limitedListener
+	conn        *clientConn // nil if the connection was not accepted by a limitedListener
 	unambiguous bool        // the head gives the body's length in one way
 
-	bodyStream *dispatch.BodyStream // the rest of a long body; nil: the body was short
+	bodyStream *dispatch.BodyStream // the rest of a long body; nil if the whole body was buffered
 	class      string
 	outcome    dispatch.Outcome // as the client sees it
-	counted    bool             // among the open requests
+	counted    bool             // the dispatcher counts the request as open
 	answered   bool
-	truncated  bool // the answer was begun and cannot be completed
+	truncated  bool // the answer was written partially and cannot be completed
 }
 
-// finish counts the request, and breaks the connection of an answer that was not completed, so that the client can tell. After a panic it
-// answers if it can, since net/http would close the connection without an answer.
+// finish counts the request's outcome. It aborts the connection of an answer that was not completed, so that the client detects the truncation. After
+// a panic it answers 500 if no answer was started, since net/http would close the connection without one.
 func (h *handler) finish() {
 	if p := recover(); p != nil {
 		h.log.Error("request handler panicked", zap.Any("panic", p), zap.Stack("stack"))
@@ -53,7 +53,7 @@
 		defer h.bodyStream.Close()
 	}
 	if h.w.Header().Get("Connection") == "close" {
-		// net/http would keep the connection for half a second over an unread body; clientConn.Close takes care of that.
+		// With an unread body net/http would keep the connection for half a second; clientConn.Close discards the body instead.
 		h.r.Body = http.NoBody
 	}
 	if h.truncated {
@@ -62,7 +62,8 @@
 	h.drainBody()
 }
 
-// drainBody reads the rest of a long body once its request is answered: a client that is cut off while it writes may never read the answer.
+// drainBody reads the rest of a long body after its request was answered: if the connection closes while the client still writes, the client may never
+// read the answer.
 func (h *handler) drainBody() {
 	if h.bodyStream == nil || h.bodyStream.Complete() {
 		return
@@ -79,10 +80,10 @@
 
 const copyBufferBytes = 16 << 10
 
-// bufferPool has buffers for bodies that are streamed or discarded.
+// bufferPool holds buffers for bodies that are streamed or discarded.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 
-// serve handles the request.
+// serve reads the request, submits it to the dispatcher and writes the answer.
 func (h *handler) serve() {
 	h.class, _ = classAndKey(originForm(h.r.RequestURI))
 	h.dispatcher.AddOpen(1)
@@ -97,7 +98,7 @@
 	}
 	if request.Rest != nil {
 		h.bodyStream = request.Rest
-		h.w.Header().Set("Connection", "close") // the rest of the body may stand before the next request
+		h.w.Header().Set("Connection", "close") // the unread rest of the body would precede the next request on the connection
 	}
 	if overLimit {
 		h.rejectOverLimit()
@@ -124,7 +125,7 @@
 	return http.StatusBadRequest
 }
 
-// await writes the dispatcher's answer, or abandons the request once its client has gone.
+// await waits for the dispatcher's answer and writes it, or abandons the request if its client disconnects first.
 func (h *handler) await(pending *dispatch.PendingRequest) {
 	clientGone := h.r.Context().Done()
 	if faults.Without(faults.ClientLook) {
@@ -138,12 +139,12 @@
 	}
 }
 
-// abandon gives up a request whose client has gone.
+// abandon cancels a request whose client has disconnected.
 func (h *handler) abandon(pending *dispatch.PendingRequest) {
 	h.log.Debug("client closed its connection", zap.String("trace", h.traceID()))
 	pending.Cancel()
 	select {
-	case answer := <-pending.Answers(): // came at the same moment
+	case answer := <-pending.Answers(): // arrived at the same time as the cancellation
 		if answer.Rest != nil {
 			_ = answer.Rest.Close()
 		}
@@ -151,17 +152,17 @@
 	}
 	h.answered = true
 	if h.bodyStream != nil && !h.bodyStream.Complete() {
-		writePlain(h.w, http.StatusRequestTimeout, errBodyTooSlow.Error()) // the client may have been too slow, and still read
+		writePlain(h.w, http.StatusRequestTimeout, errBodyTooSlow.Error()) // the client may still be connected, but have sent the body too slowly
 		return
 	}
-	// Nobody should read this, but without it net/http would write an empty 200, which no server answered.
+	// The client is not expected to read this, but without it net/http would write an empty 200, although no server has answered.
 	writePlain(h.w, http.StatusBadGateway, "the client has left")
 }
 
 func (h *handler) traceID() string { return h.r.Header.Get("X-Trace-Id") }
 
-// refuseInvalid answers a request that cannot be dispatched, with 400, 408, 409 or 413. It is not rejected in the sense of
-// dispatch.Rejected, which is 503 with Retry-After.
+// refuseInvalid answers a request that cannot be dispatched, with 400, 408, 409 or 413. Such a request does not count as dispatch.Rejected, which is
+// answered with 503 and Retry-After.
 func (h *handler) refuseInvalid(status int, reason error) {
 	h.log.Debug("request rejected", zap.String("trace", h.traceID()), zap.Int("status", status), zap.Error(reason))
 	writePlain(h.w, status, reason.Error())
@@ -169,8 +170,8 @@
 
 // refuseBody refuses a request whose body was not read to its end.
 func (h *handler) refuseBody(status int, reason error) {
-	h.w.Header().Set("Connection", "close")     // the rest must not be read as another request,
-	_ = h.control.SetReadDeadline(pastDeadline) // nor waited for, as net/http would
+	h.w.Header().Set("Connection", "close")     // the rest of the body must not be parsed as another request
+	_ = h.control.SetReadDeadline(pastDeadline) // and net/http must not wait for it
 	h.refuseInvalid(status, reason)
 }
 
@@ -203,11 +204,11 @@
 
 var errAnswerLength = errors.New("the answer's body does not have the announced length")
 
-// streamAnswer writes a long answer as it comes. One that breaks stays incomplete for the client too: neither the last chunk nor the announced
-// length is made up.
+// streamAnswer forwards a long answer while it is received. An answer that the server truncates is truncated for the client too: streamAnswer writes
+// neither a last chunk nor padding up to the announced length.
 func (h *handler) streamAnswer(answer dispatch.Answer) error {
 	defer answer.Rest.Close()
-	// A client that goes ends the server's connection too, which would otherwise bring the rest for nobody.
+	// If the client disconnects, the connection to the server is closed too, so that the rest of the answer is not transferred in vain.
 	defer context.AfterFunc(h.r.Context(), func() { _ = answer.Rest.Close() })()
 	_ = h.control.SetReadDeadline(time.Time{}) // a stream may take longer than any request's deadline
 	writeStreamHeader(h.w, answer)
@@ -215,7 +216,7 @@
 	defer bufferPool.Put(buffer)
 	next := answer.Body
 	sentBytes := int64(0)
-	var readErr error // of the read that brought next; io.EOF at the end
+	var readErr error // returned by the read that filled next; io.EOF at the end
 	for {
 		sentBytes += int64(len(next))
 		if answer.Length >= 0 && sentBytes > answer.Length {
@@ -239,7 +240,8 @@
 	}
 }
 
-// writeFlushed writes a part of a streamed answer through to the connection. The client has writeTimeout to take it.
+// writeFlushed writes a part of a streamed answer and flushes it to the connection. The write fails if the client does not receive it within
+// writeTimeout.
 func (h *handler) writeFlushed(part []byte) error {
 	_ = h.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := h.w.Write(part); err != nil {
--- a/internal/net/frontend/listener.go
+++ b/internal/net/frontend/listener.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	fullInterval      = 5 * time.Millisecond // between calls of onFull; a small part of any deadline
-	limitPollInterval = time.Millisecond     // for a connection that was closed
+	fullInterval      = 5 * time.Millisecond // between calls of onFull; small compared with any request's deadline
+	limitPollInterval = time.Millisecond     // between checks whether a connection was closed while the limit is reached
 
-	// queueQuietTime without a new connection tells that the kernel's queue is empty.
+	// queueQuietTime is the minimum time without a new connection before the kernel's accept queue counts as empty.
 	queueQuietTime = 20 * time.Millisecond
 
-	// recentlyFullWindow is how long after the limit was reached further connections may be about to come.
+	// recentlyFullWindow is how long after reaching the limit the listener still expects more new connections than it can accept.
 	recentlyFullWindow = 100 * time.Millisecond
 )
 
-// limitedListener accepts at most maxConns connections at a time; further ones wait in the kernel's queue. netutil.LimitListener would do that,
-// but not close idle connections for new ones, nor see that a client has gone behind its unread bytes.
+// limitedListener accepts at most maxConns concurrent connections; further ones wait in the kernel's accept queue. Unlike netutil.LimitListener, it
+// closes idle connections in favor of new ones, and its connections detect a client's close behind unread bytes.
 type limitedListener struct {
 	net.Listener
 	maxConns   atomic.Int64
-	conns      atomic.Int64 // only Accept adds one
-	readAhead  atomic.Int64 // bytes, of all connections
+	conns      atomic.Int64 // only Accept increments it
+	readAhead  atomic.Int64 // bytes read ahead, over all connections
 	lastAccept atomic.Int64 // clock.Moment
 	lastFull   atomic.Int64 // clock.Moment at which Accept last waited for the limit
 	closed     chan struct{}
@@ -41,7 +41,7 @@
 	onFull     func(acceptWait time.Duration) // called at intervals while Accept waits for the limit
 
 	mu        sync.Mutex
-	lingering *list.List // of *clientConn, longest first
+	lingering *list.List // of *clientConn, longest lingering first
 }
 
 func newLimitedListener(l net.Listener, maxConns int, onFull func(acceptWait time.Duration), log *zap.Logger) *limitedListener {
@@ -55,7 +55,7 @@
 	return limited
 }
 
-// Accept waits until the limit allows for a connection, and then for a connection.
+// Accept waits until there are fewer connections than the limit, and then for a new connection.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	if err := l.waitForLimit(); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 		release()
 		return conn, nil
 	}
-	raw, _ := tcp.SyscallConn() // fails for a nil connection only
+	raw, _ := tcp.SyscallConn() // fails only for a nil connection
 	return &clientConn{
 		TCPConn:    tcp,
 		raw:        raw,
@@ -104,8 +104,9 @@
 	return nil
 }
 
-// hasQueued reports whether connections may wait in the kernel's queue: one has just come, the limit is reached, or the kernel says so. A process
-// that stood still may be about to accept one that has waited all the while.
+// hasQueued reports whether connections may be waiting in the kernel's accept queue: the limit is reached, a connection was accepted less than
+// queueQuietTime ago, or poll reports one or fails. poll is needed because a process that was paused may not have accepted a connection that has waited
+// throughout the pause.
 func (l *limitedListener) hasQueued() bool {
 	if l.conns.Load() >= l.maxConns.Load() || clock.Moment(l.lastAccept.Load()).Since() < queueQuietTime {
 		return true
@@ -122,7 +123,8 @@
 	return queued || !known
 }
 
-// pollNow reports whether one of the events is pending at a descriptor, and whether poll succeeded. A closed descriptor has none.
+// pollNow polls a descriptor without blocking. It reports whether one of the events is pending, and whether poll succeeded. A closed descriptor has no
+// pending events.
 func pollNow(raw syscall.RawConn, events int16) (pending, ok bool) {
 	ok = true
 	_ = raw.Control(func(fd uintptr) {
@@ -133,12 +135,13 @@
 	return pending, ok
 }
 
-// recentlyFull reports whether the limit was reached lately: several connections may be closed before the next is accepted.
+// recentlyFull reports whether the limit was reached within the last recentlyFullWindow. The present count does not tell, since several connections
+// may be closed before the next one is accepted.
 func (l *limitedListener) recentlyFull() bool {
 	return clock.Moment(l.lastFull.Load()).Since() < recentlyFullWindow
 }
 
-// addLingering notes a connection that waits for its client's end. It counts towards the limit until then.
+// addLingering adds a connection that waits for its client to close its side. It counts towards the limit until it is closed.
 func (l *limitedListener) addLingering(conn *clientConn) *list.Element {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +152,7 @@
 func (l *limitedListener) removeLingering(element *list.Element) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lingering.Remove(element) // does nothing if endLingering has removed it
+	l.lingering.Remove(element) // no-op if endLingering has already removed it
 }
 
 func (l *limitedListener) lingeringCount() int {
@@ -158,7 +161,7 @@
 	return l.lingering.Len()
 }
 
-// endLingering wakes the connections that have lingered for minLinger, for new ones.
+// endLingering wakes the connections that have lingered for minLinger, so that they close and new ones can be accepted.
 func (l *limitedListener) endLingering(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,5 +174,5 @@
 	}
 }
 
-// Close closes the socket, and ends the wait for the limit.
+// Close closes the socket and makes an Accept that waits for the limit return net.ErrClosed.
 func (l *limitedListener) Close() error { return l.close() }
--- a/internal/net/frontend/read_ahead.go
+++ b/internal/net/frontend/read_ahead.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	readAheadThreshold  = 4 << 10 // unread bytes from which a client's end may be stuck behind a full window
-	maxReadAheadPerConn = 4 << 20 // bytes; more than a kernel buffers
-	maxReadAheadTotal   = 8 << 20 // bytes of all connections
+	readAheadThreshold  = 4 << 10 // bytes; with at least so many unread, a client's close may be held up behind a full TCP window
+	maxReadAheadPerConn = 4 << 20 // bytes; more than the kernel buffers
+	maxReadAheadTotal   = 8 << 20 // bytes, over all connections
 	readAheadPause      = time.Millisecond
-	maxQuietPauses      = 2 // pauses without new bytes, some round trips, after which all that was under way has come
+	maxQuietPauses      = 2 // pauses without new bytes after which all bytes in flight have arrived; they cover some round trips
 	maxReadAheadPauses  = 10
 )
 
-// readAhead is what was read of a connection to see its end, before its reader wanted it.
+// readAhead holds bytes that were read from a connection before its reader asked for them, in order to detect the client's close behind them.
 type readAhead struct {
-	mu     sync.Mutex // held while reading from the kernel, so that bytes stay in order
+	mu     sync.Mutex // held while reading from the kernel, to keep the bytes in order
 	unread []byte
-	total  *atomic.Int64 // bytes of all connections; nil: nothing is read ahead
+	total  *atomic.Int64 // bytes, over all connections; nil if nothing is read ahead
 }
 
-// consume counts n bytes out. It is called with mu locked.
+// consume removes the first n unread bytes. mu must be held.
 func (a *readAhead) consume(n int) {
 	a.unread = a.unread[n:]
 	if len(a.unread) == 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// readNow returns bytes without waiting: those that were read ahead, or else the kernel's.
+// readNow reads without blocking: from the bytes that were read ahead, or else from the kernel.
 func (c *clientConn) readNow(fd uintptr, b []byte) (n int, err error) {
 	c.readAhead.mu.Lock()
 	defer c.readAhead.mu.Unlock()
@@ -52,7 +52,7 @@
 	return kernel.ReadSocket(fd, b)
 }
 
-// readWait waits for bytes, the end, or the read deadline.
+// readWait blocks until bytes arrive, the client closes its side, or the read deadline passes.
 func (c *clientConn) readWait(b []byte) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) bool {
 		n, err = c.readNow(fd, b)
@@ -69,8 +69,8 @@
 	return n, nil
 }
 
-// readAheadForEnd reads ahead if much lies behind a request: the client's end comes only once the bytes before it have been read. It reports whether it
-// did.
+// readAheadForEnd reads ahead if at least readAheadThreshold bytes are unread, because the client's close arrives only after the bytes before it have
+// been read. It reports whether it has read ahead.
 func (c *clientConn) readAheadForEnd() (started bool) {
 	if c.readAhead.total == nil {
 		return false
@@ -103,7 +103,7 @@
 	return started
 }
 
-// fill reads what the kernel has, up to the bounds, and reports whether that was anything. It is called with mu locked.
+// fill reads the bytes that the kernel has, up to the limits, and reports whether there were any. mu must be held.
 func (a *readAhead) fill(fd uintptr, buffer []byte) (more bool) {
 	size := int64(len(buffer))
 	for len(a.unread) < maxReadAheadPerConn {
@@ -122,7 +122,7 @@
 	return more
 }
 
-// dropReadAhead discards what was read ahead, and returns how many bytes that was.
+// dropReadAhead discards the bytes that were read ahead, and returns their number.
 func (c *clientConn) dropReadAhead() int {
 	c.readAhead.mu.Lock()
 	defer c.readAhead.mu.Unlock()
--- a/internal/net/frontend/request.go
+++ b/internal/net/frontend/request.go
@@ -11,10 +11,10 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// maxTimeout bounds the timeout that a client may send: a longer one is a mistake, and could overflow.
+// maxTimeout bounds the timeout that a client may send. A longer one is a client error, and could overflow time.Duration.
 const maxTimeout = time.Hour
 
-// Clients receive these texts as bodies.
+// Clients receive these texts as response bodies.
 var (
 	errMethod         = errors.New("unknown method: expected GET or PUT")
 	errTraceID        = errors.New("X-Trace-Id: expected an id")
@@ -22,7 +22,7 @@
 	errRepeatedHeader = errors.New("a header that may stand once has several values")
 )
 
-// parseRequest fills in the fields that decisions need; the rest of the request is forwarded as it came. It returns the request's timeout.
+// parseRequest fills in the fields that the dispatcher's decisions need; the rest of the request is forwarded unchanged. It returns the request's timeout.
 func parseRequest(r *http.Request, request *dispatch.Request) (timeout time.Duration, err error) {
 	request.Method = r.Method
 	request.Target = originForm(r.RequestURI)
@@ -35,7 +35,7 @@
 	}
 	for _, name := range []string{"X-Trace-Id", "X-Expires-In", "X-Customer", "Idempotency-Key"} {
 		if len(r.Header[name]) > 1 {
-			return 0, errRepeatedHeader // the node and a server might each use another value
+			return 0, errRepeatedHeader // the node and the server could each use a different value
 		}
 	}
 	if request.TraceID == "" {
@@ -48,7 +48,7 @@
 	return timeout, err
 }
 
-// workHint returns a hint in microseconds as milliseconds; 0 if it is absent or malformed.
+// workHint converts an X-Size-Hint from microseconds to milliseconds. It returns 0 if the hint is absent or malformed.
 func workHint(header string) float64 {
 	micros, err := strconv.ParseFloat(header, 64)
 	if err != nil || micros <= 0 || math.IsInf(micros, 0) || math.IsNaN(micros) {
@@ -57,7 +57,7 @@
 	return micros / 1000
 }
 
-// originForm returns a target without the scheme and the host that it may have, as servers expect it.
+// originForm returns a request target without the scheme and host of the absolute form, as servers expect it.
 func originForm(target string) string {
 	if strings.HasPrefix(target, "/") {
 		return target
@@ -70,7 +70,7 @@
 	return target
 }
 
-// classAndKey returns the class and the key that a target names.
+// classAndKey returns the class and the key of a request target: its first and its last path segment.
 func classAndKey(target string) (class, key string) {
 	path, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "?")
 	class, key, _ = strings.Cut(path, "/")
--- a/internal/net/frontend/response.go
+++ b/internal/net/frontend/response.go
@@ -48,5 +48,5 @@
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the request's context tells of a client that has gone
+	_, _ = w.Write(body) // a client that has disconnected is reported by the request's context
 }
--- a/internal/net/frontend/server.go
+++ b/internal/net/frontend/server.go
@@ -1,4 +1,4 @@
-// Package frontend serves clients over HTTP, on net/http's server: it bounds connections, requests and bodies, and hands requests to the dispatcher.
+// Package frontend serves clients over HTTP with net/http's server: it limits connections, requests and bodies, and submits requests to the dispatcher.
 package frontend
 
 import (
@@ -15,34 +15,34 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Limits bounds what clients may use.
+// Limits bounds the resources that clients may use.
 type Limits struct {
-	Descriptors   int           // connections, and requests in flight; further ones are rejected
-	OverflowConns int           // connections for those rejections; further ones wait in the kernel's queue
+	Descriptors   int           // connections, and requests in flight; further requests are rejected
+	OverflowConns int           // additional connections, for those rejections; further ones wait in the kernel's accept queue
 	MaxDeadline   time.Duration // the longest deadline of a request
-	MaxRetryAfter time.Duration // the longest Retry-After that clients heed; 0: none is sent
-	MaxBuffered   int64         // bytes of a body that is buffered;
-	MaxStreamed   int64         // bytes of one that is forwarded as it comes
+	MaxRetryAfter time.Duration // the longest Retry-After that clients respect; 0: none is sent
+	MaxBuffered   int64         // longest body in bytes that is buffered
+	MaxStreamed   int64         // longest body in bytes that is accepted; one over MaxBuffered is forwarded while it is received
 }
 
 // Timeouts and limits of net/http's server.
 const (
-	maxHeaderBytes    = 12 << 10                // clients send some hundred
-	headerTimeout     = 2600 * time.Millisecond // clients take up to 2 s, and an answer is due within 3 s
+	maxHeaderBytes    = 12 << 10                // clients send a few hundred bytes
+	headerTimeout     = 2600 * time.Millisecond // clients take up to 2 s, and expect an answer within 3 s
 	writeTimeout      = 10 * time.Second        // for each part of a streamed answer
-	writeTimeoutSlack = 10 * time.Second        // of an answer, beyond the longest deadline
+	writeTimeoutSlack = 10 * time.Second        // for writing an answer, after the longest deadline
 	idleTimeout       = 60 * time.Second
 )
 
 // Graceful shutdown.
 const (
-	drainAcceptTime   = 500 * time.Millisecond // new connections come for up to 0.4 s after SIGTERM
-	drainIdleTime     = 300 * time.Millisecond // before idle connections are closed; others close with their next answer
+	drainAcceptTime   = 500 * time.Millisecond // new connections arrive for up to 0.4 s after SIGTERM
+	drainIdleTime     = 300 * time.Millisecond // before idle connections are closed; the others are closed with their next answer
 	drainPollInterval = 10 * time.Millisecond
-	drainSlack        = 100 * time.Millisecond // for the last answers to be written, beyond the longest deadline
+	drainSlack        = 100 * time.Millisecond // for writing the last answers, after the longest deadline
 )
 
-// Server is the clients' side of a node. Its methods may be called from several goroutines; Serve is called once.
+// Server is the HTTP server of a node for its clients. Its methods are safe for concurrent use; Serve is called once.
 type Server struct {
 	log         *zap.Logger
 	dispatcher  *dispatch.Dispatcher
@@ -55,7 +55,7 @@
 	draining    atomic.Bool
 }
 
-// New returns a server that hands requests to d.
+// New returns a server that submits requests to d.
 func New(d *dispatch.Dispatcher, limits Limits, log *zap.Logger) *Server {
 	s := &Server{log: log, dispatcher: d, limits: limits, conns: newConnTracker(limits.Descriptors)}
 	s.maxInFlight.Store(int64(limits.Descriptors))
@@ -79,7 +79,7 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Serve serves clients until Shutdown has ended, or the listener fails.
+// Serve serves clients until Shutdown has finished or the listener fails.
 func (s *Server) Serve(l net.Listener) error {
 	onFull := func(acceptWait time.Duration) { s.conns.closeIdle(1, acceptWait) }
 	limited := newLimitedListener(l, s.limits.Descriptors+s.limits.OverflowConns, onFull, s.log)
@@ -91,7 +91,7 @@
 	return err
 }
 
-// Resize changes the limits on connections and requests. Connections beyond them are closed as they become idle.
+// Resize changes the limits on connections and requests. Connections over the new limit are closed when they become idle.
 func (s *Server) Resize(descriptors, overflowConns int) {
 	s.maxInFlight.Store(int64(descriptors))
 	if l := s.listener.Load(); l != nil {
@@ -100,10 +100,10 @@
 	s.conns.resize(descriptors)
 }
 
-// Shutdown ends the service without losing a request. Connections go on coming for a while, so it goes on accepting them, closes each with its
-// next answer, and only then closes the listener and waits for the rest. hasSuccessor says that this process's socket was passed on to or is
-// shared with a successor, which takes the new connections at once. Shutdown returns an error if connections were still open after the
-// longest deadline.
+// Shutdown stops the server without losing a request. Clients go on connecting for a while, so Shutdown goes on accepting connections, closes each
+// one with its next answer, and only then closes the listener and waits for the remaining connections. hasSuccessor means that the process's
+// listening socket was passed to or is shared with a successor process, which accepts new connections from now on. Shutdown returns an error if
+// connections are still open after the longest deadline.
 //
 // It does not use Shutdown or SetKeepAlivesEnabled of http.Server, which close idle connections even while a request on them is being read.
 func (s *Server) Shutdown(hasSuccessor bool) error {
@@ -134,13 +134,13 @@
 	}
 }
 
-// maxDrainTime returns how long Shutdown may take.
+// maxDrainTime returns the maximum duration of Shutdown.
 func (s *Server) maxDrainTime() time.Duration {
 	return drainAcceptTime + s.limits.MaxDeadline + drainSlack
 }
 
-// drained reports whether no client is owed anything: no connection is open, further ones had time to come, and those that
-// linger had theirs since the last open one.
+// drained reports whether Shutdown may finish: no connection is open, drainAcceptTime has passed for new ones to arrive, and lingering connections have
+// had minLinger since a connection was last open.
 func (s *Server) drained(open, lingering int, elapsed, lastOpen time.Duration) bool {
 	if open > 0 || elapsed < drainAcceptTime {
 		return false
@@ -148,19 +148,20 @@
 	return lingering == 0 || elapsed >= lastOpen+minLinger || elapsed >= s.maxDrainTime()
 }
 
-// queueDrained reports whether the listener may be closed: with connections in its queue, the kernel would reset them.
+// queueDrained reports whether the listener may be closed. The kernel resets the connections that are still in its accept queue at that time, so
+// they are accepted first. After half of MaxDeadline, queueDrained gives up on a queue that does not become empty.
 func (s *Server) queueDrained(l *limitedListener, elapsed time.Duration) bool {
 	return elapsed >= drainAcceptTime && (!l.hasQueued() || elapsed >= drainAcceptTime+s.limits.MaxDeadline/2)
 }
 
-// openConns returns the number of open connections, without those that linger, and of these.
+// openConns returns the number of open connections that do not linger, and the number of those that linger.
 func (s *Server) openConns(l *limitedListener) (open, lingering int) {
 	open = s.conns.count()
 	if l == nil {
 		return open, 0
 	}
 	lingering = l.lingeringCount()
-	accepted := int(l.conns.Load()) - lingering // may include one that net/http does not have yet
+	accepted := int(l.conns.Load()) - lingering // may include one that Accept has not returned to net/http yet
 	return max(open, accepted), lingering
 }
 
