--- a/internal/net/frontend/accept_test.go
+++ b/internal/net/frontend/accept_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// failing is a listener whose accept fails with one error for a number of calls in a row.
-type failing struct {
+// failingListener is a listener whose accept fails with one error for a number of calls in a row.
+type failingListener struct {
 	net.Listener
-	err   syscall.Errno
-	times atomic.Int64
+	err      syscall.Errno
+	failures atomic.Int64 // calls that still fail
 }
 
-func (f *failing) Accept() (net.Conn, error) {
-	if f.times.Add(-1) >= 0 {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: f.Addr(), Err: os.NewSyscallError("accept4", f.err)}
+func (l *failingListener) Accept() (net.Conn, error) {
+	if l.failures.Add(-1) >= 0 {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", l.err)}
 	}
-	return f.Listener.Accept()
+	return l.Listener.Accept()
 }
 
 // acceptErrors are the errors that accept(2) documents for a listening socket that is in order. Linux passes the network errors
@@ -34,36 +34,36 @@
 
 // An error of accept is one connection's, or passes: the service goes on, and whoever comes meanwhile is answered well within the
 // shortest deadline.
-func TestTheServiceOutlivesAcceptErrors(t *testing.T) {
+func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	const (
-		inARow  = 4
-		soon    = 100 * time.Millisecond
-		patient = 3 * time.Second
+		failures = 4
+		maxDelay = 100 * time.Millisecond
+		timeout  = 3 * time.Second
 	)
 	for _, err := range acceptErrors {
 		t.Run(err.Error(), func(t *testing.T) {
-			c, _, l := front(t, 4, true)
-			broken := &failing{Listener: l, err: err}
-			broken.times.Store(inARow)
-			ended := make(chan error, 1)
-			go func() { ended <- c.Serve(broken) }()
-			answered := make(chan time.Duration, 1)
-			began := time.Now()
+			srv, _, l := newTestServer(t, 4, true)
+			failing := &failingListener{Listener: l, err: err}
+			failing.failures.Store(failures)
+			serveErr := make(chan error, 1)
+			go func() { serveErr <- srv.Serve(failing) }()
+			delay := make(chan time.Duration, 1)
+			start := time.Now()
 			client := dial(t, l.Addr().String())
 			client.send("GET /up")
 			go func() {
-				if _, err := client.in.Peek(1); err == nil {
-					answered <- time.Since(began)
+				if _, err := client.reader.Peek(1); err == nil {
+					delay <- time.Since(start)
 				}
 			}()
 			select {
-			case err := <-ended:
+			case err := <-serveErr:
 				t.Fatalf("the service ended: %v", err)
-			case took := <-answered:
-				if took > soon {
-					t.Errorf("answered after %v, want %v at most", took, soon)
+			case took := <-delay:
+				if took > maxDelay {
+					t.Errorf("answered after %v, want %v at most", took, maxDelay)
 				}
-			case <-time.After(patient):
+			case <-time.After(timeout):
 				t.Fatal("no answer")
 			}
 		})
@@ -71,14 +71,14 @@
 }
 
 // A listener that was closed ends the service at once.
-func TestAClosedListenerEndsTheService(t *testing.T) {
-	c, _, l := front(t, 4, true)
-	ended := make(chan error, 1)
-	go func() { ended <- c.Serve(l) }()
+func TestServeReturnsWhenListenerCloses(t *testing.T) {
+	srv, _, l := newTestServer(t, 4, true)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(l) }()
 	time.Sleep(10 * time.Millisecond)
 	_ = l.Close()
 	select {
-	case err := <-ended:
+	case err := <-serveErr:
 		if !errors.Is(err, net.ErrClosed) {
 			t.Errorf("ended with %v", err)
 		}
--- a/internal/net/frontend/body_test.go
+++ b/internal/net/frontend/body_test.go
@@ -11,27 +11,27 @@
 
 // A connection may rest before its first request, or between two, nearly up to a limit of its own, and the request then come in pieces that
 // cross that limit. A request that has begun has its own time from its first byte: its client has written it whole, and is owed an answer.
-func TestARequestThatBeginsBeforeALimitIsAnswered(t *testing.T) {
-	_, ships, address := serve(t, 8, true)
-	answerAll(t, ships, []byte("v"))
-	for _, before := range []int{0, 1} {
-		for _, rest := range []time.Duration{headerTimeout - 150*time.Millisecond, headerTimeout - 10*time.Millisecond} {
-			t.Run(fmt.Sprint(before, " requests before, rests ", rest), func(t *testing.T) {
+func TestRequestStartedBeforeTimeoutIsAnswered(t *testing.T) {
+	_, attempts, address := startServer(t, 8, true)
+	answerAll(t, attempts, []byte("v"))
+	for _, previous := range []int{0, 1} {
+		for _, idle := range []time.Duration{headerTimeout - 150*time.Millisecond, headerTimeout - 10*time.Millisecond} {
+			t.Run(fmt.Sprint(previous, " requests before, rests ", idle), func(t *testing.T) {
 				t.Parallel()
-				c, err := net.Dial("tcp", address)
+				conn, err := net.Dial("tcp", address)
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
-				in := bufio.NewReader(c)
+				defer conn.Close()
+				reader := bufio.NewReader(conn)
 				request := func(id int, pause time.Duration) {
 					t.Helper()
 					head := fmt.Sprintf("GET /read/k HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %s-%d\r\nX-Expires-In: 280m\r\n\r\n", t.Name(), id)
-					fmt.Fprint(c, head[:30])
+					fmt.Fprint(conn, head[:30])
 					time.Sleep(pause)
-					fmt.Fprint(c, head[30:])
-					_ = c.SetReadDeadline(time.Now().Add(2 * time.Second))
-					r, err := http.ReadResponse(in, nil)
+					fmt.Fprint(conn, head[30:])
+					_ = conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+					r, err := http.ReadResponse(reader, nil)
 					if err != nil {
 						t.Fatalf("request %d: %v", id, err)
 					}
@@ -40,11 +40,11 @@
 						t.Errorf("request %d: status %d", id, r.StatusCode)
 					}
 				}
-				for i := range before {
+				for i := range previous {
 					request(i, 0)
 				}
-				time.Sleep(rest)
-				request(before, 300*time.Millisecond)
+				time.Sleep(idle)
+				request(previous, 300*time.Millisecond)
 			})
 		}
 	}
--- a/internal/net/frontend/failing_test.go
+++ b/internal/net/frontend/failing_test.go
@@ -17,37 +17,37 @@
 )
 
 // A request that meets a moment in which the machine lacks memory, as it is read, looked after or answered, is answered whole.
-func TestRequestsOutliveAMomentsLackOfMemory(t *testing.T) {
-	const aMoment = 2
+func TestRequestSurvivesTransientMemoryErrors(t *testing.T) {
+	const failures = 2
 	t.Cleanup(func() { kernel.Fail(nil) })
 	for _, call := range []kernel.Call{kernel.Read, kernel.Write, kernel.Poll} {
-		for _, lack := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
-			c, ships, address := serve(t, 8, true)
+		for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
+			srv, attempts, address := startServer(t, 8, true)
 			conn, err := net.Dial("tcp", address)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { conn.Close() })
-			for end := time.Now().Add(time.Second); c.Open() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(time.Second); srv.Open() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
-			kernel.FailTimes(call, lack, aMoment)
+			kernel.FailTimes(call, errno, failures)
 			fmt.Fprintf(conn, "GET /read/k HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Expires-In: 300m\r\n\r\n")
 			go func() {
 				select {
-				case s := <-ships:
-					s.ClientState()
-					s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("value")})
+				case attempt := <-attempts:
+					attempt.ClientState()
+					attempt.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("value")})
 				case <-time.After(time.Second):
 				}
 			}()
 			_ = conn.SetReadDeadline(time.Now().Add(time.Second))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				t.Errorf("%s, %v: %v", call, lack, err)
+				t.Errorf("%s, %v: %v", call, errno, err)
 				continue
 			}
 			if body, err := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK || string(body) != "value" || err != nil {
-				t.Errorf("%s, %v: %d %q %v", call, lack, resp.StatusCode, body, err)
+				t.Errorf("%s, %v: %d %q %v", call, errno, resp.StatusCode, body, err)
 			}
 			kernel.Fail(nil)
 		}
--- a/internal/net/frontend/framing_test.go
+++ b/internal/net/frontend/framing_test.go
@@ -12,18 +12,18 @@
 )
 
 // Lookups of every framing one after another, cut anywhere: each head is judged by itself, whatever bodies hold.
-func TestFramingIsFollowed(t *testing.T) {
-	const trap = "x\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+func TestFramingOfPipelinedRequests(t *testing.T) {
+	const misleadingBody = "x\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	seed := int64(0)
-	random := func() bool {
+	check := func() bool {
 		seed++
 		r := rand.New(rand.NewSource(seed))
 		var text strings.Builder
 		var want []bool
 		for range 1 + r.Intn(6) {
-			sound := true
+			unambiguous := true
 			fmt.Fprintf(&text, "PUT /once/k HTTP/1.1\r\nHost: %s\r\n", strings.Repeat("h", r.Intn(200)))
-			switch body := trap[:r.Intn(len(trap))]; r.Intn(5) {
+			switch body := misleadingBody[:r.Intn(len(misleadingBody))]; r.Intn(5) {
 			case 0:
 				fmt.Fprint(&text, "\r\n")
 			case 1:
@@ -38,9 +38,9 @@
 				fmt.Fprint(&text, "0\r\nTrailer: t\r\nContent-Length: 5\r\n\r\n")
 			case 4:
 				fmt.Fprint(&text, "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n")
-				sound = false
+				unambiguous = false
 			}
-			if want = append(want, sound); !sound {
+			if want = append(want, unambiguous); !unambiguous {
 				break
 			}
 		}
@@ -50,8 +50,8 @@
 			f.read(rest[:n])
 			rest = rest[n:]
 		}
-		for i, sound := range want {
-			if got := f.nextUnambiguous(); got != sound {
+		for i, unambiguous := range want {
+			if got := f.nextUnambiguous(); got != unambiguous {
 				t.Errorf("seed %d: head %d of %q is said to be sound: %v", seed, i, text.String(), got)
 				return false
 			}
@@ -61,23 +61,23 @@
 		}
 		return !t.Failed()
 	}
-	if err := quick.Check(random, &quick.Config{MaxCount: 2000}); err != nil {
+	if err := quick.Check(check, &quick.Config{MaxCount: 2000}); err != nil {
 		t.Error(err)
 	}
 }
 
 // Pipelined lookups whose bodies hold lines that look like lengths are all answered, also with the target in its
 // absolute form; a client that asks for leave gets it.
-func TestSoundLookupsOfOddForms(t *testing.T) {
-	_, ships, address := serve(t, 8, true)
+func TestUnusualValidRequestsAreServed(t *testing.T) {
+	_, attempts, address := startServer(t, 8, true)
 	go func() {
-		for s := range ships {
-			s.Finish(dispatch.Complete, dispatch.Answer{Body: []byte(s.Target + " " + string(s.Body))})
+		for attempt := range attempts {
+			attempt.Finish(dispatch.Complete, dispatch.Answer{Body: []byte(attempt.Target + " " + string(attempt.Body))})
 		}
 	}()
 	conn := dial(t, address)
-	head := func(first, trace string) string {
-		return first + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + trace + "\r\n" + within + "\r\n"
+	head := func(requestLine, traceID string) string {
+		return requestLine + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + traceID + "\r\n" + timeoutHeader + "\r\n"
 	}
 	body := "a\nContent-Length: 5\nb"
 	fmt.Fprint(conn, head("PUT /once/k1", "1"), "Transfer-Encoding: chunked\r\n\r\n", fmt.Sprintf("%x;q=1\r\n%s\r\n0\r\nT: v\r\n\r\n", len(body), body),
