--- a/internal/net/frontend/accept_test.go
+++ b/internal/net/frontend/accept_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// failingListener is a listener whose accept fails with one error for a number of calls in a row.
+// failingListener is a listener whose first failures calls of Accept fail with err.
 type failingListener struct {
 	net.Listener
 	err      syscall.Errno
@@ -24,16 +24,16 @@
 	return l.Listener.Accept()
 }
 
-// acceptErrors are the errors that accept(2) documents for a listening socket that is in order. Linux passes the network errors
-// that are pending on a new connection on as well.
+// acceptErrors are the errors that accept(2) documents for a valid listening socket. On Linux, accept also returns the pending network errors of the
+// new connection.
 var acceptErrors = []syscall.Errno{
 	syscall.EAGAIN, syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT,
 }
 
-// An error of accept is one connection's, or passes: the service goes on, and whoever comes meanwhile is answered well within the
-// shortest deadline.
+// An accept error concerns a single connection or is temporary. Serve must continue after it, and a client that connects meanwhile must be answered well
+// within the shortest deadline.
 func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	const (
 		failures = 4
@@ -58,7 +58,7 @@
 			}()
 			select {
 			case err := <-serveErr:
-				t.Fatalf("the service ended: %v", err)
+				t.Fatalf("Serve returned: %v", err)
 			case took := <-delay:
 				if took > maxDelay {
 					t.Errorf("answered after %v, want %v at most", took, maxDelay)
@@ -70,7 +70,7 @@
 	}
 }
 
-// A listener that was closed ends the service at once.
+// Serve must return as soon as its listener is closed.
 func TestServeReturnsWhenListenerCloses(t *testing.T) {
 	srv, _, l := newTestServer(t, 4, true)
 	serveErr := make(chan error, 1)
@@ -80,9 +80,9 @@
 	select {
 	case err := <-serveErr:
 		if !errors.Is(err, net.ErrClosed) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Serve returned %v, want net.ErrClosed", err)
 		}
 	case <-time.After(time.Second):
-		t.Error("the service goes on without its listener")
+		t.Error("Serve did not return after the listener was closed")
 	}
 }
--- a/internal/net/frontend/body_test.go
+++ b/internal/net/frontend/body_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// A connection may rest before its first request, or between two, nearly up to a limit of its own, and the request then come in pieces that
-// cross that limit. A request that has begun has its own time from its first byte: its client has written it whole, and is owed an answer.
+// A connection may be idle before its first request, or between two requests, until shortly before its deadline, and then receive a request in parts
+// that arrive before and after that deadline. The request's own timeout starts with its first byte, so it must be answered.
 func TestRequestStartedBeforeTimeoutIsAnswered(t *testing.T) {
 	_, attempts, address := startServer(t, 8, true)
 	answerAll(t, attempts, []byte("v"))
 	for _, previous := range []int{0, 1} {
 		for _, idle := range []time.Duration{headerTimeout - 150*time.Millisecond, headerTimeout - 10*time.Millisecond} {
-			t.Run(fmt.Sprint(previous, " requests before, rests ", idle), func(t *testing.T) {
+			t.Run(fmt.Sprint(previous, " requests before, idle for ", idle), func(t *testing.T) {
 				t.Parallel()
 				conn, err := net.Dial("tcp", address)
 				if err != nil {
--- a/internal/net/frontend/closing_test.go
+++ b/internal/net/frontend/closing_test.go
@@ -19,7 +19,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// answerAll answers each shot at once with the value, and gives which ids were ever sent on.
+// answerAll answers each attempt at once with value. The returned function reports whether a request with the trace ID was forwarded to a server.
 func answerAll(t *testing.T, attempts attemptSink, value []byte) (forwarded func(traceID string) bool) {
 	var mu sync.Mutex
 	forwardedIDs := map[string]bool{}
@@ -45,8 +45,8 @@
 	}
 }
 
-// Whatever ends a connection, and whatever its client still sends, the answer arrives whole and ends by an end: a reset would
-// be no end for an answer without a length, as net/http's own errors are, and takes with it what the kernel still holds.
+// Whatever closes a connection, and whatever its client still sends, the response must arrive complete and end with a regular close. A reset discards the
+// bytes that the kernel has not delivered yet, and does not mark the end of a response without Content-Length, as net/http's own error responses are.
 func TestResponseCompleteBeforeClose(t *testing.T) {
 	t.Parallel()
 	const getPrefix = "GET /read/k HTTP/1.1\r\nHost: h\r\n" + traceHeader + "\r\n" + timeoutHeader + "\r\n"
@@ -56,27 +56,27 @@
 		name, input, wantStatus string
 		setup                   func(*Server)
 	}{
-		{"a bad header", getPrefix + "a header without a colon\r\n\r\n", "400", nil},
-		{"no request at all", "\x16\x03\x01\r\n\r\n", "400", nil},
-		{"no host", "GET /read/k HTTP/1.1\r\n\r\n", "400", nil},
-		{"another version", "GET /read/k HTTP/3.1\r\nHost: h\r\n\r\n", "505", nil},
-		{"an old version", "GET /read/k HTTP/1.0\r\n\r\n", "505", nil},
-		{"an unknown coding", putPrefix + "Transfer-Encoding: gzip\r\n\r\n", "501", nil},
-		{"an unknown expectation", getPrefix + "Expect: wonders\r\n\r\n", "417", nil},
-		{"a long head", getPrefix + "X-Long: " + strings.Repeat("x", 2*maxHeaderBytes) + "\r\n\r\n", "431", nil},
-		{"a long body", putPrefix + "Content-Length: 99999\r\n\r\n", "413", nil},
-		{"a long chunked body", putPrefix + "Transfer-Encoding: chunked\r\n\r\nfff\r\n", "413", nil},
-		{"a broken chunk", putPrefix + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "400", nil},
+		{"invalid header", getPrefix + "a header without a colon\r\n\r\n", "400", nil},
+		{"not HTTP", "\x16\x03\x01\r\n\r\n", "400", nil},
+		{"no Host header", "GET /read/k HTTP/1.1\r\n\r\n", "400", nil},
+		{"unsupported newer version", "GET /read/k HTTP/3.1\r\nHost: h\r\n\r\n", "505", nil},
+		{"HTTP/1.0", "GET /read/k HTTP/1.0\r\n\r\n", "505", nil},
+		{"unknown transfer coding", putPrefix + "Transfer-Encoding: gzip\r\n\r\n", "501", nil},
+		{"unknown expectation", getPrefix + "Expect: wonders\r\n\r\n", "417", nil},
+		{"long head", getPrefix + "X-Long: " + strings.Repeat("x", 2*maxHeaderBytes) + "\r\n\r\n", "431", nil},
+		{"long body", putPrefix + "Content-Length: 99999\r\n\r\n", "413", nil},
+		{"long chunked body", putPrefix + "Transfer-Encoding: chunked\r\n\r\nfff\r\n", "413", nil},
+		{"invalid chunk size", putPrefix + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "400", nil},
 		{"two lengths", putPrefix + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400", nil},
-		{"half a body", putPrefix + "Content-Length: 60\r\n\r\nhalf", "408", nil},
-		{"its client's wish", getPrefix + "Connection: close\r\n\r\n", "200", nil},
-		{"too many in hand", getPrefix + "Connection: close\r\n\r\n", "503", func(srv *Server) { srv.maxInFlight.Store(0) }},
-		{"too many connections", getPrefix + "\r\n", "200", func(srv *Server) { srv.conns.resize(0) }},
-		{"SIGTERM", getPrefix + "\r\n", "200", func(srv *Server) { srv.draining.Store(true) }},
-		{"SIGTERM, a long body", putPrefix + "Content-Length: 99999\r\n\r\n", "413", func(srv *Server) { srv.draining.Store(true) }},
+		{"partial body", putPrefix + "Content-Length: 60\r\n\r\nhalf", "408", nil},
+		{"Connection: close from the client", getPrefix + "Connection: close\r\n\r\n", "200", nil},
+		{"request limit reached", getPrefix + "Connection: close\r\n\r\n", "503", func(srv *Server) { srv.maxInFlight.Store(0) }},
+		{"connection limit exceeded", getPrefix + "\r\n", "200", func(srv *Server) { srv.conns.resize(0) }},
+		{"shutdown", getPrefix + "\r\n", "200", func(srv *Server) { srv.draining.Store(true) }},
+		{"shutdown, long body", putPrefix + "Content-Length: 99999\r\n\r\n", "413", func(srv *Server) { srv.draining.Store(true) }},
 	} {
 		for _, keepsWriting := range []bool{false, true} {
-			t.Run(fmt.Sprint(tt.name, ", its client goes on: ", keepsWriting), func(t *testing.T) {
+			t.Run(fmt.Sprint(tt.name, ", client keeps writing: ", keepsWriting), func(t *testing.T) {
 				t.Parallel()
 				srv, attempts, address := startServer(t, 8, true)
 				forwarded := answerAll(t, attempts, []byte("v"))
@@ -86,7 +86,7 @@
 				conn, writeDone := dial(t, address), make(chan struct{})
 				_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 				fmt.Fprint(conn, tt.input)
-				if tt.wantStatus == "408" { // else the body would come
+				if tt.wantStatus == "408" { // otherwise the pipelined bytes would complete the body
 					_, _ = conn.reader.Peek(1)
 				}
 				go func() {
@@ -97,22 +97,22 @@
 						_, err = fmt.Fprint(conn, "y")
 					}
 				}()
-				time.Sleep(150 * time.Millisecond) // reads late
+				time.Sleep(150 * time.Millisecond) // the client starts reading late
 				text, err := io.ReadAll(conn.reader)
 				<-writeDone
 				if len(text) < 12 || string(text[9:12]) != tt.wantStatus || err != nil {
 					t.Errorf("%q, then %v", text, err)
 				}
 				if forwarded("behind") {
-					t.Error("a lookup behind the end was sent on")
+					t.Error("a request after the close was forwarded")
 				}
 			})
 		}
 	}
 }
 
-// An answer of which the kernel still holds a part arrives whole though its client has sent more than was read, also where
-// the process ends.
+// A response that is still partly in the kernel's send buffer when the connection closes must arrive complete, although the client has sent bytes that
+// were not read. It also covers a shutdown of the server.
 func TestLongResponseCompleteAfterClose(t *testing.T) {
 	for _, shutdown := range []bool{false, true} {
 		srv, attempts, address := startServer(t, 8, true)
@@ -131,18 +131,19 @@
 		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		resp, err := http.ReadResponse(conn.reader, nil)
 		if err != nil {
-			t.Errorf("leaves %v: %v", shutdown, err)
+			t.Errorf("shutdown %v: %v", shutdown, err)
 			continue
 		}
 		got, err := io.ReadAll(resp.Body)
 		if err != nil || !bytes.Equal(got, value) {
-			t.Errorf("leaves %v: %d of %d bytes, %v", shutdown, len(got), len(value), err)
+			t.Errorf("shutdown %v: %d of %d bytes, %v", shutdown, len(got), len(value), err)
 		}
 	}
 }
 
-// Bytes that the kernel had before a deadline are read also where the process only comes to look after it: at a connection that
-// is to make way, at one that was idle for long, and in a head that took long. The rest of a head then has its time.
+// Bytes that the kernel received before the read deadline must be returned even if Read is called after it. This concerns a connection that is closed for
+// a new one, one that reaches the idle timeout, and a head that reaches its timeout. A connection selected to be closed then gets headerTimeout for the
+// rest of the head.
 func TestReadReturnsBytesReceivedBeforeDeadline(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -157,7 +158,7 @@
 			t.Fatal(err)
 		}
 		serverSide, buffer := accepted.(*clientConn), make([]byte, 9)
-		_ = serverSide.raw.Control(func(fd uintptr) { // else the kernel would hold the ends of answers back
+		_ = serverSide.raw.Control(func(fd uintptr) { // without TCP_NODELAY the kernel would delay the last bytes of answers
 			if set, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY); set == 0 || err != nil {
 				t.Errorf("TCP_NODELAY is %d, %v", set, err)
 			}
@@ -165,7 +166,7 @@
 		read := func(want string) {
 			t.Helper()
 			if n, err := serverSide.Read(buffer); string(buffer[:n]) != want || (n == 0) != errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("woken %v: %q, %v; want %q", closeRequested, buffer[:n], err, want)
+				t.Errorf("closeRequested %v: %q, %v; want %q", closeRequested, buffer[:n], err, want)
 			}
 		}
 		fmt.Fprint(clientSide, "GET ")
@@ -175,7 +176,7 @@
 		serverSide.closeRequested.Store(closeRequested)
 		_ = serverSide.SetReadDeadline(pastDeadline)
 		read("GET ")
-		if closeRequested { // it has been given time for the rest
+		if closeRequested { // the read above has extended the deadline for the rest of the head
 			time.AfterFunc(30*time.Millisecond, func() { fmt.Fprint(clientSide, "/up") })
 			read("/up")
 			serverSide.closeRequested.Store(true)
@@ -186,23 +187,23 @@
 	}
 }
 
-// A lookup that comes in the very moment in which its idle connection is ended is answered, or its client sees the end and
-// it was sent on nowhere: where the connection makes way, is idle for too long, or takes too long for its head.
+// A request that arrives at the moment its connection is closed must either be answered, or not be forwarded while its client sees the close. The close
+// is caused by a new connection, the idle timeout, or the header timeout.
 func TestRequestDuringCloseAnsweredOrNotForwarded(t *testing.T) {
 	t.Parallel()
 	rounds := 150
 	if testing.Short() {
 		rounds = 40
 	}
-	for _, cause := range []string{"makes way", "was idle for long", "took long for its head"} {
+	for _, cause := range []string{"closed for a new connection", "idle timeout", "header timeout"} {
 		t.Run(cause, func(t *testing.T) {
 			t.Parallel()
 			srv, attempts, l := newTestServer(t, 64, true)
 			timeout := 20 * time.Millisecond
 			switch cause {
-			case "was idle for long":
+			case "idle timeout":
 				srv.httpServer.IdleTimeout = timeout
-			case "took long for its head":
+			case "header timeout":
 				srv.httpServer.ReadHeaderTimeout = timeout
 			}
 			go func() { _ = srv.Serve(l) }()
@@ -211,7 +212,7 @@
 			for i := range rounds {
 				conn, traceID := dial(t, l.Addr().String()), fmt.Sprint("t", i)
 				text := "GET /read/k HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + traceID + "\r\n" + timeoutHeader + "\r\n\r\n"
-				if cause != "took long for its head" {
+				if cause != "header timeout" {
 					conn.send("GET /up")
 					conn.receive(t)
 				} else {
@@ -219,7 +220,7 @@
 					text = text[9:]
 				}
 				delay := timeout - time.Millisecond + time.Duration(i%20)*100*time.Microsecond
-				if cause == "makes way" {
+				if cause == "closed for a new connection" {
 					delay = time.Duration(i%10) * 20 * time.Microsecond
 					srv.conns.mu.Lock()
 					for _, element := range srv.conns.idleByConn {
@@ -235,26 +236,26 @@
 				switch {
 				case err == nil && resp.StatusCode == 200:
 					answered++
-				case err == nil && resp.StatusCode == 400 && cause == "took long for its head" && !forwarded(traceID):
-					closed++ // net/http takes half a request line for a whole one, and turns it away
+				case err == nil && resp.StatusCode == 400 && cause == "header timeout" && !forwarded(traceID):
+					closed++ // net/http parses the partial request line as complete, and rejects it
 				case err == nil:
 					t.Errorf("round %d: %d", i, resp.StatusCode)
 				case writeErr == nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
-					t.Errorf("round %d: %v", i, err) // a reset would take an earlier answer with it
+					t.Errorf("round %d: %v", i, err) // a reset could discard an earlier response
 				default:
 					closed++
 				}
 				conn.Close()
 				if err != nil && forwarded(traceID) {
-					t.Errorf("round %d: sent on, and not answered: %v", i, err)
+					t.Errorf("round %d: forwarded, but not answered: %v", i, err)
 				}
 			}
-			t.Logf("%d answered, %d ended unread", answered, closed)
+			t.Logf("%d answered, %d closed unread", answered, closed)
 		})
 	}
 }
 
-// Who is turned away holds no place for a body that never comes, where net/http would wait for its end.
+// A rejected request whose body never arrives must not hold its connection slot, although net/http would wait for the end of the body.
 func TestRejectedRequestReleasesConnection(t *testing.T) {
 	t.Parallel()
 	srv, _, address := startServer(t, 16, true)
@@ -278,13 +279,14 @@
 	}
 	for srv.Open() > 0 {
 		if time.Since(start) > 3500*time.Millisecond {
-			t.Fatalf("%d open", srv.Open())
+			t.Fatalf("%d connections still open", srv.Open())
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A client that has sent its next lookup's beginning with the one before is writing one, and makes way as such only.
+// A connection on which the beginning of the next request was read together with the previous one counts as writing a request, not as idle, when
+// connections are selected to be closed.
 func TestPartialPipelinedRequestIsNotIdle(t *testing.T) {
 	srv, attempts, address := startServer(t, 8, true)
 	answerAll(t, attempts, []byte("v"))
@@ -301,7 +303,7 @@
 	}
 }
 
-// readable says whether something lies unread at a connection.
+// readable reports whether the kernel has unread bytes of a connection.
 func readable(conn *clientConn) bool {
 	pending, _ := pollNow(conn.raw, unix.POLLIN)
 	return pending
--- a/internal/net/frontend/conn_tracker_test.go
+++ b/internal/net/frontend/conn_tracker_test.go
@@ -12,8 +12,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// True clients that take two seconds to write their lookup are served in a crowd of many times the places that connects
-// and never finishes one, on new connections and on kept ones, and also when the node is told to leave meanwhile.
+// Clients that take two seconds to write their request must be served while many times more connections than the limit are opened that never send a whole
+// request. It covers new and kept-alive connections, and clients that connect during a shutdown.
 func TestSlowClientsServedDuringConnectionFlood(t *testing.T) {
 	srv, attempts, address := startServer(t, 24, true)
 	go func() {
@@ -41,7 +41,7 @@
 				if i%2 == 0 {
 					fmt.Fprint(conn, "GET /read/k HTTP/1.1\r\nHost: h\r\nX-Tr")
 				}
-				_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second)) // until it is closed
+				_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second)) // blocks until the server closes it
 				_, _ = conn.Read(make([]byte, 1))
 				conn.Close()
 			}
@@ -62,7 +62,7 @@
 			if keepAlive {
 				writeSlowly(conn, fmt.Sprint("q", i), 0)
 				if r, _ := conn.receive(t); r.Close {
-					conn = dial(t, address) // the crowd has all places already
+					conn = dial(t, address) // the flood has already reached the connection limit
 				}
 			}
 			writeSlowly(conn, fmt.Sprint("s", i), 2*time.Second)
@@ -74,9 +74,9 @@
 	}
 	clients.Wait()
 	if n := floodConns.Load(); n < 150 {
-		t.Errorf("a crowd of %d only", n)
+		t.Errorf("only %d flood connections, want at least 150", n)
 	}
-	// Told to leave, it still takes and answers those that come, and is gone in time.
+	// During its shutdown the server must accept and answer new connections, and the shutdown must end in time.
 	shutdownErr := make(chan error, 1)
 	start := time.Now()
 	go func() { shutdownErr <- srv.Shutdown(false) }()
@@ -85,21 +85,21 @@
 			conn := dial(t, address)
 			writeSlowly(conn, fmt.Sprint("l", i), 0)
 			if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
-				t.Errorf("leaving, client %d: %d %q", i, r.StatusCode, body)
+				t.Errorf("shutting down, client %d: %d %q", i, r.StatusCode, body)
 			}
 		})
 		time.Sleep(15 * time.Millisecond)
 	}
 	clients.Wait()
 	close(stop)
-	<-shutdownErr // the crowd's may be open still
+	<-shutdownErr // may be an error, since flood connections may still be open
 	if took := time.Since(start); took > maxDeadline+700*time.Millisecond {
-		t.Errorf("left after %v", took)
+		t.Errorf("Shutdown took %v", took)
 	}
 	flood.Wait()
 }
 
-// pausedListener is a listener whose process stands still, so that who connects waits in the kernel's queue.
+// pausedListener blocks in Accept until resume is closed, as in a paused process. Connections wait in the kernel's accept queue meanwhile.
 type pausedListener struct {
 	*net.TCPListener
 	resume chan struct{}
@@ -110,12 +110,12 @@
 	return l.TCPListener.Accept()
 }
 
-// A lookup that waits in the kernel's queue when the time for new connections ends is taken and answered, whether the process
-// stood still until then or was told to leave before it began to serve: closed with it in its queue, the socket would reset it.
+// A connection that is in the kernel's accept queue when drainAcceptTime ends must be accepted and its request answered, because closing the listener
+// would reset it. This happens if the process is paused until then, or if Shutdown is called before Serve.
 func TestShutdownServesQueuedConnections(t *testing.T) {
 	for _, shutdownFirst := range []bool{false, true} {
 		srv, attempts, l := newTestServer(t, 8, true)
-		srv.limits.MaxDeadline = 2 * time.Second // the queue is given up after half of it
+		srv.limits.MaxDeadline = 2 * time.Second // Shutdown gives up on the accept queue after half of it
 		paused := pausedListener{l, make(chan struct{})}
 		shutdownErr := make(chan error, 1)
 		startServing := func() { go func() { _ = srv.Serve(paused) }() }
@@ -134,19 +134,19 @@
 		close(paused.resume)
 		go func() { (<-attempts).Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")}) }()
 		if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
-			t.Errorf("told to leave early %v: %d %q", shutdownFirst, r.StatusCode, body)
+			t.Errorf("shutdown before serve %v: %d %q", shutdownFirst, r.StatusCode, body)
 		}
 		if err := <-shutdownErr; err != nil || time.Since(start) > srv.limits.MaxDeadline+700*time.Millisecond {
-			t.Errorf("left after %v: %v", time.Since(start), err)
+			t.Errorf("Shutdown took %v: %v", time.Since(start), err)
 		}
 	}
 }
 
-// A lookup may come just as its connection is chosen to make way. Its client is there all the while, and must not seem to have
-// left for the deadline that was to wake the reader of an idle connection: net/http lifts it before it looks for the client's end.
+// A request may arrive just as its idle connection is selected to be closed. The read deadline that wakes the connection's reader must not make the
+// connected client look disconnected: net/http clears the deadline before its background read watches for the client's disconnect.
 func TestRequestArrivingDuringIdleCloseIsServed(t *testing.T) {
 	srv, attempts, l := newTestServer(t, 8, true)
-	// The server's word that a lookup has come is held until its connection has been chosen.
+	// The hook delays the server's report of the second request until the connection has been selected.
 	connState, activations := srv.httpServer.ConnState, 0
 	srv.httpServer.ConnState = func(conn net.Conn, state http.ConnState) {
 		if state == http.StateActive {
@@ -154,7 +154,7 @@
 				srv.conns.mu.Lock()
 				for _, element := range srv.conns.idleByConn {
 					idle := element.Value.(*idleConn)
-					idle.idleSince = time.Now().Add(-time.Hour) // idle for long, and nothing heard since
+					idle.idleSince = time.Now().Add(-time.Hour) // long idle, and no bytes received since
 					idle.conn.(*clientConn).lastRead.Store(0)
 				}
 				srv.conns.mu.Unlock()
--- a/internal/net/frontend/failing_test.go
+++ b/internal/net/frontend/failing_test.go
@@ -16,7 +16,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// A request that meets a moment in which the machine lacks memory, as it is read, looked after or answered, is answered whole.
+// A request must be answered completely if a read, write or poll of its connection fails temporarily for lack of memory.
 func TestRequestSurvivesTransientMemoryErrors(t *testing.T) {
 	const failures = 2
 	t.Cleanup(func() { kernel.Fail(nil) })
--- a/internal/net/frontend/flood_test.go
+++ b/internal/net/frontend/flood_test.go
@@ -20,28 +20,28 @@
 
 const putHead = "PUT /once/k HTTP/1.1\r\nHost: h\r\nX-Trace-Id: f\r\n" + timeoutHeader + "\r\n"
 
-// floods are what bad clients send: a beginning, then one piece without end.
+// floods are the inputs of misbehaving clients: first once, then repeated over and over.
 var floods = []struct {
 	name, first, repeated string
-	want                  string // the status with which one is turned away at the latest
+	want                  string // the status of the rejection
 }{
-	{"a request line without end", "GET /read/", "kkkkkkkkkkkkkkkk", "431"},
-	{"a header without end", "GET /read/k HTTP/1.1\r\nHost: h\r\nX-Long: ", "xxxxxxxxxxxxxxxx", "431"},
-	{"headers without end", "GET /read/k HTTP/1.1\r\nHost: h\r\n", "X-More: 1\r\n", "431"},
-	{"folded lines without end", "GET /read/k HTTP/1.1\r\nHost: h\r\nX-More: 1\r\n", " folded\r\n", "431"},
-	{"empty lines without end", "", "\r\n", "400"},
+	{"endless request line", "GET /read/", "kkkkkkkkkkkkkkkk", "431"},
+	{"endless header", "GET /read/k HTTP/1.1\r\nHost: h\r\nX-Long: ", "xxxxxxxxxxxxxxxx", "431"},
+	{"endless list of headers", "GET /read/k HTTP/1.1\r\nHost: h\r\n", "X-More: 1\r\n", "431"},
+	{"endless folded lines", "GET /read/k HTTP/1.1\r\nHost: h\r\nX-More: 1\r\n", " folded\r\n", "431"},
+	{"endless empty lines", "", "\r\n", "400"},
 	{"garbage", "", "\x00\xff\r\n\r\n \x16", "400"},
-	{"garbage behind a request", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n", "\x00\xff\r\n\r\n ", "400"},
-	{"a chunk's extension without end", putHead + "Transfer-Encoding: chunked\r\n\r\n1", ";extension=1", "400"},
+	{"garbage after a request", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n", "\x00\xff\r\n\r\n ", "400"},
+	{"endless chunk extension", putHead + "Transfer-Encoding: chunked\r\n\r\n1", ";extension=1", "400"},
 	{"chunks with long extensions", putHead + "Transfer-Encoding: chunked\r\n\r\n", "1;" + strings.Repeat("e", 900) + "\r\nx\r\n", "400"},
-	{"a chunk's size without end", putHead + "Transfer-Encoding: chunked\r\n\r\n", "0000000000", "400"},
-	{"a trailer without end", putHead + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Long: ", "xxxxxxxxxxxxxxxx", "400"},
-	{"trailers without end", putHead + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n", "X-More: 1\r\n", "400"},
-	{"a body without end", putHead + "Transfer-Encoding: chunked\r\n\r\n", "10\r\n0123456789abcdef\r\n", "413"},
-	{"more than was told", putHead + "Content-Length: 99999999\r\n\r\n", "0123456789abcdef", "413"},
+	{"endless chunk size", putHead + "Transfer-Encoding: chunked\r\n\r\n", "0000000000", "400"},
+	{"endless trailer", putHead + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Long: ", "xxxxxxxxxxxxxxxx", "400"},
+	{"endless list of trailers", putHead + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n", "X-More: 1\r\n", "400"},
+	{"endless body", putHead + "Transfer-Encoding: chunked\r\n\r\n", "10\r\n0123456789abcdef\r\n", "413"},
+	{"endless body with Content-Length", putHead + "Content-Length: 99999999\r\n\r\n", "0123456789abcdef", "413"},
 }
 
-// What never ends is turned away with a whole answer and ended, however long it goes on.
+// Endless input must be rejected with a complete response, and its connection closed while the client keeps writing.
 func TestEndlessInputIsRejected(t *testing.T) {
 	t.Parallel()
 	for _, flood := range floods {
@@ -60,21 +60,21 @@
 				writeErr <- err
 			}()
 			text, _ := io.ReadAll(conn.reader)
-			text = bytes.TrimPrefix(text, []byte("HTTP/1.1 200 OK")) // of /up
+			text = bytes.TrimPrefix(text, []byte("HTTP/1.1 200 OK")) // response of /up
 			if !bytes.Contains(text, []byte("HTTP/1.1 "+flood.want)) {
 				t.Errorf("%q", text)
 			}
 			if err := <-writeErr; errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("still heard after %v", time.Since(start))
+				t.Errorf("the connection still accepts writes after %v", time.Since(start))
 			}
 			if forwarded("f") {
-				t.Error("sent on")
+				t.Error("the request was forwarded")
 			}
 		})
 	}
 }
 
-// openDescriptors gives how many this process has open.
+// openDescriptors returns the number of open file descriptors of this process.
 func openDescriptors(t *testing.T) int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -83,8 +83,8 @@
 	return len(entries)
 }
 
-// Floods of clients that send much and go, by an end, a reset, or by falling silent, cost bounded memory, goroutines and
-// descriptors, and a client beside them is answered each time.
+// Floods of clients that send many bytes and then close, reset or stop sending must use a bounded amount of memory, goroutines and file descriptors.
+// Regular clients must be answered during the floods.
 func TestFloodResourcesBoundedAndClientsServed(t *testing.T) {
 	const maxConns, flooders = 64, 48
 	srv, attempts, address := startServer(t, maxConns, true)
@@ -117,9 +117,9 @@
 				floodBytes.Add(int64(n))
 				switch random.IntN(3) {
 				case 0:
-					_ = conn.(*net.TCPConn).SetLinger(0) // a reset
+					_ = conn.(*net.TCPConn).SetLinger(0) // closes with a reset
 				case 1:
-					_, _ = io.Copy(io.Discard, conn) // silent until its deadline
+					_, _ = io.Copy(io.Discard, conn) // sends nothing until its deadline
 				}
 				conn.Close()
 			}
@@ -143,7 +143,7 @@
 				_ = conn.SetReadDeadline(start.Add(3 * time.Second))
 				resp, err := http.ReadResponse(conn.reader, nil)
 				if err != nil {
-					t.Errorf("client %d, lookup %d: %v after %v", i, n, err, time.Since(start))
+					t.Errorf("client %d, request %d: %v after %v", i, n, err, time.Since(start))
 					return
 				}
 				if answers.Add(1); resp.StatusCode == 200 {
@@ -161,29 +161,32 @@
 	floodClients.Wait()
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		goroutines, descriptorCount := runtime.NumGoroutine(), openDescriptors(t)
-		if srv.Open() == 0 && srv.listener.Load().lingeringCount() == 0 && goroutines <= goroutinesBefore+4 && descriptorCount <= descriptorsBefore+4 {
+		if srv.Open() == 0 && srv.listener.Load().lingeringCount() == 0 && goroutines <= goroutinesBefore+4 &&
+			descriptorCount <= descriptorsBefore+4 {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Errorf("afterwards %d open, %d linger, %d goroutines of %d, %d descriptors of %d", srv.Open(), srv.listener.Load().lingeringCount(),
-				goroutines, goroutinesBefore, descriptorCount, descriptorsBefore)
+			t.Errorf("after the flood: %d connections open, %d lingering, %d goroutines (%d before), %d descriptors (%d before)",
+				srv.Open(), srv.listener.Load().lingeringCount(), goroutines, goroutinesBefore, descriptorCount, descriptorsBefore)
 			break
 		}
 	}
 	heapGrowthMB := (int64(memPeak.HeapInuse) - int64(memBefore.HeapInuse)) >> 20
-	t.Logf("%d connections, %d MB; %d answers, %d resolved, slowest %v; %d places of %d, %d goroutines, %d MB more", floodConns.Load(), floodBytes.Load()>>20,
-		answers.Load(), served.Load(), time.Duration(slowest.Load()), peakConns.Load(), maxConns+4, peakGoroutines.Load(), heapGrowthMB)
+	t.Logf("flood: %d connections, %d MB sent; %d answers, %d served, slowest %v; peak %d of %d connections, %d goroutines; heap grew by %d MB",
+		floodConns.Load(), floodBytes.Load()>>20, answers.Load(), served.Load(), time.Duration(slowest.Load()),
+		peakConns.Load(), maxConns+4, peakGoroutines.Load(), heapGrowthMB)
 	if floodConns.Load() < 100 || answers.Load() < 8 || slowest.Load() > int64(1500*time.Millisecond) {
-		t.Errorf("%d came, %d answers, the slowest after %v", floodConns.Load(), answers.Load(), time.Duration(slowest.Load()))
+		t.Errorf("%d flood connections, %d answers, slowest after %v", floodConns.Load(), answers.Load(), time.Duration(slowest.Load()))
 	}
-	// Four more than its places wait for one; each has the server's goroutine and its look for the client's end, or lingers.
+	// OverflowConns allows 4 more connections than maxConns. Each connection has the server's goroutine and its background read for the client's disconnect,
+	// or a lingering goroutine.
 	if peakConns.Load() > maxConns+4 || peakGoroutines.Load() > int64(goroutinesBefore+flooders+8+2*(maxConns+4)) || heapGrowthMB > 64 {
-		t.Errorf("%d places, %d goroutines, %d MB", peakConns.Load(), peakGoroutines.Load(), heapGrowthMB)
+		t.Errorf("peak of %d connections, %d goroutines; heap grew by %d MB", peakConns.Load(), peakGoroutines.Load(), heapGrowthMB)
 	}
 }
 
-// Clients that write a byte at a time within the two seconds that true ones take are answered, on new connections and kept
-// ones, with a body in any form.
+// Clients that write one byte at a time must be answered if they stay within the two seconds that real clients take for a request. It covers new and
+// kept-alive connections, and requests without a body, with Content-Length and with chunked encoding.
 func TestRequestSentByteByByteIsServed(t *testing.T) {
 	t.Parallel()
 	_, attempts, address := startServer(t, 16, true)
@@ -208,7 +211,7 @@
 					fmt.Fprint(conn, text[offset:offset+1])
 				}
 				if r, body := conn.receive(t); r.StatusCode != 200 || body != "v" {
-					t.Errorf("%d, kept %v: %d %q", i, keepAlive, r.StatusCode, body)
+					t.Errorf("request %d, keep-alive %v: %d %q", i, keepAlive, r.StatusCode, body)
 				}
 			})
 		}
@@ -216,8 +219,8 @@
 	clients.Wait()
 }
 
-// Clients that don't read their answers hold no place, as long as the kernel holds these: others take it, and the answers
-// arrive whole, also through the node's end.
+// Clients that do not read their answers must not hold connection slots as long as the answers fit into the kernel's send buffer. Other clients must be
+// served, and the unread answers must arrive complete, also after a shutdown.
 func TestSlowReadersDoNotBlockOtherClients(t *testing.T) {
 	t.Parallel()
 	srv, attempts, address := startServer(t, 4, true)
@@ -234,7 +237,7 @@
 	conn := dial(t, address)
 	conn.send("GET /read/k", traceHeader, timeoutHeader)
 	if resp, body := conn.receive(t); resp.StatusCode != 200 || body != string(value) {
-		t.Errorf("beside them: %d, %d bytes", resp.StatusCode, len(body))
+		t.Errorf("client beside the slow readers: %d, %d bytes", resp.StatusCode, len(body))
 	}
 	if err := srv.Shutdown(false); err != nil {
 		t.Error(err)
@@ -244,15 +247,15 @@
 		readers.Go(func() {
 			resp, body := conn.receive(t)
 			if resp.StatusCode == 200 && body != string(value) || resp.StatusCode != 200 && resp.StatusCode != 503 {
-				t.Errorf("slow %d: %d, %d bytes", i, resp.StatusCode, len(body))
+				t.Errorf("slow reader %d: %d, %d bytes", i, resp.StatusCode, len(body))
 			}
 		})
 	}
 	readers.Wait()
 }
 
-// Clients that rest until the node ends them, and send just then: through all of a leave each lookup is answered, or was sent
-// on nowhere, and those that come again at once, while connections still come, are answered.
+// Idle clients send a request at the moment the shutdown closes their connection. Throughout the shutdown each request must be answered, or not be
+// forwarded. Clients that reconnect at once, while new connections are still accepted, must be answered.
 func TestIdleClientsDuringShutdown(t *testing.T) {
 	srv, attempts, address := startServer(t, 99, true)
 	forwarded := answerAll(t, attempts, []byte("v"))
@@ -269,7 +272,7 @@
 	var answered, closed atomic.Int64
 	for i, conn := range conns {
 		clients.Go(func() {
-			time.Sleep(time.Until(start.Add(time.Duration(i) * 2 * time.Millisecond))) // they are ended from 50 ms on
+			time.Sleep(time.Until(start.Add(time.Duration(i) * 2 * time.Millisecond))) // the shutdown closes idle connections from 50 ms on
 			for try, traceID := 0, ""; ; try++ {
 				traceID = fmt.Sprintf("r%dx%d", i, try)
 				conn.send("GET /read/k", "X-Trace-Id: "+traceID, timeoutHeader)
@@ -283,12 +286,12 @@
 					return
 				}
 				if closed.Add(1); forwarded(traceID) {
-					t.Errorf("client %d: sent on, and then %v", i, err)
+					t.Errorf("client %d: forwarded, then %v", i, err)
 				}
 				if !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
 					t.Errorf("client %d: %v", i, err)
 				}
-				if time.Since(start) > drainAcceptTime-100*time.Millisecond { // clients come for so long
+				if time.Since(start) > drainAcceptTime-100*time.Millisecond { // clients may connect until then
 					return
 				}
 				next, err := net.Dial("tcp", address)
@@ -306,5 +309,5 @@
 	if err := <-shutdownErr; err != nil || answered.Load() < idleClients/2 {
 		t.Errorf("%v; %d answered", err, answered.Load())
 	}
-	t.Logf("%d answered, %d met the end first", answered.Load(), closed.Load())
+	t.Logf("%d answered, %d connections closed before the answer", answered.Load(), closed.Load())
 }
--- a/internal/net/frontend/framing_test.go
+++ b/internal/net/frontend/framing_test.go
@@ -11,7 +11,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Lookups of every framing one after another, cut anywhere: each head is judged by itself, whatever bodies hold.
+// Requests with every kind of framing are pipelined and split at random positions. Each head must be classified on its own, whatever the bodies contain.
 func TestFramingOfPipelinedRequests(t *testing.T) {
 	const misleadingBody = "x\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	seed := int64(0)
@@ -52,12 +52,12 @@
 		}
 		for i, unambiguous := range want {
 			if got := f.nextUnambiguous(); got != unambiguous {
-				t.Errorf("seed %d: head %d of %q is said to be sound: %v", seed, i, text.String(), got)
+				t.Errorf("seed %d: head %d of %q: unambiguous = %v", seed, i, text.String(), got)
 				return false
 			}
 		}
 		if f.nextUnambiguous() {
-			t.Errorf("seed %d: a head that never came", seed)
+			t.Errorf("seed %d: one more head than was sent", seed)
 		}
 		return !t.Failed()
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// Pipelined lookups whose bodies hold lines that look like lengths are all answered, also with the target in its
-// absolute form; a client that asks for leave gets it.
+// Pipelined requests whose bodies contain lines that look like Content-Length must all be answered, also with a target in absolute form. A request with
+// Expect: 100-continue must receive a 100 response.
 func TestUnusualValidRequestsAreServed(t *testing.T) {
 	_, attempts, address := startServer(t, 8, true)
 	go func() {
--- a/internal/net/frontend/poll_test.go
+++ b/internal/net/frontend/poll_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// A poll that was interrupted tells nothing, and is made again; one that fails for good holds nobody to have gone, and no queue to be empty.
+// An interrupted poll must be retried. If poll keeps failing, the client must count as connected, and the accept queue as not empty.
 func TestFailedPollReportsNoClose(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	t.Run("interrupted", func(t *testing.T) {
@@ -19,7 +19,7 @@
 		waitFor(t, conn.clientGone)
 		kernel.FailTimes(kernel.Poll, syscall.EINTR, 3)
 		if !conn.clientGone() {
-			t.Error("a client that has gone was held to be there")
+			t.Error("clientGone = false for a disconnected client")
 		}
 		listener.lastAccept.Store(0)
 		listener.conns.Store(0)
@@ -27,7 +27,7 @@
 		waitFor(t, listener.hasQueued)
 		kernel.FailTimes(kernel.Poll, syscall.EINTR, 3)
 		if !listener.hasQueued() {
-			t.Error("a socket with a connection in its queue was held to be empty")
+			t.Error("hasQueued = false with a connection in the accept queue")
 		}
 	})
 	t.Run("out of memory", func(t *testing.T) {
@@ -35,20 +35,20 @@
 		listener.lastAccept.Store(0)
 		kernel.FailTimes(kernel.Poll, syscall.ENOMEM, 1<<30)
 		if conn.clientGone() {
-			t.Error("a client that is there was held to have gone")
+			t.Error("clientGone = true for a connected client")
 		}
 		if !listener.hasQueued() {
-			t.Error("a queue that nobody could look at was held to be empty")
+			t.Error("hasQueued = false although poll fails")
 		}
 	})
 }
 
-// waitFor waits until something holds.
+// waitFor waits until condition is true, for up to 1 s.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never holds")
+			t.Fatal("the condition did not become true within 1 s")
 		}
 	}
 }
--- a/internal/net/frontend/read_ahead_test.go
+++ b/internal/net/frontend/read_ahead_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 )
 
-// connPair gives a connection as a node has it, and its client's end.
+// connPair returns a listener, a connection that it has accepted, and the client's side of that connection.
 func connPair(t *testing.T) (*limitedListener, *clientConn, *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,12 +34,13 @@
 	return limited, serverSide.(*clientConn), clientSide.(*net.TCPConn)
 }
 
-// rawReader reads a connection's bytes, whatever they are.
+// rawReader reads a connection's bytes without parsing their framing.
 type rawReader struct{ *clientConn }
 
 func (c rawReader) Read(b []byte) (int, error) { return c.readWait(b) }
 
-// Bytes are read in order and once, whoever looks for the client's end meanwhile; what was read ahead is bounded and counted.
+// Bytes must be read in order and exactly once while another goroutine checks for the client's disconnect. The bytes read ahead must be counted and stay
+// within the limits.
 func TestReadAheadKeepsByteOrder(t *testing.T) {
 	for seed := range int64(8) {
 		r := rand.New(rand.NewSource(seed))
@@ -66,25 +67,26 @@
 					serverSide.clientGone()
 				}
 				if buffered := listener.readAhead.Load(); buffered > maxReadAheadTotal+64<<10 || buffered < 0 {
-					t.Errorf("%d bytes are held", buffered)
+					t.Errorf("%d bytes read ahead", buffered)
 				}
 			}
 		})
 		time.Sleep(time.Duration(r.Intn(20)) * time.Millisecond)
-		got, err := io.ReadAll(rawReader{serverSide}) // Read would refuse them as a head without an end
+		got, err := io.ReadAll(rawReader{serverSide}) // clientConn.Read would reject them as a head that is too long
 		if err != nil || !bytes.Equal(got, sent) {
 			t.Errorf("seed %d: %d of %d bytes, %v", seed, len(got), len(sent), err)
 		}
 		close(readDone)
 		checks.Wait()
 		if !serverSide.clientGone() || listener.readAhead.Load() != 0 {
-			t.Errorf("gone %v, %d bytes held", serverSide.clientGone(), listener.readAhead.Load())
+			t.Errorf("clientGone %v, %d bytes read ahead", serverSide.clientGone(), listener.readAhead.Load())
 		}
 	}
 }
 
-// An end behind a full window is seen; a client that only writes much is there, and what was read ahead is given back at the close. A read
-// that waits for bytes which another takes ahead of it gets them; one beyond its deadline gets what came before it, and nothing else.
+// A client's close behind a full TCP window must be detected, and a client that only writes many bytes must count as connected. A read must also
+// return bytes that clientGone has read ahead while the read waited. Closing the connection releases the bytes read ahead. After the read deadline,
+// Read must return the bytes that arrived before it, and otherwise fail with os.ErrDeadlineExceeded.
 func TestClientCloseBehindFullWindowIsDetected(t *testing.T) {
 	for _, closes := range []bool{true, false} {
 		listener, serverSide, clientSide := connPair(t)
@@ -98,26 +100,26 @@
 			clientSide.Close()
 		}
 		if serverSide.clientGone() != closes {
-			t.Errorf("ends %v, and is taken for the other", closes)
+			t.Errorf("clientGone = %v, want %v", !closes, closes)
 		}
 		if buffered := listener.readAhead.Load(); buffered == 0 || buffered > maxReadAheadPerConn+64<<10 {
-			t.Errorf("%d bytes are held", buffered)
+			t.Errorf("%d bytes read ahead", buffered)
 		}
 		_ = serverSide.SetReadDeadline(time.Now().Add(-time.Second))
 		if _, err := serverSide.readWait(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("beyond its deadline: %v", err)
+			t.Errorf("readWait after the deadline: %v", err)
 		}
 		if n, err := serverSide.Read(make([]byte, 1)); n != 1 || err != nil {
-			t.Errorf("beyond its deadline, of what came before it: %d, %v", n, err)
+			t.Errorf("Read after the deadline, bytes available: %d, %v", n, err)
 		}
 		_, silent, _ := connPair(t)
 		_ = silent.SetReadDeadline(time.Now().Add(-time.Second))
 		if n, err := silent.Read(make([]byte, 1)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("beyond its deadline, of nothing: %d, %v", n, err)
+			t.Errorf("Read after the deadline, no bytes available: %d, %v", n, err)
 		}
 		serverSide.Close()
 		if buffered := listener.readAhead.Load(); buffered != 0 {
-			t.Errorf("%d bytes are held after the close", buffered)
+			t.Errorf("%d bytes read ahead are counted after the close", buffered)
 		}
 		<-writeDone
 	}
--- a/internal/net/frontend/server.go
+++ b/internal/net/frontend/server.go
@@ -161,7 +161,7 @@
 		return open, 0
 	}
 	lingering = l.lingeringCount()
-	accepted := int(l.conns.Load()) - lingering // may include one that Accept has not returned to net/http yet
+	accepted := int(l.conns.Load()) - lingering // includes one that Accept waits for or has not returned to net/http yet
 	return max(open, accepted), lingering
 }
 
--- a/internal/net/frontend/server_test.go
+++ b/internal/net/frontend/server_test.go
@@ -18,7 +18,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// attemptSink hands each shot to the test.
+// attemptSink passes each attempt that the dispatcher sends to the test.
 type attemptSink chan *dispatch.Attempt
 
 func (a attemptSink) Send(attempt *dispatch.Attempt) { a <- attempt }
@@ -28,7 +28,7 @@
 
 const maxDeadline = 300 * time.Millisecond
 
-// startServer starts a client side on loopback, with its fleet.
+// startServer starts a Server on the loopback interface. It returns the server, its attempts and its address.
 func startServer(t *testing.T, descriptors int, hasEndpoints bool) (*Server, attemptSink, string) {
 	t.Helper()
 	srv, attempts, listener := newTestServer(t, descriptors, hasEndpoints)
@@ -36,7 +36,7 @@
 	return srv, attempts, listener.Addr().String()
 }
 
-// newTestServer makes a client side that doesn't serve yet, and a socket for it.
+// newTestServer returns a Server that does not serve yet, its attempts, and a listener for it.
 func newTestServer(t *testing.T, descriptors int, hasEndpoints bool) (*Server, attemptSink, *net.TCPListener) {
 	t.Helper()
 	settings, err := config.ParseSettings(
@@ -72,12 +72,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := New(dispatcher, Limits{Descriptors: descriptors, OverflowConns: 4, MaxDeadline: maxDeadline, MaxRetryAfter: maxDeadline, MaxBuffered: 64, MaxStreamed: 64}, zap.NewNop())
+	limits := Limits{
+		Descriptors:   descriptors,
+		OverflowConns: 4,
+		MaxDeadline:   maxDeadline,
+		MaxRetryAfter: maxDeadline,
+		MaxBuffered:   64,
+		MaxStreamed:   64,
+	}
+	srv := New(dispatcher, limits, zap.NewNop())
 	t.Cleanup(func() { srv.httpServer.Close() })
 	return srv, attempts, listener.(*net.TCPListener)
 }
 
-// client is one connection.
+// client is a client's connection.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -97,7 +105,7 @@
 	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: service.internal\r\n%s\r\n", requestLine, strings.Join(append(headers, ""), "\r\n"))
 }
 
-// receive reads one answer.
+// receive reads one response.
 func (c *client) receive(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -131,8 +139,8 @@
 	)
 	attempt := <-attempts
 	if attempt.Method != "PUT" || attempt.Target != "/once/a%2Fb/k%20y?x=1&&y" || string(attempt.Body) != "a\x00b" || attempt.TraceID != "9b1f" ||
-		attempt.IdempotencyKey != "Key 1" || attempt.Key != "k%20y" || attempt.Tenant != "acme" || attempt.Work != 99.633 || !attempt.Write || attempt.Address != "z:1" ||
-		attempt.Timeout > 280*time.Millisecond || attempt.Timeout < 150*time.Millisecond {
+		attempt.IdempotencyKey != "Key 1" || attempt.Key != "k%20y" || attempt.Tenant != "acme" || attempt.Work != 99.633 || !attempt.Write ||
+		attempt.Address != "z:1" || attempt.Timeout > 280*time.Millisecond || attempt.Timeout < 150*time.Millisecond {
 		t.Errorf("%+v %+v", attempt, attempt.Request)
 	}
 	attempt.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v\x00w"), ContentType: "text/x"})
@@ -204,12 +212,12 @@
 		conn := dial(t, address)
 		conn.send(tt.requestLine, tt.headers...)
 		if r, body := conn.receive(t); r.StatusCode != tt.status || len(attempts) > 0 {
-			t.Errorf("%s %.60v: %d %q, %d shots; want %d", tt.requestLine, tt.headers, r.StatusCode, body, len(attempts), tt.status)
+			t.Errorf("%s %.60v: %d %q, %d attempts; want %d", tt.requestLine, tt.headers, r.StatusCode, body, len(attempts), tt.status)
 		}
 	}
 }
 
-// Another client's id is an error with nothing sent on, and the first lookup goes on unharmed.
+// A request with the trace ID of a request in flight must be answered with 409 and not be forwarded. The first request must be unaffected.
 func TestDuplicateTraceIDIsConflict(t *testing.T) {
 	_, attempts, address := startServer(t, 8, true)
 	first, second := dial(t, address), dial(t, address)
@@ -217,16 +225,16 @@
 	attempt := <-attempts
 	second.send("GET /read/k2", traceHeader, timeoutHeader)
 	if r, _ := second.receive(t); r.StatusCode != http.StatusConflict || len(attempts) != 0 {
-		t.Errorf("the second: %d, %d shots", r.StatusCode, len(attempts))
+		t.Errorf("second request: %d, %d attempts", r.StatusCode, len(attempts))
 	}
 	attempt.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 	if r, body := first.receive(t); r.StatusCode != 200 || body != "v" {
-		t.Errorf("the first: %d %q", r.StatusCode, body)
+		t.Errorf("first request: %d %q", r.StatusCode, body)
 	}
 }
 
-// A lookup that gives its length in two ways may hide another in its body: neither is sent on. A length that an
-// earlier lookup on the connection gave counts for that one only.
+// A request with both Content-Length and Transfer-Encoding may hide another request in its body (request smuggling): neither may be forwarded. The length of
+// an earlier request on the connection must not affect later ones.
 func TestRequestWithTwoLengthsIsRejected(t *testing.T) {
 	_, attempts, address := startServer(t, 8, true)
 	const chunked = "Transfer-Encoding: chunked"
@@ -239,7 +247,7 @@
 			fmt.Fprint(conn, head, body)
 			attempt := <-attempts
 			if attempt.Finish(dispatch.Complete, dispatch.Answer{}); string(attempt.Body) != "v" {
-				t.Errorf("%q came as %q", body, attempt.Body)
+				t.Errorf("%q forwarded as %q", body, attempt.Body)
 			}
 			conn.receive(t)
 		}
@@ -248,17 +256,17 @@
 			t.Errorf("%q: %d, close %v", lengths, r.StatusCode, r.Close)
 		}
 		if _, err := conn.reader.ReadByte(); err == nil || len(attempts) > 0 {
-			t.Errorf("%q: %v, %d shots", lengths, err, len(attempts))
+			t.Errorf("%q: %v, %d attempts", lengths, err, len(attempts))
 		}
 	}
 	conn := dial(t, address)
 	fmt.Fprintf(conn, "PUT /read/k HTTP/1.0\r\nContent-Length: 1\r\n%s\r\n%s\r\n%s\r\n\r\nv", chunked, traceHeader, timeoutHeader)
 	if r, _ := conn.receive(t); r.StatusCode != http.StatusHTTPVersionNotSupported || len(attempts) > 0 {
-		t.Errorf("HTTP/1.0: %d, %d shots", r.StatusCode, len(attempts))
+		t.Errorf("HTTP/1.0: %d, %d attempts", r.StatusCode, len(attempts))
 	}
 }
 
-// Who doesn't end what it began is answered or closed within 3 s of connecting; 60 MB are answered at once.
+// A client that sends only part of a request must be answered or its connection closed within 3 s of connecting. A body of 60 MB must be rejected at once.
 func TestPartialRequestEndsWithinDeadline(t *testing.T) {
 	_, attempts, address := startServer(t, 8, true)
 	start := time.Now()
@@ -279,17 +287,17 @@
 		_ = conn.SetReadDeadline(start.Add(3 * time.Second))
 		text, err := io.ReadAll(conn.reader)
 		if err != nil || i == 2 != strings.HasPrefix(string(text), "HTTP/1.1 408") || len(attempts) > 0 {
-			t.Errorf("half %d: %q, %v", i, text, err)
+			t.Errorf("partial request %d: %q, %v", i, text, err)
 		}
 	}
 }
 
-// endlessReader is a body without end.
+// endlessReader is an endless body.
 type endlessReader struct{}
 
 func (endlessReader) Read(b []byte) (int, error) { return len(b), nil }
 
-// A client that leaves ends its lookup; its shot still settles, and nothing is kept.
+// A client's disconnect must cancel its request. The attempt in flight still completes, and the dispatcher must then hold no state of the request.
 func TestClientDisconnectCancelsRequest(t *testing.T) {
 	srv, attempts, address := startServer(t, 8, true)
 	conn := dial(t, address)
@@ -299,14 +307,14 @@
 	clientGone := func() bool { return srv.dispatcher.Stats().ClientGone == 1 }
 	for end := time.Now().Add(2 * time.Second); !clientGone(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nobody noticed")
+			t.Fatal("the disconnect was not counted within 2 s")
 		}
 	}
 	if srv.dispatcher.InFlight() != 1 {
-		t.Error("forgotten with a shot out")
+		t.Error("the request was removed while an attempt was in flight")
 	}
 	if attempt.Finish(dispatch.NotFound, dispatch.Answer{}); srv.dispatcher.InFlight() != 0 || len(attempts) != 0 {
-		t.Errorf("%d known, %d more shots", srv.dispatcher.InFlight(), len(attempts))
+		t.Errorf("%d requests in flight, %d more attempts", srv.dispatcher.InFlight(), len(attempts))
 	}
 }
 
@@ -326,12 +334,12 @@
 		conn := dial(t, address)
 		conn.send("GET /up")
 		if r, _ := conn.receive(t); r.StatusCode != status {
-			t.Errorf("told %v: %d", hasEndpoints, r.StatusCode)
+			t.Errorf("has endpoints %v: %d", hasEndpoints, r.StatusCode)
 		}
 	}
 }
 
-// Beyond the clients' descriptors each lookup is turned away with an answer; with room again it is taken.
+// Requests over the limit must be answered with 503, Retry-After and Connection: close. The requests in flight must still be answered.
 func TestRequestsOverLimitAreRejected(t *testing.T) {
 	_, attempts, address := startServer(t, 2, true)
 	var busy []*client
@@ -344,7 +352,7 @@
 		conn := dial(t, address)
 		conn.send("GET /read/k", traceHeader, timeoutHeader)
 		if r, _ := conn.receive(t); r.StatusCode != 503 || !r.Close || r.Header.Get("Retry-After") == "" || len(attempts) > 0 {
-			t.Fatalf("%d, close %v, %d shots", r.StatusCode, r.Close, len(attempts))
+			t.Fatalf("%d, close %v, %d attempts", r.StatusCode, r.Close, len(attempts))
 		}
 	}
 	for _, attempt := range inFlight {
@@ -352,12 +360,12 @@
 	}
 	for _, conn := range busy {
 		if r, _ := conn.receive(t); r.StatusCode != 200 {
-			t.Errorf("a lookup in hand: %d", r.StatusCode)
+			t.Errorf("request in flight: %d", r.StatusCode)
 		}
 	}
 }
 
-// Connections that lie idle must not keep lookups out: the longest idle makes way.
+// Idle connections must not block new requests: the connection that has been idle longest is closed for a new one.
 func TestIdleConnectionClosedForNewOne(t *testing.T) {
 	srv, attempts, address := startServer(t, 2, true)
 	var conns []*client
@@ -366,7 +374,7 @@
 		conn.send(fmt.Sprint("GET /read/k", i), traceHeader, timeoutHeader)
 		(<-attempts).Finish(dispatch.Complete, dispatch.Answer{})
 		if r, _ := conn.receive(t); r.StatusCode != 200 {
-			t.Fatalf("lookup %d: %d", i, r.StatusCode)
+			t.Fatalf("request %d: %d", i, r.StatusCode)
 		}
 		conns = append(conns, conn)
 		idleCount := func() int {
@@ -374,21 +382,21 @@
 			defer srv.conns.mu.Unlock()
 			return srv.conns.idle.Len()
 		}
-		for idleCount() <= i && i < 2 { // the server marks it as idle some time after the answer
+		for idleCount() <= i && i < 2 { // the server reports the connection as idle some time after the answer
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(usedConnTimeout / 10)
 	}
 	_ = conns[0].SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := conns[0].reader.ReadByte(); err != io.EOF || srv.Open() > 3 {
-		t.Errorf("the first connection: %v; %d are open", err, srv.Open())
+		t.Errorf("first connection: %v; %d open", err, srv.Open())
 	}
 }
 
-// Connections that never send anything make way as well, though not at once.
+// Connections that never send anything must be closed for new ones too, though not before minQuietTime.
 func TestSilentConnectionsClosedForNewOnes(t *testing.T) {
 	_, attempts, address := startServer(t, 2, true)
-	for range 12 { // twice as many as there are places, the rest wait in the kernel's queue
+	for range 12 { // twice the limit of 2+4 connections; the rest wait in the kernel's accept queue
 		dial(t, address)
 	}
 	conn, start := dial(t, address), time.Now()
@@ -399,8 +407,8 @@
 	}
 }
 
-// Kept connections that are in use never end without an answer, whether they make way for others or the node
-// leaves; one that ends between lookups has read none, so its client may send the lookup again.
+// Keep-alive connections in use must not be closed without answering their request, neither for new connections nor during a shutdown. If a connection is
+// closed between requests, the server has read nothing of the next request, so that the client may send it again.
 func TestActiveConnectionsKeepRequests(t *testing.T) {
 	srv, attempts, address := startServer(t, 4, true)
 	go func() {
@@ -419,7 +427,7 @@
 				_ = conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 				resp, err := http.ReadResponse(conn.reader, nil)
 				if err != nil {
-					t.Errorf("user %d, lookup %d: %v", i, n, err)
+					t.Errorf("client %d, request %d: %v", i, n, err)
 					return
 				}
 				_, _ = io.Copy(io.Discard, resp.Body)
@@ -439,8 +447,8 @@
 	}
 }
 
-// After SIGTERM connections go on coming: each lookup is answered and its connection closed, what is out is
-// waited for, and the end comes well before SIGKILL may.
+// Clients go on connecting after SIGTERM. Each request must be answered and its connection closed, Shutdown must wait for the requests in flight, and it must
+// finish well before a SIGKILL may follow.
 func TestShutdownLosesNoRequest(t *testing.T) {
 	srv, attempts, address := startServer(t, 30, true)
 	idle, busy := dial(t, address), dial(t, address)
@@ -450,9 +458,9 @@
 	pending := <-attempts
 	start, shutdownErr := time.Now(), make(chan error)
 	go func() { shutdownErr <- srv.Shutdown(false) }()
-	_ = idle.SetReadDeadline(start.Add(200 * time.Millisecond)) // while new connections are still taken
+	_ = idle.SetReadDeadline(start.Add(200 * time.Millisecond)) // while new connections are still accepted
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("idle connection: %v", err)
 	}
 	var late sync.WaitGroup
 	for i := range 8 {
@@ -463,7 +471,7 @@
 			attempt := <-attempts
 			attempt.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 			if r, _ := conn.receive(t); r.StatusCode != 200 || !r.Close {
-				t.Errorf("late lookup %d: %d, close %v", i, r.StatusCode, r.Close)
+				t.Errorf("late request %d: %d, close %v", i, r.StatusCode, r.Close)
 			}
 		})
 	}
@@ -471,15 +479,15 @@
 	time.Sleep(drainAcceptTime - time.Since(start) + 50*time.Millisecond)
 	pending.Finish(dispatch.Complete, dispatch.Answer{Body: []byte("v")})
 	if r, _ := busy.receive(t); r.StatusCode != 200 || !r.Close {
-		t.Errorf("what was out: %d, close %v", r.StatusCode, r.Close)
+		t.Errorf("request in flight: %d, close %v", r.StatusCode, r.Close)
 	}
 	if err := <-shutdownErr; err != nil || time.Since(start) > maxDeadline+700*time.Millisecond {
-		t.Errorf("left after %v: %v", time.Since(start), err)
+		t.Errorf("Shutdown took %v: %v", time.Since(start), err)
 	}
 }
 
-// Told to leave while one lookup waits behind the fetch of another whose shot hangs, both are answered in time: the shot's own
-// time-out ends the first, and lets the second go.
+// During a shutdown, one request waits for the fetch of another request, whose attempt hangs. Both must be answered in time: the attempt's own timeout ends
+// the first request, and the second one stops waiting.
 func TestShutdownAnswersRequestsWaitingForFetch(t *testing.T) {
 	srv, attempts, address := startServer(t, 8, true)
 	var conns []*client
@@ -488,7 +496,7 @@
 		conns[i].send("GET /read/k", fmt.Sprint("X-Trace-Id: ", i), timeoutHeader)
 		if i == 0 {
 			(<-attempts).Finish(dispatch.NotFound, dispatch.Answer{})
-			go func() { // the fetch, and what the second lookup still tries in its last moment
+			go func() { // the fetch, and the attempts that the second request still makes before its deadline
 				for attempt := range attempts {
 					time.AfterFunc(attempt.Timeout, func() { attempt.Finish(dispatch.TimedOut, dispatch.Answer{}) })
 				}
@@ -499,16 +507,16 @@
 	go func() { shutdownErr <- srv.Shutdown(false) }()
 	for i, conn := range conns {
 		if r, _ := conn.receive(t); r.StatusCode != http.StatusServiceUnavailable || time.Since(start) > maxDeadline+700*time.Millisecond {
-			t.Errorf("lookup %d: %d after %v", i, r.StatusCode, time.Since(start))
+			t.Errorf("request %d: %d after %v", i, r.StatusCode, time.Since(start))
 		}
 	}
 	if err := <-shutdownErr; err != nil || time.Since(start) > maxDeadline+700*time.Millisecond {
-		t.Errorf("left after %v: %v", time.Since(start), err)
+		t.Errorf("Shutdown took %v: %v", time.Since(start), err)
 	}
 }
 
-// A client that only ends its sending can't be told from one that has closed until something is written to it. It is taken to
-// have left, and hears so at once, in one whole answer; a shot that has begun settles as it did, and no other follows.
+// A client that only closes its sending side cannot be distinguished from one that has closed its connection until something is written to it. Its request
+// must be canceled and answered at once with a complete response. An attempt in flight must still complete, and no other may follow.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
 	srv, attempts, address := startServer(t, 8, true)
 	conn, start := dial(t, address), time.Now()
@@ -519,9 +527,9 @@
 		t.Errorf("%d %q after %v", r.StatusCode, body, time.Since(start))
 	}
 	if _, err := conn.reader.ReadByte(); err != io.EOF {
-		t.Errorf("behind the answer: %v", err)
+		t.Errorf("after the response: %v", err)
 	}
 	if attempt.Finish(dispatch.NotFound, dispatch.Answer{}); len(attempts) > 0 || srv.dispatcher.InFlight() != 0 {
-		t.Errorf("%d more shots, %d out", len(attempts), srv.dispatcher.InFlight())
+		t.Errorf("%d more attempts, %d requests in flight", len(attempts), srv.dispatcher.InFlight())
 	}
 }
