--- a/internal/net/frontend/conn_tracker.go
+++ b/internal/net/frontend/conn_tracker.go
@@ -10,51 +10,54 @@
 	"github.com/thistlerudder/thistlerudder/internal/clock"
 )
 
-// How long a connection must have been quiet before it may be closed for a new one.
+// How long a connection must have sent nothing before it may be closed in favor of a new one.
 const (
-	// newConnTimeout holds for a connection that never had a request: clients open one when they have a request, so this is ample for the first
-	// byte, also if the node reads it late.
+	// newConnTimeout applies to a connection that has not carried a request yet. Clients open a connection only when they have a request to send, so
+	// the first byte arrives well within this time, even if the node is slow to read it.
 	newConnTimeout = 300 * time.Millisecond
 
-	// stalledRequestTimeout holds within a request. Clients take up to 2 s to write one, and send some bytes all along.
+	// stalledRequestTimeout applies while a request is being received. Clients take up to 2 s to write one, and send bytes throughout that time.
 	stalledRequestTimeout = 1 * time.Second
 
-	// minQuietTime bounds both from below as waitFactor times the others' wait is taken off, unless the request makes progress.
+	// The time that a new connection has waited for its accept, times waitFactor, is subtracted from the two timeouts above, down to minQuietTime. A
+	// request that makes progress (see progressTime) keeps the full stalledRequestTimeout.
 	minQuietTime = 100 * time.Millisecond
 	waitFactor   = 5
 
-	// progressTime from a request's first bytes to its latest tells a slow client from one that wrote half a request at once.
+	// progressTime is the minimum time between the first and the latest bytes of a request that makes progress. It distinguishes a slow client from
+	// one that wrote half a request at once and then stopped.
 	progressTime = 100 * time.Millisecond
 
-	// usedConnTimeout holds for a connection between requests: a busy client sends the next one at once.
+	// usedConnTimeout applies to a connection between requests: a busy client sends its next request immediately.
 	usedConnTimeout = 50 * time.Millisecond
 )
 
-// connTracker counts the client connections and knows which carry no request. Clients keep connections that they do not use, and some never send
-// anything; if such have reached the limit, the one that has been quiet longest is closed for a new one. Those that had a request go first, then those
-// that never sent anything, then those that stalled within a request. A close may cross a request: the client sends it again.
+// connTracker counts the client connections and tracks which of them carry no request. Clients keep connections open without using them, and some
+// never send anything. Once the limit is reached, an idle connection is closed for each new one: first those between requests, then those that never
+// sent anything, then those that stalled within a request, and in each group the one that has been quiet longest. A request may arrive while its
+// connection is being closed; the client then sends it again.
 type connTracker struct {
 	maxOpen int
 
 	mu         sync.Mutex
 	open       int
-	idle       *list.List // of *idleConn, the longest idle first
+	idle       *list.List // of *idleConn, longest idle first
 	idleByConn map[net.Conn]*list.Element
 }
 
 // idleConn is a connection that carries no request, as far as net/http knows.
 type idleConn struct {
-	conn         net.Conn
-	unused       bool // it never had a request
-	requestBegun bool // the beginning of the next request came with the last one
-	since        time.Time
+	conn           net.Conn
+	unused         bool // has not carried a request yet
+	requestStarted bool // the beginning of the next request was read together with the last one
+	idleSince      time.Time
 }
 
 func newConnTracker(maxOpen int) *connTracker {
 	return &connTracker{maxOpen: maxOpen, idle: list.New(), idleByConn: map[net.Conn]*list.Element{}}
 }
 
-// connState follows the HTTP server's connections.
+// connState is the http.Server's ConnState hook.
 func (t *connTracker) connState(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,10 +72,10 @@
 		if t.open > t.maxOpen {
 			t.closeIdleLocked(1, 0)
 		}
-		t.addIdle(&idleConn{conn: conn, unused: true, since: time.Now()})
+		t.addIdle(&idleConn{conn: conn, unused: true, idleSince: time.Now()})
 	case http.StateIdle:
-		requestBegun := isClient && client.framing.midRequest()
-		t.addIdle(&idleConn{conn: conn, requestBegun: requestBegun, since: time.Now()})
+		requestStarted := isClient && client.framing.midRequest()
+		t.addIdle(&idleConn{conn: conn, requestStarted: requestStarted, idleSince: time.Now()})
 	case http.StateClosed, http.StateHijacked:
 		t.open--
 	}
@@ -89,18 +92,19 @@
 	}
 }
 
-// closeIdle closes up to n idle connections, as far as they may be closed. waited is how long a new connection has waited.
-func (t *connTracker) closeIdle(n int, waited time.Duration) {
+// closeIdle closes up to n of the idle connections that may be closed. acceptWait is how long a new connection has waited to be accepted.
+func (t *connTracker) closeIdle(n int, acceptWait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.closeIdleLocked(n, waited)
+	t.closeIdleLocked(n, acceptWait)
 }
 
-// closeIdleLocked does not close a connection itself: to net/http it is idle until the head of the next request is read, and a request that was read
-// must be answered. It wakes the server's read, which closes the connection if nothing has come and serves it if something has.
-func (t *connTracker) closeIdleLocked(n int, waited time.Duration) {
+// closeIdleLocked does not call Close on a connection: net/http reports it as idle until the head of the next request is read, and a request that has
+// been read must be answered. Instead it sets a read deadline in the past, which wakes the server's blocked read. The server then closes the connection
+// if no bytes have arrived, and serves the request if some have.
+func (t *connTracker) closeIdleLocked(n int, acceptWait time.Duration) {
 	for ; n > 0; n-- {
-		element := t.nextToClose(time.Now(), waited)
+		element := t.nextToClose(time.Now(), acceptWait)
 		if element == nil {
 			return
 		}
@@ -113,13 +117,13 @@
 	}
 }
 
-// nextToClose returns the connection to close first; nil if none may be closed.
-func (t *connTracker) nextToClose(now time.Time, waited time.Duration) *list.Element {
+// nextToClose returns the connection to close next, or nil if none may be closed.
+func (t *connTracker) nextToClose(now time.Time, acceptWait time.Duration) *list.Element {
 	var best *list.Element
 	bestRank := notClosable
 	longest := time.Duration(0)
 	for element := t.idle.Front(); element != nil; element = element.Next() {
-		rank, quiet := element.Value.(*idleConn).closeRank(now, waited)
+		rank, quiet := element.Value.(*idleConn).closeRank(now, acceptWait)
 		if rank > bestRank || rank == bestRank && rank != notClosable && quiet > longest {
 			best = element
 			bestRank = rank
@@ -129,7 +133,7 @@
 	return best
 }
 
-// closeRank orders idle connections: the highest is closed first.
+// closeRank orders idle connections: the highest rank is closed first.
 type closeRank int
 
 const (
@@ -139,15 +143,15 @@
 	betweenRequests
 )
 
-// closeRank returns a connection's rank, and how long it has been quiet.
-func (c *idleConn) closeRank(now time.Time, waited time.Duration) (rank closeRank, quiet time.Duration) {
-	quiet = now.Sub(c.since)
-	requestBegun := c.requestBegun
-	stallTimeout := max(minQuietTime, stalledRequestTimeout-waitFactor*waited)
+// closeRank returns a connection's rank and how long it has sent nothing.
+func (c *idleConn) closeRank(now time.Time, acceptWait time.Duration) (rank closeRank, quiet time.Duration) {
+	quiet = now.Sub(c.idleSince)
+	requestStarted := c.requestStarted
+	stallTimeout := max(minQuietTime, stalledRequestTimeout-waitFactor*acceptWait)
 	if client, isClient := c.conn.(*clientConn); isClient {
-		// net/http does not tell of a request before its head is read.
-		if lastRead := clock.Moment(client.lastRead.Load()).Time(); lastRead.After(c.since) {
-			requestBegun = true
+		// net/http does not report a request before it has read its whole head.
+		if lastRead := clock.Moment(client.lastRead.Load()).Time(); lastRead.After(c.idleSince) {
+			requestStarted = true
 			quiet = now.Sub(lastRead)
 			if lastRead.Sub(clock.Moment(client.firstRead.Load()).Time()) >= progressTime {
 				stallTimeout = stalledRequestTimeout
@@ -155,17 +159,17 @@
 		}
 	}
 	switch {
-	case requestBegun && quiet >= stallTimeout:
+	case requestStarted && quiet >= stallTimeout:
 		return stalledRequest, quiet
-	case !requestBegun && c.unused && quiet >= max(minQuietTime, newConnTimeout-waitFactor*waited):
+	case !requestStarted && c.unused && quiet >= max(minQuietTime, newConnTimeout-waitFactor*acceptWait):
 		return neverUsed, quiet
-	case !requestBegun && !c.unused && quiet >= usedConnTimeout:
+	case !requestStarted && !c.unused && quiet >= usedConnTimeout:
 		return betweenRequests, quiet
 	}
 	return notClosable, quiet
 }
 
-// resize changes the limit.
+// resize changes the limit and closes idle connections that exceed it.
 func (t *connTracker) resize(maxOpen int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -23,19 +23,19 @@
 	w           http.ResponseWriter
 	r           *http.Request
 	control     *http.ResponseController
-	conn        *clientConn // nil: not accepted by a limitedListener
+	conn        *clientConn // nil if the connection was not accepted by a limitedListener
 	unambiguous bool        // the head gives the body's length in one way
 
-	bodyStream *dispatch.BodyStream // the rest of a long body; nil: the body was short
+	bodyStream *dispatch.BodyStream // the rest of a long body; nil if the whole body was buffered
 	class      string
 	outcome    dispatch.Outcome // as the client sees it
-	counted    bool             // among the open requests
+	counted    bool             // the dispatcher counts the request as open
 	answered   bool
-	truncated  bool // the answer was begun and cannot be completed
+	truncated  bool // the answer was written partially and cannot be completed
 }
 
-// finish counts the request, and breaks the connection of an answer that was not completed, so that the client can tell. After a panic it
-// answers if it can, since net/http would close the connection without an answer.
+// finish counts the request's outcome. It aborts the connection of an answer that was not completed, so that the client detects the truncation. After
+// a panic it answers 500 if no answer was started, since net/http would close the connection without one.
 func (h *handler) finish() {
 	if p := recover(); p != nil {
 		h.log.Error("request handler panicked", zap.Any("panic", p), zap.Stack("stack"))
@@ -53,7 +53,7 @@
 		defer h.bodyStream.Close()
 	}
 	if h.w.Header().Get("Connection") == "close" {
-		// net/http would keep the connection for half a second over an unread body; clientConn.Close takes care of that.
+		// With an unread body net/http would keep the connection for half a second; clientConn.Close discards the body instead.
 		h.r.Body = http.NoBody
 	}
 	if h.truncated {
@@ -62,7 +62,8 @@
 	h.drainBody()
 }
 
-// drainBody reads the rest of a long body once its request is answered: a client that is cut off while it writes may never read the answer.
+// drainBody reads the rest of a long body after its request was answered: if the connection closes while the client still writes, the client may never
+// read the answer.
 func (h *handler) drainBody() {
 	if h.bodyStream == nil || h.bodyStream.Complete() {
 		return
@@ -79,10 +80,10 @@
 
 const copyBufferBytes = 16 << 10
 
-// bufferPool has buffers for bodies that are streamed or discarded.
+// bufferPool holds buffers for bodies that are streamed or discarded.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 
-// serve handles the request.
+// serve reads the request, submits it to the dispatcher and writes the answer.
 func (h *handler) serve() {
 	h.class, _ = classAndKey(originForm(h.r.RequestURI))
 	h.dispatcher.AddOpen(1)
@@ -90,14 +91,14 @@
 	overLimit := h.inFlight.Add(1) > h.maxInFlight.Load()
 	defer h.inFlight.Add(-1)
 	request, status, err := h.readBody()
-	bodyRead := time.Now()
+	bodyReadAt := time.Now()
 	if err != nil {
 		h.refuseBody(status, err)
 		return
 	}
 	if request.Rest != nil {
 		h.bodyStream = request.Rest
-		h.w.Header().Set("Connection", "close") // the rest of the body may stand before the next request
+		h.w.Header().Set("Connection", "close") // the unread rest of the body would precede the next request on the connection
 	}
 	if overLimit {
 		h.rejectOverLimit()
@@ -109,12 +110,12 @@
 		return
 	}
 	request.ClientGone = h.conn.clientGone
-	ticket, err := h.dispatcher.Submit(request, bodyRead, timeout)
+	pending, err := h.dispatcher.Submit(request, bodyReadAt, timeout)
 	if err != nil {
 		h.refuseInvalid(submitStatus(err), err)
 		return
 	}
-	h.await(ticket)
+	h.await(pending)
 }
 
 func submitStatus(err error) int {
@@ -124,26 +125,26 @@
 	return http.StatusBadRequest
 }
 
-// await writes the dispatcher's answer, or abandons the request once its client has gone.
-func (h *handler) await(ticket *dispatch.PendingRequest) {
+// await waits for the dispatcher's answer and writes it, or abandons the request if its client disconnects first.
+func (h *handler) await(pending *dispatch.PendingRequest) {
 	clientGone := h.r.Context().Done()
 	if faults.Without(faults.ClientLook) {
 		clientGone = nil
 	}
 	select {
-	case answer := <-ticket.Answers():
+	case answer := <-pending.Answers():
 		h.writeAnswer(answer)
 	case <-clientGone:
-		h.abandon(ticket)
+		h.abandon(pending)
 	}
 }
 
-// abandon gives up a request whose client has gone.
-func (h *handler) abandon(ticket *dispatch.PendingRequest) {
+// abandon cancels a request whose client has disconnected.
+func (h *handler) abandon(pending *dispatch.PendingRequest) {
 	h.log.Debug("client closed its connection", zap.String("trace", h.traceID()))
-	ticket.Cancel()
+	pending.Cancel()
 	select {
-	case answer := <-ticket.Answers(): // came at the same moment
+	case answer := <-pending.Answers(): // arrived at the same time as the cancellation
 		if answer.Rest != nil {
 			_ = answer.Rest.Close()
 		}
@@ -151,17 +152,17 @@
 	}
 	h.answered = true
 	if h.bodyStream != nil && !h.bodyStream.Complete() {
-		writePlain(h.w, http.StatusRequestTimeout, errBodyTooSlow.Error()) // the client may have been too slow, and still read
+		writePlain(h.w, http.StatusRequestTimeout, errBodyTooSlow.Error()) // the client may still be connected, but have sent the body too slowly
 		return
 	}
-	// Nobody should read this, but without it net/http would write an empty 200, which no server answered.
+	// The client is not expected to read this, but without it net/http would write an empty 200, although no server has answered.
 	writePlain(h.w, http.StatusBadGateway, "the client has left")
 }
 
 func (h *handler) traceID() string { return h.r.Header.Get("X-Trace-Id") }
 
-// refuseInvalid answers a request that cannot be dispatched, with 400, 408, 409 or 413. It is not rejected in the sense of
-// dispatch.Rejected, which is 503 with Retry-After.
+// refuseInvalid answers a request that cannot be dispatched, with 400, 408, 409 or 413. Such a request does not count as dispatch.Rejected, which is
+// answered with 503 and Retry-After.
 func (h *handler) refuseInvalid(status int, reason error) {
 	h.log.Debug("request rejected", zap.String("trace", h.traceID()), zap.Int("status", status), zap.Error(reason))
 	writePlain(h.w, status, reason.Error())
@@ -169,8 +170,8 @@
 
 // refuseBody refuses a request whose body was not read to its end.
 func (h *handler) refuseBody(status int, reason error) {
-	h.w.Header().Set("Connection", "close")     // the rest must not be read as another request,
-	_ = h.control.SetReadDeadline(pastDeadline) // nor waited for, as net/http would
+	h.w.Header().Set("Connection", "close")     // the rest of the body must not be parsed as another request
+	_ = h.control.SetReadDeadline(pastDeadline) // and net/http must not wait for it
 	h.refuseInvalid(status, reason)
 }
 
@@ -203,29 +204,29 @@
 
 var errAnswerLength = errors.New("the answer's body does not have the announced length")
 
-// streamAnswer writes a long answer as it comes. One that breaks stays incomplete for the client too: neither the last chunk nor the announced
-// length is made up.
+// streamAnswer forwards a long answer while it is received. An answer that the server truncates is truncated for the client too: streamAnswer writes
+// neither a last chunk nor padding up to the announced length.
 func (h *handler) streamAnswer(answer dispatch.Answer) error {
 	defer answer.Rest.Close()
-	// A client that goes ends the server's connection too, which would otherwise bring the rest for nobody.
+	// If the client disconnects, the connection to the server is closed too, so that the rest of the answer is not transferred in vain.
 	defer context.AfterFunc(h.r.Context(), func() { _ = answer.Rest.Close() })()
 	_ = h.control.SetReadDeadline(time.Time{}) // a stream may take longer than any request's deadline
 	writeStreamHeader(h.w, answer)
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
 	next := answer.Body
-	sent := int64(0)
-	var readErr error // of the read that brought next; io.EOF at the end
+	sentBytes := int64(0)
+	var readErr error // returned by the read that filled next; io.EOF at the end
 	for {
-		sent += int64(len(next))
-		if answer.Length >= 0 && sent > answer.Length {
+		sentBytes += int64(len(next))
+		if answer.Length >= 0 && sentBytes > answer.Length {
 			return errAnswerLength
 		}
 		if err := h.writeFlushed(next); err != nil {
 			return err
 		}
 		switch {
-		case readErr != nil && answer.Length >= 0 && sent < answer.Length:
+		case readErr != nil && answer.Length >= 0 && sentBytes < answer.Length:
 			return errAnswerLength
 		case readErr != nil:
 			return nil
@@ -239,7 +240,8 @@
 	}
 }
 
-// writeFlushed writes a part of a streamed answer through to the connection. The client has writeTimeout to take it.
+// writeFlushed writes a part of a streamed answer and flushes it to the connection. The write fails if the client does not receive it within
+// writeTimeout.
 func (h *handler) writeFlushed(part []byte) error {
 	_ = h.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := h.w.Write(part); err != nil {
--- a/internal/net/frontend/poll_test.go
+++ b/internal/net/frontend/poll_test.go
@@ -10,45 +10,45 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// A poll that was interrupted tells nothing, and is made again; one that fails for good holds nobody to have gone, and no queue to be empty.
-func TestAPollThatFailsTellsNothing(t *testing.T) {
+// An interrupted poll must be retried. If poll keeps failing, the client must count as connected, and the accept queue as not empty.
+func TestFailedPollReportsNoClose(t *testing.T) {
 	t.Cleanup(func() { kernel.Fail(nil) })
 	t.Run("interrupted", func(t *testing.T) {
-		b, p, far := pair(t)
-		far.Close()
-		waitFor(t, p.clientGone)
+		listener, conn, clientSide := connPair(t)
+		clientSide.Close()
+		waitFor(t, conn.clientGone)
 		kernel.FailTimes(kernel.Poll, syscall.EINTR, 3)
-		if !p.clientGone() {
-			t.Error("a client that has gone was held to be there")
+		if !conn.clientGone() {
+			t.Error("clientGone = false for a disconnected client")
 		}
-		b.lastAccept.Store(0)
-		b.conns.Store(0)
-		dial(t, b.Addr().String())
-		waitFor(t, b.hasQueued)
+		listener.lastAccept.Store(0)
+		listener.conns.Store(0)
+		dial(t, listener.Addr().String())
+		waitFor(t, listener.hasQueued)
 		kernel.FailTimes(kernel.Poll, syscall.EINTR, 3)
-		if !b.hasQueued() {
-			t.Error("a socket with a connection in its queue was held to be empty")
+		if !listener.hasQueued() {
+			t.Error("hasQueued = false with a connection in the accept queue")
 		}
 	})
 	t.Run("out of memory", func(t *testing.T) {
-		b, p, _ := pair(t)
-		b.lastAccept.Store(0)
+		listener, conn, _ := connPair(t)
+		listener.lastAccept.Store(0)
 		kernel.FailTimes(kernel.Poll, syscall.ENOMEM, 1<<30)
-		if p.clientGone() {
-			t.Error("a client that is there was held to have gone")
+		if conn.clientGone() {
+			t.Error("clientGone = true for a connected client")
 		}
-		if !b.hasQueued() {
-			t.Error("a queue that nobody could look at was held to be empty")
+		if !listener.hasQueued() {
+			t.Error("hasQueued = false although poll fails")
 		}
 	})
 }
 
-// waitFor waits until something holds.
-func waitFor(t *testing.T, holds func() bool) {
+// waitFor waits until condition is true, for up to 1 s.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never holds")
+			t.Fatal("the condition did not become true within 1 s")
 		}
 	}
 }
