--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -101,7 +101,7 @@
 		case <-c.switched:
 		}
 		last, err := c.follow(ctx)
-		if superseded := c.recordEnd(last); superseded {
+		if superseded := c.recordSourceState(last); superseded {
 			continue
 		}
 		if ctx.Err() != nil {
@@ -118,8 +118,8 @@
 	c.source.watching = false
 }
 
-// recordEnd keeps what the last calls told of the source, and reports whether a switch has superseded it.
-func (c *Client) recordEnd(last source) (superseded bool) {
+// recordSourceState keeps what the last calls told of the source, and reports whether a switch has superseded it.
+func (c *Client) recordSourceState(last source) (superseded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if last.generation != c.source.generation {
@@ -137,8 +137,8 @@
 	defer cancel()
 	src := c.beginFollow(cancel)
 	for {
-		began := time.Now()
-		list, err := c.next(ctx, &src)
+		callStart := time.Now()
+		list, err := c.nextList(ctx, &src)
 		if err != nil {
 			return src, err
 		}
@@ -152,7 +152,7 @@
 		if !c.publish(src, list) {
 			return src, nil
 		}
-		if time.Since(began) >= emptyWatchPause {
+		if time.Since(callStart) >= emptyWatchPause {
 			continue
 		}
 		if len(list.endpoints) > 0 {
@@ -171,8 +171,8 @@
 	return c.source
 }
 
-// next polls for the list, or watches for changes if src has one.
-func (c *Client) next(ctx context.Context, src *source) (endpointList, error) {
+// nextList polls for the list, or watches for changes if src has one.
+func (c *Client) nextList(ctx context.Context, src *source) (endpointList, error) {
 	if !src.watching {
 		return c.hedgedPoll(ctx, src, c.subscribed)
 	}
--- a/internal/net/discovery/hedge.go
+++ b/internal/net/discovery/hedge.go
@@ -17,16 +17,16 @@
 	overloadWindow = 4 * time.Second
 )
 
-// hedgedPolls is the set of polls in flight for one list. inFlight, delayed and began belong to the goroutine of
+// hedgedPolls is the set of polls in flight for one list. inFlight, delayTimer and firstPollStart belong to the goroutine of
 // hedgedPoll, which alone writes to source meanwhile. The polls' goroutines read source's address and version without a lock;
 // an abandoned poll may still do so after hedgedPoll has returned.
 type hedgedPolls struct {
-	client   *Client
-	source   *source
-	inFlight []*inFlightPoll // oldest first
-	results  chan pollResult
-	delayed  <-chan time.Time // start of a poll that was put off; nil: none
-	began    time.Time        // when the poll began that a delayed one waits for
+	client         *Client
+	source         *source
+	inFlight       []*inFlightPoll // oldest first
+	results        chan pollResult
+	delayTimer     <-chan time.Time // start of a poll that was put off; nil: none
+	firstPollStart time.Time        // when the poll began that a delayed one waits for
 }
 
 type inFlightPoll struct{ cancel context.CancelFunc }
@@ -42,7 +42,7 @@
 func (c *Client) hedgedPoll(ctx context.Context, src *source, trigger <-chan struct{}) (endpointList, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	polls := &hedgedPolls{client: c, source: src, results: make(chan pollResult), began: time.Now()}
+	polls := &hedgedPolls{client: c, source: src, results: make(chan pollResult), firstPollStart: time.Now()}
 	polls.start(ctx)
 	for {
 		select {
@@ -50,14 +50,14 @@
 			return endpointList{}, ctx.Err()
 		case <-trigger:
 			polls.startOrDelay(ctx)
-		case <-polls.delayed:
-			polls.delayed = nil
+		case <-polls.delayTimer:
+			polls.delayTimer = nil
 			polls.start(ctx)
 		case result := <-polls.results:
 			if result.err == nil {
 				return result.list, nil
 			}
-			if polls.fail(ctx, result) {
+			if polls.handleFailure(ctx, result) {
 				return endpointList{}, result.err
 			}
 		}
@@ -67,10 +67,10 @@
 // startOrDelay starts a further poll. If the service is overloaded, the first poll is probably in its queue, and a second would
 // take a slot there that another node lacks: the second is put off until the first must have left the queue.
 func (h *hedgedPolls) startOrDelay(ctx context.Context) {
-	wait := maxQueueTime - time.Since(h.began)
+	wait := maxQueueTime - time.Since(h.firstPollStart)
 	overloaded := time.Since(h.source.lastRejection) < overloadWindow
-	if h.delayed == nil && len(h.inFlight) == 1 && wait > 0 && overloaded {
-		h.delayed = time.After(wait)
+	if h.delayTimer == nil && len(h.inFlight) == 1 && wait > 0 && overloaded {
+		h.delayTimer = time.After(wait)
 		return
 	}
 	h.start(ctx)
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	poll := &inFlightPoll{cancel: cancel}
 	h.inFlight = append(h.inFlight, poll)
-	go h.run(ctx, poll, query)
+	go h.runPoll(ctx, poll, query)
 }
 
 // dropSecondOldest cancels the second oldest of too many polls: the oldest may be first in the service's queue, and the newest may be the first
@@ -100,7 +100,7 @@
 	h.inFlight = slices.Delete(h.inFlight, 1, 2)
 }
 
-func (h *hedgedPolls) run(ctx context.Context, poll *inFlightPoll, query string) {
+func (h *hedgedPolls) runPoll(ctx context.Context, poll *inFlightPoll, query string) {
 	defer poll.cancel()
 	list, err := h.client.fetchList(ctx, h.source.address, query, pollTimeout)
 	switch {
@@ -116,8 +116,8 @@
 	}
 }
 
-// fail records a failed poll and reports whether none is left. A delayed poll starts at once when it would be the only one.
-func (h *hedgedPolls) fail(ctx context.Context, result pollResult) (done bool) {
+// handleFailure records a failed poll and reports whether none is left. A delayed poll starts at once when it would be the only one.
+func (h *hedgedPolls) handleFailure(ctx context.Context, result pollResult) (done bool) {
 	h.source.recordFailure(result.err)
 	if i := slices.Index(h.inFlight, result.poll); i >= 0 {
 		h.inFlight = slices.Delete(h.inFlight, i, i+1)
@@ -125,11 +125,11 @@
 	if len(h.inFlight) > 0 {
 		return false
 	}
-	if h.delayed == nil {
+	if h.delayTimer == nil {
 		return true
 	}
-	h.delayed = nil
-	h.began = time.Now()
+	h.delayTimer = nil
+	h.firstPollStart = time.Now()
 	h.start(ctx)
 	return false
 }
