--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -1,8 +1,9 @@
 // Package discovery follows the endpoint list of a discovery service. A client polls for the full list whenever the balancer subscribes, then
 // watches (long-polls) for changes until a watch fails, and hands each list to the dispatcher.
 //
-// A change counts as known 6 s after the discovery service has it and can be reached, whatever became of earlier calls. So a list must be had
-// within 4 s of the service's return, within 5 s if it rejects the first poll, and within 2 s of the end of a silent watch's wait.
+// A node must know a change within 6 s of the time at which the discovery service has the change and is reachable, regardless of how earlier
+// calls ended. The client therefore gets a list within 4 s after an outage of the service ends, within 5 s if the service rejects the first
+// poll, and within 2 s after the wait of an unanswered watch ends.
 // docs/CAPACITY.md, "Time to an endpoint list", adds up the constants of this package for each case; TestTheListIsHadInTime checks the sums.
 package discovery
 
@@ -26,7 +27,7 @@
 	dispatcher   *dispatch.Dispatcher
 	maxWatchWait time.Duration
 	subscribed   chan struct{} // holds one value: a pending Subscribe
-	switched     chan struct{} // holds one value: the source is another one
+	switched     chan struct{} // holds one value: a completed switch to another source
 	transport    *http.Transport
 
 	// randomDuration draws from [0, limit). It is called from several goroutines.
@@ -38,8 +39,8 @@
 	cancelSwitch context.CancelFunc // ends a switch that is under way
 }
 
-// New returns a client of the discovery service at address (host:port). No watch waits longer than pollInterval, in which the node
-// must have called the service.
+// New returns a client of the discovery service at address (host:port). The node must call the service at least once per pollInterval, so
+// no watch waits longer.
 func New(d *dispatch.Dispatcher, address string, pollInterval time.Duration, log *zap.Logger) *Client {
 	return &Client{
 		log:            log,
@@ -55,8 +56,9 @@
 	}
 }
 
-// LoadCached hands the dispatcher a list from before this process, in the discovery service's form; an empty body is ignored. The first poll
-// resumes from its version, which costs an overloaded service one call in place of two. Call it before Run.
+// LoadCached passes a list that an earlier process stored to the dispatcher. body has the format of the discovery service's responses; an empty
+// body is ignored. After a full list the first poll resumes from its version, which costs an overloaded service one call instead of two.
+// LoadCached must be called before Run.
 func (c *Client) LoadCached(body []byte) error {
 	if len(body) == 0 {
 		return nil
@@ -80,8 +82,8 @@
 	c.source.lastAnswer = time.Now()
 }
 
-// Subscribe requests the full list and its changes. It does not block. Calls before Run takes up the first count as one; a call while polls
-// are in flight adds a further poll.
+// Subscribe requests the full list and its changes. It does not block. Calls made before Run handles the first one count as one. A call made
+// while polls are in flight starts a further poll.
 func (c *Client) Subscribe() {
 	select {
 	case c.subscribed <- struct{}{}:
@@ -89,8 +91,9 @@
 	}
 }
 
-// Run follows the list until ctx ends. After each Subscribe it polls for the full list, or resumes if the service has only rejected polls, and
-// then watches until a watch fails, which it reports to the dispatcher. After a switch it goes on with a watch at the new service.
+// Run follows the list until ctx ends. After each Subscribe it polls for the full list, or resumes from the last version if the service has
+// only rejected calls since. It then watches until a watch fails and reports the failure to the dispatcher. After a switch it continues with
+// a watch at the new service.
 func (c *Client) Run(ctx context.Context) {
 	for {
 		select {
@@ -118,7 +121,7 @@
 	c.source.watching = false
 }
 
-// recordSourceState keeps what the last calls told of the source, and reports whether a switch has superseded it.
+// recordSourceState stores the state of the source after its last call. It reports whether a switch has superseded that source.
 func (c *Client) recordSourceState(last source) (superseded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +187,8 @@
 	return list, err
 }
 
-// discardSubscription drops a Subscribe that crossed the list it was for. The balancer subscribes again once it hears of the failure.
+// discardSubscription discards a pending Subscribe from before the failed watch: the list that it requested has arrived in the meantime. The
+// balancer subscribes again when the failure is reported to it.
 func (c *Client) discardSubscription() {
 	select {
 	case <-c.subscribed:
@@ -192,7 +196,7 @@
 	}
 }
 
-// publish hands on a list from src. It reports false if a switch has superseded src.
+// publish passes a list from src to the dispatcher. It reports false if a switch has superseded src.
 func (c *Client) publish(src source, list endpointList) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,7 +207,7 @@
 	return true
 }
 
-// publishLocked is called with mu locked, so that no list of an earlier source can follow one of a later.
+// publishLocked requires c.mu, so that no list from an earlier source is published after one from a later source.
 func (c *Client) publishLocked(src source, list endpointList) {
 	wasWatching := c.source.watching
 	c.source = src
--- a/internal/net/discovery/hedge.go
+++ b/internal/net/discovery/hedge.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// maxConcurrentPolls bounds the polls in flight: the oldest, the newest and one between.
+	// maxConcurrentPolls limits the polls in flight: the oldest, the newest and one in between.
 	maxConcurrentPolls = 3
 
 	// maxQueueTime is how long a service keeps a call in its queue before it answers or rejects it.
 	maxQueueTime = 2100 * time.Millisecond
 
-	// overloadWindow is how long after a rejection the service counts as overloaded: two poll intervals.
+	// overloadWindow is how long the service counts as overloaded after it rejects a call: two poll intervals.
 	overloadWindow = 4 * time.Second
 )
 
 // hedgedPolls is the set of polls in flight for one list. inFlight, delayTimer and firstPollStart belong to the goroutine of
-// hedgedPoll, which alone writes to source meanwhile. The polls' goroutines read source's address and version without a lock;
-// an abandoned poll may still do so after hedgedPoll has returned.
+// hedgedPoll, which is the only writer of source until it returns. The polls' goroutines read source's address and version
+// without a lock; a canceled poll may still do so after hedgedPoll has returned.
 type hedgedPolls struct {
 	client         *Client
 	source         *source
 	inFlight       []*inFlightPoll // oldest first
 	results        chan pollResult
-	delayTimer     <-chan time.Time // start of a poll that was put off; nil: none
-	firstPollStart time.Time        // when the poll began that a delayed one waits for
+	delayTimer     <-chan time.Time // fires when a delayed poll is due; nil if no poll is delayed
+	firstPollStart time.Time        // start of the poll whose queue time a delayed poll waits for
 }
 
 type inFlightPoll struct{ cancel context.CancelFunc }
@@ -37,8 +37,9 @@
 	err  error
 }
 
-// hedgedPoll polls src, adds a further poll with each value from trigger, and returns the first list. It returns an error once
-// no poll is in flight. A poll may never be answered, so none waits for the end of another.
+// hedgedPoll polls src, starts or delays a further poll for each value from trigger, and returns the first list. It returns an
+// error when the last poll in flight has failed and none is delayed. A poll may never be answered, so no poll waits for another
+// to end.
 func (c *Client) hedgedPoll(ctx context.Context, src *source, trigger <-chan struct{}) (endpointList, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -64,8 +65,9 @@
 	}
 }
 
-// startOrDelay starts a further poll. If the service is overloaded, the first poll is probably in its queue, and a second would
-// take a slot there that another node lacks: the second is put off until the first must have left the queue.
+// startOrDelay starts a further poll. If the service is overloaded, the first poll is probably in the service's queue, and a second
+// one would take a queue slot from another node. The second poll is then delayed until maxQueueTime has passed, by which the first
+// must have left the queue.
 func (h *hedgedPolls) startOrDelay(ctx context.Context) {
 	wait := maxQueueTime - time.Since(h.firstPollStart)
 	overloaded := time.Since(h.source.lastRejection) < overloadWindow
@@ -76,8 +78,8 @@
 	h.start(ctx)
 }
 
-// start begins a poll. Only the first may resume: beside a poll that is silent the service may have restarted and count versions
-// anew, so the others request the full list.
+// start starts a poll. Only a poll without others in flight may resume. While a poll is unanswered, the service may have restarted
+// and reset its version counter, so further polls request the full list.
 func (h *hedgedPolls) start(ctx context.Context) {
 	query := ""
 	if len(h.inFlight) == 0 {
@@ -90,8 +92,8 @@
 	go h.runPoll(ctx, poll, query)
 }
 
-// dropSecondOldest cancels the second oldest of too many polls: the oldest may be first in the service's queue, and the newest may be the first
-// since the service is back.
+// dropSecondOldest cancels the second oldest poll if maxConcurrentPolls are in flight. The oldest may be first in the service's queue, and the
+// newest may be the first one after the end of an outage.
 func (h *hedgedPolls) dropSecondOldest() {
 	if len(h.inFlight) < maxConcurrentPolls {
 		return
@@ -116,7 +118,7 @@
 	}
 }
 
-// handleFailure records a failed poll and reports whether none is left. A delayed poll starts at once when it would be the only one.
+// handleFailure records a failed poll. If no other is in flight, it starts the delayed poll at once, or reports done if there is none.
 func (h *hedgedPolls) handleFailure(ctx context.Context, result pollResult) (done bool) {
 	h.source.recordFailure(result.err)
 	if i := slices.Index(h.inFlight, result.poll); i >= 0 {
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -9,14 +9,14 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// endpointList is what one answer of the discovery service says.
+// endpointList is the content of one response from the discovery service.
 type endpointList struct {
 	version   int64
-	full      bool // all endpoints; otherwise only those that changed since the version in the query
+	full      bool // contains all endpoints; otherwise only those changed since the version in the query
 	endpoints []dispatch.Endpoint
 }
 
-// response is the body of an answer.
+// response is the JSON body of a response from the discovery service.
 type response struct {
 	Version *int64          `json:"version"`
 	Full    bool            `json:"full"`
@@ -35,7 +35,7 @@
 
 var statesByName = map[string]routing.State{"Ready": routing.Ready, "Terminating": routing.Draining, "Gone": routing.Gone}
 
-// parseList reads a body. One faulty entry rejects the list: endpoints missing from a full list would count as gone.
+// parseList parses a response body. One invalid entry makes the whole list invalid, because an endpoint missing from a full list counts as gone.
 func parseList(body []byte) (endpointList, error) {
 	var r response
 	if err := json.Unmarshal(body, &r); err != nil {
--- a/internal/net/discovery/poll.go
+++ b/internal/net/discovery/poll.go
@@ -16,14 +16,14 @@
 const (
 	listPath = "/discovery/hosts"
 
-	pollTimeout       = 2500 * time.Millisecond // services answer or reject within 2 s
-	connectTimeout    = 1 * time.Second         // also bounds the connect that a cancelled poll leaves behind
+	pollTimeout       = 2500 * time.Millisecond // the service answers or rejects a poll within 2 s
+	connectTimeout    = 1 * time.Second         // also limits a connect that continues after its poll was canceled
 	idleConnTimeout   = 30 * time.Second
-	maxConnsPerHost   = 9 // connects that hang for connectTimeout, begun every 0.15 s, one for a switch and one for a watch
+	maxConnsPerHost   = 9 // connects that hang for connectTimeout, started every 0.15 s, plus one for a switch and one for a watch
 	maxIdleConns      = 1
-	maxListBytes      = 8 << 20 // some 67,000 endpoints
+	maxListBytes      = 8 << 20 // about 67,000 endpoints
 	maxHeaderBytes    = 16 << 10
-	transportFaultTag = "list" // names these connections to the fault injector
+	transportFaultTag = "list" // identifies this package's connections to the fault injector
 )
 
 var (
@@ -50,7 +50,7 @@
 	}
 }
 
-// watchQuery returns the query of a long poll: the service answers once there are changes since the version, or after the wait.
+// watchQuery returns the query of a long poll: the service answers when there are changes since version, or when wait has passed.
 func watchQuery(version int64, wait time.Duration) string {
 	return fmt.Sprintf("?from=%d&hold_ms=%d", version, wait.Milliseconds())
 }
--- a/internal/net/discovery/switch.go
+++ b/internal/net/discovery/switch.go
@@ -7,12 +7,12 @@
 	"go.uber.org/zap"
 )
 
-// maxSwitchRetryWait is the longest time between two polls of a new service: three fit into the 4 s that a switch may take.
+// maxSwitchRetryWait is the longest time between two polls of the new service. Three such waits fit into the 4 s that a switch may take.
 const maxSwitchRetryWait = 1 * time.Second
 
-// SwitchTo moves the client to the discovery service at address without a gap: the current one is followed until the new one has given a
-// full list, however long that takes, and is ignored from then on. The versions of the two are unrelated. A switch that is still under
-// way is abandoned. SwitchTo does not block; the switch ends with ctx.
+// SwitchTo switches the client to the discovery service at address. The client follows the current service until the new one has returned a
+// full list, however long that takes, and ignores the former service from then on. The versions of the two services are unrelated. SwitchTo
+// cancels an earlier switch that has not completed. It does not block; the switch is canceled when ctx ends.
 func (c *Client) SwitchTo(ctx context.Context, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,7 +27,7 @@
 	retry := make(chan struct{})
 	go c.tickSwitchRetries(ctx, retry)
 	for {
-		candidate := source{address: address} // never rejected so far: no poll is delayed, since a switch is urgent
+		candidate := source{address: address} // has no lastRejection, so no poll is delayed: a switch is urgent
 		list, err := c.hedgedPoll(ctx, &candidate, retry)
 		if err == nil && c.completeSwitch(ctx, address, list) {
 			c.log.Info("switched to another discovery service", zap.String("discovery", address))
@@ -46,7 +46,7 @@
 	}
 }
 
-// tickSwitchRetries sends to retry at random intervals, since all nodes may be told to switch at once.
+// tickSwitchRetries sends to retry at random intervals, because all nodes may be told to switch at the same time.
 func (c *Client) tickSwitchRetries(ctx context.Context, retry chan<- struct{}) {
 	for {
 		select {
@@ -62,7 +62,7 @@
 	}
 }
 
-// completeSwitch makes the service at address the current one, with its first list. It reports false if the switch was abandoned.
+// completeSwitch makes the service at address the current one, and publishes its first list. It reports false if the switch was canceled.
 func (c *Client) completeSwitch(ctx context.Context, address string, list endpointList) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +81,7 @@
 	c.cancelFollow()
 	select {
 	case c.switched <- struct{}{}:
-	default: // one is pending, which is enough
+	default: // Run has yet to handle an earlier switch, and will then follow this one
 	}
 	return true
 }
--- a/internal/net/discovery/verify.go
+++ b/internal/net/discovery/verify.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// maxVerifyDelay is the longest time from a resumed watch to the poll that verifies it, and between two such polls.
+// maxVerifyDelay is the longest time between a resumed poll and the first poll that verifies it, and between two verifying polls.
 const maxVerifyDelay = 40 * time.Second
 
-// verify polls for the full list until it has the version of the current one, and publishes that. It runs beside a watch that was
-// resumed: a service that restarted while it rejected polls may count versions anew, and the changes in between would be missing.
+// verify polls for the full list until the response has the version of the current list, and then publishes it. It runs concurrently
+// with the watches after a resumed poll: a service that restarted while it rejected polls may have reset its version counter, and the
+// resumed list would then lack the changes in between.
 func (c *Client) verify(ctx context.Context, resumed source) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(maxVerifyDelay/2 + c.randomDuration(maxVerifyDelay/2)): // spread, as many nodes resume at once
+		case <-time.After(maxVerifyDelay/2 + c.randomDuration(maxVerifyDelay/2)): // random, because many nodes resume at the same time
 		}
 		list, err := c.fetchList(ctx, resumed.address, "", pollTimeout)
 		if err == nil && list.full && c.publishIfCurrent(ctx, resumed.generation, list) {
@@ -24,8 +25,8 @@
 	}
 }
 
-// publishIfCurrent publishes a full list that has the generation and the version of the current one. A list of another version could be
-// older than what the watch is about to bring.
+// publishIfCurrent publishes a full list if it has the generation and the version of the current list. A list of another version could be
+// older than the next response to the watch.
 func (c *Client) publishIfCurrent(ctx context.Context, generation int, list endpointList) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxWatchWait bounds the wait of a watch, and so how long a silent connection can hide a change.
+	// maxWatchWait limits the wait of a watch, and so how long a silent connection can hide a change.
 	maxWatchWait = 20 * time.Second
 
-	// watchGrace is how long after its wait a watch is given up. A new list is due 2 s after the wait; the poll interval
-	// after a lost watch and the poll itself take 1.3 s of them.
+	// watchGrace is the time between the end of a watch's wait and the watch's timeout. A new list must arrive within 2 s of
+	// the end of the wait, and the poll interval after a failed watch and the poll itself take 1.3 s of these.
 	watchGrace = 300 * time.Millisecond
 
-	// emptyWatchPause follows an empty answer that came at once, for a service that does not wait. The next watch is due
-	// within 200 ms.
+	// emptyWatchPause is the pause before the next watch if a service has answered at once without changes. The next watch
+	// must start within 200 ms.
 	emptyWatchPause = 100 * time.Millisecond
 )
 
@@ -31,13 +31,13 @@
 	return list, err
 }
 
-// watchWait draws the wait of one watch, so that watches which fall silent together do not end together.
+// watchWait returns a random wait for one watch, so that watches whose connections go silent at the same time do not time out together.
 func (c *Client) watchWait() time.Duration {
 	return c.maxWatchWait/2 + c.randomDuration(c.maxWatchWait/2+1)
 }
 
-// failOnSecondConn returns a context for one call which cancels it when the transport retries on another connection. A watch
-// that is retried as its service goes down could stay silent for its whole wait; failing it makes the client poll.
+// failOnSecondConn returns a context for one call that cancels the call when the transport retries it on another connection. A watch
+// that is retried while its service goes down could be unanswered for its whole wait. When it fails instead, the client polls.
 func failOnSecondConn(ctx context.Context, cancel context.CancelFunc) context.Context {
 	conns := 0
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
