--- a/internal/net/discovery/overload_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -24,21 +24,21 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// queueingService is a discovery service with a queue: a poll and the begin of a watch cost the same, and a call is rejected at once if its
-// answer would take longer than the queue allows. A watch that goes on costs nothing; changes are pushed to it some time later. All times are
-// simulated (testing/synctest).
+// queueingService simulates a discovery service with a queue. A poll and the start of a watch cost about the same, and a call is rejected at
+// once if its answer would take longer than maxQueueDelay. A watch that follows another at once costs nothing; it learns of changes notifyDelay
+// later. All times are simulated (testing/synctest).
 type queueingService struct {
 	callTime, maxQueueDelay, notifyDelay time.Duration
-	changeTimes                          []time.Duration // when each version came to be
+	changeTimes                          []time.Duration // when each version is created, since start
 	start                                time.Time
-	silentFrom                           time.Duration // when all watches that are open fall silent; 0: never
+	silentFrom                           time.Duration // when all open watches go silent, since start; 0: never
 
 	mu               sync.Mutex
-	queueEmptyAt     time.Time // when the line is empty
+	queueEmptyAt     time.Time // when all accepted calls are answered
 	served, rejected int
 }
 
-// at returns how many of the changes were made by then.
+// versionAt returns the current version at a time since start.
 func (s *queueingService) versionAt(elapsed time.Duration) (version int) {
 	for _, changeTime := range s.changeTimes {
 		if changeTime <= elapsed {
@@ -48,15 +48,15 @@
 	return version
 }
 
-// nodeTransport is a node's connection to the service; known has when the node first had each version.
+// nodeTransport is a node's connection to the service. firstSeen holds the time, since start, of the first answer with each version.
 type nodeTransport struct {
 	*queueingService
 	mu              sync.Mutex
-	lastWatchAnswer time.Time // its last watch
-	silentWaitEnd   time.Time // when a silent watch's wait was over; zero: none was, or a list came since
+	lastWatchAnswer time.Time
+	silentWaitEnd   time.Time // when the wait of the last silent watch ended; zero: no silent watch since the last answer
 	firstSeen       map[int]time.Duration
-	firstWatch      time.Duration // when it first had a watch
-	maxListDelay    time.Duration // the longest from the end of a silent watch's wait to the next list
+	firstWatch      time.Duration // when the node's first watch began to wait, since start
+	maxListDelay    time.Duration // longest time from the end of a silent watch's wait to the next answer
 }
 
 func (c *nodeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -77,7 +77,7 @@
 		if now := time.Now(); answerTime.Before(now) {
 			answerTime = now
 		}
-		entries := 13 + c.queueingService.versionAt(time.Since(c.start)) // one costs as much as a thirtieth of the call alone
+		entries := 13 + c.queueingService.versionAt(time.Since(c.start)) // an entry costs a thirtieth of a call without entries
 		if watch {
 			entries = 3
 		}
@@ -146,12 +146,12 @@
 	return &http.Response{StatusCode: code, Body: io.NopCloser(bytes.NewBufferString(body)), Request: r}, nil
 }
 
-// overloadResult is what a simulated run against an overloaded service showed.
+// overloadResult holds the measurements of a simulated run against an overloaded service.
 type overloadResult struct {
-	lateChanges                        int           // changes that a node knew later than 6 s after they were made, over all nodes
-	maxDelay                           time.Duration // most that a node was behind
-	allListed, allWatching             time.Duration // when the last node had a list, and a watch
-	servedPerSecond, rejectedPerSecond float64       // calls a second
+	lateChanges                        int           // changes that a node learned more than 6 s after they were made, summed over all nodes
+	maxDelay                           time.Duration // longest time from a change to a node that knows it
+	allListed, allWatching             time.Duration // when the last node got its first list, and when the last node began to watch
+	servedPerSecond, rejectedPerSecond float64       // calls per second
 }
 
 func simulateOverload(t *testing.T, roundTime time.Duration, seed uint64, cached bool) (result overloadResult) {
@@ -210,11 +210,14 @@
 	return d
 }
 
-// Nodes that start together before a service that takes 2 to 8 s for one call from each are served with as few calls as it can
-// do with. Two are needed for each, for the list and for the begin of a watch; in the 6 s after which a change counts as told
-// one of 8 s answers 23 of the 32 nodes, so that some are late on such a day, whatever they do. In eight days, at the policy of
-// a whole list after each loss and waits that double up to 4 s: 0, 0, 8, 29 and 69 changes late a day, the oldest 1.9, 5.7, 9.5,
-// 11.5 and 17.7 s; with calls beside silent ones, each 0.9 to 1.8 s: 0, 8, 34, 46 and 84, the oldest 1.9, 8.7, 13.1, 17.2 and 23.9 s.
+// The nodes start together, and the service takes 2 to 8 s to answer one call from each. The test guards against needless calls, which
+// delay changes for all nodes. Each node needs two calls, one for the list and one to start a watch. A change must be known within 6 s; in
+// that time a service of 8 s answers 23 of the 32 nodes, so some changes are late there under any policy. Two other policies in eight runs,
+// for the five rows below:
+//   - a full list after each failed watch, and waits that double up to 4 s: 0, 0, 8, 29 and 69 late changes per run, and maximum delays of
+//     1.9, 5.7, 9.5, 11.5 and 17.7 s;
+//   - further polls every 0.9 to 1.8 s while one is unanswered: 0, 8, 34, 46 and 84 late changes per run, and maximum delays of 1.9, 8.7,
+//     13.1, 17.2 and 23.9 s.
 func TestNodesOverloadedServiceFewLateChanges(t *testing.T) {
 	t.Parallel()
 	runs := uint64(8)
@@ -222,7 +225,7 @@
 		runs = 3
 	}
 	for _, c := range []struct {
-		roundSeconds, maxLate, maxDelay, maxRejected float64 // seconds for one call from each; changes known late a day; seconds; calls turned away a second
+		roundSeconds, maxLate, maxDelay, maxRejected float64 // roundSeconds: time to answer one call from each node; maxLate: per run; maxDelay: seconds; maxRejected: calls per second
 	}{{2, 0, 2.5, 0.3}, {4, 0, 5.7, 2}, {5, 4, 8.2, 3}, {6, 20, 10.5, 4}, {8, 54, 15, 6}} {
 		var sum overloadResult
 		for seed := range runs {
@@ -232,17 +235,17 @@
 			sum.servedPerSecond, sum.rejectedPerSecond = sum.servedPerSecond+result.servedPerSecond/float64(runs), sum.rejectedPerSecond+result.rejectedPerSecond/float64(runs)
 		}
 		latePerRun := float64(sum.lateChanges) / float64(runs)
-		t.Logf("%v s for one call from each: %.1f changes late a day, the oldest %.1f s; all listed after %.1f s, all watching after %.1f s; "+
-			"served %.1f, turned away %.1f a second", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), sum.allListed.Seconds(), sum.allWatching.Seconds(), sum.servedPerSecond, sum.rejectedPerSecond)
+		t.Logf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s; all nodes have a list after %.1f s, "+
+			"all watch after %.1f s; %.1f calls served and %.1f rejected per second", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), sum.allListed.Seconds(), sum.allWatching.Seconds(), sum.servedPerSecond, sum.rejectedPerSecond)
 		if latePerRun > c.maxLate || sum.maxDelay.Seconds() > c.maxDelay || sum.rejectedPerSecond > c.maxRejected {
-			t.Errorf("%v s for one call from each: %.1f late, the oldest %.1f s, %.1f turned away a second; want %v, %v and %v at most",
+			t.Errorf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s, %.1f rejected per second; want at most %v, %v and %v",
 				c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), sum.rejectedPerSecond, c.maxLate, c.maxDelay, c.maxRejected)
 		}
 	}
 }
 
-// Nodes that are started with the list as it was last had go on from its version, so that each takes one place in the line of a
-// crowded service and not one for the list and the next for the watch.
+// Nodes that start with a cached list resume from its version. Each then needs one call to an overloaded service instead of two, one for
+// the list and one for the watch.
 func TestNodesCachedListOverloadedServiceFewLateChanges(t *testing.T) {
 	t.Parallel()
 	runs := uint64(8)
@@ -250,7 +253,7 @@
 		runs = 3
 	}
 	for _, c := range []struct {
-		roundSeconds, maxLate, maxDelay float64 // seconds for one call from each; changes known late a day; seconds
+		roundSeconds, maxLate, maxDelay float64 // roundSeconds: time to answer one call from each node; maxLate: per run; maxDelay: seconds
 	}{{4, 0, 6}, {6, 2, 8}, {8, 16, 11}} {
 		var sum overloadResult
 		for seed := range runs {
@@ -259,21 +262,22 @@
 			sum.maxDelay, sum.allWatching = max(sum.maxDelay, result.maxDelay), max(sum.allWatching, result.allWatching)
 		}
 		latePerRun := float64(sum.lateChanges) / float64(runs)
-		t.Logf("%v s for one call from each: %.1f changes late a day, the oldest %.1f s; all watching after %.1f s", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(),
+		t.Logf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s; all watch after %.1f s", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(),
 			sum.allWatching.Seconds())
 		if latePerRun > c.maxLate || sum.maxDelay.Seconds() > c.maxDelay {
-			t.Errorf("%v s for one call from each: %.1f late, the oldest %.1f s; want %v and %v at most", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), c.maxLate, c.maxDelay)
+			t.Errorf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s; want at most %v and %v", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), c.maxLate, c.maxDelay)
 		}
 	}
 }
 
-// seedVariable sets the seed of a test's draws; without it each run has the same one, so that its verdict can be replayed.
+// seedVariable names the environment variable with the seed of a test's random draws. Without it each run uses defaultSeed, so that its result
+// can be reproduced.
 const (
 	seedVariable = "THISTLERUDDER_DISCOVERY_SEED"
 	defaultSeed  = 1
 )
 
-// testSeed returns the seed of this run, and prints it if the test fails.
+// testSeed returns the seed of this run, and logs it if the test fails.
 func testSeed(t *testing.T) uint64 {
 	t.Helper()
 	seed := uint64(defaultSeed)
@@ -292,8 +296,8 @@
 	return seed
 }
 
-// seededDurations returns a source of a client's draws that may be used by several goroutines. Draws of each limit have a stream of their own: the
-// client draws for a watch and for its verification at the same simulated instant, in an order that the scheduler decides.
+// seededDurations returns a randomDuration function for a client. Each limit has its own random stream, because the client draws for a watch and
+// for the verifying poll at the same simulated instant, in an order that depends on the scheduler.
 func seededDurations(seed, stream uint64) func(time.Duration) time.Duration {
 	var mu sync.Mutex
 	byLimit := map[time.Duration]*rand.Rand{}
@@ -309,8 +313,8 @@
 	}
 }
 
-// Watches that fall silent all at once end at times of their own, so that each node has its list again within 2 s of its watch's wait, also
-// where the service takes some tenths of a second for each call.
+// The connections of all watches go silent at the same time. The random waits of the watches must spread the following polls, so that each node
+// gets a list within 2 s after the end of its watch's wait, although the service takes some tenths of a second per call.
 func TestSilentWatchesEndAtDifferentTimes(t *testing.T) {
 	t.Parallel()
 	const nodes, callTime, silentFrom, duration, maxDelay = 6, 400 * time.Millisecond, 13 * time.Second, 40 * time.Second, 2 * time.Second
@@ -321,7 +325,7 @@
 	}
 	durationSeed := testSeed(t)
 	lateLists, worst := 0, time.Duration(0)
-	const runs, lateDivisor = 120, 200 // so that a few by chance, of waits that are drawn, are told from a crowd
+	const runs, lateDivisor = 120, 200 // random waits put a few ends close together by chance: tolerates one late list in 200
 	for seed := range uint64(runs) {
 		synctest.Test(t, func(t *testing.T) {
 			service := &queueingService{callTime: callTime, maxQueueDelay: 2 * time.Second, notifyDelay: time.Second, start: time.Now(), silentFrom: silentFrom, changeTimes: []time.Duration{0}}
@@ -348,21 +352,21 @@
 			for node, transport := range transports {
 				if worst = max(worst, transport.maxListDelay); transport.maxListDelay > maxDelay {
 					lateLists++
-					t.Logf("day %d, node %d: the list %v after a silent watch's wait", seed, node, transport.maxListDelay)
+					t.Logf("run %d, node %d: list %v after the end of a silent watch's wait", seed, node, transport.maxListDelay)
 				}
 				if transport.maxListDelay == 0 {
-					t.Error("a watch did not fall silent")
+					t.Error("no silent watch on a node")
 				}
 			}
 		})
 	}
-	t.Logf("%d of %d lists later than %v after a silent watch's wait, the latest %v", lateLists, runs*nodes, maxDelay, worst)
+	t.Logf("%d of %d lists later than %v after the end of a silent watch's wait, the latest after %v", lateLists, runs*nodes, maxDelay, worst)
 	if lateLists > runs*nodes/lateDivisor {
-		t.Errorf("%d of %d lists came later than %v after a silent watch's wait, the latest %v", lateLists, runs*nodes, maxDelay, worst)
+		t.Errorf("%d of %d lists later than %v after the end of a silent watch's wait, the latest after %v", lateLists, runs*nodes, maxDelay, worst)
 	}
 }
 
-// scriptedTransport answers a node's calls by a function.
+// scriptedTransport returns the response to a call with the given query, and the delay of that response.
 type scriptedTransport func(query string) (code int, body string, delay time.Duration)
 
 func (s scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -375,7 +379,7 @@
 	return &http.Response{StatusCode: code, Body: io.NopCloser(bytes.NewBufferString(body)), Request: r}, nil
 }
 
-// subscribeCounter is a client that counts the calls of Subscribe.
+// subscribeCounter is a Client that counts the calls of Subscribe.
 type subscribeCounter struct {
 	*Client
 	subscribes atomic.Int64
@@ -386,8 +390,9 @@
 	c.Client.Subscribe()
 }
 
-// A resumed watch ends the module's orders, also where nothing changed. The service may have counted anew while it turned calls
-// away: so the whole list is had once beside the watch, later, and again later where it is of another version or turned away.
+// The balancer makes no further Subscribe calls once a poll has resumed, even if nothing has changed. The service may have reset its version
+// counter while it rejected calls, so the client verifies the resumed list with one full poll while it watches. It repeats the full poll if that
+// is rejected or returns another version.
 func TestResumedWatchVerifiedByFullPoll(t *testing.T) {
 	t.Parallel()
 	settings, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
@@ -399,7 +404,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
 			resumed := false
-			var fullPolls []time.Duration // when the whole list was asked for
+			var fullPolls []time.Duration // times of the polls for the full list
 			var mu sync.Mutex
 			dispatcher := dispatch.New(settings, zap.NewNop())
 			core, logs := observer.New(zap.InfoLevel)
@@ -441,40 +446,41 @@
 			time.Sleep(5 * time.Second)
 			mu.Lock()
 			if before := counter.subscribes.Load(); !resumed || before != 2 {
-				t.Errorf("resumed %v; %d orders, want one for the list and one for the watch", resumed, before)
+				t.Errorf("resumed %v; %d Subscribe calls, want one for the list and one after the failed watch", resumed, before)
 			}
 			mu.Unlock()
 			time.Sleep(5 * maxVerifyDelay)
 			mu.Lock()
-			defer mu.Unlock() // before the wait for its end
+			defer mu.Unlock() // runs before the deferred sleep
 			if counter.subscribes.Load() != 2 {
-				t.Errorf("%d orders beside a watch", counter.subscribes.Load()-2)
+				t.Errorf("%d Subscribe calls during a watch", counter.subscribes.Load()-2)
 			}
 			if len(fullPolls) != 4 {
-				t.Fatalf("the whole list was asked for at %v; want one at first, one turned away, one of another version and one", fullPolls)
+				t.Fatalf("polls for the full list at %v; want the first, a rejected one, one of another version and one of the same version", fullPolls)
 			}
 			for i, pollTime := range fullPolls[1:] {
 				if interval := pollTime - fullPolls[i]; interval < maxVerifyDelay/2 || interval > maxVerifyDelay+time.Second {
-					t.Errorf("asked again after %v", interval)
+					t.Errorf("next poll for the full list after %v, want %v to %v", interval, maxVerifyDelay/2, maxVerifyDelay+time.Second)
 				}
 			}
 			if fullUpdates := logs.FilterField(zap.Bool("full", true)).Len(); fullUpdates != 2 {
-				t.Errorf("%d whole lists were told, want the first and the one that has the watch's version", fullUpdates)
+				t.Errorf("%d full lists published, want the first and the one with the version of the watch", fullUpdates)
 			}
 		})
 	}
 }
 
-// Where calls were turned away lately, the first call beside one that is out begins when that one can't stand in line any more, or
-// at the second order, or as it fails: so it begins in time whatever the module's wait is, and one that is answered is alone.
+// If the service has rejected a call recently, the second concurrent poll starts when the first can no longer be in the service's queue, at the
+// second Subscribe, or when the first fails, whichever is earliest. So it starts in time for any poll interval of the balancer, and a first
+// poll that is answered in time stays the only one.
 func TestSecondPollOverloadedServiceDelayed(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		settings           map[string]any
 		overloaded         bool
-		pollDuration       time.Duration // the call that is out does, after so long
-		minDelay, maxDelay time.Duration // the next call's begin, after that one's
-		maxThirdDelay      time.Duration // and the begin of one more, at most
+		pollDuration       time.Duration // time until a poll after the first call fails
+		minDelay, maxDelay time.Duration // from the start of the first of these polls to the start of the second
+		maxThirdDelay      time.Duration // longest time from the start of the first to the start of the third
 	}{
 		{map[string]any{"registry-mode": "ask"}, false, time.Hour, config.Duration(routing.MaxPollWait) / 2, config.Duration(routing.MaxPollWait), 2 * config.Duration(routing.MaxPollWait)},
 		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.Duration(routing.MaxPollWait), maxQueueTime, 2 * config.Duration(routing.MaxPollWait)},
@@ -510,19 +516,19 @@
 				cancel()
 				synctest.Wait()
 				if gap := callTimes[2].Sub(callTimes[1]); gap < c.minDelay-10*time.Millisecond || gap > c.maxDelay+10*time.Millisecond {
-					t.Errorf("%v, seed %d: a call beside one in line after %v, want %v to %v", c.settings["registry-mode"], seed, gap, c.minDelay, c.maxDelay)
+					t.Errorf("%v, seed %d: second poll %v after the first, want %v to %v", c.settings["registry-mode"], seed, gap, c.minDelay, c.maxDelay)
 				}
 				if gap := callTimes[3].Sub(callTimes[1]); gap > c.maxThirdDelay+10*time.Millisecond {
-					t.Errorf("%v, seed %d: the second call beside it after %v, want %v at most", c.settings["registry-mode"], seed, gap, c.maxThirdDelay)
+					t.Errorf("%v, seed %d: third poll %v after the first, want at most %v", c.settings["registry-mode"], seed, gap, c.maxThirdDelay)
 				}
 			})
 		}
 	}
 }
 
-// A list is resumed while its service has only turned calls away since, each soon after the one before: it is up, so it has not counted
-// anew. After any other failure, and beside a call that may be silent for an outage, the list is had whole. So too where the list is the
-// one that the node was started with.
+// A poll resumes from the last version while the service has only rejected calls since, in short succession: the service was up all the time,
+// so it has not reset its version counter. After any other failure, and while another poll is unanswered (the service may be down), a poll
+// requests the full list. The same holds for a cached list.
 func TestPollResumesOnlyAfterRejections(t *testing.T) {
 	t.Parallel()
 	settings, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
@@ -531,7 +537,7 @@
 	}
 	fullList := fmt.Sprintf(`{"version":7,"full":true,"servers":[%s]}`, endpointJSON)
 	for _, cached := range []bool{false, true} {
-		for _, failure := range []string{"turned away", "fails once", "silent"} {
+		for _, failure := range []string{"rejected", "fails once", "silent"} {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
 				listSent, otherFailure := cached, false
@@ -548,14 +554,14 @@
 					case !listSent:
 						listSent = true
 						return http.StatusOK, fullList, 0
-					case isWatch && failure == "turned away":
+					case isWatch && failure == "rejected":
 						return http.StatusServiceUnavailable, "", 0
 					case !isResume && !isWatch && !otherFailure:
-						t.Errorf("known %v, %s: asked %q", cached, failure, queries)
+						t.Errorf("cached %v, %s: poll for the full list after rejections only: %q", cached, failure, queries)
 					case isResume && otherFailure:
-						t.Errorf("known %v, %s: resumed after another failure: %q", cached, failure, queries)
+						t.Errorf("cached %v, %s: poll resumed after another failure: %q", cached, failure, queries)
 					case isResume && failure == "silent":
-						otherFailure = true // what comes beside it is for the whole list
+						otherFailure = true // concurrent polls must request the full list
 						return http.StatusOK, "", time.Hour
 					case failure == "fails once" && len(queries) == 4:
 						otherFailure = true
@@ -575,14 +581,14 @@
 				cancel()
 				synctest.Wait()
 				if len(queries) < 5 {
-					t.Errorf("known %v, %s: asked only %q", cached, failure, queries)
+					t.Errorf("cached %v, %s: only %q, want at least 5 calls", cached, failure, queries)
 				}
 			})
 		}
 	}
 }
 
-// A move has 4 s: the call beside a silent one isn't put off there, though one before it was turned away.
+// A switch must complete within 4 s. So the poll that follows an unanswered one is not delayed, although an earlier poll was rejected.
 func TestSwitchAfterRejectionPollsNotDelayed(t *testing.T) {
 	t.Parallel()
 	settings, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
@@ -609,7 +615,7 @@
 			synctest.Wait()
 			for i := range callTimes[1:] {
 				if gap := callTimes[i+1].Sub(callTimes[i]); gap > maxSwitchRetryWait+10*time.Millisecond {
-					t.Errorf("call %d came %v after the one before", i+1, gap)
+					t.Errorf("call %d started %v after the previous one", i+1, gap)
 				}
 			}
 		})
