--- a/internal/net/discovery/faults_test.go
+++ b/internal/net/discovery/faults_test.go
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	until("the first list", 1, answersIn)
+	until("the first list", 1, maxAnsweredDelay)
 	for _, call := range []kernel.Call{kernel.Connect, kernel.Read, kernel.Write} {
 		var nth atomic.Int64
 		kernel.Fail(func(made kernel.Call) error {
@@ -89,7 +89,7 @@
 		}
 		changed := version.Add(1)
 		kernel.Fail(nil)
-		until(fmt.Sprintf("a change after %s failed", call), changed, answersIn)
+		until(fmt.Sprintf("a change after %s failed", call), changed, maxAnsweredDelay)
 	}
 	stop()
 	running.Wait()
--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -25,42 +25,42 @@
 
 // The bounds on when a list is had, from the moment at which its service is back.
 const (
-	answersIn     = 4 * time.Second // where it answers
-	rejectedIn    = 5 * time.Second // where it first turns a call away as one of too many
-	switchIn      = 4 * time.Second // from a signal to move
-	silentIn      = 2 * time.Second // from the end of a silent watch's wait
-	busyAllowance = 400 * time.Millisecond
+	maxAnsweredDelay = 4 * time.Second // where it answers
+	maxRejectedDelay = 5 * time.Second // where it first turns a call away as one of too many
+	maxSwitchDelay   = 4 * time.Second // from a signal to move
+	maxSilentDelay   = 2 * time.Second // from the end of a silent watch's wait
+	busyAllowance    = 400 * time.Millisecond
 
 	healthyPollTime = 1 * time.Second // for a poll of the full list and its connect, where the service is well
 )
 
 // The sums beside the constants, with what a busy machine takes: raising any of the constants, here or in the module, breaks one.
 // TestNextPollIsNeverFar checks that the waits between polls keep to PollSpread and MaxPollWait.
-func TestTheListIsHadInTime(t *testing.T) {
-	spread, most := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollWait)
+func TestListDelayConstantsWithinLimits(t *testing.T) {
+	spread, maxWait := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollWait)
 	for _, c := range []struct {
-		what string
-		sum  time.Duration
-		in   time.Duration
+		name  string
+		sum   time.Duration
+		limit time.Duration
 	}{
-		{"a call begins, whatever has become of those before, and is answered", most + healthyPollTime + busyAllowance, answersIn},
-		{"it is turned away, and the next one is answered", most + most + healthyPollTime + busyAllowance, rejectedIn},
-		{"one beside a call that may be in line is put off, and answered", maxQueueTime + healthyPollTime + busyAllowance, answersIn},
-		{"the same, turned away: the next word isn't put off", max(maxQueueTime, most+most) + healthyPollTime + busyAllowance, rejectedIn},
-		{"a gap, a lost watch, a start", spread + healthyPollTime + busyAllowance, answersIn},
-		{"the same, turned away", spread + most + healthyPollTime + busyAllowance, rejectedIn},
-		{"a silent watch, from the end of its wait", watchGrace + spread + healthyPollTime + busyAllowance, silentIn},
-		{"a move whose first call is silent, and the second and third turned away", 3*maxSwitchRetryWait + healthyPollTime, switchIn},
+		{"a call begins, whatever has become of those before, and is answered", maxWait + healthyPollTime + busyAllowance, maxAnsweredDelay},
+		{"it is turned away, and the next one is answered", maxWait + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
+		{"one beside a call that may be in line is put off, and answered", maxQueueTime + healthyPollTime + busyAllowance, maxAnsweredDelay},
+		{"the same, turned away: the next word isn't put off", max(maxQueueTime, maxWait+maxWait) + healthyPollTime + busyAllowance, maxRejectedDelay},
+		{"a gap, a lost watch, a start", spread + healthyPollTime + busyAllowance, maxAnsweredDelay},
+		{"the same, turned away", spread + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
+		{"a silent watch, from the end of its wait", watchGrace + spread + healthyPollTime + busyAllowance, maxSilentDelay},
+		{"a move whose first call is silent, and the second and third turned away", 3*maxSwitchRetryWait + healthyPollTime, maxSwitchDelay},
 		{"a resumed watch that has nothing to tell", resumeWait, emptyWatchPause},
 		{"news between two watches", emptyWatchPause + busyAllowance/4, 200 * time.Millisecond},
 	} {
-		if c.sum > c.in {
-			t.Errorf("%s: %v, want %v at most", c.what, c.sum, c.in)
+		if c.sum > c.limit {
+			t.Errorf("%s: %v, want %v at most", c.name, c.sum, c.limit)
 		}
 	}
 	// A call must not wait for a connection behind connects that hang.
-	if connects := int(math.Ceil(float64(connectTimeout) / float64(spread/2))); connects+2 > maxConnsPerHost {
-		t.Errorf("%d connects may hang at once, and a move's and a watch's connection come on top: %d are too few", connects, maxConnsPerHost)
+	if hangingConnects := int(math.Ceil(float64(connectTimeout) / float64(spread/2))); hangingConnects+2 > maxConnsPerHost {
+		t.Errorf("%d connects may hang at once, and a move's and a watch's connection come on top: %d are too few", hangingConnects, maxConnsPerHost)
 	}
 	if healthyPollTime < connectTimeout {
 		t.Errorf("a list takes %v at most, and its connect %v", healthyPollTime, connectTimeout)
@@ -72,27 +72,27 @@
 
 // outage is a discovery service on loopback that is down in a given way for a while.
 type outage struct {
-	t        *testing.T
-	how      string
-	address  string
-	mu       sync.Mutex
-	server   *http.Server
-	listener net.Listener
-	back     time.Time // 0: it is up, or down
-	down     bool
-	turns    int          // calls that it turns away after its return
-	watches  atomic.Int64 // that have come
-	hangs    atomic.Bool  // connects that begin now hang
-	out, top atomic.Int64
-	calls    atomic.Int64
+	t                     *testing.T
+	kind                  string
+	address               string
+	mu                    sync.Mutex
+	server                *http.Server
+	listener              net.Listener
+	endTime               time.Time // 0: it is up, or down
+	down                  bool
+	rejections            int          // calls that it turns away after its return
+	watches               atomic.Int64 // that have come
+	connectsHang          atomic.Bool  // connects that begin now hang
+	inFlight, maxInFlight atomic.Int64
+	callsWhileDown        atomic.Int64
 }
 
 var addresses atomic.Int64
 
-func newOutage(t *testing.T, how string, turns int, down bool) *outage {
-	nth := addresses.Add(1) // one of its own, which nobody else takes while it is closed
-	o := &outage{t: t, how: how, turns: turns}
-	o.listen(fmt.Sprintf("127.%d.%d.%d:0", 80+os.Getpid()%100, nth/200, 1+nth%200))
+func newOutage(t *testing.T, kind string, rejections int, down bool) *outage {
+	hostNumber := addresses.Add(1) // one of its own, which nobody else takes while it is closed
+	o := &outage{t: t, kind: kind, rejections: rejections}
+	o.listen(fmt.Sprintf("127.%d.%d.%d:0", 80+os.Getpid()%100, hostNumber/200, 1+hostNumber%200))
 	o.address = o.listener.Addr().String()
 	t.Cleanup(func() { o.server.Close() })
 	if down {
@@ -101,8 +101,8 @@
 	return o
 }
 
-func (o *outage) listen(at string) {
-	l, err := net.Listen("tcp", at)
+func (o *outage) listen(address string) {
+	l, err := net.Listen("tcp", address)
 	if err != nil {
 		o.t.Error(err)
 		return
@@ -116,11 +116,11 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = true
-	if o.how == "a connect that hangs" {
-		o.hangs.Store(true)
+	if o.kind == "a connect that hangs" {
+		o.connectsHang.Store(true)
 	}
 	o.listener.Close() // also where it isn't served yet
-	if o.server.Close(); o.how != "refused" {
+	if o.server.Close(); o.kind != "refused" {
 		o.listen(o.address)
 	}
 }
@@ -129,71 +129,71 @@
 func (o *outage) end() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.how == "refused" {
+	if o.kind == "refused" {
 		o.listen(o.address)
 	}
-	o.hangs.Store(false)
-	o.down, o.back = false, time.Now()
+	o.connectsHang.Store(false)
+	o.down, o.endTime = false, time.Now()
 }
 
 func (o *outage) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	o.top.Store(max(o.top.Load(), o.out.Add(1)))
-	defer o.out.Add(-1)
+	o.maxInFlight.Store(max(o.maxInFlight.Load(), o.inFlight.Add(1)))
+	defer o.inFlight.Add(-1)
 	if r.URL.RawQuery != "" {
 		o.watches.Add(1)
 	}
 	o.mu.Lock()
 	down, version := o.down, 1
-	if !o.back.IsZero() {
+	if !o.endTime.IsZero() {
 		version = 2
 	}
-	turn := version == 2 && o.turns > 0
-	if turn {
-		o.turns--
+	reject := version == 2 && o.rejections > 0
+	if reject {
+		o.rejections--
 	}
 	o.mu.Unlock()
-	whole := fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, endpointJSON)
+	fullList := fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, endpointJSON)
 	switch {
-	case down && o.how == "reset":
+	case down && o.kind == "reset":
 		c, _, _ := w.(http.Hijacker).Hijack()
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
-	case down && o.how == "503", turn, down && o.how == "503, then silent" && o.calls.Add(1)%2 > 0:
+	case down && o.kind == "503", reject, down && o.kind == "503, then silent" && o.callsWhileDown.Add(1)%2 > 0:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case down && o.how == "half a list, then silent":
-		w.Header().Set("Content-Length", strconv.Itoa(len(whole)))
-		fmt.Fprint(w, whole[:len(whole)/2])
+	case down && o.kind == "half a list, then silent":
+		w.Header().Set("Content-Length", strconv.Itoa(len(fullList)))
+		fmt.Fprint(w, fullList[:len(fullList)/2])
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
-	case down && o.how == "half a list, then its end":
-		w.Header().Set("Content-Length", strconv.Itoa(len(whole)))
-		fmt.Fprint(w, whole[:len(whole)/2])
-	case down && o.how == "an older version":
+	case down && o.kind == "half a list, then its end":
+		w.Header().Set("Content-Length", strconv.Itoa(len(fullList)))
+		fmt.Fprint(w, fullList[:len(fullList)/2])
+	case down && o.kind == "an older version":
 		fmt.Fprint(w, `{"version":0,"full":false,"servers":[]}`)
 	case down, r.URL.RawQuery != "": // a watch has nothing to tell
 		<-r.Context().Done()
 	default:
-		fmt.Fprint(w, whole)
+		fmt.Fprint(w, fullList)
 	}
 }
 
-var outages = []string{"refused", "reset", "503", "silent", "half a list, then silent", "half a list, then its end", "an older version",
+var outageKinds = []string{"refused", "reset", "503", "silent", "half a list, then silent", "half a list, then its end", "an older version",
 	"a connect that hangs", "503, then silent"}
 
 // follower gives a follower and its exchange; told has the time of each whole list.
-func (o *outage) follower(settings map[string]any) (*Client, chan time.Time) {
+func (o *outage) newClient(settings map[string]any) (*Client, chan time.Time) {
 	settings["namespaces"] = []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}
-	d, err := config.ParseSettings(settings)
+	parsed, err := config.ParseSettings(settings)
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	told := make(chan time.Time, 100)
-	log := zap.New(zapcore.NewNopCore()).WithOptions(zap.WrapCore(func(zapcore.Core) zapcore.Core { return &listLog{told} }))
-	x := dispatch.New(d, zap.NewNop())
-	f := New(x, o.address, 10*time.Second, log)
-	dial := f.transport.DialContext
-	f.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-		if o.hangs.Load() {
+	listTimes := make(chan time.Time, 100)
+	log := zap.New(zapcore.NewNopCore()).WithOptions(zap.WrapCore(func(zapcore.Core) zapcore.Core { return &listLog{listTimes} }))
+	dispatcher := dispatch.New(parsed, zap.NewNop())
+	client := New(dispatcher, o.address, 10*time.Second, log)
+	dial := client.transport.DialContext
+	client.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+		if o.connectsHang.Load() {
 			ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 			defer cancel()
 			<-ctx.Done()
@@ -201,67 +201,67 @@
 		}
 		return dial(ctx, network, address)
 	}
-	x.Start(uint64(time.Now().UnixNano()), nil, f)
-	return f, told
+	dispatcher.Start(uint64(time.Now().UnixNano()), nil, client)
+	return client, listTimes
 }
 
 // listLog is a logger that sends the time of each list.
-type listLog struct{ told chan time.Time }
+type listLog struct{ listTimes chan time.Time }
 
-func (e *listLog) Enabled(zapcore.Level) bool        { return true }
-func (e *listLog) With([]zapcore.Field) zapcore.Core { return e }
-func (e *listLog) Sync() error                       { return nil }
-func (e *listLog) Check(entry zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (l *listLog) Enabled(zapcore.Level) bool        { return true }
+func (l *listLog) With([]zapcore.Field) zapcore.Core { return l }
+func (l *listLog) Sync() error                       { return nil }
+func (l *listLog) Check(entry zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if entry.Message == "endpoint list updated" {
-		return c.AddCore(entry, e)
+		return c.AddCore(entry, l)
 	}
 	return c
 }
 
-func (e *listLog) Write(entry zapcore.Entry, _ []zapcore.Field) error {
-	e.told <- entry.Time
+func (l *listLog) Write(entry zapcore.Entry, _ []zapcore.Field) error {
+	l.listTimes <- entry.Time
 	return nil
 }
 
 // Followers have the list in time after outages of all kinds and many lengths, also when the service turns the first call after
 // its return away, and also where the node started, or was told to move there, in the outage.
-func TestTheListIsHadAfterAnOutage(t *testing.T) {
+func TestListAfterOutageInTime(t *testing.T) {
 	t.Parallel()
-	const grace = 1500 * time.Millisecond
-	each := 8
+	const stopSendingAfter = 1500 * time.Millisecond
+	outagesPerRow := 8
 	if testing.Short() {
-		each = 2
+		outagesPerRow = 2
 	}
 	var wg sync.WaitGroup
 	type row struct {
-		how, when string
-		turns     int
+		kind, scenario string
+		rejections     int
 	}
 	var mu sync.Mutex
-	worst := map[row]time.Duration{}
-	for _, how := range outages {
-		for _, when := range []string{"followed", "start", "move", "pushed"} {
-			for turns := range 2 {
-				if when == "start" && how == "an older version" {
+	maxDelays := map[row]time.Duration{}
+	for _, kind := range outageKinds {
+		for _, scenario := range []string{"followed", "start", "move", "pushed"} {
+			for rejections := range 2 {
+				if scenario == "start" && kind == "an older version" {
 					continue
 				}
-				for n := range each {
+				for n := range outagesPerRow {
 					wg.Go(func() {
-						lasts := time.Duration(500+(n*4231+turns*617+len(how)*331)%4000) * time.Millisecond
+						outageTime := time.Duration(500+(n*4231+rejections*617+len(kind)*331)%4000) * time.Millisecond
 						settings := map[string]any{"registry-mode": "ask", "invariants": map[string]any{"ask-within-ms": 10000.}}
-						if when == "pushed" {
-							settings = map[string]any{"registry-mode": "push", "invariants": map[string]any{"ask-within-ms": 10000., "stop-sending-within-ms": float64(grace.Milliseconds())}}
+						if scenario == "pushed" {
+							settings = map[string]any{"registry-mode": "push", "invariants": map[string]any{"ask-within-ms": 10000., "stop-sending-within-ms": float64(stopSendingAfter.Milliseconds())}}
 						}
-						o := newOutage(t, how, turns, when == "start" || when == "move")
-						at := o
-						if when == "move" {
-							at = newOutage(t, how, 0, false)
+						o := newOutage(t, kind, rejections, scenario == "start" || scenario == "move")
+						followed := o
+						if scenario == "move" {
+							followed = newOutage(t, kind, 0, false)
 						}
-						f, told := at.follower(settings)
-						if when == "move" {
-							dial := f.transport.DialContext
-							f.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-								if address == o.address && o.hangs.Load() {
+						client, listTimes := followed.newClient(settings)
+						if scenario == "move" {
+							dial := client.transport.DialContext
+							client.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+								if address == o.address && o.connectsHang.Load() {
 									ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 									defer cancel()
 									<-ctx.Done()
@@ -270,38 +270,38 @@
 								return dial(ctx, network, address)
 							}
 						}
-						go f.Run(t.Context())
-						if when != "start" {
-							for <-told; at.watches.Load() == 0; time.Sleep(time.Millisecond) {
+						go client.Run(t.Context())
+						if scenario != "start" {
+							for <-listTimes; followed.watches.Load() == 0; time.Sleep(time.Millisecond) {
 							}
 						}
-						if time.Sleep(time.Duration(n*37) * time.Millisecond); when == "move" {
-							f.SwitchTo(t.Context(), o.address)
-						} else if when != "start" {
+						if time.Sleep(time.Duration(n*37) * time.Millisecond); scenario == "move" {
+							client.SwitchTo(t.Context(), o.address)
+						} else if scenario != "start" {
 							o.begin()
 						}
-						time.Sleep(lasts)
+						time.Sleep(outageTime)
 						o.end()
-						in := answersIn
-						if turns > 0 {
-							in = rejectedIn
-						} else if when == "pushed" {
-							in = grace // it runs from the return
+						maxDelay := maxAnsweredDelay
+						if rejections > 0 {
+							maxDelay = maxRejectedDelay
+						} else if scenario == "pushed" {
+							maxDelay = stopSendingAfter // it runs from the return
 						}
-						took := 2 * in
+						delay := 2 * maxDelay
 						select {
-						case at := <-told:
-							took = at.Sub(o.back)
-						case <-time.After(2 * in):
+						case listTime := <-listTimes:
+							delay = listTime.Sub(o.endTime)
+						case <-time.After(2 * maxDelay):
 						}
-						if took > in {
-							t.Errorf("%s, %s, %d turned away, an outage of %v: a list %v after its end, want %v at most", how, when, turns, lasts, took, in)
+						if delay > maxDelay {
+							t.Errorf("%s, %s, %d turned away, an outage of %v: a list %v after its end, want %v at most", kind, scenario, rejections, outageTime, delay, maxDelay)
 						}
-						if top := o.top.Load(); top > maxConcurrentPolls+2 {
-							t.Errorf("%s, %s: %d calls at once", how, when, top)
+						if maxInFlight := o.maxInFlight.Load(); maxInFlight > maxConcurrentPolls+2 {
+							t.Errorf("%s, %s: %d calls at once", kind, scenario, maxInFlight)
 						}
 						mu.Lock()
-						worst[row{how, when, turns}] = max(worst[row{how, when, turns}], took)
+						maxDelays[row{kind, scenario, rejections}] = max(maxDelays[row{kind, scenario, rejections}], delay)
 						mu.Unlock()
 					})
 				}
@@ -310,10 +310,10 @@
 	}
 	wg.Wait()
 	var text strings.Builder
-	for _, how := range outages {
-		fmt.Fprintf(&text, "\n%-26s", how)
-		for _, when := range []string{"followed", "start", "move", "pushed"} {
-			fmt.Fprintf(&text, " %s %.2f %.2f", when, worst[row{how, when, 0}].Seconds(), worst[row{how, when, 1}].Seconds())
+	for _, kind := range outageKinds {
+		fmt.Fprintf(&text, "\n%-26s", kind)
+		for _, scenario := range []string{"followed", "start", "move", "pushed"} {
+			fmt.Fprintf(&text, " %s %.2f %.2f", scenario, maxDelays[row{kind, scenario, 0}].Seconds(), maxDelays[row{kind, scenario, 1}].Seconds())
 		}
 	}
 	t.Logf("seconds from the return to the list at most, with the first call answered and turned away:%s", &text)
@@ -321,35 +321,35 @@
 
 // A service whose line is long answers the first call late: it keeps its place there, though others are begun beside it, and the
 // calls at a time stay few.
-func TestTheOldestCallKeepsItsPlace(t *testing.T) {
+func TestOldestPollSlowServiceNotCanceled(t *testing.T) {
 	t.Parallel()
-	var calls, out, top atomic.Int64
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		nth := calls.Add(1)
-		top.Store(max(top.Load(), out.Add(1)))
-		defer out.Add(-1)
-		if nth == 1 {
+	var calls, inFlight, maxInFlight atomic.Int64
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		n := calls.Add(1)
+		maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
+		defer inFlight.Add(-1)
+		if n == 1 {
 			time.Sleep(1800 * time.Millisecond)
 			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, endpointJSON, `]}`)
 			return
 		}
 		<-r.Context().Done()
 	}))
-	defer s.Close()
-	defer s.CloseClientConnections()
-	o := &outage{t: t, address: s.Listener.Addr().String()}
-	f, told := o.follower(map[string]any{"registry-mode": "push", "invariants": map[string]any{"stop-sending-within-ms": 1500.}})
-	go f.Run(t.Context())
+	defer server.Close()
+	defer server.CloseClientConnections()
+	o := &outage{t: t, address: server.Listener.Addr().String()}
+	client, listTimes := o.newClient(map[string]any{"registry-mode": "push", "invariants": map[string]any{"stop-sending-within-ms": 1500.}})
+	go client.Run(t.Context())
 	select {
-	case <-told:
+	case <-listTimes:
 	case <-time.After(5 * time.Second):
 		t.Fatal("no list")
 	}
 	if n := calls.Load(); n < 4 || n > 9 {
 		t.Errorf("%d calls in 1.8 s", n)
 	}
-	if top := top.Load(); top > maxConcurrentPolls+1 { // one that is given up may be seen to end a little late
-		t.Errorf("%d calls at once", top)
+	if maxInFlight := maxInFlight.Load(); maxInFlight > maxConcurrentPolls+1 { // one that is given up may be seen to end a little late
+		t.Errorf("%d calls at once", maxInFlight)
 	}
 	time.Sleep(50 * time.Millisecond)
 	before := calls.Load()
@@ -359,30 +359,30 @@
 }
 
 // An order that crosses the list that it is for is not followed when a later watch fails: the module orders anew, by its own spread.
-func TestAnOrderThatCrossesItsListIsForgotten(t *testing.T) {
+func TestSubscribeDuringWatchDiscardedOnFailure(t *testing.T) {
 	t.Parallel()
-	var wholes atomic.Int64
-	var f *Client
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	var fullPolls atomic.Int64
+	var client *Client
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
-			f.Subscribe()
+			client.Subscribe()
 			w.WriteHeader(http.StatusInternalServerError) // after a 503 the next call would only ask for what changed
 			return
 		}
-		if wholes.Add(1) > 1 {
+		if fullPolls.Add(1) > 1 {
 			time.Sleep(600 * time.Millisecond) // longer than the module waits after a watch, shorter than between calls
 		}
-		if wholes.Load() == 1 {
+		if fullPolls.Load() == 1 {
 			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, endpointJSON, `]}`)
 		}
 	}))
-	defer s.Close()
-	defer s.CloseClientConnections()
-	o := &outage{t: t, address: s.Listener.Addr().String()}
-	f, told := o.follower(map[string]any{"registry-mode": "ask"})
-	go f.Run(t.Context())
-	<-told
-	if time.Sleep(500 * time.Millisecond); wholes.Load() != 2 {
-		t.Errorf("%d calls for the list, want one before and one after the watch", wholes.Load())
+	defer server.Close()
+	defer server.CloseClientConnections()
+	o := &outage{t: t, address: server.Listener.Addr().String()}
+	client, listTimes := o.newClient(map[string]any{"registry-mode": "ask"})
+	go client.Run(t.Context())
+	<-listTimes
+	if time.Sleep(500 * time.Millisecond); fullPolls.Load() != 2 {
+		t.Errorf("%d calls for the list, want one before and one after the watch", fullPolls.Load())
 	}
 }
