--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -23,19 +23,19 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// The bounds on when a list is had, from the moment at which its service is back.
+// Limits on the time from the end of a service's outage to the first list from it, unless stated otherwise.
 const (
-	maxAnsweredDelay = 4 * time.Second // where it answers
-	maxRejectedDelay = 5 * time.Second // where it first turns a call away as one of too many
-	maxSwitchDelay   = 4 * time.Second // from a signal to move
+	maxAnsweredDelay = 4 * time.Second // if the service answers
+	maxRejectedDelay = 5 * time.Second // if the service rejects the first call because of overload
+	maxSwitchDelay   = 4 * time.Second // from the request to switch
 	maxSilentDelay   = 2 * time.Second // from the end of a silent watch's wait
 	busyAllowance    = 400 * time.Millisecond
 
-	healthyPollTime = 1 * time.Second // for a poll of the full list and its connect, where the service is well
+	healthyPollTime = 1 * time.Second // for a poll of the full list and its connect at a healthy service
 )
 
-// The sums beside the constants, with what a busy machine takes: raising any of the constants, here or in the module, breaks one.
-// TestNextPollIsNeverFar checks that the waits between polls keep to PollSpread and MaxPollWait.
+// Adds up the constants for each case, plus busyAllowance for a busy machine. The test fails if a constant of this package or of the balancer is
+// raised too far. TestNextPollIsNeverFar checks that the waits between polls stay within PollSpread and MaxPollWait.
 func TestListDelayConstantsWithinLimits(t *testing.T) {
 	spread, maxWait := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollWait)
 	for _, c := range []struct {
@@ -43,34 +43,34 @@
 		sum   time.Duration
 		limit time.Duration
 	}{
-		{"a call begins, whatever has become of those before, and is answered", maxWait + healthyPollTime + busyAllowance, maxAnsweredDelay},
-		{"it is turned away, and the next one is answered", maxWait + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
-		{"one beside a call that may be in line is put off, and answered", maxQueueTime + healthyPollTime + busyAllowance, maxAnsweredDelay},
-		{"the same, turned away: the next word isn't put off", max(maxQueueTime, maxWait+maxWait) + healthyPollTime + busyAllowance, maxRejectedDelay},
-		{"a gap, a lost watch, a start", spread + healthyPollTime + busyAllowance, maxAnsweredDelay},
-		{"the same, turned away", spread + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
-		{"a silent watch, from the end of its wait", watchGrace + spread + healthyPollTime + busyAllowance, maxSilentDelay},
-		{"a move whose first call is silent, and the second and third turned away", 3*maxSwitchRetryWait + healthyPollTime, maxSwitchDelay},
-		{"a resumed watch that has nothing to tell", resumeWait, emptyWatchPause},
-		{"news between two watches", emptyWatchPause + busyAllowance/4, 200 * time.Millisecond},
+		{"poll starts regardless of earlier polls and is answered", maxWait + healthyPollTime + busyAllowance, maxAnsweredDelay},
+		{"poll is rejected and the next one is answered", maxWait + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
+		{"poll is delayed because another may be in the queue, and is answered", maxQueueTime + healthyPollTime + busyAllowance, maxAnsweredDelay},
+		{"delayed poll is rejected and the next one, which is not delayed, is answered", max(maxQueueTime, maxWait+maxWait) + healthyPollTime + busyAllowance, maxRejectedDelay},
+		{"poll after a version gap, a failed watch or a start", spread + healthyPollTime + busyAllowance, maxAnsweredDelay},
+		{"poll after a version gap, a failed watch or a start is rejected and the next one is answered", spread + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
+		{"poll after a silent watch, from the end of the wait", watchGrace + spread + healthyPollTime + busyAllowance, maxSilentDelay},
+		{"switch with an unanswered first poll and a rejected second and third one", 3*maxSwitchRetryWait + healthyPollTime, maxSwitchDelay},
+		{"resumed watch without changes", resumeWait, emptyWatchPause},
+		{"change between two watches", emptyWatchPause + busyAllowance/4, 200 * time.Millisecond},
 	} {
 		if c.sum > c.limit {
-			t.Errorf("%s: %v, want %v at most", c.name, c.sum, c.limit)
+			t.Errorf("%s: %v, want at most %v", c.name, c.sum, c.limit)
 		}
 	}
-	// A call must not wait for a connection behind connects that hang.
+	// A call must not wait for a connection while other connects hang.
 	if hangingConnects := int(math.Ceil(float64(connectTimeout) / float64(spread/2))); hangingConnects+2 > maxConnsPerHost {
-		t.Errorf("%d connects may hang at once, and a move's and a watch's connection come on top: %d are too few", hangingConnects, maxConnsPerHost)
+		t.Errorf("maxConnsPerHost too low: %d connects may hang at the same time, plus one connection each for a switch and a watch, got %d", hangingConnects, maxConnsPerHost)
 	}
 	if healthyPollTime < connectTimeout {
-		t.Errorf("a list takes %v at most, and its connect %v", healthyPollTime, connectTimeout)
+		t.Errorf("healthyPollTime %v is shorter than connectTimeout %v", healthyPollTime, connectTimeout)
 	}
 	if maxConcurrentPolls < 3 {
-		t.Errorf("of %d calls the oldest keeps its place, the latest begins, and one is given up", maxConcurrentPolls)
+		t.Errorf("maxConcurrentPolls is %d, want at least 3: the oldest, the newest and one in between that can be canceled", maxConcurrentPolls)
 	}
 }
 
-// outage is a discovery service on loopback that is down in a given way for a while.
+// outage is a discovery service on a loopback address with an outage of a given kind. Its version is 1 until the end of the outage, then 2.
 type outage struct {
 	t                     *testing.T
 	kind                  string
@@ -78,11 +78,11 @@
 	mu                    sync.Mutex
 	server                *http.Server
 	listener              net.Listener
-	endTime               time.Time // 0: it is up, or down
+	endTime               time.Time // zero until the outage has ended
 	down                  bool
-	rejections            int          // calls that it turns away after its return
-	watches               atomic.Int64 // that have come
-	connectsHang          atomic.Bool  // connects that begin now hang
+	rejections            int          // calls still to reject after the end of the outage
+	watches               atomic.Int64 // watches received
+	connectsHang          atomic.Bool  // new connects hang
 	inFlight, maxInFlight atomic.Int64
 	callsWhileDown        atomic.Int64
 }
@@ -90,7 +90,7 @@
 var addresses atomic.Int64
 
 func newOutage(t *testing.T, kind string, rejections int, down bool) *outage {
-	hostNumber := addresses.Add(1) // one of its own, which nobody else takes while it is closed
+	hostNumber := addresses.Add(1) // for a separate address, which no other listener takes while this one is closed
 	o := &outage{t: t, kind: kind, rejections: rejections}
 	o.listen(fmt.Sprintf("127.%d.%d.%d:0", 80+os.Getpid()%100, hostNumber/200, 1+hostNumber%200))
 	o.address = o.listener.Addr().String()
@@ -111,7 +111,7 @@
 	go o.server.Serve(l)
 }
 
-// begin takes the service down; its watches end.
+// begin starts the outage and closes all connections, which ends the watches.
 func (o *outage) begin() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -119,13 +119,13 @@
 	if o.kind == "a connect that hangs" {
 		o.connectsHang.Store(true)
 	}
-	o.listener.Close() // also where it isn't served yet
+	o.listener.Close() // Server.Close closes it only after Serve has been called
 	if o.server.Close(); o.kind != "refused" {
 		o.listen(o.address)
 	}
 }
 
-// end brings it back. What it had accepted while it was down is never answered.
+// end ends the outage. Calls that were accepted during the outage are never answered.
 func (o *outage) end() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -170,7 +170,7 @@
 		fmt.Fprint(w, fullList[:len(fullList)/2])
 	case down && o.kind == "an older version":
 		fmt.Fprint(w, `{"version":0,"full":false,"servers":[]}`)
-	case down, r.URL.RawQuery != "": // a watch has nothing to tell
+	case down, r.URL.RawQuery != "": // a watch is never answered
 		<-r.Context().Done()
 	default:
 		fmt.Fprint(w, fullList)
@@ -180,7 +180,7 @@
 var outageKinds = []string{"refused", "reset", "503", "silent", "half a list, then silent", "half a list, then its end", "an older version",
 	"a connect that hangs", "503, then silent"}
 
-// follower gives a follower and its exchange; told has the time of each whole list.
+// newClient returns a client of the service and a channel that receives the time of each list update.
 func (o *outage) newClient(settings map[string]any) (*Client, chan time.Time) {
 	settings["namespaces"] = []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}
 	parsed, err := config.ParseSettings(settings)
@@ -205,7 +205,7 @@
 	return client, listTimes
 }
 
-// listLog is a logger that sends the time of each list.
+// listLog is a zapcore.Core that sends the time of each list update to listTimes.
 type listLog struct{ listTimes chan time.Time }
 
 func (l *listLog) Enabled(zapcore.Level) bool        { return true }
@@ -223,8 +223,9 @@
 	return nil
 }
 
-// Followers have the list in time after outages of all kinds and many lengths, also when the service turns the first call after
-// its return away, and also where the node started, or was told to move there, in the outage.
+// Clients get a list in time after outages of all kinds and many lengths, also if the service rejects the first call after the outage. The
+// scenarios differ in when the outage begins: while the client follows the service (in the modes "ask" and "push"), before the node starts, and
+// before the client is switched to the service.
 func TestListAfterOutageInTime(t *testing.T) {
 	t.Parallel()
 	const stopSendingAfter = 1500 * time.Millisecond
@@ -286,7 +287,7 @@
 						if rejections > 0 {
 							maxDelay = maxRejectedDelay
 						} else if scenario == "pushed" {
-							maxDelay = stopSendingAfter // it runs from the return
+							maxDelay = stopSendingAfter // counts from the end of the outage
 						}
 						delay := 2 * maxDelay
 						select {
@@ -295,10 +296,10 @@
 						case <-time.After(2 * maxDelay):
 						}
 						if delay > maxDelay {
-							t.Errorf("%s, %s, %d turned away, an outage of %v: a list %v after its end, want %v at most", kind, scenario, rejections, outageTime, delay, maxDelay)
+							t.Errorf("%s, %s, %d rejected calls, outage of %v: list %v after its end, want at most %v", kind, scenario, rejections, outageTime, delay, maxDelay)
 						}
 						if maxInFlight := o.maxInFlight.Load(); maxInFlight > maxConcurrentPolls+2 {
-							t.Errorf("%s, %s: %d calls at once", kind, scenario, maxInFlight)
+							t.Errorf("%s, %s: %d concurrent calls", kind, scenario, maxInFlight)
 						}
 						mu.Lock()
 						maxDelays[row{kind, scenario, rejections}] = max(maxDelays[row{kind, scenario, rejections}], delay)
@@ -316,11 +317,11 @@
 			fmt.Fprintf(&text, " %s %.2f %.2f", scenario, maxDelays[row{kind, scenario, 0}].Seconds(), maxDelays[row{kind, scenario, 1}].Seconds())
 		}
 	}
-	t.Logf("seconds from the return to the list at most, with the first call answered and turned away:%s", &text)
+	t.Logf("longest time in seconds from the end of the outage to the list, with the first call answered and with it rejected:%s", &text)
 }
 
-// A service whose line is long answers the first call late: it keeps its place there, though others are begun beside it, and the
-// calls at a time stay few.
+// A service with a long queue answers the first poll after 1.8 s. The client must not cancel that poll when it starts further ones, and the number
+// of concurrent polls must stay limited.
 func TestOldestPollSlowServiceNotCanceled(t *testing.T) {
 	t.Parallel()
 	var calls, inFlight, maxInFlight atomic.Int64
@@ -348,17 +349,18 @@
 	if n := calls.Load(); n < 4 || n > 9 {
 		t.Errorf("%d calls in 1.8 s", n)
 	}
-	if maxInFlight := maxInFlight.Load(); maxInFlight > maxConcurrentPolls+1 { // one that is given up may be seen to end a little late
-		t.Errorf("%d calls at once", maxInFlight)
+	if maxInFlight := maxInFlight.Load(); maxInFlight > maxConcurrentPolls+1 { // the server may see the end of a canceled poll a little late
+		t.Errorf("%d concurrent calls", maxInFlight)
 	}
 	time.Sleep(50 * time.Millisecond)
 	before := calls.Load()
 	if time.Sleep(time.Second); calls.Load() > before+1 {
-		t.Errorf("%d further calls beside a watch", calls.Load()-before)
+		t.Errorf("%d calls in 1 s after the list, want at most the watch", calls.Load()-before)
 	}
 }
 
-// An order that crosses the list that it is for is not followed when a later watch fails: the module orders anew, by its own spread.
+// A Subscribe that arrives after the list it requests must not cause a poll when a later watch fails. The balancer subscribes again after the
+// failure, with its own random delay.
 func TestSubscribeDuringWatchDiscardedOnFailure(t *testing.T) {
 	t.Parallel()
 	var fullPolls atomic.Int64
@@ -366,11 +368,11 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			client.Subscribe()
-			w.WriteHeader(http.StatusInternalServerError) // after a 503 the next call would only ask for what changed
+			w.WriteHeader(http.StatusInternalServerError) // after a 503 the next poll would resume and not request the full list
 			return
 		}
 		if fullPolls.Add(1) > 1 {
-			time.Sleep(600 * time.Millisecond) // longer than the module waits after a watch, shorter than between calls
+			time.Sleep(600 * time.Millisecond) // longer than the balancer waits after a failed watch, shorter than between polls
 		}
 		if fullPolls.Load() == 1 {
 			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, endpointJSON, `]}`)
@@ -383,6 +385,6 @@
 	go client.Run(t.Context())
 	<-listTimes
 	if time.Sleep(500 * time.Millisecond); fullPolls.Load() != 2 {
-		t.Errorf("%d calls for the list, want one before and one after the watch", fullPolls.Load())
+		t.Errorf("%d polls for the full list, want one before and one after the watch", fullPolls.Load())
 	}
 }
