--- a/internal/net/discovery/faults_test.go
+++ b/internal/net/discovery/faults_test.go
@@ -23,84 +23,84 @@
 
 // Each documented error of connecting, reading and writing, met in turn by many followers for a while: their lists stand meanwhile, the next
 // change is had in time once calls go through again, and nothing is left behind.
-func TestTheListOutlivesCallsThatFail(t *testing.T) {
-	const followers, fails = 12, 1200 * time.Millisecond
-	before := runtime.NumGoroutine()
+func TestFailingKernelCallsListKept(t *testing.T) {
+	const clientCount, failureTime = 12, 1200 * time.Millisecond
+	goroutinesBefore := runtime.NumGoroutine()
 	version := atomic.Int64{}
 	version.Store(1)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var from, hold int64
-		if n, _ := fmt.Sscanf(r.URL.RawQuery, "from=%d&hold_ms=%d", &from, &hold); n == 2 {
-			for end := time.Now().Add(time.Duration(hold) * time.Millisecond); version.Load() == from && time.Now().Before(end) && r.Context().Err() == nil; {
+		var fromVersion, holdMs int64
+		if n, _ := fmt.Sscanf(r.URL.RawQuery, "from=%d&hold_ms=%d", &fromVersion, &holdMs); n == 2 {
+			for end := time.Now().Add(time.Duration(holdMs) * time.Millisecond); version.Load() == fromVersion && time.Now().Before(end) && r.Context().Err() == nil; {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		now := version.Load()
-		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"a","addr":"127.0.0.1:%d","kind":"box","state":"Ready"}]}`, now, r.URL.RawQuery == "", now)
+		currentVersion := version.Load()
+		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"a","addr":"127.0.0.1:%d","kind":"box","state":"Ready"}]}`, currentVersion, r.URL.RawQuery == "", currentVersion)
 	}))
-	d, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
+	settings, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 1., "time-limit-ms": 2.}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
-	var all []*Client
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	var clients []*Client
 	var running sync.WaitGroup
-	for range followers {
-		x := dispatch.New(d, zap.NewNop())
-		f := New(x, service.Listener.Addr().String(), 10*time.Second, zap.NewNop())
-		x.Start(1, nil, f)
-		all = append(all, f)
-		running.Go(func() { f.Run(ctx) })
+	for range clientCount {
+		dispatcher := dispatch.New(settings, zap.NewNop())
+		client := New(dispatcher, service.Listener.Addr().String(), 10*time.Second, zap.NewNop())
+		dispatcher.Start(1, nil, client)
+		clients = append(clients, client)
+		running.Go(func() { client.Run(ctx) })
 	}
-	have := func(want int64) (n int) {
-		for _, f := range all {
-			f.mu.Lock()
-			if f.source.version == want {
+	clientsWithVersion := func(want int64) (n int) {
+		for _, client := range clients {
+			client.mu.Lock()
+			if client.source.version == want {
 				n++
 			}
-			f.mu.Unlock()
+			client.mu.Unlock()
 		}
 		return n
 	}
-	until := func(what string, version int64, in time.Duration) {
+	waitForVersion := func(name string, version int64, timeout time.Duration) {
 		t.Helper()
-		for end := time.Now().Add(in); have(version) < followers; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(timeout); clientsWithVersion(version) < clientCount; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: %d of %d have it after %v", what, have(version), followers, in)
+				t.Fatalf("%s: %d of %d have it after %v", name, clientsWithVersion(version), clientCount, timeout)
 			}
 		}
 	}
-	until("the first list", 1, maxAnsweredDelay)
+	waitForVersion("the first list", 1, maxAnsweredDelay)
 	for _, call := range []kernel.Call{kernel.Connect, kernel.Read, kernel.Write} {
-		var nth atomic.Int64
-		kernel.Fail(func(made kernel.Call) error {
-			if made != call {
+		var failures atomic.Int64
+		kernel.Fail(func(current kernel.Call) error {
+			if current != call {
 				return nil
 			}
 			errs := append(kernel.Documented[call], syscall.ETIMEDOUT, syscall.ECONNRESET)
-			return errs[nth.Add(1)%int64(len(errs))]
+			return errs[failures.Add(1)%int64(len(errs))]
 		})
 		t.Cleanup(func() { kernel.Fail(nil) })
 		service.CloseClientConnections()
-		time.Sleep(fails)
-		if nth.Load() < followers {
-			t.Errorf("%s: only %d calls failed", call, nth.Load())
+		time.Sleep(failureTime)
+		if failures.Load() < clientCount {
+			t.Errorf("%s: only %d calls failed", call, failures.Load())
 		}
 		changed := version.Add(1)
 		kernel.Fail(nil)
-		until(fmt.Sprintf("a change after %s failed", call), changed, maxAnsweredDelay)
+		waitForVersion(fmt.Sprintf("a change after %s failed", call), changed, maxAnsweredDelay)
 	}
-	stop()
+	cancel()
 	running.Wait()
-	for _, f := range all {
-		f.transport.CloseIdleConnections()
+	for _, client := range clients {
+		client.transport.CloseIdleConnections()
 	}
 	service.CloseClientConnections()
 	service.Close()
-	for end := time.Now().Add(connectTimeout + time.Second); runtime.NumGoroutine() > before+2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(connectTimeout + time.Second); runtime.NumGoroutine() > goroutinesBefore+2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), goroutinesBefore)
 		}
 	}
 }
--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -87,10 +87,10 @@
 	callsWhileDown        atomic.Int64
 }
 
-var addresses atomic.Int64
+var addressCount atomic.Int64
 
 func newOutage(t *testing.T, kind string, rejections int, down bool) *outage {
-	hostNumber := addresses.Add(1) // for a separate address, which no other listener takes while this one is closed
+	hostNumber := addressCount.Add(1) // for a separate address, which no other listener takes while this one is closed
 	o := &outage{t: t, kind: kind, rejections: rejections}
 	o.listen(fmt.Sprintf("127.%d.%d.%d:0", 80+os.Getpid()%100, hostNumber/200, 1+hostNumber%200))
 	o.address = o.listener.Addr().String()
