--- a/internal/net/discovery/bench_test.go
+++ b/internal/net/discovery/bench_test.go
@@ -13,7 +13,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// pageOf is a discovery service's answer with so many caches of 23 regions and 82 zones; since is their start.
+// responseBody returns a discovery service's response with the given number of caches, spread over 23 regions and 82 zones. startedMs is the start
+// time of all caches and the version of the list.
 func responseBody(caches int, full bool, firstCache int, startedMs int64) []byte {
 	var buf bytes.Buffer
 	fmt.Fprintf(&buf, `{"version":%d,"full":%v,"servers":[`, startedMs, full)
@@ -29,10 +30,10 @@
 	return buf.Bytes()
 }
 
-// A zone's, a region's, a thousand's, and all of the plan's.
+// The caches of a zone and of a region, two sizes in between, and all caches of the planned fleet.
 var listSizes = []int{70, 248, 1000, 2400, 5700}
 
-// BenchmarkParse reads a whole list.
+// BenchmarkParse parses a full list.
 func BenchmarkParse(b *testing.B) {
 	for _, caches := range listSizes {
 		b.Run(fmt.Sprint("caches=", caches), func(b *testing.B) {
@@ -60,7 +61,7 @@
 	return dispatcher
 }
 
-// BenchmarkFullUpdate takes a whole list, which has not changed, to the module.
+// BenchmarkFullUpdate updates the dispatcher with a full list without changes.
 func BenchmarkFullUpdate(b *testing.B) {
 	for _, caches := range listSizes {
 		b.Run(fmt.Sprint("caches=", caches), func(b *testing.B) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// BenchmarkIncrementalUpdate reads one cache's restart from a watch and takes it to the module.
+// BenchmarkIncrementalUpdate parses a watch response with the restart of one cache and updates the dispatcher with it.
 func BenchmarkIncrementalUpdate(b *testing.B) {
 	for _, caches := range listSizes {
 		b.Run(fmt.Sprint("caches=", caches), func(b *testing.B) {
@@ -98,7 +99,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				change.endpoints[0].StartedMs += float64(i) // another start each time
+				change.endpoints[0].StartedMs += float64(i) // a different start time in each iteration
 				dispatcher.UpdateEndpoints(routing.Incremental, change.endpoints)
 				i++
 			}
--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -4,7 +4,8 @@
 // A node must know a change within 6 s of the time at which the discovery service has the change and is reachable, regardless of how earlier
 // calls ended. The client therefore gets a list within 4 s after an outage of the service ends, within 5 s if the service rejects the first
 // poll, and within 2 s after the wait of an unanswered watch ends.
-// docs/CAPACITY.md, "Time to an endpoint list", adds up the constants of this package for each case; TestListDelayConstantsWithinLimits checks the sums.
+// docs/CAPACITY.md, "Time to an endpoint list", adds up the constants of this package for each case; TestListDelayConstantsWithinLimits checks
+// the sums.
 package discovery
 
 import (
--- a/internal/net/discovery/client_test.go
+++ b/internal/net/discovery/client_test.go
@@ -22,7 +22,7 @@
 
 const endpointJSON = `{"id":"a","addr":"127.0.0.1:1","kind":"box","state":"Ready","started_ms":0}`
 
-// scriptedService answers each call with the next of its pages; an empty one is a failure, and the last one waits.
+// scriptedService answers each call with the next of its responses; an empty one is a 503. Calls after the last response are never answered.
 type scriptedService struct {
 	mu          sync.Mutex
 	responses   []string
@@ -53,7 +53,7 @@
 	return append([]string(nil), s.requestURIs...)
 }
 
-// follow runs a follower against the pages until so many calls were made.
+// runClient runs a client against a service with the given responses until it has made wantCalls calls, and checks that it makes no more.
 func runClient(t *testing.T, wantCalls int, responses ...string) (*scriptedService, *dispatch.Dispatcher, *observer.ObservedLogs) {
 	t.Helper()
 	s := &scriptedService{responses: responses}
@@ -69,7 +69,7 @@
 	core, logs := observer.New(zap.InfoLevel)
 	dispatcher := dispatch.New(settings, zap.NewNop())
 	client := New(dispatcher, server.Listener.Addr().String(), 10*time.Second, zap.New(core))
-	dispatcher.Start(1, nil, client) // the module gives the first order by itself
+	dispatcher.Start(1, nil, client) // makes the first Subscribe call
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -94,18 +94,18 @@
 		`{"version":9,"full":false,"servers":[]}`)
 	want := []string{listPath, listPath + "?from=7&hold_ms=WATCH", listPath + "?from=9&hold_ms=WATCH", listPath + "?from=9&hold_ms=WATCH"}
 	if got := normalizeWaits(s.calls()); got != strings.Join(want, " ") || !dispatcher.Ready() {
-		t.Errorf("asked %s; ready %v", got, dispatcher.Ready())
+		t.Errorf("calls %s, want %s; ready %v", got, strings.Join(want, " "), dispatcher.Ready())
 	}
 	for i := 1; i < len(s.callTimes); i++ {
 		if s.callTimes[i].Sub(s.callTimes[i-1]) > 200*time.Millisecond || i == 3 && s.callTimes[i].Sub(s.callTimes[i-1]) < emptyWatchPause {
-			t.Errorf("call %d came %v after the one before", i, s.callTimes[i].Sub(s.callTimes[i-1]))
+			t.Errorf("call %d started %v after the previous one", i, s.callTimes[i].Sub(s.callTimes[i-1]))
 		}
 	}
 }
 
-// What a watch that has fallen silent missed counts as told 2 s after its wait is over: by then the list has been had anew,
-// though the module waits before it asks and the service takes a second to answer. A service that answers a little after the
-// wait is not given up for that.
+// A watch is silent if its connection stops delivering data. A node must know the changes that such a watch missed within 2 s after the end of
+// the watch's wait. The client must get a new list in that time, although the balancer waits before it polls and the service takes a second to
+// answer. A watch that is answered a little after its wait must not fail.
 func TestSilentWatchNewListInTime(t *testing.T) {
 	t.Parallel()
 	const pollInterval, answerDelay, pollTime = 300 * time.Millisecond, 30 * time.Millisecond, time.Second
@@ -119,7 +119,7 @@
 		switch call {
 		case 1:
 			fmt.Fprint(w, `{"version":1,"full":true,"servers":[`, endpointJSON, `]}`)
-		case 2: // a watch that ends in time, in its service's
+		case 2: // a watch that is answered shortly after its wait
 			time.Sleep(pollInterval + answerDelay)
 			fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 		case 3:
@@ -148,22 +148,22 @@
 	go client.Run(ctx)
 	for end := time.Now().Add(8 * time.Second); logs.FilterMessage("endpoint list updated").Len() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no list after the silent watch")
+			t.Fatal("no list after the silent watch within 8 s")
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if delay := time.Since(silentStart); calls < 4 || delay > pollInterval+2*time.Second {
-		t.Errorf("known %v after the watch began, at call %d; its wait was %v", delay, calls, pollInterval)
+		t.Errorf("list %v after the start of the silent watch, at call %d; the wait of the watch was %v", delay, calls, pollInterval)
 	}
 	if failures := logs.FilterMessage("endpoint list update failed, keeping the last list").Len(); failures != 1 {
-		t.Errorf("%d calls were given up, want the silent one", failures)
+		t.Errorf("%d failed calls, want only the silent watch", failures)
 	}
 	server.CloseClientConnections()
 }
 
-// A call for the whole list that a service never answers, as one that was made while it was down, has another beside it in
-// time for two more within the 6 s after which what it missed counts as told.
+// A poll may never be answered, for example if it was made while the service was down. The client must start another poll early enough for two
+// more within 6 s, the time within which a node must know a change.
 func TestUnansweredPollFurtherPollInTime(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
@@ -189,35 +189,37 @@
 		time.Sleep(time.Millisecond)
 	}
 	if delay := time.Since(start); delay > 4*time.Second {
-		t.Errorf("a list after %v, at call %d", delay, calls.Load())
+		t.Errorf("list after %v, at call %d; want at most 4 s", delay, calls.Load())
 	}
 	server.CloseClientConnections()
 }
 
-// normalizeWaits joins calls, with WATCH for a wait that is drawn between half of the longest and all of it: 5 to 10 s here.
+// normalizeWaits joins calls and replaces random waits of watches with WATCH. These are between half of the longest wait and the longest wait, 5 to
+// 10 s here.
 func normalizeWaits(calls []string) string {
 	return regexp.MustCompile(`hold_ms=(5\d\d\d|[6-9]\d\d\d|10000)\b`).ReplaceAllString(strings.Join(calls, " "), "hold_ms=WATCH")
 }
 
-// A watch that was turned away, again and again, goes on from the version that was had, with a call that is answered at once.
+// After rejections of a watch and of resuming polls, the client resumes from the last version with a poll that the service answers at once.
 func TestRejectedWatchResumed(t *testing.T) {
 	s, dispatcher, _ := runClient(t, 5, `{"version":7,"full":true,"servers":[`+endpointJSON+`]}`, "", "", `{"version":7,"full":false,"servers":[]}`)
 	resumeURI := fmt.Sprintf("%s?from=7&hold_ms=%d", listPath, resumeWait.Milliseconds())
 	want := []string{listPath, listPath + "?from=7&hold_ms=WATCH", resumeURI, resumeURI, listPath + "?from=7&hold_ms=WATCH"}
 	if got := normalizeWaits(s.calls()); got != strings.Join(want, " ") || !dispatcher.Ready() {
-		t.Errorf("asked %s; ready %v", got, dispatcher.Ready())
+		t.Errorf("calls %s, want %s; ready %v", got, strings.Join(want, " "), dispatcher.Ready())
 	}
 	if delay := s.callTimes[4].Sub(s.callTimes[3]); delay > 200*time.Millisecond {
-		t.Errorf("the watch goes on %v after the answer: it is a new one", delay)
+		t.Errorf("watch started %v after the answer to the resuming poll, want at most 200 ms", delay)
 	}
 }
 
-// After anything but a 503 the service may count anew: the whole list is asked for, as after an older version.
+// After any failure except a 503 the service may have reset its version counter, so the client polls for the full list. The same holds after an
+// older version.
 func TestResumeInvalidAnswerFullPoll(t *testing.T) {
 	for _, response := range []string{"no list", `{"version":3,"full":false,"servers":[]}`} {
 		s, _, _ := runClient(t, 4, `{"version":7,"full":true,"servers":[`+endpointJSON+`]}`, "", response)
 		if got := s.calls(); got[2] == listPath || got[3] != listPath {
-			t.Errorf("%s: asked %v", response, got)
+			t.Errorf("%s: calls %v, want a resuming poll, then one for the full list", response, got)
 		}
 	}
 }
@@ -225,11 +227,12 @@
 func TestVersionGapFullPoll(t *testing.T) {
 	s, _, _ := runClient(t, 3, `{"version":7,"full":true,"servers":[`+endpointJSON+`]}`, `{"version":3,"full":false,"servers":[`+endpointJSON+`]}`)
 	if got := s.calls(); got[2] != listPath {
-		t.Errorf("asked %v", got)
+		t.Errorf("calls %v, want a poll for the full list after the older version", got)
 	}
 }
 
-// What can't be read, in part or in whole, changes nothing: one line, a failed call, and the module asks again.
+// A list that is invalid as a whole or in one entry is not published. The client logs one warning and reports the failure, and the balancer
+// subscribes again after its delay.
 func TestInvalidListIgnored(t *testing.T) {
 	for _, response := range []string{"", "no list", `{"full":true,"servers":[]}`, `{"version":1,"full":true,"servers":[{"id":"a","addr":"x","state":"Odd"}]}`,
 		`{"version":1,"full":true,"servers":[{"addr":"x","state":"Ready"}]}`, `{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}`,
@@ -241,14 +244,14 @@
 				t.Errorf("%s: ready %v, log %v", response, dispatcher.Ready(), logs.All())
 			}
 			if s.callTimes[1].Sub(s.callTimes[0]) < 100*time.Millisecond {
-				t.Errorf("%s: asked again at once, not when the module said so", response)
+				t.Errorf("%s: next poll at once, not after the balancer's delay", response)
 			}
 		})
 	}
 }
 
-// A move goes on with the old list until the new address has given one, whatever its versions; then the old address
-// has no say, and the next watch is due at the new one without a pause.
+// SwitchTo keeps the old list until the new service returns a list, whose version is unrelated. From then on the client ignores the old
+// service, and starts the next watch at the new one without delay.
 func TestSwitchToFollowsOldServiceUntilList(t *testing.T) {
 	oldService := &scriptedService{responses: []string{`{"version":70,"full":true,"servers":[` + endpointJSON + `]}`}}
 	newService := &scriptedService{responses: []string{"", "no list", `{"version":2,"full":true,"servers":[` + endpointJSON + `]}`, `{"version":3,"full":false,"servers":[]}`}}
@@ -273,31 +276,31 @@
 	go client.Run(t.Context())
 	for end := time.Now().Add(5 * time.Second); len(oldService.calls()) < 2; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no watch at the old address")
+			t.Fatal("no watch at the old service")
 		}
 	}
 	client.mu.Lock()
 	oldSource := client.source
 	client.mu.Unlock()
-	client.SwitchTo(t.Context(), "127.0.0.1:1") // refused; the next move takes its place
+	client.SwitchTo(t.Context(), "127.0.0.1:1") // refuses connections; the next switch cancels this one
 	client.SwitchTo(t.Context(), serviceAddrs[1])
 	for end := time.Now().Add(5 * time.Second); len(newService.calls()) < 5; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no watch at the new address: ", newService.calls())
+			t.Fatal("no watch at the new service: ", newService.calls())
 		}
 	}
 	got := normalizeWaits(newService.calls()[2:])
 	if want := listPath + " " + listPath + "?from=2&hold_ms=WATCH " + listPath + "?from=3&hold_ms=WATCH"; got != want {
-		t.Errorf("asked %s", got)
+		t.Errorf("calls %s, want %s", got, want)
 	}
 	if newService.callTimes[3].Sub(newService.callTimes[2]) > 200*time.Millisecond || len(oldService.calls()) != 2 {
-		t.Errorf("the watch came after %v; the old address was asked %d times", newService.callTimes[3].Sub(newService.callTimes[2]), len(oldService.calls()))
+		t.Errorf("watch %v after the list, want at most 200 ms; %d calls to the old service, want 2", newService.callTimes[3].Sub(newService.callTimes[2]), len(oldService.calls()))
 	}
 	if client.publish(oldSource, endpointList{full: true}) || logs.FilterMessage("endpoint list updated").Len() != 2 {
-		t.Error("the old address still has a say")
+		t.Error("a list from the old service was published after the switch")
 	}
 	if logs.FilterMessage("endpoint list update failed, keeping the last list").Len() != 0 {
-		t.Error("the module was told of a failure")
+		t.Error("a failure was reported to the dispatcher")
 	}
 }
 
--- a/internal/net/discovery/faults_test.go
+++ b/internal/net/discovery/faults_test.go
@@ -21,8 +21,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// Each documented error of connecting, reading and writing, met in turn by many followers for a while: their lists stand meanwhile, the next
-// change is had in time once calls go through again, and nothing is left behind.
+// The kernel calls of many clients fail with each documented error of connect, read and write in turn, for failureTime per kind of call. The
+// clients keep their lists meanwhile, get the next change in time once the calls succeed again, and leave no goroutines behind.
 func TestFailingKernelCallsListKept(t *testing.T) {
 	const clientCount, failureTime = 12, 1200 * time.Millisecond
 	goroutinesBefore := runtime.NumGoroutine()
@@ -67,7 +67,7 @@
 		t.Helper()
 		for end := time.Now().Add(timeout); clientsWithVersion(version) < clientCount; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: %d of %d have it after %v", name, clientsWithVersion(version), clientCount, timeout)
+				t.Fatalf("%s: %d of %d clients have the version after %v", name, clientsWithVersion(version), clientCount, timeout)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 		service.CloseClientConnections()
 		time.Sleep(failureTime)
 		if failures.Load() < clientCount {
-			t.Errorf("%s: only %d calls failed", call, failures.Load())
+			t.Errorf("%s: only %d calls failed, want at least %d", call, failures.Load(), clientCount)
 		}
 		changed := version.Add(1)
 		kernel.Fail(nil)
@@ -100,7 +100,7 @@
 	service.Close()
 	for end := time.Now().Add(connectTimeout + time.Second); runtime.NumGoroutine() > goroutinesBefore+2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), goroutinesBefore)
+			t.Fatalf("%d goroutines, %d before the test", runtime.NumGoroutine(), goroutinesBefore)
 		}
 	}
 }
--- a/internal/net/discovery/hedge.go
+++ b/internal/net/discovery/hedge.go
@@ -66,8 +66,8 @@
 }
 
 // startOrDelay starts a further poll. If the service is overloaded, the first poll is probably in the service's queue, and a second
-// one would take a queue slot from another node. The second poll is then delayed until maxQueueTime has passed, by which the first
-// must have left the queue.
+// one would take a queue slot from another node. The second poll is then delayed until the first one has been in flight for
+// maxQueueTime and must have left the queue.
 func (h *hedgedPolls) startOrDelay(ctx context.Context) {
 	wait := maxQueueTime - time.Since(h.firstPollStart)
 	overloaded := time.Since(h.source.lastRejection) < overloadWindow
--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -46,9 +46,11 @@
 		{"poll starts regardless of earlier polls and is answered", maxWait + healthyPollTime + busyAllowance, maxAnsweredDelay},
 		{"poll is rejected and the next one is answered", maxWait + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
 		{"poll is delayed because another may be in the queue, and is answered", maxQueueTime + healthyPollTime + busyAllowance, maxAnsweredDelay},
-		{"delayed poll is rejected and the next one, which is not delayed, is answered", max(maxQueueTime, maxWait+maxWait) + healthyPollTime + busyAllowance, maxRejectedDelay},
+		{"delayed poll is rejected and the next one, which is not delayed, is answered",
+			max(maxQueueTime, maxWait+maxWait) + healthyPollTime + busyAllowance, maxRejectedDelay},
 		{"poll after a version gap, a failed watch or a start", spread + healthyPollTime + busyAllowance, maxAnsweredDelay},
-		{"poll after a version gap, a failed watch or a start is rejected and the next one is answered", spread + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
+		{"poll after a version gap, a failed watch or a start is rejected and the next one is answered",
+			spread + maxWait + healthyPollTime + busyAllowance, maxRejectedDelay},
 		{"poll after a silent watch, from the end of the wait", watchGrace + spread + healthyPollTime + busyAllowance, maxSilentDelay},
 		{"switch with an unanswered first poll and a rejected second and third one", 3*maxSwitchRetryWait + healthyPollTime, maxSwitchDelay},
 		{"resumed watch without changes", resumeWait, emptyWatchPause},
@@ -60,7 +62,7 @@
 	}
 	// A call must not wait for a connection while other connects hang.
 	if hangingConnects := int(math.Ceil(float64(connectTimeout) / float64(spread/2))); hangingConnects+2 > maxConnsPerHost {
-		t.Errorf("maxConnsPerHost too low: %d connects may hang at the same time, plus one connection each for a switch and a watch, got %d", hangingConnects, maxConnsPerHost)
+		t.Errorf("maxConnsPerHost is %d, want at least %d for hanging connects plus one each for a switch and a watch", maxConnsPerHost, hangingConnects)
 	}
 	if healthyPollTime < connectTimeout {
 		t.Errorf("healthyPollTime %v is shorter than connectTimeout %v", healthyPollTime, connectTimeout)
@@ -251,7 +253,8 @@
 						outageTime := time.Duration(500+(n*4231+rejections*617+len(kind)*331)%4000) * time.Millisecond
 						settings := map[string]any{"registry-mode": "ask", "invariants": map[string]any{"ask-within-ms": 10000.}}
 						if scenario == "pushed" {
-							settings = map[string]any{"registry-mode": "push", "invariants": map[string]any{"ask-within-ms": 10000., "stop-sending-within-ms": float64(stopSendingAfter.Milliseconds())}}
+							settings = map[string]any{"registry-mode": "push", "invariants": map[string]any{"ask-within-ms": 10000.,
+								"stop-sending-within-ms": float64(stopSendingAfter.Milliseconds())}}
 						}
 						o := newOutage(t, kind, rejections, scenario == "start" || scenario == "move")
 						followed := o
@@ -296,7 +299,8 @@
 						case <-time.After(2 * maxDelay):
 						}
 						if delay > maxDelay {
-							t.Errorf("%s, %s, %d rejected calls, outage of %v: list %v after its end, want at most %v", kind, scenario, rejections, outageTime, delay, maxDelay)
+							t.Errorf("%s, %s, %d rejected calls, outage of %v: list %v after its end, want at most %v",
+								kind, scenario, rejections, outageTime, delay, maxDelay)
 						}
 						if maxInFlight := o.maxInFlight.Load(); maxInFlight > maxConcurrentPolls+2 {
 							t.Errorf("%s, %s: %d concurrent calls", kind, scenario, maxInFlight)
--- a/internal/net/discovery/overload_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -26,7 +26,7 @@
 
 // queueingService simulates a discovery service with a queue. A poll and the start of a watch cost about the same, and a call is rejected at
 // once if its answer would take longer than maxQueueDelay. A watch that follows another at once costs nothing; it learns of changes notifyDelay
-// later. All times are simulated (testing/synctest).
+// later. All times are simulated (testing/synctest). callTime is the time for a call with 15 entries in its answer.
 type queueingService struct {
 	callTime, maxQueueDelay, notifyDelay time.Duration
 	changeTimes                          []time.Duration // when each version is created, since start
@@ -59,6 +59,7 @@
 	maxListDelay    time.Duration // longest time from the end of a silent watch's wait to the next answer
 }
 
+// RoundTrip answers a poll or a watch as the service would, and records when the node learns of each version.
 func (c *nodeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var fromVersion, holdMs int
 	watch := r.URL.RawQuery != ""
@@ -154,6 +155,8 @@
 	servedPerSecond, rejectedPerSecond float64       // calls per second
 }
 
+// simulateOverload runs 32 nodes for 26 s against a service that takes roundTime to answer one call from each. With cached the nodes start with a
+// cached list.
 func simulateOverload(t *testing.T, roundTime time.Duration, seed uint64, cached bool) (result overloadResult) {
 	const nodes, duration, changeDeadline = 32, 26 * time.Second, 6 * time.Second
 	settings, err := config.ParseSettings(map[string]any{"registry-mode": "ask", "invariants": map[string]any{"ask-within-ms": 20000.},
@@ -225,20 +228,24 @@
 		runs = 3
 	}
 	for _, c := range []struct {
-		roundSeconds, maxLate, maxDelay, maxRejected float64 // roundSeconds: time to answer one call from each node; maxLate: per run; maxDelay: seconds; maxRejected: calls per second
+		roundSeconds, maxLate, maxDelay, maxRejected float64 // time to answer one call from each node, late changes per run, seconds, calls per second
 	}{{2, 0, 2.5, 0.3}, {4, 0, 5.7, 2}, {5, 4, 8.2, 3}, {6, 20, 10.5, 4}, {8, 54, 15, 6}} {
 		var sum overloadResult
 		for seed := range runs {
 			result := simulateOverload(t, time.Duration(c.roundSeconds*float64(time.Second)), seed, false)
 			sum.lateChanges += result.lateChanges
-			sum.maxDelay, sum.allListed, sum.allWatching = max(sum.maxDelay, result.maxDelay), max(sum.allListed, result.allListed), max(sum.allWatching, result.allWatching)
-			sum.servedPerSecond, sum.rejectedPerSecond = sum.servedPerSecond+result.servedPerSecond/float64(runs), sum.rejectedPerSecond+result.rejectedPerSecond/float64(runs)
+			sum.maxDelay = max(sum.maxDelay, result.maxDelay)
+			sum.allListed, sum.allWatching = max(sum.allListed, result.allListed), max(sum.allWatching, result.allWatching)
+			sum.servedPerSecond += result.servedPerSecond / float64(runs)
+			sum.rejectedPerSecond += result.rejectedPerSecond / float64(runs)
 		}
 		latePerRun := float64(sum.lateChanges) / float64(runs)
 		t.Logf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s; all nodes have a list after %.1f s, "+
-			"all watch after %.1f s; %.1f calls served and %.1f rejected per second", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), sum.allListed.Seconds(), sum.allWatching.Seconds(), sum.servedPerSecond, sum.rejectedPerSecond)
+			"all watch after %.1f s; %.1f calls served and %.1f rejected per second", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(),
+			sum.allListed.Seconds(), sum.allWatching.Seconds(), sum.servedPerSecond, sum.rejectedPerSecond)
 		if latePerRun > c.maxLate || sum.maxDelay.Seconds() > c.maxDelay || sum.rejectedPerSecond > c.maxRejected {
-			t.Errorf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s, %.1f rejected per second; want at most %v, %v and %v",
+			t.Errorf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s, %.1f rejected per second; "+
+				"want at most %v, %v and %v",
 				c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), sum.rejectedPerSecond, c.maxLate, c.maxDelay, c.maxRejected)
 		}
 	}
@@ -253,7 +260,7 @@
 		runs = 3
 	}
 	for _, c := range []struct {
-		roundSeconds, maxLate, maxDelay float64 // roundSeconds: time to answer one call from each node; maxLate: per run; maxDelay: seconds
+		roundSeconds, maxLate, maxDelay float64 // time to answer one call from each node, late changes per run, seconds
 	}{{4, 0, 6}, {6, 2, 8}, {8, 16, 11}} {
 		var sum overloadResult
 		for seed := range runs {
@@ -262,10 +269,11 @@
 			sum.maxDelay, sum.allWatching = max(sum.maxDelay, result.maxDelay), max(sum.allWatching, result.allWatching)
 		}
 		latePerRun := float64(sum.lateChanges) / float64(runs)
-		t.Logf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s; all watch after %.1f s", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(),
-			sum.allWatching.Seconds())
+		t.Logf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s; all watch after %.1f s",
+			c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), sum.allWatching.Seconds())
 		if latePerRun > c.maxLate || sum.maxDelay.Seconds() > c.maxDelay {
-			t.Errorf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s; want at most %v and %v", c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), c.maxLate, c.maxDelay)
+			t.Errorf("service with %v s per call from each node: %.1f late changes per run, maximum delay %.1f s; want at most %v and %v",
+				c.roundSeconds, latePerRun, sum.maxDelay.Seconds(), c.maxLate, c.maxDelay)
 		}
 	}
 }
@@ -313,7 +321,7 @@
 	}
 }
 
-// The connections of all watches go silent at the same time. The random waits of the watches must spread the following polls, so that each node
+// The connections of all watches go silent simultaneously. The random waits of the watches must spread the following polls, so that each node
 // gets a list within 2 s after the end of its watch's wait, although the service takes some tenths of a second per call.
 func TestSilentWatchesEndAtDifferentTimes(t *testing.T) {
 	t.Parallel()
@@ -328,7 +336,8 @@
 	const runs, lateDivisor = 120, 200 // random waits put a few ends close together by chance: tolerates one late list in 200
 	for seed := range uint64(runs) {
 		synctest.Test(t, func(t *testing.T) {
-			service := &queueingService{callTime: callTime, maxQueueDelay: 2 * time.Second, notifyDelay: time.Second, start: time.Now(), silentFrom: silentFrom, changeTimes: []time.Duration{0}}
+			service := &queueingService{callTime: callTime, maxQueueDelay: 2 * time.Second, notifyDelay: time.Second, start: time.Now(),
+				silentFrom: silentFrom, changeTimes: []time.Duration{0}}
 			ctx, cancel := context.WithCancel(t.Context())
 			var transports []*nodeTransport
 			var wg sync.WaitGroup
