--- a/internal/net/discovery/client_test.go
+++ b/internal/net/discovery/client_test.go
@@ -53,7 +53,8 @@
 	return append([]string(nil), s.requestURIs...)
 }
 
-// runClient runs a client against a service with the given responses until it has made wantCalls calls, and checks that it makes no more.
+// runClient runs a client against a service with the given responses until it has made wantCalls calls (at most 8 s), and fails the test if
+// the number of calls differs in the end.
 func runClient(t *testing.T, wantCalls int, responses ...string) (*scriptedService, *dispatch.Dispatcher, *observer.ObservedLogs) {
 	t.Helper()
 	s := &scriptedService{responses: responses}
