--- a/internal/net/discovery/hedge.go
+++ b/internal/net/discovery/hedge.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// maxConcurrentPolls bounds the polls in flight: the oldest, the newest and one between.
+	// maxConcurrentPolls limits the polls in flight: the oldest, the newest and one in between.
 	maxConcurrentPolls = 3
 
 	// maxQueueTime is how long a service keeps a call in its queue before it answers or rejects it.
 	maxQueueTime = 2100 * time.Millisecond
 
-	// overloadWindow is how long after a rejection the service counts as overloaded: two poll intervals.
+	// overloadWindow is how long the service counts as overloaded after it rejects a call: two poll intervals.
 	overloadWindow = 4 * time.Second
 )
 
-// hedgedPolls is the set of polls in flight for one list. inFlight, delayed and began belong to the goroutine of
-// hedgedPoll, which alone writes to source meanwhile. The polls' goroutines read source's address and version without a lock;
-// an abandoned poll may still do so after hedgedPoll has returned.
+// hedgedPolls is the set of polls in flight for one list. inFlight, delayTimer and firstPollStart belong to the goroutine of
+// hedgedPoll, which is the only writer of source until it returns. The polls' goroutines read source's address and version
+// without a lock; a canceled poll may still do so after hedgedPoll has returned.
 type hedgedPolls struct {
-	client   *Client
-	source   *source
-	inFlight []*inFlightPoll // oldest first
-	results  chan pollResult
-	delayed  <-chan time.Time // start of a poll that was put off; nil: none
-	began    time.Time        // when the poll began that a delayed one waits for
+	client         *Client
+	source         *source
+	inFlight       []*inFlightPoll // oldest first
+	results        chan pollResult
+	delayTimer     <-chan time.Time // fires when a delayed poll is due; nil if no poll is delayed
+	firstPollStart time.Time        // start of the poll whose queue time a delayed poll waits for
 }
 
 type inFlightPoll struct{ cancel context.CancelFunc }
@@ -37,12 +37,13 @@
 	err  error
 }
 
-// hedgedPoll polls src, adds a further poll with each value from trigger, and returns the first list. It returns an error once
-// no poll is in flight. A poll may never be answered, so none waits for the end of another.
+// hedgedPoll polls src, starts or delays a further poll for each value from trigger, and returns the first list. It returns an
+// error when the last poll in flight has failed and none is delayed. A poll may never be answered, so no poll waits for another
+// to end.
 func (c *Client) hedgedPoll(ctx context.Context, src *source, trigger <-chan struct{}) (endpointList, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	polls := &hedgedPolls{client: c, source: src, results: make(chan pollResult), began: time.Now()}
+	polls := &hedgedPolls{client: c, source: src, results: make(chan pollResult), firstPollStart: time.Now()}
 	polls.start(ctx)
 	for {
 		select {
@@ -50,34 +51,35 @@
 			return endpointList{}, ctx.Err()
 		case <-trigger:
 			polls.startOrDelay(ctx)
-		case <-polls.delayed:
-			polls.delayed = nil
+		case <-polls.delayTimer:
+			polls.delayTimer = nil
 			polls.start(ctx)
 		case result := <-polls.results:
 			if result.err == nil {
 				return result.list, nil
 			}
-			if polls.fail(ctx, result) {
+			if polls.handleFailure(ctx, result) {
 				return endpointList{}, result.err
 			}
 		}
 	}
 }
 
-// startOrDelay starts a further poll. If the service is overloaded, the first poll is probably in its queue, and a second would
-// take a slot there that another node lacks: the second is put off until the first must have left the queue.
+// startOrDelay starts a further poll. If the service is overloaded, the first poll is probably in the service's queue, and a second
+// one would take a queue slot from another node. The second poll is then delayed until the first one has been in flight for
+// maxQueueTime and must have left the queue.
 func (h *hedgedPolls) startOrDelay(ctx context.Context) {
-	wait := maxQueueTime - time.Since(h.began)
+	wait := maxQueueTime - time.Since(h.firstPollStart)
 	overloaded := time.Since(h.source.lastRejection) < overloadWindow
-	if h.delayed == nil && len(h.inFlight) == 1 && wait > 0 && overloaded {
-		h.delayed = time.After(wait)
+	if h.delayTimer == nil && len(h.inFlight) == 1 && wait > 0 && overloaded {
+		h.delayTimer = time.After(wait)
 		return
 	}
 	h.start(ctx)
 }
 
-// start begins a poll. Only the first may resume: beside a poll that is silent the service may have restarted and count versions
-// anew, so the others request the full list.
+// start starts a poll. Only a poll without others in flight may resume. While a poll is unanswered, the service may have restarted
+// and reset its version counter, so further polls request the full list.
 func (h *hedgedPolls) start(ctx context.Context) {
 	query := ""
 	if len(h.inFlight) == 0 {
@@ -87,11 +89,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	poll := &inFlightPoll{cancel: cancel}
 	h.inFlight = append(h.inFlight, poll)
-	go h.run(ctx, poll, query)
+	go h.runPoll(ctx, poll, query)
 }
 
-// dropSecondOldest cancels the second oldest of too many polls: the oldest may be first in the service's queue, and the newest may be the first
-// since the service is back.
+// dropSecondOldest cancels the second oldest poll if maxConcurrentPolls are in flight. The oldest may be first in the service's queue, and the
+// newest may be the first one after the end of an outage.
 func (h *hedgedPolls) dropSecondOldest() {
 	if len(h.inFlight) < maxConcurrentPolls {
 		return
@@ -100,7 +102,7 @@
 	h.inFlight = slices.Delete(h.inFlight, 1, 2)
 }
 
-func (h *hedgedPolls) run(ctx context.Context, poll *inFlightPoll, query string) {
+func (h *hedgedPolls) runPoll(ctx context.Context, poll *inFlightPoll, query string) {
 	defer poll.cancel()
 	list, err := h.client.fetchList(ctx, h.source.address, query, pollTimeout)
 	switch {
@@ -116,8 +118,8 @@
 	}
 }
 
-// fail records a failed poll and reports whether none is left. A delayed poll starts at once when it would be the only one.
-func (h *hedgedPolls) fail(ctx context.Context, result pollResult) (done bool) {
+// handleFailure records a failed poll. If no other is in flight, it starts the delayed poll at once, or reports done if there is none.
+func (h *hedgedPolls) handleFailure(ctx context.Context, result pollResult) (done bool) {
 	h.source.recordFailure(result.err)
 	if i := slices.Index(h.inFlight, result.poll); i >= 0 {
 		h.inFlight = slices.Delete(h.inFlight, i, i+1)
@@ -125,11 +127,11 @@
 	if len(h.inFlight) > 0 {
 		return false
 	}
-	if h.delayed == nil {
+	if h.delayTimer == nil {
 		return true
 	}
-	h.delayed = nil
-	h.began = time.Now()
+	h.delayTimer = nil
+	h.firstPollStart = time.Now()
 	h.start(ctx)
 	return false
 }
