--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -32,13 +32,13 @@
 	log    *zap.Logger
 	slots  chan struct{} // one for each pending lease request
 
-	mu           sync.Mutex
-	conn         *rpc.Client
-	pendingCalls map[*rpc.Client]int // of the connection that is kept, and of dropped ones
-	address      string              // where the connection that is kept leads
-	nextVoter    int                 // index of the voter to try where no leader is known
-	lastResponse time.Duration       // boot time of the leader's last response; 0: none yet
-	claimants    int64               // created so far
+	mu            sync.Mutex
+	conn          *rpc.Client
+	pendingCalls  map[*rpc.Client]int // of the connection that is kept, and of dropped ones
+	address       string              // where the connection that is kept leads
+	nextVoter     int                 // index of the voter to try where no leader is known
+	lastResponse  time.Duration       // boot time of the leader's last response; 0: none yet
+	claimantCount int64               // created so far
 }
 
 // NewClient returns a client. It opens no connection before it is used.
@@ -66,7 +66,7 @@
 func (c *Client) callTimeout() time.Duration { return callTimeoutFactor * c.config.MaxDelay }
 
 // connection returns the connection, opened if need be, for one call, and where it leads. The caller reports the call's end
-// to callDone.
+// to finishCall.
 func (c *Client) connection() (*rpc.Client, string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,8 +89,8 @@
 	return c.conn, c.address, nil
 }
 
-// callDone notes the end of a call, and closes a dropped connection with its last call.
-func (c *Client) callDone(conn *rpc.Client) {
+// finishCall notes the end of a call, and closes a dropped connection with its last call.
+func (c *Client) finishCall(conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pendingCalls[conn]--
@@ -106,15 +106,15 @@
 // dropConn stops using a connection, if it is still the one that is kept; next is the address to try next, empty for the
 // next voter. Calls pending on the connection may still be answered, so it is closed with the last of them; not later, since
 // it counts towards the limit of the voter it leads to.
-func (c *Client) dropConn(conn *rpc.Client, next string) {
+func (c *Client) dropConn(conn *rpc.Client, nextAddress string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != conn {
 		return
 	}
 	c.conn = nil
-	c.address = next
-	if next == "" {
+	c.address = nextAddress
+	if nextAddress == "" {
 		c.nextVoter++
 	}
 	if c.pendingCalls[conn] == 0 {
@@ -163,7 +163,7 @@
 		return err
 	}
 	err = call(conn, method, args, reply, timeout)
-	c.callDone(conn)
+	c.finishCall(conn)
 	if err != nil && !errors.Is(err, lease.ErrNotLeader) { // lease requests find the leader, and this connection follows them
 		c.dropConn(conn, "")
 	}
@@ -171,7 +171,7 @@
 }
 
 // lastLeader returns which address was last known to lead, and how long ago it answered; -1: it never did.
-func (c *Client) lastLeader() (address string, agoMs int64) {
+func (c *Client) lastLeader() (address string, elapsedMs int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lastResponse == 0 {
@@ -187,6 +187,6 @@
 func (c *Client) nextStart() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.claimants++
-	return processStart.UnixMilli()*1000 + c.claimants
+	c.claimantCount++
+	return processStart.UnixMilli()*1000 + c.claimantCount
 }
--- a/internal/cluster/client_lease.go
+++ b/internal/cluster/client_lease.go
@@ -42,14 +42,14 @@
 		}
 		var reply LeaseResponse
 		err = call(conn, methodLease, args, &reply, toDuration(r.Wait)+c.callTimeout())
-		c.callDone(conn)
+		c.finishCall(conn)
 		if err != nil {
 			c.dropConn(conn, "")
 			return lease.Response{}, err
 		}
 		response := reply.toResponse()
 		if !errors.Is(response.Err, lease.ErrNotLeader) {
-			c.noteResponse()
+			c.recordResponse()
 			return response, nil
 		}
 		if reply.Leader == address || reply.Leader == "" { // it leads but can't prove it, or knows no leader
@@ -61,8 +61,8 @@
 	return lease.Response{Err: lease.ErrNotLeader}, nil
 }
 
-// noteResponse notes that the leader has answered.
-func (c *Client) noteResponse() {
+// recordResponse notes that the leader has answered.
+func (c *Client) recordResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastResponse = bootTime()
--- a/internal/cluster/clock.go
+++ b/internal/cluster/clock.go
@@ -41,4 +41,6 @@
 }
 
 // set replaces the time of the alarm.
-func (a alarm) set(at lease.Time) { a.timer.Reset(max(0, toDuration(at-now())) + leaseTimeUnit) }
+func (a alarm) set(alarmTime lease.Time) {
+	a.timer.Reset(max(0, toDuration(alarmTime-now())) + leaseTimeUnit)
+}
--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -133,9 +133,9 @@
 	go r.recordDelays()
 	return func(ctx context.Context, held *HeldLease) bool {
 		r.write(event{What: "held", At: trueBootTime(), Token: held.Token()})
-		over := make(chan struct{})
+		done := make(chan struct{})
 		var effects sync.WaitGroup
-		effects.Go(func() { setEffects(held, over) }) // beside the acts, since a response may never come
+		effects.Go(func() { setEffects(held, done) }) // beside the acts, since a response may never come
 		acts := 10 + rand.IntN(40)
 		if rand.IntN(2) == 0 {
 			acts *= 20 // holds the lease until it is lost
@@ -147,18 +147,18 @@
 			r.act(held, i)
 			time.Sleep(actInterval)
 		}
-		close(over)
+		close(done)
 		effects.Wait()
 		r.write(event{What: "over", At: trueBootTime(), Token: held.Token()})
 		return true
 	}
 }
 
-// setEffects sets the task's effect again and again until over is closed.
-func setEffects(held *HeldLease, over <-chan struct{}) {
+// setEffects sets the task's effect again and again until done is closed.
+func setEffects(held *HeldLease, done <-chan struct{}) {
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-time.After(effectInterval):
 			if held.SetEffect(config.TaskFaultTest, uint64(trueBootTime()), nil) != nil {
@@ -176,18 +176,18 @@
 	}
 	faults.Point(faults.BeforeAct)
 	if i%4 == 0 {
-		r.actAtDoor(held)
+		r.actOnFencedResource(held)
 		return
 	}
-	from := trueBootTime()
-	r.write(event{What: "begin", At: from, Token: held.Token()})
+	began := trueBootTime()
+	r.write(event{What: "begin", At: began, Token: held.Token()})
 	time.Sleep(duration / 2)
 	faults.Point(faults.InAct)
 	time.Sleep(duration / 2)
-	r.write(event{What: "end", At: trueBootTime(), Token: held.Token(), From: from})
+	r.write(event{What: "end", At: trueBootTime(), Token: held.Token(), From: began})
 }
 
-func (r *recorder) actAtDoor(held *HeldLease) {
+func (r *recorder) actOnFencedResource(held *HeldLease) {
 	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(DoorVariable), held.Token(), r.node)
 	response, err := http.Post(url, "", nil)
 	if err != nil {
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -68,7 +68,7 @@
 // claimantHost is the lease.ClaimantHost of a HeldLease. Its methods are called with the lock held.
 type claimantHost HeldLease
 
-func (h *claimantHost) SetAlarm(at lease.Time) { h.alarm.set(at) }
+func (h *claimantHost) SetAlarm(alarmTime lease.Time) { h.alarm.set(alarmTime) }
 
 func (h *claimantHost) Granted(token uint64) {
 	if h.token == 0 {
@@ -138,8 +138,8 @@
 func (h *HeldLease) MayAct(duration time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, may := h.claimant.MayAct(now(), toLeaseTime(duration))
-	return may && h.ctx.Err() == nil // a lost lease stays lost here, though the claimant may acquire it again
+	_, allowed := h.claimant.MayAct(now(), toLeaseTime(duration))
+	return allowed && h.ctx.Err() == nil // a lost lease stays lost here, though the claimant may acquire it again
 }
 
 // Remaining returns for how long the lease is certainly held.
@@ -183,17 +183,17 @@
 
 // Hold acquires a lease, again and again until the context ends, and runs f each time it is held. f's context ends when the
 // lease is lost. When f returns the lease is released, and acquired again if f returns true.
-func (c *Client) Hold(ctx context.Context, name string, f func(context.Context, *HeldLease) (again bool)) {
+func (c *Client) Hold(ctx context.Context, name string, f func(context.Context, *HeldLease) (reacquire bool)) {
 	for ctx.Err() == nil {
 		held := c.acquire(ctx, name)
-		again := true
+		reacquire := true
 		select {
 		case <-held.acquired:
-			again = f(held.ctx, held)
+			reacquire = f(held.ctx, held)
 		case <-ctx.Done():
 		}
 		held.release()
-		if !again {
+		if !reacquire {
 			return
 		}
 	}
--- a/internal/cluster/lease_service.go
+++ b/internal/cluster/lease_service.go
@@ -34,12 +34,12 @@
 // leaseHost is the lease.Host of a voter's lease manager. Its methods are called with the voter's lock held.
 type leaseHost struct{ *Voter }
 
-func (h leaseHost) SetAlarm(at lease.Time) { h.leaseAlarm.set(at) }
+func (h leaseHost) SetAlarm(alarmTime lease.Time) { h.leaseAlarm.set(alarmTime) }
 
 func (h leaseHost) Respond(id uint64, response lease.Response) {
-	if waiting, found := h.leaseRequests[id]; found {
+	if pending, found := h.leaseRequests[id]; found {
 		delete(h.leaseRequests, id)
-		waiting <- response // buffered
+		pending <- response // buffered
 	}
 }
 
@@ -62,7 +62,7 @@
 		confirmed := faults.Without(faults.Confirmation) || h.confirmLeadership()
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.rounds++
+		h.quorumRounds++
 		if h.leaderChanges == leaderChange {
 			h.leases.LeadershipConfirmed(now(), round, confirmed)
 		}
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -55,7 +55,7 @@
 	voterError    error                         // why the voter could not be started
 	quotas        *nodeQuotas                   // nil: the lease of this node's name is not held, or there are no budgets
 	agreedConfigs map[string]lease.BudgetConfig // of budgets, as the cluster last reported them
-	bursts        map[string]float64            // for the fault test, where a safeguard is removed
+	maxBursts     map[string]float64            // for the fault test, where a safeguard is removed
 	leaving       bool
 
 	listener *transport.Listener
@@ -77,7 +77,7 @@
 		maxRequestDuration: maxRequestDuration,
 		maxPeerConnections: maxPeerConnections,
 		agreedConfigs:      map[string]lease.BudgetConfig{},
-		bursts:             map[string]float64{},
+		maxBursts:          map[string]float64{},
 		stop:               stop,
 		ended:              make(chan struct{}),
 	}
@@ -170,7 +170,7 @@
 
 // openVoter starts the voter. A node whose folder can't be used goes on without one.
 func (m *Member) openVoter() {
-	v, err := m.newVoter()
+	v, err := m.startVoterFromFolder()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.currentVoter = v
@@ -181,7 +181,7 @@
 	}
 }
 
-func (m *Member) newVoter() (*Voter, error) {
+func (m *Member) startVoterFromFolder() (*Voter, error) {
 	identity, err := voterstore.OpenIdentity(m.config.DataDir, m.config.Name, m.config.Node)
 	if err != nil {
 		return nil, err
@@ -222,11 +222,11 @@
 	if slices.Contains(m.config.Tasks, config.TaskProbe) {
 		m.tasks.Go(func() { m.reportEjections(ctx) })
 	}
-	m.tasks.Go(func() { m.client.Hold(ctx, nodeLease(m.config.Node), m.runAsNode) })
+	m.tasks.Go(func() { m.client.Hold(ctx, nodeLease(m.config.Node), m.runWithNodeLease) })
 }
 
-// runAsNode runs while the lease of the node's name is held.
-func (m *Member) runAsNode(ctx context.Context, held *HeldLease) bool {
+// runWithNodeLease runs while the lease of the node's name is held.
+func (m *Member) runWithNodeLease(ctx context.Context, held *HeldLease) bool {
 	if err := held.SetEffect(nodeLease(m.config.Node), held.Token(), []byte(m.config.Address)); err != nil {
 		m.log.Warn("node address not published", zap.Error(err))
 	}
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -67,19 +67,19 @@
 // removeVoter removes a voter by its node's name or its id.
 func (v *Voter) removeVoter(configuration raft.ConfigurationFuture, name string) (id string, err error) {
 	servers := configuration.Configuration().Servers
-	at := indexOfVoter(servers, name)
-	if at < 0 {
+	index := indexOfVoter(servers, name)
+	if index < 0 {
 		return "", fmt.Errorf("%s is no voter", name)
 	}
-	server := servers[at].ID
+	server := servers[index].ID
 	return string(server), v.raft.RemoveServer(server, configuration.Index(), membershipTimeout).Error()
 }
 
 // addVoter adds the voter of a node, after asking the node for the voter's id.
 func (s *rpcService) addVoter(v *Voter, configuration raft.ConfigurationFuture, change *MembershipChange) (id string, err error) {
 	servers := configuration.Configuration().Servers
-	if at := indexOfVoter(servers, change.Add); at >= 0 {
-		return "", fmt.Errorf("%s is a voter already, as %s: remove that one first", change.Add, servers[at].ID)
+	if index := indexOfVoter(servers, change.Add); index >= 0 {
+		return "", fmt.Errorf("%s is a voter already, as %s: remove that one first", change.Add, servers[index].ID)
 	}
 	var status Status
 	if err := s.member.client.callAddress(change.Address, methodStatus, &struct{}{}, &status); err != nil {
@@ -97,11 +97,11 @@
 
 // indexOfVoter finds a voter by its node's name or its id, -1 if there is none.
 func indexOfVoter(servers []raft.Server, name string) int {
-	return slices.IndexFunc(servers, func(s raft.Server) bool { return nodeOf(string(s.ID)) == name || string(s.ID) == name })
+	return slices.IndexFunc(servers, func(s raft.Server) bool { return nodeName(string(s.ID)) == name || string(s.ID) == name })
 }
 
-// nodeOf returns the name of a voter's node from the voter's id.
-func nodeOf(id string) string {
+// nodeName returns the name of a voter's node from the voter's id.
+func nodeName(id string) string {
 	if i := strings.LastIndexByte(id, '.'); i >= 0 {
 		return id[:i]
 	}
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -94,7 +94,7 @@
 // nodeQuotas is the host of its budget.QuotaClient, which calls these methods with the lock held.
 
 // SetAlarm sets the time of the client's next alarm.
-func (q *nodeQuotas) SetAlarm(at lease.Time) { q.alarm.set(at) }
+func (q *nodeQuotas) SetAlarm(alarmTime lease.Time) { q.alarm.set(alarmTime) }
 
 // SetQuota applies a quota to this node until a time.
 func (q *nodeQuotas) SetQuota(name string, c lease.BudgetConfig, units, reserved int, until lease.Time) allowance.Usage {
@@ -128,15 +128,15 @@
 	if traceQuotas != nil {
 		traceQuotas(q.member.config.Node, reply.Updates)
 	}
-	for _, d := range q.client.HandleResponse(now(), budget.Response{Updates: reply.Updates, Err: reply.Error.toError()}) {
-		q.member.log.Warn("budget differs from the configuration, the cluster's is used", zap.String("budget", d.Name),
-			zap.Float64("configured_limit", d.Local.Limit()), zap.Float64("cluster_limit", d.Agreed.Limit()),
-			zap.Any("configured", d.Local), zap.Any("cluster", d.Agreed))
+	for _, difference := range q.client.HandleResponse(now(), budget.Response{Updates: reply.Updates, Err: reply.Error.toError()}) {
+		q.member.log.Warn("budget differs from the configuration, the cluster's is used", zap.String("budget", difference.Name),
+			zap.Float64("configured_limit", difference.Local.Limit()), zap.Float64("cluster_limit", difference.Agreed.Limit()),
+			zap.Any("configured", difference.Local), zap.Any("cluster", difference.Agreed))
 	}
-	q.member.noteAgreedConfigs(reply.Updates)
+	q.member.recordAgreedConfigs(reply.Updates)
 }
 
-func (m *Member) noteAgreedConfigs(updates []budget.QuotaUpdate) {
+func (m *Member) recordAgreedConfigs(updates []budget.QuotaUpdate) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, u := range updates {
@@ -175,8 +175,8 @@
 
 // applyQuota hands the quota of one budget to the node: units for a duration, and reserved units after that.
 func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, cutoffMargin time.Duration) allowance.Usage {
-	at := slices.IndexFunc(m.config.Budgets, func(b config.Budget) bool { return b.Name == name })
-	if at < 0 {
+	index := slices.IndexFunc(m.config.Budgets, func(b config.Budget) bool { return b.Name == name })
+	if index < 0 {
 		return allowance.Usage{}
 	}
 	rate := 0.0
@@ -192,25 +192,25 @@
 	}
 	if faults.Without(faults.BurstKept) && !quota.Concurrency {
 		m.mu.Lock()
-		m.bursts[name] = max(m.bursts[name], quota.Burst)
-		quota.Burst, quota.ThenBurst = m.bursts[name], m.bursts[name]
+		m.maxBursts[name] = max(m.maxBursts[name], quota.Burst)
+		quota.Burst, quota.ThenBurst = m.maxBursts[name], m.maxBursts[name]
 		m.mu.Unlock()
 	}
-	b := m.config.Budgets[at]
+	b := m.config.Budgets[index]
 	return m.node.SetQuota(b.Limit, b.Tenant, quota, duration, cutoffMargin)
 }
 
 // addBudgetMetrics adds the metrics of the budgets as this node sees them.
-func (m *Member) addBudgetMetrics(all map[string]any) {
+func (m *Member) addBudgetMetrics(metrics map[string]any) {
 	m.mu.Lock()
 	q := m.quotas
 	m.mu.Unlock()
 	if q == nil {
 		for _, b := range m.config.Budgets {
 			prefix := "budget." + b.Name
-			all[prefix+".whole"] = m.agreedConfig(b).Limit()
-			all[prefix+".part"] = 0
-			all[prefix+".end_ms"] = 0
+			metrics[prefix+".whole"] = m.agreedConfig(b).Limit()
+			metrics[prefix+".part"] = 0
+			metrics[prefix+".end_ms"] = 0
 		}
 		return
 	}
@@ -237,7 +237,7 @@
 			"end_ms":   max(0, toDuration(s.End-now()).Milliseconds()),      // time until the quota ends
 			"revision": s.Config.Revision,
 		} {
-			all["budget."+s.Name+"."+key] = value
+			metrics["budget."+s.Name+"."+key] = value
 		}
 	}
 }
--- a/internal/cluster/quorum.go
+++ b/internal/cluster/quorum.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		pending++
-		go func() { votes <- v.follows(s, raftTerm) }()
+		go func() { votes <- v.hasNoLaterTerm(s, raftTerm) }()
 	}
 	quorum := len(servers)/2 + 1
 	for ; pending > 0 && confirmed < quorum; pending-- {
@@ -46,7 +46,7 @@
 }
 
 // follows asks another voter whether it has voted in no later term.
-func (v *Voter) follows(s raft.Server, raftTerm uint64) bool {
+func (v *Voter) hasNoLaterTerm(s raft.Server, raftTerm uint64) bool {
 	client, err := v.peerClient(s)
 	if err != nil {
 		return false
--- a/internal/cluster/quota_service.go
+++ b/internal/cluster/quota_service.go
@@ -116,12 +116,12 @@
 // allocatorHost is the budget.Host of a voter's allocator. Its methods are called with the voter's lock held.
 type allocatorHost struct{ *Voter }
 
-func (h allocatorHost) SetAlarm(at lease.Time) { h.allocatorAlarm.set(at) }
+func (h allocatorHost) SetAlarm(alarmTime lease.Time) { h.allocatorAlarm.set(alarmTime) }
 
 func (h allocatorHost) Respond(id uint64, response budget.Response) {
-	if waiting, found := h.quotaRequests[id]; found {
+	if pending, found := h.quotaRequests[id]; found {
 		delete(h.quotaRequests, id)
-		waiting <- response // buffered
+		pending <- response // buffered
 	}
 }
 
--- a/internal/cluster/state_machine.go
+++ b/internal/cluster/state_machine.go
@@ -29,7 +29,7 @@
 	if e.Kind == lease.KindRevoke || e.Kind == lease.KindSetBudget {
 		m.allocator.StateChanged(now())
 	}
-	m.entries++
+	m.appliedEntries++
 	close(m.changed)
 	m.changed = make(chan struct{})
 	return result
@@ -45,16 +45,16 @@
 
 // Restore replaces the state by a snapshot's. The library ends the process over an error, so once the library has started this
 // ends the voter and the library's goroutine instead.
-func (m stateMachine) Restore(from io.ReadCloser) error {
-	defer from.Close()
-	encoded, err := io.ReadAll(from)
+func (m stateMachine) Restore(snapshot io.ReadCloser) error {
+	defer snapshot.Close()
+	encoded, err := io.ReadAll(snapshot)
 	if err == nil {
 		m.mu.Lock()
 		err = m.state.Restore(encoded)
 		m.mu.Unlock()
 	}
-	if err != nil && m.started.Load() {
-		m.once.fail(err)
+	if err != nil && m.libraryStarted.Load() {
+		m.shutdownOnce.fail(err)
 		runtime.Goexit()
 	}
 	return err
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -61,8 +61,8 @@
 	s.Term = v.state.Term
 	s.Cluster = v.state.Cluster
 	s.LastToken = v.state.LastToken
-	s.Entries = v.entries
-	s.QuorumRounds = v.rounds
+	s.Entries = v.appliedEntries
+	s.QuorumRounds = v.quorumRounds
 	s.Effects = maps.Clone(v.state.Effects)
 	s.Budgets = map[string]BudgetState{}
 	for name, b := range v.state.Budgets {
@@ -110,17 +110,17 @@
 			held++
 		}
 	}
-	flag := map[bool]int{true: 1}
-	all := map[string]any{"voter": flag[s.Voter], "view_ms": s.LastContactMs, "leader": s.LeaderAddress}
+	boolToInt := map[bool]int{true: 1}
+	metrics := map[string]any{"voter": boolToInt[s.Voter], "view_ms": s.LastContactMs, "leader": s.LeaderAddress}
 	if s.Voter {
-		all["entries"] = s.Entries
-		all["rounds"] = s.QuorumRounds
-		all["leads"] = flag[s.IsLeader]
-		all["reign"] = s.Term
-		all["tokens"] = s.LastToken
-		all["leases"] = len(s.Leases)
-		all["held"] = held
+		metrics["entries"] = s.Entries
+		metrics["rounds"] = s.QuorumRounds
+		metrics["leads"] = boolToInt[s.IsLeader]
+		metrics["reign"] = s.Term
+		metrics["tokens"] = s.LastToken
+		metrics["leases"] = len(s.Leases)
+		metrics["held"] = held
 	}
-	m.addBudgetMetrics(all)
-	return all
+	m.addBudgetMetrics(metrics)
+	return metrics
 }
--- a/internal/cluster/task_probe.go
+++ b/internal/cluster/task_probe.go
@@ -52,8 +52,8 @@
 func (m *Member) runProbes(ctx context.Context, held *HeldLease) bool {
 	client := newProbeClient()
 	slots := make(chan struct{}, maxConcurrentProbes)
-	var probing sync.WaitGroup
-	defer probing.Wait()
+	var probes sync.WaitGroup
+	defer probes.Wait()
 	ticker := time.NewTicker(probePollInterval)
 	defer ticker.Stop()
 	for {
@@ -76,7 +76,7 @@
 			default:
 				continue // it will be due again
 			}
-			probing.Go(func() {
+			probes.Go(func() {
 				defer func() { <-slots }()
 				healthy := m.probeServer(ctx, client, probe)
 				_ = m.client.callCurrent(methodProbeResult, &ProbeReport{Token: token, ID: probe.ID, Healthy: healthy}, &struct{}{})
--- a/internal/cluster/task_rollup.go
+++ b/internal/cluster/task_rollup.go
@@ -99,11 +99,11 @@
 // followingPeriod returns the number of the period that ends now by the wall clock, where last is the number of the latest one
 // recorded. Recorded numbers only grow. If last is one ahead, another holder has recorded this period; if it is further ahead,
 // a clock was stepped back, and numbers continue from last.
-func followingPeriod(byClock, last uint64) uint64 {
-	if last > byClock+1 {
-		return last + 1
+func followingPeriod(clockPeriod, lastRecorded uint64) uint64 {
+	if lastRecorded > clockPeriod+1 {
+		return lastRecorded + 1
 	}
-	return byClock
+	return clockPeriod
 }
 
 // collectReport collects the metrics of all nodes, and returns the report and its encoded form.
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -32,8 +32,8 @@
 	shutdownTimeout        = 500 * time.Millisecond // for the library to end; a node has its own time to leave
 )
 
-// errNodeLeaves is the reason for which a voter ends together with its node.
-var errNodeLeaves = errors.New("the node leaves the cluster")
+// errNodeLeaving is the reason for which a voter ends together with its node.
+var errNodeLeaving = errors.New("the node leaves the cluster")
 
 // Voter is this process's voter: the consensus library, the replicated state, and the leader's memory.
 type Voter struct {
@@ -60,22 +60,22 @@
 	lastRequestID  uint64
 	leaderChanges  uint64        // so far; tells whether an outcome belongs to the present leadership
 	changed        chan struct{} // closed when the next entry is applied
-	rounds         int           // quorum rounds, confirmed or not
-	entries        int           // applied
+	quorumRounds   int           // quorum rounds, confirmed or not
+	appliedEntries int           // applied
 	endReason      error         // nil: the voter has not ended
 
-	stop    chan struct{} // closed when the voter ends
-	built   chan struct{} // closed when the library has started, or has failed to
-	down    chan struct{} // closed when the library has ended; its folder is free unless a goroutine is stuck
-	once    shutdownOnce
-	started atomic.Bool // the library has started
+	stop           chan struct{} // closed when the voter ends
+	startDone      chan struct{} // closed when the library has started, or has failed to
+	shutdownDone   chan struct{} // closed when the library has ended; its folder is free unless a goroutine is stuck
+	shutdownOnce   shutdownOnce
+	libraryStarted atomic.Bool // the library has started
 }
 
 // startVoter opens the folder and starts the consensus library. If the folder can't be used, it changes nothing in it.
 func startVoter(c *config.Cluster, identity voterstore.Identity, layer *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
 	v := newVoter(c, identity, layer.Dialer(), log)
 	var err error
-	v.store, err = voterstore.Open(c.DataDir, v.once.fail)
+	v.store, err = voterstore.Open(c.DataDir, v.shutdownOnce.fail)
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +95,8 @@
 	leadership := make(chan bool, maxLeaderChanges)
 	raftConfig := newRaftConfig(identity, electionTimeout, leadership, raftLog)
 	v.raft, err = newRaft(raftConfig, stateMachine{v}, v.store, snapshots, v.transport)
-	v.started.Store(err == nil)
-	close(v.built)
+	v.libraryStarted.Store(err == nil)
+	close(v.startDone)
 	if err != nil {
 		_ = v.transport.Close()
 		_ = v.store.Close()
@@ -121,10 +121,10 @@
 		quotaRequests: map[uint64]chan budget.Response{},
 		changed:       make(chan struct{}),
 		stop:          make(chan struct{}),
-		built:         make(chan struct{}),
-		down:          make(chan struct{}),
+		startDone:     make(chan struct{}),
+		shutdownDone:  make(chan struct{}),
 	}
-	v.once.end = v.shutDown
+	v.shutdownOnce.end = v.shutDown
 	v.leaseAlarm = newAlarm(v.onLeaseAlarm)
 	v.allocatorAlarm = newAlarm(v.onAllocatorAlarm)
 	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{ReuseUnreturned: faults.Without(faults.Reuse), ForgetQuotas: faults.Without(faults.Forget)})
@@ -177,42 +177,42 @@
 	if v.raft.State() == raft.Leader {
 		_ = v.raft.LeadershipTransfer().Error()
 	}
-	v.once.Do(func() { v.shutDown(nil) })
+	v.shutdownOnce.Do(func() { v.shutDown(nil) })
 }
 
 // shutDown ends the voter for a reason; nil: its node leaves. Further calls do nothing.
 func (v *Voter) shutDown(reason error) {
-	<-v.built // a goroutine of the library may fail to write before newRaft returns
-	if !v.noteEnd(reason) {
+	<-v.startDone // a goroutine of the library may fail to write before newRaft returns
+	if !v.markEnded(reason) {
 		return
 	}
 	// The library waits for each of its goroutines, and one that writes to a voter that was disconnected may wait for long. The
 	// library's main goroutine, which votes, ends at once, so the others can be left behind.
-	down := make(chan struct{})
+	libraryDone := make(chan struct{})
 	go func() {
-		if v.started.Load() {
+		if v.libraryStarted.Load() {
 			_ = v.raft.Shutdown().Error()
 		}
-		close(down)
+		close(libraryDone)
 	}()
 	select {
-	case <-down:
+	case <-libraryDone:
 		_ = v.transport.Close()
 		_ = v.store.Close()
 	case <-time.After(shutdownTimeout):
 		v.log.Warn("voter shutdown timed out, a connection to another voter is stuck")
 		_ = v.transport.Close() // not the log, which a goroutine left behind may still read
 		go func() {
-			<-down
+			<-libraryDone
 			_ = v.store.Close() // a later voter waits for this
 		}()
 	}
 	v.peers.close()
-	close(v.down)
+	close(v.shutdownDone)
 }
 
-// noteEnd ends the leadership and all waiting calls, unless that was done before.
-func (v *Voter) noteEnd(reason error) (first bool) {
+// markEnded ends the leadership and all waiting calls, unless that was done before.
+func (v *Voter) markEnded(reason error) (first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.endReason != nil {
@@ -220,7 +220,7 @@
 	}
 	v.endReason = reason
 	if reason == nil {
-		v.endReason = errNodeLeaves
+		v.endReason = errNodeLeaving
 	} else {
 		v.log.Error("voter stopped, the node goes on without it", zap.Error(reason))
 	}
--- a/internal/cluster/voter_folder_test.go
+++ b/internal/cluster/voter_folder_test.go
@@ -85,7 +85,7 @@
 func TestAFolderThatIsFull(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
-	nodes[0].voter().once.fail(syscall.EFBIG)
+	nodes[0].voter().shutdownOnce.fail(syscall.EFBIG)
 	eventually(t, "it votes on", func() bool { return strings.Contains(nodes[0].status().VoterError, "file too large") })
 	eventually(t, "the others don't elect a leader", func() bool {
 		s, err := nodes[1].client.Status()
--- a/internal/cluster/voter_restart.go
+++ b/internal/cluster/voter_restart.go
@@ -23,7 +23,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-v.down:
+			case <-v.shutdownDone:
 			}
 		}
 		if failure := m.voterFailure(); failure == nil || !voterstore.IsTransient(failure) {
@@ -54,7 +54,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if errors.Is(v.endReason, errNodeLeaves) {
+	if errors.Is(v.endReason, errNodeLeaving) {
 		return nil
 	}
 	return v.endReason
