--- a/internal/cluster/borrow.go
+++ b/internal/cluster/borrow.go
@@ -14,8 +14,8 @@
 // lendInterval is the time between two requests for lent quotas.
 const lendInterval = 100 * time.Millisecond
 
-// borrowQuotas borrows half of the quotas of the process that this one replaces, until the context ends. Both processes read
-// the same clock.
+// borrowQuotas borrows half of the quotas of the process that this one replaces, until the context ends. The end of a loan is
+// valid in both processes, because they run on one machine and read the same clock.
 func (m *Member) borrowQuotas(ctx context.Context) {
 	if len(m.config.Budgets) == 0 {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// requestLoan makes one request for lent quotas, on a connection that is opened if it is nil. It returns the connection to be
-// used next, nil after a failure.
+// requestLoan makes one request for lent quotas. It opens a connection if client is nil, and returns the connection for the
+// next request, or nil after a failure.
 func (m *Member) requestLoan(client *rpc.Client) (*rpc.Client, LentQuotas) {
 	if client == nil {
 		conn, err := m.client.dialer.Dial(m.config.Address, transport.PurposeRPC, "", lendInterval)
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -17,7 +17,7 @@
 
 const (
 	maxPendingRequests = 64 // lease requests of this process
-	callTimeoutFactor  = 6  // times the maximum network delay, for a call that doesn't wait: it may include a quorum round
+	callTimeoutFactor  = 6  // timeout in maximum network delays, for a call that doesn't wait but may include a quorum round
 )
 
 var (
@@ -33,15 +33,15 @@
 	slots  chan struct{} // one for each pending lease request
 
 	mu            sync.Mutex
-	conn          *rpc.Client
-	pendingCalls  map[*rpc.Client]int // of the connection that is kept, and of dropped ones
-	address       string              // where the connection that is kept leads
-	nextVoter     int                 // index of the voter to try where no leader is known
+	conn          *rpc.Client         // the current connection; nil if none is open
+	pendingCalls  map[*rpc.Client]int // by connection: the current one, and dropped ones
+	address       string              // of the current connection, or the one to dial next; empty if unknown
+	nextVoter     int                 // index of the voter to dial if no address is known
 	lastResponse  time.Duration       // boot time of the leader's last response; 0: none yet
 	claimantCount int64               // created so far
 }
 
-// NewClient returns a client. It opens no connection before it is used.
+// NewClient returns a client, which opens its connection at the first request.
 func NewClient(c *config.Cluster, log *zap.Logger) *Client {
 	return &Client{
 		config:       c,
@@ -62,11 +62,11 @@
 	}
 }
 
-// callTimeout bounds a call that doesn't wait at the other side.
+// callTimeout returns the timeout of a call that doesn't wait at the peer.
 func (c *Client) callTimeout() time.Duration { return callTimeoutFactor * c.config.MaxDelay }
 
-// connection returns the connection, opened if need be, for one call, and where it leads. The caller reports the call's end
-// to finishCall.
+// connection returns the current connection and its address, for one call. It opens the connection if there is none. The caller
+// calls finishCall at the end of the call.
 func (c *Client) connection() (*rpc.Client, string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +89,7 @@
 	return c.conn, c.address, nil
 }
 
-// finishCall notes the end of a call, and closes a dropped connection with its last call.
+// finishCall records the end of a call. It closes a dropped connection at the end of its last pending call.
 func (c *Client) finishCall(conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,9 +103,9 @@
 	}
 }
 
-// dropConn stops using a connection, if it is still the one that is kept; next is the address to try next, empty for the
-// next voter. Calls pending on the connection may still be answered, so it is closed with the last of them; not later, since
-// it counts towards the limit of the voter it leads to.
+// dropConn stops using a connection, unless it was dropped before. nextAddress is the address to dial next; empty means the
+// next voter's. Pending calls may still be answered, so the connection is closed at the end of the last one. It is not kept
+// longer, because it counts towards the connection limit of the voter.
 func (c *Client) dropConn(conn *rpc.Client, nextAddress string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +122,7 @@
 	}
 }
 
-// call makes one call. On a timeout it closes the connection, which may lead nowhere.
+// call makes one call. On a timeout it closes the connection, which may be broken.
 func call(conn *rpc.Client, method string, args, reply any, timeout time.Duration) error {
 	done := conn.Go(method, args, reply, make(chan *rpc.Call, 1)).Done
 	timer := time.NewTimer(timeout)
@@ -132,12 +132,12 @@
 		return fromCallError(result.Error)
 	case <-timer.C:
 		_ = conn.Close()
-		<-done // from here on nothing writes to reply
+		<-done // after this nothing writes to reply
 		return errCallTimeout
 	}
 }
 
-// callAddress makes one call to an address, on a connection of its own.
+// callAddress makes one call to an address, on a new connection.
 func (c *Client) callAddress(address, method string, args, reply any) error {
 	return c.callAddressTimeout(address, method, args, reply, c.callTimeout())
 }
@@ -152,7 +152,7 @@
 	return call(client, method, args, reply, timeout)
 }
 
-// callCurrent makes one call on the connection that is kept, wherever it leads: unlike send it doesn't look for the leader.
+// callCurrent makes one call on the current connection. Unlike send, it doesn't look for the leader.
 func (c *Client) callCurrent(method string, args, reply any) error {
 	return c.callCurrentTimeout(method, args, reply, c.callTimeout())
 }
@@ -164,13 +164,13 @@
 	}
 	err = call(conn, method, args, reply, timeout)
 	c.finishCall(conn)
-	if err != nil && !errors.Is(err, lease.ErrNotLeader) { // lease requests find the leader, and this connection follows them
+	if err != nil && !errors.Is(err, lease.ErrNotLeader) { // keep the connection: lease requests find the leader, and replace it
 		c.dropConn(conn, "")
 	}
 	return err
 }
 
-// lastLeader returns which address was last known to lead, and how long ago it answered; -1: it never did.
+// lastLeader returns the address of the last known leader, and the time since its last response; -1 if there was none.
 func (c *Client) lastLeader() (address string, elapsedMs int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,10 +180,10 @@
 	return c.address, (bootTime() - c.lastResponse).Milliseconds()
 }
 
-// processStart tells this process apart from others with the same process id.
+// processStart distinguishes this process from others with the same process id.
 var processStart = time.Now()
 
-// nextStart returns the start of a new lease.Holder, which tells this process's claimants apart.
+// nextStart returns a unique start for a new lease.Holder, which distinguishes this process's claimants.
 func (c *Client) nextStart() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/client_lease.go
+++ b/internal/cluster/client_lease.go
@@ -7,17 +7,17 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// maxRedirects bounds the voters tried for one lease request, as each names another as the leader.
+// maxRedirects limits the voters tried for one lease request, when each of them names another voter as the leader.
 const maxRedirects = 4
 
-// traceRequest is called before each lease request of this process is sent, and what it returns with the response. Only the
-// fault test's build sets it.
+// traceRequest is called before each lease request of this process is sent. The function that it returns is called with the
+// response. Only the fault test's build sets it.
 var traceRequest func(r lease.Request) func(response lease.Response, err error)
 
 // traceQuotas is called with each response to a quota request. Only the fault test's build sets it.
 var traceQuotas func(node string, updates []budget.QuotaUpdate)
 
-// sendTraced is send with traceRequest.
+// sendTraced calls send, and traceRequest if it is set.
 func (c *Client) sendTraced(r lease.Request) (response lease.Response, err error) {
 	if traceRequest != nil {
 		traceResponse := traceRequest(r)
@@ -52,7 +52,7 @@
 			c.recordResponse()
 			return response, nil
 		}
-		if reply.Leader == address || reply.Leader == "" { // it leads but can't prove it, or knows no leader
+		if reply.Leader == address || reply.Leader == "" { // the voter leads but a quorum round failed, or it knows no leader
 			c.dropConn(conn, "")
 			return response, nil
 		}
@@ -61,14 +61,14 @@
 	return lease.Response{Err: lease.ErrNotLeader}, nil
 }
 
-// recordResponse notes that the leader has answered.
+// recordResponse records the time of the leader's response.
 func (c *Client) recordResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastResponse = bootTime()
 }
 
-// Release releases a lease on behalf of whoever holds it with a token.
+// Release releases a lease on behalf of its holder, if the lease still has the given token.
 func (c *Client) Release(name string, token uint64) error {
 	status, err := c.Status()
 	if err != nil {
--- a/internal/cluster/client_operator.go
+++ b/internal/cluster/client_operator.go
@@ -10,10 +10,10 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// ErrNoLeader says that no voter that can be reached leads.
+// ErrNoLeader means that no reachable voter is the leader.
 var ErrNoLeader = errors.New("no voter leads, or none that leads can be reached")
 
-// CallLeader makes one call to the leader, which it finds by the status of the voters. It is meant for operators' commands.
+// CallLeader asks the voters for their status until it finds the leader, and makes one call to it. Operators' commands use it.
 func (c *Client) CallLeader(method string, args, reply any, timeout time.Duration) error {
 	var failures []error
 	var tried []string
@@ -52,7 +52,7 @@
 	return status, c.CallLeader(methodStatus, &struct{}{}, &status, c.callTimeout())
 }
 
-// Watch waits until the log has gone beyond a revision, at most for maxWatchDuration, and returns the status then.
+// Watch waits until the leader has applied an entry after the given revision, or for maxWatchDuration, and returns the status.
 func (c *Client) Watch(revision uint64) (status Status, err error) {
 	return status, c.CallLeader(methodWatch, &revision, &status, maxWatchDuration+c.callTimeout())
 }
@@ -62,13 +62,14 @@
 	return id, c.CallLeader(methodChangeMembership, &change, &id, membershipTimeout+c.callTimeout())
 }
 
-// SetLimit changes the limit of a budget, and returns the budget then.
+// SetLimit changes the limit of a budget, and returns the changed budget.
 func (c *Client) SetLimit(name string, limit float64) (state BudgetState, err error) {
 	return state, c.CallLeader(methodSetLimit, &LimitChange{Name: name, Limit: limit}, &state, membershipTimeout+c.callTimeout())
 }
 
-// FoundCluster founds a cluster with the voters of the configuration; its first fencing token is the one after lastToken. It
-// changes nothing if a voter can't be reached or has voted before. A founding that was interrupted is completed.
+// FoundCluster founds a cluster with the voters of the configuration. The first fencing token of the cluster is the one after
+// lastToken. FoundCluster changes nothing if a voter can't be reached or has voted before. It completes an earlier call that
+// was interrupted.
 func (c *Client) FoundCluster(lastToken uint64) error {
 	voters, bootstrapped, err := c.checkNewVoters()
 	if err != nil {
@@ -82,7 +83,7 @@
 	return c.commitFirstEntry(lastToken)
 }
 
-// checkNewVoters returns the voters of a cluster to be founded, and whether an earlier founding has bootstrapped any.
+// checkNewVoters returns the voters of the new cluster, and whether an interrupted FoundCluster has bootstrapped one of them.
 func (c *Client) checkNewVoters() (voters []VoterInfo, bootstrapped bool, err error) {
 	for _, v := range c.config.Voters {
 		var status Status
@@ -99,7 +100,7 @@
 	return voters, bootstrapped, nil
 }
 
-// checkNewVoter checks that a voter is new, or was bootstrapped by a founding that was interrupted.
+// checkNewVoter checks that a voter is new, or was bootstrapped by an interrupted FoundCluster.
 func (c *Client) checkNewVoter(v config.Voter, status Status) (interrupted bool, err error) {
 	switch {
 	case status.Node != v.Name:
--- a/internal/cluster/clock.go
+++ b/internal/cluster/clock.go
@@ -12,12 +12,12 @@
 // leaseTimeUnit is the unit of lease.Time.
 const leaseTimeUnit = time.Millisecond / time.Duration(lease.Millisecond)
 
-// bootTime reads the clock that leases are counted by. Unlike the monotonic clock of time.Now it goes on while the machine
-// sleeps, so that after waking up the process knows that its leases have expired.
+// bootTime reads the clock that measures leases. Unlike the monotonic clock of time.Now, it advances while the machine is
+// suspended, so that after a resume the process knows that its leases have expired.
 func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has it since 2.6.39, and no lease may be held without a clock
+		panic(err) // Linux has had this clock since 2.6.39, and no lease may be held without it
 	}
 	return faults.Clock(time.Duration(t.Nano()))
 }
@@ -29,8 +29,8 @@
 
 func toDuration(t lease.Time) time.Duration { return time.Duration(t) * leaseTimeUnit }
 
-// alarm calls a function once, at or after the latest time set. Its timer stands still while the machine sleeps, so the
-// function has to read the clock itself.
+// alarm calls a function once, at or after the time that was set last. Its timer doesn't advance while the machine is
+// suspended, so the function has to read the clock itself.
 type alarm struct{ timer *time.Timer }
 
 // newAlarm returns an alarm that isn't set.
--- a/internal/cluster/errors.go
+++ b/internal/cluster/errors.go
@@ -8,7 +8,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// errorsByName has the errors that a response carries by name.
+// errorsByName maps the names of errors on the wire to the errors.
 var errorsByName = map[string]error{
 	"held":      lease.ErrHeld,
 	"lapsed":    lease.ErrLeaseExpired,
@@ -26,13 +26,13 @@
 // otherError is the name of errors that are not in errorsByName.
 const otherError = "other"
 
-// wireError is an error in a response. A peer recognises it by its name; the text is for people.
+// wireError is an error in a response. Peers identify it by its name; the text is for operators.
 type wireError struct {
 	Name string `json:"name,omitempty"`
 	Text string `json:"text,omitempty"`
 }
 
-// toWireError returns the form of an error on the wire.
+// toWireError converts an error to its wire format.
 func toWireError(err error) wireError {
 	if err == nil {
 		return wireError{}
@@ -45,7 +45,7 @@
 	return wireError{Name: otherError, Text: err.Error()}
 }
 
-// toError returns the error that a peer has sent, which wraps the known error of its name.
+// toError returns the error that a peer has sent. It wraps the error of that name in errorsByName, if there is one.
 func (e wireError) toError() error {
 	if e.Name == "" {
 		return nil
@@ -60,7 +60,7 @@
 	return fmt.Errorf("%w (%s)", known, e.Text)
 }
 
-// remoteError is an error that net/rpc carried by its text, recognised as a known one.
+// remoteError is an error of a net/rpc call whose text identifies a known error.
 type remoteError struct {
 	text  string
 	known error
@@ -69,8 +69,8 @@
 func (e *remoteError) Error() string { return e.text }
 func (e *remoteError) Unwrap() error { return e.known }
 
-// fromCallError returns the error of a call with the known error that its text names. Errors of net/rpc have no type beyond
-// their text, in peers of any version.
+// fromCallError converts the error of a call to the known error that its text identifies. net/rpc transmits only the text of an
+// error, and peers of any version send these texts.
 func fromCallError(err error) error {
 	if err == nil {
 		return nil
--- a/internal/cluster/faulttest_task_off.go
+++ b/internal/cluster/faulttest_task_off.go
@@ -4,5 +4,5 @@
 
 import "context"
 
-// faultTestTask returns nil: only the fault test's build has its task.
+// faultTestTask returns nil: only builds with the tag faults have the task of the fault test.
 func (m *Member) faultTestTask() func(context.Context, *HeldLease) bool { return nil }
--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -22,7 +22,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// The environment variables by which the fault test configures its task.
+// The environment variables that configure the task of the fault test.
 const (
 	DoorVariable   = "THISTLERUDDER_TRIAL_DOOR"   // address of a resource outside the cluster that checks fencing tokens
 	RecordVariable = "THISTLERUDDER_TRIAL_RECORD" // file that this process appends its events to
@@ -31,7 +31,7 @@
 const (
 	minActDuration    = 3 * time.Millisecond
 	actDurationSpread = 12 * time.Millisecond
-	actMarginForDelay = 15 * time.Millisecond // for a scheduler that is late with the end of an act
+	actMarginForDelay = 15 * time.Millisecond // for acts that the scheduler ends late
 	effectInterval    = 8 * time.Millisecond
 	actInterval       = effectInterval / 4
 	effectRetryDelay  = 10 * effectInterval
@@ -39,15 +39,15 @@
 	minReportedDelay  = 30 * time.Millisecond
 )
 
-// Trace sets functions that see the lease and quota traffic of this process: request is called before each lease request is
-// sent, and what it returns with the response; quotas is called with each response to a quota request. Trace is called before
-// the first node of the process starts.
+// Trace sets functions that observe the lease and quota calls of this process. request is called before each lease request is
+// sent, and the function that it returns is called with the response. quotas is called with each response to a quota request.
+// Trace has to be called before the first node of the process starts.
 func Trace(request func(lease.Request) func(lease.Response, error), quotas func(node string, updates []budget.QuotaUpdate)) {
 	traceRequest = request
 	traceQuotas = quotas
 }
 
-// event is a line of the record that the fault test judges. Its keys are those that internal/faulttest reads.
+// event is a line of the record that the fault test checks. internal/faulttest reads its JSON keys.
 type event struct {
 	What    string `json:"what"`
 	Who     string `json:"who"`
@@ -65,14 +65,15 @@
 	DelayNs int64  `json:"ns,omitempty"`
 }
 
-// recorder writes the events of this process, timed by the machine's one clock whatever faults.Clock shows.
+// recorder writes the events of this process. It takes their times from the machine's boot clock, which all
+// processes share, without faults.Clock.
 type recorder struct {
 	mu   sync.Mutex
 	file *os.File
 	node string
 }
 
-// trueBootTime reads the boot clock without faults, in ns.
+// trueBootTime returns the time of the boot clock in ns, without faults.Clock.
 func trueBootTime() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
@@ -109,7 +110,7 @@
 	}
 }
 
-// recordDelays records when this process did not run for want of processor cores, or was suspended.
+// recordDelays records the times in which this process got no processor core, or was suspended.
 func (r *recorder) recordDelays() {
 	for {
 		before := trueBootTime()
@@ -120,8 +121,8 @@
 	}
 }
 
-// faultTestTask returns the fault test's task. While it holds the lease it sets an effect in the replicated state, and acts on
-// resources outside: one that checks fencing tokens, and one that doesn't.
+// faultTestTask returns the task of the fault test. While the task holds the lease, it sets an effect in the replicated state,
+// and acts on two resources outside the cluster: one that checks fencing tokens, and one that doesn't.
 func (m *Member) faultTestTask() func(context.Context, *HeldLease) bool {
 	file, err := os.OpenFile(os.Getenv(RecordVariable), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -135,7 +136,7 @@
 		r.write(event{What: "held", At: trueBootTime(), Token: held.Token()})
 		done := make(chan struct{})
 		var effects sync.WaitGroup
-		effects.Go(func() { setEffects(held, done) }) // beside the acts, since a response may never come
+		effects.Go(func() { setEffects(held, done) }) // concurrent with the acts, since a response may never arrive
 		acts := 10 + rand.IntN(40)
 		if rand.IntN(2) == 0 {
 			acts *= 20 // holds the lease until it is lost
@@ -154,7 +155,7 @@
 	}
 }
 
-// setEffects sets the task's effect again and again until done is closed.
+// setEffects sets the task's effect repeatedly until done is closed.
 func setEffects(held *HeldLease, done <-chan struct{}) {
 	for {
 		select {
@@ -168,7 +169,7 @@
 	}
 }
 
-// act makes the i-th act: each fourth on the resource that checks fencing tokens, the others on the one that doesn't.
+// act makes the i-th act: every fourth on the resource that checks fencing tokens, the others on the one that doesn't.
 func (r *recorder) act(held *HeldLease, i int) {
 	duration := minActDuration + time.Duration(rand.Int64N(int64(actDurationSpread)))
 	if !held.MayAct(duration + actMarginForDelay) {
@@ -187,6 +188,7 @@
 	r.write(event{What: "end", At: trueBootTime(), Token: held.Token(), From: began})
 }
 
+// actOnFencedResource acts on the resource that checks fencing tokens.
 func (r *recorder) actOnFencedResource(held *HeldLease) {
 	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(DoorVariable), held.Token(), r.node)
 	response, err := http.Post(url, "", nil)
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -13,10 +13,10 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// ErrOutcomeUnknown says that an effect may or may not have been applied.
+// ErrOutcomeUnknown means that an effect may or may not have been applied.
 var ErrOutcomeUnknown = errors.New("no response: the effect may have been applied")
 
-// HeldLease is a lease that this process holds, or has held. It is safe for concurrent use.
+// HeldLease is a lease that this process requests, holds or has held. It is safe for concurrent use.
 type HeldLease struct {
 	client *Client
 	name   string
@@ -29,12 +29,12 @@
 	alarm           alarm
 	token           uint64
 	acquired        chan struct{} // closed when the lease is first held
-	responded       chan struct{} // closed at the end of a request to release or withdraw, then replaced
+	responded       chan struct{} // closed at the end of each release or withdraw request, then replaced
 	releasing       bool
-	warnedDuplicate bool // the log has that another process has this node's name
+	warnedDuplicate bool // a warning that another process holds this node's name was logged
 }
 
-// acquire requests a lease until it is released.
+// acquire requests a lease, and renews it once it is granted, until release is called.
 func (c *Client) acquire(ctx context.Context, name string) *HeldLease {
 	holder := lease.Holder{Name: c.config.Node, Process: os.Getpid(), Start: c.nextStart()}
 	h := &HeldLease{
@@ -95,13 +95,13 @@
 	}()
 }
 
-// handleOutcome hands the outcome of a request to the claimant.
+// handleOutcome passes the response or the error of a request to the claimant.
 func (h *HeldLease) handleOutcome(r lease.Request, sent lease.Time, response lease.Response, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r.Operation == lease.OpRelease || r.Operation == lease.OpWithdraw {
 		close(h.responded)
-		h.responded = make(chan struct{}) // a grant that arrives during a withdrawal is released by one more request
+		h.responded = make(chan struct{}) // a grant that arrives during a withdrawal needs another request, which releases it
 	}
 	if err != nil {
 		h.client.log.Debug("lease request failed", zap.String("lease", h.name), zap.Error(err))
@@ -119,7 +119,7 @@
 	}
 }
 
-// release releases the lease, and waits for the response for as long as a call may take.
+// release releases the lease, and waits for the response for up to callTimeout.
 func (h *HeldLease) release() {
 	h.mu.Lock()
 	responded := h.responded
@@ -133,34 +133,35 @@
 	h.cancel()
 }
 
-// MayAct reports whether an act that takes a duration may begin now. The process may be suspended between this check and the
-// act: so the act either carries the token to a resource that refuses an old one, or is bounded by the duration given here.
+// MayAct reports whether an act of the given duration may begin now. The process may be suspended between this check and the
+// act. Therefore either the act passes the fencing token to a resource that refuses old tokens, or its end is bounded by the
+// duration.
 func (h *HeldLease) MayAct(duration time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, allowed := h.claimant.MayAct(now(), toLeaseTime(duration))
-	return allowed && h.ctx.Err() == nil // a lost lease stays lost here, though the claimant may acquire it again
+	return allowed && h.ctx.Err() == nil // a HeldLease stays lost, although its claimant may acquire the lease again
 }
 
-// Remaining returns for how long the lease is certainly held.
+// Remaining returns the time for which the lease is still held, or 0.
 func (h *HeldLease) Remaining() time.Duration { return max(0, toDuration(h.Expiry()-now())) }
 
-// Expiry returns until when the lease is held, by this process's clock.
+// Expiry returns the end of the lease by this process's clock.
 func (h *HeldLease) Expiry() lease.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.claimant.Expiry()
 }
 
-// Token returns the fencing token. Later grants, of whatever lease, have higher ones.
+// Token returns the fencing token. Later grants, of any lease, have higher tokens.
 func (h *HeldLease) Token() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.token
 }
 
-// SetEffect applies an effect to the cluster's replicated state, which refuses an old token, and a number that isn't above the
-// effect's last one. Its error is ErrOutcomeUnknown if there was no response.
+// SetEffect applies an effect to the cluster's replicated state. The state refuses an old token, and a number that isn't higher
+// than the effect's last number. The error is ErrOutcomeUnknown if there was no response.
 func (h *HeldLease) SetEffect(effect string, number uint64, value []byte) error {
 	if !h.MayAct(0) {
 		return lease.ErrLeaseExpired
@@ -181,8 +182,8 @@
 	return response.Err
 }
 
-// Hold acquires a lease, again and again until the context ends, and runs f each time it is held. f's context ends when the
-// lease is lost. When f returns the lease is released, and acquired again if f returns true.
+// Hold acquires a lease and runs f while it is held. f's context ends when the lease is lost. When f returns, Hold releases the
+// lease, and acquires it again if f returned true. Hold returns when f returns false or ctx ends.
 func (c *Client) Hold(ctx context.Context, name string, f func(context.Context, *HeldLease) (reacquire bool)) {
 	for ctx.Err() == nil {
 		held := c.acquire(ctx, name)
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -15,7 +15,7 @@
 
 var errUnknownResult = errors.New("the consensus library returned a result of an unknown type")
 
-// followLeadership promotes and demotes this voter as the library gains and loses the leadership.
+// followLeadership promotes this voter when the library gains the leadership, and demotes it when the library loses it.
 func (v *Voter) followLeadership(leadership <-chan bool) {
 	for {
 		select {
@@ -31,7 +31,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !leads && faults.Without(faults.Confirmation) {
-		return // as if it hadn't noticed
+		return // act as if the loss of leadership were not noticed
 	}
 	v.leaderChanges++
 	v.leases.Demote()
@@ -41,8 +41,8 @@
 	}
 }
 
-// beginTerm commits the entry that begins a term. Once it is applied, this voter has applied all entries of earlier leaders.
-// It retries while the cluster isn't founded.
+// beginTerm commits the entry that begins a term, and promotes this voter when the entry is applied: by then the voter has
+// applied all entries of earlier leaders. It retries while the cluster isn't founded.
 func (v *Voter) beginTerm(leaderChange uint64) {
 	for {
 		result, err := v.propose(lease.Entry{Kind: lease.KindNewTerm, Name: v.config.Node})
@@ -57,7 +57,8 @@
 	}
 }
 
-// promote makes this voter the leader of a new term, if that was begun. It returns false if beginning it may be retried.
+// promote makes this voter the leader of the new term, if the entry that begins it was applied. It returns false if the entry
+// has to be proposed again.
 func (v *Voter) promote(leaderChange uint64, result lease.Result, err error) (done bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -74,9 +75,10 @@
 	return true
 }
 
-// propose appends an entry to the log and waits for its result. An error means that the entry may still be applied, and that
-// the term is over: the lease manager and the allocator then wait for the next term, so no other failure may be returned as an
-// error. An entry that the library is too busy to take waits without a timeout, since nobody would propose it again.
+// propose appends an entry to the log and waits for its result. An error means that the term is over and that the entry may
+// still be applied. The lease manager and the allocator then wait for the next term, so no other failure may be returned as an
+// error. While the library is too busy to accept the entry, propose waits without a timeout, because nothing would propose the
+// entry again.
 func (v *Voter) propose(e lease.Entry) (lease.Result, error) {
 	encoded, err := e.Encode()
 	if err != nil {
--- a/internal/cluster/lease_service.go
+++ b/internal/cluster/lease_service.go
@@ -5,7 +5,8 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// handleLeaseRequest hands a request to the lease manager, and waits for its response or until the caller has gone.
+// handleLeaseRequest passes a request to the lease manager, and waits for the response, the end of the caller's connection or
+// the end of the voter.
 func (v *Voter) handleLeaseRequest(r lease.Request, disconnected <-chan struct{}) lease.Response {
 	response := make(chan lease.Response, 1)
 	v.mu.Lock()
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// listenRetryInterval is the time between two attempts to listen on an address that another process still has.
+	// listenRetryInterval is the time between two attempts to listen on an address that is in use by another process.
 	listenRetryInterval = 50 * time.Millisecond
 
-	// idleDivisor gives the idle time after which a node's connection may be evicted: a ninth of a lease, a third of the
-	// period of renewals. A connection in use is idle for longer only between two renewals.
+	// idleDivisor gives the idle time after which a node's connection may be evicted: a ninth of a lease, which is a third of
+	// the renewal interval. A connection in use is idle for longer only between two renewals.
 	idleDivisor = 9
 )
 
-// LocalNode is what the cluster needs of the node that it runs in. Its methods may be called concurrently.
+// LocalNode is the node that a Member runs in. Its methods may be called concurrently.
 type LocalNode interface {
 	// Metrics returns the node's totals by name.
 	Metrics() map[string]int64
 	// EjectedEndpoints returns the addresses of the servers that are ejected after failures, by id.
 	EjectedEndpoints() map[string]string
-	// ProbeResult reports the result of the cluster's last probe of a server, and within which time the next one follows.
+	// ProbeResult reports the result of the cluster's last probe of a server, and the maximum time until its next probe.
 	ProbeResult(id, address string, healthy bool, next time.Duration)
-	// SetQuota sets this node's quota of a budget. Requests may begin under it for a duration, and then under what quota says
-	// for the time after; those of a concurrency limit are cut off cutoffMargin after the duration. It returns the usage
-	// since the last call.
+	// SetQuota sets this node's quota of a budget. Requests may begin under quota's Rate and Burst for the duration, and under
+	// its ThenRate and ThenBurst afterwards. Requests under a concurrency limit are cut off cutoffMargin after the duration.
+	// It returns the usage since the last call.
 	SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, duration, cutoffMargin time.Duration) allowance.Usage
 }
 
@@ -52,10 +52,10 @@
 	mu            sync.Mutex
 	identity      voterstore.Identity
 	currentVoter  *Voter                        // nil: this node has no voter
-	voterError    error                         // why the voter could not be started
-	quotas        *nodeQuotas                   // nil: the lease of this node's name is not held, or there are no budgets
-	agreedConfigs map[string]lease.BudgetConfig // of budgets, as the cluster last reported them
-	maxBursts     map[string]float64            // for the fault test, where a safeguard is removed
+	voterError    error                         // of the voter's last start; nil if it succeeded
+	quotas        *nodeQuotas                   // nil while the lease of this node's name is not held, and without budgets
+	agreedConfigs map[string]lease.BudgetConfig // by budget, as the cluster last reported them
+	maxBursts     map[string]float64            // by budget, for the fault test with the safeguard faults.BurstKept removed
 	leaving       bool
 
 	listener *transport.Listener
@@ -64,9 +64,10 @@
 	ended    chan struct{} // closed when the member has left
 }
 
-// Start joins the cluster in the background, and retries until it has. The cluster address belongs to one process at a time:
-// while another has it, as the one that this process replaces, that one is the member. maxRequestDuration bounds how long a
-// request of a client may take, maxPeerConnections how many connections peers may have open to this node.
+// Start joins the cluster in the background, and retries until it succeeds. Only the process that listens on the cluster
+// address is a member. While another process listens on it, such as the process that this one replaces, this one waits.
+// maxRequestDuration bounds the duration of a client's request, and maxPeerConnections the number of connections that peers
+// have open to this node.
 func Start(c *config.Cluster, node LocalNode, maxRequestDuration time.Duration, maxPeerConnections int, log *zap.Logger) *Member {
 	ctx, stop := context.WithCancel(context.Background())
 	m := &Member{
@@ -86,7 +87,7 @@
 	return m
 }
 
-// Close leaves the cluster: it releases the leases, and a voter that leads hands over its leadership.
+// Close leaves the cluster: it releases the leases, and a voter that leads transfers its leadership.
 func (m *Member) Close() {
 	m.mu.Lock()
 	m.leaving = true
@@ -134,8 +135,8 @@
 	m.listener.Close()
 }
 
-// releaseReserved gives up the reserved quotas, which belong to whoever has the address, and waits until the requests in
-// flight under them have ended.
+// releaseReserved sets the reserved quotas to zero, because they belong to the process that listens on the cluster address. It
+// waits until the requests in flight under them have ended, up to a timeout.
 func (m *Member) releaseReserved() {
 	end := time.Now().Add(m.maxRequestDuration + m.client.callTimeout())
 	for m.applyReserved(false) > 0 && time.Now().Before(end) {
@@ -143,8 +144,8 @@
 	}
 }
 
-// listen listens on the cluster address as soon as it is free; nil: the context has ended first. Until then this process
-// borrows quotas from the one that has the address.
+// listen listens on the cluster address as soon as it is free. Until then this process borrows quotas from the process that
+// listens on it. It returns nil if the context ends first.
 func (m *Member) listen(ctx context.Context) net.Listener {
 	borrowing, stopBorrowing := context.WithCancel(ctx)
 	var borrower sync.WaitGroup
@@ -168,7 +169,7 @@
 	}
 }
 
-// openVoter starts the voter. A node whose folder can't be used goes on without one.
+// openVoter starts the voter. A node whose folder can't be used runs without a voter.
 func (m *Member) openVoter() {
 	v, err := m.startVoterFromFolder()
 	m.mu.Lock()
@@ -181,6 +182,7 @@
 	}
 }
 
+// startVoterFromFolder reads the voter's identity from the folder, or creates it, and starts the voter.
 func (m *Member) startVoterFromFolder() (*Voter, error) {
 	identity, err := voterstore.OpenIdentity(m.config.DataDir, m.config.Name, m.config.Node)
 	if err != nil {
@@ -194,30 +196,32 @@
 	return startVoter(m.config, identity, layer, m.log.Named("voter"))
 }
 
-// voterID returns the id of this node's voter; empty: it has none.
+// voterID returns the id of this node's voter; empty if it has none.
 func (m *Member) voterID() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.identity.ID
 }
 
-// voter returns this node's voter; nil: it has none.
+// voter returns this node's voter; nil if it has none.
 func (m *Member) voter() *Voter {
 	v, _ := m.voterOrError()
 	return v
 }
 
-// voterOrError returns this node's voter, or why it could not be started; both may be nil.
+// voterOrError returns this node's voter, or the error of its start. Both are nil for a node without a folder.
 func (m *Member) voterOrError() (*Voter, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.currentVoter, m.voterError
 }
 
-// nodeLease returns the lease of a node's name: two nodes with one name can't both hold it.
+// nodeLease returns the name of the lease that a node holds for its own name, which keeps two nodes from using one name at
+// the same time.
 func nodeLease(node string) string { return "node/" + node }
 
-// runTasks acquires the lease of the node's name and, while it is held, those of the tasks.
+// runTasks starts the goroutines that report ejections, and that acquire the lease of the node's name and, while it is held,
+// the leases of the tasks.
 func (m *Member) runTasks(ctx context.Context) {
 	if slices.Contains(m.config.Tasks, config.TaskProbe) {
 		m.tasks.Go(func() { m.reportEjections(ctx) })
@@ -225,7 +229,7 @@
 	m.tasks.Go(func() { m.client.Hold(ctx, nodeLease(m.config.Node), m.runWithNodeLease) })
 }
 
-// runWithNodeLease runs while the lease of the node's name is held.
+// runWithNodeLease publishes the node's address, and runs its quotas and tasks, while the lease of the node's name is held.
 func (m *Member) runWithNodeLease(ctx context.Context, held *HeldLease) bool {
 	if err := held.SetEffect(nodeLease(m.config.Node), held.Token(), []byte(m.config.Address)); err != nil {
 		m.log.Warn("node address not published", zap.Error(err))
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -12,10 +12,10 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// membershipTimeout bounds an operator's change, until it is committed.
+// membershipTimeout is the time within which an operator's change has to be committed.
 const membershipTimeout = 10 * time.Second
 
-// Bootstrap tells this voter the first voters of a new cluster.
+// Bootstrap writes the first voters of a new cluster to this voter's log.
 func (s *rpcService) Bootstrap(request *BootstrapRequest, _ *struct{}) error {
 	v := s.member.voter()
 	if v == nil {
@@ -32,7 +32,7 @@
 	return raft.Server{ID: raft.ServerID(info.ID), Address: transport.RaftAddress(info.ID, info.Address)}
 }
 
-// Found commits the entry that founds the cluster, at the leader.
+// Found commits the entry that founds the cluster. Only the leader serves it.
 func (s *rpcService) Found(request *BootstrapRequest, _ *struct{}) error {
 	v := s.member.voter()
 	if v == nil {
@@ -45,7 +45,7 @@
 	return result.Err
 }
 
-// Change adds or removes one voter, at the leader, and returns the voter's id.
+// Change adds or removes one voter, and returns the voter's id. Only the leader serves it.
 func (s *rpcService) Change(change *MembershipChange, id *string) error {
 	v := s.member.voter()
 	if v == nil || v.raft.State() != raft.Leader {
@@ -95,12 +95,12 @@
 	return status.ID, v.raft.AddVoter(server.ID, server.Address, configuration.Index(), membershipTimeout).Error()
 }
 
-// indexOfVoter finds a voter by its node's name or its id, -1 if there is none.
+// indexOfVoter returns the index of the voter with the given node name or id, or -1.
 func indexOfVoter(servers []raft.Server, name string) int {
 	return slices.IndexFunc(servers, func(s raft.Server) bool { return nodeName(string(s.ID)) == name || string(s.ID) == name })
 }
 
-// nodeName returns the name of a voter's node from the voter's id.
+// nodeName returns the node name that a voter's id contains.
 func nodeName(id string) string {
 	if i := strings.LastIndexByte(id, '.'); i >= 0 {
 		return id[:i]
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -52,7 +52,7 @@
 	Holder   lease.Holder `json:"Holder"`
 	Duration int64        `json:"Length"` // in units of lease.Time
 	Error    wireError    `json:"Refusal"`
-	Leader   string       `json:"Leader"` // address to retry at, where this voter doesn't lead
+	Leader   string       `json:"Leader"` // address of the leader to retry at, if this voter isn't the leader
 }
 
 func toLeaseResponse(r lease.Response) LeaseResponse {
@@ -79,11 +79,11 @@
 	ID            string                  `json:"ID"` // of this node's voter
 	Voter         bool                    `json:"Voter"`
 	VoterError    string                  `json:"Broken"` // why this node has no voter
-	Leader        string                  `json:"Leader"` // id; empty: none is known
+	Leader        string                  `json:"Leader"` // id; empty if unknown
 	LeaderAddress string                  `json:"At"`
 	IsLeader      bool                    `json:"Leads"`
 	Term          uint64                  `json:"Reign"`
-	LastContactMs int64                   `json:"ViewMs"` // since the last contact with the leader; -1: never
+	LastContactMs int64                   `json:"ViewMs"` // time since the last contact with the leader; -1 if there was none
 	Cluster       string                  `json:"Fleet"`
 	LastToken     uint64                  `json:"Tokens"`
 	Voters        []VoterInfo             `json:"Voters"`
@@ -107,8 +107,8 @@
 	Name        string       `json:"Name"`
 	Holder      lease.Holder `json:"Holder"`
 	Token       uint64       `json:"Token"`
-	RemainingMs int64        `json:"LeftMs"`  // known to the leader only, else -1
-	Waiting     int          `json:"Waiting"` // claimants, known to the leader only
+	RemainingMs int64        `json:"LeftMs"`  // -1 except on the leader
+	Waiting     int          `json:"Waiting"` // number of claimants; 0 except on the leader
 }
 
 // BudgetState is a budget in a Status.
@@ -131,13 +131,13 @@
 	Address string `json:"Address"` // of the voter to be added
 }
 
-// TermVote is the reply of Fleet.Term: the latest term that a voter may have voted in.
+// TermVote is the reply of Fleet.Term: the latest term in which a voter has voted, or may have voted.
 type TermVote struct {
 	ID   string `json:"ID"`
 	Term uint64 `json:"Term"`
 }
 
-// EjectionReport lists the servers that a node has ejected, addresses by id. It is the argument of Fleet.Rest.
+// EjectionReport has the addresses of the servers that a node has ejected, by id. It is the argument of Fleet.Rest.
 type EjectionReport struct {
 	Servers map[string]string `json:"Servers"`
 }
@@ -155,13 +155,14 @@
 	Error   wireError            `json:"Refusal"`
 }
 
-// LentQuotas is the reply of Fleet.Lend: what a node's process lends to the one that will replace it.
+// LentQuotas is the reply of Fleet.Lend: the quotas that a node's process lends to the process that replaces it.
 type LentQuotas struct {
 	Quotas   []budget.LentQuota `json:"All"`
 	Duration int64              `json:"For"` // in units of lease.Time
 }
 
-// LimitChange sets the limit of a budget: requests a second, or in flight. It is the argument of Fleet.SetWhole.
+// LimitChange sets the limit of a budget, in requests per second or in concurrent requests. It is the argument of
+// Fleet.SetWhole.
 type LimitChange struct {
 	Name  string  `json:"Name"`
 	Limit float64 `json:"Whole"`
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	cutoffMarginDivisor = 10 // the margin is at most a tenth of a lease: a connected node renews it long before that
+	cutoffMarginDivisor = 10 // the margin is at most a tenth of a lease; a connected node renews its quotas long before it begins
 	idlePollInterval    = 10 * time.Millisecond
 )
 
-// nodeQuotas is this node's part of the cluster's budgets, while it holds the lease of its name.
+// nodeQuotas requests and applies this node's quotas of the cluster's budgets, while it holds the lease of its name.
 type nodeQuotas struct {
 	member *Member
 	lease  *HeldLease
@@ -32,12 +32,12 @@
 	closed      bool
 }
 
-// holdQuotas takes part in the allocation of the budgets while the lease of this node's name is held. When the node leaves, it
-// returns the quotas once the requests under them have ended.
+// holdQuotas requests quotas of the budgets while the lease of this node's name is held. When the node leaves the cluster,
+// holdQuotas returns the quotas after the requests under them have ended.
 func (m *Member) holdQuotas(ctx context.Context, held *HeldLease) {
 	q := m.openQuotas(held)
 	<-ctx.Done()
-	if held.Remaining() > 0 { // the node leaves, and the quotas are still its own
+	if held.Remaining() > 0 { // the node leaves the cluster, and its quotas are still valid
 		q.drain(m.maxRequestDuration + m.client.callTimeout())
 	}
 	q.mu.Lock()
@@ -53,7 +53,7 @@
 func (m *Member) openQuotas(held *HeldLease) *nodeQuotas {
 	configs := map[string]lease.BudgetConfig{}
 	for _, b := range m.config.Budgets {
-		configs[b.Name] = m.agreedConfig(b) // declared again to a cluster that has lost it, as one that was founded anew
+		configs[b.Name] = m.agreedConfig(b) // a cluster without this budget, such as one that was founded anew, takes it from this declaration
 	}
 	q := &nodeQuotas{member: m, lease: held}
 	q.alarm = newAlarm(q.onAlarm)
@@ -67,7 +67,7 @@
 	return q
 }
 
-// drain begins nothing more under the quotas, and waits until the requests under them have ended, or for a timeout.
+// drain begins no further requests under the quotas, and waits until the requests in flight have ended, up to a timeout.
 func (q *nodeQuotas) drain(timeout time.Duration) {
 	q.mu.Lock()
 	q.client.Close(now())
@@ -91,7 +91,7 @@
 	}
 }
 
-// nodeQuotas is the host of its budget.QuotaClient, which calls these methods with the lock held.
+// The following methods implement the host of a budget.QuotaClient, which calls them with the lock of nodeQuotas held.
 
 // SetAlarm sets the time of the client's next alarm.
 func (q *nodeQuotas) SetAlarm(alarmTime lease.Time) { q.alarm.set(alarmTime) }
@@ -112,7 +112,7 @@
 	}()
 }
 
-// handleOutcome hands the outcome of a request to the client.
+// handleOutcome passes the response or the error of a request to the quota client, unless a later request was sent.
 func (q *nodeQuotas) handleOutcome(number uint64, reply QuotaResponse, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// agreedConfig returns a budget's configuration as the cluster last reported it, or else as this node is configured.
+// agreedConfig returns the budget configuration that the cluster last reported, or this node's own if it reported none.
 func (m *Member) agreedConfig(b config.Budget) lease.BudgetConfig {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,14 +154,14 @@
 	return b.BudgetConfig
 }
 
-// cutoffMargin returns how long before the end of a quota of concurrency no more requests begin: those still in flight at the
-// end are cut off.
+// cutoffMargin returns the time before the end of a concurrency quota in which no further requests begin. Requests that are
+// still in flight at the end are cut off.
 func (m *Member) cutoffMargin() time.Duration {
 	return min(m.maxRequestDuration, m.config.Lease/cutoffMarginDivisor)
 }
 
-// applyReserved sets all budgets to what this node has without the cluster: its reserved units while it owns the cluster
-// address, else nothing. It returns how many requests are in flight.
+// applyReserved sets this node's quotas to those that apply without the cluster: its reserved units while it listens on the
+// cluster address, else zero. It returns the number of requests in flight.
 func (m *Member) applyReserved(ownsAddress bool) (inFlight int) {
 	for _, b := range m.config.Budgets {
 		c, reserved := m.agreedConfig(b), 0
@@ -173,7 +173,7 @@
 	return inFlight
 }
 
-// applyQuota hands the quota of one budget to the node: units for a duration, and reserved units after that.
+// applyQuota sets the node's quota of one budget: units for the duration, and the reserved units afterwards.
 func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, cutoffMargin time.Duration) allowance.Usage {
 	index := slices.IndexFunc(m.config.Budgets, func(b config.Budget) bool { return b.Name == name })
 	if index < 0 {
@@ -181,7 +181,7 @@
 	}
 	rate := 0.0
 	if c.Kind == lease.RateKind {
-		rate = c.RatePerUnit * (1 - m.config.MaxDrift) // this node's clock may be as much too fast
+		rate = c.RatePerUnit * (1 - m.config.MaxDrift) // this node's clock may run too fast by MaxDrift
 	}
 	quota := allowance.Quota{
 		Concurrency: c.Kind == lease.ConcurrencyKind,
@@ -223,13 +223,13 @@
 			}
 			return s.Config.RatePerUnit * float64(units)
 		}
-		// In units of the budget: requests per second, or in flight at a time.
+		// Limits are in requests per second, or in concurrent requests, by the kind of the budget.
 		for key, value := range map[string]any{
 			"whole":    s.Config.Limit(),                                    // the limit of all nodes together
 			"given":    limitOf(s.Allocated),                                // allocated to all nodes
 			"reserve":  limitOf(s.Reserve),                                  // held back for newcomers
-			"free":     limitOf(max(0, s.Config.Allocatable()-s.Allocated)), // may be allocated and is not
-			"apart":    limitOf(s.Config.ReservedPerNode),                   // kept by each node that is without the cluster
+			"free":     limitOf(max(0, s.Config.Allocatable()-s.Allocated)), // available for allocation
+			"apart":    limitOf(s.Config.ReservedPerNode),                   // reserved for each node, also without the cluster
 			"part":     limitOf(s.Units),                                    // this node's quota
 			"wanted":   limitOf(s.Demand),                                   // this node's demand
 			"out":      s.InFlight,                                          // requests in flight
--- a/internal/cluster/probe_service.go
+++ b/internal/cluster/probe_service.go
@@ -4,7 +4,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// maxReportedServers bounds the servers that a node may report in one call.
+// maxReportedServers is the maximum number of servers that a node may report in one call.
 const maxReportedServers = 4096
 
 // Rest handles a node's report of ejected servers, and returns the results of their probes.
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// Due returns the probes that the holder of the probe task's lease, by its token, has to make now.
+// Due returns the probes that have to be made now, to the holder of the probe task's lease, which is identified by its token.
 func (s *rpcService) Due(token *uint64, due *[]lease.Probe) error {
 	v := s.member.voter()
 	if v == nil {
@@ -37,7 +37,7 @@
 	if !v.leases.IsLeader() {
 		return lease.ErrNotLeader
 	}
-	*due = append(*due, v.probes.DueProbes(now(), *token)...) // never null, which the peer would take for a broken connection
+	*due = append(*due, v.probes.DueProbes(now(), *token)...) // not nil: the peer would take a null reply for a broken connection
 	return nil
 }
 
--- a/internal/cluster/quorum.go
+++ b/internal/cluster/quorum.go
@@ -11,17 +11,19 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// A quorum round shows that this voter led at some moment after the round began: a majority, itself included, reports that it
-// has voted in no later term. A later leader needs the vote of one of them, which comes after its report, so that the later
-// leader's term begins after the round. The library's VerifyLeader doesn't show that: it counts the response to a heartbeat that
-// was sent earlier (replication.go, heartbeat: notifyAll after AppendEntries returns), and a leader that was suspended finds
-// such responses in its queues, beside requests that came in between.
+// A quorum round proves that this voter was the leader at some time after the round began: each voter of a majority, which
+// includes this one, reports that it has voted in no later term. A later leader needs the vote of one of these voters, and that
+// voter votes after its report. So the term of a later leader begins after the round.
+//
+// The library's VerifyLeader doesn't prove this. It counts the response to a heartbeat that was sent before the call
+// (replication.go, heartbeat: notifyAll after AppendEntries returns). A leader that was suspended finds such responses in its
+// queues, together with requests that arrived while it was suspended.
 
-// Terms here are raft's own, not those of the lease log that beginTerm commits.
+// The terms in this file are raft's own, not the terms of the lease log that beginTerm commits.
 
-// confirmLeadership makes a quorum round, and reports whether it shows that this voter leads.
+// confirmLeadership makes a quorum round, and reports whether it proves that this voter is the leader.
 func (v *Voter) confirmLeadership() bool {
-	raftTerm := v.raft.CurrentTerm() // read before the state, which the library gives up before it takes a later term
+	raftTerm := v.raft.CurrentTerm() // read before the state: the library leaves the leader state before it sets a later term
 	if v.raft.State() != raft.Leader {
 		return false
 	}
@@ -45,7 +47,7 @@
 	return confirmed >= quorum
 }
 
-// follows asks another voter whether it has voted in no later term.
+// hasNoLaterTerm asks another voter for its term, and reports whether that is no later than raftTerm.
 func (v *Voter) hasNoLaterTerm(s raft.Server, raftTerm uint64) bool {
 	client, err := v.peerClient(s)
 	if err != nil {
@@ -59,13 +61,13 @@
 	return vote.ID == string(s.ID) && vote.Term <= raftTerm
 }
 
-// peerClients has a connection to each other voter.
+// peerClients has the connections to the other voters.
 type peerClients struct {
 	mu    sync.Mutex
-	conns map[raft.ServerID]*rpc.Client // nil: closed
+	conns map[raft.ServerID]*rpc.Client // nil after close
 }
 
-// peerClient returns the connection to another voter, opened if need be.
+// peerClient returns the connection to another voter, and opens it if there is none.
 func (v *Voter) peerClient(s raft.Server) (*rpc.Client, error) {
 	v.peers.mu.Lock()
 	client := v.peers.conns[s.ID]
@@ -81,7 +83,8 @@
 	return v.peers.add(s.ID, jsonrpc.NewClient(conn))
 }
 
-// add keeps a connection, unless another one was added meanwhile, which it returns then.
+// add stores a connection and returns it. If another goroutine has stored one for the same voter, add closes the new connection
+// and returns the stored one.
 func (p *peerClients) add(id raft.ServerID, client *rpc.Client) (*rpc.Client, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +110,7 @@
 	}
 }
 
-// close closes all connections for good.
+// close closes all connections. No connection can be added afterwards.
 func (p *peerClients) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/cluster/quota_service.go
+++ b/internal/cluster/quota_service.go
@@ -10,10 +10,12 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// unitRounding keeps a limit that is a whole number of units from losing one to rounding.
+// unitRounding is added before a number of units is truncated, so that floating-point error doesn't cost a limit of whole
+// units one unit.
 const unitRounding = 1e-9
 
-// Part handles a node's quota request: what it holds and needs. It returns once there are updates.
+// Part handles a node's quota request, which lists the quotas that it holds and its demand. It returns when there are updates,
+// or when the request's waiting time is over.
 func (s *rpcService) Part(request *budget.Request, reply *QuotaResponse) error {
 	v := s.member.voter()
 	if v == nil {
@@ -27,7 +29,7 @@
 	return nil
 }
 
-// Lend lends half of this node's quotas to the process that will replace this one, and waits for its address.
+// Lend lends half of this node's quotas to the process that replaces this one and waits until the cluster address is free.
 func (s *rpcService) Lend(_ *struct{}, reply *LentQuotas) error {
 	m := s.member
 	m.mu.Lock()
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// SetWhole changes the limit of a budget, at the leader.
+// SetWhole changes the limit of a budget. Only the leader serves it.
 func (s *rpcService) SetWhole(change *LimitChange, reply *BudgetState) error {
 	v := s.member.voter()
 	if v == nil {
@@ -87,7 +89,8 @@
 	return b.BudgetConfig, nil
 }
 
-// handleQuotaRequest hands a request to the allocator, and waits for its response or until the caller has gone.
+// handleQuotaRequest passes a request to the allocator, and waits for the response, the end of the caller's connection or the
+// end of the voter.
 func (v *Voter) handleQuotaRequest(r budget.Request, disconnected <-chan struct{}) budget.Response {
 	response := make(chan budget.Response, 1)
 	v.mu.Lock()
--- a/internal/cluster/service.go
+++ b/internal/cluster/service.go
@@ -35,7 +35,7 @@
 )
 
 const (
-	maxCallsPerConn  = 256 // in progress; beyond, nothing more is read from the connection
+	maxCallsPerConn  = 256 // calls in progress; at this limit no further request is read from the connection
 	maxWatchDuration = 30 * time.Second
 )
 
@@ -68,12 +68,13 @@
 	})
 }
 
-// limitedCodec bounds the calls in progress on a connection, reports them to the transport, and notices the connection's end.
+// limitedCodec limits the calls in progress on a connection, reports their start and end to the transport, and detects the end
+// of the connection.
 type limitedCodec struct {
 	rpc.ServerCodec
 	conn         *transport.Conn
 	slots        chan struct{}
-	disconnected func()
+	disconnected func() // called when the connection has ended
 }
 
 // ReadRequestHeader waits for a slot, then for the next call.
@@ -118,8 +119,7 @@
 	return nil
 }
 
-// Watch waits until this voter has applied entries beyond a revision, at most for maxWatchDuration, and returns the status
-// then.
+// Watch waits until this voter has applied an entry after the given revision, or for maxWatchDuration, and returns the status.
 func (s *rpcService) Watch(revision *uint64, reply *Status) error {
 	v := s.member.voter()
 	if v == nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// Figures returns this node's totals.
+// Figures returns this node's metrics.
 func (s *rpcService) Figures(_ *struct{}, reply *map[string]int64) error {
 	*reply = s.member.node.Metrics()
 	return nil
--- a/internal/cluster/state_machine.go
+++ b/internal/cluster/state_machine.go
@@ -11,7 +11,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// stateMachine is the replicated state of a voter as the consensus library drives it, a raft.FSM.
+// stateMachine implements raft.FSM: through it the consensus library updates a voter's replicated state.
 type stateMachine struct{ *Voter }
 
 // Apply applies an entry and returns its lease.Result.
@@ -43,8 +43,8 @@
 	return stateSnapshot(encoded), err
 }
 
-// Restore replaces the state by a snapshot's. The library ends the process over an error, so once the library has started this
-// ends the voter and the library's goroutine instead.
+// Restore replaces the state by that of a snapshot. The library ends the process if Restore returns an error, so after the
+// library has started, Restore ends the voter and the library's goroutine instead.
 func (m stateMachine) Restore(snapshot io.ReadCloser) error {
 	defer snapshot.Close()
 	encoded, err := io.ReadAll(snapshot)
@@ -60,7 +60,7 @@
 	return err
 }
 
-// stateSnapshot is an encoded snapshot, a raft.FSMSnapshot.
+// stateSnapshot is an encoded snapshot. It implements raft.FSMSnapshot.
 type stateSnapshot []byte
 
 // Persist writes the snapshot.
@@ -71,5 +71,5 @@
 	return sink.Close()
 }
 
-// Release does nothing.
+// Release does nothing; it is part of raft.FSMSnapshot.
 func (s stateSnapshot) Release() {}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// addConsensusStatus adds what the consensus library knows.
+// addConsensusStatus adds the state of the consensus library.
 func (v *Voter) addConsensusStatus(s *Status) {
 	s.Voter = true
 	s.ID = v.identity.ID
@@ -48,7 +48,7 @@
 	}
 }
 
-// addState adds the replicated state, and the leader's memory where this voter leads.
+// addState adds the replicated state and, if this voter is the leader, the state that only the leader keeps in memory.
 func (v *Voter) addState(s *Status) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// leaseStatus returns the status of a lease. The caller has the lock.
+// leaseStatus returns the status of a lease. The caller holds v.mu.
 func (v *Voter) leaseStatus(name string) LeaseStatus {
 	l := v.state.Leases[name]
 	s := LeaseStatus{Name: name, Holder: l.Holder, Token: l.Token, RemainingMs: -1}
@@ -101,7 +101,7 @@
 	return addresses
 }
 
-// Metrics returns the cluster's metrics as this node sees them, by the names that operators use.
+// Metrics returns the cluster's metrics as this node sees them, by the names under which operators read them.
 func (m *Member) Metrics() map[string]any {
 	s := m.status()
 	held := 0
--- a/internal/cluster/task_probe.go
+++ b/internal/cluster/task_probe.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	ejectionReportInterval = 500 * time.Millisecond // as the lease package assumes it
+	ejectionReportInterval = 500 * time.Millisecond // package lease relies on this interval
 	probePollInterval      = 50 * time.Millisecond
-	probeTimeout           = 500 * time.Millisecond // half of what the leader waits for the result
+	probeTimeout           = 500 * time.Millisecond // half of the time that the leader waits for the result
 	maxConcurrentProbes    = 64
 	maxProbeBodyBytes      = 64 << 10
 )
 
-// reportEjections reports this node's ejected servers to the leader, and the results of their probes to the node. While the
-// leader can't be reached the node probes by itself.
+// reportEjections reports this node's ejected servers to the leader, and passes the results of their probes to the node. While
+// the leader can't be reached, the node probes by itself.
 func (m *Member) reportEjections(ctx context.Context) {
 	ticker := time.NewTicker(ejectionReportInterval)
 	defer ticker.Stop()
@@ -48,7 +48,7 @@
 	}
 }
 
-// runProbes is the probe task: it probes ejected servers for all nodes, as the leader schedules them.
+// runProbes is the probe task: it makes the probes of ejected servers that the leader schedules, for all nodes.
 func (m *Member) runProbes(ctx context.Context, held *HeldLease) bool {
 	client := newProbeClient()
 	slots := make(chan struct{}, maxConcurrentProbes)
@@ -68,13 +68,13 @@
 			continue
 		}
 		for _, probe := range due {
-			if !held.MayAct(probeTimeout) { // a late probe is harmless, so a bound on its end is enough
+			if !held.MayAct(probeTimeout) { // a late probe is harmless, so probes need no fencing token
 				break
 			}
 			select {
 			case slots <- struct{}{}:
 			default:
-				continue // it will be due again
+				continue // the leader schedules this probe again
 			}
 			probes.Go(func() {
 				defer func() { <-slots }()
@@ -98,7 +98,7 @@
 	}
 }
 
-// probeServer reports whether a server is healthy: whether it answers with a status below 500.
+// probeServer reports whether a server is healthy, which means that it answers with a status below 500.
 func (m *Member) probeServer(ctx context.Context, client *http.Client, probe lease.Probe) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+probe.Address+m.config.ProbePath, nil)
 	if err != nil {
--- a/internal/cluster/task_rollup.go
+++ b/internal/cluster/task_rollup.go
@@ -18,21 +18,21 @@
 
 const (
 	maxConcurrentCollections = 16 // nodes called at once
-	maxListedNodes           = 32 // missing nodes named in a report, which has to fit into the value of an effect
+	maxListedNodes           = 32 // missing nodes named in a report; the report has to fit into the value of an effect
 )
 
-// rollUpReport has the sums of the nodes' totals at the end of a period.
+// rollUpReport has the sums of all nodes' metrics at the end of a period.
 type rollUpReport struct {
 	Nodes   int              `json:"nodes"`
-	Missing []string         `json:"missing,omitempty"` // nodes that hold the leases of their names and didn't answer
+	Missing []string         `json:"missing,omitempty"` // nodes that hold the leases of their names but didn't answer
 	Sums    map[string]int64 `json:"sums"`              // since the start of each node
 }
 
-// wallClock gives the time by which the periods of the roll-up are counted; tests step it.
+// wallClock returns the time that determines the periods of the roll-up. Tests replace it to step the clock.
 var wallClock = clock.Wall
 
 // rollUp is the roll-up task: it logs one report of the whole cluster at the end of each period. The replicated state has the
-// number of the last period, so that none is logged twice; one that nobody has logged is reported as a gap with the next.
+// number of the last period, so that no period is logged twice. If a period was not logged, the next report logs it as a gap.
 func (m *Member) rollUp(ctx context.Context, held *HeldLease) bool {
 	period := m.config.RollUpInterval
 	for {
@@ -49,7 +49,7 @@
 	}
 }
 
-// rollUpPeriod reports the period that ends at a time. It returns false if the lease is lost.
+// rollUpPeriod reports the period that ends at the given time. It returns false if the lease is lost.
 func (m *Member) rollUpPeriod(held *HeldLease, end time.Time) (leaseHeld bool) {
 	period := m.config.RollUpInterval
 	number := uint64(end.UnixMilli() / period.Milliseconds())
@@ -86,7 +86,7 @@
 	return true
 }
 
-// isRecorded reports whether the replicated state has a period as the last one, written under a token.
+// isRecorded reports whether the period is the last one in the replicated state, and was written under the token.
 func (m *Member) isRecorded(number, token uint64) bool {
 	status, err := m.client.Status()
 	if err != nil {
@@ -96,9 +96,10 @@
 	return effect.Token == token && effect.Number == number
 }
 
-// followingPeriod returns the number of the period that ends now by the wall clock, where last is the number of the latest one
-// recorded. Recorded numbers only grow. If last is one ahead, another holder has recorded this period; if it is further ahead,
-// a clock was stepped back, and numbers continue from last.
+// followingPeriod returns the number for the period that ends now. clockPeriod is its number by the wall clock, and
+// lastRecorded the number of the latest recorded period. Recorded numbers only increase. If lastRecorded is one ahead, another
+// holder has recorded this period. If it is further ahead, a clock was stepped back, and the numbers continue after
+// lastRecorded.
 func followingPeriod(clockPeriod, lastRecorded uint64) uint64 {
 	if lastRecorded > clockPeriod+1 {
 		return lastRecorded + 1
--- a/internal/cluster/tasks.go
+++ b/internal/cluster/tasks.go
@@ -6,8 +6,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// task returns what a task does while its lease is held; nil: this build has no such task. The function returns whether the
-// lease is to be acquired again.
+// task returns the function that runs a task while its lease is held, or nil if this build has no such task. The function
+// returns whether the lease is to be acquired again.
 func (m *Member) task(name string) func(context.Context, *HeldLease) (reacquire bool) {
 	switch name {
 	case config.TaskRollUp:
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	electionTimeoutDivisor = 10   // a tenth of a lease without contact to the leader, and voters elect another
+	electionTimeoutDivisor = 10   // voters start an election after a tenth of a lease without contact to the leader
 	snapshotThreshold      = 4096 // entries of some hundred bytes each
-	trailingLogs           = 1024 // entries kept after a snapshot, for a voter that was disconnected for a moment
+	trailingLogs           = 1024 // entries kept after a snapshot, for voters that were disconnected for a short time
 	snapshotInterval       = time.Minute
 	retainedSnapshots      = 2
 	maxPooledConns         = 2                      // to each other voter
-	maxLeaderChanges       = 64                     // changes of leadership not handled yet; beyond, the library waits
-	shutdownTimeout        = 500 * time.Millisecond // for the library to end; a node has its own time to leave
+	maxLeaderChanges       = 64                     // leadership changes that are not handled yet; the library blocks beyond this
+	shutdownTimeout        = 500 * time.Millisecond // for the library; the shutdown of the whole node has its own time limit
 )
 
-// errNodeLeaving is the reason for which a voter ends together with its node.
+// errNodeLeaving is the end reason of a voter whose node leaves the cluster.
 var errNodeLeaving = errors.New("the node leaves the cluster")
 
 // Voter is this process's voter: the consensus library, the replicated state, and the leader's memory.
@@ -58,20 +58,20 @@
 	leaseRequests  map[uint64]chan lease.Response  // pending, by id
 	quotaRequests  map[uint64]chan budget.Response // pending, by id
 	lastRequestID  uint64
-	leaderChanges  uint64        // so far; tells whether an outcome belongs to the present leadership
+	leaderChanges  uint64        // counted since the start; tells whether a result belongs to the current leadership
 	changed        chan struct{} // closed when the next entry is applied
-	quorumRounds   int           // quorum rounds, confirmed or not
-	appliedEntries int           // applied
-	endReason      error         // nil: the voter has not ended
+	quorumRounds   int           // made since the start, confirmed or not
+	appliedEntries int           // applied since the start
+	endReason      error         // nil while the voter runs
 
 	stop           chan struct{} // closed when the voter ends
-	startDone      chan struct{} // closed when the library has started, or has failed to
-	shutdownDone   chan struct{} // closed when the library has ended; its folder is free unless a goroutine is stuck
+	startDone      chan struct{} // closed when the library has started or failed to start
+	shutdownDone   chan struct{} // closed at the end of shutDown; the folder is then free unless a goroutine of the library is stuck
 	shutdownOnce   shutdownOnce
-	libraryStarted atomic.Bool // the library has started
+	libraryStarted atomic.Bool
 }
 
-// startVoter opens the folder and starts the consensus library. If the folder can't be used, it changes nothing in it.
+// startVoter opens the folder and starts the consensus library. It leaves a folder that can't be used unchanged.
 func startVoter(c *config.Cluster, identity voterstore.Identity, layer *transport.StreamLayer, log *zap.Logger) (*Voter, error) {
 	v := newVoter(c, identity, layer.Dialer(), log)
 	var err error
@@ -106,7 +106,7 @@
 	return v, nil
 }
 
-// newVoter returns a voter without its library.
+// newVoter returns a voter whose consensus library is not started.
 func newVoter(c *config.Cluster, identity voterstore.Identity, dialer transport.Dialer, log *zap.Logger) *Voter {
 	v := &Voter{
 		log:           log,
@@ -153,7 +153,7 @@
 	return c
 }
 
-// newRaft starts the library. The library panics if its first write fails, which newRaft returns as an error.
+// newRaft starts the library. The library panics if its first write fails; newRaft returns that panic as an error.
 func newRaft(c *raft.Config, m stateMachine, s *voterstore.Store, snapshots raft.SnapshotStore, t raft.Transport) (r *raft.Raft, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -171,8 +171,8 @@
 	return len(line), nil
 }
 
-// close ends the voter together with its node. A leader hands its leadership over first, so that nobody has to wait for an
-// election timeout.
+// close ends the voter when its node leaves the cluster. A leader transfers its leadership first, so that the other voters
+// elect a leader without waiting for the election timeout.
 func (v *Voter) close() {
 	if v.raft.State() == raft.Leader {
 		_ = v.raft.LeadershipTransfer().Error()
@@ -180,14 +180,14 @@
 	v.shutdownOnce.Do(func() { v.shutDown(nil) })
 }
 
-// shutDown ends the voter for a reason; nil: its node leaves. Further calls do nothing.
+// shutDown ends the voter. A nil reason means that its node leaves the cluster. Further calls do nothing.
 func (v *Voter) shutDown(reason error) {
 	<-v.startDone // a goroutine of the library may fail to write before newRaft returns
 	if !v.markEnded(reason) {
 		return
 	}
-	// The library waits for each of its goroutines, and one that writes to a voter that was disconnected may wait for long. The
-	// library's main goroutine, which votes, ends at once, so the others can be left behind.
+	// The library's shutdown waits for all of its goroutines. One that writes to a disconnected voter may block for a long
+	// time. The library's main goroutine, which votes, ends at once, so shutDown doesn't wait for the others beyond the timeout.
 	libraryDone := make(chan struct{})
 	go func() {
 		if v.libraryStarted.Load() {
@@ -201,17 +201,17 @@
 		_ = v.store.Close()
 	case <-time.After(shutdownTimeout):
 		v.log.Warn("voter shutdown timed out, a connection to another voter is stuck")
-		_ = v.transport.Close() // not the log, which a goroutine left behind may still read
+		_ = v.transport.Close() // the store stays open: a goroutine that still runs may read it
 		go func() {
 			<-libraryDone
-			_ = v.store.Close() // a later voter waits for this
+			_ = v.store.Close() // the next voter on this folder waits for the store to close
 		}()
 	}
 	v.peers.close()
 	close(v.shutdownDone)
 }
 
-// markEnded ends the leadership and all waiting calls, unless that was done before.
+// markEnded records the reason, and ends the leadership and all waiting calls. It returns false if the voter has ended before.
 func (v *Voter) markEnded(reason error) (first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -237,7 +237,7 @@
 	return v.endReason != nil
 }
 
-// leader returns the id and the address of the leader, as far as this voter knows.
+// leader returns the id and the address of the leader that this voter knows; both are empty if it knows none.
 func (v *Voter) leader() (id, address string) {
 	raftAddress, raftID := v.raft.LeaderWithID()
 	address, _ = transport.SplitRaftAddress(raftAddress)
@@ -251,7 +251,7 @@
 	return v.changed
 }
 
-// shutdownOnce ends a voter once, by the first reason.
+// shutdownOnce ends a voter once, with the reason of the first call.
 type shutdownOnce struct {
 	sync.Once
 	end func(reason error)
--- a/internal/cluster/voter_restart.go
+++ b/internal/cluster/voter_restart.go
@@ -10,13 +10,14 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
-// The backoff between two attempts to restart a voter; it doubles.
+// The bounds of the backoff between two attempts to restart a voter. The backoff doubles with each attempt.
 const (
 	minRestartDelay = 250 * time.Millisecond
 	maxRestartDelay = 5 * time.Second
 )
 
-// restartVoter restarts the voter each time it has ended by a transient error of its folder, until the context ends.
+// restartVoter restarts the voter each time it has ended with a transient error of its folder, until the context ends. It
+// returns early if the voter ended for another reason.
 func (m *Member) restartVoter(ctx context.Context) {
 	for delay := minRestartDelay; ; delay = min(2*delay, maxRestartDelay) {
 		if v := m.voter(); v != nil {
@@ -46,7 +47,8 @@
 	}
 }
 
-// voterFailure returns why this node has no voter although it has a folder; nil: it has one, or it leaves.
+// voterFailure returns the error that keeps this node from having a voter. It is nil if the voter runs, or has ended because
+// the node leaves the cluster.
 func (m *Member) voterFailure() error {
 	v, err := m.voterOrError()
 	if v == nil {
