--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -32,39 +32,39 @@
 const headerBytes = 52
 
 // bytesOnWire returns what the kernel has sent and received on a connection: segments with their headers.
-func bytesOnWire(b *testing.B, c net.Conn) (out, in float64) {
+func bytesOnWire(b *testing.B, c net.Conn) (sent, received float64) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		b.Fatal(err)
 	}
 	var info *unix.TCPInfo
-	if other := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); other != nil || err != nil {
-		b.Fatal(other, err)
+	if controlErr := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); controlErr != nil || err != nil {
+		b.Fatal(controlErr, err)
 	}
 	return float64(info.Bytes_sent) + headerBytes*float64(info.Segs_out), float64(info.Bytes_received) + headerBytes*float64(info.Segs_in)
 }
 
 // leaderClient returns a node's connection to the leader of three voters, and the request that renews the lease of its name.
-func leaderClient(b *testing.B) (c *Client, conn net.Conn, a lease.Request) {
-	all := clusterConfigs(b, 3)
-	nodes := startCluster(b, all)
+func leaderClient(b *testing.B) (c *Client, conn net.Conn, renewal lease.Request) {
+	configs := clusterConfigs(b, 3)
+	nodes := startCluster(b, configs)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	s, err := nodes[0].client.Status()
 	if err != nil {
 		b.Fatal(err)
 	}
-	c = NewClient(all[0], zap.NewNop())
+	c = NewClient(configs[0], zap.NewNop())
 	if conn, err = c.dialer.Dial(s.LeaderAddress, transport.PurposeRPC, "", time.Second); err != nil {
 		b.Fatal(err)
 	}
 	c.conn, c.address = jsonrpc.NewClient(conn), s.LeaderAddress
 	b.Cleanup(c.Close)
-	h := lease.Holder{Name: "edge-r07-z21-00042", Process: 4242, Start: processStart.UnixMilli()*1000 + 1}
-	x, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: nodeLease(h.Name), Holder: h})
-	if err != nil || x.Err != nil {
-		b.Fatal(err, x.Err)
+	holder := lease.Holder{Name: "edge-r07-z21-00042", Process: 4242, Start: processStart.UnixMilli()*1000 + 1}
+	response, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: nodeLease(holder.Name), Holder: holder})
+	if err != nil || response.Err != nil {
+		b.Fatal(err, response.Err)
 	}
-	return c, conn, lease.Request{Operation: lease.OpRenew, Name: nodeLease(h.Name), Holder: h, Token: x.Token}
+	return c, conn, lease.Request{Operation: lease.OpRenew, Name: nodeLease(holder.Name), Holder: holder, Token: response.Token}
 }
 
 // measureCall repeats a call and reports its bytes on the wire, headers included.
@@ -72,70 +72,70 @@
 	if err := call(); err != nil {
 		b.Fatal(err)
 	}
-	out, in := bytesOnWire(b, conn)
+	sent, received := bytesOnWire(b, conn)
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := call(); err != nil {
 			b.Fatal(err)
 		}
 	}
-	moreOut, moreIn := bytesOnWire(b, conn)
-	b.ReportMetric((moreOut-out)/float64(b.N), "out-B/op")
-	b.ReportMetric((moreIn-in)/float64(b.N), "in-B/op")
+	sentAfter, receivedAfter := bytesOnWire(b, conn)
+	b.ReportMetric((sentAfter-sent)/float64(b.N), "out-B/op")
+	b.ReportMetric((receivedAfter-received)/float64(b.N), "in-B/op")
 }
 
 // BenchmarkARenewal is one node's renewal on the wire.
-func BenchmarkARenewal(b *testing.B) {
-	c, conn, a := leaderClient(b)
+func BenchmarkRenewalBytes(b *testing.B) {
+	c, conn, renewal := leaderClient(b)
 	measureCall(b, conn, func() error {
-		x, err := c.send(a)
+		response, err := c.send(renewal)
 		if err == nil {
-			err = x.Err
+			err = response.Err
 		}
 		return err
 	})
 }
 
 // BenchmarkAWait is one request for a task that another holds, which is refused.
-func BenchmarkAWait(b *testing.B) {
-	c, conn, a := leaderClient(b)
-	if x, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: a.Holder}); err != nil || x.Err != nil {
-		b.Fatal(err, x.Err)
+func BenchmarkRefusedAcquireBytes(b *testing.B) {
+	c, conn, renewal := leaderClient(b)
+	if response, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: renewal.Holder}); err != nil || response.Err != nil {
+		b.Fatal(err, response.Err)
 	}
-	other := lease.Holder{Name: "edge-r07-z21-00043", Process: 4243, Start: a.Holder.Start}
+	otherHolder := lease.Holder{Name: "edge-r07-z21-00043", Process: 4243, Start: renewal.Holder.Start}
 	measureCall(b, conn, func() error {
-		_, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: other})
+		_, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: otherHolder})
 		return err
 	})
 }
 
 // BenchmarkAReport reports a number of ejected servers to the leader, and gets the results of their probes.
-func BenchmarkAReport(b *testing.B) {
-	for _, resting := range []int{1, 10, 70, 248, 1000} {
-		b.Run(fmt.Sprint("resting=", resting), func(b *testing.B) {
+func BenchmarkEjectionReportBytes(b *testing.B) {
+	for _, ejected := range []int{1, 10, 70, 248, 1000} {
+		b.Run(fmt.Sprint("resting=", ejected), func(b *testing.B) {
 			c, conn, _ := leaderClient(b)
-			r := &EjectionReport{map[string]string{}}
-			for i := range resting {
-				r.Servers[fmt.Sprintf("cache-07-21-%05d", i)] = fmt.Sprintf("10.0.%d.%d:8080", i>>8, i&255)
+			report := &EjectionReport{map[string]string{}}
+			for i := range ejected {
+				report.Servers[fmt.Sprintf("cache-07-21-%05d", i)] = fmt.Sprintf("10.0.%d.%d:8080", i>>8, i&255)
 			}
 			var due []lease.Probe
 			token := uint64(1 << 40)
-			if err := c.callCurrent("Fleet.Rest", r, &[]lease.ProbeStatus{}); err != nil {
+			if err := c.callCurrent("Fleet.Rest", report, &[]lease.ProbeStatus{}); err != nil {
 				b.Fatal(err)
 			}
 			if err := c.callCurrent("Fleet.Due", &token, &due); err != nil {
 				b.Fatal(err)
 			}
-			for _, t := range due {
-				if err := c.callCurrent("Fleet.Result", &ProbeReport{token, t.ID, false}, &struct{}{}); err != nil {
+			for _, probe := range due {
+				if err := c.callCurrent("Fleet.Result", &ProbeReport{token, probe.ID, false}, &struct{}{}); err != nil {
 					b.Fatal(err)
 				}
 			}
 			measureCall(b, conn, func() error {
-				var news []lease.ProbeStatus
-				err := c.callCurrent("Fleet.Rest", r, &news)
-				if err == nil && len(news) != resting {
-					err = fmt.Errorf("news of %d of %d", len(news), resting)
+				var statuses []lease.ProbeStatus
+				err := c.callCurrent("Fleet.Rest", report, &statuses)
+				if err == nil && len(statuses) != ejected {
+					err = fmt.Errorf("news of %d of %d", len(statuses), ejected)
 				}
 				return err
 			})
@@ -144,46 +144,46 @@
 }
 
 // BenchmarkAnAsking is one quota request for a number of budgets: without updates, and with updates of all.
-func BenchmarkAnAsking(b *testing.B) {
-	for _, news := range []bool{false, true} {
+func BenchmarkQuotaRequestBytes(b *testing.B) {
+	for _, updates := range []bool{false, true} {
 		for _, budgets := range []int{1, 2, 4, 8} {
-			b.Run(fmt.Sprintf("news=%v/budgets=%d", news, budgets), func(b *testing.B) {
-				c, conn, a := leaderClient(b)
-				ask := budget.Request{Lease: a.Name, Token: a.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), Declared: map[string]lease.BudgetConfig{}}
+			b.Run(fmt.Sprintf("news=%v/budgets=%d", updates, budgets), func(b *testing.B) {
+				c, conn, renewal := leaderClient(b)
+				request := budget.Request{Lease: renewal.Name, Token: renewal.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), Declared: map[string]lease.BudgetConfig{}}
 				for i := range budgets {
 					name := fmt.Sprint("origin-rate-", i)
-					ask.Declared[name] = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
-					ask.Holdings = append(ask.Holdings, budget.Holding{Budget: name, Demand: 3, ShrinkTo: -1})
+					request.Declared[name] = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
+					request.Holdings = append(request.Holdings, budget.Holding{Budget: name, Demand: 3, ShrinkTo: -1})
 				}
-				var x QuotaResponse
+				var response QuotaResponse
 				eventually(b, "no parts", func() bool {
-					x = QuotaResponse{}
-					if err := c.callCurrentTimeout("Fleet.Part", &ask, &x, time.Second); err != nil {
+					response = QuotaResponse{}
+					if err := c.callCurrentTimeout("Fleet.Part", &request, &response, time.Second); err != nil {
 						b.Fatal(err)
 					}
-					for _, n := range x.Updates {
-						for i := range ask.Holdings {
-							if h := &ask.Holdings[i]; h.Budget == n.Budget {
-								h.Token, h.Units, h.ShrinkTo, h.Revision = n.Quota.Token, n.Quota.Units, n.ShrinkTo, n.Config.Revision
+					for _, update := range response.Updates {
+						for i := range request.Holdings {
+							if h := &request.Holdings[i]; h.Budget == update.Budget {
+								h.Token, h.Units, h.ShrinkTo, h.Revision = update.Quota.Token, update.Quota.Units, update.ShrinkTo, update.Config.Revision
 							}
 						}
 					}
-					done := len(x.Updates) == 0
-					for _, h := range ask.Holdings {
-						done = done && h.Token > 0
+					allGranted := len(response.Updates) == 0
+					for _, h := range request.Holdings {
+						allGranted = allGranted && h.Token > 0
 					}
-					return done
+					return allGranted
 				})
-				if ask.Declared, ask.Wait = nil, 0; news {
-					for i := range ask.Holdings {
-						ask.Holdings[i].Token = 1 // an earlier one
+				if request.Declared, request.Wait = nil, 0; updates {
+					for i := range request.Holdings {
+						request.Holdings[i].Token = 1 // an earlier one
 					}
 				}
 				measureCall(b, conn, func() error {
-					x = QuotaResponse{}
-					err := c.callCurrentTimeout("Fleet.Part", &ask, &x, time.Second)
-					if err == nil && news != (len(x.Updates) == budgets) {
-						err = fmt.Errorf("%d news", len(x.Updates))
+					response = QuotaResponse{}
+					err := c.callCurrentTimeout("Fleet.Part", &request, &response, time.Second)
+					if err == nil && updates != (len(response.Updates) == budgets) {
+						err = fmt.Errorf("%d news", len(response.Updates))
 					}
 					return err
 				})
@@ -193,48 +193,48 @@
 }
 
 // relay forwards connections to an address, and counts bytes both ways, without headers.
-func relay(b *testing.B, to string) (at string, t *traffic) {
-	t = new(traffic)
+func startRelay(b *testing.B, target string) (address string, counted *relayTraffic) {
+	counted = new(relayTraffic)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b.Cleanup(func() { stop(); _ = l.Close() })
-	pass := func(from, into net.Conn) {
-		defer into.Close()
-		_, _ = io.Copy(counted{into, t}, from)
+	forward := func(source, destination net.Conn) {
+		defer destination.Close()
+		_, _ = io.Copy(countingWriter{destination, counted}, source)
 	}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				o, err := net.Dial("tcp", to)
+				targetConn, err := net.Dial("tcp", target)
 				if err != nil {
-					_ = c.Close()
+					_ = conn.Close()
 					return
 				}
-				context.AfterFunc(ctx, func() { _ = c.Close(); _ = o.Close() })
-				go pass(c, o)
-				pass(o, c)
+				context.AfterFunc(ctx, func() { _ = conn.Close(); _ = targetConn.Close() })
+				go forward(conn, targetConn)
+				forward(targetConn, conn)
 			}()
 		}
 	}()
-	return l.Addr().String(), t
+	return l.Addr().String(), counted
 }
 
 // traffic counts what a relay has forwarded. A write is a message or a few that came together.
-type traffic struct{ bytes, writes atomic.Int64 }
+type relayTraffic struct{ bytes, writes atomic.Int64 }
 
-type counted struct {
+type countingWriter struct {
 	io.Writer
-	*traffic
+	*relayTraffic
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingWriter) Write(p []byte) (int, error) {
 	n, err := c.Writer.Write(p)
 	c.bytes.Add(int64(n))
 	c.writes.Add(1)
@@ -243,62 +243,62 @@
 
 // BenchmarkPeace is a second of three idle voters in one process with leases of 3 s: the bytes of heartbeats and of renewals of
 // their names, and the processor time. Bytes go through relays, whose processor time is included.
-func BenchmarkPeace(b *testing.B) {
-	all := clusterConfigs(b, 3)
-	var relays []*traffic
+func BenchmarkIdleVoters(b *testing.B) {
+	configs := clusterConfigs(b, 3)
+	var relays []*relayTraffic
 	routes := map[string]string{}
-	for _, f := range all {
-		at, n := relay(b, f.Address)
-		routes[f.Address] = at
-		relays = append(relays, n)
+	for _, c := range configs {
+		address, traffic := startRelay(b, c.Address)
+		routes[c.Address] = address
+		relays = append(relays, traffic)
 	}
-	for _, f := range all {
-		f.Lease, f.MaxDelay, f.DialOverrides = 3*time.Second, 50*time.Millisecond, routes
+	for _, c := range configs {
+		c.Lease, c.MaxDelay, c.DialOverrides = 3*time.Second, 50*time.Millisecond, routes
 	}
-	nodes := startCluster(b, all)
+	nodes := startCluster(b, configs)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
-	sum := func() (bytes, writes int64) {
-		for _, x := range relays {
-			bytes, writes = bytes+x.bytes.Load(), writes+x.writes.Load()
+	sumTraffic := func() (bytes, writes int64) {
+		for _, relay := range relays {
+			bytes, writes = bytes+relay.bytes.Load(), writes+relay.writes.Load()
 		}
 		return bytes, writes
 	}
-	bytes, writes := sum()
+	bytes, writes := sumTraffic()
 	used := processorTime()
-	began := time.Now()
+	start := time.Now()
 	for b.Loop() {
 		time.Sleep(time.Second)
 	}
-	span := time.Since(began).Seconds()
-	bytesNow, writesNow := sum()
-	b.ReportMetric(float64(bytesNow-bytes)/span, "B/s")
-	b.ReportMetric(float64(writesNow-writes)/span, "writes/s")
-	b.ReportMetric(100*(processorTime()-used).Seconds()/span, "%core")
+	seconds := time.Since(start).Seconds()
+	bytesNow, writesNow := sumTraffic()
+	b.ReportMetric(float64(bytesNow-bytes)/seconds, "B/s")
+	b.ReportMetric(float64(writesNow-writes)/seconds, "writes/s")
+	b.ReportMetric(100*(processorTime()-used).Seconds()/seconds, "%core")
 }
 
 // startHolders holds a number of leases of 3 s, each over its own connection, and counts those that are lost.
 func startHolders(b *testing.B, holders int) (lost *atomic.Int64) {
-	all := clusterConfigs(b, 3)
-	for _, f := range all {
-		f.Lease, f.MaxDelay = 3*time.Second, 50*time.Millisecond
+	configs := clusterConfigs(b, 3)
+	for _, nodeConfig := range configs {
+		nodeConfig.Lease, nodeConfig.MaxDelay = 3*time.Second, 50*time.Millisecond
 	}
-	nodes := startCluster(b, all)
+	nodes := startCluster(b, configs)
 	eventually(b, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	ctx, stop := context.WithCancel(context.Background())
 	lost = new(atomic.Int64)
-	var held, keeping sync.WaitGroup
-	b.Cleanup(func() { stop(); keeping.Wait() })
+	var acquired, holding sync.WaitGroup
+	b.Cleanup(func() { stop(); holding.Wait() })
 	for i := range holders {
-		f := *all[0]
-		f.Node, f.DataDir = fmt.Sprintf("edge-%05d", i), ""
-		c := NewClient(&f, zap.NewNop())
-		held.Add(1)
-		first := sync.OnceFunc(held.Done)
-		keeping.Go(func() {
+		nodeConfig := *configs[0]
+		nodeConfig.Node, nodeConfig.DataDir = fmt.Sprintf("edge-%05d", i), ""
+		c := NewClient(&nodeConfig, zap.NewNop())
+		acquired.Add(1)
+		acquiredOnce := sync.OnceFunc(acquired.Done)
+		holding.Go(func() {
 			defer c.Close()
-			c.Hold(ctx, nodeLease(f.Node), func(holds context.Context, _ *HeldLease) bool {
-				first()
-				<-holds.Done()
+			c.Hold(ctx, nodeLease(nodeConfig.Node), func(heldCtx context.Context, _ *HeldLease) bool {
+				acquiredOnce()
+				<-heldCtx.Done()
 				if ctx.Err() == nil {
 					lost.Add(1)
 				}
@@ -306,7 +306,7 @@
 			})
 		})
 	}
-	held.Wait()
+	acquired.Wait()
 	time.Sleep(time.Second)
 	return lost
 }
@@ -318,12 +318,12 @@
 		b.Run(fmt.Sprint("holders=", holders), func(b *testing.B) {
 			lost := startHolders(b, holders)
 			used := processorTime()
-			began := time.Now()
+			start := time.Now()
 			for b.Loop() {
 				time.Sleep(time.Second)
 			}
-			span := time.Since(began).Seconds()
-			b.ReportMetric(100*(processorTime()-used).Seconds()/span, "%core")
+			seconds := time.Since(start).Seconds()
+			b.ReportMetric(100*(processorTime()-used).Seconds()/seconds, "%core")
 			b.ReportMetric(float64(lost.Load()), "lost")
 		})
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -26,41 +26,41 @@
 }
 
 // clusterConfigs returns the configurations of three voters and further nodes.
-func clusterConfigs(t testing.TB, nodes int) (all []*config.Cluster) {
+func clusterConfigs(t testing.TB, nodeCount int) (configs []*config.Cluster) {
 	t.Helper()
 	var voters []config.Voter
-	for i := range nodes {
+	for i := range nodeCount {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &config.Cluster{Name: "f", Node: fmt.Sprint("n", i), Address: l.Addr().String(), Lease: 2 * time.Second,
+		c := &config.Cluster{Name: "f", Node: fmt.Sprint("n", i), Address: l.Addr().String(), Lease: 2 * time.Second,
 			MaxDrift: 0.01, MaxDelay: 40 * time.Millisecond, RollUpInterval: time.Second}
 		_ = l.Close()
 		if i < 3 {
-			f.DataDir = filepath.Join(t.TempDir(), "v")
-			voters = append(voters, config.Voter{Name: f.Node, Address: f.Address})
+			c.DataDir = filepath.Join(t.TempDir(), "v")
+			voters = append(voters, config.Voter{Name: c.Node, Address: c.Address})
 		}
-		all = append(all, f)
+		configs = append(configs, c)
 	}
-	for _, f := range all {
-		f.Voters = voters
+	for _, c := range configs {
+		c.Voters = voters
 	}
-	return all
+	return configs
 }
 
 // startCluster starts the nodes and founds the cluster.
-func startCluster(t testing.TB, all []*config.Cluster) (nodes []*Member) {
+func startCluster(t testing.TB, configs []*config.Cluster) (nodes []*Member) {
 	t.Helper()
-	for _, f := range all {
-		n := Start(f, stubNode{"resolved": 1}, time.Second, 256, zap.NewNop())
-		nodes = append(nodes, n)
-		t.Cleanup(sync.OnceFunc(n.Close))
+	for _, c := range configs {
+		node := Start(c, stubNode{"resolved": 1}, time.Second, 256, zap.NewNop())
+		nodes = append(nodes, node)
+		t.Cleanup(sync.OnceFunc(node.Close))
 	}
-	c := NewClient(all[0], zap.NewNop())
-	t.Cleanup(c.Close)
+	client := NewClient(configs[0], zap.NewNop())
+	t.Cleanup(client.Close)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if err := c.FoundCluster(0); err == nil {
+		if err := client.FoundCluster(0); err == nil {
 			return nodes
 		} else if time.Now().After(end) {
 			t.Fatal(err)
@@ -69,11 +69,11 @@
 }
 
 // eventually waits until a condition holds.
-func eventually(t testing.TB, what string, is func() bool) {
+func eventually(t testing.TB, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -24,7 +24,7 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // golden compares bytes with a file under testdata/golden.
-func golden(t *testing.T, name string, got []byte) []byte {
+func compareGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	got = append(bytes.TrimSuffix(got, []byte("\n")), '\n')
 	path := filepath.Join("testdata", "golden", name)
@@ -47,41 +47,41 @@
 }
 
 // goldenForm encodes a value as it is sent or stored, compares that with the golden file, and decodes it again.
-func goldenForm(t *testing.T, name string, value any) {
+func checkGoldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
 	written, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := golden(t, name, written)
+	stored := compareGolden(t, name, written)
 	read := reflect.New(reflect.TypeOf(value))
 	if err := json.Unmarshal(stored, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
 		t.Errorf("%s: read as %+v, %v, want %+v", name, read.Elem(), err, value)
 	}
 }
 
-func TestTheVotersFileKeepsItsForm(t *testing.T) {
-	goldenForm(t, "voter.json", voterstore.Identity{Cluster: "f", Node: "n1", ID: "n1.0badcafe"})
-	goldenForm(t, "roll-up.json", rollUpReport{Nodes: 2, Missing: []string{"n3"}, Sums: map[string]int64{"served": 7}})
+func TestStoredFileFormats(t *testing.T) {
+	checkGoldenJSON(t, "voter.json", voterstore.Identity{Cluster: "f", Node: "n1", ID: "n1.0badcafe"})
+	checkGoldenJSON(t, "roll-up.json", rollUpReport{Nodes: 2, Missing: []string{"n3"}, Sums: map[string]int64{"served": 7}})
 	if voterstore.IdentityFile != "voter.json" || voterstore.LogFile != "log.db" {
 		t.Error("files of a voter's folder have other names")
 	}
 }
 
 // conn keeps what is written, and reads what it was given.
-type conn struct {
+type bufferConn struct {
 	net.Conn
 	in, out bytes.Buffer
 }
 
-func (c *conn) Read(b []byte) (int, error)  { return c.in.Read(b) }
-func (c *conn) Write(b []byte) (int, error) { return c.out.Write(b) }
-func (c *conn) Close() error                { return nil }
+func (c *bufferConn) Read(b []byte) (int, error)  { return c.in.Read(b) }
+func (c *bufferConn) Write(b []byte) (int, error) { return c.out.Write(b) }
+func (c *bufferConn) Close() error                { return nil }
 
 var (
-	goldenHolder = lease.Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
-	goldenTerms  = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
-	goldenBudget = lease.Budget{BudgetConfig: goldenTerms, Quotas: map[string]lease.Quota{"node/n1": {Token: 19, Units: 7}}}
+	goldenHolder       = lease.Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
+	goldenBudgetConfig = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
+	goldenBudget       = lease.Budget{BudgetConfig: goldenBudgetConfig, Quotas: map[string]lease.Quota{"node/n1": {Token: 19, Units: 7}}}
 )
 
 // goldenCalls has each call with its argument and its answer.
@@ -105,69 +105,69 @@
 		"Result":    {ProbeReport{Token: 19, ID: "c-1", Healthy: true}, struct{}{}},
 		"Part": {budget.Request{Lease: "node/n1", Token: 18, Weight: 2, Wait: 7500,
 			Holdings: []budget.Holding{{Budget: "origin-rate", Token: 19, Units: 7, Demand: 9, ShrinkTo: -1, Revision: 3}},
-			Declared: map[string]lease.BudgetConfig{"origin-rate": goldenTerms}},
-			QuotaResponse{Updates: []budget.QuotaUpdate{{Budget: "origin-rate", Config: goldenTerms, Quota: lease.Quota{Token: 19, Units: 7}, ShrinkTo: 5, Allocated: 30, Reserve: 2}},
+			Declared: map[string]lease.BudgetConfig{"origin-rate": goldenBudgetConfig}},
+			QuotaResponse{Updates: []budget.QuotaUpdate{{Budget: "origin-rate", Config: goldenBudgetConfig, Quota: lease.Quota{Token: 19, Units: 7}, ShrinkTo: 5, Allocated: 30, Reserve: 2}},
 				Error: toWireError(fmt.Errorf("%w: name", lease.ErrMalformed))}},
-		"Lend":     {struct{}{}, LentQuotas{Quotas: []budget.LentQuota{{Name: "origin-rate", Units: 3, Config: goldenTerms}}, Duration: 1000}},
+		"Lend":     {struct{}{}, LentQuotas{Quotas: []budget.LentQuota{{Name: "origin-rate", Units: 3, Config: goldenBudgetConfig}}, Duration: 1000}},
 		"SetWhole": {LimitChange{Name: "origin-rate", Limit: 120.5}, BudgetState{goldenBudget, 9, 2}},
 	}
 }
 
-func TestCallsKeepTheirForm(t *testing.T) {
+func TestRPCWireFormat(t *testing.T) {
 	methods := reflect.TypeFor[*rpcService]()
 	if n := methods.NumMethod(); n != len(goldenCalls()) {
 		t.Errorf("%d calls are served, %d have golden files", n, len(goldenCalls()))
 	}
-	for method, x := range goldenCalls() {
+	for method, messages := range goldenCalls() {
 		if _, served := methods.MethodByName(method); !served {
 			t.Errorf("Fleet.%s is not served any more", method)
 		}
-		var asking, answering conn
-		client := jsonrpc.NewClientCodec(&asking)
-		if err := client.WriteRequest(&rpc.Request{ServiceMethod: "Fleet." + method, Seq: 3}, x[0]); err != nil {
+		var clientConn, serverConn bufferConn
+		client := jsonrpc.NewClientCodec(&clientConn)
+		if err := client.WriteRequest(&rpc.Request{ServiceMethod: "Fleet." + method, Seq: 3}, messages[0]); err != nil {
 			t.Fatal(err)
 		}
-		request := golden(t, method+"-request.json", asking.out.Bytes())
-		answering.in.Write(request)
-		server := jsonrpc.NewServerCodec(&answering)
+		request := compareGolden(t, method+"-request.json", clientConn.out.Bytes())
+		serverConn.in.Write(request)
+		server := jsonrpc.NewServerCodec(&serverConn)
 		var header rpc.Request
-		args := reflect.New(reflect.TypeOf(x[0]))
+		args := reflect.New(reflect.TypeOf(messages[0]))
 		if err := errors.Join(server.ReadRequestHeader(&header), server.ReadRequestBody(args.Interface())); err != nil {
 			t.Fatal(method, err)
 		}
-		if header.ServiceMethod != "Fleet."+method || !reflect.DeepEqual(args.Elem().Interface(), x[0]) {
-			t.Errorf("%s: read as %+v, want %+v", header.ServiceMethod, args.Elem(), x[0])
+		if header.ServiceMethod != "Fleet."+method || !reflect.DeepEqual(args.Elem().Interface(), messages[0]) {
+			t.Errorf("%s: read as %+v, want %+v", header.ServiceMethod, args.Elem(), messages[0])
 		}
-		if err := server.WriteResponse(&rpc.Response{Seq: header.Seq}, x[1]); err != nil {
+		if err := server.WriteResponse(&rpc.Response{Seq: header.Seq}, messages[1]); err != nil {
 			t.Fatal(err)
 		}
-		asking.in.Write(golden(t, method+"-response.json", answering.out.Bytes()))
-		var back rpc.Response
-		reply := reflect.New(reflect.TypeOf(x[1]))
-		if err := errors.Join(client.ReadResponseHeader(&back), client.ReadResponseBody(reply.Interface())); err != nil {
+		clientConn.in.Write(compareGolden(t, method+"-response.json", serverConn.out.Bytes()))
+		var responseHeader rpc.Response
+		reply := reflect.New(reflect.TypeOf(messages[1]))
+		if err := errors.Join(client.ReadResponseHeader(&responseHeader), client.ReadResponseBody(reply.Interface())); err != nil {
 			t.Fatal(method, err)
 		}
-		if !reflect.DeepEqual(reply.Elem().Interface(), x[1]) {
-			t.Errorf("%s: answer read as %+v, want %+v", method, reply.Elem(), x[1])
+		if !reflect.DeepEqual(reply.Elem().Interface(), messages[1]) {
+			t.Errorf("%s: answer read as %+v, want %+v", method, reply.Elem(), messages[1])
 		}
 	}
 }
 
 // Peers recognise errors by these names. The text is for people: one that a peer of another version writes otherwise still comes
 // back as the same error.
-func TestRefusalsKeepTheirNames(t *testing.T) {
-	all := []error{lease.ErrHeld, lease.ErrLeaseExpired, lease.ErrDuplicate, lease.ErrStaleTerm, lease.ErrLimitExceeded, lease.ErrMalformed, lease.ErrNotFounded,
+func TestWireErrorNames(t *testing.T) {
+	knownErrors := []error{lease.ErrHeld, lease.ErrLeaseExpired, lease.ErrDuplicate, lease.ErrStaleTerm, lease.ErrLimitExceeded, lease.ErrMalformed, lease.ErrNotFounded,
 		lease.ErrAlreadyFounded, lease.ErrNotLeader, lease.ErrStillHeld, lease.ErrWithdrawn}
-	if len(all) != len(errorsByName) {
-		t.Errorf("%d refusals have names, %d have golden ones", len(errorsByName), len(all))
+	if len(knownErrors) != len(errorsByName) {
+		t.Errorf("%d refusals have names, %d have golden ones", len(errorsByName), len(knownErrors))
 	}
-	for _, err := range all {
+	for _, err := range knownErrors {
 		if got := toWireError(err).toError(); got != err {
 			t.Errorf("%v comes back as %v", err, got)
 		}
-		further := fmt.Errorf("%w: further", err)
-		if got := toWireError(further).toError(); !errors.Is(got, err) {
-			t.Errorf("%v comes back as %v", further, got)
+		wrapped := fmt.Errorf("%w: further", err)
+		if got := toWireError(wrapped).toError(); !errors.Is(got, err) {
+			t.Errorf("%v comes back as %v", wrapped, got)
 		}
 	}
 	stored, err := os.ReadFile(filepath.Join("testdata", "golden", "refusals.jsonl"))
@@ -175,41 +175,41 @@
 		t.Fatal(err)
 	}
 	lines := bytes.Split(bytes.TrimSpace(stored), []byte("\n"))
-	if len(lines) != len(all)+2 {
-		t.Fatalf("%d golden refusals, want %d, another and none", len(lines), len(all))
+	if len(lines) != len(knownErrors)+2 {
+		t.Fatalf("%d golden refusals, want %d, another and none", len(lines), len(knownErrors))
 	}
 	for i, line := range lines {
-		var r wireError
-		if err := json.Unmarshal(line, &r); err != nil {
+		var decoded wireError
+		if err := json.Unmarshal(line, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		if again, err := json.Marshal(r); err != nil || !bytes.Equal(again, line) {
-			t.Errorf("%s is written again as %s, %v", line, again, err)
+		if encoded, err := json.Marshal(decoded); err != nil || !bytes.Equal(encoded, line) {
+			t.Errorf("%s is written again as %s, %v", line, encoded, err)
 		}
-		switch got := r.toError(); {
-		case i < len(all) && (!errors.Is(got, all[i]) || toWireError(got).Name != r.Name || toWireError(all[i]).Name != r.Name):
-			t.Errorf("%s is read as %v, want %v", line, got, all[i])
-		case i == len(all) && (got == nil || got.Error() != "another" || toWireError(got) != r):
+		switch got := decoded.toError(); {
+		case i < len(knownErrors) && (!errors.Is(got, knownErrors[i]) || toWireError(got).Name != decoded.Name || toWireError(knownErrors[i]).Name != decoded.Name):
+			t.Errorf("%s is read as %v, want %v", line, got, knownErrors[i])
+		case i == len(knownErrors) && (got == nil || got.Error() != "another" || toWireError(got) != decoded):
 			t.Errorf("%s is read as %v", line, got)
-		case i > len(all) && (got != nil || toWireError(nil) != r):
+		case i > len(knownErrors) && (got != nil || toWireError(nil) != decoded):
 			t.Errorf("%s is read as %v, want none", line, got)
 		}
 	}
 }
 
 // A peer of another version recognises these texts, which net/rpc carries as they are.
-func TestErrorsOfCallsKeepTheirTexts(t *testing.T) {
+func TestRPCErrorTexts(t *testing.T) {
 	for err, want := range map[error]string{
 		lease.ErrNotLeader:      "not the leader",
 		lease.ErrAlreadyFounded: "the fleet is founded already",
 	} {
-		c, server := net.Pipe()
-		s := rpc.NewServer()
-		if e := s.RegisterName("Fleet", &failing{err}); e != nil {
-			t.Fatal(e)
+		clientConn, serverConn := net.Pipe()
+		server := rpc.NewServer()
+		if registerErr := server.RegisterName("Fleet", &failingService{err}); registerErr != nil {
+			t.Fatal(registerErr)
 		}
-		go s.ServeCodec(jsonrpc.NewServerCodec(server))
-		client := jsonrpc.NewClient(c)
+		go server.ServeCodec(jsonrpc.NewServerCodec(serverConn))
+		client := jsonrpc.NewClient(clientConn)
 		var reply struct{}
 		if got := call(client, "Fleet.Found", &BootstrapRequest{}, &reply, time.Second); got == nil || got.Error() != want {
 			t.Errorf("%q, want %q", got, want)
@@ -218,6 +218,6 @@
 	}
 }
 
-type failing struct{ err error }
+type failingService struct{ err error }
 
-func (f *failing) Found(*BootstrapRequest, *struct{}) error { return f.err }
+func (f *failingService) Found(*BootstrapRequest, *struct{}) error { return f.err }
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -14,7 +14,7 @@
 
 // A leader's disk stalls for longer than an entry may wait in the library's queue, and the leader goes on leading: what was
 // requested meanwhile is granted once it writes again, and not only under the next leader.
-func TestALeaderTooBusyForAnEntry(t *testing.T) {
+func TestLeaderGrantsPendingRequestsAfterDiskStall(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 4))
 	var leader *Voter
 	eventually(t, "nobody leads", func() bool {
@@ -33,8 +33,8 @@
 		eventually(t, "a node doesn't hold the lease of its name", func() bool {
 			leader.mu.Lock()
 			defer leader.mu.Unlock()
-			_, has := leader.state.Leases[nodeLease(n.config.Node)]
-			return has
+			_, found := leader.state.Leases[nodeLease(n.config.Node)]
+			return found
 		})
 	}
 	term := func() uint64 {
@@ -42,7 +42,7 @@
 		defer leader.mu.Unlock()
 		return leader.state.Term
 	}
-	was := term()
+	termBefore := term()
 	db := *(**bbolt.DB)(reflect.ValueOf(leader.store.BoltStore).Elem().FieldByName("conn").Addr().UnsafePointer())
 	tx, err := db.Begin(true) // the library's writes wait for it
 	if err != nil {
@@ -50,12 +50,12 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	var had atomic.Int32
-	var all sync.WaitGroup
+	var grants atomic.Int32
+	var claimants sync.WaitGroup
 	for i := range 8 {
-		all.Go(func() {
+		claimants.Go(func() {
 			nodes[3].client.Hold(ctx, fmt.Sprint("busy", i), func(ctx context.Context, _ *HeldLease) bool {
-				had.Add(1)
+				grants.Add(1)
 				<-ctx.Done()
 				return false
 			})
@@ -65,10 +65,10 @@
 	if err := tx.Rollback(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "requests to a busy leader are never granted", func() bool { return had.Load() >= 8 })
-	if now := term(); now != was {
-		t.Logf("term %d came after %d: this run shows nothing", now, was)
+	eventually(t, "requests to a busy leader are never granted", func() bool { return grants.Load() >= 8 })
+	if termAfter := term(); termAfter != termBefore {
+		t.Logf("term %d came after %d: this run shows nothing", termAfter, termBefore)
 	}
 	stop()
-	all.Wait()
+	claimants.Wait()
 }
--- a/internal/cluster/quorum_test.go
+++ b/internal/cluster/quorum_test.go
@@ -12,8 +12,8 @@
 // fixedTermVoter is a voter that reports a given term.
 type fixedTermVoter struct{ vote TermVote }
 
-func (x *fixedTermVoter) Term(_ *struct{}, w *TermVote) error {
-	*w = x.vote
+func (voter *fixedTermVoter) Term(_ *struct{}, reply *TermVote) error {
+	*reply = voter.vote
 	return nil
 }
 
@@ -23,8 +23,8 @@
 	var v *Voter
 	eventually(t, "no leader", func() bool {
 		for _, n := range nodes {
-			if x := n.voter(); x != nil && x.raft.State() == raft.Leader {
-				v = x
+			if candidate := n.voter(); candidate != nil && candidate.raft.State() == raft.Leader {
+				v = candidate
 			}
 		}
 		return v != nil && len(v.raft.GetConfiguration().Configuration().Servers) == 3
@@ -33,10 +33,10 @@
 		t.Error("the leader is not confirmed")
 	}
 	for _, c := range []struct {
-		what      string
-		otherID   bool
-		later     [2]uint64
-		confirmed bool
+		name       string
+		wrongID    bool
+		laterTerms [2]uint64
+		confirmed  bool
 	}{{"both follow", false, [2]uint64{0, 0}, true}, {"one has voted since", false, [2]uint64{1, 0}, true},
 		{"both have voted since", false, [2]uint64{1, 1}, false}, {"both are other voters", true, [2]uint64{0, 0}, false}} {
 		i := 0
@@ -45,25 +45,25 @@
 			if string(s.ID) == v.identity.ID {
 				continue
 			}
-			w := fixedTermVoter{TermVote{string(s.ID), v.raft.CurrentTerm() + c.later[i]}}
-			if c.otherID {
-				w.vote.ID += "x"
+			other := fixedTermVoter{TermVote{string(s.ID), v.raft.CurrentTerm() + c.laterTerms[i]}}
+			if c.wrongID {
+				other.vote.ID += "x"
 			}
 			i++
-			here, there := net.Pipe()
-			x := rpc.NewServer()
-			if err := x.RegisterName("Fleet", &w); err != nil {
+			clientConn, serverConn := net.Pipe()
+			server := rpc.NewServer()
+			if err := server.RegisterName("Fleet", &other); err != nil {
 				t.Fatal(err)
 			}
-			go x.ServeCodec(jsonrpc.NewServerCodec(there))
-			if before := v.peers.conns[s.ID]; before != nil {
-				_ = before.Close()
+			go server.ServeCodec(jsonrpc.NewServerCodec(serverConn))
+			if previous := v.peers.conns[s.ID]; previous != nil {
+				_ = previous.Close()
 			}
-			v.peers.conns[s.ID] = jsonrpc.NewClient(here)
+			v.peers.conns[s.ID] = jsonrpc.NewClient(clientConn)
 		}
 		v.peers.mu.Unlock()
 		if got := v.confirmLeadership(); got != c.confirmed {
-			t.Errorf("%s: %v", c.what, got)
+			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
--- a/internal/cluster/rollup_test.go
+++ b/internal/cluster/rollup_test.go
@@ -15,15 +15,15 @@
 
 // The roll-up goes on after the wall clock was stepped back by an hour, and after it was stepped forward: one line a period, each with a number of
 // its own.
-func TestTheRollUpGoesOnAfterAStepOfTheClock(t *testing.T) {
+func TestRollUpContinuesAfterWallClockStep(t *testing.T) {
 	var offset atomic.Int64
 	wallClock = func() time.Time { return clock.Wall().Add(time.Duration(offset.Load())) }
 	core, logs := observer.New(zap.InfoLevel)
-	all := clusterConfigs(t, 3)
+	configs := clusterConfigs(t, 3)
 	var nodes []*Member
-	for _, f := range all {
-		f.Tasks = []string{config.TaskRollUp}
-		nodes = append(nodes, Start(f, stubNode{"resolved": 1}, time.Second, 256, zap.New(core)))
+	for _, c := range configs {
+		c.Tasks = []string{config.TaskRollUp}
+		nodes = append(nodes, Start(c, stubNode{"resolved": 1}, time.Second, 256, zap.New(core)))
 	}
 	t.Cleanup(func() {
 		var closing sync.WaitGroup
@@ -33,7 +33,7 @@
 		closing.Wait()
 		wallClock = clock.Wall
 	})
-	c := NewClient(all[0], zap.NewNop())
+	c := NewClient(configs[0], zap.NewNop())
 	t.Cleanup(c.Close)
 	eventually(t, "the fleet is not founded", func() bool { return c.FoundCluster(0) == nil })
 	lines := func() int { return logs.FilterMessage("roll-up").Len() }
--- a/internal/cluster/task_probe_test.go
+++ b/internal/cluster/task_probe_test.go
@@ -21,51 +21,53 @@
 	healthyResult    atomic.Bool
 }
 
-func (s *ejectingNode) EjectedEndpoints() map[string]string { return map[string]string{"c": s.address} }
-func (s *ejectingNode) ProbeResult(id, address string, well bool, next time.Duration) {
-	if id == "c" && address == s.address && next > 0 {
-		if well {
-			s.healthyResult.Store(true)
+func (n *ejectingNode) EjectedEndpoints() map[string]string { return map[string]string{"c": n.address} }
+func (n *ejectingNode) ProbeResult(id, address string, healthy bool, next time.Duration) {
+	if id == "c" && address == n.address && next > 0 {
+		if healthy {
+			n.healthyResult.Store(true)
 		} else {
-			s.unhealthyResults.Add(1)
+			n.unhealthyResults.Add(1)
 		}
 	}
 }
 
 // A server fails, and all nodes eject it: one of them probes it for all, and all get the results, also of its recovery.
-func TestOneProbesForAll(t *testing.T) {
-	var hits atomic.Int32
-	var up atomic.Bool
+func TestProbeResultsSharedByAllNodes(t *testing.T) {
+	var requests atomic.Int32
+	var healthy atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if hits.Add(1); !up.Load() || r.URL.Path != "/up" {
+		if requests.Add(1); !healthy.Load() || r.URL.Path != "/up" {
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}))
 	defer server.Close()
-	all := clusterConfigs(t, 5)
-	var own []*ejectingNode
+	configs := clusterConfigs(t, 5)
+	var localNodes []*ejectingNode
 	var nodes []*Member
-	for _, f := range all {
-		f.Tasks, f.ProbePath = []string{config.TaskProbe}, "/up"
-		s := &ejectingNode{address: server.Listener.Addr().String()}
-		own, nodes = append(own, s), append(nodes, Start(f, s, time.Second, 256, zap.NewNop()))
+	for _, c := range configs {
+		c.Tasks, c.ProbePath = []string{config.TaskProbe}, "/up"
+		node := &ejectingNode{address: server.Listener.Addr().String()}
+		localNodes, nodes = append(localNodes, node), append(nodes, Start(c, node, time.Second, 256, zap.NewNop()))
 	}
 	defer func() {
-		for _, n := range nodes {
-			n.Close()
+		for _, node := range nodes {
+			node.Close()
 		}
 	}()
-	c := NewClient(all[0], zap.NewNop())
-	defer c.Close()
-	eventually(t, "not founded", func() bool { return c.FoundCluster(0) == nil })
-	heard := func(of func(s *ejectingNode) bool) func() bool {
-		return func() bool { return !slices.ContainsFunc(own, func(s *ejectingNode) bool { return !of(s) }) }
+	client := NewClient(configs[0], zap.NewNop())
+	defer client.Close()
+	eventually(t, "not founded", func() bool { return client.FoundCluster(0) == nil })
+	allNodes := func(received func(node *ejectingNode) bool) func() bool {
+		return func() bool {
+			return !slices.ContainsFunc(localNodes, func(node *ejectingNode) bool { return !received(node) })
+		}
 	}
-	eventually(t, "not all get the result that it is unhealthy", heard(func(s *ejectingNode) bool { return s.unhealthyResults.Load() > 0 }))
-	up.Store(true)
-	tried := hits.Load()
-	eventually(t, "not all get the result that it is healthy", heard(func(s *ejectingNode) bool { return s.healthyResult.Load() }))
-	if tried > 10 {
-		t.Errorf("%d probes of one server", tried)
+	eventually(t, "not all get the result that it is unhealthy", allNodes(func(node *ejectingNode) bool { return node.unhealthyResults.Load() > 0 }))
+	healthy.Store(true)
+	probesBeforeRecovery := requests.Load()
+	eventually(t, "not all get the result that it is healthy", allNodes(func(node *ejectingNode) bool { return node.healthyResult.Load() }))
+	if probesBeforeRecovery > 10 {
+		t.Errorf("%d probes of one server", probesBeforeRecovery)
 	}
 }
--- a/internal/cluster/voter_folder_test.go
+++ b/internal/cluster/voter_folder_test.go
@@ -15,8 +15,8 @@
 )
 
 // A folder that is another node's, or damaged, is refused with what was expected, and nothing in it changes.
-func TestFoldersThatCantBeUsed(t *testing.T) {
-	for want, spoil := range map[string]func(folder string) error{
+func TestVoterRefusesUnusableFolder(t *testing.T) {
+	for want, prepare := range map[string]func(folder string) error{
 		`is of node "x" in fleet "f", not of node "n0" in fleet "f"`: func(folder string) error {
 			_, err := voterstore.OpenIdentity(folder, "f", "x")
 			return err
@@ -39,40 +39,40 @@
 			return os.WriteFile(folder, nil, 0o600)
 		},
 	} {
-		f := clusterConfigs(t, 3)[0]
-		if err := spoil(f.DataDir); err != nil {
+		config := clusterConfigs(t, 3)[0]
+		if err := prepare(config.DataDir); err != nil {
 			t.Fatal(err)
 		}
-		before, _ := os.ReadFile(filepath.Join(f.DataDir, voterstore.IdentityFile))
-		n := Start(f, stubNode{}, time.Second, 256, zap.NewNop())
-		eventually(t, want, func() bool { return strings.Contains(n.status().VoterError, want) || n.voterID() != "" })
-		s := n.status()
-		n.Close()
-		if after, _ := os.ReadFile(filepath.Join(f.DataDir, voterstore.IdentityFile)); s.Voter || string(after) != string(before) {
-			t.Errorf("%s: %+v, and the identity was %q, is %q", want, s, before, after)
+		before, _ := os.ReadFile(filepath.Join(config.DataDir, voterstore.IdentityFile))
+		node := Start(config, stubNode{}, time.Second, 256, zap.NewNop())
+		eventually(t, want, func() bool { return strings.Contains(node.status().VoterError, want) || node.voterID() != "" })
+		status := node.status()
+		node.Close()
+		if after, _ := os.ReadFile(filepath.Join(config.DataDir, voterstore.IdentityFile)); status.Voter || string(after) != string(before) {
+			t.Errorf("%s: %+v, and the identity was %q, is %q", want, status, before, after)
 		}
 	}
 }
 
 // A log that was truncated at any of many places is either read whole or refused; the process goes on either way.
-func TestALogCutShort(t *testing.T) {
+func TestCheckLogOfTruncatedLog(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	path := filepath.Join(nodes[0].config.DataDir, voterstore.LogFile)
 	for _, n := range nodes {
 		n.Close()
 	}
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	refused := 0
-	for cut := 0; cut < len(whole); cut += 997 {
-		short := filepath.Join(t.TempDir(), "log")
-		if err := os.WriteFile(short, whole[:cut], 0o600); err != nil {
+	for size := 0; size < len(complete); size += 997 {
+		truncated := filepath.Join(t.TempDir(), "log")
+		if err := os.WriteFile(truncated, complete[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if voterstore.CheckLog(short) != nil {
+		if voterstore.CheckLog(truncated) != nil {
 			refused++
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 // A voter whose files can't grow ends; its node goes on, and so do the other voters.
-func TestAFolderThatIsFull(t *testing.T) {
+func TestVoterEndsWhenFileCannotGrow(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	nodes[0].voter().shutdownOnce.fail(syscall.EFBIG)
