--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -22,6 +22,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
@@ -31,7 +32,7 @@
 // headerBytes is the size of the IP and TCP headers of a segment: 20 bytes each, and 12 for timestamps.
 const headerBytes = 52
 
-// bytesOnWire returns what the kernel has sent and received on a connection: segments with their headers.
+// bytesOnWire returns the bytes that the kernel has sent and received on a connection, including the headers of segments.
 func bytesOnWire(b *testing.B, c net.Conn) (sent, received float64) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -44,7 +45,8 @@
 	return float64(info.Bytes_sent) + headerBytes*float64(info.Segs_out), float64(info.Bytes_received) + headerBytes*float64(info.Segs_in)
 }
 
-// leaderClient returns a node's connection to the leader of three voters, and the request that renews the lease of its name.
+// leaderClient starts three voters. It returns a node's client, its connection to the leader, and the request that renews the
+// lease of the node's name.
 func leaderClient(b *testing.B) (c *Client, conn net.Conn, renewal lease.Request) {
 	configs := clusterConfigs(b, 3)
 	nodes := startCluster(b, configs)
@@ -84,7 +86,7 @@
 	b.ReportMetric((receivedAfter-received)/float64(b.N), "in-B/op")
 }
 
-// BenchmarkARenewal is one node's renewal on the wire.
+// BenchmarkRenewalBytes measures one node's renewal of its lease.
 func BenchmarkRenewalBytes(b *testing.B) {
 	c, conn, renewal := leaderClient(b)
 	measureCall(b, conn, func() error {
@@ -96,7 +98,7 @@
 	})
 }
 
-// BenchmarkAWait is one request for a task that another holds, which is refused.
+// BenchmarkRefusedAcquireBytes measures one request for the lease of a task that another node holds, which is refused.
 func BenchmarkRefusedAcquireBytes(b *testing.B) {
 	c, conn, renewal := leaderClient(b)
 	if response, err := c.send(lease.Request{Operation: lease.OpAcquire, Name: "probe", Holder: renewal.Holder}); err != nil || response.Err != nil {
@@ -109,7 +111,7 @@
 	})
 }
 
-// BenchmarkAReport reports a number of ejected servers to the leader, and gets the results of their probes.
+// BenchmarkEjectionReportBytes measures one report of ejected servers to the leader, which returns the results of their probes.
 func BenchmarkEjectionReportBytes(b *testing.B) {
 	for _, ejected := range []int{1, 10, 70, 248, 1000} {
 		b.Run(fmt.Sprint("resting=", ejected), func(b *testing.B) {
@@ -135,7 +137,7 @@
 				var statuses []lease.ProbeStatus
 				err := c.callCurrent("Fleet.Rest", report, &statuses)
 				if err == nil && len(statuses) != ejected {
-					err = fmt.Errorf("news of %d of %d", len(statuses), ejected)
+					err = fmt.Errorf("%d probe statuses of %d servers", len(statuses), ejected)
 				}
 				return err
 			})
@@ -143,7 +145,7 @@
 	}
 }
 
-// BenchmarkAnAsking is one quota request for a number of budgets: without updates, and with updates of all.
+// BenchmarkQuotaRequestBytes measures one quota request for a number of budgets, without updates and with updates of all budgets.
 func BenchmarkQuotaRequestBytes(b *testing.B) {
 	for _, updates := range []bool{false, true} {
 		for _, budgets := range []int{1, 2, 4, 8} {
@@ -156,7 +158,7 @@
 					request.Holdings = append(request.Holdings, budget.Holding{Budget: name, Demand: 3, ShrinkTo: -1})
 				}
 				var response QuotaResponse
-				eventually(b, "no parts", func() bool {
+				eventually(b, "no quotas granted", func() bool {
 					response = QuotaResponse{}
 					if err := c.callCurrentTimeout("Fleet.Part", &request, &response, time.Second); err != nil {
 						b.Fatal(err)
@@ -176,14 +178,14 @@
 				})
 				if request.Declared, request.Wait = nil, 0; updates {
 					for i := range request.Holdings {
-						request.Holdings[i].Token = 1 // an earlier one
+						request.Holdings[i].Token = 1 // outdated, so that the response has an update
 					}
 				}
 				measureCall(b, conn, func() error {
 					response = QuotaResponse{}
 					err := c.callCurrentTimeout("Fleet.Part", &request, &response, time.Second)
 					if err == nil && updates != (len(response.Updates) == budgets) {
-						err = fmt.Errorf("%d news", len(response.Updates))
+						err = fmt.Errorf("%d updates", len(response.Updates))
 					}
 					return err
 				})
@@ -192,7 +194,7 @@
 	}
 }
 
-// relay forwards connections to an address, and counts bytes both ways, without headers.
+// startRelay forwards connections to an address, and counts the bytes in both directions, without headers.
 func startRelay(b *testing.B, target string) (address string, counted *relayTraffic) {
 	counted = new(relayTraffic)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -226,7 +228,7 @@
 	return l.Addr().String(), counted
 }
 
-// traffic counts what a relay has forwarded. A write is a message or a few that came together.
+// relayTraffic counts the bytes and writes that a relay has forwarded. A write has one message, or several that arrived together.
 type relayTraffic struct{ bytes, writes atomic.Int64 }
 
 type countingWriter struct {
@@ -241,8 +243,8 @@
 	return n, err
 }
 
-// BenchmarkPeace is a second of three idle voters in one process with leases of 3 s: the bytes of heartbeats and of renewals of
-// their names, and the processor time. Bytes go through relays, whose processor time is included.
+// BenchmarkIdleVoters runs three idle voters in one process with leases of 3 s for a second per iteration. It reports the bytes of
+// heartbeats and of renewals of the nodes' leases, and the processor time, which includes that of the relays that count the bytes.
 func BenchmarkIdleVoters(b *testing.B) {
 	configs := clusterConfigs(b, 3)
 	var relays []*relayTraffic
@@ -276,7 +278,7 @@
 	b.ReportMetric(100*(processorTime()-used).Seconds()/seconds, "%core")
 }
 
-// startHolders holds a number of leases of 3 s, each over its own connection, and counts those that are lost.
+// startHolders acquires and holds a number of leases of 3 s, each over its own connection, and counts the lost leases.
 func startHolders(b *testing.B, holders int) (lost *atomic.Int64) {
 	configs := clusterConfigs(b, 3)
 	for _, nodeConfig := range configs {
@@ -311,7 +313,7 @@
 	return lost
 }
 
-// BenchmarkHolders renews a number of leases at their holders' rate, once a second each, and reports the processor time of
+// BenchmarkHolders holds a number of leases, which their holders renew once a second each. It reports the processor time of
 // holders and voters together.
 func BenchmarkHolders(b *testing.B) {
 	for _, holders := range []int{50, 100, 200, 400, 800, 900, 1000} {
@@ -329,8 +331,8 @@
 	}
 }
 
-// BenchmarkStall suspends voters and holders, which are one process, for a third of a lease: all calls time out, another voter
-// leads, and all holders reconnect. It reports how many lose their leases. Run it with -benchtime 1x.
+// BenchmarkStall suspends voters and holders, which run in one process, for a third of a lease. All calls time out, another voter
+// becomes leader, and all holders reconnect. It reports the number of lost leases. Run it with -benchtime 1x.
 func BenchmarkStall(b *testing.B) {
 	for _, holders := range []int{100, 200, 400, 500, 600, 800} {
 		b.Run(fmt.Sprint("holders=", holders), func(b *testing.B) {
--- a/internal/cluster/bench_voters_test.go
+++ b/internal/cluster/bench_voters_test.go
@@ -19,7 +19,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// BenchmarkRenewals renews the leases of 300 holders at three voters in one process, each over its own connection.
+// BenchmarkRenewals renews the leases of 300 holders, each over its own connection, with three voters in the same process.
 func BenchmarkRenewals(b *testing.B) {
 	configs := clusterConfigs(b, 3)
 	nodes := startCluster(b, configs)
@@ -62,7 +62,7 @@
 	b.ReportMetric(float64(after.Entries-before.Entries-holders), "entries")
 }
 
-// BenchmarkRecovery starts a voter on a folder with a log of 16 MB, until it leads again.
+// BenchmarkRecovery measures the time from the start of a voter on a folder with a log of 16 MB until it is the leader.
 func BenchmarkRecovery(b *testing.B) {
 	config := clusterConfigs(b, 3)[0]
 	identity, err := voterstore.OpenIdentity(config.DataDir, config.Name, config.Node)
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -15,7 +15,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// stubNode is a node with fixed totals, without servers and quotas.
+// stubNode is a LocalNode with fixed metrics, without endpoints and quotas.
 type stubNode map[string]int64
 
 func (f stubNode) Metrics() map[string]int64                     { return f }
@@ -25,7 +25,7 @@
 	return u
 }
 
-// clusterConfigs returns the configurations of three voters and further nodes.
+// clusterConfigs returns the configurations of nodeCount nodes, the first three of which are voters.
 func clusterConfigs(t testing.TB, nodeCount int) (configs []*config.Cluster) {
 	t.Helper()
 	var voters []config.Voter
@@ -68,7 +68,7 @@
 	}
 }
 
-// eventually waits until a condition holds.
+// eventually waits until the condition holds, and fails the test with the failure text after 20 s.
 func eventually(t testing.TB, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
--- a/internal/cluster/connections_test.go
+++ b/internal/cluster/connections_test.go
@@ -18,7 +18,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// slowNode is a node whose metrics wait until the test lets them go.
+// slowNode is a node whose Metrics method reports its call and blocks until the test closes release.
 type slowNode struct {
 	stubNode
 	called  chan struct{}
@@ -31,7 +31,7 @@
 	return s.stubNode
 }
 
-// metricsListener is a listener that answers calls about metrics.
+// metricsListener starts a listener that serves the RPC calls of a node.
 func metricsListener(t *testing.T, limit int, minIdle time.Duration, node LocalNode) (listener *transport.Listener, dialer transport.Dialer, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,8 +45,8 @@
 	return listener, transport.Dialer{Cluster: "f", Node: "n"}, l.Addr().String()
 }
 
-// After a stall each node has a connection that it no longer uses beside its new one. With a limit of one for each node, all get
-// their calls through, and the limit holds.
+// After a stall each node has an unused old connection besides its new one. With a limit of one connection per node, the calls of
+// all nodes have to succeed, and the number of connections may not exceed the limit.
 func TestIdleConnectionEvictedForNewOne(t *testing.T) {
 	const nodes = 40
 	listener, dialer, address := metricsListener(t, nodes, 20*time.Millisecond, stubNode{"resolved": 7})
@@ -57,7 +57,7 @@
 			_ = c.Close()
 		}
 	}()
-	for round := range 3 { // a node reconnects more than once
+	for round := range 3 { // nodes reconnect more than once
 		var callers sync.WaitGroup
 		for node := range nodes {
 			callers.Go(func() {
@@ -69,13 +69,13 @@
 					}
 					conn, metrics := jsonrpc.NewClient(c), map[string]int64{}
 					mu.Lock()
-					opened = append(opened, conn) // none is closed from here
+					opened = append(opened, conn) // the client closes none of them before the end of the test
 					mu.Unlock()
 					if err = call(conn, "Fleet.Figures", &struct{}{}, &metrics, 5*time.Second); err == nil && metrics["resolved"] == 7 {
 						return
 					}
 				}
-				t.Errorf("round %d: node %d did not get its call through: %v", round, node, err)
+				t.Errorf("round %d: call of node %d failed: %v", round, node, err)
 			})
 		}
 		done := make(chan struct{})
@@ -87,7 +87,7 @@
 			case <-time.After(time.Millisecond):
 			}
 			if open, idleCount := listener.Connections(); open > nodes || idleCount > open {
-				t.Fatalf("%d connections are open, %d of them idle, over %d", open, idleCount, nodes)
+				t.Fatalf("%d connections open, %d of them idle, limit %d", open, idleCount, nodes)
 			}
 		}
 		if t.Failed() {
@@ -96,8 +96,8 @@
 	}
 }
 
-// A connection with a call in progress isn't evicted, nor one for consensus, nor a voter's for its quorum rounds, however long
-// each has been so. Where there are no others a further one is closed at once.
+// Connections with a call in progress, connections for consensus and a voter's connections for quorum rounds are never evicted,
+// however long they are idle or in use. If all connections are of these kinds, a further connection is closed at once.
 func TestConnectionInUseNotEvicted(t *testing.T) {
 	node := slowNode{stubNode{"resolved": 7}, make(chan struct{}), make(chan struct{})}
 	listener, dialer, address := metricsListener(t, 4, time.Millisecond, node)
@@ -131,24 +131,24 @@
 	voterConn := dial(transport.PurposeRPC, "v")
 	firstCall := startCall(dial(transport.PurposeRPC, ""))
 	idleConn := dial(transport.PurposeRPC, "")
-	eventually(t, "it is not idle", func() bool { _, idleConn := listener.Connections(); return idleConn == 1 })
+	eventually(t, "connection is not idle", func() bool { _, idleCount := listener.Connections(); return idleCount == 1 })
 	time.Sleep(5 * time.Millisecond)
-	secondCall := startCall(dial(transport.PurposeRPC, "")) // evicts idle
+	secondCall := startCall(dial(transport.PurposeRPC, "")) // evicts idleConn
 	_ = idleConn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := idleConn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the idle one was not evicted: %v", err)
+		t.Errorf("idle connection was not evicted: %v", err)
 	}
 	for range 20 {
 		time.Sleep(2 * time.Millisecond)
 		if c, err := dialer.Dial(address, transport.PurposeRPC, "", 5*time.Second); err == nil {
 			_ = c.Close()
-			t.Fatal("a connection in use was evicted")
+			t.Fatal("a connection in use was evicted for a new one")
 		}
 	}
 	close(node.release)
 	for _, result := range []<-chan error{firstCall, secondCall} {
 		if err := <-result; err != nil {
-			t.Errorf("a call in progress: %v", err)
+			t.Errorf("call in progress failed: %v", err)
 		}
 	}
 	if _, err := acceptedRaftConn.Write([]byte("x")); err != nil {
@@ -156,18 +156,19 @@
 	}
 	_ = raftConn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := raftConn.Read(make([]byte, 1)); err != nil {
-		t.Errorf("the connection for consensus: %v", err)
+		t.Errorf("connection for consensus failed: %v", err)
 	}
 	go func() { <-node.called }()
 	var metrics map[string]int64
 	if err := jsonrpc.NewClient(voterConn).Call("Fleet.Figures", &struct{}{}, &metrics); err != nil {
-		t.Errorf("the voter's for its quorum rounds: %v", err)
+		t.Errorf("voter's connection for quorum rounds failed: %v", err)
 	}
 }
 
-// countingVoter stands for a voter: it names the leader, or grants a token, and lets one request wait.
+// stubVoter is the RPC service of a voter. It names the leader or grants a token, and blocks the request named slow until the
+// test closes release.
 type stubVoter struct {
-	leader          string // empty: it leads itself
+	leader          string // address; empty if this voter is the leader
 	called, release chan struct{}
 }
 
@@ -185,7 +186,8 @@
 	return nil
 }
 
-// A connection that leads to no leader is closed with the last call on it, which gets its response, and not half a lease later.
+// A client drops a connection to a voter that isn't the leader. The connection has to stay open until its last pending call gets
+// the response, and has to be closed then, not half a lease later.
 func TestDroppedConnectionClosedAfterLastCall(t *testing.T) {
 	serve := func(voter *stubVoter) (listener *transport.Listener, address string) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -221,22 +223,22 @@
 		}
 	}
 	if leaderConns, _ := leaderListener.Connections(); leaderConns != 1 {
-		t.Errorf("%d connections to the leader", leaderConns)
+		t.Errorf("%d connections to the leader, want 1", leaderConns)
 	}
 	if followerConns, _ := followerListener.Connections(); followerConns != 1 {
-		t.Errorf("%d connections to the other, by which a call is pending", followerConns)
+		t.Errorf("%d connections to the follower while a call is pending, want 1", followerConns)
 	}
 	close(follower.release)
 	if got := <-result; got != "2 <nil> <nil>" {
-		t.Errorf("the call on what was dropped: %s", got)
+		t.Errorf("call on the dropped connection: %s", got)
 	}
-	eventually(t, "the other's connection stays", func() bool { followerConns, _ := followerListener.Connections(); return followerConns == 0 })
+	eventually(t, "the connection to the follower is not closed", func() bool { followerConns, _ := followerListener.Connections(); return followerConns == 0 })
 	if response, err := c.send(lease.Request{Name: "n"}); err != nil || response.Token != 1 {
 		t.Errorf("%+v, %v", response, err)
 	}
 	if leaderConns, _ := leaderListener.Connections(); leaderConns != 1 || len(c.pendingCalls) != 0 {
-		t.Errorf("%d connections to the leader, pending calls: %v", leaderConns, c.pendingCalls)
+		t.Errorf("%d connections to the leader, want 1; pending calls %v, want none", leaderConns, c.pendingCalls)
 	}
-	c.dropConn(c.conn, "") // with none pending
-	eventually(t, "the leader's connection stays", func() bool { leaderConns, _ := leaderListener.Connections(); return leaderConns == 0 })
+	c.dropConn(c.conn, "") // without pending calls
+	eventually(t, "the connection to the leader is not closed", func() bool { leaderConns, _ := leaderListener.Connections(); return leaderConns == 0 })
 }
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -20,10 +20,10 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// update rewrites the golden files. A file that changes breaks peers of another version, or stored data.
-var update = flag.Bool("update", false, "write the golden files anew")
+// update rewrites the golden files. A changed file means that peers of another version, or stored data, can't be read.
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares bytes with a file under testdata/golden.
+// compareGolden compares bytes with a file under testdata/golden, and returns the file.
 func compareGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	got = append(bytes.TrimSuffix(got, []byte("\n")), '\n')
@@ -46,7 +46,7 @@
 	return want
 }
 
-// goldenForm encodes a value as it is sent or stored, compares that with the golden file, and decodes it again.
+// checkGoldenJSON encodes a value, compares the JSON with the golden file, and checks that the file decodes to the same value.
 func checkGoldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
 	written, err := json.Marshal(value)
@@ -56,7 +56,7 @@
 	stored := compareGolden(t, name, written)
 	read := reflect.New(reflect.TypeOf(value))
 	if err := json.Unmarshal(stored, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), value) {
-		t.Errorf("%s: read as %+v, %v, want %+v", name, read.Elem(), err, value)
+		t.Errorf("%s: decoded as %+v, %v, want %+v", name, read.Elem(), err, value)
 	}
 }
 
@@ -64,11 +64,11 @@
 	checkGoldenJSON(t, "voter.json", voterstore.Identity{Cluster: "f", Node: "n1", ID: "n1.0badcafe"})
 	checkGoldenJSON(t, "roll-up.json", rollUpReport{Nodes: 2, Missing: []string{"n3"}, Sums: map[string]int64{"served": 7}})
 	if voterstore.IdentityFile != "voter.json" || voterstore.LogFile != "log.db" {
-		t.Error("files of a voter's folder have other names")
+		t.Error("files of the voter folder are renamed")
 	}
 }
 
-// conn keeps what is written, and reads what it was given.
+// bufferConn is a connection that reads from one buffer and writes to another.
 type bufferConn struct {
 	net.Conn
 	in, out bytes.Buffer
@@ -84,7 +84,7 @@
 	goldenBudget       = lease.Budget{BudgetConfig: goldenBudgetConfig, Quotas: map[string]lease.Quota{"node/n1": {Token: 19, Units: 7}}}
 )
 
-// goldenCalls has each call with its argument and its answer.
+// goldenCalls returns the argument and the reply of each RPC method.
 func goldenCalls() map[string][2]any {
 	return map[string][2]any{
 		"Ask": {LeaseRequest{Kind: lease.OpEffect, Name: "roll-up", Effect: "roll-up/x", Holder: goldenHolder, Token: 19, Number: 5, Wait: 7500, Value: []byte("v")},
@@ -116,11 +116,11 @@
 func TestRPCWireFormat(t *testing.T) {
 	methods := reflect.TypeFor[*rpcService]()
 	if n := methods.NumMethod(); n != len(goldenCalls()) {
-		t.Errorf("%d calls are served, %d have golden files", n, len(goldenCalls()))
+		t.Errorf("%d RPC methods are served, %d have golden files", n, len(goldenCalls()))
 	}
 	for method, messages := range goldenCalls() {
 		if _, served := methods.MethodByName(method); !served {
-			t.Errorf("Fleet.%s is not served any more", method)
+			t.Errorf("RPC method Fleet.%s is not served", method)
 		}
 		var clientConn, serverConn bufferConn
 		client := jsonrpc.NewClientCodec(&clientConn)
@@ -136,7 +136,7 @@
 			t.Fatal(method, err)
 		}
 		if header.ServiceMethod != "Fleet."+method || !reflect.DeepEqual(args.Elem().Interface(), messages[0]) {
-			t.Errorf("%s: read as %+v, want %+v", header.ServiceMethod, args.Elem(), messages[0])
+			t.Errorf("%s: argument decoded as %+v, want %+v", header.ServiceMethod, args.Elem(), messages[0])
 		}
 		if err := server.WriteResponse(&rpc.Response{Seq: header.Seq}, messages[1]); err != nil {
 			t.Fatal(err)
@@ -148,26 +148,26 @@
 			t.Fatal(method, err)
 		}
 		if !reflect.DeepEqual(reply.Elem().Interface(), messages[1]) {
-			t.Errorf("%s: answer read as %+v, want %+v", method, reply.Elem(), messages[1])
+			t.Errorf("%s: reply decoded as %+v, want %+v", method, reply.Elem(), messages[1])
 		}
 	}
 }
 
-// Peers recognise errors by these names. The text is for people: one that a peer of another version writes otherwise still comes
-// back as the same error.
+// Peers identify errors by these names. An error whose text differs, as that of a peer of another version may, has to decode to
+// the same error.
 func TestWireErrorNames(t *testing.T) {
 	knownErrors := []error{lease.ErrHeld, lease.ErrLeaseExpired, lease.ErrDuplicate, lease.ErrStaleTerm, lease.ErrLimitExceeded, lease.ErrMalformed, lease.ErrNotFounded,
 		lease.ErrAlreadyFounded, lease.ErrNotLeader, lease.ErrStillHeld, lease.ErrWithdrawn}
 	if len(knownErrors) != len(errorsByName) {
-		t.Errorf("%d refusals have names, %d have golden ones", len(errorsByName), len(knownErrors))
+		t.Errorf("%d errors have wire names, %d are tested", len(errorsByName), len(knownErrors))
 	}
 	for _, err := range knownErrors {
 		if got := toWireError(err).toError(); got != err {
-			t.Errorf("%v comes back as %v", err, got)
+			t.Errorf("%v decoded as %v", err, got)
 		}
 		wrapped := fmt.Errorf("%w: further", err)
 		if got := toWireError(wrapped).toError(); !errors.Is(got, err) {
-			t.Errorf("%v comes back as %v", wrapped, got)
+			t.Errorf("%v decoded as %v", wrapped, got)
 		}
 	}
 	stored, err := os.ReadFile(filepath.Join("testdata", "golden", "refusals.jsonl"))
@@ -176,7 +176,7 @@
 	}
 	lines := bytes.Split(bytes.TrimSpace(stored), []byte("\n"))
 	if len(lines) != len(knownErrors)+2 {
-		t.Fatalf("%d golden refusals, want %d, another and none", len(lines), len(knownErrors))
+		t.Fatalf("%d golden errors, want %d known ones, another one and none", len(lines), len(knownErrors))
 	}
 	for i, line := range lines {
 		var decoded wireError
@@ -184,20 +184,20 @@
 			t.Fatal(err)
 		}
 		if encoded, err := json.Marshal(decoded); err != nil || !bytes.Equal(encoded, line) {
-			t.Errorf("%s is written again as %s, %v", line, encoded, err)
+			t.Errorf("%s encoded again as %s, %v", line, encoded, err)
 		}
 		switch got := decoded.toError(); {
 		case i < len(knownErrors) && (!errors.Is(got, knownErrors[i]) || toWireError(got).Name != decoded.Name || toWireError(knownErrors[i]).Name != decoded.Name):
-			t.Errorf("%s is read as %v, want %v", line, got, knownErrors[i])
+			t.Errorf("%s decoded as %v, want %v", line, got, knownErrors[i])
 		case i == len(knownErrors) && (got == nil || got.Error() != "another" || toWireError(got) != decoded):
-			t.Errorf("%s is read as %v", line, got)
+			t.Errorf("%s decoded as %v", line, got)
 		case i > len(knownErrors) && (got != nil || toWireError(nil) != decoded):
-			t.Errorf("%s is read as %v, want none", line, got)
+			t.Errorf("%s decoded as %v, want none", line, got)
 		}
 	}
 }
 
-// A peer of another version recognises these texts, which net/rpc carries as they are.
+// Peers of other versions identify these errors by their texts, which net/rpc sends unchanged.
 func TestRPCErrorTexts(t *testing.T) {
 	for err, want := range map[error]string{
 		lease.ErrNotLeader:      "not the leader",
@@ -218,6 +218,7 @@
 	}
 }
 
+// failingService is an RPC service whose calls return an error.
 type failingService struct{ err error }
 
 func (f *failingService) Found(*BootstrapRequest, *struct{}) error { return f.err }
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -12,12 +12,13 @@
 	"go.etcd.io/bbolt"
 )
 
-// A leader's disk stalls for longer than an entry may wait in the library's queue, and the leader goes on leading: what was
-// requested meanwhile is granted once it writes again, and not only under the next leader.
+// The leader's disk stalls, so the library accepts no entries for some time, and the leader stays leader. A proposal that timed
+// out during the stall would not be repeated before the next term. So requests that arrive during the stall have to be granted
+// when the disk writes again, without waiting for another leader.
 func TestLeaderGrantsPendingRequestsAfterDiskStall(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 4))
 	var leader *Voter
-	eventually(t, "nobody leads", func() bool {
+	eventually(t, "no leader", func() bool {
 		for _, n := range nodes[:3] {
 			v := n.voter()
 			v.mu.Lock()
@@ -29,8 +30,8 @@
 		}
 		return leader != nil
 	})
-	for _, n := range nodes { // the leases of their names
-		eventually(t, "a node doesn't hold the lease of its name", func() bool {
+	for _, n := range nodes { // wait until all hold the leases of their names
+		eventually(t, "a node does not hold the lease of its name", func() bool {
 			leader.mu.Lock()
 			defer leader.mu.Unlock()
 			_, found := leader.state.Leases[nodeLease(n.config.Node)]
@@ -44,7 +45,7 @@
 	}
 	termBefore := term()
 	db := *(**bbolt.DB)(reflect.ValueOf(leader.store.BoltStore).Elem().FieldByName("conn").Addr().UnsafePointer())
-	tx, err := db.Begin(true) // the library's writes wait for it
+	tx, err := db.Begin(true) // blocks the library's writes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,9 +66,9 @@
 	if err := tx.Rollback(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "requests to a busy leader are never granted", func() bool { return grants.Load() >= 8 })
+	eventually(t, "requests during the stall are not granted", func() bool { return grants.Load() >= 8 })
 	if termAfter := term(); termAfter != termBefore {
-		t.Logf("term %d came after %d: this run shows nothing", termAfter, termBefore)
+		t.Logf("leader changed, term %d after %d: this run proves nothing", termAfter, termBefore)
 	}
 	stop()
 	claimants.Wait()
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -15,7 +15,8 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// Claimants on all nodes count under one lease: never two at once, each with its own token.
+// Claimants on all nodes acquire one lease in turn. At no time may two of them hold it, no token may be granted twice, and the
+// state has to refuse an effect with a number that was used before.
 func TestLeaseHeldByOneNodeAtATime(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 5))
 	var holders, grants atomic.Int32
@@ -28,17 +29,17 @@
 		claimants.Go(func() {
 			node.client.Hold(ctx, "count", func(_ context.Context, held *HeldLease) bool {
 				if holders.Add(1) != 1 {
-					t.Error("two at once")
+					t.Error("two claimants hold the lease at the same time")
 				}
 				mu.Lock()
 				if tokens[held.Token()] {
-					t.Errorf("token %d twice", held.Token())
+					t.Errorf("token %d granted twice", held.Token())
 				}
 				tokens[held.Token()] = true
 				mu.Unlock()
 				err := held.SetEffect("count", held.Token(), nil)
 				if repeatErr := held.SetEffect("count", held.Token(), nil); err == nil && repeatErr == nil {
-					t.Errorf("token %d acts twice with one number", held.Token())
+					t.Errorf("token %d: effect applied twice with the same number", held.Token())
 				}
 				holders.Add(-1)
 				return grants.Add(1) < 40
@@ -48,11 +49,11 @@
 	}
 	claimants.Wait()
 	if grants.Load() < 40 {
-		t.Errorf("held %d times", grants.Load())
+		t.Errorf("lease granted %d times, want 40", grants.Load())
 	}
 }
 
-// Two nodes with one name: the second doesn't get the lease of the name until the first has gone.
+// Two nodes have the same name. The second may not acquire the lease of the name while the first one holds it.
 func TestNodeLeaseWithDuplicateNodeName(t *testing.T) {
 	configs := clusterConfigs(t, 5)
 	configs[4].Node = configs[3].Node
@@ -66,18 +67,19 @@
 		}
 		return current
 	}
-	eventually(t, "nobody holds the lease", func() bool { return holder().Name != "" })
+	eventually(t, "no node holds the lease of the name", func() bool { return holder().Name != "" })
 	firstHolder := holder()
 	time.Sleep(2 * configs[0].Lease)
 	if holder() != firstHolder {
-		t.Error("both had it in turn")
+		t.Error("the lease of the name passed from one node to the other")
 	}
 	nodes[3].Close()
 	nodes[4].Close()
-	eventually(t, "it is not released", func() bool { return holder().Name == "" })
+	eventually(t, "the lease of the name is not released", func() bool { return holder().Name == "" })
 }
 
-// A connection from another cluster, or for a voter that has lost its folder, is refused with the reason.
+// A connection from another cluster, for a voter that has lost its folder, or with an unknown purpose is refused with the reason.
+// So are a second founding, the removal of an unknown voter and the addition of a present one.
 func TestDialAndMembershipChangeRefused(t *testing.T) {
 	configs := clusterConfigs(t, 3)
 	startCluster(t, configs)
@@ -88,12 +90,12 @@
 	} {
 		_, err := transport.Dialer{Cluster: dial.cluster, Node: "x"}.Dial(configs[0].Address, dial.purpose, dial.voterID, time.Second)
 		if !errors.Is(err, transport.ErrRefused) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: want %s", err, want)
+			t.Errorf("dial error %v, want %s", err, want)
 		}
 	}
 	client := NewClient(configs[0], zap.NewNop())
 	if err := client.FoundCluster(0); !errors.Is(err, lease.ErrAlreadyFounded) {
-		t.Errorf("founded again: %v", err)
+		t.Errorf("second FoundCluster: %v, want %v", err, lease.ErrAlreadyFounded)
 	}
 	for want, change := range map[string]MembershipChange{"is no voter": {Remove: "n9"}, "is a voter already": {Add: "n1", Address: configs[1].Address}} {
 		if _, err := client.Change(change); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/cluster/quorum_test.go
+++ b/internal/cluster/quorum_test.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// fixedTermVoter is a voter that reports a given term.
+// fixedTermVoter is the RPC service of a voter that reports a fixed term.
 type fixedTermVoter struct{ vote TermVote }
 
 func (voter *fixedTermVoter) Term(_ *struct{}, reply *TermVote) error {
@@ -17,7 +17,8 @@
 	return nil
 }
 
-// A quorum round counts a voter that has the expected id and has voted in no later term; two of three with the leader are enough.
+// A quorum round counts a voter that has the expected id and has voted in no later term. The leader and one of the two other
+// voters are a majority.
 func TestQuorumRound(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 3))
 	var v *Voter
@@ -30,15 +31,15 @@
 		return v != nil && len(v.raft.GetConfiguration().Configuration().Servers) == 3
 	})
 	if !v.confirmLeadership() {
-		t.Error("the leader is not confirmed")
+		t.Error("quorum round with real voters does not confirm the leader")
 	}
 	for _, c := range []struct {
 		name       string
 		wrongID    bool
 		laterTerms [2]uint64
 		confirmed  bool
-	}{{"both follow", false, [2]uint64{0, 0}, true}, {"one has voted since", false, [2]uint64{1, 0}, true},
-		{"both have voted since", false, [2]uint64{1, 1}, false}, {"both are other voters", true, [2]uint64{0, 0}, false}} {
+	}{{"both have no later term", false, [2]uint64{0, 0}, true}, {"one has voted in a later term", false, [2]uint64{1, 0}, true},
+		{"both have voted in a later term", false, [2]uint64{1, 1}, false}, {"both have another id", true, [2]uint64{0, 0}, false}} {
 		i := 0
 		v.peers.mu.Lock()
 		for _, s := range v.raft.GetConfiguration().Configuration().Servers {
@@ -63,7 +64,7 @@
 		}
 		v.peers.mu.Unlock()
 		if got := v.confirmLeadership(); got != c.confirmed {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: confirmLeadership() = %v, want %v", c.name, got, c.confirmed)
 		}
 	}
 }
--- a/internal/cluster/quotas_test.go
+++ b/internal/cluster/quotas_test.go
@@ -14,7 +14,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// budgetedNode is a node that is asked to act, as far as its parts go.
+// budgetedNode is a node with a fixed demand, which records its quota.
 type budgetedNode struct {
 	stubNode
 	mu     sync.Mutex
@@ -39,8 +39,8 @@
 	return n.quota.ThenBurst
 }
 
-// Nodes get quotas, never more than the limit together; an operator changes the limit; the next process of a node borrows from
-// its predecessor before that leaves, and gets its own quota afterwards.
+// The quotas of all nodes together never exceed the limit, also after an operator lowers it. The process that replaces a node's
+// process borrows quotas from it while both run, and gets a quota of its own after the first one has left.
 func TestQuotasAcrossNodes(t *testing.T) {
 	configs := clusterConfigs(t, 4)
 	var localNodes []*budgetedNode
@@ -58,7 +58,7 @@
 	}()
 	client := NewClient(configs[0], zap.NewNop())
 	defer client.Close()
-	eventually(t, "not founded", func() bool { return client.FoundCluster(0) == nil })
+	eventually(t, "cluster is not founded", func() bool { return client.FoundCluster(0) == nil })
 	totalAllowed := func() (units float64) {
 		for _, node := range localNodes {
 			units += node.allowed()
@@ -68,33 +68,33 @@
 	eventuallyWithinLimit := func(failure string, condition func() bool) {
 		eventually(t, failure, func() bool {
 			if got := totalAllowed(); got > 100 {
-				t.Fatalf("%g units are used together, of 100", got)
+				t.Fatalf("nodes may use %g units together, limit 100", got)
 			}
 			return condition()
 		})
 	}
-	eventuallyWithinLimit("nodes with demand have little", func() bool { return localNodes[0].allowed() > 40 && localNodes[3].allowed() > 15 })
+	eventuallyWithinLimit("nodes with demand don't get enough units", func() bool { return localNodes[0].allowed() > 40 && localNodes[3].allowed() > 15 })
 	if _, err := client.SetLimit("x", 9); err == nil || !strings.Contains(err.Error(), "expected 10 or more") {
-		t.Errorf("a limit below what is reserved: %v", err)
+		t.Errorf("SetLimit below the reserved units: %v", err)
 	}
 	if _, err := client.SetLimit("y", 9); err == nil || !strings.Contains(err.Error(), "expected one of [x]") {
-		t.Errorf("a budget of no name: %v", err)
+		t.Errorf("SetLimit of an unknown budget: %v", err)
 	}
 	if budget, err := client.SetLimit("x", 50); err != nil || budget.Units != 50 || budget.Revision != 2 {
-		t.Errorf("%v: %+v", err, budget)
+		t.Errorf("SetLimit(50): %v, %+v", err, budget)
 	}
-	eventuallyWithinLimit("a lowered limit is exceeded on and on", func() bool { return totalAllowed() <= 50 })
+	eventuallyWithinLimit("quotas stay above the lowered limit", func() bool { return totalAllowed() <= 50 })
 	if got := nodes[0].Metrics(); got["budget.x.whole"] != 50.0 || got["budget.x.part"].(float64) == 0 {
-		t.Errorf("figures %v", got)
+		t.Errorf("metrics %v", got)
 	}
 	successor := &budgetedNode{demand: 40}
 	predecessor := localNodes[3]
 	localNodes = append(localNodes, successor)
 	nodes = append(nodes, Start(configs[3], successor, time.Second, 256, zap.NewNop()))
-	eventuallyWithinLimit("the next process borrows nothing while the one before is there", func() bool { return successor.allowed() > 2 })
+	eventuallyWithinLimit("replacing process borrows nothing while the replaced one runs", func() bool { return successor.allowed() > 2 })
 	nodes[3].Close()
 	if predecessor.allowed() != 0 {
-		t.Errorf("one that has left has %g units yet", predecessor.allowed())
+		t.Errorf("replaced process still has %g units after Close", predecessor.allowed())
 	}
-	eventuallyWithinLimit("the next process has no quota of its own", func() bool { return successor.allowed() > 2 && nodes[4].Metrics()["budget.x.part"].(float64) > 0 })
+	eventuallyWithinLimit("replacing process gets no quota of its own", func() bool { return successor.allowed() > 2 && nodes[4].Metrics()["budget.x.part"].(float64) > 0 })
 }
--- a/internal/cluster/rollup_test.go
+++ b/internal/cluster/rollup_test.go
@@ -13,8 +13,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// The roll-up goes on after the wall clock was stepped back by an hour, and after it was stepped forward: one line a period, each with a number of
-// its own.
+// The roll-up continues after the wall clock is stepped back by an hour, and after it is stepped forward. It logs one
+// line for each period, each with its own number.
 func TestRollUpContinuesAfterWallClockStep(t *testing.T) {
 	var offset atomic.Int64
 	wallClock = func() time.Time { return clock.Wall().Add(time.Duration(offset.Load())) }
@@ -35,16 +35,16 @@
 	})
 	c := NewClient(configs[0], zap.NewNop())
 	t.Cleanup(c.Close)
-	eventually(t, "the fleet is not founded", func() bool { return c.FoundCluster(0) == nil })
+	eventually(t, "cluster is not founded", func() bool { return c.FoundCluster(0) == nil })
 	lines := func() int { return logs.FilterMessage("roll-up").Len() }
-	eventually(t, "no period is written", func() bool { return lines() > 0 })
+	eventually(t, "no period is logged", func() bool { return lines() > 0 })
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour, -2 * time.Second} {
 		before := lines()
 		offset.Store(int64(step))
-		const periods = 6 // one may be begun, and one or two are skipped where the step is small
+		const periods = 6 // one may have begun before, and a small step skips one or two
 		for end := time.Now().Add(periods * time.Second); lines() < before+2; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Errorf("%v: %d periods are written within %d, want two", step, lines()-before, periods)
+				t.Errorf("clock step %v: %d lines logged within %d periods, want 2", step, lines()-before, periods)
 				break
 			}
 		}
@@ -53,7 +53,7 @@
 	for _, line := range logs.FilterMessage("roll-up").All() {
 		number, _ := line.ContextMap()["number"].(uint64)
 		if seen[number] {
-			t.Errorf("period %d is written twice", number)
+			t.Errorf("period %d logged twice", number)
 		}
 		seen[number] = true
 	}
--- a/internal/cluster/task_probe_test.go
+++ b/internal/cluster/task_probe_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A server fails, and all nodes eject it: one of them probes it for all, and all get the results, also of its recovery.
+// All nodes eject a failed server. One node probes it for all of them, and all get the results, also that of its recovery.
 func TestProbeResultsSharedByAllNodes(t *testing.T) {
 	var requests atomic.Int32
 	var healthy atomic.Bool
@@ -57,17 +57,17 @@
 	}()
 	client := NewClient(configs[0], zap.NewNop())
 	defer client.Close()
-	eventually(t, "not founded", func() bool { return client.FoundCluster(0) == nil })
+	eventually(t, "cluster is not founded", func() bool { return client.FoundCluster(0) == nil })
 	allNodes := func(received func(node *ejectingNode) bool) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(localNodes, func(node *ejectingNode) bool { return !received(node) })
 		}
 	}
-	eventually(t, "not all get the result that it is unhealthy", allNodes(func(node *ejectingNode) bool { return node.unhealthyResults.Load() > 0 }))
+	eventually(t, "not all nodes get the unhealthy result", allNodes(func(node *ejectingNode) bool { return node.unhealthyResults.Load() > 0 }))
 	healthy.Store(true)
 	probesBeforeRecovery := requests.Load()
-	eventually(t, "not all get the result that it is healthy", allNodes(func(node *ejectingNode) bool { return node.healthyResult.Load() }))
+	eventually(t, "not all nodes get the healthy result", allNodes(func(node *ejectingNode) bool { return node.healthyResult.Load() }))
 	if probesBeforeRecovery > 10 {
-		t.Errorf("%d probes of one server", probesBeforeRecovery)
+		t.Errorf("%d probes of one server, want at most 10", probesBeforeRecovery)
 	}
 }
--- a/internal/cluster/voter_folder_full_test.go
+++ b/internal/cluster/voter_folder_full_test.go
@@ -12,7 +12,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
-// A node whose voter folder can't be written at its start goes on without a voter, reports why, and votes once it can.
+// A node whose voter folder can't be written at the start runs without a voter and reports the reason. It starts its voter when
+// the folder is writable again.
 func TestNodeStartsWithFullVoterFolder(t *testing.T) {
 	configs := clusterConfigs(t, 3)
 	nodes := startCluster(t, configs)
@@ -28,10 +29,10 @@
 	t.Cleanup(func() { voterstore.WriteFault.Store(nil) })
 	restarted := Start(configs[2], stubNode{}, time.Second, 256, zap.NewNop())
 	t.Cleanup(sync.OnceFunc(restarted.Close))
-	eventually(t, "it doesn't say why it is no voter", func() bool {
+	eventually(t, "node does not report why it has no voter", func() bool {
 		s := restarted.status()
 		return !s.Voter && strings.Contains(s.VoterError, "no space left")
 	})
 	voterstore.WriteFault.Store(nil)
-	eventually(t, "it doesn't vote again", func() bool { return restarted.status().Voter })
+	eventually(t, "voter does not start after the folder is writable", func() bool { return restarted.status().Voter })
 }
--- a/internal/cluster/voter_folder_test.go
+++ b/internal/cluster/voter_folder_test.go
@@ -14,7 +14,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
-// A folder that is another node's, or damaged, is refused with what was expected, and nothing in it changes.
+// The voter doesn't start on a folder that belongs to another node or cluster, or is damaged. The error says what was expected,
+// and the identity file doesn't change.
 func TestVoterRefusesUnusableFolder(t *testing.T) {
 	for want, prepare := range map[string]func(folder string) error{
 		`is of node "x" in fleet "f", not of node "n0" in fleet "f"`: func(folder string) error {
@@ -49,12 +50,13 @@
 		status := node.status()
 		node.Close()
 		if after, _ := os.ReadFile(filepath.Join(config.DataDir, voterstore.IdentityFile)); status.Voter || string(after) != string(before) {
-			t.Errorf("%s: %+v, and the identity was %q, is %q", want, status, before, after)
+			t.Errorf("%s: status %+v; identity before %q, after %q", want, status, before, after)
 		}
 	}
 }
 
-// A log that was truncated at any of many places is either read whole or refused; the process goes on either way.
+// CheckLog is called for a log truncated at each multiple of 997 bytes. It has to refuse at least ten of the truncated logs, to
+// accept the complete one, and never to end the process.
 func TestCheckLogOfTruncatedLog(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
@@ -77,17 +79,17 @@
 		}
 	}
 	if err := voterstore.CheckLog(path); err != nil || refused < 10 {
-		t.Errorf("the whole log: %v; %d cut ones refused", err, refused)
+		t.Errorf("CheckLog of the complete log: %v; %d truncated logs refused, want 10 or more", err, refused)
 	}
 }
 
-// A voter whose files can't grow ends; its node goes on, and so do the other voters.
+// A voter whose files can't grow ends. Its node runs without a voter, and the other voters elect a leader.
 func TestVoterEndsWhenFileCannotGrow(t *testing.T) {
 	nodes := startCluster(t, clusterConfigs(t, 3))
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	nodes[0].voter().shutdownOnce.fail(syscall.EFBIG)
-	eventually(t, "it votes on", func() bool { return strings.Contains(nodes[0].status().VoterError, "file too large") })
-	eventually(t, "the others don't elect a leader", func() bool {
+	eventually(t, "voter does not report the failed write", func() bool { return strings.Contains(nodes[0].status().VoterError, "file too large") })
+	eventually(t, "the other voters elect no leader", func() bool {
 		s, err := nodes[1].client.Status()
 		return err == nil && s.IsLeader && s.Node != nodes[0].config.Node
 	})
--- a/internal/cluster/voter_restart_test.go
+++ b/internal/cluster/voter_restart_test.go
@@ -12,13 +12,13 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
-// Two of three folders can't be written for a while, or fail in their sync after the write. When they can be written again, the voters
-// restart by themselves with what they had stored, and leases are granted again.
+// Writes to two of three folders fail for some time, or the sync after the write fails. When the folders are writable again, the
+// voters restart by themselves with their stored state, and leases are granted again.
 func TestVoterRestartsWhenFolderIsWritableAgain(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		err      syscall.Errno
-		failSync bool // the write is made, and its sync fails
+		failSync bool // the write succeeds, and its sync fails
 	}{{"no space", syscall.ENOSPC, false}, {"an error of the disk", syscall.EIO, false}, {"an error of the sync", syscall.EIO, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			nodes := startCluster(t, clusterConfigs(t, 3))
@@ -40,21 +40,21 @@
 			grants := make(chan uint64, 1)
 			ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 			defer stop()
-			go client.Hold(ctx, "again", func(_ context.Context, held *HeldLease) bool { // asks all the while
+			go client.Hold(ctx, "again", func(_ context.Context, held *HeldLease) bool { // requests a lease throughout
 				grants <- held.Token()
 				return true
 			})
-			eventually(t, "both vote on", func() bool { return nodes[1].status().VoterError != "" && nodes[2].status().VoterError != "" })
+			eventually(t, "the voters do not end", func() bool { return nodes[1].status().VoterError != "" && nodes[2].status().VoterError != "" })
 			time.Sleep(500 * time.Millisecond)
 			failing.Store(false)
-			eventually(t, "they don't come back", func() bool { return nodes[1].status().Voter && nodes[2].status().Voter })
+			eventually(t, "the voters do not restart", func() bool { return nodes[1].status().Voter && nodes[2].status().Voter })
 			select {
 			case token := <-grants:
 				if token <= before.LastToken {
-					t.Errorf("token %d after %d: what was stored is lost", token, before.LastToken)
+					t.Errorf("token %d after %d: stored state is lost", token, before.LastToken)
 				}
 			case <-ctx.Done():
-				t.Fatal("no lease is granted")
+				t.Fatal("no lease is granted after the restart")
 			}
 		})
 	}
