--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -49,20 +49,20 @@
 
 // event is a line of the record that the fault test checks. internal/faulttest reads its JSON keys.
 type event struct {
-	What    string `json:"what"`
-	Who     string `json:"who"`
-	PID     int    `json:"pid"`
-	At      int64  `json:"at,omitempty"` // boot time in ns, as are From, Call and Return
-	From    int64  `json:"from,omitempty"`
-	Token   uint64 `json:"token,omitempty"`
-	Kind    string `json:"kind,omitempty"` // operation of a lease request
-	Holder  string `json:"holder,omitempty"`
-	Asked   uint64 `json:"asked,omitempty"` // token of a lease request
-	Call    int64  `json:"call,omitempty"`
-	Return  int64  `json:"return,omitempty"`
-	Refusal string `json:"refusal,omitempty"`
-	Unknown bool   `json:"unknown,omitempty"`
-	DelayNs int64  `json:"ns,omitempty"`
+	Type           string `json:"what"`
+	Node           string `json:"who"`
+	PID            int    `json:"pid"`
+	TimeNs         int64  `json:"at,omitempty"` // boot time in ns, as are From, Call and Return
+	StartNs        int64  `json:"from,omitempty"`
+	Token          uint64 `json:"token,omitempty"`
+	Operation      string `json:"kind,omitempty"` // operation of a lease request
+	Holder         string `json:"holder,omitempty"`
+	RequestToken   uint64 `json:"asked,omitempty"` // token of a lease request
+	CallNs         int64  `json:"call,omitempty"`
+	ReturnNs       int64  `json:"return,omitempty"`
+	ErrorName      string `json:"refusal,omitempty"`
+	OutcomeUnknown bool   `json:"unknown,omitempty"`
+	DelayNs        int64  `json:"ns,omitempty"`
 }
 
 // recorder writes the events of this process. It takes their times from the machine's boot clock, which all
@@ -81,7 +81,7 @@
 }
 
 func (r *recorder) write(e event) {
-	e.Who = r.node
+	e.Node = r.node
 	e.PID = os.Getpid()
 	line, _ := json.Marshal(e)
 	r.mu.Lock()
@@ -97,15 +97,15 @@
 			return
 		}
 		r.write(event{
-			What:    "ask",
-			Kind:    request.Operation,
-			Holder:  request.Holder.String(),
-			Asked:   request.Token,
-			Call:    call,
-			Return:  trueBootTime(),
-			Token:   response.Token,
-			Refusal: toWireError(response.Err).Name,
-			Unknown: err != nil,
+			Type:           "ask",
+			Operation:      request.Operation,
+			Holder:         request.Holder.String(),
+			RequestToken:   request.Token,
+			CallNs:         call,
+			ReturnNs:       trueBootTime(),
+			Token:          response.Token,
+			ErrorName:      toWireError(response.Err).Name,
+			OutcomeUnknown: err != nil,
 		})
 	}
 }
@@ -116,7 +116,7 @@
 		before := trueBootTime()
 		time.Sleep(delayCheckPeriod)
 		if delay := trueBootTime() - before - int64(delayCheckPeriod); delay > int64(minReportedDelay) {
-			r.write(event{What: "late", At: trueBootTime(), DelayNs: delay})
+			r.write(event{Type: "late", TimeNs: trueBootTime(), DelayNs: delay})
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	traceRequest = r.traceRequest
 	go r.recordDelays()
 	return func(ctx context.Context, held *HeldLease) bool {
-		r.write(event{What: "held", At: trueBootTime(), Token: held.Token()})
+		r.write(event{Type: "held", TimeNs: trueBootTime(), Token: held.Token()})
 		done := make(chan struct{})
 		var effects sync.WaitGroup
 		effects.Go(func() { setEffects(held, done) }) // concurrent with the acts, since a response may never arrive
@@ -150,7 +150,7 @@
 		}
 		close(done)
 		effects.Wait()
-		r.write(event{What: "over", At: trueBootTime(), Token: held.Token()})
+		r.write(event{Type: "over", TimeNs: trueBootTime(), Token: held.Token()})
 		return true
 	}
 }
@@ -181,11 +181,11 @@
 		return
 	}
 	began := trueBootTime()
-	r.write(event{What: "begin", At: began, Token: held.Token()})
+	r.write(event{Type: "begin", TimeNs: began, Token: held.Token()})
 	time.Sleep(duration / 2)
 	faults.Point(faults.InAct)
 	time.Sleep(duration / 2)
-	r.write(event{What: "end", At: trueBootTime(), Token: held.Token(), From: began})
+	r.write(event{Type: "end", TimeNs: trueBootTime(), Token: held.Token(), StartNs: began})
 }
 
 // actOnFencedResource acts on the resource that checks fencing tokens.
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -71,11 +71,11 @@
 // bufferConn is a connection that reads from one buffer and writes to another.
 type bufferConn struct {
 	net.Conn
-	in, out bytes.Buffer
+	input, output bytes.Buffer
 }
 
-func (c *bufferConn) Read(b []byte) (int, error)  { return c.in.Read(b) }
-func (c *bufferConn) Write(b []byte) (int, error) { return c.out.Write(b) }
+func (c *bufferConn) Read(b []byte) (int, error)  { return c.input.Read(b) }
+func (c *bufferConn) Write(b []byte) (int, error) { return c.output.Write(b) }
 func (c *bufferConn) Close() error                { return nil }
 
 var (
@@ -127,8 +127,8 @@
 		if err := client.WriteRequest(&rpc.Request{ServiceMethod: "Fleet." + method, Seq: 3}, messages[0]); err != nil {
 			t.Fatal(err)
 		}
-		request := compareGolden(t, method+"-request.json", clientConn.out.Bytes())
-		serverConn.in.Write(request)
+		request := compareGolden(t, method+"-request.json", clientConn.output.Bytes())
+		serverConn.input.Write(request)
 		server := jsonrpc.NewServerCodec(&serverConn)
 		var header rpc.Request
 		args := reflect.New(reflect.TypeOf(messages[0]))
@@ -141,7 +141,7 @@
 		if err := server.WriteResponse(&rpc.Response{Seq: header.Seq}, messages[1]); err != nil {
 			t.Fatal(err)
 		}
-		clientConn.in.Write(compareGolden(t, method+"-response.json", serverConn.out.Bytes()))
+		clientConn.input.Write(compareGolden(t, method+"-response.json", serverConn.output.Bytes()))
 		var responseHeader rpc.Response
 		reply := reflect.New(reflect.TypeOf(messages[1]))
 		if err := errors.Join(client.ReadResponseHeader(&responseHeader), client.ReadResponseBody(reply.Interface())); err != nil {
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -104,10 +104,10 @@
 // Metrics returns the cluster's metrics as this node sees them, by the names under which operators read them.
 func (m *Member) Metrics() map[string]any {
 	s := m.status()
-	held := 0
+	heldLeases := 0
 	for _, l := range s.Leases {
 		if l.Holder.Name == m.config.Node {
-			held++
+			heldLeases++
 		}
 	}
 	boolToInt := map[bool]int{true: 1}
@@ -119,7 +119,7 @@
 		metrics["reign"] = s.Term
 		metrics["tokens"] = s.LastToken
 		metrics["leases"] = len(s.Leases)
-		metrics["held"] = held
+		metrics["held"] = heldLeases
 	}
 	m.addBudgetMetrics(metrics)
 	return metrics
--- a/internal/cluster/task_rollup.go
+++ b/internal/cluster/task_rollup.go
@@ -36,12 +36,12 @@
 func (m *Member) rollUp(ctx context.Context, held *HeldLease) bool {
 	period := m.config.RollUpInterval
 	for {
-		now := wallClock()
-		end := now.Truncate(period).Add(period)
+		current := wallClock()
+		end := current.Truncate(period).Add(period)
 		select {
 		case <-ctx.Done():
 			return true
-		case <-time.After(end.Sub(now)):
+		case <-time.After(end.Sub(current)):
 		}
 		if !m.rollUpPeriod(held, end) {
 			return true
@@ -64,8 +64,8 @@
 			zap.Uint64("last", last))
 		number = next
 	}
-	report, text := m.collectReport(status.nodeAddresses())
-	switch err := held.SetEffect(config.TaskRollUp, number, text); {
+	report, encoded := m.collectReport(status.nodeAddresses())
+	switch err := held.SetEffect(config.TaskRollUp, number, encoded); {
 	case errors.Is(err, lease.ErrDuplicate):
 		return true
 	case errors.Is(err, ErrOutcomeUnknown):
@@ -107,14 +107,14 @@
 	return clockPeriod
 }
 
-// collectReport collects the metrics of all nodes, and returns the report and its encoded form.
-func (m *Member) collectReport(nodes map[string]string) (report rollUpReport, text []byte) {
+// collectReport collects the metrics of all nodes, and returns the report and its JSON.
+func (m *Member) collectReport(nodes map[string]string) (report rollUpReport, encoded []byte) {
 	report = m.collectMetrics(nodes)
 	if len(report.Missing) > maxListedNodes {
 		report.Missing = append(report.Missing[:maxListedNodes], "and others")
 	}
-	text, _ = json.Marshal(report)
-	return report, text
+	encoded, _ = json.Marshal(report)
+	return report, encoded
 }
 
 // collectMetrics collects the metrics of all nodes, given their addresses by name.
