--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -164,7 +164,8 @@
 	}
 	err = call(conn, method, args, reply, timeout)
 	c.finishCall(conn)
-	if err != nil && !errors.Is(err, lease.ErrNotLeader) { // keep the connection: lease requests find the leader, and replace it
+	// After ErrNotLeader the connection is kept: the next lease request finds the leader and replaces the connection.
+	if err != nil && !errors.Is(err, lease.ErrNotLeader) {
 		c.dropConn(conn, "")
 	}
 	return err
--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -52,12 +52,12 @@
 	Type           string `json:"what"`
 	Node           string `json:"who"`
 	PID            int    `json:"pid"`
-	TimeNs         int64  `json:"at,omitempty"` // boot time in ns, as are From, Call and Return
+	TimeNs         int64  `json:"at,omitempty"` // boot time, as are StartNs, CallNs and ReturnNs
 	StartNs        int64  `json:"from,omitempty"`
 	Token          uint64 `json:"token,omitempty"`
-	Operation      string `json:"kind,omitempty"` // operation of a lease request
+	Operation      string `json:"kind,omitempty"` // of a lease request
 	Holder         string `json:"holder,omitempty"`
-	RequestToken   uint64 `json:"asked,omitempty"` // token of a lease request
+	RequestToken   uint64 `json:"asked,omitempty"` // token in a lease request; Token has that of the response
 	CallNs         int64  `json:"call,omitempty"`
 	ReturnNs       int64  `json:"return,omitempty"`
 	ErrorName      string `json:"refusal,omitempty"`
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -143,7 +143,7 @@
 	return allowed && h.ctx.Err() == nil // a HeldLease stays lost, although its claimant may acquire the lease again
 }
 
-// Remaining returns the time for which the lease is still held, or 0.
+// Remaining returns the time for which the lease is certain to be held, or 0.
 func (h *HeldLease) Remaining() time.Duration { return max(0, toDuration(h.Expiry()-now())) }
 
 // Expiry returns the end of the lease by this process's clock.
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -28,7 +28,7 @@
 
 // LocalNode is the node that a Member runs in. Its methods may be called concurrently.
 type LocalNode interface {
-	// Metrics returns the node's totals by name.
+	// Metrics returns the node's metrics by name.
 	Metrics() map[string]int64
 	// EjectedEndpoints returns the addresses of the servers that are ejected after failures, by id.
 	EjectedEndpoints() map[string]string
@@ -51,7 +51,7 @@
 
 	mu            sync.Mutex
 	identity      voterstore.Identity
-	currentVoter  *Voter                        // nil: this node has no voter
+	currentVoter  *Voter                        // nil if this node has no voter
 	voterError    error                         // of the voter's last start; nil if it succeeded
 	quotas        *nodeQuotas                   // nil while the lease of this node's name is not held, and without budgets
 	agreedConfigs map[string]lease.BudgetConfig // by budget, as the cluster last reported them
@@ -61,7 +61,7 @@
 	listener *transport.Listener
 	tasks    sync.WaitGroup
 	stop     context.CancelFunc
-	ended    chan struct{} // closed when the member has left
+	ended    chan struct{} // closed when the member has left the cluster
 }
 
 // Start joins the cluster in the background, and retries until it succeeds. Only the process that listens on the cluster
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -53,7 +53,8 @@
 func (m *Member) openQuotas(held *HeldLease) *nodeQuotas {
 	configs := map[string]lease.BudgetConfig{}
 	for _, b := range m.config.Budgets {
-		configs[b.Name] = m.agreedConfig(b) // a cluster without this budget, such as one that was founded anew, takes it from this declaration
+		// The client declares these configurations to a cluster that has lost its budgets, as one that was founded anew.
+		configs[b.Name] = m.agreedConfig(b)
 	}
 	q := &nodeQuotas{member: m, lease: held}
 	q.alarm = newAlarm(q.onAlarm)
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -35,7 +35,8 @@
 // errNodeLeaving is the end reason of a voter whose node leaves the cluster.
 var errNodeLeaving = errors.New("the node leaves the cluster")
 
-// Voter is this process's voter: the consensus library, the replicated state, and the leader's memory.
+// Voter is this process's voter: the consensus library, the replicated state, and the state that only the leader keeps, which is
+// not replicated.
 type Voter struct {
 	log         *zap.Logger
 	config      *config.Cluster
@@ -180,7 +181,7 @@
 	v.shutdownOnce.Do(func() { v.shutDown(nil) })
 }
 
-// shutDown ends the voter. A nil reason means that its node leaves the cluster. Further calls do nothing.
+// shutDown ends the voter for the given reason. A nil reason means that its node leaves the cluster. Further calls do nothing.
 func (v *Voter) shutDown(reason error) {
 	<-v.startDone // a goroutine of the library may fail to write before newRaft returns
 	if !v.markEnded(reason) {
