--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -22,7 +22,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// The environment variables by which the fault test configures its task.
+// The environment variables that configure the task of the fault test.
 const (
 	DoorVariable   = "THISTLERUDDER_TRIAL_DOOR"   // address of a resource outside the cluster that checks fencing tokens
 	RecordVariable = "THISTLERUDDER_TRIAL_RECORD" // file that this process appends its events to
@@ -31,7 +31,7 @@
 const (
 	minActDuration    = 3 * time.Millisecond
 	actDurationSpread = 12 * time.Millisecond
-	actMarginForDelay = 15 * time.Millisecond // for a scheduler that is late with the end of an act
+	actMarginForDelay = 15 * time.Millisecond // for acts that the scheduler ends late
 	effectInterval    = 8 * time.Millisecond
 	actInterval       = effectInterval / 4
 	effectRetryDelay  = 10 * effectInterval
@@ -39,40 +39,41 @@
 	minReportedDelay  = 30 * time.Millisecond
 )
 
-// Trace sets functions that see the lease and quota traffic of this process: request is called before each lease request is
-// sent, and what it returns with the response; quotas is called with each response to a quota request. Trace is called before
-// the first node of the process starts.
+// Trace sets functions that observe the lease and quota calls of this process. request is called before each lease request is
+// sent, and the function that it returns is called with the response. quotas is called with each response to a quota request.
+// Trace has to be called before the first node of the process starts.
 func Trace(request func(lease.Request) func(lease.Response, error), quotas func(node string, updates []budget.QuotaUpdate)) {
 	traceRequest = request
 	traceQuotas = quotas
 }
 
-// event is a line of the record that the fault test judges. Its keys are those that internal/faulttest reads.
+// event is a line of the record that the fault test checks. internal/faulttest reads its JSON keys.
 type event struct {
-	What    string `json:"what"`
-	Who     string `json:"who"`
-	PID     int    `json:"pid"`
-	At      int64  `json:"at,omitempty"` // boot time in ns, as are From, Call and Return
-	From    int64  `json:"from,omitempty"`
-	Token   uint64 `json:"token,omitempty"`
-	Kind    string `json:"kind,omitempty"` // operation of a lease request
-	Holder  string `json:"holder,omitempty"`
-	Asked   uint64 `json:"asked,omitempty"` // token of a lease request
-	Call    int64  `json:"call,omitempty"`
-	Return  int64  `json:"return,omitempty"`
-	Refusal string `json:"refusal,omitempty"`
-	Unknown bool   `json:"unknown,omitempty"`
-	DelayNs int64  `json:"ns,omitempty"`
+	Type           string `json:"what"`
+	Node           string `json:"who"`
+	PID            int    `json:"pid"`
+	TimeNs         int64  `json:"at,omitempty"` // boot time, as are StartNs, CallNs and ReturnNs
+	StartNs        int64  `json:"from,omitempty"`
+	Token          uint64 `json:"token,omitempty"`
+	Operation      string `json:"kind,omitempty"` // of a lease request
+	Holder         string `json:"holder,omitempty"`
+	RequestToken   uint64 `json:"asked,omitempty"` // token in a lease request; Token has that of the response
+	CallNs         int64  `json:"call,omitempty"`
+	ReturnNs       int64  `json:"return,omitempty"`
+	ErrorName      string `json:"refusal,omitempty"`
+	OutcomeUnknown bool   `json:"unknown,omitempty"`
+	DelayNs        int64  `json:"ns,omitempty"`
 }
 
-// recorder writes the events of this process, timed by the machine's one clock whatever faults.Clock shows.
+// recorder writes the events of this process. It takes their times from the machine's boot clock, which all
+// processes share, without faults.Clock.
 type recorder struct {
 	mu   sync.Mutex
 	file *os.File
 	node string
 }
 
-// trueBootTime reads the boot clock without faults, in ns.
+// trueBootTime returns the time of the boot clock in ns, without faults.Clock.
 func trueBootTime() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
@@ -80,7 +81,7 @@
 }
 
 func (r *recorder) write(e event) {
-	e.Who = r.node
+	e.Node = r.node
 	e.PID = os.Getpid()
 	line, _ := json.Marshal(e)
 	r.mu.Lock()
@@ -96,32 +97,32 @@
 			return
 		}
 		r.write(event{
-			What:    "ask",
-			Kind:    request.Operation,
-			Holder:  request.Holder.String(),
-			Asked:   request.Token,
-			Call:    call,
-			Return:  trueBootTime(),
-			Token:   response.Token,
-			Refusal: toWireError(response.Err).Name,
-			Unknown: err != nil,
+			Type:           "ask",
+			Operation:      request.Operation,
+			Holder:         request.Holder.String(),
+			RequestToken:   request.Token,
+			CallNs:         call,
+			ReturnNs:       trueBootTime(),
+			Token:          response.Token,
+			ErrorName:      toWireError(response.Err).Name,
+			OutcomeUnknown: err != nil,
 		})
 	}
 }
 
-// recordDelays records when this process did not run for want of processor cores, or was suspended.
+// recordDelays records the times in which this process got no processor core, or was suspended.
 func (r *recorder) recordDelays() {
 	for {
 		before := trueBootTime()
 		time.Sleep(delayCheckPeriod)
 		if delay := trueBootTime() - before - int64(delayCheckPeriod); delay > int64(minReportedDelay) {
-			r.write(event{What: "late", At: trueBootTime(), DelayNs: delay})
+			r.write(event{Type: "late", TimeNs: trueBootTime(), DelayNs: delay})
 		}
 	}
 }
 
-// faultTestTask returns the fault test's task. While it holds the lease it sets an effect in the replicated state, and acts on
-// resources outside: one that checks fencing tokens, and one that doesn't.
+// faultTestTask returns the task of the fault test. While the task holds the lease, it sets an effect in the replicated state,
+// and acts on two resources outside the cluster: one that checks fencing tokens, and one that doesn't.
 func (m *Member) faultTestTask() func(context.Context, *HeldLease) bool {
 	file, err := os.OpenFile(os.Getenv(RecordVariable), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -132,10 +133,10 @@
 	traceRequest = r.traceRequest
 	go r.recordDelays()
 	return func(ctx context.Context, held *HeldLease) bool {
-		r.write(event{What: "held", At: trueBootTime(), Token: held.Token()})
-		over := make(chan struct{})
+		r.write(event{Type: "held", TimeNs: trueBootTime(), Token: held.Token()})
+		done := make(chan struct{})
 		var effects sync.WaitGroup
-		effects.Go(func() { setEffects(held, over) }) // beside the acts, since a response may never come
+		effects.Go(func() { setEffects(held, done) }) // concurrent with the acts, since a response may never arrive
 		acts := 10 + rand.IntN(40)
 		if rand.IntN(2) == 0 {
 			acts *= 20 // holds the lease until it is lost
@@ -147,18 +148,18 @@
 			r.act(held, i)
 			time.Sleep(actInterval)
 		}
-		close(over)
+		close(done)
 		effects.Wait()
-		r.write(event{What: "over", At: trueBootTime(), Token: held.Token()})
+		r.write(event{Type: "over", TimeNs: trueBootTime(), Token: held.Token()})
 		return true
 	}
 }
 
-// setEffects sets the task's effect again and again until over is closed.
-func setEffects(held *HeldLease, over <-chan struct{}) {
+// setEffects sets the task's effect repeatedly until done is closed.
+func setEffects(held *HeldLease, done <-chan struct{}) {
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-time.After(effectInterval):
 			if held.SetEffect(config.TaskFaultTest, uint64(trueBootTime()), nil) != nil {
@@ -168,7 +169,7 @@
 	}
 }
 
-// act makes the i-th act: each fourth on the resource that checks fencing tokens, the others on the one that doesn't.
+// act makes the i-th act: every fourth on the resource that checks fencing tokens, the others on the one that doesn't.
 func (r *recorder) act(held *HeldLease, i int) {
 	duration := minActDuration + time.Duration(rand.Int64N(int64(actDurationSpread)))
 	if !held.MayAct(duration + actMarginForDelay) {
@@ -176,18 +177,19 @@
 	}
 	faults.Point(faults.BeforeAct)
 	if i%4 == 0 {
-		r.actAtDoor(held)
+		r.actOnFencedResource(held)
 		return
 	}
-	from := trueBootTime()
-	r.write(event{What: "begin", At: from, Token: held.Token()})
+	began := trueBootTime()
+	r.write(event{Type: "begin", TimeNs: began, Token: held.Token()})
 	time.Sleep(duration / 2)
 	faults.Point(faults.InAct)
 	time.Sleep(duration / 2)
-	r.write(event{What: "end", At: trueBootTime(), Token: held.Token(), From: from})
+	r.write(event{Type: "end", TimeNs: trueBootTime(), Token: held.Token(), StartNs: began})
 }
 
-func (r *recorder) actAtDoor(held *HeldLease) {
+// actOnFencedResource acts on the resource that checks fencing tokens.
+func (r *recorder) actOnFencedResource(held *HeldLease) {
 	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(DoorVariable), held.Token(), r.node)
 	response, err := http.Post(url, "", nil)
 	if err != nil {
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -12,10 +12,10 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// membershipTimeout bounds an operator's change, until it is committed.
+// membershipTimeout is the time within which an operator's change has to be committed.
 const membershipTimeout = 10 * time.Second
 
-// Bootstrap tells this voter the first voters of a new cluster.
+// Bootstrap writes the first voters of a new cluster to this voter's log.
 func (s *rpcService) Bootstrap(request *BootstrapRequest, _ *struct{}) error {
 	v := s.member.voter()
 	if v == nil {
@@ -32,7 +32,7 @@
 	return raft.Server{ID: raft.ServerID(info.ID), Address: transport.RaftAddress(info.ID, info.Address)}
 }
 
-// Found commits the entry that founds the cluster, at the leader.
+// Found commits the entry that founds the cluster. Only the leader serves it.
 func (s *rpcService) Found(request *BootstrapRequest, _ *struct{}) error {
 	v := s.member.voter()
 	if v == nil {
@@ -45,7 +45,7 @@
 	return result.Err
 }
 
-// Change adds or removes one voter, at the leader, and returns the voter's id.
+// Change adds or removes one voter, and returns the voter's id. Only the leader serves it.
 func (s *rpcService) Change(change *MembershipChange, id *string) error {
 	v := s.member.voter()
 	if v == nil || v.raft.State() != raft.Leader {
@@ -67,19 +67,19 @@
 // removeVoter removes a voter by its node's name or its id.
 func (v *Voter) removeVoter(configuration raft.ConfigurationFuture, name string) (id string, err error) {
 	servers := configuration.Configuration().Servers
-	at := indexOfVoter(servers, name)
-	if at < 0 {
+	index := indexOfVoter(servers, name)
+	if index < 0 {
 		return "", fmt.Errorf("%s is no voter", name)
 	}
-	server := servers[at].ID
+	server := servers[index].ID
 	return string(server), v.raft.RemoveServer(server, configuration.Index(), membershipTimeout).Error()
 }
 
 // addVoter adds the voter of a node, after asking the node for the voter's id.
 func (s *rpcService) addVoter(v *Voter, configuration raft.ConfigurationFuture, change *MembershipChange) (id string, err error) {
 	servers := configuration.Configuration().Servers
-	if at := indexOfVoter(servers, change.Add); at >= 0 {
-		return "", fmt.Errorf("%s is a voter already, as %s: remove that one first", change.Add, servers[at].ID)
+	if index := indexOfVoter(servers, change.Add); index >= 0 {
+		return "", fmt.Errorf("%s is a voter already, as %s: remove that one first", change.Add, servers[index].ID)
 	}
 	var status Status
 	if err := s.member.client.callAddress(change.Address, methodStatus, &struct{}{}, &status); err != nil {
@@ -95,13 +95,13 @@
 	return status.ID, v.raft.AddVoter(server.ID, server.Address, configuration.Index(), membershipTimeout).Error()
 }
 
-// indexOfVoter finds a voter by its node's name or its id, -1 if there is none.
+// indexOfVoter returns the index of the voter with the given node name or id, or -1.
 func indexOfVoter(servers []raft.Server, name string) int {
-	return slices.IndexFunc(servers, func(s raft.Server) bool { return nodeOf(string(s.ID)) == name || string(s.ID) == name })
+	return slices.IndexFunc(servers, func(s raft.Server) bool { return nodeName(string(s.ID)) == name || string(s.ID) == name })
 }
 
-// nodeOf returns the name of a voter's node from the voter's id.
-func nodeOf(id string) string {
+// nodeName returns the node name that a voter's id contains.
+func nodeName(id string) string {
 	if i := strings.LastIndexByte(id, '.'); i >= 0 {
 		return id[:i]
 	}
--- a/internal/cluster/state_machine.go
+++ b/internal/cluster/state_machine.go
@@ -11,7 +11,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// stateMachine is the replicated state of a voter as the consensus library drives it, a raft.FSM.
+// stateMachine implements raft.FSM: through it the consensus library updates a voter's replicated state.
 type stateMachine struct{ *Voter }
 
 // Apply applies an entry and returns its lease.Result.
@@ -29,7 +29,7 @@
 	if e.Kind == lease.KindRevoke || e.Kind == lease.KindSetBudget {
 		m.allocator.StateChanged(now())
 	}
-	m.entries++
+	m.appliedEntries++
 	close(m.changed)
 	m.changed = make(chan struct{})
 	return result
@@ -43,24 +43,24 @@
 	return stateSnapshot(encoded), err
 }
 
-// Restore replaces the state by a snapshot's. The library ends the process over an error, so once the library has started this
-// ends the voter and the library's goroutine instead.
-func (m stateMachine) Restore(from io.ReadCloser) error {
-	defer from.Close()
-	encoded, err := io.ReadAll(from)
+// Restore replaces the state by that of a snapshot. The library ends the process if Restore returns an error, so after the
+// library has started, Restore ends the voter and the library's goroutine instead.
+func (m stateMachine) Restore(snapshot io.ReadCloser) error {
+	defer snapshot.Close()
+	encoded, err := io.ReadAll(snapshot)
 	if err == nil {
 		m.mu.Lock()
 		err = m.state.Restore(encoded)
 		m.mu.Unlock()
 	}
-	if err != nil && m.started.Load() {
-		m.once.fail(err)
+	if err != nil && m.libraryStarted.Load() {
+		m.shutdownOnce.fail(err)
 		runtime.Goexit()
 	}
 	return err
 }
 
-// stateSnapshot is an encoded snapshot, a raft.FSMSnapshot.
+// stateSnapshot is an encoded snapshot. It implements raft.FSMSnapshot.
 type stateSnapshot []byte
 
 // Persist writes the snapshot.
@@ -71,5 +71,5 @@
 	return sink.Close()
 }
 
-// Release does nothing.
+// Release does nothing; it is part of raft.FSMSnapshot.
 func (s stateSnapshot) Release() {}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// addConsensusStatus adds what the consensus library knows.
+// addConsensusStatus adds the state of the consensus library.
 func (v *Voter) addConsensusStatus(s *Status) {
 	s.Voter = true
 	s.ID = v.identity.ID
@@ -48,7 +48,7 @@
 	}
 }
 
-// addState adds the replicated state, and the leader's memory where this voter leads.
+// addState adds the replicated state and, if this voter is the leader, the state that only the leader keeps in memory.
 func (v *Voter) addState(s *Status) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -61,8 +61,8 @@
 	s.Term = v.state.Term
 	s.Cluster = v.state.Cluster
 	s.LastToken = v.state.LastToken
-	s.Entries = v.entries
-	s.QuorumRounds = v.rounds
+	s.Entries = v.appliedEntries
+	s.QuorumRounds = v.quorumRounds
 	s.Effects = maps.Clone(v.state.Effects)
 	s.Budgets = map[string]BudgetState{}
 	for name, b := range v.state.Budgets {
@@ -74,7 +74,7 @@
 	}
 }
 
-// leaseStatus returns the status of a lease. The caller has the lock.
+// leaseStatus returns the status of a lease. The caller holds v.mu.
 func (v *Voter) leaseStatus(name string) LeaseStatus {
 	l := v.state.Leases[name]
 	s := LeaseStatus{Name: name, Holder: l.Holder, Token: l.Token, RemainingMs: -1}
@@ -101,26 +101,26 @@
 	return addresses
 }
 
-// Metrics returns the cluster's metrics as this node sees them, by the names that operators use.
+// Metrics returns the cluster's metrics as this node sees them, by the names under which operators read them.
 func (m *Member) Metrics() map[string]any {
 	s := m.status()
-	held := 0
+	heldLeases := 0
 	for _, l := range s.Leases {
 		if l.Holder.Name == m.config.Node {
-			held++
+			heldLeases++
 		}
 	}
-	flag := map[bool]int{true: 1}
-	all := map[string]any{"voter": flag[s.Voter], "view_ms": s.LastContactMs, "leader": s.LeaderAddress}
+	boolToInt := map[bool]int{true: 1}
+	metrics := map[string]any{"voter": boolToInt[s.Voter], "view_ms": s.LastContactMs, "leader": s.LeaderAddress}
 	if s.Voter {
-		all["entries"] = s.Entries
-		all["rounds"] = s.QuorumRounds
-		all["leads"] = flag[s.IsLeader]
-		all["reign"] = s.Term
-		all["tokens"] = s.LastToken
-		all["leases"] = len(s.Leases)
-		all["held"] = held
+		metrics["entries"] = s.Entries
+		metrics["rounds"] = s.QuorumRounds
+		metrics["leads"] = boolToInt[s.IsLeader]
+		metrics["reign"] = s.Term
+		metrics["tokens"] = s.LastToken
+		metrics["leases"] = len(s.Leases)
+		metrics["held"] = heldLeases
 	}
-	m.addBudgetMetrics(all)
-	return all
+	m.addBudgetMetrics(metrics)
+	return metrics
 }
--- a/internal/cluster/voter_folder_full_test.go
+++ b/internal/cluster/voter_folder_full_test.go
@@ -12,23 +12,27 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 )
 
-// A node whose voter folder can't be written at its start goes on without a voter, reports why, and votes once it can.
-func TestANodeStartsBesideAFolderThatIsFull(t *testing.T) {
-	all := clusterConfigs(t, 3)
-	nodes := startCluster(t, all)
+// A node whose voter folder can't be written at the start runs without a voter and reports the reason. It starts its voter when
+// the folder is writable again.
+func TestNodeStartsWithFullVoterFolder(t *testing.T) {
+	configs := clusterConfigs(t, 3)
+	nodes := startCluster(t, configs)
 	eventually(t, "no leader", func() bool { s, err := nodes[0].client.Status(); return err == nil && len(s.Leases) == 3 })
 	nodes[2].Close()
 	fault := func(folder string, _ bool) error {
-		if folder == all[2].DataDir {
+		if folder == configs[2].DataDir {
 			return syscall.ENOSPC
 		}
 		return nil
 	}
 	voterstore.WriteFault.Store(&fault)
 	t.Cleanup(func() { voterstore.WriteFault.Store(nil) })
-	again := Start(all[2], stubNode{}, time.Second, 256, zap.NewNop())
-	t.Cleanup(sync.OnceFunc(again.Close))
-	eventually(t, "it doesn't say why it is no voter", func() bool { s := again.status(); return !s.Voter && strings.Contains(s.VoterError, "no space left") })
+	restarted := Start(configs[2], stubNode{}, time.Second, 256, zap.NewNop())
+	t.Cleanup(sync.OnceFunc(restarted.Close))
+	eventually(t, "node does not report why it has no voter", func() bool {
+		s := restarted.status()
+		return !s.Voter && strings.Contains(s.VoterError, "no space left")
+	})
 	voterstore.WriteFault.Store(nil)
-	eventually(t, "it doesn't vote again", func() bool { return again.status().Voter })
+	eventually(t, "voter does not start after the folder is writable", func() bool { return restarted.status().Voter })
 }
