--- a/internal/faults/on.go
+++ b/internal/faults/on.go
@@ -25,12 +25,12 @@
 )
 
 var (
-	rate    = readRate()
-	points  = os.Getenv(PointsVariable)
-	without = strings.Split(os.Getenv(WithoutVariable), ",")
+	clockRate          = readClockRate()
+	pointsDir          = os.Getenv(PointsVariable)
+	disabledSafeguards = strings.Split(os.Getenv(WithoutVariable), ",")
 )
 
-func readRate() float64 {
+func readClockRate() float64 {
 	if r, err := strconv.ParseFloat(os.Getenv(RateVariable), 64); err == nil && r > 0 {
 		return r
 	}
@@ -38,18 +38,18 @@
 }
 
 // Clock gives what a clock of the rate told shows. It starts together with the true one, when the machine did.
-func Clock(t time.Duration) time.Duration { return time.Duration(float64(t) * rate) }
+func Clock(t time.Duration) time.Duration { return time.Duration(float64(t) * clockRate) }
 
 // Point stops the process if the rig wants so, until it is let go on.
 func Point(name string) {
-	if points == "" {
+	if pointsDir == "" {
 		return
 	}
-	if os.Remove(filepath.Join(points, name)) == nil {
+	if os.Remove(filepath.Join(pointsDir, name)) == nil {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 		time.Sleep(time.Millisecond) // the signal may come a moment later than the call returns
 	}
 }
 
 // Without says whether the rig has taken a safeguard out.
-func Without(safeguard string) bool { return slices.Contains(without, safeguard) }
+func Without(safeguard string) bool { return slices.Contains(disabledSafeguards, safeguard) }
--- a/internal/faults/traffic_on.go
+++ b/internal/faults/traffic_on.go
@@ -31,74 +31,74 @@
 	Goroutines          int
 }
 
-type counts struct{ sent, received, writes, reads, connections atomic.Int64 }
+type connCounters struct{ sent, received, writes, reads, connections atomic.Int64 }
 
-var traffic sync.Map // uses to *counts
+var countersByPurpose sync.Map // purposes to *connCounters
 
-func countsOf(use string) *counts {
-	c, _ := traffic.LoadOrStore(use, &counts{})
-	return c.(*counts)
+func countersFor(purpose string) *connCounters {
+	c, _ := countersByPurpose.LoadOrStore(purpose, &connCounters{})
+	return c.(*connCounters)
 }
 
-// counted is a connection that is counted.
-type counted struct {
+// countingConn is a connection that is counted.
+type countingConn struct {
 	net.Conn
-	c *counts
+	counters *connCounters
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.c.received.Add(int64(n))
+	c.counters.received.Add(int64(n))
 	if n > 1 {
-		c.c.reads.Add(1)
+		c.counters.reads.Add(1)
 	}
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.c.sent.Add(int64(n))
-	c.c.writes.Add(1)
+	c.counters.sent.Add(int64(n))
+	c.counters.writes.Add(1)
 	return n, err
 }
 
 // Counted counts what goes over a connection.
-func Counted(use string, c net.Conn) net.Conn {
-	k := countsOf(use)
-	k.connections.Add(1)
-	return counted{c, k}
+func Counted(purpose string, c net.Conn) net.Conn {
+	counters := countersFor(purpose)
+	counters.connections.Add(1)
+	return countingConn{c, counters}
 }
 
 // Dialing counts what goes over the connections of a dialer.
-func Dialing(use string, dial func(ctx context.Context, network, address string) (net.Conn, error),
+func Dialing(purpose string, dial func(ctx context.Context, network, address string) (net.Conn, error),
 ) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return Counted(use, c), nil
+		return Counted(purpose, c), nil
 	}
 }
 
-func cpu() int64 {
-	var u unix.Rusage
-	_ = unix.Getrusage(unix.RUSAGE_SELF, &u)
-	return u.Utime.Nano() + u.Stime.Nano()
+func cpuTime() int64 {
+	var rusage unix.Rusage
+	_ = unix.Getrusage(unix.RUSAGE_SELF, &rusage)
+	return rusage.Utime.Nano() + rusage.Stime.Nano()
 }
 
 // Used collects garbage, and tells what was used.
 func Used() Usage {
-	u := Usage{Traffic: map[string]Traffic{}, CPUBefore: cpu()}
-	traffic.Range(func(use, v any) bool {
-		c := v.(*counts)
-		u.Traffic[use.(string)] = Traffic{c.sent.Load(), c.received.Load(), c.writes.Load(), c.reads.Load(), c.connections.Load()}
+	u := Usage{Traffic: map[string]Traffic{}, CPUBefore: cpuTime()}
+	countersByPurpose.Range(func(purpose, v any) bool {
+		c := v.(*connCounters)
+		u.Traffic[purpose.(string)] = Traffic{c.sent.Load(), c.received.Load(), c.writes.Load(), c.reads.Load(), c.connections.Load()}
 		return true
 	})
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	u.Heap, u.Goroutines, u.CPUAfter = m.HeapAlloc, runtime.NumGoroutine(), cpu()
+	u.Heap, u.Goroutines, u.CPUAfter = m.HeapAlloc, runtime.NumGoroutine(), cpuTime()
 	return u
 }
 
@@ -107,10 +107,10 @@
 	if path == "" {
 		return
 	}
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR2)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR2)
 	go func() {
-		for range asked {
+		for range signals {
 			b, _ := json.Marshal(Used())
 			if os.WriteFile(path+".new", b, 0o600) == nil {
 				_ = os.Rename(path+".new", path)
