--- a/internal/faults/names.go
+++ b/internal/faults/names.go
@@ -1,45 +1,46 @@
 package faults
 
-// The safeguards that can be taken out, to show that the checks would see it.
+// The safeguards of leases. Test runs disable them to show that the checks detect the violation that results.
+// The comment on each safeguard says what happens while it is disabled.
 const (
-	DriftMargin  = "drift-margin"        // ends are counted with no margin for clocks of unlike rate
-	Confirmation = "leader-confirmation" // a leader renews without asking whether it still leads
-	Door         = "door-token"          // doors let pass whatever comes
-	Vote         = "forgotten-vote"      // a voter that lost its folder votes as the one it was
-	FromAnswer   = "count-from-answer"   // a lease is counted from when its answer came
+	DriftMargin  = "drift-margin"        // lease durations have no margin for clocks that run at different rates
+	Confirmation = "leader-confirmation" // a leader renews leases without confirming that it still leads
+	Door         = "door-token"          // an effect is applied whatever its fencing token
+	Vote         = "forgotten-vote"      // a voter that lost its folder still votes under its former ID
+	FromAnswer   = "count-from-answer"   // a lease starts when its response arrives, not when its request is sent
 )
 
-// Those of budgets.
+// The safeguards of budgets, described in the same way.
 const (
-	BurstKept = "burst-kept"     // what was saved up stays when a part shrinks
-	Reuse     = "reuse-early"    // what is asked back counts as free at once
-	Forget    = "leader-forgets" // a new leader takes all parts to be free
+	BurstKept = "burst-kept"     // a node keeps its saved-up burst when its quota shrinks
+	Reuse     = "reuse-early"    // units that a node has been asked to return count as free at once
+	Forget    = "leader-forgets" // a new leader takes all quotas to be free
 )
 
-// Safeguards are those of leases, and BudgetSafeguards those that budgets need.
+// Safeguards lists the safeguards that leases need, BudgetSafeguards those that budgets need.
 var (
 	Safeguards       = []string{DriftMargin, Confirmation, Door, Vote, FromAnswer}
 	BudgetSafeguards = []string{DriftMargin, FromAnswer, BurstKept, Reuse, Forget}
 )
 
-// Those of single requests.
+// The safeguards of single requests, described in the same way.
 const (
-	QuietPeriod  = "quiet-period"    // a connection is used again at once
-	ClientLook   = "client-look"     // nobody looks whether a client has gone
-	DrainNews    = "drain-news"      // a server that drains counts as ready
-	ResetIsNoEnd = "reset-is-no-end" // a reset ends an answer of no told length
-	MayHaveRun   = "may-have-run"    // a broken connection proves that nothing ran
-	ToldDeadline = "told-deadline"   // a server is told half a second more than there is
-	AnswerOwed   = "answer-owed"     // each hundredth answer is withheld
-	OneAttempt   = "one-attempt"     // an attempt that was given up stays open
+	QuietPeriod  = "quiet-period"    // a connection is reused at once
+	ClientLook   = "client-look"     // a client that disconnects goes unnoticed
+	DrainNews    = "drain-news"      // a draining server counts as ready
+	ResetIsNoEnd = "reset-is-no-end" // a connection reset completes a response of undeclared length
+	MayHaveRun   = "may-have-run"    // a broken connection counts as proof that the request did not run
+	ToldDeadline = "told-deadline"   // the timeout declared to a server is half a second too long
+	AnswerOwed   = "answer-owed"     // about one response in a hundred is withheld
+	OneAttempt   = "one-attempt"     // an attempt that is reported as timed out stays open
 )
 
-// SoakSafeguards are those that the soak runs show to be needed.
+// SoakSafeguards lists the safeguards that the soak tests show to be needed.
 var SoakSafeguards = []string{QuietPeriod, ClientLook, DrainNews, ResetIsNoEnd, MayHaveRun, ToldDeadline, AnswerOwed, OneAttempt}
 
-// The points at which a process can be stopped.
+// The points at which the test rig can stop a process.
 const (
-	BeforeAct = "before-act" // between the check of a lease and the act
-	InAct     = "in-act"     // in the middle of it
-	OnRenewal = "on-renewal" // at the leader, when a round to a majority is about to begin
+	BeforeAct = "before-act" // between the check of a lease and the action that it protects
+	InAct     = "in-act"     // in the middle of the action
+	OnRenewal = "on-renewal" // at the leader, just before it confirms its leadership with a majority
 )
--- a/internal/faults/off.go
+++ b/internal/faults/off.go
@@ -1,19 +1,20 @@
 //go:build !faults
 
-// Package faults is what the rig of processes needs inside a program: a clock that runs fast or slow, a stop at a point
-// told by name, safeguards taken out. A release has none of it: this file is all that is left there.
+// Package faults injects the faults that the multi-process test rig needs inside the program: it changes the rate of the
+// clock, stops the process at named points, and disables safeguards. It also measures the process's use of resources. In a
+// release build, which has no faults tag, its functions change nothing.
 package faults
 
 import "time"
 
-// On says whether this build has faults.
+// On reports whether this build can inject faults.
 const On = false
 
-// Clock gives the clock's reading as it is.
+// Clock returns t unchanged.
 func Clock(t time.Duration) time.Duration { return t }
 
-// Point is a place at which the rig may stop the process.
+// Point does nothing. With the faults tag, the test rig can stop the process here.
 func Point(string) {}
 
-// Without says whether the rig has taken a safeguard out.
+// Without reports whether the test rig has disabled a safeguard, which it cannot do in this build.
 func Without(string) bool { return false }
--- a/internal/faults/on.go
+++ b/internal/faults/on.go
@@ -1,7 +1,8 @@
 //go:build faults
 
-// Package faults is what the rig of processes needs inside a program: a clock that runs fast or slow, a stop at a point
-// told by name, safeguards taken out. Only builds with the tag faults have it.
+// Package faults injects the faults that the multi-process test rig needs inside the program: it changes the rate of the
+// clock, stops the process at named points, and disables safeguards. It also measures the process's use of resources. Only
+// builds with the faults tag can do so.
 package faults
 
 import (
@@ -14,14 +15,14 @@
 	"time"
 )
 
-// On says whether this build has faults.
+// On reports whether this build can inject faults.
 const On = true
 
-// What the rig tells a process.
+// The environment variables by which the test rig configures a process.
 const (
-	RateVariable    = "THISTLERUDDER_CLOCK_RATE" // 1.005: half a percent fast
-	PointsVariable  = "THISTLERUDDER_POINTS"     // a folder: a file by a point's name stops the process there, once
-	WithoutVariable = "THISTLERUDDER_WITHOUT"    // safeguards, by commas
+	RateVariable    = "THISTLERUDDER_CLOCK_RATE" // rate of the process's clock; 1.005 is half a percent fast
+	PointsVariable  = "THISTLERUDDER_POINTS"     // a folder; a file named after a point stops the process there once
+	WithoutVariable = "THISTLERUDDER_WITHOUT"    // the disabled safeguards, separated by commas
 )
 
 var (
@@ -37,19 +38,21 @@
 	return 1
 }
 
-// Clock gives what a clock of the rate told shows. It starts together with the true one, when the machine did.
+// Clock converts t, the time since boot, into the reading of a clock that runs at the configured rate. The two clocks
+// agree at boot.
 func Clock(t time.Duration) time.Duration { return time.Duration(float64(t) * clockRate) }
 
-// Point stops the process if the rig wants so, until it is let go on.
+// Point stops the process if the points folder has a file of this name. The file is removed, and the process stays stopped
+// until it receives SIGCONT.
 func Point(name string) {
 	if pointsDir == "" {
 		return
 	}
 	if os.Remove(filepath.Join(pointsDir, name)) == nil {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
-		time.Sleep(time.Millisecond) // the signal may come a moment later than the call returns
+		time.Sleep(time.Millisecond) // the signal may be delivered shortly after the call returns
 	}
 }
 
-// Without says whether the rig has taken a safeguard out.
+// Without reports whether the test rig has disabled a safeguard.
 func Without(safeguard string) bool { return slices.Contains(disabledSafeguards, safeguard) }
--- a/internal/faults/traffic_off.go
+++ b/internal/faults/traffic_off.go
@@ -7,10 +7,10 @@
 	"net"
 )
 
-// Counted gives the connection as it is.
+// Counted returns c unchanged.
 func Counted(_ string, c net.Conn) net.Conn { return c }
 
-// Dialing gives the dialer as it is.
+// Dialing returns dial unchanged.
 func Dialing(_ string, dial func(ctx context.Context, network, address string) (net.Conn, error),
 ) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return dial
--- a/internal/faults/traffic_on.go
+++ b/internal/faults/traffic_on.go
@@ -19,15 +19,16 @@
 // UsageVariable names the file to which a process writes its Usage at each SIGUSR2.
 const UsageVariable = "THISTLERUDDER_USAGE"
 
-// Traffic is what went over connections of one use since the start, as their process wrote and read it: the bytes of TCP's
-// payload. A write is a message here, since each is written whole; greetings are read byte by byte, which counts as no read.
+// Traffic counts what this process has sent and received since its start over the connections of one purpose. Sent and
+// Received are bytes of TCP payload. Each message is written whole, so Writes counts messages. Reads leaves out reads of a
+// single byte, as the handshake is read byte by byte.
 type Traffic struct{ Sent, Received, Writes, Reads, Connections int64 }
 
-// Usage is what this process has used since its start.
+// Usage holds the resources that this process has used since its start.
 type Usage struct {
-	Traffic             map[string]Traffic // by use
-	CPUBefore, CPUAfter int64              // nanoseconds, user's and system's, before the collection that Heap comes from and after it
-	Heap                uint64             // live bytes
+	Traffic             map[string]Traffic // by purpose
+	CPUBefore, CPUAfter int64              // user and system time in ns, before and after the garbage collection of Used
+	Heap                uint64             // live bytes after the garbage collection
 	Goroutines          int
 }
 
@@ -40,7 +41,7 @@
 	return c.(*connCounters)
 }
 
-// countingConn is a connection that is counted.
+// countingConn is a connection whose traffic is counted.
 type countingConn struct {
 	net.Conn
 	counters *connCounters
@@ -62,14 +63,14 @@
 	return n, err
 }
 
-// Counted counts what goes over a connection.
+// Counted wraps a connection to count its traffic under a purpose.
 func Counted(purpose string, c net.Conn) net.Conn {
 	counters := countersFor(purpose)
 	counters.connections.Add(1)
 	return countingConn{c, counters}
 }
 
-// Dialing counts what goes over the connections of a dialer.
+// Dialing wraps a dialer to count the traffic of its connections under a purpose.
 func Dialing(purpose string, dial func(ctx context.Context, network, address string) (net.Conn, error),
 ) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -87,7 +88,7 @@
 	return rusage.Utime.Nano() + rusage.Stime.Nano()
 }
 
-// Used collects garbage, and tells what was used.
+// Used returns the resources used so far. It runs a garbage collection to measure the live heap.
 func Used() Usage {
 	u := Usage{Traffic: map[string]Traffic{}, CPUBefore: cpuTime()}
 	countersByPurpose.Range(func(purpose, v any) bool {
