--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -57,9 +57,9 @@
 }
 
 // SetAlarm implements routing.Host.
-func (n *instance) SetAlarm(at routing.Time, handle int) {
+func (n *instance) SetAlarm(due routing.Time, handle int) {
 	n.orders.begin("remind")
-	n.orders.millis("due-at-ms", at)
+	n.orders.millis("due-at-ms", due)
 	n.orders.number("handle", handle)
 	n.orders.end()
 }
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -42,17 +42,17 @@
 
 // newInstance reads the settings. Those that are missing or invalid take their
 // cautious defaults; the latter are logged.
-func newInstance(info []byte) (*instance, error) {
-	var settings map[string]any
-	if err := json.Unmarshal(info, &settings); err != nil {
+func newInstance(rawSettings []byte) (*instance, error) {
+	var fields map[string]any
+	if err := json.Unmarshal(rawSettings, &fields); err != nil {
 		return nil, fmt.Errorf("unreadable settings: %w", err)
 	}
-	parsed, err := config.ParseSettings(settings)
+	settings, err := config.ParseSettings(fields)
 	if err != nil {
 		log.Printf("invalid settings take their defaults: %v", err)
 	}
 	return &instance{
-		settings:       parsed,
+		settings:       settings,
 		serverIndexes:  map[string]int{},
 		requestIndexes: map[string]int{},
 	}, nil
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -34,7 +34,7 @@
 		var readErr error
 		line, readErr = readLine(r, line[:0])
 		if len(bytes.TrimSpace(line)) > 0 {
-			if err := s.answer(line, w); err != nil {
+			if err := s.handleLine(line, w); err != nil {
 				return err
 			}
 		}
@@ -47,8 +47,8 @@
 	}
 }
 
-// answer writes the reply to one batch.
-func (s *session) answer(line []byte, w *bufio.Writer) error {
+// handleLine writes the reply to one batch.
+func (s *session) handleLine(line []byte, w *bufio.Writer) error {
 	if err := s.handleBatch(line); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedBatch, err)
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	create = `{"now-ms":1000,"batch":1,"parts":[{"node":"node_0","msgs":[{"what":"create","prng":5,"info":{"balancers":1,` +
+	createBatch = `{"now-ms":1000,"batch":1,"parts":[{"node":"node_0","msgs":[{"what":"create","prng":5,"info":{"balancers":1,` +
 		`"domain":{"mode":"aside","origin-kind":1},"models":["box","origin"],"new-field":[1],"permissions":{"most-shots":3},` +
 		`"namespaces":[{"name":"read","repeat":"safe","target-time-ms":200,"time-limit-ms":750}]}},` +
 		`{"what":"peers-known","how":"Persisted","version":1,"entries":[{"state":"healthy","server":"10.0.0.1:1","machine":"box"},` +
 		`{"state":"healthy","server":"10.0.0.2:1","machine":"origin"}]}]}]}`
-	ingress = `{"now-ms":1001.27,"batch":2,"parts":[{"node":"node_0","msgs":[{"what":"ingress","ticket":"t1",` +
+	ingressBatch = `{"now-ms":1001.27,"batch":2,"parts":[{"node":"node_0","msgs":[{"what":"ingress","ticket":"t1",` +
 		`"tier-class":"read","route-key":"k","expires-ms":1700.19,"unheard-of":{"a":[1]}}]}]}`
 )
 
@@ -27,8 +27,8 @@
 	return strings.Split(strings.TrimSpace(out.String()), "\n"), logged.String(), err
 }
 
-func TestARequestGoesToItsCacheThenToTheOrigin(t *testing.T) {
-	replies, logged, err := serve(create, ingress,
+func TestRequestSentToOriginAfterCacheNotFound(t *testing.T) {
+	replies, logged, err := serve(createBatch, ingressBatch,
 		`{"now-ms":1010,"batch":3,"parts":[{"node":"node_0","msgs":[{"what":"settled","ticket":"t1","try":0,`+
 			`"server":"10.0.0.1:1","state-code":"M","time-taken-ms":9}]}]}`,
 		`{"now-ms":1020,"batch":4,"parts":[{"node":"node_0","msgs":[{"what":"settled","ticket":"t1","try":1,`+
@@ -45,8 +45,8 @@
 	}
 }
 
-func TestBadInputIsLoggedAndTheRestGoesOn(t *testing.T) {
-	for _, c := range []struct{ msg, logged string }{
+func TestInvalidMessageLoggedAndLaterBatchAnswered(t *testing.T) {
+	for _, tt := range []struct{ msg, wantLog string }{
 		{`{"what":"surprise"}`, "unknown event"},
 		{`{"what":"settled","ticket":"t9","try":0,"state-code":"S"}`, `unknown request "t9"`},
 		{`{"what":"settled","ticket":"t1","try":7,"state-code":"S"}`, `request "t1" has no attempt 7`},
@@ -57,21 +57,21 @@
 		{`{"what":"create","info":{"tick-ms":"soon"}}`, "settings.tick-ms: expected a time"},
 		{`null`, "unknown event"},
 	} {
-		line := `{"now-ms":1002,"batch":3,"parts":[{"node":"node_0","msgs":[` + c.msg + `]}]}`
-		replies, logged, err := serve(create, ingress, line,
+		line := `{"now-ms":1002,"batch":3,"parts":[{"node":"node_0","msgs":[` + tt.msg + `]}]}`
+		replies, logged, err := serve(createBatch, ingressBatch, line,
 			strings.Replace(line, "node_0", "node_7", 1), `{"now-ms":1,"batch":5,"parts":[]}`)
-		if err != nil || !strings.Contains(logged, c.logged) || !strings.Contains(replies[len(replies)-1], `"batch":5`) {
-			t.Errorf("%s: logged %q, error %v, replies %v; want %q", c.msg, logged, err, replies, c.logged)
+		if err != nil || !strings.Contains(logged, tt.wantLog) || !strings.Contains(replies[len(replies)-1], `"batch":5`) {
+			t.Errorf("%s: logged %q, error %v, replies %v; want %q", tt.msg, logged, err, replies, tt.wantLog)
 		}
 	}
 }
 
 // Load reports and messages from peers are ignored, whatever they hold.
-func TestReportsAndNotesAreIgnored(t *testing.T) {
+func TestLoadReportsAndPeerMessagesIgnored(t *testing.T) {
 	for _, msg := range []string{`{"what":"sampled","server":"10.0.0.1:1","state-code":"S","stats":[-1]}`,
 		`{"what":"sampled","server":"nowhere","stats":"soon"}`, `{"what":"sampled","server":"10.0.0.1:1","stats":[null,{}]}`,
 		`{"what":"note-from","origin-peer":9,"octets":"=="}`, `{"what":"note-from","octets":[7]}`} {
-		replies, logged, err := serve(create, `{"now-ms":1002,"batch":3,"parts":[{"node":"node_0","msgs":[`+msg+`]}]}`)
+		replies, logged, err := serve(createBatch, `{"now-ms":1002,"batch":3,"parts":[{"node":"node_0","msgs":[`+msg+`]}]}`)
 		if err != nil || logged != "" || replies[1] != `{"batch":3,"parts":[]}` {
 			t.Errorf("%s: replies %v, logged %q, %v", msg, replies, logged, err)
 		}
@@ -79,7 +79,7 @@
 }
 
 // Nothing is idle here, so the order itself is looked at.
-func TestCloseIdleIsOrdered(t *testing.T) {
+func TestCloseIdleWritesHangUpOrder(t *testing.T) {
 	s := &session{}
 	n := &instance{serverIDs: []string{"10.0.0.1:1", "10.0.0.2:1"}, orders: &orderWriter{w: &s.reply, instance: "node_0"}}
 	n.CloseIdle(1, 0)
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestMalformedBatchEndsServe(t *testing.T) {
+func TestServeMalformedBatchReturnsError(t *testing.T) {
 	for _, line := range []string{"hello", "[1]", `{"batch":1}`, `{"now-ms":1,"batch":1,"parts":[{"node":`} {
 		if _, _, err := serve(line); !errors.Is(err, ErrMalformedBatch) {
 			t.Errorf("%s: error %v, want %v", line, err, ErrMalformedBatch)
@@ -99,7 +99,7 @@
 }
 
 // A panic of one instance is reported on the wire, with its text.
-func TestPanicIsReported(t *testing.T) {
+func TestPanicWritesInternalErrorOrder(t *testing.T) {
 	broken := &instance{requestIndexes: map[string]int{"t": 0}}
 	s := &session{instances: map[string]*instance{"node_0": broken}, message: message{kind: "started", requestID: "t"}}
 	orders := &orderWriter{w: &s.reply, instance: "node_0"}
@@ -111,14 +111,16 @@
 
 // The wire has one call for the endpoint list at a time: while one is in flight, no other is ordered; another one is once
 // the list has come, or failed.
-func TestOneSubscriptionIsInFlight(t *testing.T) {
-	at := func(batch, ms int, msg string) string {
+func TestSubscribeWhileCallInFlightWritesNoOrder(t *testing.T) {
+	batchLine := func(batch, ms int, msg string) string {
 		return fmt.Sprintf(`{"now-ms":%d,"batch":%d,"parts":[{"node":"node_0","msgs":[%s]}]}`, ms, batch, msg)
 	}
-	alarm := `{"what":"alarm","handle":0}`
-	failed := `{"what":"peers-known","how":"Error"}`
-	replies, logged, err := serve(create, at(2, 2000, alarm), at(3, 5000, alarm), at(4, 5001, `{"what":"peers-known","how":"Persisted",`+
-		`"version":1,"entries":[]}`), at(5, 9000, alarm), at(6, 9001, failed), at(7, 13000, alarm))
+	alarmMessage := `{"what":"alarm","handle":0}`
+	failedUpdate := `{"what":"peers-known","how":"Error"}`
+	cachedUpdate := `{"what":"peers-known","how":"Persisted","version":1,"entries":[]}`
+	replies, logged, err := serve(createBatch, batchLine(2, 2000, alarmMessage), batchLine(3, 5000, alarmMessage),
+		batchLine(4, 5001, cachedUpdate), batchLine(5, 9000, alarmMessage), batchLine(6, 9001, failedUpdate),
+		batchLine(7, 13000, alarmMessage))
 	if err != nil || logged != "" {
 		t.Fatal(err, logged)
 	}
