--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,8 +11,9 @@
 	"github.com/thistlerudder/thistlerudder/internal/simwire"
 )
 
-// gcPercent is the growth of the heap between two garbage collections. The
-// simulator charges for CPU time, and memory is plentiful.
+// gcPercent is the growth of the heap between two garbage collections, as in
+// GOGC. It is high because the simulator charges for CPU time and memory is
+// plentiful.
 const gcPercent = 800 // percent
 
 func main() {
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -13,27 +13,27 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// session hosts the instances of one process. They share nothing but its
-// buffers.
+// session hosts the instances of one process. The instances share only the
+// session's buffers.
 type session struct {
-	instances map[string]*instance // by the wire's name
+	instances map[string]*instance // by name on the wire
 	nowMillis float64
 	reply     jwriter.Writer
-	message   message // the one at hand, reused for the next
+	message   message // the current message, reused for each one
 }
 
 func newSession() *session { return &session{instances: map[string]*instance{}} }
 
-// header is what a batch holds beside its parts.
+// header holds the fields of a batch other than its parts.
 type header struct {
 	number           int
 	nowMillis        float64
-	hasNow, hasParts bool // whether it has a clock, and parts
+	hasNow, hasParts bool // whether the batch has the fields now-ms and parts
 }
 
 // handleBatch writes the reply to one batch into s.reply.
 func (s *session) handleBatch(line []byte) error {
-	// The clock may follow the parts, so the header is read first.
+	// The field now-ms may follow the parts, so the header is read first.
 	h, err := readHeader(line)
 	if err != nil {
 		return err
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// readHeader reads a batch without its parts.
+// readHeader reads the header of a batch and skips the parts.
 func readHeader(line []byte) (h header, err error) {
 	if bytes.TrimSpace(line)[0] != '{' {
 		return h, errors.New("not a JSON object")
@@ -93,7 +93,7 @@
 }
 
 // handlePart handles the messages to one instance and writes its orders, if
-// there are any. It reports whether a part of the reply was written by now.
+// there are any. It reports whether the reply now has at least one part.
 func (s *session) handlePart(in *jlexer.Lexer, partWritten bool) bool {
 	name, messages := "", []byte(nil)
 	eachField(in, func(field string) {
@@ -127,7 +127,7 @@
 }
 
 // handleMessage reports the event of s.message to an instance. A panic is
-// reported on the wire.
+// recovered and written as an internal-error order.
 func (s *session) handleMessage(name string, orders *orderWriter) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -150,7 +150,7 @@
 		return n.startRequest(m, now)
 	case "settled":
 		return n.attemptDone(m, now)
-	case "started", "client-left": // a started answer is passed on without the balancer
+	case "started", "client-left": // the simulator forwards a started answer without the balancer
 		n.clientGone(m.requestID, now)
 	case "alarm":
 		n.balancer.Alarm(now, m.alarm)
@@ -159,7 +159,7 @@
 	case "power-off":
 		delete(s.instances, name)
 	case "sampled", "note-from":
-		// Load reports and messages between nodes: routing uses neither.
+		// Routing uses neither load reports nor messages between nodes.
 	default:
 		return errors.New("unknown event")
 	}
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -34,7 +34,8 @@
 }
 
 // Subscribe implements routing.Host. The wire allows one call at a time: a
-// second would replace the first at the end of the discovery service's queue.
+// second call would replace the first and join the end of the discovery
+// service's queue.
 func (n *instance) Subscribe() {
 	if n.subscribing {
 		return
@@ -45,8 +46,8 @@
 	n.orders.end()
 }
 
-// CloseIdle implements routing.Host. The wire closes all idle connections to a
-// server or none.
+// CloseIdle implements routing.Host. The wire can only close all idle
+// connections to a server, so nothing is closed if some are to be kept.
 func (n *instance) CloseIdle(server, keep int) {
 	if keep > 0 {
 		return
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -10,12 +10,12 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// instance is one balancer node. It maps the wire's IDs to the small indices
-// that routing uses, and is the routing.Host (host.go).
+// instance is one balancer node. It maps the IDs on the wire to the small
+// indices that routing uses, and implements routing.Host (host.go).
 type instance struct {
 	balancer *routing.Balancer
 	settings *config.Settings
-	orders   *orderWriter // for the part at hand
+	orders   *orderWriter // writes the current part of the reply
 
 	serverIndexes map[string]int // by ID
 	serverIDs     []string       // by index
@@ -28,20 +28,20 @@
 	subscribing bool // a call for the endpoint list is in flight
 }
 
-// request is a client's request as far as the wire needs to know it.
+// request is the state of a client's request that the wire needs.
 type request struct {
 	id       string
-	attempts int
-	inFlight int // attempts
+	attempts int // attempts sent
+	inFlight int // attempts in flight
 	ended    bool
 	released bool
 }
 
-// noTenant is the routing.Request.Tenant of a request without one.
+// noTenant is the routing.Request.Tenant of a request without a tenant.
 const noTenant = -1
 
-// newInstance reads the settings. Those that are missing or invalid take their
-// cautious defaults; the latter are logged.
+// newInstance returns an instance with the given settings. A missing or invalid
+// setting takes its cautious default, and an invalid one is logged.
 func newInstance(rawSettings []byte) (*instance, error) {
 	var fields map[string]any
 	if err := json.Unmarshal(rawSettings, &fields); err != nil {
@@ -120,7 +120,8 @@
 	return nil
 }
 
-// clientGone reports that a request ends without the balancer, if it is known.
+// clientGone reports that a request has ended without a final answer from the
+// balancer. An unknown request is ignored.
 func (n *instance) clientGone(id string, now routing.Time) {
 	if index, ok := n.requestIndexes[id]; ok {
 		n.balancer.ClientGone(now, index)
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// serverIndex returns the index of a server, a new one if it is unknown.
+// serverIndex returns the index of a server. An unknown server gets a new one.
 func (n *instance) serverIndex(id string) int {
 	index, ok := n.serverIndexes[id]
 	if !ok {
@@ -164,7 +165,8 @@
 	return index
 }
 
-// model returns the index of a machine model.
+// model returns the index of a machine model, or routing.NoOriginModel if the
+// settings do not list it.
 func (n *instance) model(name string) int {
 	model, ok := n.settings.Models[name]
 	if !ok {
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -6,9 +6,9 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// message holds the fields of one event, whatever its kind. The strings refer
-// to the line that was read and are valid until the next one only, except for
-// tenant.
+// message holds the fields of one event of any kind. Its strings, except for
+// tenant, refer to the buffer of the current line and are valid only until the
+// next line is read.
 type message struct {
 	kind           string
 	requestID      string
@@ -29,7 +29,8 @@
 	endpoints      []endpoint
 }
 
-// endpoint is an entry of the endpoint list. Its ID and model stay valid.
+// endpoint is an entry of the endpoint list. Its ID and model are copies, which
+// stay valid; its state is valid only until the next line is read.
 type endpoint struct {
 	state           string
 	id              string
@@ -37,7 +38,7 @@
 	startedAtMillis float64
 }
 
-// The codes of the wire.
+// The codes that the wire uses for results, list updates and endpoint states.
 var (
 	results = map[string]routing.Result{
 		"S": routing.Served,
--- a/internal/simwire/orders.go
+++ b/internal/simwire/orders.go
@@ -6,16 +6,17 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// orderWriter writes the orders of one instance into the reply. The instance's
-// part of the reply begins with its first order.
+// orderWriter writes the orders of one instance into the reply. It opens the
+// instance's part of the reply at the first order, so an instance without
+// orders has no part.
 type orderWriter struct {
 	w           *jwriter.Writer
 	instance    string
-	partWritten bool // this part or an earlier one
-	partOpen    bool
+	partWritten bool // whether the reply has this part or an earlier one
+	partOpen    bool // whether the reply has this part
 }
 
-// begin begins an order; end must follow.
+// begin starts an order of the given kind. The caller must finish it with end.
 func (o *orderWriter) begin(kind string) {
 	if o.partOpen {
 		o.w.RawByte(',')
@@ -66,8 +67,8 @@
 
 func (o *orderWriter) end() { o.w.RawByte('}') }
 
-// close ends the part, if it was begun, and reports whether any part of the
-// reply was written by now.
+// close ends the part, if it is open, and reports whether the reply has at
+// least one part.
 func (o *orderWriter) close() bool {
 	if o.partOpen {
 		o.w.RawString(`]}`)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,9 +1,9 @@
 // Package simwire runs balancer instances for the simulator: it reads batches
 // of events, reports each event to the instance's routing.Balancer, and writes
-// what the Balancer orders as the reply.
+// the orders that the Balancer gives as the reply.
 //
-// The wire is a line of JSON for each batch and for each reply. Its own names,
-// such as ticket for a request, stay inside the decoder (message.go) and the
+// Each batch and each reply is one line of JSON. The simulator's own names, such
+// as ticket for a request, are used only in the decoder (message.go) and the
 // encoder (host.go, orders.go).
 package simwire
 
@@ -24,7 +24,7 @@
 
 // Serve answers each batch read from in with one line on out until the input
 // ends. It returns an error wrapping ErrMalformedBatch for a line that is not
-// a batch, or an error of in or out. Faults of single messages are logged.
+// a batch, or an error of in or out. Errors in single messages are logged.
 func Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
@@ -47,7 +47,7 @@
 	}
 }
 
-// handleLine writes the reply to one batch.
+// handleLine handles one batch and writes the reply to w.
 func (s *session) handleLine(line []byte, w *bufio.Writer) error {
 	if err := s.handleBatch(line); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedBatch, err)
@@ -61,7 +61,7 @@
 	return w.Flush()
 }
 
-// readLine appends one line, however long, to buf.
+// readLine appends one line of any length to buf.
 func readLine(r *bufio.Reader, buf []byte) ([]byte, error) {
 	for {
 		part, err := r.ReadSlice('\n')
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -19,7 +19,7 @@
 		`"tier-class":"read","route-key":"k","expires-ms":1700.19,"unheard-of":{"a":[1]}}]}]}`
 )
 
-// serve plays lines and returns the replies, the log and the error.
+// serve runs Serve on the lines and returns the replies, the log and the error.
 func serve(lines ...string) ([]string, string, error) {
 	var out, logged bytes.Buffer
 	log.SetOutput(&logged)
@@ -66,7 +66,8 @@
 	}
 }
 
-// Load reports and messages from peers are ignored, whatever they hold.
+// Load reports and messages from peers are ignored, even if their content is
+// invalid.
 func TestLoadReportsAndPeerMessagesIgnored(t *testing.T) {
 	for _, msg := range []string{`{"what":"sampled","server":"10.0.0.1:1","state-code":"S","stats":[-1]}`,
 		`{"what":"sampled","server":"nowhere","stats":"soon"}`, `{"what":"sampled","server":"10.0.0.1:1","stats":[null,{}]}`,
@@ -78,7 +79,8 @@
 	}
 }
 
-// Nothing is idle here, so the order itself is looked at.
+// The other tests have no idle connections to close, so this one calls CloseIdle
+// and checks the order that it writes.
 func TestCloseIdleWritesHangUpOrder(t *testing.T) {
 	s := &session{}
 	n := &instance{serverIDs: []string{"10.0.0.1:1", "10.0.0.2:1"}, orders: &orderWriter{w: &s.reply, instance: "node_0"}}
@@ -98,7 +100,7 @@
 	}
 }
 
-// A panic of one instance is reported on the wire, with its text.
+// A panic in an instance is reported on the wire with the text of the panic.
 func TestPanicWritesInternalErrorOrder(t *testing.T) {
 	broken := &instance{requestIndexes: map[string]int{"t": 0}}
 	s := &session{instances: map[string]*instance{"node_0": broken}, message: message{kind: "started", requestID: "t"}}
@@ -109,8 +111,9 @@
 	}
 }
 
-// The wire has one call for the endpoint list at a time: while one is in flight, no other is ordered; another one is once
-// the list has come, or failed.
+// The wire allows one call for the endpoint list at a time. While a call is in
+// flight, no other is ordered, even after a cached list. Another can be ordered
+// once the call has returned the list or failed.
 func TestSubscribeWhileCallInFlightWritesNoOrder(t *testing.T) {
 	batchLine := func(batch, ms int, msg string) string {
 		return fmt.Sprintf(`{"now-ms":%d,"batch":%d,"parts":[{"node":"node_0","msgs":[%s]}]}`, ms, batch, msg)
@@ -126,7 +129,7 @@
 	}
 	for i, want := range []bool{false, true, false, false, false, false, true} {
 		if got := strings.Contains(replies[i], `"what":"observe"`); got != want {
-			t.Errorf("reply %d: %s, want a call %v", i+1, replies[i], want)
+			t.Errorf("reply %d: %s, want an observe order: %v", i+1, replies[i], want)
 		}
 	}
 }
