--- a/internal/faults/traffic_on.go
+++ b/internal/faults/traffic_on.go
@@ -19,86 +19,87 @@
 // UsageVariable names the file to which a process writes its Usage at each SIGUSR2.
 const UsageVariable = "THISTLERUDDER_USAGE"
 
-// Traffic is what went over connections of one use since the start, as their process wrote and read it: the bytes of TCP's
-// payload. A write is a message here, since each is written whole; greetings are read byte by byte, which counts as no read.
+// Traffic counts what this process has sent and received since its start over the connections of one purpose. Sent and
+// Received are bytes of TCP payload. Each message is written whole, so Writes counts messages. Reads leaves out reads of a
+// single byte, as the handshake is read byte by byte.
 type Traffic struct{ Sent, Received, Writes, Reads, Connections int64 }
 
-// Usage is what this process has used since its start.
+// Usage holds the resources that this process has used since its start.
 type Usage struct {
-	Traffic             map[string]Traffic // by use
-	CPUBefore, CPUAfter int64              // nanoseconds, user's and system's, before the collection that Heap comes from and after it
-	Heap                uint64             // live bytes
+	Traffic             map[string]Traffic // by purpose
+	CPUBefore, CPUAfter int64              // user and system time in ns, before and after the garbage collection of Used
+	Heap                uint64             // live bytes after the garbage collection
 	Goroutines          int
 }
 
-type counts struct{ sent, received, writes, reads, connections atomic.Int64 }
+type connCounters struct{ sent, received, writes, reads, connections atomic.Int64 }
 
-var traffic sync.Map // uses to *counts
+var countersByPurpose sync.Map // purposes to *connCounters
 
-func countsOf(use string) *counts {
-	c, _ := traffic.LoadOrStore(use, &counts{})
-	return c.(*counts)
+func countersFor(purpose string) *connCounters {
+	c, _ := countersByPurpose.LoadOrStore(purpose, &connCounters{})
+	return c.(*connCounters)
 }
 
-// counted is a connection that is counted.
-type counted struct {
+// countingConn is a connection whose traffic is counted.
+type countingConn struct {
 	net.Conn
-	c *counts
+	counters *connCounters
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.c.received.Add(int64(n))
+	c.counters.received.Add(int64(n))
 	if n > 1 {
-		c.c.reads.Add(1)
+		c.counters.reads.Add(1)
 	}
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.c.sent.Add(int64(n))
-	c.c.writes.Add(1)
+	c.counters.sent.Add(int64(n))
+	c.counters.writes.Add(1)
 	return n, err
 }
 
-// Counted counts what goes over a connection.
-func Counted(use string, c net.Conn) net.Conn {
-	k := countsOf(use)
-	k.connections.Add(1)
-	return counted{c, k}
+// Counted wraps a connection to count its traffic under a purpose.
+func Counted(purpose string, c net.Conn) net.Conn {
+	counters := countersFor(purpose)
+	counters.connections.Add(1)
+	return countingConn{c, counters}
 }
 
-// Dialing counts what goes over the connections of a dialer.
-func Dialing(use string, dial func(ctx context.Context, network, address string) (net.Conn, error),
+// Dialing wraps a dialer to count the traffic of its connections under a purpose.
+func Dialing(purpose string, dial func(ctx context.Context, network, address string) (net.Conn, error),
 ) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return Counted(use, c), nil
+		return Counted(purpose, c), nil
 	}
 }
 
-func cpu() int64 {
-	var u unix.Rusage
-	_ = unix.Getrusage(unix.RUSAGE_SELF, &u)
-	return u.Utime.Nano() + u.Stime.Nano()
+func cpuTime() int64 {
+	var rusage unix.Rusage
+	_ = unix.Getrusage(unix.RUSAGE_SELF, &rusage)
+	return rusage.Utime.Nano() + rusage.Stime.Nano()
 }
 
-// Used collects garbage, and tells what was used.
+// Used returns the resources used so far. It runs a garbage collection to measure the live heap.
 func Used() Usage {
-	u := Usage{Traffic: map[string]Traffic{}, CPUBefore: cpu()}
-	traffic.Range(func(use, v any) bool {
-		c := v.(*counts)
-		u.Traffic[use.(string)] = Traffic{c.sent.Load(), c.received.Load(), c.writes.Load(), c.reads.Load(), c.connections.Load()}
+	u := Usage{Traffic: map[string]Traffic{}, CPUBefore: cpuTime()}
+	countersByPurpose.Range(func(purpose, v any) bool {
+		c := v.(*connCounters)
+		u.Traffic[purpose.(string)] = Traffic{c.sent.Load(), c.received.Load(), c.writes.Load(), c.reads.Load(), c.connections.Load()}
 		return true
 	})
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	u.Heap, u.Goroutines, u.CPUAfter = m.HeapAlloc, runtime.NumGoroutine(), cpu()
+	u.Heap, u.Goroutines, u.CPUAfter = m.HeapAlloc, runtime.NumGoroutine(), cpuTime()
 	return u
 }
 
@@ -107,10 +108,10 @@
 	if path == "" {
 		return
 	}
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR2)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR2)
 	go func() {
-		for range asked {
+		for range signals {
 			b, _ := json.Marshal(Used())
 			if os.WriteFile(path+".new", b, 0o600) == nil {
 				_ = os.Rename(path+".new", path)
