--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -35,7 +35,7 @@
 )
 
 // Adds up the constants for each case, plus busyAllowance for a busy machine. The test fails if a constant of this package or of the balancer is
-// raised too far. TestNextPollIsNeverFar checks that the waits between polls stay within PollSpread and MaxPollWait.
+// raised too far. TestPollIntervalBoundedWithoutSubscription checks that the waits between polls stay within PollSpread and MaxPollWait.
 func TestListDelayConstantsWithinLimits(t *testing.T) {
 	spread, maxWait := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollWait)
 	for _, c := range []struct {
