--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -72,7 +72,7 @@
 	moveInFlight bool // one of the proposals moves quotas
 	stale        bool // demand, nodes or the replicated state may have changed since the last division
 	nextDivision Time // earliest time of the next division
-	retryTime    Time // time to divide again even if nothing has changed, 0: none
+	redivideTime Time // time to divide again even if nothing has changed, 0: none
 	moveRate     moveRate
 }
 
@@ -329,7 +329,7 @@
 		return
 	}
 	a.expireNodes(now)
-	due := a.stale && now >= a.nextDivision || a.retryTime > 0 && now >= a.retryTime
+	due := a.stale && now >= a.nextDivision || a.redivideTime > 0 && now >= a.redivideTime
 	if due && !a.moveInFlight {
 		a.divide(now)
 	}
@@ -356,8 +356,8 @@
 	if a.stale && !a.moveInFlight {
 		alarmTime = a.nextDivision
 	}
-	if a.retryTime > 0 && !a.moveInFlight {
-		alarmTime = min(alarmTime, a.retryTime)
+	if a.redivideTime > 0 && !a.moveInFlight {
+		alarmTime = min(alarmTime, a.redivideTime)
 	}
 	for _, n := range a.nodes {
 		if n.requestID != 0 {
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -547,7 +547,7 @@
 			fmt.Fprint(h, *l.state.Budgets[name])
 		}
 		if l.term > 0 {
-			fmt.Fprint(h, l.allocator.stale, l.allocator.nextDivision, l.allocator.retryTime, l.allocator.moveInFlight, l.allocator.turns)
+			fmt.Fprint(h, l.allocator.stale, l.allocator.nextDivision, l.allocator.redivideTime, l.allocator.moveInFlight, l.allocator.turns)
 			for _, name := range slices.Sorted(maps.Keys(l.allocator.nodes)) {
 				n := l.allocator.nodes[name]
 				fmt.Fprint(h, name, n.token, n.holdings, n.shrinkTo, n.requestID != 0, n.deadline)
--- a/budget/division.go
+++ b/budget/division.go
@@ -40,7 +40,7 @@
 func (a *Allocator) divide(now Time) {
 	a.stale = false
 	a.nextDivision = now + divisionInterval
-	a.retryTime = 0
+	a.redivideTime = 0
 	size := noMove
 	names := slices.Sorted(maps.Keys(a.state.Budgets))
 	divisions := make([]*division, len(names))
@@ -73,7 +73,7 @@
 		return false
 	}
 	if now < earliest {
-		a.retryTime = earliest
+		a.redivideTime = earliest
 		return false
 	}
 	return true
--- a/budget/turns.go
+++ b/budget/turns.go
@@ -88,7 +88,7 @@
 		d.claims[i].rank = rank
 		d.claims[i].demand = min(d.claims[i].demand, 1)
 	}
-	a.retryTime = min(nextTurnEnd(now, d.leaseNames, turns), now+minTurn/2)
+	a.redivideTime = min(nextTurnEnd(now, d.leaseNames, turns), now+minTurn/2)
 	return maxMinShares(d.divisibleUnits(), d.claims)
 }
 
--- a/internal/net/dispatch/ejections_test.go
+++ b/internal/net/dispatch/ejections_test.go
@@ -82,7 +82,7 @@
 					return false
 				}
 				if attemptCounts[id]++; ejection.RestoredAt > 0 {
-					attemptCounts["back"]++
+					attemptCounts["restored"]++
 				}
 				attempt.Finish(Complete, Answer{})
 			}
@@ -103,7 +103,7 @@
 	if err := quick.Check(run, &quick.Config{MaxCount: 60}); err != nil {
 		t.Error(err)
 	}
-	for _, kind := range []string{"a", "b", "c", "back"} {
+	for _, kind := range []string{"a", "b", "c", "restored"} {
 		if attemptCounts[kind] == 0 {
 			t.Errorf("no attempts counted for %q: %v", kind, attemptCounts)
 		}
--- a/internal/net/frontend/conn_tracker.go
+++ b/internal/net/frontend/conn_tracker.go
@@ -19,14 +19,14 @@
 	// stalledRequestTimeout applies while a request is being received. Clients take up to 2 s to write one, and send bytes throughout that time.
 	stalledRequestTimeout = 1 * time.Second
 
-	// The time that a new connection has waited for its accept, times waitFactor, is subtracted from the two timeouts above, down to minQuietTime. A
-	// request that makes progress (see progressTime) keeps the full stalledRequestTimeout.
-	minQuietTime = 100 * time.Millisecond
-	waitFactor   = 5
+	// The time that a new connection has waited for its accept, times acceptWaitFactor, is subtracted from the two timeouts above, down to minQuietTime. A
+	// request that makes progress (see minProgressTime) keeps the full stalledRequestTimeout.
+	minQuietTime     = 100 * time.Millisecond
+	acceptWaitFactor = 5
 
-	// progressTime is the minimum time between the first and the latest bytes of a request that makes progress. It distinguishes a slow client from
+	// minProgressTime is the minimum time between the first and the latest bytes of a request that makes progress. It distinguishes a slow client from
 	// one that wrote half a request at once and then stopped.
-	progressTime = 100 * time.Millisecond
+	minProgressTime = 100 * time.Millisecond
 
 	// usedConnTimeout applies to a connection between requests: a busy client sends its next request immediately.
 	usedConnTimeout = 50 * time.Millisecond
@@ -121,13 +121,13 @@
 func (t *connTracker) nextToClose(now time.Time, acceptWait time.Duration) *list.Element {
 	var best *list.Element
 	bestRank := notClosable
-	longest := time.Duration(0)
+	longestQuiet := time.Duration(0)
 	for element := t.idle.Front(); element != nil; element = element.Next() {
-		rank, quiet := element.Value.(*idleConn).closeRank(now, acceptWait)
-		if rank > bestRank || rank == bestRank && rank != notClosable && quiet > longest {
+		rank, quiet := element.Value.(*idleConn).rankForClosing(now, acceptWait)
+		if rank > bestRank || rank == bestRank && rank != notClosable && quiet > longestQuiet {
 			best = element
 			bestRank = rank
-			longest = quiet
+			longestQuiet = quiet
 		}
 	}
 	return best
@@ -143,17 +143,17 @@
 	betweenRequests
 )
 
-// closeRank returns a connection's rank and how long it has sent nothing.
-func (c *idleConn) closeRank(now time.Time, acceptWait time.Duration) (rank closeRank, quiet time.Duration) {
+// rankForClosing returns a connection's rank and how long it has sent nothing.
+func (c *idleConn) rankForClosing(now time.Time, acceptWait time.Duration) (rank closeRank, quiet time.Duration) {
 	quiet = now.Sub(c.idleSince)
 	requestStarted := c.requestStarted
-	stallTimeout := max(minQuietTime, stalledRequestTimeout-waitFactor*acceptWait)
+	stallTimeout := max(minQuietTime, stalledRequestTimeout-acceptWaitFactor*acceptWait)
 	if client, isClient := c.conn.(*clientConn); isClient {
 		// net/http does not report a request before it has read its whole head.
 		if lastRead := clock.Moment(client.lastRead.Load()).Time(); lastRead.After(c.idleSince) {
 			requestStarted = true
 			quiet = now.Sub(lastRead)
-			if lastRead.Sub(clock.Moment(client.firstRead.Load()).Time()) >= progressTime {
+			if lastRead.Sub(clock.Moment(client.firstRead.Load()).Time()) >= minProgressTime {
 				stallTimeout = stalledRequestTimeout
 			}
 		}
@@ -161,7 +161,7 @@
 	switch {
 	case requestStarted && quiet >= stallTimeout:
 		return stalledRequest, quiet
-	case !requestStarted && c.unused && quiet >= max(minQuietTime, newConnTimeout-waitFactor*acceptWait):
+	case !requestStarted && c.unused && quiet >= max(minQuietTime, newConnTimeout-acceptWaitFactor*acceptWait):
 		return neverUsed, quiet
 	case !requestStarted && !c.unused && quiet >= usedConnTimeout:
 		return betweenRequests, quiet
--- a/internal/net/handover/golden_test.go
+++ b/internal/net/handover/golden_test.go
@@ -25,13 +25,13 @@
 	if info, err := f.Stat(); err != nil || info.Size() != 0 {
 		t.Errorf("the file is not empty: %v, %v", info, err)
 	}
-	for slot := range int64(9) {
-		lock := unix.Flock_t{Type: unix.F_WRLCK, Start: slot, Len: 1}
+	for offset := range int64(9) {
+		lock := unix.Flock_t{Type: unix.F_WRLCK, Start: offset, Len: 1}
 		if err := unix.FcntlFlock(f.Fd(), unix.F_OFD_GETLK, &lock); err != nil {
 			t.Fatal(err)
 		}
-		if locked := lock.Type != unix.F_UNLCK; locked != (slot == 0) {
-			t.Errorf("byte %d: locked %v", slot, locked)
+		if locked := lock.Type != unix.F_UNLCK; locked != (offset == 0) {
+			t.Errorf("byte %d: locked %v", offset, locked)
 		}
 	}
 	lock := unix.Flock_t{Type: unix.F_WRLCK, Start: 7, Len: 1}
--- a/internal/net/upstream/dialer.go
+++ b/internal/net/upstream/dialer.go
@@ -16,8 +16,8 @@
 	maxDialsPerServer = 32 // more dials at a time would not complete any sooner
 )
 
-// errNoResources is returned for a dial that was not started because a limit is reached.
-var errNoResources = errors.New("connection or dial limit reached")
+// errLimitReached is returned for a dial that was not started because a limit is reached.
+var errLimitReached = errors.New("connection or dial limit reached")
 
 // dialer establishes connections. It limits the descriptors in total, and the dials in progress in total and to each
 // address. A dial continues after its attempt has ended, so without the limit an unreachable server would accumulate one
@@ -33,7 +33,7 @@
 	dials            int
 	dialsByAddress   map[string]int
 	connsByKey       map[string]map[*conn]bool
-	cacheBounded     bool // maxConnsPerCache is set and applies
+	hasCacheLimit    bool // maxConnsPerCache is set and applies
 	maxConnsPerCache int  // dials included
 }
 
@@ -48,14 +48,14 @@
 }
 
 // dial implements http.Transport's DialContext. The address is taken from the context, see dialTarget; without one, the
-// key is the address. It returns errNoResources if a limit is reached.
+// key is the address. It returns errLimitReached if a limit is reached.
 func (d *dialer) dial(ctx context.Context, network, key string) (net.Conn, error) {
 	target, ok := ctx.Value(dialTargetKey{}).(dialTarget)
 	if !ok {
 		target.address = key
 	}
 	if !d.startDial(target.address, key, target.toCache) {
-		return nil, errNoResources
+		return nil, errLimitReached
 	}
 	socketConn, err := kernel.Dialing(d.DialContext)(ctx, network, target.address)
 	d.finishDial(target.address, err != nil)
@@ -74,7 +74,7 @@
 func (d *dialer) startDial(address, key string, toCache bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if toCache && d.cacheBounded && len(d.connsByKey[key])+d.dialsByAddress[address] >= d.maxConnsPerCache {
+	if toCache && d.hasCacheLimit && len(d.connsByKey[key])+d.dialsByAddress[address] >= d.maxConnsPerCache {
 		return false
 	}
 	if d.openConns >= d.maxConns || d.dials >= max(1, d.maxConns/maxDialsDivisor) || d.dialsByAddress[address] >= d.maxDialsPerServer {
@@ -150,7 +150,7 @@
 // returns, because the released quota goes to other nodes.
 func (d *dialer) setMaxConnsPerCache(n int) {
 	d.mu.Lock()
-	d.cacheBounded = true
+	d.hasCacheLimit = true
 	d.maxConnsPerCache = n
 	var retired []*conn
 	for _, conns := range d.connsByKey {
--- a/internal/net/upstream/dialer_test.go
+++ b/internal/net/upstream/dialer_test.go
@@ -194,7 +194,7 @@
 		}
 		conns = append(conns, c)
 	}
-	if _, err := dial(); !errors.Is(err, errNoResources) {
+	if _, err := dial(); !errors.Is(err, errLimitReached) {
 		t.Errorf("dial of a ninth connection: %v", err)
 	}
 	for _, c := range conns {
--- a/internal/net/upstream/result.go
+++ b/internal/net/upstream/result.go
@@ -21,7 +21,7 @@
 	reason := x.denial()
 	rest := x.attempt.Rest
 	switch {
-	case errors.Is(err, errNoResources):
+	case errors.Is(err, errLimitReached):
 		return dispatch.NoResources
 	case reason != admission.Granted && x.client.context.Err() == nil:
 		return resultOfDenial(reason)
@@ -47,7 +47,7 @@
 	var dialError *net.OpError
 	isDialError := errors.As(err, &dialError)
 	switch {
-	case errors.Is(err, errNoResources), isLocalError(err):
+	case errors.Is(err, errLimitReached), isLocalError(err):
 		return dispatch.NoResources
 	case x.client.context.Err() != nil:
 		return dispatch.Canceled
--- a/routing/polling.go
+++ b/routing/polling.go
@@ -27,7 +27,7 @@
 // scheduleFirstPoll sets the alarm for a new node's first poll. pollDue stays 0,
 // so an earlier alarm would poll, too.
 func (b *Balancer) scheduleFirstPoll() {
-	b.host.SetAlarm(b.now+b.randomPollDelay(), pollAlarmHandle)
+	b.host.SetAlarm(b.now+b.firstPollDelay(), pollAlarmHandle)
 }
 
 // resubscribe schedules a poll after the subscription was lost. If there was no
@@ -37,12 +37,12 @@
 		return
 	}
 	b.subscribed = false
-	b.pollDue = b.now + b.randomPollDelay()
+	b.pollDue = b.now + b.firstPollDelay()
 	b.host.SetAlarm(b.pollDue, pollAlarmHandle)
 }
 
-// randomPollDelay returns a random delay of less than PollSpread.
-func (b *Balancer) randomPollDelay() Time { return Time(b.draw() * float64(PollSpread)) }
+// firstPollDelay returns a random delay of less than PollSpread.
+func (b *Balancer) firstPollDelay() Time { return Time(b.draw() * float64(PollSpread)) }
 
 // pollIfDue polls for the endpoint list if a poll is due and the quota allows it,
 // and schedules the next poll.
