--- a/budget/turns.go
+++ b/budget/turns.go
@@ -9,17 +9,18 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// minTurn is the minimum time for which a node keeps its unit if there are fewer units than nodes with demand.
+// minTurn is the minimum time for which a node keeps its unit while nodes take turns. They do so if a budget has fewer units than
+// nodes with demand.
 const minTurn = 500 * lease.Millisecond
 
 // turn records when a node last acquired or lost its units of a budget.
 type turn struct {
 	hasUnits     bool
-	acquiredAt   Time // division at which the node last acquired units
-	waitingSince Time // division at which the node lost its units or was first seen without units
+	acquiredAt   Time // time of the division that last gave the node units after it had none
+	waitingSince Time // time of the division that took the node's last unit, or that first included the node, without units
 }
 
-// phase is the state of a node that takes turns. Nodes in a lower phase get units first.
+// phase is the state of a node's turn. Nodes in a lower phase get units before those in a higher one.
 type phase int
 
 const (
@@ -38,8 +39,8 @@
 	return turnExpired
 }
 
-// compareTurns orders nodes by phase. Within a phase, nodes without units come in the order of their waiting time, longest
-// first, and nodes with units in the order in which they acquired them, latest first.
+// compareTurns orders nodes by phase. Within a phase, nodes without units are ordered by waiting time, longest first, and
+// nodes with units by the time at which they acquired them, latest first.
 func compareTurns(now Time, a, b turn) int {
 	if byPhase := cmp.Compare(a.phase(now), b.phase(now)); byPhase != 0 {
 		return byPhase
@@ -77,8 +78,9 @@
 }
 
 // computeTurnTargets returns a target of one unit for as many nodes as there are units. Nodes whose turn is running come
-// first, then those that have waited longest, then those whose turn has expired. The ranks of the claims are set to this
-// order.
+// first, then those without units, longest wait first, then those whose turn has expired. It sets the claims' ranks to this
+// order, limits their demand to one unit, and sets redivideTime to the earliest end of a running turn, but to minTurn/2 from now at
+// the latest.
 func (a *Allocator) computeTurnTargets(now Time, d *division) []int {
 	turns := a.turns[d.name]
 	order := sortedIndices(len(d.leaseNames), func(i, j int) int {
@@ -92,7 +94,7 @@
 	return maxMinShares(d.divisibleUnits(), d.claims)
 }
 
-// nextTurnEnd returns when the first of the running turns ends, or math.MaxInt64 if no turn is running. With a single node
+// nextTurnEnd returns the earliest end of the running turns, or math.MaxInt64 if no turn is running. With a single node
 // it returns math.MaxInt64 too, because no other node waits for the unit.
 func nextTurnEnd(now Time, leaseNames []string, turns map[string]turn) Time {
 	end := Time(math.MaxInt64)
--- a/internal/config/cluster_test.go
+++ b/internal/config/cluster_test.go
@@ -10,7 +10,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// A valid section "fleet" is read completely. The error for each invalid key names the key and the expected value.
+// All values of a valid section "fleet" are read. The error for an invalid value names the key and what was expected.
+// The section ends with the key "settings", because readWith replaces that key of the valid file with the section.
 func TestReadFleetSectionValuesAndErrors(t *testing.T) {
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","folder":"/x","lease_ms":2000.0,"drift":0.02,"delay_ms":40.0,
 "voters":[{"name":"n3","address":"127.0.0.1:7100"},{"name":"n4","address":"127.0.0.2:7100"},{"name":"n5","address":"127.0.0.3:7100"}],
@@ -50,7 +51,8 @@
 	}
 }
 
-// Valid budgets are converted to whole units. The error for each invalid key names the key.
+// Valid budgets are converted to integer units: one unit for each request of the burst of a rate, or for each concurrent
+// request. The rate of one unit is whole/burst. The error for an invalid value names the key and what was expected.
 func TestReadBudgetsValuesAndErrors(t *testing.T) {
 	const section = `"fleet":{"name":"f","address":"127.0.0.1:7100","voters":[{"name":"a","address":"127.0.0.7:7100"},{"name":"b","address":"127.0.0.2:7100"},
 {"name":"c","address":"127.0.0.3:7100"}],"nodes":10,"weight":2.5,"budgets":[{"name":"fetches","kind":"rate","bounds":"origin","whole":100,"burst":200},
--- a/internal/kernel/faults_test.go
+++ b/internal/kernel/faults_test.go
@@ -10,7 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// EINTR is retried without limit, a lack of kernel memory at most maxTransientRetries times. Any other error is returned at once.
+// A call that fails with EINTR is retried without limit. A call that fails for lack of kernel memory (ENOMEM, ENOBUFS, and EAGAIN from poll) is
+// retried at most maxTransientRetries times. Any other error is returned at once.
 func TestTransientErrorsAreRetried(t *testing.T) {
 	t.Cleanup(func() { Fail(nil) })
 	conn, peer, raw := connPair(t)
@@ -49,7 +50,7 @@
 			}
 		}
 		if call == Poll {
-			FailTimes(call, syscall.EAGAIN, 1<<40)
+			FailTimes(call, syscall.EAGAIN, 1<<40) // more failures than retries
 			if err := do(); !errors.Is(err, syscall.EAGAIN) {
 				t.Errorf("%s: %v, want EAGAIN after the retries", call, err)
 			}
--- a/internal/net/dispatch/ejections_test.go
+++ b/internal/net/dispatch/ejections_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Ejections, restores, list updates, restarts and changes of address occur in random order. No attempt may go to an
+// Ejections, restores, list updates, restarts, changes of address and requests occur in random order. No attempt may go to an
 // endpoint that is ejected or not listed as ready, only a restore may end an ejection, and a restored endpoint must go
 // through slow start.
 func TestRandomEventsKeepEjections(t *testing.T) {
@@ -35,7 +35,7 @@
 				endpoint = Endpoint{ID: id, Address: id + ":1", Model: "box"}
 			}
 			switch random.Intn(9) {
-			case 0: // ejected, possibly again
+			case 0: // ejected, for the first time or again after a restore
 				if ejections[id].EjectedAt == 0 || ejections[id].RestoredAt > 0 {
 					ejections[id] = Ejection{ID: id, EjectedAt: float64(unixMs)}
 				}
@@ -110,8 +110,9 @@
 	}
 }
 
-// Restoring an endpoint sets its start time once, and a list update without a restart keeps it. A restart after the
-// ejection that the list reports only after the restore sets it again.
+// The start time of a restored endpoint is the time of the restore, also after a list update that reports no restart. If the
+// endpoint restarted between its ejection and its restore, and the list reports that only after the restore, the start time
+// becomes the one in the list.
 func TestRestoredEndpointStartTime(t *testing.T) {
 	d := startDispatcher(t, &fakeTransport{})
 	ejectedAt := float64(d.clock.start.UnixMilli())
@@ -121,7 +122,7 @@
 		t.Error("an ejection alone must not change the start time")
 	}
 	d.SetEjections([]Ejection{{ID: "a", EjectedAt: ejectedAt, RestoredAt: ejectedAt + 100}})
-	d.UpdateEndpoints(routing.Full, testEndpoints) // without a new start time
+	d.UpdateEndpoints(routing.Full, testEndpoints) // reports no new start time, so no restart
 	if got := startedAt(); got != fromUnix(ejectedAt+100) {
 		t.Errorf("started at %v, want the time of the restore", got)
 	}
@@ -137,12 +138,12 @@
 	}
 }
 
-// The number of stored ids is bounded, and the oldest are dropped first.
+// listedIDs stores at most maxListedIDs ids. Each new id beyond that replaces the oldest one.
 func TestListedIDsBoundedOldestDropped(t *testing.T) {
 	var ids listedIDs
 	for i := range 3 * maxListedIDs {
 		ids.add(fmt.Sprint(i))
-		ids.add(fmt.Sprint(i)) // stored once
+		ids.add(fmt.Sprint(i)) // an id that is added again is not stored twice
 	}
 	if len(ids.ids) != maxListedIDs || len(ids.order) != maxListedIDs || ids.ids[fmt.Sprint(2*maxListedIDs-1)] ||
 		!ids.ids[fmt.Sprint(2*maxListedIDs)] || !ids.ids[fmt.Sprint(3*maxListedIDs-1)] {
--- a/internal/net/frontend/conn_tracker.go
+++ b/internal/net/frontend/conn_tracker.go
@@ -10,22 +10,22 @@
 	"github.com/thistlerudder/thistlerudder/internal/clock"
 )
 
-// How long a connection must have sent nothing before it may be closed in favor of a new one.
+// Each timeout in this block is the time for which a connection must have sent nothing before it may be closed in favor of a new one.
 const (
 	// newConnTimeout applies to a connection that has not carried a request yet. Clients open a connection only when they have a request to send, so
 	// the first byte arrives well within this time, even if the node is slow to read it.
 	newConnTimeout = 300 * time.Millisecond
 
-	// stalledRequestTimeout applies while a request is being received. Clients take up to 2 s to write one, and send bytes throughout that time.
+	// stalledRequestTimeout applies while a request is being received. Clients take up to 2 s to write a request, and send bytes throughout that time.
 	stalledRequestTimeout = 1 * time.Second
 
-	// The time that a new connection has waited for its accept, times acceptWaitFactor, is subtracted from the two timeouts above, down to minQuietTime. A
-	// request that makes progress (see minProgressTime) keeps the full stalledRequestTimeout.
+	// While new connections wait to be accepted, the two timeouts above are shorter: each is reduced by acceptWaitFactor times the wait of a new
+	// connection, but not below minQuietTime. The full stalledRequestTimeout still applies to a request that makes progress (see minProgressTime).
 	minQuietTime     = 100 * time.Millisecond
 	acceptWaitFactor = 5
 
-	// minProgressTime is the minimum time between the first and the latest bytes of a request that makes progress. It distinguishes a slow client from
-	// one that wrote half a request at once and then stopped.
+	// minProgressTime: a request makes progress if at least this time lies between the arrivals of its first and its latest bytes. This distinguishes
+	// a slow client from one that wrote half a request at once and then stopped.
 	minProgressTime = 100 * time.Millisecond
 
 	// usedConnTimeout applies to a connection between requests: a busy client sends its next request immediately.
@@ -33,9 +33,9 @@
 )
 
 // connTracker counts the client connections and tracks which of them carry no request. Clients keep connections open without using them, and some
-// never send anything. Once the limit is reached, an idle connection is closed for each new one: first those between requests, then those that never
-// sent anything, then those that stalled within a request, and in each group the one that has been quiet longest. A request may arrive while its
-// connection is being closed; the client then sends it again.
+// never send anything. Once the limit is reached, an idle connection is closed for each new one. Connections between requests are closed first, then
+// those that never sent anything, then those that stalled within a request. Within each of these groups, the one that has been quiet longest is closed
+// first. A request may arrive while its connection is being closed; the client then sends it again.
 type connTracker struct {
 	maxOpen int
 
@@ -45,11 +45,11 @@
 	idleByConn map[net.Conn]*list.Element
 }
 
-// idleConn is a connection that carries no request, as far as net/http knows.
+// idleConn is a connection that carries no request according to net/http, which counts a request only once its whole head has been read.
 type idleConn struct {
 	conn           net.Conn
 	unused         bool // has not carried a request yet
-	requestStarted bool // the beginning of the next request was read together with the last one
+	requestStarted bool // the last read of the previous request also returned the beginning of the next one
 	idleSince      time.Time
 }
 
@@ -92,14 +92,14 @@
 	}
 }
 
-// closeIdle closes up to n of the idle connections that may be closed. acceptWait is how long a new connection has waited to be accepted.
+// closeIdle closes up to n idle connections, of those whose timeout has passed. acceptWait is how long a new connection has waited to be accepted.
 func (t *connTracker) closeIdle(n int, acceptWait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closeIdleLocked(n, acceptWait)
 }
 
-// closeIdleLocked does not call Close on a connection: net/http reports it as idle until the head of the next request is read, and a request that has
+// closeIdleLocked is closeIdle with the lock held. It does not call Close on a connection: net/http reports it as idle until the head of the next request is read, and a request that has
 // been read must be answered. Instead it sets a read deadline in the past, which wakes the server's blocked read. The server then closes the connection
 // if no bytes have arrived, and serves the request if some have.
 func (t *connTracker) closeIdleLocked(n int, acceptWait time.Duration) {
@@ -143,7 +143,7 @@
 	betweenRequests
 )
 
-// rankForClosing returns a connection's rank and how long it has sent nothing.
+// rankForClosing returns a connection's rank, and for how long the connection has sent nothing.
 func (c *idleConn) rankForClosing(now time.Time, acceptWait time.Duration) (rank closeRank, quiet time.Duration) {
 	quiet = now.Sub(c.idleSince)
 	requestStarted := c.requestStarted
@@ -169,7 +169,7 @@
 	return notClosable, quiet
 }
 
-// resize changes the limit and closes idle connections that exceed it.
+// resize changes the limit. For each connection in excess of it, resize closes one idle connection, as far as there are any whose timeout has passed.
 func (t *connTracker) resize(maxOpen int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/net/handover/golden_test.go
+++ b/internal/net/handover/golden_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Processes of different versions count each other, so the format must not change: each member holds a write lock on one of the first eight
-// bytes of the file, and the file is empty.
+// Processes of different versions that serve as the same node count each other by the locks on one file, so the format must not change. The
+// file has size 0. Each process holds a write lock on one of the byte offsets 0 to 7; locks may lie beyond the end of a file.
 func TestSeatsFileFormat(t *testing.T) {
 	folder := t.TempDir()
 	m, err := Join(folder, "n1")
--- a/internal/net/upstream/dialer.go
+++ b/internal/net/upstream/dialer.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	maxDialsDivisor   = 4  // at most a quarter of the descriptors are dials, so that established connections keep the rest
-	maxDialsPerServer = 32 // more dials at a time would not complete any sooner
+	maxDialsDivisor   = 4  // at most a quarter of the descriptors are used for dials, so that the rest remain for established connections
+	maxDialsPerServer = 32 // with more dials at a time to one address, none would complete sooner
 )
 
 // errLimitReached is returned for a dial that was not started because a limit is reached.
 var errLimitReached = errors.New("connection or dial limit reached")
 
 // dialer establishes connections. It limits the descriptors in total, and the dials in progress in total and to each
-// address. A dial continues after its attempt has ended, so without the limit an unreachable server would accumulate one
-// dial for each attempt. Connections are grouped by their pool key, see poolKey. Its methods are safe for concurrent use.
+// address. A dial continues after the attempt that started it has ended. Without the limit for each address, the dials to an
+// unreachable server would accumulate, one for each attempt. Connections are grouped by their pool key, see poolKey. The
+// dialer's methods are safe for concurrent use.
 type dialer struct {
 	net.Dialer
 	maxDialsPerServer int
@@ -29,12 +30,12 @@
 
 	mu               sync.Mutex // guards everything below
 	maxConns         int
-	openConns        int // dials included
+	openConns        int // dials in progress included
 	dials            int
 	dialsByAddress   map[string]int
 	connsByKey       map[string]map[*conn]bool
-	hasCacheLimit    bool // maxConnsPerCache is set and applies
-	maxConnsPerCache int  // dials included
+	hasCacheLimit    bool // setMaxConnsPerCache was called, so maxConnsPerCache applies
+	maxConnsPerCache int  // dials in progress included
 }
 
 func newDialer(limits Limits) *dialer {
@@ -47,8 +48,8 @@
 	}
 }
 
-// dial implements http.Transport's DialContext. The address is taken from the context, see dialTarget; without one, the
-// key is the address. It returns errLimitReached if a limit is reached.
+// dial implements http.Transport's DialContext. The address to dial is taken from the context, see dialTarget. If the
+// context has none, the key is the address. It returns errLimitReached if a limit is reached.
 func (d *dialer) dial(ctx context.Context, network, key string) (net.Conn, error) {
 	target, ok := ctx.Value(dialTargetKey{}).(dialTarget)
 	if !ok {
@@ -121,9 +122,9 @@
 	}
 }
 
-// closeIdle closes all but keep of the idle connections of a key, the least recently used first, because the transport
-// reuses the most recently used one. If an exchange acquires a connection that is about to be closed, its write is denied
-// and the request is sent on another connection.
+// closeIdle closes idle connections of a key until keep of them remain. It keeps the most recently used ones, because those
+// are the ones that the transport reuses. If an exchange acquires a connection that is marked for closing but not closed
+// yet, the exchange's write is denied and its request is sent on another connection.
 func (d *dialer) closeIdle(key string, keep int) {
 	d.mu.Lock()
 	var idle, retired []*conn
@@ -146,8 +147,8 @@
 	closeAll(retired)
 }
 
-// setMaxConnsPerCache limits the connections to each cache. Idle connections in excess of the limit are closed before it
-// returns, because the released quota goes to other nodes.
+// setMaxConnsPerCache limits the connections to each cache. It closes idle connections in excess of the limit before it
+// returns, because other nodes may then use the part of the quota that this node has released.
 func (d *dialer) setMaxConnsPerCache(n int) {
 	d.mu.Lock()
 	d.hasCacheLimit = true
@@ -166,7 +167,7 @@
 	closeAll(retired)
 }
 
-// resize sets the maximum number of connections, and closes idle ones in excess of it.
+// resize sets the maximum number of connections, dials in progress included, and closes idle connections in excess of it.
 func (d *dialer) resize(maxConns int) {
 	d.mu.Lock()
 	d.maxConns = maxConns
--- a/lease/budget_test.go
+++ b/lease/budget_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Quotas never exceed the allocatable units, a move based on an earlier quota is skipped, and a quota ends with its lease. A
-// snapshot includes budgets and quotas. A snapshot without budgets keeps format version 1, which programs without support for
-// budgets can read.
+// The sum of the quotas never exceeds the allocatable units. A move whose FromToken is not the quota's current token is
+// skipped. A quota ends with its lease. A snapshot includes budgets and quotas. A snapshot of a state without budgets keeps
+// format version 1, which programs without support for budgets can read.
 func TestBudgetQuotaMoves(t *testing.T) {
 	s := NewState()
 	s.Apply(Entry{Version: formatVersion, Kind: KindFoundCluster, Name: "fleet"})
@@ -31,13 +31,13 @@
 		units, wantUnits int
 	}{
 		{"node/a", tokenA, 0, 6, 6},
-		{"node/b", tokenB, 0, 3, 0}, // refused: 2 of the 10 units are reserved
-		{"node/b", tokenA, 0, 2, 0}, // refused: the token is that of another lease
+		{"node/b", tokenB, 0, 3, 0}, // skipped: 2 of the 10 units are reserved, and 6 are allocated
+		{"node/b", tokenA, 0, 2, 0}, // skipped: the token is that of another lease
 		{"node/b", tokenB, 0, 2, 2},
-		{"node/a", tokenA, tokenA, 1, 6}, // refused: the token is not that of the quota
-		{"node/a", tokenA, 3, 1, 1},
+		{"node/a", tokenA, tokenA, 1, 6}, // skipped: fromToken is a lease's token, not the quota's
+		{"node/a", tokenA, 3, 1, 1},      // the grants used the tokens 1 and 2, the quotas 3 and 4
 		{"node/b", tokenB, 4, 7, 7},
-		{"node/c", 9, 0, 1, 0},
+		{"node/c", 9, 0, 1, 0}, // skipped: the lease is not held
 	} {
 		s.Apply(Entry{Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaMove{{"x", c.lease, c.token, c.fromToken, c.units}}})
 		if got := s.Budgets["x"].Quotas[c.lease].Units; got != c.wantUnits {
--- a/routing/polling.go
+++ b/routing/polling.go
@@ -1,21 +1,22 @@
 package routing
 
 // A node without a subscription to the endpoint list polls the discovery service.
-// The first poll is sent within PollSpread after a start or the loss of the
-// subscription. Further polls follow at random intervals until a call succeeds,
-// even while earlier calls are unanswered.
+// The first poll is sent within PollSpread after the node has started or has lost
+// its subscription. Further polls follow at random intervals until a call succeeds.
+// They do not wait for the answers to earlier calls.
 
 const (
 	// PollSpread is the time over which nodes spread their first polls, since
 	// many nodes may start or lose their subscriptions at the same time.
 	PollSpread = 300 * Millisecond
 
-	// MaxPollWait is the longest time between two polls. Two such waits and a
-	// slow transfer of the list fit into 5 s.
+	// MaxPollWait is the longest time between two polls. It is such that two
+	// waits and a slow transfer of the list together take less than 5 s.
 	MaxPollWait = 1800 * Millisecond
 
-	// pushedGraceDivisor: the time between two polls is at most a third of
-	// Config.PushedGrace. The rest is left for the call and the updates.
+	// pushedGraceDivisor limits the time between two polls to a third of
+	// Config.PushedGrace. The other two thirds are for the call to the discovery
+	// service and for applying the updates.
 	pushedGraceDivisor = 3
 )
 
@@ -24,14 +25,14 @@
 	return max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/pushedGraceDivisor))
 }
 
-// scheduleFirstPoll sets the alarm for a new node's first poll. pollDue stays 0,
-// so an earlier alarm would poll, too.
+// scheduleFirstPoll sets the alarm for the first poll after the node's start. It
+// leaves pollDue at 0, so an alarm that comes earlier polls as well.
 func (b *Balancer) scheduleFirstPoll() {
 	b.host.SetAlarm(b.now+b.firstPollDelay(), pollAlarmHandle)
 }
 
 // resubscribe schedules a poll after the subscription was lost. If there was no
-// subscription, the next poll is already scheduled.
+// subscription, it does nothing, because the next poll is already scheduled.
 func (b *Balancer) resubscribe() {
 	if !b.subscribed {
 		return
@@ -41,11 +42,11 @@
 	b.host.SetAlarm(b.pollDue, pollAlarmHandle)
 }
 
-// firstPollDelay returns a random delay of less than PollSpread.
+// firstPollDelay returns a random time, less than PollSpread, to wait before a first poll.
 func (b *Balancer) firstPollDelay() Time { return Time(b.draw() * float64(PollSpread)) }
 
-// pollIfDue polls for the endpoint list if a poll is due and the quota allows it,
-// and schedules the next poll.
+// pollIfDue does nothing before a poll is due. When one is due, it polls for the
+// endpoint list if the quota allows it, and in either case schedules the next poll.
 func (b *Balancer) pollIfDue() {
 	if b.subscribed || b.now < b.pollDue {
 		return
