--- a/internal/net/handover/golden_test.go
+++ b/internal/net/handover/golden_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Processes of different versions count each other, so the format must not change: each member holds a write lock on one of the first eight
-// bytes of the file, and the file is empty.
+// Processes of different versions that serve as the same node count each other by the locks on one file, so the format must not change. The
+// file has size 0. Each process holds a write lock on one of the byte offsets 0 to 7; locks may lie beyond the end of a file.
 func TestSeatsFileFormat(t *testing.T) {
 	folder := t.TempDir()
 	m, err := Join(folder, "n1")
@@ -25,13 +25,13 @@
 	if info, err := f.Stat(); err != nil || info.Size() != 0 {
 		t.Errorf("the file is not empty: %v, %v", info, err)
 	}
-	for slot := range int64(9) {
-		lock := unix.Flock_t{Type: unix.F_WRLCK, Start: slot, Len: 1}
+	for offset := range int64(9) {
+		lock := unix.Flock_t{Type: unix.F_WRLCK, Start: offset, Len: 1}
 		if err := unix.FcntlFlock(f.Fd(), unix.F_OFD_GETLK, &lock); err != nil {
 			t.Fatal(err)
 		}
-		if locked := lock.Type != unix.F_UNLCK; locked != (slot == 0) {
-			t.Errorf("byte %d: locked %v", slot, locked)
+		if locked := lock.Type != unix.F_UNLCK; locked != (offset == 0) {
+			t.Errorf("byte %d: locked %v", offset, locked)
 		}
 	}
 	lock := unix.Flock_t{Type: unix.F_WRLCK, Start: 7, Len: 1}
