--- a/internal/net/node/limits.go
+++ b/internal/net/node/limits.go
@@ -21,7 +21,7 @@
 const (
 	reserveDivisor          = 16 // a sixteenth of the descriptors,
 	maxDividedReserve       = 64 // up to this,
-	ownReserve              = 16 // and at least this beside what is open at the start
+	internalReserve         = 16 // and at least this beside what is open at the start
 	assumedOpenDescriptors  = 8  // at the start, where that is unknown: standard streams, the poller, the CPU limits
 	maxInheritedDescriptors = 32 // counted at most; more would leave a small node nothing
 )
@@ -86,7 +86,7 @@
 }
 
 // reserved returns how many of the descriptors no connection may take: those open at the start (standard streams, the poller, what else was
-// inherited), and ownReserve for the clients' listener, the membership file, four connections to the discovery service (three polls and a
+// inherited), and internalReserve for the clients' listener, the membership file, four connections to the discovery service (three polls and a
 // connect left behind) and four more during a switch to another, the configuration at a reload, the ejections file and its lock, an admin
 // connection that is accepted and waits, and the poller if it was not open yet.
 func (p process) reserved(descriptors int) int {
@@ -94,7 +94,7 @@
 	if open <= 0 {
 		open = assumedOpenDescriptors
 	}
-	return max(min(maxDividedReserve, descriptors/reserveDivisor), min(open, maxInheritedDescriptors)+ownReserve)
+	return max(min(maxDividedReserve, descriptors/reserveDivisor), min(open, maxInheritedDescriptors)+internalReserve)
 }
 
 // split returns the share of one of several processes that serve as the node s. The system's limit on descriptors holds for each process;
--- a/internal/net/node/limits_test.go
+++ b/internal/net/node/limits_test.go
@@ -32,7 +32,7 @@
 					t.Errorf("%s: %+v, too few for operators", name, l)
 				}
 			}
-			if left := c.descriptors - taken; left < min(c.open, maxInheritedDescriptors)+ownReserve || l.clientConns < minClientConns || l.serverConns < minServerConns {
+			if left := c.descriptors - taken; left < min(c.open, maxInheritedDescriptors)+internalReserve || l.clientConns < minClientConns || l.serverConns < minServerConns {
 				t.Errorf("%s, operators' address %q: %+v leaves %d of %d", name, admin, l, left, c.descriptors)
 			}
 		}
@@ -42,9 +42,9 @@
 		p, n := process{maxDescriptors: 64 + int(most), openDescriptors: 3 + int(open)%30}, 1+int(processes)%2
 		l := p.split(s, n)
 		whole := min(s.Descriptors/n, p.maxDescriptors)
-		least := p.openDescriptors + ownReserve + minAdminConns + minClientConns + minServerConns
+		least := p.openDescriptors + internalReserve + minAdminConns + minClientConns + minServerConns
 		left := whole - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1
-		return left >= p.openDescriptors+ownReserve || whole < least
+		return left >= p.openDescriptors+internalReserve || whole < least
 	}, &quick.Config{MaxCount: 2000}); err != nil {
 		t.Error(err)
 	}
@@ -77,7 +77,7 @@
 		l := process{openDescriptors: 10}.split(s, c.processes)
 		toFellows := clusterReserve + connsPerVoter*len(voters)/2
 		left := c.sockets/c.processes - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1 - l.peerConns - toFellows
-		if l.peerConns < c.least || left < 10+ownReserve || l.clientConns < 10 || l.serverConns < 10 {
+		if l.peerConns < c.least || left < 10+internalReserve || l.clientConns < 10 || l.serverConns < 10 {
 			t.Errorf("%s: %+v leaves %d", name, l, left)
 		}
 		s.Cluster = nil
--- a/internal/net/node/listen.go
+++ b/internal/net/node/listen.go
@@ -22,10 +22,10 @@
 
 // listen opens an address. While a predecessor may still have it, listen waits: for maxDeadline and addressWaitSlack at most.
 func listen(ctx context.Context, address string, maxDeadline time.Duration, log *zap.Logger) (net.Listener, error) {
-	began := time.Now()
+	start := time.Now()
 	for logged := false; ; {
 		listener, err := net.Listen("tcp", address)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > maxDeadline+addressWaitSlack {
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(start) > maxDeadline+addressWaitSlack {
 			return listener, err
 		}
 		if !logged {
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	return operate(ctx, s, signals, log, r, func(own cluster.LocalNode) cluster.LocalNode { return own })
+	return operate(ctx, s, signals, log, r, func(local cluster.LocalNode) cluster.LocalNode { return local })
 }
 
 // resources are what the process was started with and the sockets it listens on.
--- a/internal/net/node/reload.go
+++ b/internal/net/node/reload.go
@@ -21,7 +21,7 @@
 // reloadOnSignal reads the configuration again at each signal until ctx ends. An invalid one changes nothing. Another discovery service takes
 // effect; changes that cannot while the node runs are logged.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, s *config.Node, endpoints *discovery.Client, log *zap.Logger) {
-	for address := s.Discovery; ; {
+	for discoveryAddr := s.Discovery; ; {
 		select {
 		case <-ctx.Done():
 			return
@@ -38,10 +38,10 @@
 		if keys := s.ImmutableChanges(next); len(keys) > 0 {
 			log.Warn("changes to these keys apply at the next start", zap.Strings("keys", keys))
 		}
-		log.Info("configuration reloaded", zap.Bool("another discovery service", next.Discovery != address))
-		if next.Discovery != address {
-			address = next.Discovery
-			endpoints.SwitchTo(ctx, address)
+		log.Info("configuration reloaded", zap.Bool("another discovery service", next.Discovery != discoveryAddr))
+		if next.Discovery != discoveryAddr {
+			discoveryAddr = next.Discovery
+			endpoints.SwitchTo(ctx, discoveryAddr)
 		}
 	}
 }
