--- a/internal/net/node/admin.go
+++ b/internal/net/node/admin.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	endpointCountInterval = 200 * time.Millisecond // metrics are due 0.5 s old at most
-	ejectionsInterval     = 10 * time.Millisecond  // a small part of a drain's grace
+	endpointCountInterval = 200 * time.Millisecond // metrics must be at most 0.5 s old
+	ejectionsInterval     = 10 * time.Millisecond  // short compared to the grace period of a drain
 )
 
-// countEndpoints keeps the metrics of the endpoint list fresh until ctx ends.
+// countEndpoints updates the metrics of the endpoint list at each endpointCountInterval, until ctx ends.
 func countEndpoints(ctx context.Context, d *dispatch.Dispatcher) {
 	ticker := time.NewTicker(endpointCountInterval)
 	defer ticker.Stop()
@@ -33,7 +33,7 @@
 	}
 }
 
-// adminNode is the node as the admin server sees it.
+// adminNode implements the interface through which the admin server uses the node.
 type adminNode struct {
 	dispatcher *dispatch.Dispatcher
 	frontend   *frontend.Server
@@ -41,7 +41,7 @@
 	member     *cluster.Member // nil: the node has no cluster
 }
 
-// ClusterMetrics returns the metrics of the node's cluster; nil if it has none.
+// ClusterMetrics returns the metrics of the node's cluster membership, or nil if the node has no cluster.
 func (n adminNode) ClusterMetrics() map[string]any {
 	if n.member == nil {
 		return nil
@@ -49,7 +49,7 @@
 	return n.member.Metrics()
 }
 
-// Serving reports whether the node takes clients.
+// Serving reports whether the node accepts client requests: it is ready and not draining.
 func (n adminNode) Serving() bool { return n.dispatcher.Ready() && !n.frontend.Draining() }
 
 // Eject ejects a server, or returns admin.ErrUnknownServer.
@@ -65,7 +65,7 @@
 	return change(id)
 }
 
-// openEjections opens the node's ejections, which the dispatcher follows.
+// openEjections opens the registry of the node's ejections. Each change of the registry updates the dispatcher.
 func openEjections(folder, name string, d *dispatch.Dispatcher, log *zap.Logger) *ejection.Registry {
 	return ejection.Open(folder, name, func(entries []ejection.Entry) {
 		all := make([]dispatch.Ejection, 0, len(entries))
@@ -76,15 +76,15 @@
 	}, log)
 }
 
-// fileName returns the prefix of the node's file names: several nodes may share a folder.
+// fileName returns the prefix of the node's file names. It contains the listen address, since several nodes may share a folder.
 func fileName(listen string) string {
 	return "thistlerudder-" + strings.NewReplacer(":", "_", "/", "_").Replace(listen)
 }
 
-// localNode is the node as the cluster's tasks see it.
+// localNode implements the interface through which the cluster's tasks use the node.
 type localNode struct{ *dispatch.Dispatcher }
 
-// Metrics returns the totals of all classes. The cluster stores and reports the keys.
+// Metrics returns the totals over all classes. The cluster stores and reports the values under these keys.
 func (n localNode) Metrics() map[string]int64 {
 	m := n.Dispatcher.Metrics()
 	totals := map[string]int64{"shots": m.Written.Load(), "open": m.Open.Load()}
--- a/internal/net/node/limits.go
+++ b/internal/net/node/limits.go
@@ -13,66 +13,67 @@
 
 // Bounds on bodies, in bytes.
 const (
-	maxBufferedBodyBytes = 64 << 10 // up to this a body is buffered, so that it can be sent again
+	maxBufferedBodyBytes = 64 << 10 // a body up to this size is buffered, so that a retry can send it again
 	maxStreamedBodyBytes = 32 << 20
 )
 
-// The reserve of descriptors that no connection may take; process.reserved says for what.
+// The reserve of descriptors that no connection may take. See process.reserved for their use.
 const (
-	reserveDivisor          = 16 // a sixteenth of the descriptors,
-	maxDividedReserve       = 64 // up to this,
-	internalReserve         = 16 // and at least this beside what is open at the start
-	assumedOpenDescriptors  = 8  // at the start, where that is unknown: standard streams, the poller, the CPU limits
-	maxInheritedDescriptors = 32 // counted at most; more would leave a small node nothing
+	reserveDivisor          = 16 // the reserve is a sixteenth of the descriptors,
+	maxDividedReserve       = 64 // at most this many,
+	internalReserve         = 16 // but at least this many in addition to those open at the start
+	assumedOpenDescriptors  = 8  // used if the number open at the start is unknown: standard streams, the poller, the CPU limits
+	maxInheritedDescriptors = 32 // inherited descriptors counted at most; more would leave a small node no connections
 )
 
-// Connections of the admin address, its listener included. Callers are few but may keep a connection for seconds.
+// Descriptors of the admin address, including its listener. It has few callers, but they may keep a connection open for seconds.
 const (
 	maxAdminConns       = 32
 	preferredAdminConns = 12
-	adminDivisor        = 3 // at most a third of the descriptors that are left,
-	minAdminConns       = 3 // but at least this
+	adminDivisor        = 3 // at most a third of the descriptors outside the reserve,
+	minAdminConns       = 3 // but at least this many
 )
 
-// Descriptors of a node in a cluster.
+// Descriptors that a node in a cluster uses for the cluster.
 const (
-	clusterReserve = 12 // its listener, its log and snapshots, its own calls
+	clusterReserve = 12 // the cluster listener, the log, snapshots, and the node's own calls
 	connsPerVoter  = 8  // consensus connections and calls, in both directions
-	minNodeConns   = 64 // one for each node that may call a voter, and at least this,
-	clusterDivisor = 2  // but at most half of the descriptors that are left
-	minPeerConns   = 8  // fewer would not serve the voters
+	minNodeConns   = 64 // a voter reserves one connection per node of the cluster, and at least this many,
+	clusterDivisor = 2  // but at most half of the remaining descriptors
+	minPeerConns   = 8  // fewer would not be enough for the voters
 )
 
-// Connections of clients and to servers, each half of what is left.
+// Client connections and server connections each get half of the remaining descriptors.
 const (
-	overflowDivisor = 8 // an eighth of the clients' half is for connections that are only rejected
-	minClientConns  = 2 // a process needs these to work at all, even where the limit is lower
+	overflowDivisor = 8 // an eighth of the clients' half is for overflow connections, whose requests are only rejected
+	minClientConns  = 2 // the minimum for a process to work, even if the limit is lower
 	minServerConns  = 2
 )
 
 const (
-	heapShare = 0.7 // of the memory limit; the rest is for stacks and the kernel
-	gcPercent = 300 // fewer collections, since the memory limit is the effective bound
+	heapShare = 0.7 // the heap's share of the memory limit; the rest is for stacks and the kernel
+	gcPercent = 300 // fewer collections than the default, since the memory limit bounds the heap
 )
 
 // limits is a process's share of the node's limits.
 type limits struct {
 	clientConns   int
-	overflowConns int // client connections that are only rejected
+	overflowConns int // client connections whose requests are only rejected
 	serverConns   int
-	adminConns    int // 0 or less: no admin address
-	peerConns     int // from other nodes of the cluster; 0: no cluster
+	adminConns    int // 0 or less: no admin address is configured
+	peerConns     int // incoming connections from other nodes of the cluster; 0: no cluster
 	cores         int
 	memoryBytes   int64
 }
 
 // process is the state in which this process was started.
 type process struct {
-	maxDescriptors  int // the system's limit; 0: unknown
+	maxDescriptors  int // the system's descriptor limit; 0: unknown
 	openDescriptors int // 0: unknown
 }
 
-// inspectProcess is called before the process opens anything. The Go runtime has raised the soft limit to the hard one.
+// inspectProcess returns the state of the process. It must be called before the process opens any descriptor. The Go runtime has already raised
+// the soft limit on descriptors to the hard limit.
 func inspectProcess() process {
 	var p process
 	var limit unix.Rlimit
@@ -80,15 +81,20 @@
 		p.maxDescriptors = int(limit.Cur)
 	}
 	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
-		p.openDescriptors = len(entries) - 1 // without the one that reads the directory
+		p.openDescriptors = len(entries) - 1 // without the descriptor that reads the directory
 	}
 	return p
 }
 
-// reserved returns how many of the descriptors no connection may take: those open at the start (standard streams, the poller, what else was
-// inherited), and internalReserve for the clients' listener, the membership file, four connections to the discovery service (three polls and a
-// connect left behind) and four more during a switch to another, the configuration at a reload, the ejections file and its lock, an admin
-// connection that is accepted and waits, and the poller if it was not open yet.
+// reserved returns how many of the descriptors no connection may take. These are the descriptors open at the start (standard streams, the
+// poller, others that were inherited) and internalReserve for:
+//   - the clients' listener
+//   - the membership file
+//   - four connections to the discovery service (three polls and an abandoned connect), and four more during a switch to another service
+//   - the configuration file during a reload
+//   - the ejections file and its lock
+//   - an accepted admin connection that waits for a free place
+//   - the poller, if it was not open at the start
 func (p process) reserved(descriptors int) int {
 	open := p.openDescriptors
 	if open <= 0 {
@@ -97,9 +103,9 @@
 	return max(min(maxDividedReserve, descriptors/reserveDivisor), min(open, maxInheritedDescriptors)+internalReserve)
 }
 
-// split returns the share of one of several processes that serve as the node s. The system's limit on descriptors holds for each process;
-// where it is lower than the share of the configured one it applies, or the last to open a descriptor would fail: accept pauses, and
-// neither the endpoint list nor a file can be read.
+// split returns the share of the limits for one of several processes that serve as node s. The configured descriptors are divided among the
+// processes; the system's descriptor limit holds for each process. If the system's limit is lower than the share, it applies. Otherwise the
+// process would run out of descriptors: accept would pause, and neither the endpoint list nor a file could be read.
 func (p process) split(s *config.Node, processes int) limits {
 	descriptors := s.Descriptors / processes
 	if p.maxDescriptors > 0 {
@@ -113,7 +119,7 @@
 	clientHalf := free / 2
 	overflow := clientHalf / overflowDivisor
 	return limits{
-		adminConns:    adminDescriptors - 1, // the listener takes one
+		adminConns:    adminDescriptors - 1, // one is the listener's
 		peerConns:     peerConns,
 		clientConns:   max(minClientConns, clientHalf-overflow),
 		overflowConns: overflow,
@@ -123,7 +129,7 @@
 	}
 }
 
-// adminShare returns the descriptors of the admin address, its listener included.
+// adminShare returns the number of descriptors for the admin address, including its listener.
 func adminShare(s *config.Node, descriptors, free int) int {
 	if s.Admin == "" {
 		return 0
@@ -132,7 +138,7 @@
 	return max(minAdminConns, min(maxAdminConns, preferred, free/adminDivisor))
 }
 
-// clusterShare returns the descriptors of the cluster, and how many connections from other nodes are among them.
+// clusterShare returns the number of descriptors for the cluster, and how many of them are for incoming connections from other nodes.
 func clusterShare(s *config.Node, free int) (descriptors, peerConns int) {
 	if s.Cluster == nil {
 		return 0, 0
--- a/internal/net/node/listen.go
+++ b/internal/net/node/listen.go
@@ -15,12 +15,14 @@
 )
 
 const (
-	// addressWaitSlack is added to the longest deadline of a request, which a predecessor that shuts down may take to release an address.
+	// addressWaitSlack is added to the longest request deadline to bound the wait for an address. A predecessor that shuts down may keep the
+	// address until its last request reaches its deadline.
 	addressWaitSlack     = 2 * time.Second
 	addressRetryInterval = 10 * time.Millisecond
 )
 
-// listen opens an address. While a predecessor may still have it, listen waits: for maxDeadline and addressWaitSlack at most.
+// listen listens on an address. If the address is in use, a predecessor may still be shutting down, so listen retries for up to maxDeadline +
+// addressWaitSlack.
 func listen(ctx context.Context, address string, maxDeadline time.Duration, log *zap.Logger) (net.Listener, error) {
 	start := time.Now()
 	for logged := false; ; {
@@ -40,7 +42,7 @@
 	}
 }
 
-// listenForClients returns the socket that the platform passed on, or opens one.
+// listenForClients returns the listening socket that the platform passed to this process, or opens one.
 func listenForClients(ctx context.Context, s *config.Node, log *zap.Logger) (net.Listener, error) {
 	if s.PassedSocket != 0 {
 		return handover.Socket(s.PassedSocket)
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -24,10 +24,12 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/upstream"
 )
 
-// membershipInterval bounds how long a process uses the share of the limits that belongs to one that has just joined.
+// membershipInterval is the interval at which a process counts the other processes of its node. It bounds how long the process keeps using the
+// share of the limits that now belongs to a process that has just started.
 const membershipInterval = 20 * time.Millisecond
 
-// Run serves until ctx ends, answers the requests it has taken, and returns. At each signal it reloads its configuration.
+// Run runs a node until ctx ends. It then drains: it answers the requests that it has accepted, and returns. Each signal makes it reload its
+// configuration.
 func Run(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger) error {
 	err := openAndOperate(ctx, s, signals, log)
 	if errors.Is(err, context.Canceled) { // ctx ended before the node served
@@ -44,7 +46,7 @@
 			zap.Int("limit", r.maxDescriptors), zap.Int("limits.sockets", s.Descriptors))
 	}
 	var err error
-	if s.Admin != "" { // before the clients' socket, whose queue must not wait for a predecessor's end
+	if s.Admin != "" { // before the clients' socket: connections in its accept queue must not wait for a predecessor to release the admin address
 		r.adminListener, err = listen(ctx, s.Admin, s.MaxDeadline, log)
 		if err != nil {
 			return fmt.Errorf("admin_addr: expected an address to listen on: %w", err)
@@ -58,18 +60,18 @@
 	return operate(ctx, s, signals, log, r, func(local cluster.LocalNode) cluster.LocalNode { return local })
 }
 
-// resources are what the process was started with and the sockets it listens on.
+// resources are the state in which the process was started, and its listeners.
 type resources struct {
 	process
-	clientListener net.Listener // nil: a hollow node, which takes no requests and leaves the process's limits alone
-	adminListener  net.Listener // nil: no admin address
+	clientListener net.Listener // nil: a hollow node, which accepts no requests and does not set the process's limits
+	adminListener  net.Listener // nil: no admin address is configured
 }
 
 // node is a node and its parts.
 type node struct {
 	resources
 	config     *config.Node
-	limits     limits // at the start; resize splits them anew
+	limits     limits // as computed at the start; resize does not update them
 	log        *zap.Logger
 	dispatcher *dispatch.Dispatcher
 	upstream   *upstream.Client
@@ -79,7 +81,7 @@
 	member     *cluster.Member // nil: the node has no cluster
 }
 
-// operate runs a node on open resources until ctx ends. wrapLocal may replace what the cluster's tasks use of the node.
+// operate runs a node on open listeners until ctx ends. wrapLocal may replace the interface through which the cluster's tasks use the node.
 func operate(ctx context.Context, s *config.Node, signals <-chan os.Signal, log *zap.Logger, r resources,
 	wrapLocal func(cluster.LocalNode) cluster.LocalNode,
 ) error {
@@ -146,7 +148,8 @@
 	return n
 }
 
-// startDispatcher starts the dispatcher and loads what earlier processes left: the ejections, before any list, and the cached list.
+// startDispatcher starts the dispatcher and loads the state that earlier processes stored: first the ejections, so that they apply to every
+// endpoint list, then the cached endpoint list.
 func (n *node) startDispatcher(folder, name string) {
 	n.dispatcher.Start(n.config.Seed, n.upstream, n.endpoints)
 	n.ejections = openEjections(folder, name, n.dispatcher, n.log.Named("ejection"))
@@ -161,7 +164,7 @@
 	go report(ctx, n.dispatcher, n.frontend, n.log.Named("report"))
 }
 
-// joinCluster starts the node's cluster membership, if it is configured. The returned function ends it; further calls wait for the first.
+// joinCluster starts the node's cluster membership, if one is configured. The returned function ends it; concurrent calls wait for the first.
 func (n *node) joinCluster(wrapLocal func(cluster.LocalNode) cluster.LocalNode) (leave func()) {
 	if n.config.Cluster == nil {
 		return func() {}
@@ -171,7 +174,7 @@
 	return sync.OnceFunc(n.member.Close)
 }
 
-// serveAdmin starts the admin server, and what only its callers need.
+// serveAdmin starts the admin server, and the background tasks that only its callers need: endpoint metrics and changes to the ejections.
 func (n *node) serveAdmin(ctx context.Context) *admin.Server {
 	server := admin.New(adminNode{n.dispatcher, n.frontend, n.ejections, n.member}, n.dispatcher.Metrics(), n.limits.adminConns,
 		n.log.Named("admin"))
@@ -181,7 +184,7 @@
 	return server
 }
 
-// resize splits the limits anew when other processes of this node start or end.
+// resize recomputes and applies this process's share of the limits when other processes of the node start or end.
 func (n *node) resize(others int) {
 	l := n.split(n.config, 1+others)
 	n.log.Info("number of processes of this node changed", zap.Int("others", others),
@@ -192,10 +195,10 @@
 	l.apply()
 	n.frontend.Resize(l.clientConns, l.overflowConns)
 	n.upstream.Resize(l.serverConns)
-	debug.FreeOSMemory() // the memory limit may be half of what it was
+	debug.FreeOSMemory() // the new memory limit may be half of the old one
 }
 
-// serveClients serves until ctx ends, and then shuts down gracefully.
+// serveClients serves clients until ctx ends, and then shuts down gracefully.
 func (n *node) serveClients(ctx context.Context, others int, leaveCluster func()) error {
 	served := make(chan error, 1)
 	go func() { served <- n.frontend.Serve(n.clientListener) }()
@@ -207,9 +210,9 @@
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	go leaveCluster() // at the same time: the next process waits for the cluster's address, and clients for neither
+	go leaveCluster() // in parallel to the drain: a successor waits for the cluster's address, and draining must not wait for the cluster
 	n.log.Info("shutting down, draining client connections")
-	hasSuccessor := n.config.PassedSocket != 0 // this process's socket was passed on to or is shared with a successor
+	hasSuccessor := n.config.PassedSocket != 0 // a passed socket is passed on to or shared with a successor
 	if err := n.frontend.Shutdown(hasSuccessor); err != nil {
 		n.log.Warn("shutdown ended with requests unanswered", zap.Error(err), zap.Int("in flight", n.dispatcher.InFlight()))
 	}
--- a/internal/net/node/reload.go
+++ b/internal/net/node/reload.go
@@ -18,8 +18,8 @@
 	maxReloadRetryWait = 500 * time.Millisecond
 )
 
-// reloadOnSignal reads the configuration again at each signal until ctx ends. An invalid one changes nothing. Another discovery service takes
-// effect; changes that cannot while the node runs are logged.
+// reloadOnSignal reloads the configuration at each signal until ctx ends. An invalid configuration changes nothing. A changed discovery service
+// takes effect immediately. Changes to keys that cannot change while the node runs are logged as a warning.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, s *config.Node, endpoints *discovery.Client, log *zap.Logger) {
 	for discoveryAddr := s.Discovery; ; {
 		select {
@@ -46,8 +46,8 @@
 	}
 }
 
-// readConfig reads the configuration, and retries while the file cannot be read: that passes, and whoever sent the signal sends it once.
-// A further signal ends the wait for a retry.
+// readConfig reads the configuration. It retries while the file cannot be read, since that failure is usually transient and the sender of the
+// signal sends it only once. Another signal triggers the next retry at once.
 func readConfig(ctx context.Context, signals <-chan os.Signal, s *config.Node, log *zap.Logger) (*config.Node, error) {
 	for wait := minReloadRetryWait; ; wait = min(2*wait, maxReloadRetryWait) {
 		next, err := s.Reload()
--- a/internal/net/node/report.go
+++ b/internal/net/node/report.go
@@ -13,7 +13,7 @@
 
 const reportInterval = 5 * time.Second
 
-// report logs a summary of the requests since the last one at each interval, until ctx ends; nothing is logged for each request.
+// report logs a summary of the requests since the previous summary at each reportInterval, until ctx ends. Single requests are not logged.
 func report(ctx context.Context, d *dispatch.Dispatcher, front *frontend.Server, log *zap.Logger) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -27,7 +27,7 @@
 	}
 }
 
-// reportFields returns the fields of one summary. Operators' scripts read their names.
+// reportFields returns the fields of one summary. Operators' scripts depend on the field names.
 func reportFields(d *dispatch.Dispatcher, front *frontend.Server) []zap.Field {
 	stats := d.Stats()
 	var memory runtime.MemStats
@@ -51,7 +51,7 @@
 	}
 }
 
-// attemptResults returns the number of attempts by result, for each result that occurred.
+// attemptResults returns the number of attempts by result. It omits results that did not occur.
 func attemptResults(stats dispatch.Stats) []zap.Field {
 	results := make([]zap.Field, 0, len(stats.Results))
 	for result, n := range stats.Results {
