--- a/internal/net/node/fleet_test.go
+++ b/internal/net/node/fleet_test.go
@@ -11,41 +11,41 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// goroutines gives all stacks.
-func goroutines() string {
+// goroutineStacks gives all stacks.
+func goroutineStacks() string {
 	b := make([]byte, 1<<20)
 	return string(b[:runtime.Stack(b, true)])
 }
 
 // Without a fleet section nothing of a fleet runs; with one a node serves and tells figures though no fellow can be
 // reached, and ends in time.
-func TestANodeWithAndWithoutAFleet(t *testing.T) {
-	const fleets = "internal/cluster"
-	w := newWorld(t, nil, "a")
-	s := w.station(256)
-	end := run(t, s)
-	if ask(s.Listen, "GET /read/k", "X-Trace-Id: t1", "X-Expires-In: 900m"); strings.Contains(goroutines(), fleets) {
+func TestNodeServesWithAndWithoutCluster(t *testing.T) {
+	const clusterPackage = "internal/cluster"
+	w := newTestEnv(t, nil, "a")
+	s := w.nodeConfig(256)
+	stop := startNode(t, s)
+	if sendRequest(s.Listen, "GET /read/k", "X-Trace-Id: t1", "X-Expires-In: 900m"); strings.Contains(goroutineStacks(), clusterPackage) {
 		t.Error("a fleet's goroutine runs")
 	}
-	if _, page := operator(s.Admin, "GET", "/status/metrics"); strings.Contains(page, "fleet.") {
+	if _, page := adminRequest(s.Admin, "GET", "/status/metrics"); strings.Contains(page, "fleet.") {
 		t.Errorf("figures of no fleet:\n%s", page)
 	}
-	end()
-	s = w.station(256)
-	s.Cluster = &config.Cluster{Name: "f", Node: "n", Address: free(t), DataDir: filepath.Join(t.TempDir(), "v"), Lease: time.Second,
+	stop()
+	s = w.nodeConfig(256)
+	s.Cluster = &config.Cluster{Name: "f", Node: "n", Address: freeAddress(t), DataDir: filepath.Join(t.TempDir(), "v"), Lease: time.Second,
 		MaxDrift: 0.01, MaxDelay: 20 * time.Millisecond, Tasks: []string{config.TaskProbe, config.TaskRollUp}, RollUpInterval: time.Second,
 		Voters: []config.Voter{{Name: "n", Address: "127.0.0.1:1"}, {Name: "o", Address: "127.0.0.1:2"}, {Name: "p", Address: "127.0.0.1:3"}}}
-	end = run(t, s)
-	for by := time.Now().Add(5 * time.Second); figure(s.Admin, "fleet.voter") != 1; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(by) {
+	stop = startNode(t, s)
+	for deadline := time.Now().Add(5 * time.Second); metric(s.Admin, "fleet.voter") != 1; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("its figures don't tell that it may vote")
 		}
 	}
-	if status, body := ask(s.Listen, "GET /read/k", "X-Trace-Id: t2", "X-Expires-In: 900m"); status != 200 || body != "value" {
+	if status, body := sendRequest(s.Listen, "GET /read/k", "X-Trace-Id: t2", "X-Expires-In: 900m"); status != 200 || body != "value" {
 		t.Errorf("alone in its fleet: %d %q", status, body)
 	}
 	if _, err := os.Stat(filepath.Join(s.Cluster.DataDir, "voter.json")); err != nil {
 		t.Error(err)
 	}
-	end()
+	stop()
 }
--- a/internal/net/node/left_test.go
+++ b/internal/net/node/left_test.go
@@ -18,18 +18,18 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// gated is a node among servers that wait for the test.
-type gated struct {
-	*world
-	station *config.Node
-	open    chan struct{}
-	mu      sync.Mutex
-	seen    map[string]int // shots of which anything came, by the lookup's id and the server's
-	whole   int            // those that came whole
+// gatedNode is a node among servers that wait for the test.
+type gatedNode struct {
+	*testEnv
+	config         *config.Node
+	release        chan struct{}
+	mu             sync.Mutex
+	attempts       map[string]int // shots of which anything came, by the lookup's id and the server's
+	completeBodies int            // those that came whole
 }
 
 // deaf is the address of a listener whose queue is full, so that a connection comes up only after hear, some time later.
-func deaf(t *testing.T) (address string, hear func() net.Listener) {
+func fullQueueListener(t *testing.T) (address string, unblock func() net.Listener) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -41,16 +41,16 @@
 	}
 	name, _ := syscall.Getsockname(fd)
 	address = (&net.TCPAddr{IP: net.IP{127, 0, 0, 1}, Port: name.(*syscall.SockaddrInet4).Port}).String()
-	var fill []net.Conn
+	var queued []net.Conn
 	for {
 		c, err := net.DialTimeout("tcp", address, 50*time.Millisecond)
 		if err != nil {
 			break
 		}
-		fill = append(fill, c)
+		queued = append(queued, c)
 	}
 	return address, func() net.Listener {
-		for _, c := range fill {
+		for _, c := range queued {
 			c.Close()
 		}
 		l, err := net.FileListener(f)
@@ -63,41 +63,41 @@
 
 // gate makes caches a and the origin z. A shot of a lookup named in hold waits at its server; answer 404 stands for a miss.
 // The origin's connections come up late where it is deaf.
-func gate(t *testing.T, hold, miss string, deafOrigin bool) *gated {
-	g := &gated{open: make(chan struct{}), seen: map[string]int{}}
-	g.world = newWorld(t, nil, "a")
-	g.raw = func(id string, to http.ResponseWriter, r *http.Request) {
-		at := r.Header.Get("X-Trace-Id") + " at " + id
+func newGatedNode(t *testing.T, heldAttempt, missAttempt string, originQueueFull bool) *gatedNode {
+	g := &gatedNode{release: make(chan struct{}), attempts: map[string]int{}}
+	g.testEnv = newTestEnv(t, nil, "a")
+	g.handleRaw = func(id string, rw http.ResponseWriter, r *http.Request) {
+		attemptKey := r.Header.Get("X-Trace-Id") + " at " + id
 		g.mu.Lock()
-		g.seen[at]++
+		g.attempts[attemptKey]++
 		g.mu.Unlock()
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
 		g.mu.Lock()
-		g.whole++
+		g.completeBodies++
 		g.mu.Unlock()
-		if at == hold {
-			<-g.open
+		if attemptKey == heldAttempt {
+			<-g.release
 		}
-		if strings.Contains(miss, at) {
-			to.WriteHeader(http.StatusNotFound)
+		if strings.Contains(missAttempt, attemptKey) {
+			rw.WriteHeader(http.StatusNotFound)
 			return
 		}
-		fmt.Fprint(to, "value")
+		fmt.Fprint(rw, "value")
 	}
-	if deafOrigin {
-		address, hear := deaf(t)
+	if originQueueFull {
+		address, unblock := fullQueueListener(t)
 		g.entries[1].Address = address
 		go func() {
-			<-g.open
-			s := &http.Server{Handler: http.HandlerFunc(func(to http.ResponseWriter, r *http.Request) { g.raw("z", to, r) })}
+			<-g.release
+			s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { g.handleRaw("z", rw, r) })}
 			t.Cleanup(func() { s.Close() })
-			_ = s.Serve(hear())
+			_ = s.Serve(unblock())
 		}()
 	}
-	g.station = g.world.station(128)
-	g.station.Listen, g.station.Admin = own(), own()
+	g.config = g.testEnv.nodeConfig(128)
+	g.config.Listen, g.config.Admin = uniqueAddress(), uniqueAddress()
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
 	}
@@ -108,133 +108,133 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.station.Settings = d
+	g.config.Settings = d
 	return g
 }
 
-var owned atomic.Int64
+var addressCount atomic.Int64
 
 // own gives an address that nobody else has: a free port may be taken by another test's connection before it is listened on.
-func own() string {
-	n := owned.Add(1)
+func uniqueAddress() string {
+	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:7070", 1+os.Getpid()%250, n>>8, n&255)
 }
 
 // until waits for a figure of the node.
-func (g *gated) until(name string, want int) {
+func (g *gatedNode) waitForMetric(name string, want int) {
 	g.t.Helper()
-	for by := time.Now().Add(5 * time.Second); figure(g.station.Admin, name) != want; time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(by) {
-			g.t.Fatalf("%s is %d, want %d", name, figure(g.station.Admin, name), want)
+	for deadline := time.Now().Add(5 * time.Second); metric(g.config.Admin, name) != want; time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			g.t.Fatalf("%s is %d, want %d", name, metric(g.config.Admin, name), want)
 		}
 	}
 }
 
 // came says how many shots of a lookup have come to servers.
-func (g *gated) came(at string) int {
+func (g *gatedNode) attemptCount(attemptKey string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.seen[at]
+	return g.attempts[attemptKey]
 }
 
-func lookup(first, id, more string) string {
-	if more == "" {
-		more = "\r\n"
+func requestText(requestLine, id, headersAndBody string) string {
+	if headersAndBody == "" {
+		headersAndBody = "\r\n"
 	}
-	return fmt.Sprintf("%s HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %s\r\nX-Expires-In: 4900m\r\n%s", first, id, more)
+	return fmt.Sprintf("%s HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %s\r\nX-Expires-In: 4900m\r\n%s", requestLine, id, headersAndBody)
 }
 
-const leftFor = 350 * time.Millisecond // beyond the 0.3 s after which nothing may be sent on
+const clientGoneForwardDelay = 350 * time.Millisecond // beyond the 0.3 s after which nothing may be sent on
 
 // A lookup whose client leaves while it waits is not sent on 0.3 s later, wherever it waits; where its client is there, it is
 // resolved. What is not sent on leaves no trace: figures stay true, and no server is held to have failed. Without the look at
 // the client's connection all but the plain waits behind a fetch and between shots fail, without the check of the lookup's
 // end these as well where a connection is late.
-func TestALookupWhoseClientLeftIsNotSentOn(t *testing.T) {
-	const behind = "\x00" // stands for more bytes behind the lookup
+func TestRequestOfGoneClientIsNotForwarded(t *testing.T) {
+	const pipelined = "\x00" // stands for more bytes behind the lookup
 	half := strings.Repeat("x", maxBufferedBodyBytes)
 	for _, c := range []struct {
-		place, hold, miss string
-		deaf, queue       bool
-		first, more, rest string
-		waits             string // what must have come before it waits
+		place, heldAttempt, missAttempt         string
+		fullQueue, acceptQueue                  bool
+		requestLine, headersAndBody, restOfBody string
+		awaitedAttempt                          string // what must have come before it waits
 	}{
-		{place: "behind a fetch", hold: "o at z", miss: "o at a", first: "GET /read/k", waits: "o at z"},
-		{place: "between two shots", hold: "t at a", miss: "t at a", first: "GET /read/k", waits: "t at a"},
-		{place: "for a connection", deaf: true, first: "PUT /once/k", more: "Content-Length: 1\r\n\r\nv"},
-		{place: "with its body half come", deaf: true, first: "PUT /once/k", rest: half,
-			more: fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(half), half)},
-		{place: "in the kernel's queue", queue: true, first: "GET /read/k"},
+		{place: "behind a fetch", heldAttempt: "o at z", missAttempt: "o at a", requestLine: "GET /read/k", awaitedAttempt: "o at z"},
+		{place: "between two shots", heldAttempt: "t at a", missAttempt: "t at a", requestLine: "GET /read/k", awaitedAttempt: "t at a"},
+		{place: "for a connection", fullQueue: true, requestLine: "PUT /once/k", headersAndBody: "Content-Length: 1\r\n\r\nv"},
+		{place: "with its body half come", fullQueue: true, requestLine: "PUT /once/k", restOfBody: half,
+			headersAndBody: fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(half), half)},
+		{place: "in the kernel's queue", acceptQueue: true, requestLine: "GET /read/k"},
 	} {
-		for _, leaves := range []string{"closes", "closes" + behind, "stays", "stays" + behind} {
-			if c.rest != "" && strings.HasSuffix(leaves, behind) {
+		for _, clientAction := range []string{"closes", "closes" + pipelined, "stays", "stays" + pipelined} {
+			if c.restOfBody != "" && strings.HasSuffix(clientAction, pipelined) {
 				continue // its own bytes are in the way
 			}
-			t.Run(strings.TrimSuffix(c.place+" "+strings.Replace(leaves, behind, " with bytes behind", 1), " "), func(t *testing.T) {
+			t.Run(strings.TrimSuffix(c.place+" "+strings.Replace(clientAction, pipelined, " with bytes behind", 1), " "), func(t *testing.T) {
 				t.Parallel()
-				g := gate(t, c.hold, c.miss, c.deaf)
-				client := func(id, first, more string) net.Conn {
-					conn, err := net.Dial("tcp", g.station.Listen)
+				g := newGatedNode(t, c.heldAttempt, c.missAttempt, c.fullQueue)
+				client := func(id, requestLine, headersAndBody string) net.Conn {
+					conn, err := net.Dial("tcp", g.config.Listen)
 					if err != nil {
 						t.Fatal(err)
 					}
 					t.Cleanup(func() { conn.Close() })
-					fmt.Fprint(conn, lookup(first, id, more))
+					fmt.Fprint(conn, requestText(requestLine, id, headersAndBody))
 					return conn
 				}
 				before := 0
 				var socket *net.TCPListener
-				if c.queue {
-					l, err := net.Listen("tcp", g.station.Listen)
+				if c.acceptQueue {
+					l, err := net.Listen("tcp", g.config.Listen)
 					if err != nil {
 						t.Fatal(err)
 					}
 					socket = l.(*net.TCPListener)
 					defer socket.Close()
 				} else {
-					run(t, g.station)
+					startNode(t, g.config)
 				}
 				if c.place == "behind a fetch" {
 					client("o", "GET /read/k", "")
 					before = 1
-					for by := time.Now().Add(time.Second); g.came(c.waits) == 0 && time.Now().Before(by); {
+					for deadline := time.Now().Add(time.Second); g.attemptCount(c.awaitedAttempt) == 0 && time.Now().Before(deadline); {
 						time.Sleep(time.Millisecond)
 					}
 				}
-				conn := client("t", c.first, c.more)
-				if !c.queue {
-					g.until("open_requests", before+1)
+				conn := client("t", c.requestLine, c.headersAndBody)
+				if !c.acceptQueue {
+					g.waitForMetric("open_requests", before+1)
 				}
-				if strings.HasSuffix(leaves, behind) { // once the first was read, or net/http would read them together
-					fmt.Fprint(conn, lookup("GET /read/other", "u", ""))
+				if strings.HasSuffix(clientAction, pipelined) { // once the first was read, or net/http would read them together
+					fmt.Fprint(conn, requestText("GET /read/other", "u", ""))
 				}
-				if c.waits != "" {
-					for by := time.Now().Add(time.Second); g.came(c.waits) == 0 && time.Now().Before(by); {
+				if c.awaitedAttempt != "" {
+					for deadline := time.Now().Add(time.Second); g.attemptCount(c.awaitedAttempt) == 0 && time.Now().Before(deadline); {
 						time.Sleep(time.Millisecond)
 					}
 				}
-				stays := strings.HasPrefix(leaves, "stays")
-				if !stays {
+				clientStays := strings.HasPrefix(clientAction, "stays")
+				if !clientStays {
 					conn.Close()
 				}
-				time.Sleep(leftFor)
-				if c.queue {
+				time.Sleep(clientGoneForwardDelay)
+				if c.acceptQueue {
 					f, err := socket.File()
 					if err != nil {
 						t.Fatal(err)
 					}
-					if g.station.PassedSocket, err = syscall.Dup(int(f.Fd())); err != nil { // it is closed by whoever takes it over
+					if g.config.PassedSocket, err = syscall.Dup(int(f.Fd())); err != nil { // it is closed by whoever takes it over
 						t.Fatal(err)
 					}
 					f.Close()
-					g.station.CachedEndpoints = fmt.Appendf(nil, `{"version":1,"full":true,"servers":[{"id":"a","addr":%q,"kind":"box","state":"Ready"}]}`,
+					g.config.CachedEndpoints = fmt.Appendf(nil, `{"version":1,"full":true,"servers":[{"id":"a","addr":%q,"kind":"box","state":"Ready"}]}`,
 						g.entries[0].Address)
-					run(t, g.station)
+					startNode(t, g.config)
 				}
-				close(g.open)
-				fmt.Fprint(conn, c.rest)
+				close(g.release)
+				fmt.Fprint(conn, c.restOfBody)
 				answers := bufio.NewReader(conn)
-				for i := 0; stays && i <= strings.Count(leaves, behind); i++ {
+				for i := 0; clientStays && i <= strings.Count(clientAction, pipelined); i++ {
 					_ = conn.SetReadDeadline(time.Now().Add(6 * time.Second))
 					r, err := http.ReadResponse(answers, nil)
 					if err != nil {
@@ -244,23 +244,23 @@
 						t.Errorf("a client that stays: %d %q, %v", r.StatusCode, body, err)
 					}
 				}
-				g.until("open_requests", 0)
-				if c.deaf && !stays {
+				g.waitForMetric("open_requests", 0)
+				if c.fullQueue && !clientStays {
 					time.Sleep(1200 * time.Millisecond) // the connection comes up with the second try of the kernel's
 				}
 				time.Sleep(50 * time.Millisecond)
 				g.mu.Lock()
 				defer g.mu.Unlock()
-				for at, n := range g.seen {
-					if !stays && at != c.waits && at[0] != 'o' {
-						t.Errorf("%s: %d shots were sent on", at, n)
+				for attemptKey, n := range g.attempts {
+					if !clientStays && attemptKey != c.awaitedAttempt && attemptKey[0] != 'o' {
+						t.Errorf("%s: %d shots were sent on", attemptKey, n)
 					}
 				}
-				if sent := figure(g.station.Admin, "relayed"); sent != g.whole {
-					t.Errorf("relayed is %d, %d came whole", sent, g.whole)
+				if relayed := metric(g.config.Admin, "relayed"); relayed != g.completeBodies {
+					t.Errorf("relayed is %d, %d came whole", relayed, g.completeBodies)
 				}
-				if out := figure(g.station.Admin, "out_of_rotation"); out != 0 {
-					t.Errorf("%d servers are held to have failed", out)
+				if ejected := metric(g.config.Admin, "out_of_rotation"); ejected != 0 {
+					t.Errorf("%d servers are held to have failed", ejected)
 				}
 			})
 		}
--- a/internal/net/node/limits_test.go
+++ b/internal/net/node/limits_test.go
@@ -10,8 +10,8 @@
 
 // Whatever the configuration and the system allow, the parts are no more than the lower of the two, the reserve holds what
 // it is for, and each side can work.
-func TestThePartsStayWithinTheLowerLimit(t *testing.T) {
-	for name, c := range map[string]struct{ sockets, most, open, processes, descriptors int }{
+func TestSplitStaysWithinLowerDescriptorLimit(t *testing.T) {
+	for name, c := range map[string]struct{ configured, systemLimit, open, processes, descriptors int }{
 		"the configuration's":       {1024, 0, 8, 1, 1024},
 		"the system's is higher":    {1024, 20000, 8, 1, 1024},
 		"the system's is lower":     {1024, 64, 8, 1, 64},
@@ -23,35 +23,35 @@
 		"lower than one would name": {64, 32, 8, 1, 32},
 	} {
 		for _, admin := range []string{"", "127.0.0.1:1"} {
-			s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: admin, Settings: &config.Settings{}}
-			p := process{maxDescriptors: c.most, openDescriptors: c.open}
+			s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.configured, Admin: admin, Settings: &config.Settings{}}
+			p := process{maxDescriptors: c.systemLimit, openDescriptors: c.open}
 			l := p.split(s, c.processes)
-			taken := l.clientConns + l.overflowConns + l.serverConns
+			assigned := l.clientConns + l.overflowConns + l.serverConns
 			if admin != "" {
-				if taken += l.adminConns + 1; l.adminConns < minAdminConns-1 {
+				if assigned += l.adminConns + 1; l.adminConns < minAdminConns-1 {
 					t.Errorf("%s: %+v, too few for operators", name, l)
 				}
 			}
-			if left := c.descriptors - taken; left < min(c.open, maxInheritedDescriptors)+internalReserve || l.clientConns < minClientConns || l.serverConns < minServerConns {
-				t.Errorf("%s, operators' address %q: %+v leaves %d of %d", name, admin, l, left, c.descriptors)
+			if unassigned := c.descriptors - assigned; unassigned < min(c.open, maxInheritedDescriptors)+internalReserve || l.clientConns < minClientConns || l.serverConns < minServerConns {
+				t.Errorf("%s, operators' address %q: %+v leaves %d of %d", name, admin, l, unassigned, c.descriptors)
 			}
 		}
 	}
-	if err := quick.Check(func(sockets, most uint16, open, processes uint8) bool {
-		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: 64 + int(sockets), Admin: "127.0.0.1:1", Settings: &config.Settings{}}
-		p, n := process{maxDescriptors: 64 + int(most), openDescriptors: 3 + int(open)%30}, 1+int(processes)%2
+	if err := quick.Check(func(configured, systemLimit uint16, open, processes uint8) bool {
+		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: 64 + int(configured), Admin: "127.0.0.1:1", Settings: &config.Settings{}}
+		p, n := process{maxDescriptors: 64 + int(systemLimit), openDescriptors: 3 + int(open)%30}, 1+int(processes)%2
 		l := p.split(s, n)
-		whole := min(s.Descriptors/n, p.maxDescriptors)
-		least := p.openDescriptors + internalReserve + minAdminConns + minClientConns + minServerConns
-		left := whole - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1
-		return left >= p.openDescriptors+internalReserve || whole < least
+		available := min(s.Descriptors/n, p.maxDescriptors)
+		required := p.openDescriptors + internalReserve + minAdminConns + minClientConns + minServerConns
+		unassigned := available - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1
+		return unassigned >= p.openDescriptors+internalReserve || available < required
 	}, &quick.Config{MaxCount: 2000}); err != nil {
 		t.Error(err)
 	}
 }
 
 // What a process was started with is seen before it opens anything.
-func TestAProcessSeesItsLimit(t *testing.T) {
+func TestInspectProcessReadsDescriptorLimit(t *testing.T) {
 	p := inspectProcess()
 	if p.maxDescriptors < 16 || p.openDescriptors < 3 || p.openDescriptors >= p.maxDescriptors {
 		t.Errorf("%+v", p)
@@ -59,11 +59,11 @@
 }
 
 // A fleet's connections and files have a part of their own, by its voters and nodes, and never over half of what is left.
-func TestAFleetHasItsPart(t *testing.T) {
+func TestSplitReservesClusterDescriptors(t *testing.T) {
 	voters := make([]config.Voter, 3)
 	for name, c := range map[string]struct {
-		sockets, processes, nodes int // nodes: as the settings say; 0: they don't
-		least                     int // connections from fellows
+		configured, processes, nodes int // nodes: as the settings say; 0: they don't
+		minPeers                     int // connections from fellows
 	}{
 		"as usual":         {1024, 1, 300, 300},
 		"few nodes":        {1024, 1, 5, minNodeConns},
@@ -72,23 +72,23 @@
 		"by halves":        {512, 2, 300, 64},
 		"very few":         {128, 1, 300, 12},
 	} {
-		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.sockets, Admin: "127.0.0.1:1", Settings: &config.Settings{Routing: routing.Config{Nodes: c.nodes}},
+		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.configured, Admin: "127.0.0.1:1", Settings: &config.Settings{Routing: routing.Config{Nodes: c.nodes}},
 			Cluster: &config.Cluster{Voters: voters}}
 		l := process{openDescriptors: 10}.split(s, c.processes)
-		toFellows := clusterReserve + connsPerVoter*len(voters)/2
-		left := c.sockets/c.processes - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1 - l.peerConns - toFellows
-		if l.peerConns < c.least || left < 10+internalReserve || l.clientConns < 10 || l.serverConns < 10 {
-			t.Errorf("%s: %+v leaves %d", name, l, left)
+		otherClusterDescriptors := clusterReserve + connsPerVoter*len(voters)/2
+		unassigned := c.configured/c.processes - l.clientConns - l.overflowConns - l.serverConns - l.adminConns - 1 - l.peerConns - otherClusterDescriptors
+		if l.peerConns < c.minPeers || unassigned < 10+internalReserve || l.clientConns < 10 || l.serverConns < 10 {
+			t.Errorf("%s: %+v leaves %d", name, l, unassigned)
 		}
 		s.Cluster = nil
-		if without := (process{openDescriptors: 10}).split(s, c.processes); without.peerConns != 0 || without.clientConns <= l.clientConns {
-			t.Errorf("%s, without a fleet: %+v", name, without)
+		if unclustered := (process{openDescriptors: 10}).split(s, c.processes); unclustered.peerConns != 0 || unclustered.clientConns <= l.clientConns {
+			t.Errorf("%s, without a fleet: %+v", name, unclustered)
 		}
 	}
 }
 
 // A voter of a fleet of any size holds a connection of each node and some more, where it may have twice that and what is set apart.
-func TestAVotersPartHoldsAllNodes(t *testing.T) {
+func TestVoterHasPeerConnForEachNode(t *testing.T) {
 	for nodes := 1; nodes <= 4096; nodes++ {
 		s := &config.Node{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Settings: &config.Settings{Routing: routing.Config{Nodes: nodes}},
 			Cluster: &config.Cluster{Voters: make([]config.Voter, 3)}}
--- a/internal/net/node/node_test.go
+++ b/internal/net/node/node_test.go
@@ -17,12 +17,12 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// A whole node: a miss at a cache goes on to the origin, and the end comes with an order to leave.
-func TestANodeServesAndLeaves(t *testing.T) {
-	var seen []string
+// A whole node: a miss at a cache goes on to the origin, and the end comes with an order to stop.
+func TestNodeServesMissFromOriginAndShutsDown(t *testing.T) {
+	var requests []string
 	server := func(kind string, status int) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			seen = append(seen, kind+" "+r.RequestURI)
+			requests = append(requests, kind+" "+r.RequestURI)
 			w.WriteHeader(status)
 			fmt.Fprint(w, "from the "+kind)
 		}))
@@ -48,23 +48,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	probe, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := probe.Addr().String()
-	probe.Close()
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
+	address := listener.Addr().String()
+	listener.Close()
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
 	core, logs := observer.New(zap.InfoLevel)
-	ended := make(chan error)
+	result := make(chan error)
 	go func() {
 		// The list of the configuration can't be read: that is told, and the first one that comes is waited for.
-		ended <- Run(ctx, &config.Node{Name: "n", Listen: address, Discovery: discovery.Listener.Addr().String(), Cores: 1, MemoryMB: 192,
+		result <- Run(ctx, &config.Node{Name: "n", Listen: address, Discovery: discovery.Listener.Addr().String(), Cores: 1, MemoryMB: 192,
 			Descriptors: 128, CachedEndpoints: []byte("no list"), Settings: d}, nil, zap.New(core))
 	}()
 	client := &http.Client{Timeout: 2 * time.Second}
-	ask := func(path string) (int, string) {
+	get := func(path string) (int, string) {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+address+path, nil)
 		r.Header = http.Header{"X-Trace-Id": {"t"}, "X-Expires-In": {"500m"}}
 		resp, err := client.Do(r)
@@ -75,23 +75,23 @@
 		body, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(body)
 	}
-	for end := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if status, text := ask("/up"); status == http.StatusOK {
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		if status, text := get("/up"); status == http.StatusOK {
 			break
-		} else if time.Now().After(end) {
+		} else if time.Now().After(deadline) {
 			t.Fatal(status, text)
 		}
 	}
-	if status, body := ask("/read/k?x=1"); status != 200 || body != "from the origin" {
+	if status, body := get("/read/k?x=1"); status != 200 || body != "from the origin" {
 		t.Errorf("%d %q", status, body)
 	}
-	if got := strings.Join(seen, ", "); got != "cache /read/k?x=1, origin /read/k?x=1" {
+	if got := strings.Join(requests, ", "); got != "cache /read/k?x=1, origin /read/k?x=1" {
 		t.Error(got)
 	}
-	began := time.Now()
-	leave()
-	if err := <-ended; err != nil || time.Since(began) > 1300*time.Millisecond {
-		t.Errorf("ended after %v: %v", time.Since(began), err)
+	start := time.Now()
+	stop()
+	if err := <-result; err != nil || time.Since(start) > 1300*time.Millisecond {
+		t.Errorf("result after %v: %v", time.Since(start), err)
 	}
 	for _, line := range []string{"cached endpoint list is invalid, not ready before the first list", "serving", "endpoint list updated", "shutdown complete"} {
 		if logs.FilterMessage(line).Len() != 1 {
@@ -100,12 +100,12 @@
 	}
 }
 
-func TestLimitsAreSplitWithAReserve(t *testing.T) {
-	for _, sockets := range []int{64, 128, 1024, 4096, 100000} {
-		l := process{}.split(&config.Node{Cores: 0.5, MemoryMB: 192, Descriptors: sockets, Settings: &config.Settings{}}, 1)
-		if reserve := sockets - l.clientConns - l.overflowConns - l.serverConns; reserve < 16 || l.clientConns < 16 || l.overflowConns < 2 ||
+func TestSplitLeavesReserve(t *testing.T) {
+	for _, descriptors := range []int{64, 128, 1024, 4096, 100000} {
+		l := process{}.split(&config.Node{Cores: 0.5, MemoryMB: 192, Descriptors: descriptors, Settings: &config.Settings{}}, 1)
+		if reserve := descriptors - l.clientConns - l.overflowConns - l.serverConns; reserve < 16 || l.clientConns < 16 || l.overflowConns < 2 ||
 			l.serverConns < 16 {
-			t.Errorf("%d: %+v leaves %d", sockets, l, reserve)
+			t.Errorf("%d: %+v leaves %d", descriptors, l, reserve)
 		}
 		if l.cores != 1 || l.memoryBytes >= 192<<20 || l.memoryBytes < 100<<20 {
 			t.Errorf("%+v", l)
--- a/internal/net/node/reload_test.go
+++ b/internal/net/node/reload_test.go
@@ -21,25 +21,25 @@
 
 // A signal may come while the file is being written, or while an earlier one waits to be taken up: what stands in the file when
 // the last signal is taken up is what holds, and half a file changes nothing.
-func TestASignalAmidAnother(t *testing.T) {
-	var asked [3]atomic.Int64
-	var at [3]string
-	for i := range asked {
+func TestReloadUsesLatestConfigurationAtPendingSignal(t *testing.T) {
+	var polls [3]atomic.Int64
+	var addresses [3]string
+	for i := range polls {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked[i].Add(1)
+			polls[i].Add(1)
 			if r.URL.RawQuery != "" {
 				<-r.Context().Done()
 			}
 			fmt.Fprint(w, `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","kind":"box","state":"Ready"}]}`)
 		}))
 		t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-		at[i] = s.Listener.Addr().String()
+		addresses[i] = s.Listener.Addr().String()
 	}
 	path := filepath.Join(t.TempDir(), "node.json")
-	write := func(to, part int) {
+	write := func(service, divisor int) {
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:7070","discovery":%q,"settings":{"namespaces":[{"name":"read","repeat":"safe",
-			"target-time-ms":200,"time-limit-ms":750}]}}`, at[to])
-		if err := os.WriteFile(path, []byte(text)[:len(text)/part], 0o600); err != nil {
+			"target-time-ms":200,"time-limit-ms":750}]}}`, addresses[service])
+		if err := os.WriteFile(path, []byte(text)[:len(text)/divisor], 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -49,10 +49,10 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := dispatch.New(s.Settings, zap.NewNop())
-	list := discovery.New(x, s.Discovery, time.Second, zap.NewNop())
-	x.Start(1, nil, list)
-	go list.Run(t.Context())
+	dispatcher := dispatch.New(s.Settings, zap.NewNop())
+	endpoints := discovery.New(dispatcher, s.Discovery, time.Second, zap.NewNop())
+	dispatcher.Start(1, nil, endpoints)
+	go endpoints.Run(t.Context())
 	signals := make(chan os.Signal, 1)
 	write(1, 1)
 	signals <- syscall.SIGHUP // not taken up yet
@@ -62,37 +62,37 @@
 		t.Fatal("two wait")
 	default: // the one that waits is for both
 	}
-	go reloadOnSignal(t.Context(), signals, s, list, zap.New(core))
-	until := func(what string, there func() bool) {
+	go reloadOnSignal(t.Context(), signals, s, endpoints, zap.New(core))
+	waitFor := func(what string, condition func() bool) {
 		t.Helper()
-		for end := time.Now().Add(5 * time.Second); !there(); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
+		for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
 				t.Fatal(what)
 			}
 		}
 	}
-	until("the latest file is not followed", func() bool { return asked[2].Load() > 0 })
+	waitFor("the latest file is not followed", func() bool { return polls[2].Load() > 0 })
 	write(0, 2)
 	signals <- syscall.SIGHUP
-	until("half a file is not told of", func() bool {
+	waitFor("half a file is not told of", func() bool {
 		return logs.FilterMessage("new configuration is invalid, keeping the old one").Len() == 1
 	})
-	before := asked[2].Load()
-	until("half a file changed something", func() bool { return asked[2].Load() > before })
-	if asked[1].Load() > 0 {
+	before := polls[2].Load()
+	waitFor("half a file changed something", func() bool { return polls[2].Load() > before })
+	if polls[1].Load() > 0 {
 		t.Error("an address that was overwritten before its signal was taken up is asked")
 	}
 	write(1, 1)
 	signals <- syscall.SIGHUP
-	until("the whole file is not followed", func() bool { return asked[1].Load() > 0 })
+	waitFor("the whole file is not followed", func() bool { return polls[1].Load() > 0 })
 }
 
 // A configuration that can't be read when its signal comes, for want of descriptors, by the disk, or as it is being replaced, is read
 // once it can be: the list goes over without another signal.
-func TestAConfigurationIsReadOnceItCanBe(t *testing.T) {
-	var asked atomic.Int64
+func TestReloadRetriesUnreadableConfiguration(t *testing.T) {
+	var polls atomic.Int64
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+		polls.Add(1)
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 		}
@@ -112,12 +112,12 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	x := dispatch.New(s.Settings, zap.NewNop())
-	list := discovery.New(x, s.Discovery, time.Second, zap.NewNop())
-	x.Start(1, nil, list)
-	go list.Run(t.Context())
+	dispatcher := dispatch.New(s.Settings, zap.NewNop())
+	endpoints := discovery.New(dispatcher, s.Discovery, time.Second, zap.NewNop())
+	dispatcher.Start(1, nil, endpoints)
+	go endpoints.Run(t.Context())
 	signals := make(chan os.Signal, 1)
-	go reloadOnSignal(t.Context(), signals, s, list, zap.New(core))
+	go reloadOnSignal(t.Context(), signals, s, endpoints, zap.New(core))
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
@@ -132,8 +132,8 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(2 * time.Second); asked.Load() == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(2 * time.Second); polls.Load() == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the new configuration is not followed within 2 s of the moment from which it can be read")
 		}
 	}
