--- a/internal/net/node/admin_test.go
+++ b/internal/net/node/admin_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The operators' figures are what clients and servers saw: through misses, refusals, faults, lookups that are requests
-// for again elsewhere, clients that leave, and lookups that are turned away unheard.
+// The metrics match what clients and servers counted: with misses, rejections, failures, retries at other servers, clients that disconnect, and
+// requests that are refused before admission.
 func TestMetricsMatchClientAndServerCounts(t *testing.T) {
 	w := newTestEnv(t, func(id string, rw http.ResponseWriter, r *http.Request) {
 		switch key := r.URL.Path; {
@@ -41,9 +41,9 @@
 		case 11, 13:
 			requestLine, namespace = fmt.Sprintf("PUT /once/%s%d", kind, i), "once"
 		case 20:
-			limit = "X-Expires-In: soon" // faulted before it is taken
+			limit = "X-Expires-In: soon" // fails before it is admitted
 		case 22:
-			requestLine, namespace = "GET /unheard-of/k", "" // counts nowhere
+			requestLine, namespace = "GET /unheard-of/k", "" // an unknown class is not counted
 		}
 		clients.Go(func() {
 			status, _ := sendRequest(s.Listen, requestLine, fmt.Sprint("X-Trace-Id: t", i), limit)
@@ -53,7 +53,7 @@
 		})
 		time.Sleep(time.Millisecond)
 	}
-	for i := range 10 { // these leave in the middle, and any count will do for them
+	for i := range 10 { // these clients disconnect before the response; either outcome may be counted for them
 		c, err := net.Dial("tcp", s.Listen)
 		if err != nil {
 			t.Fatal(err)
@@ -63,32 +63,32 @@
 		c.Close()
 	}
 	clients.Wait()
-	time.Sleep(200 * time.Millisecond) // the last shots of those that left
+	time.Sleep(200 * time.Millisecond) // for the last attempts of the clients that disconnected
 	t.Log(statuses)
 	want := map[string]int{"operations.read.fulfilled": statuses["read 200"], "operations.once.fulfilled": statuses["once 200"], "operations.once.throttled": statuses["once 503"],
 		"operations.once.faulted": statuses["once 502"], "open_requests": 0, "registry_entries": 3}
 	for name, n := range want {
 		if got := metric(s.Admin, name); got != n {
-			t.Errorf("%s=%d, seen %d", name, got, n)
+			t.Errorf("%s=%d, want %d", name, got, n)
 		}
 	}
 	for name, minCount := range map[string]int{"operations.read.throttled": statuses["read 503"],
 		"operations.read.faulted": statuses["read 400"] + statuses["read 502"]} {
 		if got := metric(s.Admin, name); got < minCount || got > minCount+10 {
-			t.Errorf("%s=%d, seen %d and ten that left", name, got, minCount)
+			t.Errorf("%s=%d, want %d and up to ten more for the clients that disconnected", name, got, minCount)
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if got := metric(s.Admin, "relayed"); got != w.completeAttempts || got == 0 {
-		t.Errorf("relayed=%d, the servers saw %d", got, w.completeAttempts)
+		t.Errorf("relayed=%d, want %d as received by the servers", got, w.completeAttempts)
 	}
 	if statuses["read 200"] == 0 || statuses["read 503"] == 0 || statuses["read 400"] == 0 || statuses["once 200"] == 0 {
-		t.Errorf("the test shows too little: %v", statuses)
+		t.Errorf("the load does not cover all outcomes: %v", statuses)
 	}
 }
 
-// While a flood holds all of the clients' places, and others holdConnection the operators' connections, a call is answered.
+// An admin request is answered while a flood of requests occupies all client connections and others keep the admin connections open.
 func TestAdminAnswersWhileConnectionsAreExhausted(t *testing.T) {
 	w := newTestEnv(t, func(_ string, rw http.ResponseWriter, _ *http.Request) {
 		time.Sleep(200 * time.Millisecond)
@@ -129,14 +129,13 @@
 		}
 	}
 	if n := metric(s.Admin, "operations.read.throttled"); n < 100 {
-		t.Errorf("the flood brought only %d refusals", n)
+		t.Errorf("the flood caused only %d rejections", n)
 	}
 	close(stop)
 	flood.Wait()
 }
 
-// A cache that is taken out gets nothing from the yes on, whatever the list says meanwhile; one call back ends that,
-// and it is used again.
+// An ejected cache gets no requests once the ejection is acknowledged, even if the endpoint list lists it as ready again. One request restores it.
 func TestEjectedCacheGetsNoRequestsUntilRestored(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	var mu sync.Mutex
@@ -176,7 +175,7 @@
 		}
 	}
 	if n := countRequests(100); n["a"] != 0 || n["b"] == 0 {
-		t.Errorf("a is out: %v", n)
+		t.Errorf("with a ejected: %v", n)
 	}
 	w.updateList(func(e []entry) []entry { // restarted at another address, and listed as ready
 		e[0].Started, e[0].Address = float64(time.Now().UnixMilli()), w.startServer("a")
@@ -184,7 +183,7 @@
 	})
 	time.Sleep(50 * time.Millisecond)
 	if n := countRequests(100); n["a"] != 0 {
-		t.Errorf("a is out and listed anew: %v", n)
+		t.Errorf("with a ejected and listed again: %v", n)
 	}
 	time.Sleep(endpointCountInterval)
 	if ejected, listed := metric(s.Admin, "out_of_rotation"), metric(s.Admin, "registry_entries"); ejected != 1 || listed != 2 {
@@ -193,12 +192,12 @@
 	if status, text := adminRequest(s.Admin, "POST", "/maintenance/exit/a"); status != http.StatusOK {
 		t.Fatal(status, text)
 	}
-	// It is cold, and gets a part of what b was seen to answer, of which a node makes up its mind once a second; it is warm after 2 s.
+	// After the restart a is in slow start for 2 s. It gets a fraction of the rate that b was observed to serve, which a node estimates once a second.
 	restored, n := time.Now(), map[string]int{}
 	for n["a"] == 0 && time.Since(restored) < 1500*time.Millisecond {
 		n = countRequests(20)
 	}
 	if n["a"] == 0 {
-		t.Errorf("a is back: %v after %v", n, time.Since(restored))
+		t.Errorf("with a restored: %v after %v", n, time.Since(restored))
 	}
 }
--- a/internal/net/node/answers_test.go
+++ b/internal/net/node/answers_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// endConnection says ending a server ends its connection behind an answer.
+// endConnection ends a server's connection after a response, in the way that ending names.
 func endConnection(c net.Conn, ending string) {
 	tcp := c.(*net.TCPConn)
 	switch ending {
 	case "resets":
-		time.Sleep(20 * time.Millisecond) // what it has written is on its way to the client
+		time.Sleep(20 * time.Millisecond) // so that the response is already on its way to the client
 		_ = tcp.SetLinger(0)
 	case "resets at once":
 		_ = tcp.SetLinger(0)
@@ -29,8 +29,8 @@
 	tcp.Close()
 }
 
-// A client can tell an answer that a server breaks off, short or long, however its length is told and however it breaks: it is never
-// whole. One of no told length whose server ends it, and resets after that, is whole.
+// A client never takes a truncated response for a complete one, whatever its size, its framing and the way the server ends the connection. A
+// response without Content-Length and chunked encoding is complete if the server closes the connection, also if a reset follows.
 func TestTruncatedResponseIsIncompleteForClient(t *testing.T) {
 	for _, framing := range []string{"length", "chunked", "none"} {
 		for _, size := range []int{100, 300 << 10} {
@@ -57,19 +57,19 @@
 					}
 					s := w.nodeConfig(128)
 					startNode(t, s)
-					complete := framing == "none" && (ending == "closes" || ending == "ends, then resets") // no reset breaks it off then
+					complete := framing == "none" && (ending == "closes" || ending == "ends, then resets") // closed before any reset
 					truncated := 0
 					for i := range 5 {
 						status, got := sendRequest(s.Listen, fmt.Sprint("GET /read/", i), fmt.Sprint("X-Trace-Id: t", i), "X-Expires-In: 800m")
 						if whole := status == http.StatusOK; whole != complete || whole && got != body {
-							t.Errorf("%d, %d bytes", status, len(got))
+							t.Errorf("status %d, %d bytes", status, len(got))
 						}
 						if status == 0 {
 							truncated++
 						}
 					}
 					if size > maxBufferedBodyBytes && ending == "resets" && truncated == 0 {
-						t.Error("no answer has begun") // all were turned away
+						t.Error("no response was passed on to a client") // all requests were rejected
 					}
 					g := &gatedNode{testEnv: w, config: s}
 					g.waitForMetric("open_requests", 0)
@@ -79,8 +79,8 @@
 	}
 }
 
-// Answers that never end, byte by byte, so that no pause tells: a request is answered, or its answer has begun, by its time; nothing
-// grows meanwhile, and all is given back when the client goes.
+// Servers send endless responses byte by byte, so that no idle timeout applies. Each request is answered, or its response has started, by its
+// deadline. Goroutines do not accumulate, and all resources are released when the client disconnects.
 func TestEndlessResponsesReleaseResources(t *testing.T) {
 	w := newTestEnv(t, nil, "a", "b", "c")
 	w.handleRaw = func(_ string, rw http.ResponseWriter, r *http.Request) {
@@ -120,7 +120,7 @@
 			if err != nil {
 				t.Fatal(kind, err)
 			}
-			// An answer of no told length may be long: it is the client's from half of its time on.
+			// A response of unknown length may be long: the node starts to stream it to the client after half of the time to the deadline.
 			streamed := kind == "chunked" || kind == "none"
 			if r.StatusCode == http.StatusOK {
 				started[kind]++
@@ -132,7 +132,7 @@
 		}
 	}
 	if started["chunked"] == 0 || started["none"] == 0 {
-		t.Errorf("of no told length have begun %v", started)
+		t.Errorf("responses of unknown length that started: %v", started)
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if open := metric(s.Admin, "open_requests"); open == 0 && runtime.NumGoroutine() <= before+20 {
--- a/internal/net/node/fleet_test.go
+++ b/internal/net/node/fleet_test.go
@@ -11,24 +11,24 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// goroutineStacks gives all stacks.
+// goroutineStacks returns the stacks of all goroutines.
 func goroutineStacks() string {
 	b := make([]byte, 1<<20)
 	return string(b[:runtime.Stack(b, true)])
 }
 
-// Without a fleet section nothing of a fleet runs; with one a node serves and tells figures though no fellow can be
-// reached, and ends in time.
+// Without a cluster section in its configuration a node runs no goroutine of the cluster package and reports no cluster metrics. With one it
+// serves, reports cluster metrics and stops in time, even if no other node is reachable.
 func TestNodeServesWithAndWithoutCluster(t *testing.T) {
 	const clusterPackage = "internal/cluster"
 	w := newTestEnv(t, nil, "a")
 	s := w.nodeConfig(256)
 	stop := startNode(t, s)
 	if sendRequest(s.Listen, "GET /read/k", "X-Trace-Id: t1", "X-Expires-In: 900m"); strings.Contains(goroutineStacks(), clusterPackage) {
-		t.Error("a fleet's goroutine runs")
+		t.Error("a goroutine of the cluster package runs without a cluster")
 	}
 	if _, page := adminRequest(s.Admin, "GET", "/status/metrics"); strings.Contains(page, "fleet.") {
-		t.Errorf("figures of no fleet:\n%s", page)
+		t.Errorf("cluster metrics without a cluster:\n%s", page)
 	}
 	stop()
 	s = w.nodeConfig(256)
@@ -38,11 +38,11 @@
 	stop = startNode(t, s)
 	for deadline := time.Now().Add(5 * time.Second); metric(s.Admin, "fleet.voter") != 1; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("its figures don't tell that it may vote")
+			t.Fatal("metric fleet.voter is not 1 within 5 s")
 		}
 	}
 	if status, body := sendRequest(s.Listen, "GET /read/k", "X-Trace-Id: t2", "X-Expires-In: 900m"); status != 200 || body != "value" {
-		t.Errorf("alone in its fleet: %d %q", status, body)
+		t.Errorf("no other node reachable: %d %q", status, body)
 	}
 	if _, err := os.Stat(filepath.Join(s.Cluster.DataDir, "voter.json")); err != nil {
 		t.Error(err)
--- a/internal/net/node/gone_stop_test.go
+++ b/internal/net/node/gone_stop_test.go
@@ -20,14 +20,14 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// standsStill is the name under which a process of this test's own hears where it is to serve.
-const pausedNodeEnv = "NODE_THAT_STANDS_STILL"
+// pausedNodeEnv is the environment variable that gives the child process of TestNoAttemptForGoneClientAfterProcessResumes its addresses.
+const pausedNodeEnv = "PAUSED_NODE_ADDRESSES"
 
-// TestANodeThatStandsStill is that process.
+// TestPausedNodeProcess is that child process. It runs a node until SIGTERM.
 func TestPausedNodeProcess(t *testing.T) {
 	var addresses struct{ Listen, Admin, Discovery string }
 	if err := json.Unmarshal([]byte(os.Getenv(pausedNodeEnv)), &addresses); err != nil {
-		t.Skip("runs only as a process of another test")
+		t.Skip("runs only as a child process of another test")
 	}
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
@@ -46,8 +46,8 @@
 	}
 }
 
-// A process that has no core while a client goes, and while what its request waits for happens, finds both when it runs again: nothing is
-// sent on for who has gone, and who stays is served.
+// The process is stopped (SIGSTOP) while the client disconnects and while the event occurs that its request waits for. It observes both when it
+// continues: the request of a disconnected client is not forwarded, and a client that stays is served.
 func TestNoAttemptForGoneClientAfterProcessResumes(t *testing.T) {
 	for _, c := range []struct {
 		place, heldAttempt, missAttempt string
@@ -61,7 +61,7 @@
 	} {
 		for _, clientAction := range []string{"closes", "resets", clientStays} {
 			for _, pipelined := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, %s, behind %v", c.place, clientAction, pipelined), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %s, pipelined %v", c.place, clientAction, pipelined), func(t *testing.T) {
 					t.Parallel()
 					g := newGatedNode(t, c.heldAttempt, c.missAttempt, c.fullQueue)
 					addresses, _ := json.Marshal(map[string]string{"Listen": g.config.Listen, "Admin": g.config.Admin, "Discovery": g.config.Discovery})
@@ -79,7 +79,7 @@
 						if status, _ := adminRequest(g.config.Admin, "GET", "/status"); status == http.StatusOK {
 							break
 						} else if time.Now().After(deadline) {
-							t.Fatal("the process does not get ready")
+							t.Fatal("process did not become ready within 10 s")
 						}
 					}
 					client := func(id, requestLine, headersAndBody string) *net.TCPConn {
@@ -95,7 +95,7 @@
 						t.Helper()
 						for deadline := time.Now().Add(4 * time.Second); g.attemptCount(attemptKey) == 0; time.Sleep(time.Millisecond) {
 							if time.Now().After(deadline) {
-								t.Fatalf("%s has not come", attemptKey)
+								t.Fatalf("attempt %s did not reach its server", attemptKey)
 							}
 						}
 					}
@@ -111,7 +111,7 @@
 						waitForAttempt(c.missAttempt)
 					}
 					if c.fullQueue {
-						time.Sleep(30 * time.Millisecond) // its dial has begun
+						time.Sleep(30 * time.Millisecond) // until the dial has started
 					}
 					if pipelined {
 						fmt.Fprint(conn, requestText("GET /read/other", "u", ""))
@@ -128,7 +128,7 @@
 					close(g.release)
 					time.Sleep(clientGoneDelay)
 					if c.fullQueue {
-						time.Sleep(1200 * time.Millisecond) // it comes up with the second try of the kernel's
+						time.Sleep(1200 * time.Millisecond) // the connection is established with the kernel's second attempt
 					}
 					_ = node.Process.Signal(syscall.SIGCONT)
 					answers := bufio.NewReader(conn)
@@ -143,7 +143,7 @@
 						}
 						r.Body.Close()
 						if r.StatusCode != http.StatusOK {
-							t.Errorf("a client that stays: %d", r.StatusCode)
+							t.Errorf("connected client: status %d", r.StatusCode)
 						}
 					}
 					g.waitForMetric("open_requests", 0)
@@ -152,7 +152,7 @@
 					defer g.mu.Unlock()
 					for attemptKey, n := range g.attempts {
 						if ofClient := strings.HasPrefix(attemptKey, "t at") || strings.HasPrefix(attemptKey, "u at"); ofClient && clientAction != clientStays && attemptKey != c.missAttempt {
-							t.Errorf("%s: %d attempts were sent on", attemptKey, n)
+							t.Errorf("%s: %d attempts were forwarded", attemptKey, n)
 						}
 					}
 				})
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -22,15 +22,15 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// clientGoneDelay is beyond the 0.1 s after which no attempt may begin for a client that has gone.
+// clientGoneDelay is over the 0.1 s after which no attempt may start for a client that has disconnected.
 const clientGoneDelay = 120 * time.Millisecond
 
-// steered is the server side of a node, whose attempts go where the test says.
+// redirectedUpstream is a node's upstream client. The test chooses the address of each attempt.
 type redirectedUpstream struct {
 	*upstream.Client
 	mu       sync.Mutex
 	attempts map[string]int
-	redirect func(a *dispatch.Attempt, attempt int) // may hold it up
+	redirect func(a *dispatch.Attempt, attempt int) // may block, which delays the attempt
 }
 
 func (s *redirectedUpstream) Send(a *dispatch.Attempt) {
@@ -44,12 +44,12 @@
 	}()
 }
 
-// unlisted follows no list.
+// noDiscovery implements the discovery client. It follows no endpoint list.
 type noDiscovery struct{}
 
 func (noDiscovery) Subscribe() {}
 
-// stand serves requests and counts connections on which a byte of one has come, and requests behind them.
+// serveCounted serves requests on l. It counts each connection when the first byte of a request arrives, and each further request on it.
 func serveCounted(t *testing.T, l net.Listener, f http.HandlerFunc) *atomic.Int64 {
 	connCount := new(atomic.Int64)
 	s := &http.Server{Handler: f, ConnState: func(_ net.Conn, state http.ConnState) {
@@ -62,7 +62,7 @@
 	return connCount
 }
 
-// loopback listens where nobody else does: at a port that is used anew connections of other processes may come.
+// loopback listens on a unique loopback address. A reused port could receive connections of other processes.
 func loopback(t *testing.T) net.Listener {
 	l, err := net.Listen("tcp", uniqueAddress())
 	if err != nil {
@@ -76,18 +76,18 @@
 const (
 	placeFetch           = "behind a fetch of its key"
 	placeBetweenAttempts = "between two attempts"
-	placeCore            = "for a core, ordered and not begun"
+	placeCore            = "for a core, dispatched and not started"
 	placeDial            = "for a connection"
 	placeBetweenDials    = "between two connections of one attempt"
-	placeBeforeWrite     = "for a core, between the look at its client and the write"
-	placeHalfBody        = "with its body half come"
-	placeLargeBody       = "with megabytes of its body come"
-	placeLargeBodyCore   = "with megabytes of its body come, for a core" // and a connection that comes up at once
-	placePipelinedFlood  = "for a core, a megabyte behind it"            // more than the kernel takes
-	placeAcceptQueue     = "in the kernel's queue"
+	placeBeforeWrite     = "for a core, between the client check and the write"
+	placeHalfBody        = "with half of its body received"
+	placeLargeBody       = "with megabytes of its body received"
+	placeLargeBodyCore   = "with megabytes of its body received, for a core" // and a connection that is established at once
+	placePipelinedFlood  = "for a core, a megabyte pipelined"                // more than the socket buffers hold
+	placeAcceptQueue     = "in the accept queue"
 )
 
-// waiting is a row: where a request waits, with which attempt, how its client goes, and whether bytes lie behind the request.
+// goneCase is a test case: where a request waits, in which attempt, what its client does, and whether a request is pipelined behind it.
 type goneCase struct {
 	place        string
 	attempt      int
@@ -100,25 +100,25 @@
 	floodRequests = 256 // requests of 4 KiB
 )
 
-// standing is a node with its stand-ins.
+// goneTest is a node and its test servers.
 type goneTest struct {
 	goneCase
 	t                 *testing.T
 	dispatcher        *dispatch.Dispatcher
-	reached, released chan struct{} // the request is at its place; it may go on
+	reached, released chan struct{} // closed when the request is at its place; closed to let it continue
 	signalReached     func()
-	otherMayStart     chan struct{} // the request of the same key is to come,
-	otherFetching     chan struct{} // and its fetch is out
+	otherMayStart     chan struct{} // closed when the other request for the same key may be sent
+	otherFetching     chan struct{} // closed when that request fetches the key from the origin
 	target            string
-	targetConns       *atomic.Int64 // at the target
-	firstConn         chan net.Conn // the target's first connection, where two are wanted,
-	secondConn        chan struct{} // and the second one has come
+	targetConns       *atomic.Int64 // connections and requests that reached the target
+	firstConn         chan net.Conn // placeBetweenDials: the target's first connection
+	secondConn        chan struct{} // placeBetweenDials: closed when the second one is accepted
 	addresses         map[string]string
 	pipelinedConns    *atomic.Int64
 	stats             dispatch.Stats
 }
 
-// tallied waits for something in the exchange's counts.
+// waitForStats waits until f accepts the dispatcher's accumulated statistics, for 4 s at most.
 func (s *goneTest) waitForStats(f func(y dispatch.Stats) bool) {
 	for deadline := time.Now().Add(4 * time.Second); ; time.Sleep(2 * time.Millisecond) {
 		y := s.dispatcher.Stats()
@@ -127,7 +127,7 @@
 		if f(s.stats) {
 			return
 		} else if time.Now().After(deadline) {
-			s.t.Errorf("the counts are %+v", s.stats)
+			s.t.Errorf("condition not met within 4 s, statistics %+v", s.stats)
 			return
 		}
 	}
@@ -137,7 +137,7 @@
 	select {
 	case <-c:
 	case <-time.After(4 * time.Second):
-		s.t.Errorf("waited in vain: %s", what)
+		s.t.Errorf("timeout: %s", what)
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 }
 
-// answers makes the stand-ins.
+// startServers starts the test servers.
 func (s *goneTest) startServers() {
 	reject := func(rw http.ResponseWriter) {
 		rw.Header().Set("X-Never-Ran", "1")
@@ -156,7 +156,7 @@
 	s.addresses = map[string]string{}
 	for name, f := range map[string]http.HandlerFunc{
 		"away": func(rw http.ResponseWriter, _ *http.Request) { reject(rw) },
-		"before": func(rw http.ResponseWriter, _ *http.Request) { // the attempt before the one that is looked at
+		"before": func(rw http.ResponseWriter, _ *http.Request) { // serves the attempt before the one under test
 			if s.place == placeBetweenAttempts {
 				s.signalReached()
 				<-s.released
@@ -198,7 +198,7 @@
 		l, second := loopback(s.t), loopback(s.t)
 		s.target = l.Addr().String()
 		s.targetConns = serveCounted(s.t, second, serveValue)
-		go func() { // the first connection is the test's, the next lead to the second stand-in
+		go func() { // the test keeps the first connection; further ones are forwarded to the second server
 			for n := 0; ; n++ {
 				c, err := l.Accept()
 				if err != nil {
@@ -208,7 +208,7 @@
 					s.firstConn <- c
 					go func() {
 						if n, _ := c.Read(make([]byte, 1)); n > 0 {
-							s.targetConns.Add(100) // behind bytes that are not its answer
+							s.targetConns.Add(100) // a request was written although bytes that are no response to it had arrived
 						}
 					}()
 					continue
@@ -230,9 +230,9 @@
 	}
 }
 
-// steer sends attempts to the stand-ins, and holds the one that is looked at.
+// redirect sends attempts to the test servers, and holds the attempt under test.
 func (s *goneTest) redirect(a *dispatch.Attempt, attempt int) {
-	a.Incarnation = uint64(100*attempt + int(a.TraceID[0])) // connections of its own
+	a.Incarnation = uint64(100*attempt + int(a.TraceID[0])) // so that the attempt uses connections of its own
 	switch {
 	case a.TraceID == "o" && attempt == 1:
 		a.Address = s.addresses["miss"]
@@ -244,7 +244,7 @@
 		l, err := net.Listen("tcp", uniqueAddress())
 		if err == nil {
 			a.Address = l.Addr().String()
-			l.Close() // refused, so that nothing of the body has gone
+			l.Close() // the connection is refused, so that nothing of the body was sent
 		}
 	case attempt == s.attempt-1:
 		a.Address = s.addresses["before"]
@@ -272,14 +272,14 @@
 			isGone := clientGone()
 			if checks++; checks == 1 {
 				s.signalReached()
-				<-s.released // the process has no core
+				<-s.released // as if the process had no core
 			}
 			return isGone
 		}
 	case placeBetweenDials:
 		in.ClientGone = func() bool {
 			switch checks++; {
-			case checks == 1: // half a line comes in the very moment, so that nothing is written
+			case checks == 1: // half a status line arrives during the check, so that the request is not written
 				c := <-s.firstConn
 				fmt.Fprint(c, "HTTP/1.1 2")
 				time.Sleep(50 * time.Millisecond)
@@ -293,18 +293,18 @@
 	a.Request = &in
 }
 
-// onSecond says that a look is on the second connection. The looks on the first are one or two: it is given up after one where the deadline that
-// it tells has become too long meanwhile.
+// onSecondConn reports whether a client check is made for the second connection. There are one or two checks for the first: the connection is
+// abandoned after one if the deadline in its request has become too long meanwhile.
 func (s *goneTest) onSecondConn() bool {
 	select {
 	case <-s.secondConn:
 		return true
-	case <-time.After(20 * time.Millisecond): // for the accept; under what makes a look stale
+	case <-time.After(20 * time.Millisecond): // long enough for the accept, and shorter than the age at which a client check is repeated
 		return false
 	}
 }
 
-// start makes the node between them, and gives its address and what lets it take connections.
+// startFrontend creates the node. It returns the node's address and a function that lets it accept connections.
 func (s *goneTest) startFrontend() (address string, serve func()) {
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
@@ -339,10 +339,10 @@
 	return c.(*net.TCPConn)
 }
 
-// xs are more than two kernels hold, so that a client's end behind them is not told before they are taken.
+// largeBody is more than the socket buffers of both sides hold, so that the end of the connection behind it is not seen before it is read.
 var largeBody = bytes.Repeat([]byte("x"), 8<<20)
 
-// play brings the request to its place, has its client go or stay, lets it go on after a while, and looks what came.
+// run brings the request to its place, performs the client action, lets the request continue after held, and checks what the servers received.
 func (w goneCase) run(t *testing.T, held time.Duration) {
 	s := &goneTest{goneCase: w, t: t, reached: make(chan struct{}), released: make(chan struct{}), otherMayStart: make(chan struct{}),
 		otherFetching: make(chan struct{}), firstConn: make(chan net.Conn, 1), secondConn: make(chan struct{})}
@@ -356,7 +356,7 @@
 	}
 	if w.place == placeFetch && w.attempt == 1 {
 		fmt.Fprint(s.dial(address), requestText("GET /read/k", "o", ""))
-		s.waitFor(s.otherFetching, "the other's fetch")
+		s.waitFor(s.otherFetching, "fetch of the other request")
 	}
 	c := s.dial(address)
 	half := largeBody[:map[string]int{placeHalfBody: maxBufferedBodyBytes, placeLargeBody: len(largeBody), placeLargeBodyCore: len(largeBody)}[w.place]]
@@ -367,7 +367,7 @@
 			fmt.Fprint(c, requestText("GET /read/k", "t", ""))
 			return
 		}
-		// More than the kernels hold, where it is much: its end is behind bytes that nobody takes.
+		// A large body exceeds the socket buffers, so that the end of the connection is behind bytes that the node does not read.
 		fmt.Fprint(c, requestText("PUT /once/k", "t", fmt.Sprintf("Content-Length: %d\r\n\r\n", 2*len(half))))
 		_, _ = c.Write(half)
 	}()
@@ -377,13 +377,13 @@
 	switch {
 	case w.place == placeAcceptQueue:
 	case w.place == placeFetch && w.attempt > 1:
-		s.waitFor(s.otherMayStart, "the attempt before")
+		s.waitFor(s.otherMayStart, "previous attempt")
 		fmt.Fprint(s.dial(address), requestText("GET /read/k", "o", ""))
 		s.waitForStats(func(y dispatch.Stats) bool { return y.Results[dispatch.Shed] == w.attempt-1 })
 	case w.place == placeFetch:
 		s.waitForStats(func(y dispatch.Stats) bool { return y.Requests == 2 })
 	default:
-		s.waitFor(s.reached, "the attempt")
+		s.waitFor(s.reached, "attempt under test")
 	}
 	flooded := make(chan bool)
 	switch {
@@ -394,7 +394,7 @@
 				fmt.Fprint(c, requestText("GET /read/other", fmt.Sprint("u", i), "X-More: "+strings.Repeat("x", 4<<10)+"\r\n\r\n"))
 			}
 		}()
-		select { // the kernels are full, or all is out
+		select { // the socket buffers are full, or all is written
 		case <-flooded:
 		case <-time.After(50 * time.Millisecond):
 		}
@@ -417,17 +417,17 @@
 	}
 	if w.clientAction != clientStays {
 		if w.place == placeAcceptQueue {
-			time.Sleep(clientGoneDelay) // it is taken, or not: nobody tells
+			time.Sleep(clientGoneDelay) // whether the request was accepted cannot be observed
 		}
 		for deadline := time.Now().Add(4 * time.Second); s.dispatcher.InFlight() > 0; time.Sleep(2 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Error("not over")
+				t.Error("requests still in flight after 4 s")
 				break
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
 		if connCount, pipelined := s.targetConns.Load(), s.pipelinedConns.Load(); connCount > 0 || pipelined > 0 {
-			t.Errorf("sent on: %d, and %d of what lay behind", connCount, pipelined)
+			t.Errorf("forwarded: %d, and %d pipelined", connCount, pipelined)
 		}
 		return
 	}
@@ -448,23 +448,25 @@
 			return
 		}
 		if body, err := io.ReadAll(r.Body); r.StatusCode != http.StatusOK || string(body) != "value" || err != nil {
-			t.Errorf("a client that stays: %d %q, %v", r.StatusCode, body, err)
+			t.Errorf("connected client: status %d, body %q, %v", r.StatusCode, body, err)
 		}
 	}
 	if connCount, pipelined := s.targetConns.Load(), s.pipelinedConns.Load(); connCount != 1 || int(pipelined) != want-1 {
-		t.Errorf("sent on: %d, and %d of what lay behind", connCount, pipelined)
+		t.Errorf("forwarded: %d, and %d pipelined", connCount, pipelined)
 	}
 }
 
-// An attempt that waits begins no later than 0.1 s after its client has gone, whichever attempt it is, however the client went and
-// whatever lies behind its request; that of one that stays is served. Without the look at the client's connection every place fails,
-// with bytes behind or, where net/http can't see an end yet, without. Without the look made anew where it took long fail those between
-// the look and the write that have bytes behind, and all between two connections, also where the client stays: what came in the very
-// moment was taken for the beginning of the answer.
+// A waiting attempt does not start later than 0.1 s after its client has disconnected. This holds for each attempt, each way to disconnect, and
+// with pipelined requests. The request of a client that stays is served.
+//
+// Without the check of the client's connection every place fails: with pipelined bytes or, where net/http cannot see the end of the connection
+// yet, without them. Without the repeated check after a slow one, two groups fail: the waits between the client check and the write with
+// pipelined bytes, and all waits between two connections, even if the client stays. The bytes that arrived during the check were then taken for
+// the start of the response.
 func TestNoAttemptStartsForGoneClient(t *testing.T) {
 	var cases sync.WaitGroup
 	defer cases.Wait()
-	semaphore := make(chan struct{}, 24) // most of them only wait
+	semaphore := make(chan struct{}, 24) // cases in parallel; most of them only wait
 	for _, place := range []string{placeFetch, placeBetweenAttempts, placeCore, placeDial, placeBetweenDials, placeBeforeWrite, placeHalfBody, placeLargeBody, placeLargeBodyCore, placePipelinedFlood, placeAcceptQueue} {
 		for attempt := 1; attempt <= 3; attempt++ {
 			if place == placeBetweenAttempts && attempt == 1 || place == placeAcceptQueue && attempt > 1 {
@@ -473,13 +475,13 @@
 			for _, clientAction := range []string{"closes", "shuts its sending side", "resets", clientStays} {
 				for _, pipelined := range []bool{false, true} {
 					if (place == placeHalfBody || place == placeLargeBody || place == placeLargeBodyCore) && pipelined || place == placePipelinedFlood && !pipelined {
-						continue // its own bytes are in the way
+						continue // the rest of its body comes first
 					}
 					w := goneCase{place, attempt, clientAction, pipelined}
 					cases.Go(func() {
 						semaphore <- struct{}{}
 						defer func() { <-semaphore }()
-						t.Run(fmt.Sprintf("%s, attempt %d, %s, behind %v", place, attempt, clientAction, pipelined), func(t *testing.T) { w.run(t, clientGoneDelay) })
+						t.Run(fmt.Sprintf("%s, attempt %d, %s, pipelined %v", place, attempt, clientAction, pipelined), func(t *testing.T) { w.run(t, clientGoneDelay) })
 					})
 				}
 			}
@@ -487,7 +489,7 @@
 	}
 }
 
-// What an upload waits for a connection is not its client's fault: the time that the client has for its body runs while it is read.
+// The time limit on the client for sending its body counts only while the body is read, not while the upload waits for a connection.
 func TestLongUploadWaitsForConnection(t *testing.T) {
-	goneCase{placeLargeBodyCore, 1, clientStays, false}.run(t, 2800*time.Millisecond) // beyond the 2.6 s that a body may take to begin
+	goneCase{placeLargeBodyCore, 1, clientStays, false}.run(t, 2800*time.Millisecond) // over the 2.6 s that a body may take to start
 }
--- a/internal/net/node/kinds_test.go
+++ b/internal/net/node/kinds_test.go
@@ -17,22 +17,22 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// yard is a few caches and an origin on loopback, and what they see of each lookup. A trace begins with its kind.
+// serverGroup is four caches and an origin on loopback, and what they record of each request. A trace ID starts with the kind of its node.
 type serverGroup struct {
 	mu               sync.Mutex
-	inFlight         map[string]int // shots at work by trace
-	effects          map[string]int // effects by trace
-	parallelAttempts map[string]int // shots beside another of their lookup, by kind
-	coldArrivals     []time.Time    // shots at the cold cache
-	warmAttempts     int            // and at another one, since the start
+	inFlight         map[string]int // attempts in progress by trace ID
+	effects          map[string]int // writes executed by trace ID
+	parallelAttempts map[string]int // attempts parallel to another of their request, by kind of node
+	coldArrivals     []time.Time    // arrival times of attempts at the cold cache
+	warmAttempts     int            // attempts at a warm cache since the start
 	endpoints        []dispatch.Endpoint
 	attempts         int
 }
 
 const (
-	serverSlots = 2                    // lookups that a server works on at once; as many wait, more are turned away
-	serviceTime = 8 * time.Millisecond // for each
-	coldServer  = 3                    // which of the caches starts again
+	serverSlots = 2                    // requests that a server processes at once; as many wait, further ones are rejected
+	serviceTime = 8 * time.Millisecond // per request
+	coldServer  = 3                    // index of the cache that restarts
 )
 
 func newServerGroup(t *testing.T) *serverGroup {
@@ -57,7 +57,7 @@
 				return
 			}
 			if id == "a" && number%10 == 0 {
-				time.Sleep(15 * serviceTime) // single answers are late while others pass them
+				time.Sleep(15 * serviceTime) // single responses are late while others overtake them
 			}
 			if r.Method == http.MethodPut {
 				servers.mu.Lock()
@@ -65,7 +65,7 @@
 				servers.mu.Unlock()
 			}
 			if number%20 == 0 {
-				w.WriteHeader(http.StatusInternalServerError) // it has run all the same
+				w.WriteHeader(http.StatusInternalServerError) // although the request was executed
 			}
 			fmt.Fprint(w, "value")
 		}))
@@ -76,7 +76,7 @@
 	return servers
 }
 
-// begin notes a shot's coming, and gives its number and what notes its end.
+// recordAttempt records the start of an attempt. It returns the number of the attempt and a function that records its end.
 func (servers *serverGroup) recordAttempt(server int, r *http.Request) (int, func()) {
 	servers.mu.Lock()
 	defer servers.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// kindOf starts a node's deciding half, of the old shape or of the new one. Both count the nodes of both.
+// startDispatcher starts the dispatcher of a node with the old or the new configuration. nodes counts the nodes of both kinds.
 func startDispatcher(t *testing.T, kind string, nodes int, servers *serverGroup) *dispatch.Dispatcher {
 	permissions, rules := map[string]any{"most-shots": 3., "parallel-tries": true}, map[string]any{"cold-from": 0.2, "warm-up-ms": 20000.,
 		"overload-factor": 4., "fall-ms": 500.}
@@ -126,11 +126,11 @@
 	return dispatcher
 }
 
-// During a move nodes of the old shape and of the new one stand before the same caches. Together they spare a cache
-// that starts cold, no effect happens twice, no second copy goes out where none is allowed, and under more than the
-// caches can do neither kind starves the other.
+// During a migration nodes with the old and the new configuration use the same caches. Together they stay within the slow start bound of a cold
+// cache. No write is executed twice, and nodes send no parallel attempts where the configuration forbids them. Under overload neither kind starves
+// the other.
 func TestOldAndNewNodesShareCaches(t *testing.T) {
-	const nodes, calmInterval, overloadInterval = 6, 25 * time.Millisecond, 5 * time.Millisecond // between a node's lookups
+	const nodes, calmInterval, overloadInterval = 6, 25 * time.Millisecond, 5 * time.Millisecond // between a node's requests
 	servers := newServerGroup(t)
 	var dispatchers []*dispatch.Dispatcher
 	for i := range nodes {
@@ -178,7 +178,7 @@
 	sendRequests(1500*time.Millisecond, calmInterval)
 	for _, kind := range []string{"old", "new"} {
 		if served[kind] < submitted[kind]*8/10 {
-			t.Errorf("calm: %d of %d lookups of the %s kind resolved", served[kind], submitted[kind], kind)
+			t.Errorf("without overload: %d of %d requests of %s nodes served", served[kind], submitted[kind], kind)
 		}
 	}
 	rate := float64(servers.warmAttempts) / 1.5
@@ -187,35 +187,35 @@
 		dispatcher.UpdateEndpoints(routing.Incremental, servers.endpoints[coldServer:coldServer+1])
 	}
 	sendRequests(1500*time.Millisecond, calmInterval)
-	maxInWindow := int(4 * 0.2 * rate * 0.5) // factor x cold share x what a warm one is seen to bear x window
+	maxInWindow := int(4 * 0.2 * rate * 0.5) // overload factor x cold share x observed rate of a warm cache x window (s)
 	for i := range servers.coldArrivals {
 		n := 0
 		for n = i; n < len(servers.coldArrivals) && servers.coldArrivals[n].Sub(servers.coldArrivals[i]) < 500*time.Millisecond; n++ {
 		}
 		if n-i > maxInWindow {
-			t.Fatalf("%d shots at the cold cache in a window, want %d at most", n-i, maxInWindow)
+			t.Fatalf("%d attempts at the cold cache in a window, want at most %d", n-i, maxInWindow)
 		}
 	}
 	if len(servers.coldArrivals) == 0 {
-		t.Error("the cold cache must warm up")
+		t.Error("the cold cache got no attempts")
 	}
 	sendRequests(1500*time.Millisecond, overloadInterval)
 	oldShare, newShare := float64(served["old"])/float64(submitted["old"]), float64(served["new"])/float64(submitted["new"])
 	if oldShare < 0.15 || newShare < 0.15 || oldShare < newShare/2.5 || newShare < oldShare/2.5 {
-		t.Errorf("crowded: %.2f of the old kind's lookups resolved, %.2f of the new one's", oldShare, newShare)
+		t.Errorf("overload: %.2f of the requests of old nodes served, %.2f of new nodes", oldShare, newShare)
 	}
-	t.Logf("crowded: %.2f and %.2f; copies %v; cold %d, at most %d a window", oldShare, newShare, servers.parallelAttempts, len(servers.coldArrivals), maxInWindow)
+	t.Logf("overload: %.2f and %.2f; parallel attempts %v; %d attempts at the cold cache, at most %d per window", oldShare, newShare, servers.parallelAttempts, len(servers.coldArrivals), maxInWindow)
 	servers.mu.Lock()
 	defer servers.mu.Unlock()
 	if servers.parallelAttempts["new"] != 0 || servers.parallelAttempts["old"] == 0 {
-		t.Errorf("second copies %v, want some of the old kind and none of the new one", servers.parallelAttempts)
+		t.Errorf("parallel attempts %v, want some of old nodes and none of new nodes", servers.parallelAttempts)
 	}
 	for trace, n := range servers.effects {
 		if n > 1 {
-			t.Errorf("%s ran %d times", trace, n)
+			t.Errorf("%s was executed %d times", trace, n)
 		}
 	}
 	if lost > 0 || len(servers.effects) == 0 {
-		t.Errorf("%d lookups lost, %d effects", lost, len(servers.effects))
+		t.Errorf("%d requests lost, %d writes executed", lost, len(servers.effects))
 	}
 }
--- a/internal/net/node/left_test.go
+++ b/internal/net/node/left_test.go
@@ -18,17 +18,18 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// gatedNode is a node among servers that wait for the test.
+// gatedNode is the configuration of a node, with servers that hold an attempt until release is closed.
 type gatedNode struct {
 	*testEnv
 	config         *config.Node
 	release        chan struct{}
 	mu             sync.Mutex
-	attempts       map[string]int // shots of which anything came, by the lookup's id and the server's
-	completeBodies int            // those that came whole
+	attempts       map[string]int // attempts that reached a server at least in part, by "TRACE at SERVER"
+	completeBodies int            // attempts whose body was received completely
 }
 
-// deaf is the address of a listener whose queue is full, so that a connection comes up only after hear, some time later.
+// fullQueueListener returns the address of a listener whose accept queue is full. Further connections are established only some time after
+// unblock, when the kernel retries them.
 func fullQueueListener(t *testing.T) (address string, unblock func() net.Listener) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -61,8 +62,8 @@
 	}
 }
 
-// gate makes caches a and the origin z. A shot of a lookup named in hold waits at its server; answer 404 stands for a miss.
-// The origin's connections come up late where it is deaf.
+// newGatedNode starts the cache a and the origin z. Attempt heldAttempt waits at its server; attempts in missAttempt are answered 404, a miss.
+// Both are named "TRACE at SERVER". If originQueueFull is set, connections to the origin are established only after release.
 func newGatedNode(t *testing.T, heldAttempt, missAttempt string, originQueueFull bool) *gatedNode {
 	g := &gatedNode{release: make(chan struct{}), attempts: map[string]int{}}
 	g.testEnv = newTestEnv(t, nil, "a")
@@ -114,13 +115,14 @@
 
 var addressCount atomic.Int64
 
-// own gives an address that nobody else has: a free port may be taken by another test's connection before it is listened on.
+// uniqueAddress returns a loopback address that no other test uses. A free port of 127.0.0.1 could be taken by another test's connection before
+// the caller listens on it.
 func uniqueAddress() string {
 	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:7070", 1+os.Getpid()%250, n>>8, n&255)
 }
 
-// until waits for a figure of the node.
+// waitForMetric waits until a metric of the node has the wanted value, for 5 s at most.
 func (g *gatedNode) waitForMetric(name string, want int) {
 	g.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); metric(g.config.Admin, name) != want; time.Sleep(2 * time.Millisecond) {
@@ -130,7 +132,7 @@
 	}
 }
 
-// came says how many shots of a lookup have come to servers.
+// attemptCount returns how many times the attempt "TRACE at SERVER" has reached its server.
 func (g *gatedNode) attemptCount(attemptKey string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -144,33 +146,34 @@
 	return fmt.Sprintf("%s HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %s\r\nX-Expires-In: 4900m\r\n%s", requestLine, id, headersAndBody)
 }
 
-const clientGoneForwardDelay = 350 * time.Millisecond // beyond the 0.3 s after which nothing may be sent on
+const clientGoneForwardDelay = 350 * time.Millisecond // over the 0.3 s after which no request of a disconnected client may be forwarded
 
-// A lookup whose client leaves while it waits is not sent on 0.3 s later, wherever it waits; where its client is there, it is
-// resolved. What is not sent on leaves no trace: figures stay true, and no server is held to have failed. Without the look at
-// the client's connection all but the plain waits behind a fetch and between shots fail, without the check of the lookup's
-// end these as well where a connection is late.
+// A request whose client disconnects while it waits is not forwarded 0.3 s later, wherever it waits. If the client stays, the request is served.
+// A request that is not forwarded leaves the metrics correct and ejects no server.
+//
+// Without the check of the client's connection, all cases fail except the waits behind a fetch and between attempts without pipelined bytes.
+// Without the check of the request's end, these two fail too if a connection is established late.
 func TestRequestOfGoneClientIsNotForwarded(t *testing.T) {
-	const pipelined = "\x00" // stands for more bytes behind the lookup
+	const pipelined = "\x00" // suffix of clientAction: a pipelined request follows
 	half := strings.Repeat("x", maxBufferedBodyBytes)
 	for _, c := range []struct {
 		place, heldAttempt, missAttempt         string
 		fullQueue, acceptQueue                  bool
 		requestLine, headersAndBody, restOfBody string
-		awaitedAttempt                          string // what must have come before it waits
+		awaitedAttempt                          string // the attempt that must have reached its server before the request waits
 	}{
 		{place: "behind a fetch", heldAttempt: "o at z", missAttempt: "o at a", requestLine: "GET /read/k", awaitedAttempt: "o at z"},
-		{place: "between two shots", heldAttempt: "t at a", missAttempt: "t at a", requestLine: "GET /read/k", awaitedAttempt: "t at a"},
+		{place: "between two attempts", heldAttempt: "t at a", missAttempt: "t at a", requestLine: "GET /read/k", awaitedAttempt: "t at a"},
 		{place: "for a connection", fullQueue: true, requestLine: "PUT /once/k", headersAndBody: "Content-Length: 1\r\n\r\nv"},
-		{place: "with its body half come", fullQueue: true, requestLine: "PUT /once/k", restOfBody: half,
+		{place: "with half of its body received", fullQueue: true, requestLine: "PUT /once/k", restOfBody: half,
 			headersAndBody: fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(half), half)},
-		{place: "in the kernel's queue", acceptQueue: true, requestLine: "GET /read/k"},
+		{place: "in the accept queue", acceptQueue: true, requestLine: "GET /read/k"},
 	} {
 		for _, clientAction := range []string{"closes", "closes" + pipelined, "stays", "stays" + pipelined} {
 			if c.restOfBody != "" && strings.HasSuffix(clientAction, pipelined) {
-				continue // its own bytes are in the way
+				continue // the rest of its body comes first
 			}
-			t.Run(strings.TrimSuffix(c.place+" "+strings.Replace(clientAction, pipelined, " with bytes behind", 1), " "), func(t *testing.T) {
+			t.Run(strings.TrimSuffix(c.place+" "+strings.Replace(clientAction, pipelined, " with pipelined bytes", 1), " "), func(t *testing.T) {
 				t.Parallel()
 				g := newGatedNode(t, c.heldAttempt, c.missAttempt, c.fullQueue)
 				client := func(id, requestLine, headersAndBody string) net.Conn {
@@ -205,7 +208,7 @@
 				if !c.acceptQueue {
 					g.waitForMetric("open_requests", before+1)
 				}
-				if strings.HasSuffix(clientAction, pipelined) { // once the first was read, or net/http would read them together
+				if strings.HasSuffix(clientAction, pipelined) { // after the first request was read; otherwise net/http would read both together
 					fmt.Fprint(conn, requestText("GET /read/other", "u", ""))
 				}
 				if c.awaitedAttempt != "" {
@@ -223,7 +226,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					if g.config.PassedSocket, err = syscall.Dup(int(f.Fd())); err != nil { // it is closed by whoever takes it over
+					if g.config.PassedSocket, err = syscall.Dup(int(f.Fd())); err != nil { // closed by the node
 						t.Fatal(err)
 					}
 					f.Close()
@@ -241,26 +244,26 @@
 						t.Fatal(err)
 					}
 					if body, err := io.ReadAll(r.Body); r.StatusCode != http.StatusOK || string(body) != "value" || err != nil {
-						t.Errorf("a client that stays: %d %q, %v", r.StatusCode, body, err)
+						t.Errorf("connected client: status %d, body %q, %v", r.StatusCode, body, err)
 					}
 				}
 				g.waitForMetric("open_requests", 0)
 				if c.fullQueue && !clientStays {
-					time.Sleep(1200 * time.Millisecond) // the connection comes up with the second try of the kernel's
+					time.Sleep(1200 * time.Millisecond) // the connection is established with the kernel's second attempt
 				}
 				time.Sleep(50 * time.Millisecond)
 				g.mu.Lock()
 				defer g.mu.Unlock()
 				for attemptKey, n := range g.attempts {
 					if !clientStays && attemptKey != c.awaitedAttempt && attemptKey[0] != 'o' {
-						t.Errorf("%s: %d shots were sent on", attemptKey, n)
+						t.Errorf("%s: %d attempts were forwarded", attemptKey, n)
 					}
 				}
 				if relayed := metric(g.config.Admin, "relayed"); relayed != g.completeBodies {
-					t.Errorf("relayed is %d, %d came whole", relayed, g.completeBodies)
+					t.Errorf("relayed is %d, the servers received %d complete requests", relayed, g.completeBodies)
 				}
 				if ejected := metric(g.config.Admin, "out_of_rotation"); ejected != 0 {
-					t.Errorf("%d servers are held to have failed", ejected)
+					t.Errorf("out_of_rotation is %d, want 0", ejected)
 				}
 			})
 		}
--- a/internal/net/node/limits.go
+++ b/internal/net/node/limits.go
@@ -11,7 +11,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// Bounds on bodies, in bytes.
+// Size limits of bodies, in bytes.
 const (
 	maxBufferedBodyBytes = 64 << 10 // a body up to this size is buffered, so that a retry can send it again
 	maxStreamedBodyBytes = 32 << 20
@@ -38,7 +38,7 @@
 const (
 	clusterReserve = 12 // the cluster listener, the log, snapshots, and the node's own calls
 	connsPerVoter  = 8  // consensus connections and calls, in both directions
-	minNodeConns   = 64 // a voter reserves one connection per node of the cluster, and at least this many,
+	minNodeConns   = 64 // one connection per node that may call a voter, and at least this many,
 	clusterDivisor = 2  // but at most half of the remaining descriptors
 	minPeerConns   = 8  // fewer would not be enough for the voters
 )
--- a/internal/net/node/limits_test.go
+++ b/internal/net/node/limits_test.go
@@ -8,19 +8,19 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Whatever the configuration and the system allow, the parts are no more than the lower of the two, the reserve holds what
-// it is for, and each side can work.
+// Whatever the configured and the system descriptor limit, the shares and the reserve together stay within the lower one, the reserve covers its
+// uses, and client and server connections each get at least their minimum.
 func TestSplitStaysWithinLowerDescriptorLimit(t *testing.T) {
 	for name, c := range map[string]struct{ configured, systemLimit, open, processes, descriptors int }{
-		"the configuration's":       {1024, 0, 8, 1, 1024},
-		"the system's is higher":    {1024, 20000, 8, 1, 1024},
-		"the system's is lower":     {1024, 64, 8, 1, 64},
-		"the same":                  {64, 64, 8, 1, 64},
-		"an upgrade, by halves":     {128, 128, 8, 2, 64},
-		"the smallest, by halves":   {64, 0, 8, 2, 32},
-		"the system's, by halves":   {1024, 256, 8, 2, 256}, // each process has that
-		"much was inherited":        {128, 0, 40, 1, 128},
-		"lower than one would name": {64, 32, 8, 1, 32},
+		"configured limit":                  {1024, 0, 8, 1, 1024},
+		"system limit higher":               {1024, 20000, 8, 1, 1024},
+		"system limit lower":                {1024, 64, 8, 1, 64},
+		"limits equal":                      {64, 64, 8, 1, 64},
+		"limits equal, two processes":       {128, 128, 8, 2, 64},
+		"smallest limit, two processes":     {64, 0, 8, 2, 32},
+		"system limit lower, two processes": {1024, 256, 8, 2, 256}, // the system limit holds for each process
+		"many inherited descriptors":        {128, 0, 40, 1, 128},
+		"system limit below the minimum":    {64, 32, 8, 1, 32},
 	} {
 		for _, admin := range []string{"", "127.0.0.1:1"} {
 			s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.configured, Admin: admin, Settings: &config.Settings{}}
@@ -29,11 +29,11 @@
 			assigned := l.clientConns + l.overflowConns + l.serverConns
 			if admin != "" {
 				if assigned += l.adminConns + 1; l.adminConns < minAdminConns-1 {
-					t.Errorf("%s: %+v, too few for operators", name, l)
+					t.Errorf("%s: %+v has too few admin connections", name, l)
 				}
 			}
 			if unassigned := c.descriptors - assigned; unassigned < min(c.open, maxInheritedDescriptors)+internalReserve || l.clientConns < minClientConns || l.serverConns < minServerConns {
-				t.Errorf("%s, operators' address %q: %+v leaves %d of %d", name, admin, l, unassigned, c.descriptors)
+				t.Errorf("%s, admin address %q: %+v leaves %d of %d descriptors", name, admin, l, unassigned, c.descriptors)
 			}
 		}
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-// What a process was started with is seen before it opens anything.
+// inspectProcess reads the descriptor limit and the number of open descriptors of the process.
 func TestInspectProcessReadsDescriptorLimit(t *testing.T) {
 	p := inspectProcess()
 	if p.maxDescriptors < 16 || p.openDescriptors < 3 || p.openDescriptors >= p.maxDescriptors {
@@ -58,19 +58,20 @@
 	}
 }
 
-// A fleet's connections and files have a part of their own, by its voters and nodes, and never over half of what is left.
+// A clustered node reserves descriptors for the cluster's connections and files. The share depends on the numbers of voters and nodes, and is at
+// most half of the remaining descriptors.
 func TestSplitReservesClusterDescriptors(t *testing.T) {
 	voters := make([]config.Voter, 3)
 	for name, c := range map[string]struct {
-		configured, processes, nodes int // nodes: as the settings say; 0: they don't
-		minPeers                     int // connections from fellows
+		configured, processes, nodes int // nodes: as configured; 0: not configured
+		minPeers                     int // least number of connections from other nodes
 	}{
-		"as usual":         {1024, 1, 300, 300},
-		"few nodes":        {1024, 1, 5, minNodeConns},
-		"the nodes untold": {1024, 1, 0, minNodeConns},
-		"few descriptors":  {256, 1, 300, 64},
-		"by halves":        {512, 2, 300, 64},
-		"very few":         {128, 1, 300, 12},
+		"many descriptors":     {1024, 1, 300, 300},
+		"few nodes":            {1024, 1, 5, minNodeConns},
+		"nodes not configured": {1024, 1, 0, minNodeConns},
+		"few descriptors":      {256, 1, 300, 64},
+		"two processes":        {512, 2, 300, 64},
+		"very few descriptors": {128, 1, 300, 12},
 	} {
 		s := &config.Node{Cores: 1, MemoryMB: 192, Descriptors: c.configured, Admin: "127.0.0.1:1", Settings: &config.Settings{Routing: routing.Config{Nodes: c.nodes}},
 			Cluster: &config.Cluster{Voters: voters}}
@@ -82,12 +83,13 @@
 		}
 		s.Cluster = nil
 		if unclustered := (process{openDescriptors: 10}).split(s, c.processes); unclustered.peerConns != 0 || unclustered.clientConns <= l.clientConns {
-			t.Errorf("%s, without a fleet: %+v", name, unclustered)
+			t.Errorf("%s, without a cluster: %+v", name, unclustered)
 		}
 	}
 }
 
-// A voter of a fleet of any size holds a connection of each node and some more, where it may have twice that and what is set apart.
+// A voter in a cluster of any size has room for one connection from each node and 12 more, if its descriptors are twice the nodes plus the
+// descriptors reserved for other uses.
 func TestVoterHasPeerConnForEachNode(t *testing.T) {
 	for nodes := 1; nodes <= 4096; nodes++ {
 		s := &config.Node{Cores: 1, MemoryMB: 256, Descriptors: 2*(nodes+36) + 64, Settings: &config.Settings{Routing: routing.Config{Nodes: nodes}},
--- a/internal/net/node/little_test.go
+++ b/internal/net/node/little_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Requests with 1 to 20 ms remainingMs, which servers drop without a word, are answered when their time is over, whatever their class; so are those whose
-// time was over when they came.
+// Requests with 1 to 20 ms left until their deadline are answered at the deadline, whatever their class, although the servers never answer. So are
+// requests whose deadline has passed on arrival.
 func TestRequestWithShortDeadlineIsAnsweredOnTime(t *testing.T) {
-	const maxLateness = 150 * time.Millisecond // beyond the time, on a busy machine; 0.5 s late is lost
+	const maxLateness = 150 * time.Millisecond // after the deadline, allows for a busy machine; an answer 0.5 s late counts as lost
 	testDone := make(chan struct{})
 	w := newTestEnv(t, func(_ string, _ http.ResponseWriter, r *http.Request) {
 		select {
--- a/internal/net/node/long_test.go
+++ b/internal/net/node/long_test.go
@@ -18,10 +18,10 @@
 
 const megabyte = 1 << 20
 
-// period is after how many bytes a pattern repeats; a prime, so that no buffer's size hides a shift.
+// patternPeriod is the number of bytes after which a pattern repeats. It is a prime, so that a shift by any buffer size is detected.
 const patternPeriod = 2039
 
-// periods has the pattern from any place on, for more bytes than are read at once.
+// patternBytes holds enough repetitions to copy a full read (64 KiB) from any offset of the pattern.
 var patternBytes = func() []byte {
 	b := make([]byte, patternPeriod+64<<10)
 	for i := range b {
@@ -30,7 +30,7 @@
 	return b
 }()
 
-// pattern is a long body of a known content: what stands at a place tells the place.
+// pattern is a reader of a long body whose bytes depend on their offset.
 type pattern struct{ offset, size int64 }
 
 func (p *pattern) Read(b []byte) (int, error) {
@@ -42,12 +42,12 @@
 	return n, nil
 }
 
-// check reads a pattern, slowly if it is told so, and gives how long it was.
+// readPattern reads a pattern to its end and returns its length. If slow is set, it pauses 10 ms after each megabyte.
 func readPattern(r io.Reader, slow bool) (offset int64, err error) {
 	for b := make([]byte, 32<<10); ; {
 		n, err := r.Read(b)
 		if !bytes.Equal(b[:n], patternBytes[offset%patternPeriod:][:n]) {
-			return offset, errors.New("other bytes than were sent")
+			return offset, errors.New("body differs from the bytes that were sent")
 		}
 		if offset += int64(n); slow && offset/megabyte != (offset-int64(n))/megabyte {
 			time.Sleep(10 * time.Millisecond)
@@ -60,7 +60,8 @@
 	}
 }
 
-// Bodies of 32 MB go both ways, many at a time, coded and by length, beside slow ones, in a small part of their size.
+// Bodies of 32 MB are streamed in both directions, several at once, chunked and with Content-Length, to quick and slow peers. The heap grows by
+// a small part of their total size.
 func TestLongBodiesStreamInBoundedMemory(t *testing.T) {
 	const long = 32 * megabyte
 	var mu sync.Mutex
@@ -70,7 +71,7 @@
 		if r.Method == http.MethodPut {
 			n, err := readPattern(r.Body, strings.Contains(r.URL.Path, "slow"))
 			if err != nil {
-				return // its client is not told that it was kept
+				return // without the answer "kept"
 			}
 			mu.Lock()
 			uploads[r.Header.Get("X-Trace-Id")] = n
@@ -146,7 +147,7 @@
 			return r.StatusCode
 		}
 		clients.Go(func() {
-			// A node that has just started takes few at once: those deferred ask again, as clients do.
+			// A node that has just started admits few requests at once. Clients retry rejected ones.
 			for try := 0; try < 100 && attempt(try) == http.StatusServiceUnavailable; try++ {
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -159,9 +160,9 @@
 		select {
 		case <-done:
 			if used := int64(maxHeap) - int64(before.HeapInuse); used > 24*megabyte || open < 8 {
-				t.Errorf("%d MB of heap, %d open at a time", used/megabyte, open)
+				t.Errorf("heap grew by %d MB, %d requests open at once", used/megabyte, open)
 			} else {
-				t.Logf("%d MB of heap at most, %d open at a time", used/megabyte, open)
+				t.Logf("heap grew by at most %d MB, %d requests open at once", used/megabyte, open)
 			}
 			if n := metric(s.Admin, "operations.read.fulfilled"); n != 10 {
 				t.Errorf("fulfilled=%d", n)
@@ -176,7 +177,7 @@
 	}
 }
 
-// An answer that breaks in the middle breaks at the client too, however its length is told, and none is spliced in.
+// A response that the server aborts is also aborted for the client, with Content-Length and chunked. No other response is appended to it.
 func TestAbortedResponseIsIncompleteForClient(t *testing.T) {
 	w := newTestEnv(t, nil, "a", "b", "c")
 	w.handleRaw = func(_ string, rw http.ResponseWriter, r *http.Request) {
@@ -190,7 +191,7 @@
 	startNode(t, s)
 	for i, kind := range []string{"length", "coded"} {
 		if status, body := sendRequest(s.Listen, "GET /read/"+kind, fmt.Sprint("X-Trace-Id: t", i), "X-Expires-In: 800m"); status != 0 {
-			t.Errorf("%s: a whole answer, %d, %d bytes", kind, status, len(body))
+			t.Errorf("%s: complete response with status %d, %d bytes", kind, status, len(body))
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
@@ -202,7 +203,7 @@
 	}
 }
 
-// A client that leaves in the middle ends the server's connection: the rest is not brought for nobody.
+// If a client disconnects during a response, the node closes the server's connection and does not fetch the rest.
 func TestClientDisconnectClosesServerConnection(t *testing.T) {
 	sent := make(chan int64, 1)
 	w := newTestEnv(t, nil, "a")
@@ -223,15 +224,15 @@
 	select {
 	case n := <-sent:
 		if n == 32*megabyte {
-			t.Error("all of it was brought")
+			t.Error("the whole body was fetched")
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the server's connection stays")
+		t.Error("the server's connection is still open after 5 s")
 	}
 }
 
-// A body over its bound is turned away at once where it says so, at the bound where it doesn't; an upload that stops is
-// given up. The server never gets any of them whole.
+// A body over the size bound is rejected at once if its Content-Length says so, otherwise when it reaches the bound. A stalled upload is aborted.
+// The server receives none of these bodies completely.
 func TestUploadTooLongOrStalledIsRejected(t *testing.T) {
 	var mu sync.Mutex
 	completeUploads := 0
@@ -288,7 +289,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if completeUploads > 0 {
-		t.Errorf("%d uploads came whole", completeUploads)
+		t.Errorf("the server received %d complete uploads", completeUploads)
 	}
 }
 
@@ -308,7 +309,7 @@
 		received <- err
 		<-release
 	}
-	t.Cleanup(func() { close(release) }) // before the servers' own, which wait for their handlers
+	t.Cleanup(func() { close(release) }) // runs before the cleanup of the servers, which waits for their handlers
 	s := w.nodeConfig(128)
 	startNode(t, s)
 	c, err := net.Dial("tcp", s.Listen)
--- a/internal/net/node/node_test.go
+++ b/internal/net/node/node_test.go
@@ -17,7 +17,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// A whole node: a miss at a cache goes on to the origin, and the end comes with an order to stop.
+// Runs a complete node: a cache miss is retried at the origin, and the node shuts down in time when its context ends.
 func TestNodeServesMissFromOriginAndShutsDown(t *testing.T) {
 	var requests []string
 	server := func(kind string, status int) string {
@@ -59,7 +59,7 @@
 	core, logs := observer.New(zap.InfoLevel)
 	result := make(chan error)
 	go func() {
-		// The list of the configuration can't be read: that is told, and the first one that comes is waited for.
+		// The cached endpoint list is invalid. The node logs that, and becomes ready with the first list from the discovery service.
 		result <- Run(ctx, &config.Node{Name: "n", Listen: address, Discovery: discovery.Listener.Addr().String(), Cores: 1, MemoryMB: 192,
 			Descriptors: 128, CachedEndpoints: []byte("no list"), Settings: d}, nil, zap.New(core))
 	}()
@@ -91,11 +91,11 @@
 	start := time.Now()
 	stop()
 	if err := <-result; err != nil || time.Since(start) > 1300*time.Millisecond {
-		t.Errorf("result after %v: %v", time.Since(start), err)
+		t.Errorf("Run returned after %v: %v", time.Since(start), err)
 	}
 	for _, line := range []string{"cached endpoint list is invalid, not ready before the first list", "serving", "endpoint list updated", "shutdown complete"} {
 		if logs.FilterMessage(line).Len() != 1 {
-			t.Errorf("no line %q", line)
+			t.Errorf("want exactly one log line %q", line)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		l := process{}.split(&config.Node{Cores: 0.5, MemoryMB: 192, Descriptors: descriptors, Settings: &config.Settings{}}, 1)
 		if reserve := descriptors - l.clientConns - l.overflowConns - l.serverConns; reserve < 16 || l.clientConns < 16 || l.overflowConns < 2 ||
 			l.serverConns < 16 {
-			t.Errorf("%d: %+v leaves %d", descriptors, l, reserve)
+			t.Errorf("%d descriptors: %+v leaves a reserve of %d", descriptors, l, reserve)
 		}
 		if l.cores != 1 || l.memoryBytes >= 192<<20 || l.memoryBytes < 100<<20 {
 			t.Errorf("%+v", l)
--- a/internal/net/node/reload_test.go
+++ b/internal/net/node/reload_test.go
@@ -19,8 +19,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// A signal may come while the file is being written, or while an earlier one waits to be taken up: what stands in the file when
-// the last signal is taken up is what holds, and half a file changes nothing.
+// A signal may arrive while the file is being written, or while an earlier signal is pending. The content of the file when the last signal is
+// handled applies, and a truncated file changes nothing.
 func TestReloadUsesLatestConfigurationAtPendingSignal(t *testing.T) {
 	var polls [3]atomic.Int64
 	var addresses [3]string
@@ -55,12 +55,12 @@
 	go endpoints.Run(t.Context())
 	signals := make(chan os.Signal, 1)
 	write(1, 1)
-	signals <- syscall.SIGHUP // not taken up yet
+	signals <- syscall.SIGHUP // pending: reloadOnSignal has not started
 	write(2, 1)
 	select {
 	case signals <- syscall.SIGHUP:
-		t.Fatal("two wait")
-	default: // the one that waits is for both
+		t.Fatal("two signals are pending, want one")
+	default: // the pending signal covers both changes
 	}
 	go reloadOnSignal(t.Context(), signals, s, endpoints, zap.New(core))
 	waitFor := func(what string, condition func() bool) {
@@ -71,24 +71,24 @@
 			}
 		}
 	}
-	waitFor("the latest file is not followed", func() bool { return polls[2].Load() > 0 })
+	waitFor("the discovery service of the latest file is not polled", func() bool { return polls[2].Load() > 0 })
 	write(0, 2)
 	signals <- syscall.SIGHUP
-	waitFor("half a file is not told of", func() bool {
+	waitFor("a truncated file is not logged as invalid", func() bool {
 		return logs.FilterMessage("new configuration is invalid, keeping the old one").Len() == 1
 	})
 	before := polls[2].Load()
-	waitFor("half a file changed something", func() bool { return polls[2].Load() > before })
+	waitFor("a truncated file stopped the polls of the current discovery service", func() bool { return polls[2].Load() > before })
 	if polls[1].Load() > 0 {
-		t.Error("an address that was overwritten before its signal was taken up is asked")
+		t.Error("the discovery service of an overwritten file was polled")
 	}
 	write(1, 1)
 	signals <- syscall.SIGHUP
-	waitFor("the whole file is not followed", func() bool { return polls[1].Load() > 0 })
+	waitFor("the discovery service of the complete file is not polled", func() bool { return polls[1].Load() > 0 })
 }
 
-// A configuration that can't be read when its signal comes, for want of descriptors, by the disk, or as it is being replaced, is read
-// once it can be: the list goes over without another signal.
+// A configuration file may be unreadable when the signal arrives: the process is out of descriptors, the disk fails, or the file is being
+// replaced. It is read as soon as that is possible, and the node switches its discovery service without another signal.
 func TestReloadRetriesUnreadableConfiguration(t *testing.T) {
 	var polls atomic.Int64
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -124,7 +124,7 @@
 	signals <- syscall.SIGHUP
 	time.Sleep(300 * time.Millisecond)
 	if n := logs.FilterLevelExact(zap.ErrorLevel).Len(); n != 1 {
-		t.Errorf("a file that can't be read is told of %d times, want once", n)
+		t.Errorf("an unreadable file was logged %d times, want once", n)
 	}
 	if err := os.WriteFile(path+".new", text(service.Listener.Addr().String()), 0o600); err != nil {
 		t.Fatal(err)
@@ -134,7 +134,7 @@
 	}
 	for deadline := time.Now().Add(2 * time.Second); polls.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the new configuration is not followed within 2 s of the moment from which it can be read")
+			t.Fatal("the new discovery service is not polled within 2 s after the file became readable")
 		}
 	}
 }
--- a/internal/net/node/world_test.go
+++ b/internal/net/node/world_test.go
@@ -19,7 +19,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// world is what stands round a node in a test: caches, an origin and a discovery service on loopback.
+// testEnv is the environment of a node under test: caches, an origin and a discovery service, all on loopback addresses.
 type testEnv struct {
 	t                *testing.T
 	mu               sync.Mutex
@@ -29,7 +29,7 @@
 	discovery        *httptest.Server
 	completeAttempts int // attempts whose request was received whole
 	handle           func(id string, w http.ResponseWriter, r *http.Request)
-	handleRaw        func(id string, w http.ResponseWriter, r *http.Request) // the same, with the body to be read
+	handleRaw        func(id string, w http.ResponseWriter, r *http.Request) // if set, replaces handle; the request body is still unread
 }
 
 type entry struct {
@@ -40,7 +40,7 @@
 	Started float64 `json:"started_ms"`
 }
 
-// newWorld starts caches by these ids and the origin z. Whoever needs other answers than "value" sets handle requestLine.
+// newTestEnv starts a cache for each of ids, the origin z and a discovery service that lists them. If handle is nil, servers answer "value".
 func newTestEnv(t *testing.T, handle func(id string, w http.ResponseWriter, r *http.Request), ids ...string) *testEnv {
 	e := &testEnv{t: t, version: 1, changed: make(chan struct{}), handle: handle}
 	for _, id := range append(ids, "z") {
@@ -88,7 +88,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"version": e.version, "full": true, "servers": e.entries})
 }
 
-// change changes the list, and tells of it.
+// updateList replaces the endpoint list by the result of f and answers the pending polls.
 func (e *testEnv) updateList(f func(entries []entry) []entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,7 +98,7 @@
 	e.changed = make(chan struct{})
 }
 
-// station gives a node's papers, with free addresses.
+// nodeConfig returns the configuration of a node with free addresses.
 func (e *testEnv) nodeConfig(descriptors int) *config.Node {
 	e.t.Helper()
 	namespace := func(name, repeat string) map[string]any {
@@ -125,7 +125,7 @@
 	return l.Addr().String()
 }
 
-// run starts a node and waits until it serves; what it gives back ends it.
+// startNode starts a node and waits until it serves. The returned function stops the node.
 func startNode(t *testing.T, s *config.Node) func() {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -139,7 +139,7 @@
 				t.Error(err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Error("the node does not end")
+			t.Error("node did not stop within 10 s")
 		}
 	})
 	t.Cleanup(stop)
@@ -147,12 +147,12 @@
 		if status, _ := adminRequest(s.Admin, "GET", "/status"); status == http.StatusOK {
 			return stop
 		} else if time.Now().After(deadline) {
-			t.Fatal("the node does not get ready")
+			t.Fatal("node did not become ready within 5 s")
 		}
 	}
 }
 
-// operator makes one call.
+// adminRequest sends one request to an admin address and returns the status and the body; the status is 0 on an error.
 func adminRequest(address, method, path string) (int, string) {
 	c := http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, _ := http.NewRequest(method, "http://"+address+path, nil)
@@ -165,7 +165,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// figure reads one figure, -1 if it is not there.
+// metric returns the value of one metric, or -1 if the metrics page does not contain it.
 func metric(address, name string) int {
 	_, page := adminRequest(address, "GET", "/status/metrics")
 	for _, line := range strings.Split(page, "\n") {
@@ -178,7 +178,7 @@
 	return -1
 }
 
-// ask makes one lookup on a connection of its own and gives the status and the body; 0 where there is no whole answer.
+// sendRequest sends one request on a new connection and returns the status and the body. The status is 0 if the response is incomplete.
 func sendRequest(address, requestLine string, headers ...string) (int, string) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
