--- a/cmd/thistlerudder/soaktest_on.go
+++ b/cmd/thistlerudder/soaktest_on.go
@@ -47,12 +47,12 @@
 		defer stop()
 		failed := 0
 		for seed := from; seed <= to; seed++ {
-			run, err := soaktest.Play(ctx, soaktest.Plan{Program: program, Nodes: *nodes, For: *span, Seed: seed, Without: *without, Keep: *keep})
+			result, err := soaktest.Run(ctx, soaktest.Plan{Program: program, Nodes: *nodes, Duration: *span, Seed: seed, DisabledSafeguard: *without, KeepLogs: *keep})
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
-			cmd.Printf("seed %d: %s", seed, run.Summary())
-			if len(run.Breaks) > 0 {
+			cmd.Printf("seed %d: %s", seed, result.Summary())
+			if len(result.Violations) > 0 {
 				failed++
 			}
 		}
--- /dev/null
+++ b/internal/soaktest/checker_test.go
@@ -0,0 +1,46 @@
+package soaktest
+
+import (
+	"testing"
+	"time"
+)
+
+// While two processes serve as one node an attempt after a drain's grace is a break only if neither of them may have made it: one that was told
+// of the drain within the grace, or was not told of it yet, may; one that has ended, or never heard of the server, may not.
+func TestDrainCheckDuringHandOver(t *testing.T) {
+	const grace, step = 200 * time.Millisecond, 100 * time.Millisecond
+	base := time.Now()
+	timeAt := func(steps int) time.Time { return base.Add(time.Duration(steps) * step) }
+	ready := map[string]time.Time{"c": timeAt(0)}
+	for _, test := range []struct {
+		name          string
+		processes     []*processRecord
+		notifiedSteps map[int]int // the step at which a process was told of the drain, by its index
+		attemptStep   int
+		wantViolation bool
+	}{
+		{"one process, within the grace", []*processRecord{{startedAt: timeAt(0), firstReadyAt: ready}}, map[int]int{0: 10}, 11, false},
+		{"one process, after it", []*processRecord{{startedAt: timeAt(0), firstReadyAt: ready}}, map[int]int{0: 10}, 13, true},
+		{"the other was not told yet", []*processRecord{{startedAt: timeAt(0), firstReadyAt: ready}, {startedAt: timeAt(5), firstReadyAt: ready}}, map[int]int{0: 10}, 13, false},
+		{"the other was told within the grace", []*processRecord{{startedAt: timeAt(0), firstReadyAt: ready}, {startedAt: timeAt(5), firstReadyAt: ready}}, map[int]int{0: 10, 1: 12}, 13, false},
+		{"both were told before", []*processRecord{{startedAt: timeAt(0), firstReadyAt: ready}, {startedAt: timeAt(5), firstReadyAt: ready}}, map[int]int{0: 10, 1: 11}, 14, true},
+		{"the other has ended", []*processRecord{{startedAt: timeAt(0), endedAt: timeAt(12), firstReadyAt: ready}, {startedAt: timeAt(5), firstReadyAt: ready}}, map[int]int{1: 10}, 14, true},
+		{"the other never heard of the server", []*processRecord{{startedAt: timeAt(0), firstReadyAt: ready}, {startedAt: timeAt(5), firstReadyAt: map[string]time.Time{}}}, map[int]int{0: 10}, 14, true},
+		{"it was told that the server is back", []*processRecord{{startedAt: timeAt(0), firstReadyAt: ready}}, map[int]int{0: 2}, 9, false},
+	} {
+		rec := newRecorder()
+		rec.processes = test.processes
+		for i, notifiedSteps := range test.notifiedSteps {
+			notice := &drainNotice{serverID: "c", process: test.processes[i], receivedAt: timeAt(notifiedSteps)}
+			if notifiedSteps == 2 {
+				notice.withdrawnAt = timeAt(8)
+			}
+			rec.drainNotices = append(rec.drainNotices, notice)
+		}
+		check := requestCheck{rec: rec, settings: settings{drainGrace: grace}, request: &request{attempts: []*attempt{{serverID: "c", firstByteAt: timeAt(test.attemptStep)}}}}
+		check.checkDrains()
+		if got := len(check.violations) > 0; got != test.wantViolation {
+			t.Errorf("%s: broken %v, want %v: %v", test.name, got, test.wantViolation, check.violations)
+		}
+	}
+}
--- a/internal/soaktest/discovery.go
+++ b/internal/soaktest/discovery.go
@@ -23,25 +23,25 @@
 
 // discovery is the list of all servers, and what is wrong with its service.
 type discovery struct {
-	ledger  *ledger
-	mu      sync.Mutex
-	version int
-	entries map[string]*entry
-	changed chan struct{}
-	bytes   atomic.Int64 // told so far
-	mode    string       // of the service now: "", refusing, silent or slow
+	recorder  *recorder
+	mu        sync.Mutex
+	version   int
+	entries   map[string]*entry
+	changed   chan struct{}
+	bytesSent atomic.Int64 // told so far
+	mode      string       // of the service now: "", refusing, silent or slow
 }
 
-func newDiscovery(l *ledger) *discovery {
-	return &discovery{ledger: l, version: 1, entries: map[string]*entry{}, changed: make(chan struct{})}
+func newDiscovery(rec *recorder) *discovery {
+	return &discovery{recorder: rec, version: 1, entries: map[string]*entry{}, changed: make(chan struct{})}
 }
 
 // set changes entries, and lets watches tell of it.
-func (d *discovery) set(all ...entry) {
+func (d *discovery) set(changes ...entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	for _, e := range all {
+	for _, e := range changes {
 		e.version = d.version
 		d.entries[e.ID] = &e
 	}
@@ -57,7 +57,7 @@
 }
 
 // turn sets what is wrong with the service.
-func (d *discovery) turn(mode string) {
+func (d *discovery) setMode(mode string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.mode = mode
@@ -67,67 +67,67 @@
 const discoveryHost = "127.0.0.2"
 
 // listener is the service for one process of a node, at an address of its own, so that it is known who was told.
-type listener struct {
-	d        *discovery
-	audience *audience
-	address  string
-	server   *http.Server
+type discoveryServer struct {
+	discovery  *discovery
+	view       *processView
+	address    string
+	httpServer *http.Server
 }
 
 // audience is a process of a node, and what it was told at any address.
-type audience struct {
-	ledger *ledger
-	node   int
-	life   *life
-	mu     sync.Mutex
-	told   map[string]string   // states, by server
-	news   map[string]*drained // the latest drains, by server
-	ended  bool
+type processView struct {
+	recorder     *recorder
+	nodeIndex    int
+	record       *processRecord
+	mu           sync.Mutex
+	states       map[string]string       // states, by server
+	latestDrains map[string]*drainNotice // the latest drains, by server
+	ended        bool
 }
 
-func newAudience(l *ledger, node int) *audience {
-	a := &audience{ledger: l, node: node, life: &life{node: node, from: time.Now(), ready: map[string]time.Time{}}, told: map[string]string{},
-		news: map[string]*drained{}}
-	l.change(func() { l.lives = append(l.lives, a.life) })
-	return a
+func newProcessView(rec *recorder, nodeIndex int) *processView {
+	v := &processView{recorder: rec, nodeIndex: nodeIndex, record: &processRecord{nodeIndex: nodeIndex, startedAt: time.Now(), firstReadyAt: map[string]time.Time{}}, states: map[string]string{},
+		latestDrains: map[string]*drainNotice{}}
+	rec.update(func() { rec.processes = append(rec.processes, v.record) })
+	return v
 }
 
 // end says that the process has ended.
-func (a *audience) end() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.ended = true
-	a.ledger.change(func() {
-		a.life.to = time.Now()
-		for _, n := range a.news {
-			n.ended = time.Now()
+func (v *processView) markEnded() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.ended = true
+	v.recorder.update(func() {
+		v.record.endedAt = time.Now()
+		for _, notice := range v.latestDrains {
+			notice.processEndedAt = time.Now()
 		}
 	})
 }
 
 // listen opens the service for a process.
-func (d *discovery) listen(to *audience) (*listener, error) {
+func (d *discovery) listen(view *processView) (*discoveryServer, error) {
 	l, err := net.Listen("tcp", discoveryHost+":0")
 	if err != nil {
 		return nil, err
 	}
-	own := &listener{d: d, audience: to, address: l.Addr().String()}
-	own.server = &http.Server{Handler: own}
-	go func() { _ = own.server.Serve(l) }()
-	return own, nil
+	ds := &discoveryServer{discovery: d, view: view, address: l.Addr().String()}
+	ds.httpServer = &http.Server{Handler: ds}
+	go func() { _ = ds.httpServer.Serve(l) }()
+	return ds, nil
 }
 
 // ServeHTTP answers a call for the list, or a watch.
-func (l *listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (ds *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	watch := r.URL.Query().Has("from")
-	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	until := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer until.Stop()
+	fromVersion, _ := strconv.Atoi(r.URL.Query().Get("from"))
+	holdMs, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	holdTimer := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
+	defer holdTimer.Stop()
 	for {
-		l.d.mu.Lock()
-		mode, changed, version := l.d.mode, l.d.changed, l.d.version
-		l.d.mu.Unlock()
+		ds.discovery.mu.Lock()
+		mode, changed, version := ds.discovery.mode, ds.discovery.changed, ds.discovery.version
+		ds.discovery.mu.Unlock()
 		switch mode {
 		case "refusing":
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -138,14 +138,14 @@
 		case "slow":
 			time.Sleep(300 * time.Millisecond)
 		}
-		if !watch || version > from {
-			l.tell(w, r, watch, from, version)
+		if !watch || version > fromVersion {
+			ds.respond(w, r, watch, fromVersion, version)
 			return
 		}
 		select {
 		case <-changed:
-		case <-until.C:
-			l.tell(w, r, watch, from, version)
+		case <-holdTimer.C:
+			ds.respond(w, r, watch, fromVersion, version)
 			return
 		case <-r.Context().Done():
 			return
@@ -154,56 +154,56 @@
 }
 
 // tell writes what changed since a version, and notes who is told of which drain.
-func (l *listener) tell(w http.ResponseWriter, r *http.Request, watch bool, from, version int) {
-	l.d.mu.Lock()
-	list := []entry{}
-	for _, e := range l.d.entries {
-		if e.version <= version && (watch && e.version > from || !watch && e.State != "Gone") {
-			list = append(list, *e)
+func (ds *discoveryServer) respond(w http.ResponseWriter, r *http.Request, watch bool, fromVersion, version int) {
+	ds.discovery.mu.Lock()
+	entries := []entry{}
+	for _, e := range ds.discovery.entries {
+		if e.version <= version && (watch && e.version > fromVersion || !watch && e.State != "Gone") {
+			entries = append(entries, *e)
 		}
 	}
-	l.d.mu.Unlock()
-	text, _ := json.Marshal(map[string]any{"version": version, "full": !watch, "servers": list})
-	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
-	l.d.bytes.Add(int64(len(text)))
-	if _, err := w.Write(text); err != nil || http.NewResponseController(w).Flush() != nil || r.Context().Err() != nil {
+	ds.discovery.mu.Unlock()
+	data, _ := json.Marshal(map[string]any{"version": version, "full": !watch, "servers": entries})
+	w.Header().Set("Content-Length", fmt.Sprint(len(data)))
+	ds.discovery.bytesSent.Add(int64(len(data)))
+	if _, err := w.Write(data); err != nil || http.NewResponseController(w).Flush() != nil || r.Context().Err() != nil {
 		return
 	}
-	l.audience.hears(list, !watch)
+	ds.view.observe(entries, !watch)
 }
 
 // hears notes what the process is told.
-func (a *audience) hears(list []entry, whole bool) {
+func (v *processView) observe(entries []entry, full bool) {
 	now := time.Now()
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	listed := map[string]bool{}
-	for _, e := range list {
+	for _, e := range entries {
 		listed[e.ID] = true
-		a.state(e.ID, e.State, now)
+		v.observeState(e.ID, e.State, now)
 	}
-	for id := range a.told {
-		if whole && !listed[id] { // a server that the whole list lacks is gone
-			a.state(id, "Gone", now)
+	for id := range v.states {
+		if full && !listed[id] { // a server that the whole list lacks is gone
+			v.observeState(id, "Gone", now)
 		}
 	}
 }
 
 // state notes what the process is told of a server. Called with the lock held.
-func (a *audience) state(id, state string, now time.Time) {
-	drains := state != "Ready"
-	last := a.news[id]
-	a.told[id] = state
-	a.ledger.change(func() {
-		if _, before := a.life.ready[id]; !drains && !before {
-			a.life.ready[id] = now
+func (v *processView) observeState(id, state string, now time.Time) {
+	draining := state != "Ready"
+	last := v.latestDrains[id]
+	v.states[id] = state
+	v.recorder.update(func() {
+		if _, wasReady := v.record.firstReadyAt[id]; !draining && !wasReady {
+			v.record.firstReadyAt[id] = now
 		}
 		switch {
-		case drains && !a.ended && (last == nil || !last.back.IsZero()):
-			a.news[id] = &drained{server: id, node: a.node, by: a.life, told: now}
-			a.ledger.drains = append(a.ledger.drains, a.news[id])
-		case !drains && last != nil && last.back.IsZero():
-			last.back = now
+		case draining && !v.ended && (last == nil || !last.withdrawnAt.IsZero()):
+			v.latestDrains[id] = &drainNotice{serverID: id, nodeIndex: v.nodeIndex, process: v.record, receivedAt: now}
+			v.recorder.drainNotices = append(v.recorder.drainNotices, v.latestDrains[id])
+		case !draining && last != nil && last.withdrawnAt.IsZero():
+			last.withdrawnAt = now
 		}
 	})
 }
--- a/internal/soaktest/node.go
+++ b/internal/soaktest/node.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	readyMost  = 10 * time.Second
-	readyEvery = 5 * time.Millisecond
-	quitWithin = 300 * time.Millisecond
-	killAfter  = 700 * time.Millisecond // after the longest deadline, a process that was told to end is killed
-	comingFor  = 300 * time.Millisecond // after SIGTERM new connections go on coming
+	readyTimeout       = 10 * time.Second
+	readyPollInterval  = 5 * time.Millisecond
+	stackDumpWait      = 300 * time.Millisecond
+	shutdownSlack      = 700 * time.Millisecond // after the longest deadline, a process that was told to end is killed
+	acceptAfterSIGTERM = 300 * time.Millisecond // after SIGTERM new connections go on coming
 
-	clientsPort = 7070
-	adminPort   = 9600
-	adminPorts  = 100
-	runsFrom    = 100 // second bytes of the runs' addresses
-	runsMost    = 100
+	clientPort     = 7070
+	firstAdminPort = 9600
+	adminPortCount = 100
+	firstRunOctet  = 100 // second bytes of the runs' addresses
+	runOctetCount  = 100
 )
 
 // node is one node of the fleet: one process, or two in a hand-over.
 type node struct {
-	w         *world
-	n         int
-	folder    string
-	address   string
-	socket    *os.File // the clients', where the platform holds it; nil: the node opens its own
-	accepting atomic.Bool
-	busy      sync.Mutex // one trouble at a time
-	began     int        // processes so far
+	testbed      *testbed
+	index        int
+	folder       string
+	address      string
+	socket       *os.File // the clients', where the platform holds it; nil: the node opens its own
+	accepting    atomic.Bool
+	faultMu      sync.Mutex // one trouble at a time
+	processCount int        // processes so far
 
 	mu      sync.Mutex
 	process *process
@@ -46,120 +46,120 @@
 
 // process is one process of a node.
 type process struct {
-	cmd   *exec.Cmd
-	admin string
-	ended chan struct{}
-	hears *audience
-	lists []*listener
+	cmd              *exec.Cmd
+	adminAddress     string
+	ended            chan struct{}
+	view             *processView
+	discoveryServers []*discoveryServer
 }
 
 // place gives an address of the node's own part of the loopback range, where no connection's own port can be in the way.
-func (x *node) place(port int) string {
-	return fmt.Sprintf("127.%d.%d.1:%d", runsFrom+os.Getpid()%runsMost, x.n+1, port)
+func (n *node) localAddress(port int) string {
+	return fmt.Sprintf("127.%d.%d.1:%d", firstRunOctet+os.Getpid()%runOctetCount, n.index+1, port)
 }
 
 // newNode prepares a node; every second one's socket is held for it.
-func newNode(w *world, n int) (*node, error) {
-	x := &node{w: w, n: n, folder: filepath.Join(w.folder, fmt.Sprintf("n%d", n))}
-	if err := os.Mkdir(x.folder, 0o700); err != nil {
+func newNode(tb *testbed, index int) (*node, error) {
+	nd := &node{testbed: tb, index: index, folder: filepath.Join(tb.folder, fmt.Sprintf("n%d", index))}
+	if err := os.Mkdir(nd.folder, 0o700); err != nil {
 		return nil, err
 	}
-	x.address = x.place(clientsPort)
-	if n%2 == 1 {
-		return x, nil
+	nd.address = nd.localAddress(clientPort)
+	if index%2 == 1 {
+		return nd, nil
 	}
-	l, err := net.Listen("tcp", x.address)
+	l, err := net.Listen("tcp", nd.address)
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
-	x.socket, err = l.(*net.TCPListener).File()
-	return x, err
+	nd.socket, err = l.(*net.TCPListener).File()
+	return nd, err
 }
 
-func (x *node) config() string { return filepath.Join(x.folder, "node.json") }
+func (n *node) configPath() string { return filepath.Join(n.folder, "node.json") }
 
 // write writes the configuration, with the list at a new address.
-func (x *node) write(admin string, to *audience) (*listener, error) {
-	list, err := x.w.discovery.listen(to)
+func (n *node) writeConfig(adminAddress string, view *processView) (*discoveryServer, error) {
+	ds, err := n.testbed.discovery.listen(view)
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", x.n), "listen": x.address, "discovery": list.address,
-		"admin_addr": admin, "seed": fmt.Sprintf("%x", x.w.plan.Seed*1000+uint64(x.n)),
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": x.w.settings.object(x.w.plan.Nodes)})
+	data, err := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", n.index), "listen": n.address, "discovery": ds.address,
+		"admin_addr": adminAddress, "seed": fmt.Sprintf("%x", n.testbed.plan.Seed*1000+uint64(n.index)),
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": n.testbed.settings.configObject(n.testbed.plan.Nodes)})
 	if err != nil {
 		return nil, err
 	}
-	return list, os.WriteFile(x.config(), text, 0o600)
+	return ds, os.WriteFile(n.configPath(), data, 0o600)
 }
 
 // start starts the node's next process, and waits until it serves.
-func (x *node) start() (*process, error) {
-	x.began++
-	admin := x.place(adminPort + x.began%adminPorts) // two processes serve side by side in a hand-over
-	hears := newAudience(x.w.ledger, x.n)
-	list, err := x.write(admin, hears)
+func (n *node) startProcess() (*process, error) {
+	n.processCount++
+	adminAddress := n.localAddress(firstAdminPort + n.processCount%adminPortCount) // two processes serve side by side in a hand-over
+	view := newProcessView(n.testbed.recorder, n.index)
+	ds, err := n.writeConfig(adminAddress, view)
 	if err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(x.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(n.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	c := exec.Command(x.w.plan.Program, "serve", "--config", x.config(), "--log-level", x.w.plan.level())
-	c.Env = append(os.Environ(), "TMPDIR="+x.folder, "GOMAXPROCS=2", "THISTLERUDDER_WITHOUT="+x.w.plan.Without)
-	c.Env = append(c.Env, x.w.plan.Env...)
+	c := exec.Command(n.testbed.plan.Program, "serve", "--config", n.configPath(), "--log-level", n.testbed.plan.logLevel())
+	c.Env = append(os.Environ(), "TMPDIR="+n.folder, "GOMAXPROCS=2", "THISTLERUDDER_WITHOUT="+n.testbed.plan.DisabledSafeguard)
+	c.Env = append(c.Env, n.testbed.plan.Env...)
 	c.Stdout, c.Stderr = log, log
-	if x.socket != nil {
-		c.ExtraFiles = []*os.File{x.socket}
+	if n.socket != nil {
+		c.ExtraFiles = []*os.File{n.socket}
 		c.Env = append(c.Env, "BALANCER_PASSED_SOCKET=3")
 	}
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		return nil, err
 	}
-	p := &process{cmd: c, admin: admin, ended: make(chan struct{}), hears: hears, lists: []*listener{list}}
+	p := &process{cmd: c, adminAddress: adminAddress, ended: make(chan struct{}), view: view, discoveryServers: []*discoveryServer{ds}}
 	go func() {
 		_ = c.Wait()
-		p.hears.end()
-		for _, l := range x.listsOf(p) {
-			_ = l.server.Close()
+		p.view.markEnded()
+		for _, ds := range n.discoveryServersOf(p) {
+			_ = ds.httpServer.Close()
 		}
 		close(p.ended)
 	}()
-	return p, x.serves(p)
+	return p, n.waitUntilServing(p)
 }
 
-func (x *node) log() string { return filepath.Join(x.folder, "log") }
+func (n *node) logPath() string { return filepath.Join(n.folder, "log") }
 
-func (x *node) listsOf(p *process) []*listener {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return append([]*listener(nil), p.lists...)
+func (n *node) discoveryServersOf(p *process) []*discoveryServer {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return append([]*discoveryServer(nil), p.discoveryServers...)
 }
 
 // serves waits until a process says that it serves.
-func (x *node) serves(p *process) error {
+func (n *node) waitUntilServing(p *process) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for began := time.Now(); time.Since(began) < readyMost; time.Sleep(readyEvery) {
-		resp, err := client.Get("http://" + p.admin + "/status")
+	for start := time.Now(); time.Since(start) < readyTimeout; time.Sleep(readyPollInterval) {
+		resp, err := client.Get("http://" + p.adminAddress + "/status")
 		if err != nil {
 			continue
 		}
 		_ = resp.Body.Close()
-		if resp.StatusCode == http.StatusOK && x.up() {
+		if resp.StatusCode == http.StatusOK && n.isUp() {
 			return nil
 		}
 	}
-	return fmt.Errorf("node %d did not get ready in %v: see %s", x.n, readyMost, x.log())
+	return fmt.Errorf("node %d did not get ready in %v: see %s", n.index, readyTimeout, n.logPath())
 }
 
 // up asks the node as a front does.
-func (x *node) up() bool {
+func (n *node) isUp() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Get("http://" + x.address + "/up")
+	resp, err := client.Get("http://" + n.address + "/up")
 	if err != nil {
 		return false
 	}
@@ -168,41 +168,41 @@
 }
 
 // begin starts the first process, or the next one after an end.
-func (x *node) begin() error {
-	p, err := x.start()
+func (n *node) start() error {
+	p, err := n.startProcess()
 	if err != nil {
 		if p != nil {
 			_ = p.cmd.Process.Kill()
 		}
 		return err
 	}
-	x.mu.Lock()
-	x.process = p
-	x.mu.Unlock()
-	x.accepting.Store(true)
+	n.mu.Lock()
+	n.process = p
+	n.mu.Unlock()
+	n.accepting.Store(true)
 	return nil
 }
 
 // leave tells a process to end, and kills it if it doesn't.
-func (x *node) leave(p *process) {
+func (n *node) terminate(p *process) {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
-	case <-time.After(x.w.settings.longest() + killAfter):
-		x.w.broke(fmt.Sprintf("node %d: its process was still there %v after SIGTERM, %s", x.n, x.w.settings.longest()+killAfter,
-			stateOf(p.cmd.Process.Pid)))
+	case <-time.After(n.testbed.settings.maxDeadline() + shutdownSlack):
+		n.testbed.addProcessViolation(fmt.Sprintf("node %d: its process was still there %v after SIGTERM, %s", n.index, n.testbed.settings.maxDeadline()+shutdownSlack,
+			kernelState(p.cmd.Process.Pid)))
 		_ = p.cmd.Process.Signal(syscall.SIGQUIT) // its log then says where it waits
-		time.Sleep(quitWithin)
+		time.Sleep(stackDumpWait)
 		_ = p.cmd.Process.Kill()
 		<-p.ended
 	}
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-		x.w.broke(fmt.Sprintf("node %d: its process ended with %v after SIGTERM", x.n, p.cmd.ProcessState))
+		n.testbed.addProcessViolation(fmt.Sprintf("node %d: its process ended with %v after SIGTERM", n.index, p.cmd.ProcessState))
 	}
 }
 
 // stateOf tells what the kernel says of a process: whether it runs, has ended already (zombie), or is gone.
-func stateOf(pid int) string {
+func kernelState(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return "gone"
@@ -217,74 +217,80 @@
 }
 
 // restart ends the process with SIGTERM, and starts the next.
-func (x *node) restart() error {
-	time.AfterFunc(comingFor, func() { x.accepting.Store(false) })
-	x.leave(x.process)
-	x.accepting.Store(false)
+func (n *node) restart() error {
+	time.AfterFunc(acceptAfterSIGTERM, func() { n.accepting.Store(false) })
+	n.terminate(n.process)
+	n.accepting.Store(false)
 	time.Sleep(time.Millisecond) // the timer may have come late
-	return x.begin()
+	return n.start()
 }
 
 // kill ends the process outright, and starts the next.
-func (x *node) kill() error {
-	x.accepting.Store(false)
-	at := time.Now()
-	_ = x.process.cmd.Process.Kill()
-	<-x.process.ended
-	x.w.ledger.change(func() { x.w.ledger.stops = append(x.w.ledger.stops, stop{x.n, at, time.Now(), "killed"}) })
-	return x.begin()
+func (n *node) kill() error {
+	n.accepting.Store(false)
+	start := time.Now()
+	_ = n.process.cmd.Process.Kill()
+	<-n.process.ended
+	n.testbed.recorder.update(func() {
+		n.testbed.recorder.interruptions = append(n.testbed.recorder.interruptions, interruption{n.index, start, time.Now(), "killed"})
+	})
+	return n.start()
 }
 
 // stall lets the process stand still.
-func (x *node) stall(span time.Duration) error {
-	from := time.Now()
-	_ = x.process.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(span)
-	_ = x.process.cmd.Process.Signal(syscall.SIGCONT)
-	x.w.ledger.change(func() { x.w.ledger.stops = append(x.w.ledger.stops, stop{x.n, from, time.Now(), "stalled"}) })
+func (n *node) stall(duration time.Duration) error {
+	start := time.Now()
+	_ = n.process.cmd.Process.Signal(syscall.SIGSTOP)
+	time.Sleep(duration)
+	_ = n.process.cmd.Process.Signal(syscall.SIGCONT)
+	n.testbed.recorder.update(func() {
+		n.testbed.recorder.interruptions = append(n.testbed.recorder.interruptions, interruption{n.index, start, time.Now(), "stalled"})
+	})
 	return nil
 }
 
 // reload writes configurations in quick succession, each with the list at another address.
-func (x *node) reload(times int) error {
+func (n *node) reload(times int) error {
 	for range times {
-		list, err := x.write(x.process.admin, x.process.hears)
+		ds, err := n.writeConfig(n.process.adminAddress, n.process.view)
 		if err != nil {
 			return err
 		}
-		x.mu.Lock()
-		x.process.lists = append(x.process.lists, list)
-		x.mu.Unlock()
-		_ = x.process.cmd.Process.Signal(syscall.SIGHUP)
+		n.mu.Lock()
+		n.process.discoveryServers = append(n.process.discoveryServers, ds)
+		n.mu.Unlock()
+		_ = n.process.cmd.Process.Signal(syscall.SIGHUP)
 		time.Sleep(10 * time.Millisecond)
 	}
 	return nil
 }
 
 // handOver starts the next process beside the present one, and ends that.
-func (x *node) handOver() error {
-	from, before := time.Now(), x.process
-	next, err := x.start()
+func (n *node) handOver() error {
+	start, previous := time.Now(), n.process
+	next, err := n.startProcess()
 	if err != nil {
 		return err
 	}
-	x.leave(before)
-	x.mu.Lock()
-	x.process = next
-	x.mu.Unlock()
-	x.w.ledger.change(func() { x.w.ledger.stops = append(x.w.ledger.stops, stop{x.n, from, time.Now(), "handed over"}) })
+	n.terminate(previous)
+	n.mu.Lock()
+	n.process = next
+	n.mu.Unlock()
+	n.testbed.recorder.update(func() {
+		n.testbed.recorder.interruptions = append(n.testbed.recorder.interruptions, interruption{n.index, start, time.Now(), "handed over"})
+	})
 	return nil
 }
 
 // close ends the node for good.
-func (x *node) close() {
-	x.busy.Lock()
-	defer x.busy.Unlock()
-	x.accepting.Store(false)
-	if x.process != nil {
-		x.leave(x.process)
+func (n *node) close() {
+	n.faultMu.Lock()
+	defer n.faultMu.Unlock()
+	n.accepting.Store(false)
+	if n.process != nil {
+		n.terminate(n.process)
 	}
-	if x.socket != nil {
-		_ = x.socket.Close()
+	if n.socket != nil {
+		_ = n.socket.Close()
 	}
 }
--- /dev/null
+++ b/internal/soaktest/server.go
@@ -0,0 +1,291 @@
+package soaktest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// manner is how a server answers one request.
+type behavior string
+
+const (
+	normal            behavior = "well"
+	miss              behavior = "miss"
+	hang              behavior = "hang"
+	resetBeforeWork   behavior = "reset before the work"
+	resetAfterWork    behavior = "reset after the work"
+	truncated         behavior = "half an answer"
+	answeredTwice     behavior = "answered twice"
+	delayed           behavior = "late"
+	delayedReset      behavior = "reset late"
+	noLength          behavior = "no length"
+	noLengthReset     behavior = "no length, reset"
+	shed              behavior = "shed"
+	serverError       behavior = "error"
+	closeAfterAnswer  behavior = "closed after the answer"
+	resetAfterAnswer  behavior = "reset after the answer"
+	dropShortDeadline behavior = "dropped without a word"
+)
+
+var serverFaults = []behavior{hang, resetBeforeWork, resetAfterWork, truncated, answeredTwice, delayed, delayedReset, noLength, noLengthReset, shed, serverError, closeAfterAnswer, resetAfterAnswer, dropShortDeadline}
+
+// server is a stand-in of a cache server or the origin.
+type server struct {
+	id           string
+	isOrigin     bool
+	recorder     *recorder
+	faultCounts  *counters
+	mu           sync.Mutex
+	rng          *rand.Rand
+	faultChances map[behavior]float64 // chance of each trouble now
+	listener     net.Listener
+	openConns    map[net.Conn]bool
+}
+
+// secondMost is how late a second answer is to be at most. One that is later was held up here, and a node can't rule it out.
+const maxSecondAnswerDelay = 9 * time.Millisecond
+
+var connectionCount atomic.Int64
+
+func newServer(id string, isOrigin bool, rec *recorder, faultCounts *counters, seed uint64) *server {
+	return &server{id: id, isOrigin: isOrigin, recorder: rec, faultCounts: faultCounts, rng: rand.New(rand.NewPCG(seed, 7)),
+		faultChances: map[behavior]float64{}, openConns: map[net.Conn]bool{}}
+}
+
+// start listens at an address of its own.
+func (s *server) start() error {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	s.listener = l
+	s.mu.Unlock()
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			s.mu.Lock()
+			s.openConns[c] = true
+			s.mu.Unlock()
+			go s.serveConn(c.(*net.TCPConn))
+		}
+	}()
+	return nil
+}
+
+func (s *server) address() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.listener.Addr().String()
+}
+
+// die ends the listener, and resets what is open.
+func (s *server) abort() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_ = s.listener.Close()
+	for c := range s.openConns {
+		resetConn(c)
+	}
+}
+
+func resetConn(c net.Conn) {
+	_ = c.(*net.TCPConn).SetLinger(0)
+	_ = c.Close()
+}
+
+// trouble sets the chance of a trouble.
+func (s *server) setFaultChance(fault behavior, chance float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faultChances[fault] = chance
+}
+
+// draw draws how the next request is answered, and how long the work takes.
+func (s *server) drawBehavior() (behavior, time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	workTime := time.Duration(s.rng.Int64N(int64(12 * time.Millisecond)))
+	roll := s.rng.Float64()
+	for _, fault := range serverFaults {
+		if roll -= s.faultChances[fault]; roll < 0 {
+			return fault, workTime
+		}
+	}
+	if !s.isOrigin && s.rng.Float64() < 0.25 {
+		return miss, workTime / 4
+	}
+	return normal, workTime
+}
+
+// between draws a span.
+func (s *server) randomDuration(shortest, longest time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return shortest + time.Duration(s.rng.Int64N(int64(longest-shortest)+1))
+}
+
+// serve answers one connection.
+func (s *server) serveConn(c *net.TCPConn) {
+	connectionID := connectionCount.Add(1)
+	defer func() {
+		_ = c.Close()
+		s.mu.Lock()
+		delete(s.openConns, c)
+		s.mu.Unlock()
+	}()
+	reader := bufio.NewReader(c)
+	for {
+		if _, err := reader.Peek(1); err != nil {
+			return
+		}
+		a := &attempt{serverID: s.id, connectionID: connectionID, firstByteAt: time.Now()}
+		req, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		id := req.Header.Get("X-Trace-Id")
+		a.declaredDeadline = parseMicroseconds(req.Header.Get("X-Expires-In"))
+		known := s.recorder.addAttempt(id, a)
+		if _, err := io.Copy(io.Discard, req.Body); err != nil {
+			return
+		}
+		s.recorder.update(func() { a.lastByteAt = time.Now() })
+		if !known {
+			fmt.Fprint(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+			continue
+		}
+		peeked := make(chan struct{})
+		go func() { // the node's end, while the request is worked on
+			defer close(peeked)
+			if _, err := reader.Peek(1); err != nil {
+				s.recorder.endAttempt(a)
+			}
+		}()
+		if !s.answer(c, id, a, peeked) {
+			return
+		}
+		<-peeked // the next request's first byte, or the end
+	}
+}
+
+func parseMicroseconds(text string) time.Duration {
+	us, _ := strconv.ParseInt(strings.TrimSuffix(text, "u"), 10, 64)
+	return time.Duration(us) * time.Microsecond
+}
+
+// answer answers one request, and says whether the connection goes on.
+func (s *server) answer(c *net.TCPConn, id string, a *attempt, peeked <-chan struct{}) bool {
+	chosen, workTime := s.drawBehavior()
+	if chosen != normal && chosen != miss {
+		s.faultCounts.add("server: "+string(chosen), 1)
+	}
+	body := fmt.Sprintf("%s %s %d %d", id, s.id, a.connectionID, time.Now().UnixNano())
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	responseWithoutLength := "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\n\r\n" + body
+	endAttempt := func() { s.recorder.endAttempt(a) }
+	markNotRun := func() { s.recorder.update(func() { a.provedNotRunAt = time.Now() }) }
+	doWork := func() {
+		time.Sleep(workTime)
+		s.recorder.update(func() { a.ran = true })
+	}
+	switch chosen {
+	case hang:
+		<-peeked
+		return false
+	case dropShortDeadline:
+		if a.declaredDeadline > 20*time.Millisecond {
+			break // as well
+		}
+		<-peeked
+		return false
+	case delayedReset:
+		time.Sleep(s.randomDuration(130*time.Millisecond, 300*time.Millisecond))
+		doWork()
+		endAttempt()
+		resetConn(c)
+		return false
+	case resetBeforeWork:
+		endAttempt()
+		resetConn(c)
+		return false
+	case resetAfterWork:
+		doWork()
+		endAttempt()
+		resetConn(c)
+		return false
+	case truncated:
+		doWork()
+		fmt.Fprint(c, response[:len(response)-1-int(s.randomDuration(0, time.Duration(len(body)-1)))])
+		time.Sleep(s.randomDuration(0, 5*time.Millisecond))
+		endAttempt()
+		if workTime%2 == 0 {
+			resetConn(c)
+		}
+		return false
+	case delayed:
+		time.Sleep(s.randomDuration(30*time.Millisecond, 300*time.Millisecond))
+	case noLength, noLengthReset:
+		doWork()
+		if chosen == noLength {
+			s.recorder.addCompleteBody(id, body)
+			endAttempt()
+			fmt.Fprint(c, responseWithoutLength)
+			return false
+		}
+		fmt.Fprint(c, responseWithoutLength)
+		time.Sleep(s.randomDuration(0, 5*time.Millisecond))
+		endAttempt()
+		resetConn(c)
+		return false
+	case shed:
+		markNotRun()
+		endAttempt()
+		fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
+		return true
+	case miss:
+		time.Sleep(workTime)
+		markNotRun()
+		endAttempt()
+		fmt.Fprint(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+		return true
+	case serverError:
+		doWork()
+		endAttempt()
+		fmt.Fprint(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+		return true
+	}
+	doWork()
+	s.recorder.addCompleteBody(id, body)
+	endAttempt()
+	writeStart := time.Now() // before the write: this process may have no core between it and the next line
+	fmt.Fprint(c, response)
+	switch chosen {
+	case answeredTwice:
+		time.Sleep(s.randomDuration(time.Millisecond, 6*time.Millisecond))
+		fmt.Fprint(c, response)
+		if delay := time.Since(writeStart); delay > maxSecondAnswerDelay {
+			s.recorder.update(func() { s.recorder.lateSecondAnswers[body] = delay })
+		}
+	case closeAfterAnswer:
+		time.Sleep(s.randomDuration(0, 30*time.Millisecond))
+		return false
+	case resetAfterAnswer:
+		time.Sleep(s.randomDuration(0, 30*time.Millisecond))
+		resetConn(c)
+		return false
+	}
+	return true
+}
--- a/internal/soaktest/soak.go
+++ b/internal/soaktest/soak.go
@@ -16,197 +16,197 @@
 
 // Plan says what to play.
 type Plan struct {
-	Program string   // the node's, built with the tag faults where Without is told
-	Env     []string // for it, beside this process's own
-	Nodes   int      // 30 if 0
-	Caches  int      // 12 if 0
-	For     time.Duration
-	Seed    uint64
-	Without string // a safeguard that is taken out of the nodes
-	Keep    bool   // the logs of runs that broke a rule
+	Program           string   // the node's, built with the tag faults where Without is told
+	Env               []string // for it, beside this process's own
+	Nodes             int      // 30 if 0
+	Caches            int      // 12 if 0
+	Duration          time.Duration
+	Seed              uint64
+	DisabledSafeguard string // a safeguard that is taken out of the nodes
+	KeepLogs          bool   // the logs of runs that broke a rule
 
-	measured bool
+	measuresUsage bool
 }
 
 // level is that of the nodes' logs: a run is judged by each request, a measurement is of what operators run.
-func (p Plan) level() string {
-	if p.measured {
+func (p Plan) logLevel() string {
+	if p.measuresUsage {
 		return "info"
 	}
 	return "debug"
 }
 
 // Run is what came of it.
-type Run struct {
-	Settings       string
-	Requests, Void int            // Void: those of which the judge was too late to tell all
-	Outcomes       map[string]int // of requests, and how many attempts there were
-	Troubles       map[string]int // that struck
-	Breaks         []Break
-	Logs           []string // lines of the nodes' logs about the first requests with a break
-	Kept           string
+type Result struct {
+	Settings               string
+	Requests, Inconclusive int            // Void: those of which the judge was too late to tell all
+	Outcomes               map[string]int // of requests, and how many attempts there were
+	Faults                 map[string]int // that struck
+	Violations             []Violation
+	LogLines               []string // lines of the nodes' logs about the first requests with a break
+	LogFolder              string
 }
 
 const (
-	nodesUsually  = 30
-	cachesUsually = 8
-	clientsEach   = 2
-	logLinesMost  = 40
-	nothingOut    = `"out":0` // of a process that left: what was still open then was no request
-	breaksLogged  = 3
+	defaultNodes         = 30
+	defaultCaches        = 8
+	clientsPerNode       = 2
+	maxLogLines          = 40
+	noRequestOutstanding = `"out":0` // of a process that left: what was still open then was no request
+	maxViolationsShown   = 3
 )
 
 // tally counts by name.
-type tally struct {
-	mu sync.Mutex
-	of map[string]int
+type counters struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (t *tally) add(name string, n int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.of[name] += n
+func (c *counters) add(name string, n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts[name] += n
 }
 
 // world is a run that goes on.
-type world struct {
-	plan      Plan
-	settings  settings
-	folder    string
-	ledger    *ledger
-	discovery *discovery
-	struck    *tally
-	nodes     []*node
-	mu        sync.Mutex
-	servers   map[string]*server
-	other     []string // breaks that are no request's
+type testbed struct {
+	plan              Plan
+	settings          settings
+	folder            string
+	recorder          *recorder
+	discovery         *discovery
+	faultCounts       *counters
+	nodes             []*node
+	mu                sync.Mutex
+	servers           map[string]*server
+	processViolations []string // breaks that are no request's
 }
 
 // broke notes a break that is no request's.
-func (w *world) broke(what string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.other = append(w.other, what)
+func (tb *testbed) addProcessViolation(description string) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.processViolations = append(tb.processViolations, description)
 }
 
 // Play plays a run.
-func Play(ctx context.Context, plan Plan) (run Run, err error) {
+func Run(ctx context.Context, plan Plan) (result Result, err error) {
 	if plan.Nodes == 0 {
-		plan.Nodes = nodesUsually
+		plan.Nodes = defaultNodes
 	}
 	if plan.Caches == 0 {
-		plan.Caches = cachesUsually
+		plan.Caches = defaultCaches
 	}
 	folder, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		return run, err
+		return result, err
 	}
 	defer func() {
-		if run.Kept == "" {
+		if result.LogFolder == "" {
 			_ = os.RemoveAll(folder)
 		}
 	}()
-	r := rand.New(rand.NewPCG(plan.Seed, 1))
-	w := &world{plan: plan, settings: draw(r), folder: folder, ledger: newLedger(), struck: &tally{of: map[string]int{}}, servers: map[string]*server{}}
-	w.discovery = newDiscovery(w.ledger)
-	if err := w.play(ctx, r); err != nil {
-		if plan.Keep {
-			run.Kept = folder
+	rng := rand.New(rand.NewPCG(plan.Seed, 1))
+	tb := &testbed{plan: plan, settings: drawSettings(rng), folder: folder, recorder: newRecorder(), faultCounts: &counters{counts: map[string]int{}}, servers: map[string]*server{}}
+	tb.discovery = newDiscovery(tb.recorder)
+	if err := tb.run(ctx, rng); err != nil {
+		if plan.KeepLogs {
+			result.LogFolder = folder
 		}
-		return run, err
+		return result, err
 	}
-	v := w.ledger.judge(w.settings)
-	run = Run{Settings: w.settings.String(), Requests: v.judged, Void: v.void, Outcomes: v.counts, Troubles: w.struck.of, Breaks: v.breaks}
-	for _, what := range append(w.other, w.complaints()...) {
-		run.Breaks = append(run.Breaks, Break{Rule: "process", What: what})
+	summary := tb.recorder.checkRequests(tb.settings)
+	result = Result{Settings: tb.settings.String(), Requests: summary.checked, Inconclusive: summary.inconclusive, Outcomes: summary.outcomes, Faults: tb.faultCounts.counts, Violations: summary.violations}
+	for _, description := range append(tb.processViolations, tb.logViolations()...) {
+		result.Violations = append(result.Violations, Violation{Rule: "process", Description: description})
 	}
-	if len(run.Breaks) > 0 {
-		run.Logs = w.lines(run.Breaks)
-		if plan.Keep {
-			run.Kept = folder
+	if len(result.Violations) > 0 {
+		result.LogLines = tb.logLinesOf(result.Violations)
+		if plan.KeepLogs {
+			result.LogFolder = folder
 		}
 	}
-	return run, nil
+	return result, nil
 }
 
 // play starts all, lets the troubles come, and ends all.
-func (w *world) play(ctx context.Context, r *rand.Rand) error {
-	if err := w.stand(); err != nil {
+func (tb *testbed) run(ctx context.Context, rng *rand.Rand) error {
+	if err := tb.startStandIns(); err != nil {
 		return err
 	}
-	defer w.end()
+	defer tb.close()
 	var starting sync.WaitGroup
-	failed := make(chan error, w.plan.Nodes)
-	for n := range w.plan.Nodes {
-		x, err := newNode(w, n)
+	startErrs := make(chan error, tb.plan.Nodes)
+	for i := range tb.plan.Nodes {
+		nd, err := newNode(tb, i)
 		if err != nil {
 			return err
 		}
-		w.nodes = append(w.nodes, x)
+		tb.nodes = append(tb.nodes, nd)
 		starting.Go(func() {
-			if err := x.begin(); err != nil {
-				failed <- err
+			if err := nd.start(); err != nil {
+				startErrs <- err
 			}
 		})
 	}
 	starting.Wait()
 	select {
-	case err := <-failed:
+	case err := <-startErrs:
 		return err
 	default:
 	}
 	done := make(chan struct{})
-	var going sync.WaitGroup
-	going.Go(func() { w.ledger.tick(done) })
-	for n := range w.plan.Nodes * clientsEach {
-		c := &client{w: w, rand: rand.New(rand.NewPCG(w.plan.Seed, uint64(100+n)))}
-		going.Go(func() { c.run(done) })
+	var running sync.WaitGroup
+	running.Go(func() { tb.recorder.sampleSchedulingDelays(done) })
+	for i := range tb.plan.Nodes * clientsPerNode {
+		c := &client{testbed: tb, rng: rand.New(rand.NewPCG(tb.plan.Seed, uint64(100+i)))}
+		running.Go(func() { c.run(done) })
 	}
-	err := w.trouble(ctx, r)
+	err := tb.injectFaults(ctx, rng)
 	close(done)
-	going.Wait()
+	running.Wait()
 	return err
 }
 
 // stand starts the stand-ins.
-func (w *world) stand() error {
-	var all []entry
-	for n := range w.plan.Caches + 1 {
-		id, kind := fmt.Sprintf("c%d", n), "cache"
-		if n == w.plan.Caches {
+func (tb *testbed) startStandIns() error {
+	var entries []entry
+	for i := range tb.plan.Caches + 1 {
+		id, kind := fmt.Sprintf("c%d", i), "cache"
+		if i == tb.plan.Caches {
 			id, kind = "origin", "origin"
 		}
-		s := newServer(id, kind == "origin", w.ledger, w.struck, w.plan.Seed*100+uint64(n))
+		s := newServer(id, kind == "origin", tb.recorder, tb.faultCounts, tb.plan.Seed*100+uint64(i))
 		if err := s.start(); err != nil {
 			return err
 		}
-		w.servers[id] = s
-		all = append(all, entry{ID: id, Address: s.address(), Kind: kind, State: "Ready"})
+		tb.servers[id] = s
+		entries = append(entries, entry{ID: id, Address: s.address(), Kind: kind, State: "Ready"})
 	}
-	w.discovery.set(all...)
+	tb.discovery.set(entries...)
 	return nil
 }
 
-func (w *world) end() {
-	var ending sync.WaitGroup
-	for _, x := range w.nodes {
-		ending.Go(x.close)
+func (tb *testbed) close() {
+	var closing sync.WaitGroup
+	for _, nd := range tb.nodes {
+		closing.Go(nd.close)
 	}
-	ending.Wait()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.servers {
-		s.die()
+	closing.Wait()
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	for _, s := range tb.servers {
+		s.abort()
 	}
 }
 
 // complaints finds what the nodes' logs say that none should.
-func (w *world) complaints() (found []string) {
-	for _, x := range w.nodes {
-		w.scan(x, func(line string) {
-			for _, bad := range []string{"panicked", "panic:", "fatal error", "DATA RACE", "what a rule forbids", "unanswered"} {
-				if strings.Contains(line, bad) && !strings.Contains(line, nothingOut) && len(found) < logLinesMost {
-					found = append(found, fmt.Sprintf("node %d: %s", x.n, line))
+func (tb *testbed) logViolations() (found []string) {
+	for _, nd := range tb.nodes {
+		tb.scanLog(nd, func(line string) {
+			for _, marker := range []string{"panicked", "panic:", "fatal error", "DATA RACE", "what a rule forbids", "unanswered"} {
+				if strings.Contains(line, marker) && !strings.Contains(line, noRequestOutstanding) && len(found) < maxLogLines {
+					found = append(found, fmt.Sprintf("node %d: %s", nd.index, line))
 				}
 			}
 		})
@@ -215,17 +215,17 @@
 }
 
 // lines gives the logs' lines about the first requests with a break.
-func (w *world) lines(breaks []Break) (found []string) {
-	wanted := map[string]bool{}
-	for _, b := range breaks {
-		if b.Request != "" && len(wanted) < breaksLogged {
-			wanted[`"`+b.Request+`"`] = true
+func (tb *testbed) logLinesOf(violations []Violation) (found []string) {
+	quotedIDs := map[string]bool{}
+	for _, b := range violations {
+		if b.RequestID != "" && len(quotedIDs) < maxViolationsShown {
+			quotedIDs[`"`+b.RequestID+`"`] = true
 		}
 	}
-	for _, x := range w.nodes {
-		w.scan(x, func(line string) {
-			for id := range wanted {
-				if strings.Contains(line, id) && len(found) < logLinesMost {
+	for _, nd := range tb.nodes {
+		tb.scanLog(nd, func(line string) {
+			for id := range quotedIDs {
+				if strings.Contains(line, id) && len(found) < maxLogLines {
 					found = append(found, line)
 				}
 			}
@@ -234,43 +234,43 @@
 	return found
 }
 
-func (w *world) scan(x *node, f func(line string)) {
-	log, err := os.Open(x.log())
+func (tb *testbed) scanLog(nd *node, handle func(line string)) {
+	log, err := os.Open(nd.logPath())
 	if err != nil {
 		return
 	}
 	defer log.Close()
-	for lines := bufio.NewScanner(log); lines.Scan(); {
-		f(lines.Text())
+	for scanner := bufio.NewScanner(log); scanner.Scan(); {
+		handle(scanner.Text())
 	}
 }
 
 // Summary tells a run in a few lines.
-func (r Run) Summary() string {
+func (r Result) Summary() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d requests, %d not judged whole:", r.Requests, r.Void)
+	fmt.Fprintf(&b, "%d requests, %d not judged whole:", r.Requests, r.Inconclusive)
 	for _, k := range slices.Sorted(maps.Keys(r.Outcomes)) {
 		fmt.Fprintf(&b, " %s %d", k, r.Outcomes[k])
 	}
 	fmt.Fprintf(&b, "\n  %s\n  troubles:", r.Settings)
-	for _, k := range slices.Sorted(maps.Keys(r.Troubles)) {
-		fmt.Fprintf(&b, " %s %d,", k, r.Troubles[k])
+	for _, k := range slices.Sorted(maps.Keys(r.Faults)) {
+		fmt.Fprintf(&b, " %s %d,", k, r.Faults[k])
 	}
 	b.WriteString("\n")
 	counts := map[string]int{}
-	for _, x := range r.Breaks {
-		if counts[x.Rule]++; counts[x.Rule] <= breaksLogged {
-			fmt.Fprintf(&b, "  BROKEN %v\n", x)
+	for _, v := range r.Violations {
+		if counts[v.Rule]++; counts[v.Rule] <= maxViolationsShown {
+			fmt.Fprintf(&b, "  BROKEN %v\n", v)
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(&b, "  %s broken %d times\n", k, counts[k])
 	}
-	for _, line := range r.Logs {
+	for _, line := range r.LogLines {
 		fmt.Fprintf(&b, "  log %s\n", line)
 	}
-	if r.Kept != "" {
-		fmt.Fprintf(&b, "  kept in %s\n", filepath.Clean(r.Kept))
+	if r.LogFolder != "" {
+		fmt.Fprintf(&b, "  kept in %s\n", filepath.Clean(r.LogFolder))
 	}
 	return b.String()
 }
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -15,7 +15,7 @@
 )
 
 // build makes the program with the tag faults. THISTLERUDDER_SOAK_PROGRAM names another one to play.
-func build(t *testing.T) string {
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	if path := os.Getenv("THISTLERUDDER_SOAK_PROGRAM"); path != "" {
 		return path
@@ -33,33 +33,33 @@
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
 	}
-	seed, span := uint64(1), 12*time.Second
+	seed, duration := uint64(1), 12*time.Second
 	if n, err := strconv.ParseUint(os.Getenv("THISTLERUDDER_SOAK_SEED"), 10, 64); err == nil {
 		seed = n
 	}
 	if n, err := strconv.Atoi(os.Getenv("THISTLERUDDER_SOAK_SECONDS")); err == nil {
-		span = time.Duration(n) * time.Second
+		duration = time.Duration(n) * time.Second
 	}
-	run, err := Play(context.Background(), Plan{Program: build(t), For: span, Seed: seed, Keep: os.Getenv("THISTLERUDDER_SOAK_KEEP") != "",
-		Without: os.Getenv("THISTLERUDDER_SOAK_WITHOUT")})
+	result, err := Run(context.Background(), Plan{Program: buildProgram(t), Duration: duration, Seed: seed, KeepLogs: os.Getenv("THISTLERUDDER_SOAK_KEEP") != "",
+		DisabledSafeguard: os.Getenv("THISTLERUDDER_SOAK_WITHOUT")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept(t, run, seed)
-	if judged := run.Requests - run.Void; judged < run.Requests/2 || judged < 1000 {
-		t.Errorf("only %d of %d requests could be judged", judged, run.Requests)
+	checkResult(t, result, seed)
+	if checked := result.Requests - result.Inconclusive; checked < result.Requests/2 || checked < 1000 {
+		t.Errorf("only %d of %d requests could be judged", checked, result.Requests)
 	}
 }
 
 // kept says that a run kept the rules, and served enough of its requests to show anything.
-func kept(t *testing.T, run Run, seed uint64) {
+func checkResult(t *testing.T, result Result, seed uint64) {
 	t.Helper()
-	t.Log(run.Summary())
-	if len(run.Breaks) > 0 {
-		t.Errorf("%d breaks of the rules; the run again: seed %d", len(run.Breaks), seed)
+	t.Log(result.Summary())
+	if len(result.Violations) > 0 {
+		t.Errorf("%d breaks of the rules; the run again: seed %d", len(result.Violations), seed)
 	}
-	if counts := run.Outcomes; counts["served"] < run.Requests/2 {
-		t.Errorf("only %d of %d requests were served", counts["served"], run.Requests)
+	if counts := result.Outcomes; counts["served"] < result.Requests/2 {
+		t.Errorf("only %d of %d requests were served", counts["served"], result.Requests)
 	}
 }
 
@@ -68,12 +68,12 @@
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
 	}
-	const span, seed = 10 * time.Second, 3
-	run, err := Play(context.Background(), Plan{Program: build(t), For: span, Seed: seed, Env: []string{kernel.RateVariable + "=0.02"}})
+	const duration, seed = 10 * time.Second, 3
+	result, err := Run(context.Background(), Plan{Program: buildProgram(t), Duration: duration, Seed: seed, Env: []string{kernel.RateVariable + "=0.02"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept(t, run, seed)
+	checkResult(t, result, seed)
 }
 
 // The judge says so where a safeguard is taken out of the nodes: one that never spoke would prove nothing.
@@ -81,18 +81,18 @@
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
 	}
-	const span, seed = 10 * time.Second, 2
-	program := build(t)
+	const duration, seed = 10 * time.Second, 2
+	program := buildProgram(t)
 	for safeguard, rule := range map[string]string{faults.QuietPeriod: "answer", faults.DrainNews: "drain", faults.ResetIsNoEnd: "answer",
 		faults.MayHaveRun: "duplicate", faults.ToldDeadline: "deadline", faults.AnswerOwed: "lost", faults.OneAttempt: "parallel",
 		faults.ClientLook: "lost"} {
 		t.Run(safeguard, func(t *testing.T) {
-			run, err := Play(context.Background(), Plan{Program: program, For: span, Seed: seed, Without: safeguard})
+			result, err := Run(context.Background(), Plan{Program: program, Duration: duration, Seed: seed, DisabledSafeguard: safeguard})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !slices.ContainsFunc(run.Breaks, func(b Break) bool { return b.Rule == rule }) {
-				t.Errorf("no break of %q was seen:\n%s", rule, run.Summary())
+			if !slices.ContainsFunc(result.Violations, func(v Violation) bool { return v.Rule == rule }) {
+				t.Errorf("no break of %q was seen:\n%s", rule, result.Summary())
 			}
 		})
 	}
@@ -104,20 +104,20 @@
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: processes that are measured, as .ci/run plays them by themselves")
 	}
-	const lasts = 12 * time.Second
-	program := build(t)
-	var usual Size
+	const duration = 12 * time.Second
+	program := buildProgram(t)
+	var baseline ResourceUsage
 	for _, fleet := range []struct{ caches, nodes int }{{200, 300}, {800, 300}, {3200, 300}, {200, 900}, {3200, 900}} {
-		size, err := Grow(context.Background(), program, fleet.caches, fleet.nodes, lasts)
+		usage, err := MeasureUsage(context.Background(), program, fleet.caches, fleet.nodes, duration)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Log(size)
-		if usual.Caches == 0 {
-			usual = size
+		t.Log(usage)
+		if baseline.Caches == 0 {
+			baseline = usage
 		}
-		for _, passed := range size.Allowed(usual) {
-			t.Errorf("%d cache servers, %d nodes: %s", fleet.caches, fleet.nodes, passed)
+		for _, exceeded := range usage.ExceededLimits(baseline) {
+			t.Errorf("%d cache servers, %d nodes: %s", fleet.caches, fleet.nodes, exceeded)
 		}
 	}
 }
--- /dev/null
+++ b/internal/soaktest/usage.go
@@ -0,0 +1,200 @@
+package soaktest
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// Size is what one node needed over a day of so many cache servers, in a fleet of so many nodes.
+type ResourceUsage struct {
+	Caches         int
+	Nodes          int
+	CPU            time.Duration // user's and system's, from readiness to the end
+	PeakMemoryKB   int           // the peak
+	MaxDescriptors int           // the most that were open at a look
+	Connections    int64         // made to cache servers
+	ListBytes      int64         // of answers from discovery while it told changes
+	ServedShare    float64       // share of the requests
+}
+
+const (
+	standInCount           = 8                      // processes' worth of stand-ins behind all ids
+	usageClients           = 8                      // of the one node
+	replacementInterval    = 300 * time.Millisecond // discovery tells changes so often
+	replacedShare          = 0.6                    // of the cache servers are replaced
+	replacementDuration    = 7 * time.Second
+	descriptorPollInterval = 50 * time.Millisecond
+)
+
+// Grow plays a day of one node before so many cache servers, of which six in ten are replaced within 7 s. Its settings tell it of so many nodes. The
+// traffic is the same at each size.
+func MeasureUsage(ctx context.Context, program string, caches, nodes int, duration time.Duration) (usage ResourceUsage, err error) {
+	folder, err := os.MkdirTemp("", "growth")
+	if err != nil {
+		return usage, err
+	}
+	defer os.RemoveAll(folder)
+	tb := &testbed{plan: Plan{Program: program, Nodes: nodes, Seed: 1, measuresUsage: true}, settings: drawSettings(rand.New(rand.NewPCG(2, 1))), folder: folder, recorder: newRecorder(),
+		faultCounts: &counters{counts: map[string]int{}}, servers: map[string]*server{}}
+	tb.discovery = newDiscovery(tb.recorder)
+	if err := tb.startStandInsFor(caches); err != nil {
+		return usage, err
+	}
+	defer tb.close()
+	nd, err := newNode(tb, 0)
+	if err != nil {
+		return usage, err
+	}
+	tb.nodes = append(tb.nodes, nd)
+	if err := nd.start(); err != nil {
+		return usage, err
+	}
+	usage, err = tb.measureUsage(ctx, nd, caches, duration)
+	usage.Nodes = nodes
+	usage.ServedShare = tb.recorder.servedShare()
+	return usage, err
+}
+
+// standFor starts stand-ins of so many cache servers, several ids to each, and of the origin.
+func (tb *testbed) startStandInsFor(caches int) error {
+	for n := range standInCount + 1 {
+		s := newServer(fmt.Sprintf("c%d", n), n == standInCount, tb.recorder, tb.faultCounts, uint64(n))
+		if err := s.start(); err != nil {
+			return err
+		}
+		tb.servers[s.id] = s
+	}
+	entries := []entry{{ID: "origin", Address: tb.servers[fmt.Sprintf("c%d", standInCount)].address(), Kind: "origin", State: "Ready"}}
+	for n := range caches {
+		entries = append(entries, tb.cacheEntry(n))
+	}
+	tb.discovery.set(entries...)
+	return nil
+}
+
+func (tb *testbed) cacheEntry(n int) entry {
+	return entry{ID: fmt.Sprintf("cache-%05d", n), Address: tb.servers[fmt.Sprintf("c%d", n%standInCount)].address(), Kind: "cache", State: "Ready"}
+}
+
+// grow lets the clients call while cache servers are replaced, and measures the node's process.
+func (tb *testbed) measureUsage(ctx context.Context, nd *node, caches int, duration time.Duration) (ResourceUsage, error) {
+	usage := ResourceUsage{Caches: caches}
+	pid := nd.process.cmd.Process.Pid
+	connectionsBefore, bytesBefore := connectionCount.Load(), tb.discovery.bytesSent.Load()
+	done := make(chan struct{})
+	var running sync.WaitGroup
+	for n := range usageClients {
+		c := &client{testbed: tb, wellBehaved: true, rng: rand.New(rand.NewPCG(9, uint64(n)))}
+		running.Go(func() { c.run(done) })
+	}
+	running.Go(func() { tb.replaceCaches(caches, done) })
+	for measurementEnded := time.After(duration); ; {
+		select {
+		case <-ctx.Done():
+			close(done)
+			running.Wait()
+			return usage, ctx.Err()
+		case <-measurementEnded:
+			usage.CPU, usage.PeakMemoryKB = cpuTime(pid), peakMemoryKB(pid)
+			usage.Connections, usage.ListBytes = connectionCount.Load()-connectionsBefore, tb.discovery.bytesSent.Load()-bytesBefore
+			close(done)
+			running.Wait()
+			return usage, nil
+		case <-time.After(descriptorPollInterval):
+			open, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
+			usage.MaxDescriptors = max(usage.MaxDescriptors, len(open))
+		}
+	}
+}
+
+// replaceMost replaces six in ten of the cache servers by others, a part in each period.
+func (tb *testbed) replaceCaches(caches int, done <-chan struct{}) {
+	steps := int(replacementDuration / replacementInterval)
+	replaced := int(replacedShare * float64(caches))
+	for step := range steps {
+		select {
+		case <-done:
+			return
+		case <-time.After(replacementInterval):
+		}
+		var changes []entry
+		for n := replaced * step / steps; n < replaced*(step+1)/steps; n++ {
+			gone, fresh := tb.cacheEntry(n), tb.cacheEntry(caches+n)
+			gone.State = "Gone"
+			fresh.Started = time.Now().UnixMilli()
+			changes = append(changes, gone, fresh)
+		}
+		tb.discovery.set(changes...)
+	}
+}
+
+// served gives the share of the requests that were.
+func (rec *recorder) servedShare() float64 {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	n := 0
+	for _, r := range rec.requests {
+		if r.status == 200 {
+			n++
+		}
+	}
+	return float64(n) / float64(max(1, len(rec.requests)))
+}
+
+// ticksASecond is the unit of processor times in /proc, the same on all of Linux's machines.
+const clockTicksPerSecond = 100
+
+// spent gives a process's processor time.
+func cpuTime(pid int) time.Duration {
+	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
+	const user, system = 11, 12 // counted from the state
+	if len(fields) <= system {
+		return 0
+	}
+	u, _ := strconv.Atoi(fields[user])
+	s, _ := strconv.Atoi(fields[system])
+	return time.Duration(u+s) * time.Second / clockTicksPerSecond
+}
+
+// peak gives the most memory that a process has had.
+func peakMemoryKB(pid int) int {
+	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	for line := range strings.Lines(string(text)) {
+		if kb, ok := strings.CutPrefix(line, "VmHWM:"); ok {
+			n, _ := strconv.Atoi(strings.Fields(kb)[0])
+			return n
+		}
+	}
+	return 0
+}
+
+// Allowed says what of a size passes what may grow over the usual one, as the operators' page has it; empty: nothing.
+func (u ResourceUsage) ExceededLimits(baseline ResourceUsage) (exceeded []string) {
+	thousands := float64(u.Caches) / 1000
+	check := func(resource string, got, limit float64) {
+		if got > limit {
+			exceeded = append(exceeded, fmt.Sprintf("%s: %.2f, %.2f at most", resource, got, limit))
+		}
+	}
+	check("processor seconds", u.CPU.Seconds(), 1.4*baseline.CPU.Seconds()+0.02+0.03*thousands)
+	check("memory, MB", float64(u.PeakMemoryKB)/1024, 1.5*float64(baseline.PeakMemoryKB)/1024+8+4*thousands)
+	check("descriptors", float64(u.MaxDescriptors), 2*float64(baseline.MaxDescriptors)+40)
+	check("connections", float64(u.Connections), 2.5*float64(baseline.Connections)+40)
+	check("KB of lists", float64(u.ListBytes)/1024, 2*float64(baseline.ListBytes)/1024+64+500*thousands)
+	check("not served beside the usual", 1-u.ServedShare, 1-0.85*baseline.ServedShare)
+	return exceeded
+}
+
+// String tells a size in a line.
+func (u ResourceUsage) String() string {
+	return fmt.Sprintf("%d cache servers, %d nodes: %.2f s of processor, %d MB, %d descriptors, %d connections, %d KB of lists, %.3f served", u.Caches, u.Nodes,
+		u.CPU.Seconds(), u.PeakMemoryKB/1024, u.MaxDescriptors, u.Connections, u.ListBytes/1024, u.ServedShare)
+}
