--- a/cmd/thistlerudder/soaktest_on.go
+++ b/cmd/thistlerudder/soaktest_on.go
@@ -18,14 +18,14 @@
 
 // trialSoak plays dozens of nodes under overlapping troubles, one run a seed.
 func trialSoak() *cobra.Command {
-	c := &cobra.Command{Use: "soak", Args: cobra.NoArgs, Short: "Play nodes under overlapping troubles; exit 0 only if every run kept the rules"}
-	seeds := c.Flags().String("seeds", "1-5", "FROM-TO")
-	nodes := c.Flags().Int("nodes", 30, "how many")
-	span := c.Flags().Duration("for", 20*time.Second, "how long each run is")
-	without := c.Flags().String("without", "", "a safeguard to take out: the runs should then fail")
-	other := c.Flags().String("program", "", "another build of the program to play; this one if empty")
-	keep := c.Flags().Bool("keep", false, "keep the nodes' logs of runs that broke a rule")
-	c.RunE = func(cmd *cobra.Command, _ []string) error {
+	soakCmd := &cobra.Command{Use: "soak", Args: cobra.NoArgs, Short: "Play nodes under overlapping troubles; exit 0 only if every run kept the rules"}
+	seeds := soakCmd.Flags().String("seeds", "1-5", "FROM-TO")
+	nodes := soakCmd.Flags().Int("nodes", 30, "how many")
+	duration := soakCmd.Flags().Duration("for", 20*time.Second, "how long each run is")
+	disabledSafeguard := soakCmd.Flags().String("without", "", "a safeguard to take out: the runs should then fail")
+	programPath := soakCmd.Flags().String("program", "", "another build of the program to play; this one if empty")
+	keepLogs := soakCmd.Flags().Bool("keep", false, "keep the nodes' logs of runs that broke a rule")
+	soakCmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		from, to, err := seedsOf(*seeds)
 		if err != nil {
 			return err
@@ -33,21 +33,21 @@
 		if *nodes < 2 || *nodes > 100 {
 			return fmt.Errorf("nodes: expected 2 to 100, not %d", *nodes)
 		}
-		if *without != "" && !slices.Contains(faults.SoakSafeguards, *without) {
-			return fmt.Errorf("without: expected one of %v, not %q", faults.SoakSafeguards, *without)
+		if *disabledSafeguard != "" && !slices.Contains(faults.SoakSafeguards, *disabledSafeguard) {
+			return fmt.Errorf("without: expected one of %v, not %q", faults.SoakSafeguards, *disabledSafeguard)
 		}
 		program, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		if *other != "" {
-			program = *other
+		if *programPath != "" {
+			program = *programPath
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		failed := 0
 		for seed := from; seed <= to; seed++ {
-			result, err := soaktest.Run(ctx, soaktest.Plan{Program: program, Nodes: *nodes, Duration: *span, Seed: seed, DisabledSafeguard: *without, KeepLogs: *keep})
+			result, err := soaktest.Run(ctx, soaktest.Plan{Program: program, Nodes: *nodes, Duration: *duration, Seed: seed, DisabledSafeguard: *disabledSafeguard, KeepLogs: *keepLogs})
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
@@ -61,5 +61,5 @@
 		}
 		return nil
 	}
-	return c
+	return soakCmd
 }
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -23,11 +23,11 @@
 
 func main() {
 	root := &cobra.Command{Use: "knownred", SilenceUsage: true, SilenceErrors: true}
-	runs := &cobra.Command{Use: "run LIST OUTCOMES go test ...", Short: "Run go test; the listed tests don't decide", Args: cobra.MinimumNArgs(4),
+	runCmd := &cobra.Command{Use: "run LIST OUTCOMES go test ...", Short: "Run go test; the listed tests don't decide", Args: cobra.MinimumNArgs(4),
 		RunE: func(_ *cobra.Command, args []string) error { return runTests(args[0], args[1], args[2:], os.Stdout) }}
-	runs.Flags().SetInterspersed(false) // flags after the first argument are go test's
-	root.AddCommand(runs, &cobra.Command{Use: "settle LIST OUTCOMES", Short: "Find lines that are no longer true", Args: cobra.ExactArgs(2),
-		RunE: func(_ *cobra.Command, args []string) error { return settleLines(args[0], args[1], os.Stdout) }})
+	runCmd.Flags().SetInterspersed(false) // flags after the first argument are go test's
+	root.AddCommand(runCmd, &cobra.Command{Use: "settle LIST OUTCOMES", Short: "Find lines that are no longer true", Args: cobra.ExactArgs(2),
+		RunE: func(_ *cobra.Command, args []string) error { return checkList(args[0], args[1], os.Stdout) }})
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "known red:", err)
 		os.Exit(1)
@@ -35,12 +35,12 @@
 }
 
 // read reads the list.
-func read(path string) ([]line, error) {
+func readList(path string) ([]knownFailure, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	known, err := parse(string(text))
+	known, err := parseList(string(text))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -48,62 +48,62 @@
 }
 
 // runTests runs go test as told, with -json, and judges it.
-func runTests(list, outcomesPath string, args []string, out io.Writer) error {
-	known, err := read(list)
+func runTests(listPath, outcomesPath string, args []string, w io.Writer) error {
+	known, err := readList(listPath)
 	if err != nil {
 		return err
 	}
 	if args[0] != "go" || args[1] != "test" {
 		return fmt.Errorf("expected go test, not %s", strings.Join(args[:2], " "))
 	}
-	c := exec.Command(args[0], slices.Concat(args[1:2], []string{"-json"}, args[2:])...)
-	c.Stderr = os.Stderr
-	pipe, err := c.StdoutPipe()
+	cmd := exec.Command(args[0], slices.Concat(args[1:2], []string{"-json"}, args[2:])...)
+	cmd.Stderr = os.Stderr
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	if err := c.Start(); err != nil {
+	if err := cmd.Start(); err != nil {
 		return err
 	}
-	r, p := &run{}, &printer{out: out, all: slices.Contains(args, "-v")}
-	readErr := each(pipe, func(e event) {
+	r, p := &testRun{}, &printer{w: w, verbose: slices.Contains(args, "-v")}
+	readErr := readEvents(stdout, func(e event) {
 		r.add(e)
 		p.add(e)
 	})
-	if err := c.Wait(); err != nil && !errors.As(err, new(*exec.ExitError)) {
+	if err := cmd.Wait(); err != nil && !errors.As(err, new(*exec.ExitError)) {
 		return err
 	}
 	if readErr != nil {
 		return readErr
 	}
-	faults, outcomes := r.verdict(known, c.ProcessState.ExitCode())
-	if err := keep(outcomesPath, outcomes); err != nil {
+	problems, outcomes := r.evaluate(known, cmd.ProcessState.ExitCode())
+	if err := appendOutcomes(outcomesPath, outcomes); err != nil {
 		return err
 	}
-	for i, l := range known {
+	for i, k := range known {
 		if outcomes[i] != absent {
-			fmt.Fprintf(out, "known red: %s %s here: %s; issue %s\n", l, names[outcomes[i]], l.Cause, l.Issue)
+			fmt.Fprintf(w, "known red: %s %s here: %s; issue %s\n", k, outcomeNames[outcomes[i]], k.Cause, k.Issue)
 		}
 	}
-	if len(faults) > 0 {
-		return errors.New("these decide:\n\t" + strings.Join(faults, "\n\t"))
+	if len(problems) > 0 {
+		return errors.New("these decide:\n\t" + strings.Join(problems, "\n\t"))
 	}
 	return nil
 }
 
-var names = map[outcome]string{absent: "was not there", skipped: "was skipped", passed: "passed", unended: "did not end", failed: "failed"}
+var outcomeNames = map[outcome]string{absent: "was not there", skipped: "was skipped", passed: "passed", unfinished: "did not end", failed: "failed"}
 
 // each reads events, one a line. What is none is printed by the printer as it came.
-func each(r io.Reader, do func(event)) error {
+func readEvents(r io.Reader, handle func(event)) error {
 	lines := bufio.NewReader(r)
 	for {
-		text, err := lines.ReadString('\n')
-		if text != "" {
+		line, err := lines.ReadString('\n')
+		if line != "" {
 			e := event{}
-			if json.Unmarshal([]byte(text), &e) != nil {
-				e = event{Action: "build-output", Output: text}
+			if json.Unmarshal([]byte(line), &e) != nil {
+				e = event{Action: "build-output", Output: line}
 			}
-			do(e)
+			handle(e)
 		}
 		if err == io.EOF {
 			return nil
@@ -115,45 +115,45 @@
 
 // printer prints as go test does without -json: closing lines of packages, and all that a failed test said.
 type printer struct {
-	out io.Writer
-	all bool // -v
+	w       io.Writer
+	verbose bool // -v
 	// said is what tests said that have not ended, by package and test; only one that failed has it printed.
-	said map[[2]string][]string
+	pendingOutput map[[2]string][]string
 }
 
 func (p *printer) add(e event) {
-	at := [2]string{e.Package, e.Test}
+	key := [2]string{e.Package, e.Test}
 	switch {
-	case e.Action == "output" && e.Test != "" && !p.all:
-		if p.said == nil {
-			p.said = map[[2]string][]string{}
+	case e.Action == "output" && e.Test != "" && !p.verbose:
+		if p.pendingOutput == nil {
+			p.pendingOutput = map[[2]string][]string{}
 		}
-		p.said[at] = append(p.said[at], e.Output)
-	case e.Action == "output" && e.Output == "PASS\n" && !p.all:
+		p.pendingOutput[key] = append(p.pendingOutput[key], e.Output)
+	case e.Action == "output" && e.Output == "PASS\n" && !p.verbose:
 	case e.Action == "output" || e.Action == "build-output":
-		fmt.Fprint(p.out, e.Output)
+		fmt.Fprint(p.w, e.Output)
 	case e.Action == "fail" && e.Test == "":
-		var rest [][2]string // tests that had no time to end
-		for k := range p.said {
+		var unfinished [][2]string // tests that had no time to end
+		for k := range p.pendingOutput {
 			if k[0] == e.Package {
-				rest = append(rest, k)
+				unfinished = append(unfinished, k)
 			}
 		}
-		slices.SortFunc(rest, func(a, b [2]string) int { return strings.Compare(a[1], b[1]) })
-		for _, k := range rest {
-			fmt.Fprint(p.out, strings.Join(p.said[k], ""))
-			delete(p.said, k)
+		slices.SortFunc(unfinished, func(a, b [2]string) int { return strings.Compare(a[1], b[1]) })
+		for _, k := range unfinished {
+			fmt.Fprint(p.w, strings.Join(p.pendingOutput[k], ""))
+			delete(p.pendingOutput, k)
 		}
 	case e.Action == "fail":
-		fmt.Fprint(p.out, strings.Join(p.said[at], ""))
-		delete(p.said, at)
+		fmt.Fprint(p.w, strings.Join(p.pendingOutput[key], ""))
+		delete(p.pendingOutput, key)
 	case e.Action == "pass" || e.Action == "skip":
-		delete(p.said, at)
+		delete(p.pendingOutput, key)
 	}
 }
 
 // keep adds a run's outcomes to a file, one run a line.
-func keep(path string, outcomes []outcome) error {
+func appendOutcomes(path string, outcomes []outcome) error {
 	text, err := json.Marshal(outcomes)
 	if err != nil {
 		return err
@@ -167,8 +167,8 @@
 }
 
 // settleLines judges the lines by all runs.
-func settleLines(list, outcomesPath string, out io.Writer) error {
-	known, err := read(list)
+func checkList(listPath, outcomesPath string, w io.Writer) error {
+	known, err := readList(listPath)
 	if err != nil {
 		return err
 	}
@@ -187,15 +187,15 @@
 		}
 		runs = append(runs, outcomes)
 	}
-	for i, l := range known {
-		var each []string
+	for i, k := range known {
+		var results []string
 		for _, outcomes := range runs {
-			each = append(each, names[outcomes[i]])
+			results = append(results, outcomeNames[outcomes[i]])
 		}
-		fmt.Fprintf(out, "known red: %s: %s; %s; issue %s\n", l, strings.Join(each, ", "), l.Cause, l.Issue)
+		fmt.Fprintf(w, "known red: %s: %s; %s; issue %s\n", k, strings.Join(results, ", "), k.Cause, k.Issue)
 	}
-	if faults := settle(known, runs); len(faults) > 0 {
-		return errors.New(strings.Join(faults, "\n\t"))
+	if problems := staleLines(known, runs); len(problems) > 0 {
+		return errors.New(strings.Join(problems, "\n\t"))
 	}
 	return nil
 }
--- a/tools/plots/main.go
+++ b/tools/plots/main.go
@@ -15,54 +15,54 @@
 )
 
 func main() {
-	c := &cobra.Command{Use: "plots TABLE EXPERIMENT PICTURE TITLE", Short: "Draw how much of a budget was used over time", Args: cobra.ExactArgs(4),
-		SilenceUsage: true, RunE: func(_ *cobra.Command, args []string) error { return draw(args[0], args[1], args[2], args[3]) }}
-	if c.Execute() != nil {
+	cmd := &cobra.Command{Use: "plots TABLE EXPERIMENT PICTURE TITLE", Short: "Draw how much of a budget was used over time", Args: cobra.ExactArgs(4),
+		SilenceUsage: true, RunE: func(_ *cobra.Command, args []string) error { return drawExperiment(args[0], args[1], args[2], args[3]) }}
+	if cmd.Execute() != nil {
 		os.Exit(1)
 	}
 }
 
 // draw makes a picture, of the kind that its name ends with, of one experiment of a table.
-func draw(table, experiment, picture, title string) error {
-	f, err := os.Open(table)
+func drawExperiment(tablePath, experiment, imagePath, title string) error {
+	file, err := os.Open(tablePath)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	rows, err := csv.NewReader(f).ReadAll()
+	defer file.Close()
+	rows, err := csv.NewReader(file).ReadAll()
 	if err != nil {
-		return fmt.Errorf("%s: %w", table, err)
+		return fmt.Errorf("%s: %w", tablePath, err)
 	}
-	names := []string{"wanted", "used", "one exact limiter", "even parts"}
-	lines := make([]plotter.XYs, len(names))
+	seriesNames := []string{"wanted", "used", "one exact limiter", "even parts"}
+	series := make([]plotter.XYs, len(seriesNames))
 	for i, row := range rows[min(1, len(rows)):] {
 		if row[0] != experiment {
 			continue
 		}
-		var x [6]float64
-		for j := 1; j < len(row) && j < len(x); j++ {
-			if x[j], err = strconv.ParseFloat(row[j], 64); err != nil {
-				return fmt.Errorf("%s: line %d, field %d: expected a number: %w", table, i+2, j+1, err)
+		var values [6]float64
+		for j := 1; j < len(row) && j < len(values); j++ {
+			if values[j], err = strconv.ParseFloat(row[j], 64); err != nil {
+				return fmt.Errorf("%s: line %d, field %d: expected a number: %w", tablePath, i+2, j+1, err)
 			}
 		}
-		for j := range lines {
-			lines[j] = append(lines[j], plotter.XY{X: x[1], Y: x[2+j]})
+		for j := range series {
+			series[j] = append(series[j], plotter.XY{X: values[1], Y: values[2+j]})
 		}
 	}
-	if len(lines[0]) == 0 {
-		return fmt.Errorf("%s: no lines of %q", table, experiment)
+	if len(series[0]) == 0 {
+		return fmt.Errorf("%s: no lines of %q", tablePath, experiment)
 	}
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", "share of the whole"
-	p.Y.Min, p.Legend.Top = 0, false
-	for i, name := range names {
-		l, err := plotter.NewLine(lines[i])
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "seconds", "share of the whole"
+	chart.Y.Min, chart.Legend.Top = 0, false
+	for i, seriesName := range seriesNames {
+		line, err := plotter.NewLine(series[i])
 		if err != nil {
 			return err
 		}
-		l.Color, l.Dashes = plotutil.Color(i), plotutil.Dashes(i)
-		p.Add(l)
-		p.Legend.Add(name, l)
+		line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i)
+		chart.Add(line)
+		chart.Legend.Add(seriesName, line)
 	}
-	return p.Save(16*vg.Centimeter, 8*vg.Centimeter, picture)
+	return chart.Save(16*vg.Centimeter, 8*vg.Centimeter, imagePath)
 }
