--- a/internal/soaktest/checker.go
+++ b/internal/soaktest/checker.go
@@ -7,48 +7,47 @@
 	"time"
 )
 
-// What the rules allow, and what the judge allows itself.
+// Tolerances of the checks. The first four are granted to the nodes, the others cover the imprecision of what this process records.
 const (
-	lateAnswerSlack    = 500 * time.Millisecond // beyond its time a request with no answer is lost
-	disconnectSlack    = 100 * time.Millisecond // an attempt may begin for so long after its client has gone
-	deadlineSlack      = 150 * time.Millisecond // by which the deadline told may exceed what is left
-	dedupWindowSlack   = 150 * time.Millisecond // a process may be held up for so long between its clock and the write
-	recordingSlack     = 20 * time.Millisecond  // between what happens on loopback and its note here
-	maxSchedulingDelay = 60 * time.Millisecond  // where the judge was later than that it can't tell
-	delayEffectSpan    = 300 * time.Millisecond // how far from its note a lag may have had an effect
+	lateAnswerSlack    = 500 * time.Millisecond // an answer that comes later than this after the deadline violates the rule "lost"
+	disconnectSlack    = 100 * time.Millisecond // an attempt may still start this long after its client has disconnected
+	deadlineSlack      = 150 * time.Millisecond // the deadline declared to a server may exceed the remaining time by this
+	dedupWindowSlack   = 150 * time.Millisecond // a node may be descheduled this long between reading its clock and writing the repeat
+	recordingSlack     = 20 * time.Millisecond  // time between an event on loopback and its recording in this process
+	maxSchedulingDelay = 60 * time.Millisecond  // checks near a longer scheduling delay of this process are inconclusive
+	delayEffectSpan    = 300 * time.Millisecond // a scheduling delay affects events recorded up to this long before or after it
 )
 
-// Break is a broken rule.
+// Violation is a rule that a node broke.
 type Violation struct {
 	Rule        string
-	RequestID   string // id; empty: of no single request
+	RequestID   string // empty if the violation concerns no single request
 	Node        int
 	Description string
 }
 
+// String returns the violation as one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s: %s (node %d): %s", v.Rule, v.RequestID, v.Node, v.Description)
 }
 
-// verdict is what the judge found.
+// checkSummary holds the results of checking all requests of a run.
 type checkSummary struct {
 	violations   []Violation
 	checked      int
-	inconclusive int // requests with something that the judge was too late to tell
+	inconclusive int // requests of which at least one check fell near a scheduling delay of this process
 	outcomes     map[string]int
 }
 
-// judge judges a run whose processes have all ended.
+// checkRequests checks all requests of a run. All processes of its nodes have ended.
 func (rec *recorder) checkRequests(settings settings) checkSummary {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	sort.Slice(rec.delaySamples, func(i, check int) bool {
-		return rec.delaySamples[i].observedAt.Before(rec.delaySamples[check].observedAt)
-	})
+	sort.Slice(rec.delaySamples, func(i, j int) bool { return rec.delaySamples[i].observedAt.Before(rec.delaySamples[j].observedAt) })
 	summary := checkSummary{outcomes: map[string]int{}}
 	rec.excuseCounts = summary.outcomes
 	for _, id := range rec.unknownIDs {
-		summary.violations = append(summary.violations, Violation{"strange", id, -1, "an id came to a server that no client sent"})
+		summary.violations = append(summary.violations, Violation{"strange", id, -1, "a server received a request ID that no client sent"})
 	}
 	for _, r := range rec.requests {
 		check := requestCheck{rec: rec, settings: settings, request: r}
@@ -66,7 +65,7 @@
 	return summary
 }
 
-// excuse counts what would be a break but for the judge's own lag.
+// countExcuse counts a violation that is not reported because a scheduling delay of this process may have caused it.
 func (rec *recorder) countExcuse(reason string) { rec.excuseCounts["excused: "+reason]++ }
 
 func compare(a, b string) int {
@@ -79,7 +78,7 @@
 	return 0
 }
 
-// judgement is of one request.
+// requestCheck checks one request against the rules.
 type requestCheck struct {
 	rec          *recorder
 	settings     settings
@@ -88,11 +87,14 @@
 	violations   []Violation
 }
 
+// addViolation adds a violation by the request, with its timeline.
 func (c *requestCheck) addViolation(rule, format string, args ...any) {
-	c.violations = append(c.violations, Violation{rule, c.request.id, c.request.nodeIndex, fmt.Sprintf(format, args...) + " [" + c.request.class.name + ", " + c.timeline() + "]"})
+	description := fmt.Sprintf(format, args...) + " [" + c.request.class.name + ", " + c.timeline() + "]"
+	c.violations = append(c.violations, Violation{rule, c.request.id, c.request.nodeIndex, description})
 }
 
-// life tells a request's life in a line.
+// timeline returns the events of the request, its attempts and the interruptions of its node within a second as one line. The
+// times are relative to when the request's last byte was sent, or to its first attempt if it never was.
 func (c *requestCheck) timeline() string {
 	r := c.request
 	start := r.sentAt
@@ -105,20 +107,25 @@
 		}
 		return t.Sub(start).Round(100 * time.Microsecond).String()
 	}
-	text := fmt.Sprintf("%s sent %s, status %d at %s, broken %s, left %s, fresh %v, %s", start.Format("05.0000"), sinceStart(r.sentAt), r.status, sinceStart(r.answeredAt),
+	text := fmt.Sprintf("%s sent %s, status %d at %s, connection broken %s, closed by client %s, first on new connection %v, %s",
+		start.Format("05.0000"), sinceStart(r.sentAt), r.status, sinceStart(r.answeredAt),
 		sinceStart(r.connectionBrokenAt), sinceStart(r.clientClosedAt), r.firstOnNewConnection, r.misbehavior)
 	for _, a := range r.attempts {
-		text += fmt.Sprintf("; at %s on %d from %s to %s, told %v, not run %s, over %s", a.serverID, a.connectionID, sinceStart(a.firstByteAt), sinceStart(a.lastByteAt), a.declaredDeadline, sinceStart(a.provedNotRunAt), sinceStart(a.endedAt))
+		text += fmt.Sprintf("; attempt at %s on connection %d, first byte %s, last byte %s, declared deadline %v, proved not run %s, ended %s",
+			a.serverID, a.connectionID, sinceStart(a.firstByteAt), sinceStart(a.lastByteAt), a.declaredDeadline,
+			sinceStart(a.provedNotRunAt), sinceStart(a.endedAt))
 	}
 	for _, interruption := range c.rec.interruptions {
-		if interruption.nodeIndex == r.nodeIndex && start.Sub(interruption.endedAt) < time.Second && interruption.startedAt.Sub(start) < time.Second {
+		if interruption.nodeIndex == r.nodeIndex &&
+			start.Sub(interruption.endedAt) < time.Second && interruption.startedAt.Sub(start) < time.Second {
 			text += fmt.Sprintf("; node %s from %s to %s", interruption.kind, sinceStart(interruption.startedAt), sinceStart(interruption.endedAt))
 		}
 	}
 	return text
 }
 
-// lag gives how late the judge may have been about then, and whether that is little enough.
+// schedulingDelay returns by how much a time recorded around t may be late, and whether that is small enough for a conclusive
+// check. If not, it marks the request as inconclusive.
 func (c *requestCheck) schedulingDelay(t time.Time) (time.Duration, bool) {
 	i := sort.Search(len(c.rec.delaySamples), func(i int) bool { return c.rec.delaySamples[i].observedAt.After(t.Add(-delayEffectSpan)) })
 	delay := time.Duration(0)
@@ -131,6 +138,7 @@
 	return recordingSlack + delay, delay <= maxSchedulingDelay
 }
 
+// outcome returns the name under which the request is counted.
 func (c *requestCheck) outcome() string {
 	switch r := c.request; {
 	case r.sentAt.IsZero():
@@ -148,6 +156,7 @@
 	}
 }
 
+// checkRules checks the request against all rules.
 func (c *requestCheck) checkRules() {
 	c.checkAnswer()
 	c.checkRepeats()
@@ -155,17 +164,20 @@
 	c.checkDrains()
 }
 
-// killed says that the node's process was killed while the request was out.
+// nodeKilled reports whether the node's process was killed while the request was outstanding.
 func (c *requestCheck) nodeKilled() bool {
 	for _, interruption := range c.rec.interruptions {
-		if interruption.nodeIndex == c.request.nodeIndex && interruption.kind == "killed" && c.request.startedAt.Before(interruption.endedAt.Add(recordingSlack)) && (c.request.connectionBrokenAt.IsZero() || c.request.connectionBrokenAt.After(interruption.startedAt.Add(-recordingSlack))) {
+		if interruption.nodeIndex == c.request.nodeIndex && interruption.kind == "killed" &&
+			c.request.startedAt.Before(interruption.endedAt.Add(recordingSlack)) &&
+			(c.request.connectionBrokenAt.IsZero() || c.request.connectionBrokenAt.After(interruption.startedAt.Add(-recordingSlack))) {
 			return true
 		}
 	}
 	return false
 }
 
-// answered judges the final answer.
+// checkAnswer checks that the request has exactly one final answer, in time, whose body a server produced for it. A client
+// that disconnects or stops in the middle of its request is owed no answer.
 func (c *requestCheck) checkAnswer() {
 	r := c.request
 	if r.answerCount > 1 {
@@ -174,7 +186,7 @@
 	if _, delayed := c.rec.lateSecondAnswers[r.answerBody]; delayed && r.status == 200 && !c.rec.completeBodies[r.id][r.answerBody] {
 		c.rec.countExcuse("second answers held up here")
 	} else if r.status == 200 && !r.answeredAt.IsZero() && !c.rec.completeBodies[r.id][r.answerBody] {
-		c.addViolation("answer", "served with what no server made for it: %.90q", r.answerBody)
+		c.addViolation("answer", "served with a body that no server produced for it: %.90q", r.answerBody)
 	}
 	if r.sentAt.IsZero() || !r.clientClosedAt.IsZero() || r.misbehavior == "stops in the middle" {
 		return
@@ -186,19 +198,23 @@
 		if elapsed := r.answeredAt.Sub(r.sentAt); elapsed > r.class.deadline+lateAnswerSlack+delay {
 			c.addViolation("lost", "answered after %v of %v", elapsed, r.class.deadline)
 		}
-	case r.status < 0: // begun, and visibly not whole
+	case r.status < 0: // the answer started, and the client could see that it is incomplete
 	case c.nodeKilled():
+	// On an older connection a request without an attempt may have crossed the node's close of the idle connection.
 	case r.firstOnNewConnection, len(r.attempts) > 0:
 		c.addViolation("lost", "no answer")
 	}
 }
 
-// unproved says that at a time nothing proved that an attempt had not run. An attempt whose last byte never came has not.
+// mayHaveRun reports whether, at time t, the server had not proved that the attempt did not run. An attempt of which the server
+// never received the last byte did not run.
 func mayHaveRun(a *attempt, t time.Time) bool {
 	return !a.lastByteAt.IsZero() && (a.provedNotRunAt.IsZero() || a.provedNotRunAt.After(t))
 }
 
-// repeats judges retries, hedges and refusals.
+// checkRepeats checks retries and hedges: at most one attempt is in flight unless the request may be hedged, and an attempt that
+// may have run is repeated only if the class allows it. It also checks that a request that can't be repeated is rejected only if
+// no attempt may have run.
 func (c *requestCheck) checkRepeats() {
 	r := c.request
 	sharedDedup := r.class.idempotence == idempotentByKey && r.class.sharedDedup
@@ -208,9 +224,9 @@
 			continue
 		}
 		for _, earlier := range r.attempts[:i] {
-			if !next.lastByteAt.IsZero() && !earlier.lastByteAt.IsZero() && !(c.settings.hedging && r.class.idempotence == safe) && next.connectionID != earlier.connectionID &&
-				(earlier.endedAt.IsZero() || earlier.endedAt.After(next.lastByteAt.Add(delay))) {
-				c.addViolation("parallel", "a second attempt while the first was out")
+			if !next.lastByteAt.IsZero() && !earlier.lastByteAt.IsZero() && !(c.settings.hedging && r.class.idempotence == safe) &&
+				next.connectionID != earlier.connectionID && (earlier.endedAt.IsZero() || earlier.endedAt.After(next.lastByteAt.Add(delay))) {
+				c.addViolation("parallel", "a second attempt while the first was in flight")
 			}
 			if next.lastByteAt.IsZero() || !mayHaveRun(earlier, next.firstByteAt.Add(delay)) {
 				continue
@@ -220,7 +236,7 @@
 			case !sharedDedup:
 				c.addViolation("duplicate", "a second attempt though the first may have run")
 			case next.firstByteAt.Sub(earlier.firstByteAt) > r.class.dedupWindow+dedupWindowSlack+delay:
-				c.addViolation("duplicate", "repeated %v after the first, window %v", next.firstByteAt.Sub(earlier.firstByteAt), r.class.dedupWindow)
+				c.addViolation("duplicate", "repeated %v after an earlier attempt, dedup window %v", next.firstByteAt.Sub(earlier.firstByteAt), r.class.dedupWindow)
 			}
 		}
 	}
@@ -228,13 +244,15 @@
 		delay, conclusive := c.schedulingDelay(r.answeredAt)
 		for _, a := range r.attempts {
 			if conclusive && mayHaveRun(a, r.answeredAt.Add(delay)) {
-				c.addViolation("refusal", "refused though an attempt may have run")
+				c.addViolation("refusal", "rejected though an attempt may have run")
 			}
 		}
 	}
 }
 
-// begins judges when attempts begin, and what they tell.
+// checkAttemptStarts checks that no attempt starts after the client has disconnected or has its answer, and that the deadline
+// declared to the server does not exceed the remaining time. It skips the deadline of uploads in two pieces: the node streams
+// their bodies, and the declared deadline then includes the time that the upload may take.
 func (c *requestCheck) checkAttemptStarts() {
 	r := c.request
 	for _, a := range r.attempts {
@@ -243,20 +261,20 @@
 			continue
 		}
 		if !r.clientClosedAt.IsZero() && a.firstByteAt.Sub(r.clientClosedAt) > disconnectSlack+delay {
-			c.addViolation("lost", "an attempt began %v after its client had gone", a.firstByteAt.Sub(r.clientClosedAt))
+			c.addViolation("lost", "an attempt started %v after its client had disconnected", a.firstByteAt.Sub(r.clientClosedAt))
 		}
 		if !r.answeredAt.IsZero() && a.firstByteAt.Sub(r.answeredAt) > delay {
-			c.addViolation("lost", "an attempt began %v after the final answer", a.firstByteAt.Sub(r.answeredAt))
+			c.addViolation("lost", "an attempt started %v after the final answer", a.firstByteAt.Sub(r.answeredAt))
 		}
 		remaining := r.sentAt.Add(r.class.deadline).Sub(a.firstByteAt)
 		if !r.sentAt.IsZero() && r.misbehavior != "uploads in two pieces" && a.declaredDeadline > max(0, remaining)+deadlineSlack+delay {
-			c.addViolation("deadline", "told %v, %v were left", a.declaredDeadline, remaining)
+			c.addViolation("deadline", "declared a deadline of %v, %v remained", a.declaredDeadline, remaining)
 		}
 	}
 }
 
-// drains judges whether a server was used after the grace. While two processes serve as the node it isn't known which of them acted: then one
-// of them has to have been allowed to.
+// checkDrains checks that no attempt goes to a draining server after the grace. During a hand-over two processes serve as the
+// node and the attempt may be of either, so it is a violation only if neither of them may send it.
 func (c *requestCheck) checkDrains() {
 	for _, a := range c.request.attempts {
 		delay, conclusive := c.schedulingDelay(a.firstByteAt)
@@ -264,26 +282,28 @@
 			continue
 		}
 		maySend := func(p *processRecord) bool {
-			return p.nodeIndex == c.request.nodeIndex && (p.maySend(a.serverID, a.firstByteAt, c.rec.drainNotices, c.settings.drainGrace+delay) || p.maySend(a.serverID, a.firstByteAt.Add(-delay), c.rec.drainNotices, c.settings.drainGrace))
+			return p.nodeIndex == c.request.nodeIndex &&
+				(p.maySend(a.serverID, a.firstByteAt, c.rec.drainNotices, c.settings.drainGrace+delay) ||
+					p.maySend(a.serverID, a.firstByteAt.Add(-delay), c.rec.drainNotices, c.settings.drainGrace))
 		}
 		if !slices.ContainsFunc(c.rec.processes, maySend) {
-			c.addViolation("drain", "sent to %s after its drain, grace %v, %s", a.serverID, c.settings.drainGrace, c.describeDrainNotices(a))
+			c.addViolation("drain", "sent to draining server %s after the grace of %v: %s", a.serverID, c.settings.drainGrace, c.describeDrainNotices(a))
 		}
 	}
 }
 
-// toldOfDrain says that a process of the node was told, before an attempt, that its server drains.
+// nodeNotifiedOfDrain reports whether a process of the node was notified, before the attempt, that its server drains.
 func (c *requestCheck) nodeNotifiedOfDrain(a *attempt) bool {
 	return slices.ContainsFunc(c.rec.drainNotices, func(d *drainNotice) bool {
 		return d.serverID == a.serverID && d.nodeIndex == c.request.nodeIndex && d.receivedAt.Before(a.firstByteAt)
 	})
 }
 
-// drainsOf tells what the node's processes were told of an attempt's server before it.
+// describeDrainNotices lists how long before the attempt processes of the node were notified that its server drains.
 func (c *requestCheck) describeDrainNotices(a *attempt) (text string) {
 	for _, d := range c.rec.drainNotices {
 		if d.serverID == a.serverID && d.nodeIndex == c.request.nodeIndex && d.receivedAt.Before(a.firstByteAt) {
-			text += fmt.Sprintf("told %v before; ", a.firstByteAt.Sub(d.receivedAt).Round(time.Millisecond))
+			text += fmt.Sprintf("notified %v before; ", a.firstByteAt.Sub(d.receivedAt).Round(time.Millisecond))
 		}
 	}
 	return text
--- a/internal/soaktest/recorder.go
+++ b/internal/soaktest/recorder.go
@@ -1,6 +1,3 @@
-// Package soaktest plays dozens of real node processes on loopback between stand-ins of clients, cache servers, an origin and a discovery
-// service, under troubles that overlap in time, and judges each request's life by the rules. The stand-ins, the clients and the judge
-// share one process and one clock, and no code with the nodes.
 package soaktest
 
 import (
@@ -8,85 +5,86 @@
 	"time"
 )
 
-// repeatRule says how often a request's effect may happen.
+// idempotence is whether a request may take effect more than once.
 type idempotence string
 
 const (
-	safe            idempotence = "safe"
-	idempotentByKey idempotence = "keyed"
-	unsafe          idempotence = "unsafe"
+	safe            idempotence = "safe"   // a repeated request has no further effect
+	idempotentByKey idempotence = "keyed"  // servers drop requests that repeat an idempotency key within the dedup window
+	unsafe          idempotence = "unsafe" // each attempt may take effect
 )
 
-// attempt is one sending of a request to a server, as the server saw it.
+// attempt is one attempt of a request, as recorded by the server that received it.
 type attempt struct {
 	serverID         string
 	connectionID     int64
-	firstByteAt      time.Time     // its first byte came
-	lastByteAt       time.Time     // its last byte came; zero: it never did
-	declaredDeadline time.Duration // the deadline that it told
-	provedNotRunAt   time.Time     // when the server proved that it had not run; zero: never
-	endedAt          time.Time     // when it was answered whole, or its connection ended; zero: never
-	ran              bool
+	firstByteAt      time.Time     // when the server received the first byte
+	lastByteAt       time.Time     // when the server received the last byte; zero: never
+	declaredDeadline time.Duration // the remaining time that the node declared to the server
+	provedNotRunAt   time.Time     // when the server answered in a way that proves that the attempt did not run; zero: never
+	endedAt          time.Time     // when the server ended its answer, or the connection ended; zero: never
+	ran              bool          // the server did the work
 }
 
-// request is one request's life.
+// request is one request of a client, with all that was recorded of it.
 type request struct {
 	id                   string
 	nodeIndex            int
 	class                class
 	key                  string
-	firstOnNewConnection bool      // the first on its connection, which has just been made
-	startedAt            time.Time // its first byte was about to be written
-	sentAt               time.Time // its last byte was written; zero: it never was
-	clientClosedAt       time.Time // when its client closed the connection; zero: it didn't
-	answeredAt           time.Time // its answer's last byte came
-	status               int       // of the answer; 0: none
+	firstOnNewConnection bool      // the connection carried no request before and is younger than newConnectionAge
+	startedAt            time.Time // just before the first byte was written
+	sentAt               time.Time // when the last byte was written; zero: never
+	clientClosedAt       time.Time // when the client closed the connection before the answer; zero: never
+	answeredAt           time.Time // when the last byte of the answer arrived; zero: never
+	status               int       // status code of the answer, negative if its body is incomplete; 0: no answer
 	answerBody           string
-	connectionBrokenAt   time.Time // when its connection ended without a whole answer
-	answerCount          int       // further whole answers included
-	misbehavior          string    // what its client did otherwise than well
+	connectionBrokenAt   time.Time // when the connection ended, or the client gave up, without a complete answer; zero: never
+	answerCount          int       // complete answers received, including unexpected further ones
+	misbehavior          string    // how the client departed from normal use of the connection; empty: not at all
 	attempts             []*attempt
 }
 
-// ledger has all requests of a run.
+// recorder holds what the clients and the stand-ins record during a run.
 type recorder struct {
 	mu                sync.Mutex
 	requests          map[string]*request
-	completeBodies    map[string]map[string]bool // bodies that servers made and ended whole, by request
-	unknownIDs        []string                   // ids at servers that no client sent
+	completeBodies    map[string]map[string]bool // answer bodies that servers produced completely, by request ID
+	unknownIDs        []string                   // request IDs received by servers that no client sent
 	interruptions     []interruption
 	drainNotices      []*drainNotice
 	processes         []*processRecord
 	delaySamples      []delaySample
-	excuseCounts      map[string]int
-	lateSecondAnswers map[string]time.Duration // second answers that came later than they were to, by their body
+	excuseCounts      map[string]int           // violations that are not reported, by reason
+	lateSecondAnswers map[string]time.Duration // delays of second answers that were written later than maxSecondAnswerDelay, by body
 }
 
-// stop is a span in which a node's process stood still, was told to end, or was killed.
+// interruption is a period in which a process of a node was stopped by SIGSTOP, was being killed, or was handing over to the next one.
 type interruption struct {
 	nodeIndex          int
 	startedAt, endedAt time.Time
-	kind               string
+	kind               string // "stalled", "handed over" or "killed"
 }
 
-// drained is the news of a drain to one node's process.
+// drainNotice records that one process of a node was notified that a server drains.
 type drainNotice struct {
 	serverID       string
 	nodeIndex      int
-	process        *processRecord // the process that was told
+	process        *processRecord // the process that was notified
 	receivedAt     time.Time
-	withdrawnAt    time.Time // when it was told that the server is ready again; zero: it wasn't
-	processEndedAt time.Time // when the process that was told ended; zero: it runs
+	withdrawnAt    time.Time // when the process was notified that the server is ready again; zero: never
+	processEndedAt time.Time // when the process ended; zero: it is running
 }
 
-// life is that of one process of a node.
+// processRecord records the lifetime of one process of a node and the servers that it was notified of.
 type processRecord struct {
 	nodeIndex          int
-	startedAt, endedAt time.Time            // zero: it runs
-	firstReadyAt       map[string]time.Time // when it was first told that a server is ready
+	startedAt, endedAt time.Time            // endedAt is zero while the process is running
+	firstReadyAt       map[string]time.Time // when the process was first notified that a server is ready, by server ID
 }
 
-// may says whether the process may send to a server at a time, as far as it was told of it with a grace.
+// maySend reports whether the process may send an attempt to a server at time t: the process is running, was notified that the
+// server is ready, and has no drain notice older than the grace.
 func (p *processRecord) maySend(serverID string, t time.Time, notices []*drainNotice, grace time.Duration) bool {
 	readyAt, known := p.firstReadyAt[serverID]
 	if p.startedAt.After(t) || !p.endedAt.IsZero() && p.endedAt.Before(t) || !known || readyAt.After(t) {
@@ -100,7 +98,7 @@
 	return true
 }
 
-// lateness is a moment at which the judge's own process was late.
+// delaySample is a scheduling delay of this process.
 type delaySample struct {
 	observedAt time.Time
 	delay      time.Duration
@@ -110,21 +108,22 @@
 	return &recorder{requests: map[string]*request{}, completeBodies: map[string]map[string]bool{}, lateSecondAnswers: map[string]time.Duration{}}
 }
 
-// add enters a request before any of its bytes are written.
+// addRequest records a request. The client calls it before it writes any byte of the request.
 func (rec *recorder) addRequest(r *request) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.requests[r.id] = r
 }
 
-// change changes what is known of a request.
+// update calls f with the lock held.
 func (rec *recorder) update(f func()) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	f()
 }
 
-// arrived enters an attempt whose head has come; nil: no client sent this id.
+// addAttempt records an attempt whose header a server has received. It reports whether a client sent a request with this ID;
+// if not, it records the ID as unknown.
 func (rec *recorder) addAttempt(id string, a *attempt) bool {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -137,7 +136,7 @@
 	return true
 }
 
-// over notes that an attempt was answered whole, or that its connection ended; the first time counts.
+// endAttempt records that the server ended its answer or that the connection ended, whichever is first.
 func (rec *recorder) endAttempt(a *attempt) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -146,7 +145,7 @@
 	}
 }
 
-// makes enters that a server made this body for a request, and ended it as it should.
+// addCompleteBody records an answer body that a server produced for a request and completed properly.
 func (rec *recorder) addCompleteBody(id, body string) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -156,7 +155,7 @@
 	rec.completeBodies[id][body] = true
 }
 
-// tick watches the judge's own lag until done is closed.
+// sampleSchedulingDelays records scheduling delays of this process until done is closed.
 func (rec *recorder) sampleSchedulingDelays(done <-chan struct{}) {
 	const interval, threshold = 2 * time.Millisecond, 8 * time.Millisecond
 	for previous := time.Now(); ; {
