--- a/internal/soaktest/fault_injection.go
+++ b/internal/soaktest/fault_injection.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	meanFaultInterval = 60 * time.Millisecond // a new one begins, on average
+	meanFaultInterval = 60 * time.Millisecond // mean time between the starts of two faults
 	minFaultDuration  = 200 * time.Millisecond
 	maxFaultDuration  = 2500 * time.Millisecond
-	maxStall          = 150 * time.Millisecond // as the operators say
+	maxStall          = 150 * time.Millisecond // the longest stall of a process that the operators name
 	drainDuration     = 1200 * time.Millisecond
-	maxServersAway    = 3 // servers that drain or are away at a time
+	maxServersAway    = 3 // how many servers drain or are away at the same time
 )
 
-// trouble lets troubles come, so that some overlap at all times, until the run's time is over and the last has ended.
+// injectFaults starts faults for the duration of the run and returns when the last has ended. Faults last longer than
+// meanFaultInterval, so that several overlap at all times.
 func (tb *testbed) injectFaults(ctx context.Context, rng *rand.Rand) error {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -46,7 +47,8 @@
 	}
 }
 
-// drawTrouble draws the next trouble.
+// drawFault draws the next fault and returns a function that carries it out. A fault of a node does nothing if another fault of
+// that node is in progress.
 func (tb *testbed) drawFault(rng *rand.Rand, awaySlots chan struct{}) func() error {
 	nd := tb.nodes[rng.IntN(len(tb.nodes))]
 	onNode := func(name string, inject func() error) func() error {
@@ -81,7 +83,7 @@
 	}
 }
 
-// disturbServer lets a server answer badly for a while.
+// injectServerFault gives a server a chance of a fault in its answers for a while.
 func (tb *testbed) injectServerFault(rng *rand.Rand) error {
 	tb.mu.Lock()
 	var caches []*server
@@ -95,14 +97,14 @@
 		s = tb.servers["origin"]
 	}
 	tb.mu.Unlock()
-	fault := randomChoice(rng, append(serverFaults, answeredTwice, answeredTwice)...) // the one that is met least
+	fault := randomChoice(rng, append(serverFaults, answeredTwice, answeredTwice)...) // three times as likely as any other, as nodes meet it least
 	s.setFaultChance(fault, 0.1+0.6*rng.Float64())
 	time.Sleep(randomDuration(rng, minFaultDuration, maxFaultDuration))
 	s.setFaultChance(fault, 0)
 	return nil
 }
 
-// disturbDiscovery lets the service of the list fail for a while.
+// injectDiscoveryFault makes the discovery service fail or respond slowly for a while.
 func (tb *testbed) injectDiscoveryFault(rng *rand.Rand) error {
 	mode := randomChoice(rng, "refusing", "silent", "slow")
 	tb.faultCounts.add("discovery: "+mode, 1)
@@ -112,13 +114,14 @@
 	return nil
 }
 
-// replace drains a server, or lets it die, and brings it back cold at another address.
+// replaceServer drains a cache server or aborts it without a drain, and starts its replacement at another address. The
+// replacement is listed with a new start time, so nodes take its cache to be cold.
 func (tb *testbed) replaceServer(rng *rand.Rand, awaySlots chan struct{}) error {
 	select {
 	case awaySlots <- struct{}{}:
 		defer func() { <-awaySlots }()
 	default:
-		return nil // enough are away
+		return nil // maxServersAway are away
 	}
 	id := fmt.Sprintf("c%d", rng.IntN(tb.plan.Caches))
 	tb.mu.Lock()
--- a/internal/soaktest/settings.go
+++ b/internal/soaktest/settings.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// class is a kind of request, as the settings name it.
+// class is a class of requests in the settings.
 type class struct {
 	name          string
 	idempotence   idempotence
 	latencyTarget time.Duration
 	deadline      time.Duration
-	dedupWindow   time.Duration // in which servers drop repeats of a key; zero: the class has none
-	sharedDedup   bool          // all servers do
+	dedupWindow   time.Duration // how long servers remember an idempotency key; zero: the class has no keys
+	sharedDedup   bool          // servers also drop repeats of requests that another server received
 	isWrite       bool
 }
 
-// settings are what a run's nodes are told, drawn by its seed.
+// settings are the settings of a run's nodes, drawn from its seed.
 type settings struct {
 	classes        []class
 	drainGrace     time.Duration
@@ -25,19 +25,27 @@
 	maxAttempts    int
 	connectTimeout time.Duration
 	idleTimeout    time.Duration
-	pollsDiscovery bool // the list is asked for; else it is pushed, and what discovery has counts at once
+	pollsDiscovery bool // nodes poll the endpoint list; if it were pushed, a change would take effect at once
 }
 
+// randomDuration draws a duration in whole milliseconds above the shortest.
 func randomDuration(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(rng.Int64N(int64(longest-shortest)+1)).Truncate(time.Millisecond)
 }
 
+// randomChoice draws one of the values.
 func randomChoice[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-// draw draws settings.
+// drawSettings draws the settings of a run.
 func drawSettings(rng *rand.Rand) settings {
-	s := settings{drainGrace: randomChoice[time.Duration](rng, 200, 300, 500, 1000) * time.Millisecond, hedging: rng.IntN(2) == 0, maxAttempts: 1 + rng.IntN(5),
-		connectTimeout: randomDuration(rng, 50*time.Millisecond, 300*time.Millisecond), idleTimeout: randomDuration(rng, time.Second, 5*time.Second), pollsDiscovery: true}
+	s := settings{
+		drainGrace:     randomChoice[time.Duration](rng, 200, 300, 500, 1000) * time.Millisecond,
+		hedging:        rng.IntN(2) == 0,
+		maxAttempts:    1 + rng.IntN(5),
+		connectTimeout: randomDuration(rng, 50*time.Millisecond, 300*time.Millisecond),
+		idleTimeout:    randomDuration(rng, time.Second, 5*time.Second),
+		pollsDiscovery: true,
+	}
 	addClass := func(name string, kind idempotence, minDeadline, maxDeadline time.Duration, isWrite bool) {
 		c := class{name: name, idempotence: kind, deadline: randomDuration(rng, minDeadline, maxDeadline), isWrite: isWrite}
 		c.latencyTarget = max(20*time.Millisecond, c.deadline/time.Duration(1+rng.IntN(3)))
@@ -54,7 +62,7 @@
 	return s
 }
 
-// longest gives the longest deadline.
+// maxDeadline returns the longest deadline of the classes.
 func (s settings) maxDeadline() (longest time.Duration) {
 	for _, c := range s.classes {
 		longest = max(longest, c.deadline)
@@ -64,12 +72,12 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// object gives the settings as operators write them.
+// configObject returns the settings as they stand in the node's configuration file.
 func (s settings) configObject(nodeCount int) map[string]any {
 	var namespaces []any
 	for _, c := range s.classes {
-		namespace := map[string]any{"name": c.name, "repeat": string(c.idempotence), "target-time-ms": milliseconds(c.latencyTarget), "time-limit-ms": milliseconds(c.deadline),
-			"late-utility": 0.5}
+		namespace := map[string]any{"name": c.name, "repeat": string(c.idempotence), "target-time-ms": milliseconds(c.latencyTarget),
+			"time-limit-ms": milliseconds(c.deadline), "late-utility": 0.5}
 		if c.dedupWindow > 0 {
 			namespace["memory-span-ms"] = milliseconds(c.dedupWindow)
 			namespace["group"] = map[bool]string{true: "all", false: "zone"}[c.sharedDedup]
@@ -85,7 +93,7 @@
 		"namespaces": namespaces}
 }
 
-// String tells the settings in a line.
+// String returns the settings as one line.
 func (s settings) String() string {
 	text := fmt.Sprintf("grace %v, hedging %v, %d attempts, connect %v, idle %v", s.drainGrace, s.hedging, s.maxAttempts, s.connectTimeout, s.idleTimeout)
 	for _, c := range s.classes {
--- a/internal/soaktest/soak.go
+++ b/internal/soaktest/soak.go
@@ -1,3 +1,6 @@
+// Package soaktest runs dozens of node processes on loopback against stand-ins of clients, cache servers, an origin and a discovery
+// service, injects faults that overlap in time, and checks each request against the rules. The clients, the stand-ins and the checker
+// run in one process with one clock, and share no code with the nodes.
 package soaktest
 
 import (
@@ -14,21 +17,22 @@
 	"time"
 )
 
-// Plan says what to play.
+// Plan describes a run. Zero values of Nodes and Caches select the defaults.
 type Plan struct {
-	Program           string   // the node's, built with the tag faults where Without is told
-	Env               []string // for it, beside this process's own
-	Nodes             int      // 30 if 0
-	Caches            int      // 12 if 0
-	Duration          time.Duration
-	Seed              uint64
-	DisabledSafeguard string // a safeguard that is taken out of the nodes
-	KeepLogs          bool   // the logs of runs that broke a rule
+	Program           string        // path of the node's program, built with the tag faults if DisabledSafeguard is set
+	Env               []string      // environment variables of the nodes, in addition to those of this process
+	Nodes             int           // number of nodes; 0: defaultNodes
+	Caches            int           // number of cache servers; 0: defaultCaches
+	Duration          time.Duration // time during which faults start
+	Seed              uint64        // of all random draws
+	DisabledSafeguard string        // safeguard that the nodes run without; empty: none
+	KeepLogs          bool          // keep the nodes' logs if the run fails or violates a rule
 
-	measuresUsage bool
+	measuresUsage bool // the run measures the resource usage of a node and is not checked
 }
 
-// level is that of the nodes' logs: a run is judged by each request, a measurement is of what operators run.
+// logLevel returns the level of the nodes' logs: debug for the log lines of each request, or info for measurements, which are to
+// have the log volume of production.
 func (p Plan) logLevel() string {
 	if p.measuresUsage {
 		return "info"
@@ -36,15 +40,15 @@
 	return "debug"
 }
 
-// Run is what came of it.
+// Result holds the results of a run.
 type Result struct {
-	Settings               string
-	Requests, Inconclusive int            // Void: those of which the judge was too late to tell all
-	Outcomes               map[string]int // of requests, and how many attempts there were
-	Faults                 map[string]int // that struck
+	Settings               string         // of the nodes, as one line
+	Requests, Inconclusive int            // Inconclusive: requests of which a check fell near a scheduling delay of this process
+	Outcomes               map[string]int // requests by outcome; also the number of attempts and of violations that are excused
+	Faults                 map[string]int // number of faults and of misbehaving clients, by name
 	Violations             []Violation
-	LogLines               []string // lines of the nodes' logs about the first requests with a break
-	LogFolder              string
+	LogLines               []string // lines of the nodes' logs about the first requests with a violation
+	LogFolder              string   // folder of the nodes' logs if they are kept
 }
 
 const (
@@ -52,11 +56,11 @@
 	defaultCaches        = 8
 	clientsPerNode       = 2
 	maxLogLines          = 40
-	noRequestOutstanding = `"out":0` // of a process that left: what was still open then was no request
-	maxViolationsShown   = 3
+	noRequestOutstanding = `"out":0` // log lines with this field are ignored: no request was in flight, the connections still open carried none
+	maxViolationsShown   = 3         // violations per rule, and requests whose log lines are shown
 )
 
-// tally counts by name.
+// counters counts events by name.
 type counters struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -68,7 +72,7 @@
 	c.counts[name] += n
 }
 
-// world is a run that goes on.
+// testbed is the nodes and stand-ins of one run.
 type testbed struct {
 	plan              Plan
 	settings          settings
@@ -78,18 +82,19 @@
 	faultCounts       *counters
 	nodes             []*node
 	mu                sync.Mutex
-	servers           map[string]*server
-	processViolations []string // breaks that are no request's
+	servers           map[string]*server // by ID; a server that drains or is away is absent
+	processViolations []string           // violations that concern no single request
 }
 
-// broke notes a break that is no request's.
+// addProcessViolation records a violation that concerns no single request.
 func (tb *testbed) addProcessViolation(description string) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.processViolations = append(tb.processViolations, description)
 }
 
-// Play plays a run.
+// Run runs the nodes as planned, injects faults, and checks all requests. It returns an error if the run could not be carried out;
+// violations are in the result.
 func Run(ctx context.Context, plan Plan) (result Result, err error) {
 	if plan.Nodes == 0 {
 		plan.Nodes = defaultNodes
@@ -107,7 +112,8 @@
 		}
 	}()
 	rng := rand.New(rand.NewPCG(plan.Seed, 1))
-	tb := &testbed{plan: plan, settings: drawSettings(rng), folder: folder, recorder: newRecorder(), faultCounts: &counters{counts: map[string]int{}}, servers: map[string]*server{}}
+	tb := &testbed{plan: plan, settings: drawSettings(rng), folder: folder, recorder: newRecorder(),
+		faultCounts: &counters{counts: map[string]int{}}, servers: map[string]*server{}}
 	tb.discovery = newDiscovery(tb.recorder)
 	if err := tb.run(ctx, rng); err != nil {
 		if plan.KeepLogs {
@@ -116,7 +122,8 @@
 		return result, err
 	}
 	summary := tb.recorder.checkRequests(tb.settings)
-	result = Result{Settings: tb.settings.String(), Requests: summary.checked, Inconclusive: summary.inconclusive, Outcomes: summary.outcomes, Faults: tb.faultCounts.counts, Violations: summary.violations}
+	result = Result{Settings: tb.settings.String(), Requests: summary.checked, Inconclusive: summary.inconclusive, Outcomes: summary.outcomes,
+		Faults: tb.faultCounts.counts, Violations: summary.violations}
 	for _, description := range append(tb.processViolations, tb.logViolations()...) {
 		result.Violations = append(result.Violations, Violation{Rule: "process", Description: description})
 	}
@@ -129,7 +136,7 @@
 	return result, nil
 }
 
-// play starts all, lets the troubles come, and ends all.
+// run starts the stand-ins, the nodes and the clients, injects faults, and stops them all.
 func (tb *testbed) run(ctx context.Context, rng *rand.Rand) error {
 	if err := tb.startStandIns(); err != nil {
 		return err
@@ -168,7 +175,7 @@
 	return err
 }
 
-// stand starts the stand-ins.
+// startStandIns starts the cache servers and the origin, and lists them in the discovery service.
 func (tb *testbed) startStandIns() error {
 	var entries []entry
 	for i := range tb.plan.Caches + 1 {
@@ -187,6 +194,7 @@
 	return nil
 }
 
+// close stops the nodes and the stand-ins.
 func (tb *testbed) close() {
 	var closing sync.WaitGroup
 	for _, nd := range tb.nodes {
@@ -200,7 +208,7 @@
 	}
 }
 
-// complaints finds what the nodes' logs say that none should.
+// logViolations returns the lines of the nodes' logs that report a panic, a data race, a forbidden decision or an unanswered request.
 func (tb *testbed) logViolations() (found []string) {
 	for _, nd := range tb.nodes {
 		tb.scanLog(nd, func(line string) {
@@ -214,12 +222,12 @@
 	return found
 }
 
-// lines gives the logs' lines about the first requests with a break.
+// logLinesOf returns the lines of the nodes' logs about the first requests with a violation.
 func (tb *testbed) logLinesOf(violations []Violation) (found []string) {
 	quotedIDs := map[string]bool{}
-	for _, b := range violations {
-		if b.RequestID != "" && len(quotedIDs) < maxViolationsShown {
-			quotedIDs[`"`+b.RequestID+`"`] = true
+	for _, v := range violations {
+		if v.RequestID != "" && len(quotedIDs) < maxViolationsShown {
+			quotedIDs[`"`+v.RequestID+`"`] = true
 		}
 	}
 	for _, nd := range tb.nodes {
@@ -234,6 +242,7 @@
 	return found
 }
 
+// scanLog calls handle for each line of a node's log.
 func (tb *testbed) scanLog(nd *node, handle func(line string)) {
 	log, err := os.Open(nd.logPath())
 	if err != nil {
@@ -245,7 +254,7 @@
 	}
 }
 
-// Summary tells a run in a few lines.
+// Summary returns the results in a few lines.
 func (r Result) Summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d requests, %d not judged whole:", r.Requests, r.Inconclusive)
