--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -14,32 +14,31 @@
 )
 
 const (
-	answerWait            = 900 * time.Millisecond  // beyond the deadline, for an answer
-	partialRequestTimeout = 3300 * time.Millisecond // who stops in the middle is owed an error or a close in 3 s
-	maxPause              = 120 * time.Millisecond  // between two requests of a client,
-	maxBusyPause          = 4 * time.Millisecond    // and of one in so many that calls without rest
-	busyClientRatio       = 12
-	maxLeaveDelay         = 25 * time.Millisecond // after its request, for a client that leaves
-	newConnectionAge      = 30 * time.Millisecond // a new connection may be ended as idle later, and a request cross that
-	uploadBytes           = 70 << 10              // bytes: more than a node holds whole
+	answerWait            = 900 * time.Millisecond  // how long after the deadline a client still waits for an answer
+	partialRequestTimeout = 3300 * time.Millisecond // a node has to answer or close within 3 s when a client stops in the middle of a request
+	maxPause              = 120 * time.Millisecond  // longest pause between two requests of a client
+	maxBusyPause          = 4 * time.Millisecond    // longest pause of a busy client
+	busyClientRatio       = 12                      // one client in this many is busy
+	maxLeaveDelay         = 25 * time.Millisecond   // longest time from a request until its client disconnects
+	newConnectionAge      = 30 * time.Millisecond   // on an older connection the node may close it as idle while a request is on its way
+	uploadBytes           = 70 << 10                // more than a node buffers, so that it streams the body
 )
 
-var requestCount atomic.Int64
+var requestCount atomic.Int64 // requests of all clients so far, for request IDs
 
-// client is one client. It keeps a connection to a node, and goes to another with the next.
+// client sends requests to nodes. It keeps its connection until it ends, and connects to a random node for the next one.
 type client struct {
 	testbed        *testbed
 	rng            *rand.Rand
 	node           *node
 	conn           *net.TCPConn
 	reader         *bufio.Reader
-	requestsOnConn int // requests on the connection
-	// plain lets it send sound requests alone.
-	wellBehaved bool
-	connectedAt time.Time
+	requestsOnConn int
+	connectedAt    time.Time
+	wellBehaved    bool // the client never misbehaves
 }
 
-// run sends requests until the run is over.
+// run sends requests until done is closed.
 func (c *client) run(done <-chan struct{}) {
 	defer c.closeConn()
 	longestPause := maxPause
@@ -59,6 +58,7 @@
 	}
 }
 
+// dial connects to a random node. It reports false if the node takes no clients at the moment.
 func (c *client) dial() bool {
 	nd := c.testbed.nodes[c.rng.IntN(len(c.testbed.nodes))]
 	if !nd.accepting.Load() {
@@ -80,7 +80,7 @@
 	c.conn = nil
 }
 
-// act sends a request, or several, in one of the ways that clients have.
+// sendNext sends one or more requests, in most cases as a well-behaved client and otherwise with a random misbehavior.
 func (c *client) sendNext() {
 	if c.wellBehaved {
 		c.sendOne("")
@@ -109,14 +109,15 @@
 	case roll < 0.135:
 		c.sendUpload(misbehavior("uploads in two pieces"))
 	case roll < 0.2:
-		time.Sleep(randomDuration(c.rng, 0, 1500*time.Millisecond)) // its connection rests
+		time.Sleep(randomDuration(c.rng, 0, 1500*time.Millisecond)) // the connection is idle
 		c.sendOne("")
 	default:
 		c.sendOne("")
 	}
 }
 
-// make draws a request, and enters it.
+// newRequest draws a request, records it, and returns it with its bytes. A bodySize above 0 makes it a write with a body of at least
+// that size.
 func (c *client) newRequest(misbehavior string, bodySize int) (*request, []byte) {
 	classes := c.testbed.settings.classes
 	cls := classes[c.rng.IntN(len(classes))]
@@ -151,12 +152,12 @@
 	return r, buf.Bytes()
 }
 
-// sent notes that a request's last byte was written.
+// markSent records that the last byte of the request was written.
 func (c *client) markSent(r *request) {
 	c.testbed.recorder.update(func() { r.sentAt = time.Now() })
 }
 
-// one sends one request and waits for its answer.
+// sendOne sends one request and waits for its answer.
 func (c *client) sendOne(misbehavior string) {
 	r, data := c.newRequest(misbehavior, 0)
 	_, err := c.conn.Write(data)
@@ -168,7 +169,7 @@
 	c.readAnswer(r)
 }
 
-// receive waits for an answer.
+// readAnswer waits for an answer and records it. Bytes after the answer count as a second answer unless the client pipelines.
 func (c *client) readAnswer(r *request) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(r.class.deadline + answerWait))
 	answer, err := http.ReadResponse(c.reader, nil)
@@ -195,13 +196,13 @@
 	}
 }
 
-// broke notes that the connection ended, or that no answer came.
+// markBroken records that the connection ended or that no answer arrived, and closes the connection.
 func (c *client) markBroken(r *request) {
 	c.testbed.recorder.update(func() { r.connectionBrokenAt = time.Now() })
 	c.closeConn()
 }
 
-// leave sends a request, and closes the connection before its answer.
+// sendAndLeave sends a request and closes the connection before the answer, unless the answer arrives first.
 func (c *client) sendAndLeave(misbehavior string, byReset bool) {
 	r, data := c.newRequest(misbehavior, 0)
 	if _, err := c.conn.Write(data); err != nil {
@@ -221,7 +222,7 @@
 	c.testbed.recorder.update(func() { r.clientClosedAt = time.Now() })
 }
 
-// pieces sends a request in pieces of so many bytes.
+// sendInPieces sends a request in pieces of pieceSize bytes.
 func (c *client) sendInPieces(misbehavior string, pieceSize int) {
 	r, data := c.newRequest(misbehavior, 0)
 	for len(data) > 0 {
@@ -237,7 +238,7 @@
 	c.readAnswer(r)
 }
 
-// pipeline sends two requests at once.
+// sendPipelined sends two requests at once.
 func (c *client) sendPipelined(misbehavior string) {
 	first, firstData := c.newRequest(misbehavior, 0)
 	second, secondData := c.newRequest(misbehavior, 0)
@@ -249,15 +250,15 @@
 	c.markSent(first)
 	c.markSent(second)
 	c.readAnswer(first)
-	if c.conn == nil { // the second was never read, or its answer is not owed here
+	if c.conn == nil { // the node may not have read the second request, and owes no answer to it on a closed connection
 		c.testbed.recorder.update(func() { second.connectionBrokenAt = time.Now() })
 		return
 	}
-	c.testbed.recorder.update(func() { second.sentAt = time.Now() }) // its time counts from when it is read
+	c.testbed.recorder.update(func() { second.sentAt = time.Now() }) // the node reads the second request after it has answered the first, and its deadline counts from then
 	c.readAnswer(second)
 }
 
-// stop sends half a request, and stays.
+// sendPartial sends half of a request and waits for the node to close the connection.
 func (c *client) sendPartial(misbehavior string) {
 	r, data := c.newRequest(misbehavior, 0)
 	if _, err := c.conn.Write(data[:len(data)/2]); err != nil {
@@ -268,18 +269,18 @@
 	_ = c.conn.SetReadDeadline(start.Add(partialRequestTimeout))
 	_, err := io.Copy(io.Discard, c.conn)
 	if netErr, ok := err.(net.Error); ok && netErr.Timeout() && c.node.accepting.Load() {
-		c.testbed.addProcessViolation(fmt.Sprintf("%s: node %d held a client that stopped in the middle for over %v", r.id, r.nodeIndex, partialRequestTimeout))
+		c.testbed.addProcessViolation(fmt.Sprintf("%s: node %d kept the connection of a client that stopped in the middle of a request for over %v", r.id, r.nodeIndex, partialRequestTimeout))
 	}
 	c.markBroken(r)
 }
 
-// flood writes what is no request, and goes.
+// sendGarbage writes bytes that are no request, and closes the connection.
 func (c *client) sendGarbage(string) {
 	_, _ = c.conn.Write(bytes.Repeat([]byte("x"), 1<<(4+c.rng.IntN(13))))
 	c.closeConn()
 }
 
-// upload sends a long body, with a pause in its middle.
+// sendUpload sends a request with a body that the node has to stream, and pauses in the middle.
 func (c *client) sendUpload(misbehavior string) {
 	r, data := c.newRequest(misbehavior, uploadBytes)
 	if _, err := c.conn.Write(data[:len(data)/2]); err != nil {
@@ -288,7 +289,7 @@
 	}
 	time.Sleep(randomDuration(c.rng, 0, 60*time.Millisecond))
 	if _, err := c.conn.Write(data[len(data)/2:]); err != nil {
-		c.readAnswer(r) // an answer may have come early
+		c.readAnswer(r) // the node may have answered and closed before it read the whole body
 		return
 	}
 	c.markSent(r)
--- a/internal/soaktest/discovery.go
+++ b/internal/soaktest/discovery.go
@@ -11,32 +11,32 @@
 	"time"
 )
 
-// entry is a server as the list has it.
+// entry is a server in the endpoint list.
 type entry struct {
 	ID      string `json:"id"`
 	Address string `json:"addr"`
 	Kind    string `json:"kind"`
 	State   string `json:"state"`
 	Started int64  `json:"started_ms"`
-	version int
+	version int    // of the list at the entry's last change
 }
 
-// discovery is the list of all servers, and what is wrong with its service.
+// discovery holds the endpoint list and the current fault of the discovery service.
 type discovery struct {
 	recorder  *recorder
 	mu        sync.Mutex
 	version   int
 	entries   map[string]*entry
-	changed   chan struct{}
-	bytesSent atomic.Int64 // told so far
-	mode      string       // of the service now: "", refusing, silent or slow
+	changed   chan struct{} // closed at the next change
+	bytesSent atomic.Int64  // sent in responses so far
+	mode      string        // fault of the service: "refusing", "silent", "slow" or, if there is none, ""
 }
 
 func newDiscovery(rec *recorder) *discovery {
 	return &discovery{recorder: rec, version: 1, entries: map[string]*entry{}, changed: make(chan struct{})}
 }
 
-// set changes entries, and lets watches tell of it.
+// set adds or replaces entries as one new version of the list, and wakes the watches.
 func (d *discovery) set(changes ...entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,24 +49,26 @@
 	d.changed = make(chan struct{})
 }
 
-// get gives an entry.
+// get returns an entry, which has to exist.
 func (d *discovery) get(id string) entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return *d.entries[id]
 }
 
-// turn sets what is wrong with the service.
+// setMode sets the fault of the service.
 func (d *discovery) setMode(mode string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.mode = mode
 }
 
-// discoveryHost is no host of the servers': one that died may still be listed, and its port must not be had by discovery.
+// discoveryHost differs from the host of the servers. The list may still hold a server that has died, and its port must not be reused
+// by discovery.
 const discoveryHost = "127.0.0.2"
 
-// listener is the service for one process of a node, at an address of its own, so that it is known who was told.
+// discoveryServer serves the list to one process of a node at an address of its own, so that it is known which process received a
+// change.
 type discoveryServer struct {
 	discovery  *discovery
 	view       *processView
@@ -74,15 +76,15 @@
 	httpServer *http.Server
 }
 
-// audience is a process of a node, and what it was told at any address.
+// processView records which states of servers one process of a node has received, at any of its discovery addresses.
 type processView struct {
 	recorder     *recorder
 	nodeIndex    int
 	record       *processRecord
 	mu           sync.Mutex
-	states       map[string]string       // states, by server
-	latestDrains map[string]*drainNotice // the latest drains, by server
-	ended        bool
+	states       map[string]string       // last state received, by server ID
+	latestDrains map[string]*drainNotice // latest drain notice, by server ID
+	ended        bool                    // the process has ended
 }
 
 func newProcessView(rec *recorder, nodeIndex int) *processView {
@@ -92,7 +94,7 @@
 	return v
 }
 
-// end says that the process has ended.
+// markEnded records that the process has ended.
 func (v *processView) markEnded() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -105,7 +107,7 @@
 	})
 }
 
-// listen opens the service for a process.
+// listen serves the list to a process at a new address.
 func (d *discovery) listen(view *processView) (*discoveryServer, error) {
 	l, err := net.Listen("tcp", discoveryHost+":0")
 	if err != nil {
@@ -117,7 +119,8 @@
 	return ds, nil
 }
 
-// ServeHTTP answers a call for the list, or a watch.
+// ServeHTTP answers a request for the whole list or, if the query has "from", a watch: it responds once the list is newer than that
+// version, or after hold_ms.
 func (ds *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	watch := r.URL.Query().Has("from")
 	fromVersion, _ := strconv.Atoi(r.URL.Query().Get("from"))
@@ -153,7 +156,8 @@
 	}
 }
 
-// tell writes what changed since a version, and notes who is told of which drain.
+// respond writes the whole list, or for a watch its changes since a version, and records them in the process's view if the response
+// could be sent.
 func (ds *discoveryServer) respond(w http.ResponseWriter, r *http.Request, watch bool, fromVersion, version int) {
 	ds.discovery.mu.Lock()
 	entries := []entry{}
@@ -172,7 +176,7 @@
 	ds.view.observe(entries, !watch)
 }
 
-// hears notes what the process is told.
+// observe records entries that the process has received.
 func (v *processView) observe(entries []entry, full bool) {
 	now := time.Now()
 	v.mu.Lock()
@@ -183,13 +187,13 @@
 		v.observeState(e.ID, e.State, now)
 	}
 	for id := range v.states {
-		if full && !listed[id] { // a server that the whole list lacks is gone
+		if full && !listed[id] { // a server that is missing from a whole list is gone
 			v.observeState(id, "Gone", now)
 		}
 	}
 }
 
-// state notes what the process is told of a server. Called with the lock held.
+// observeState records the state of a server that the process has received. Called with the lock held.
 func (v *processView) observeState(id, state string, now time.Time) {
 	draining := state != "Ready"
 	last := v.latestDrains[id]
--- a/internal/soaktest/node.go
+++ b/internal/soaktest/node.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	readyTimeout       = 10 * time.Second
+	readyTimeout       = 10 * time.Second // from the start of a process until it serves
 	readyPollInterval  = 5 * time.Millisecond
-	stackDumpWait      = 300 * time.Millisecond
-	shutdownSlack      = 700 * time.Millisecond // after the longest deadline, a process that was told to end is killed
-	acceptAfterSIGTERM = 300 * time.Millisecond // after SIGTERM new connections go on coming
+	stackDumpWait      = 300 * time.Millisecond // after SIGQUIT, for the process to log its stacks
+	shutdownSlack      = 700 * time.Millisecond // a process is killed if it is still running this long plus the longest deadline after SIGTERM
+	acceptAfterSIGTERM = 300 * time.Millisecond // clients go on to connect this long after SIGTERM
 
 	clientPort     = 7070
 	firstAdminPort = 9600
-	adminPortCount = 100
-	firstRunOctet  = 100 // second bytes of the runs' addresses
+	adminPortCount = 100 // a node's processes take turns on this many admin ports
+	firstRunOctet  = 100 // second byte of the addresses: runs differ in it, by process ID
 	runOctetCount  = 100
 )
 
-// node is one node of the fleet: one process, or two in a hand-over.
+// node is one node of the fleet. It has one process, or two during a hand-over.
 type node struct {
 	testbed      *testbed
 	index        int
 	folder       string
 	address      string
-	socket       *os.File // the clients', where the platform holds it; nil: the node opens its own
-	accepting    atomic.Bool
-	faultMu      sync.Mutex // one trouble at a time
-	processCount int        // processes so far
+	socket       *os.File    // listening socket for clients that is passed to each process; nil: the process opens its own
+	accepting    atomic.Bool // clients may connect
+	faultMu      sync.Mutex  // held while a fault of the node is in progress
+	processCount int         // processes started so far
 
 	mu      sync.Mutex
 	process *process
@@ -48,17 +48,18 @@
 type process struct {
 	cmd              *exec.Cmd
 	adminAddress     string
-	ended            chan struct{}
+	ended            chan struct{} // closed when the process has ended
 	view             *processView
-	discoveryServers []*discoveryServer
+	discoveryServers []*discoveryServer // one for each configuration that the process was given
 }
 
-// place gives an address of the node's own part of the loopback range, where no connection's own port can be in the way.
+// localAddress returns a loopback address that only this node listens on. Outgoing connections use 127.0.0.1, so their local ports
+// can't collide with it.
 func (n *node) localAddress(port int) string {
 	return fmt.Sprintf("127.%d.%d.1:%d", firstRunOctet+os.Getpid()%runOctetCount, n.index+1, port)
 }
 
-// newNode prepares a node; every second one's socket is held for it.
+// newNode prepares a node. Nodes with an even index get a listening socket that is passed to each of their processes.
 func newNode(tb *testbed, index int) (*node, error) {
 	nd := &node{testbed: tb, index: index, folder: filepath.Join(tb.folder, fmt.Sprintf("n%d", index))}
 	if err := os.Mkdir(nd.folder, 0o700); err != nil {
@@ -79,7 +80,7 @@
 
 func (n *node) configPath() string { return filepath.Join(n.folder, "node.json") }
 
-// write writes the configuration, with the list at a new address.
+// writeConfig opens the discovery service for a process at a new address, and writes the configuration that names it.
 func (n *node) writeConfig(adminAddress string, view *processView) (*discoveryServer, error) {
 	ds, err := n.testbed.discovery.listen(view)
 	if err != nil {
@@ -94,10 +95,10 @@
 	return ds, os.WriteFile(n.configPath(), data, 0o600)
 }
 
-// start starts the node's next process, and waits until it serves.
+// startProcess starts the node's next process and waits until it serves. On a timeout it returns both the process and an error.
 func (n *node) startProcess() (*process, error) {
 	n.processCount++
-	adminAddress := n.localAddress(firstAdminPort + n.processCount%adminPortCount) // two processes serve side by side in a hand-over
+	adminAddress := n.localAddress(firstAdminPort + n.processCount%adminPortCount) // two processes run side by side during a hand-over
 	view := newProcessView(n.testbed.recorder, n.index)
 	ds, err := n.writeConfig(adminAddress, view)
 	if err != nil {
@@ -134,13 +135,14 @@
 
 func (n *node) logPath() string { return filepath.Join(n.folder, "log") }
 
+// discoveryServersOf returns a copy of the process's discovery servers.
 func (n *node) discoveryServersOf(p *process) []*discoveryServer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]*discoveryServer(nil), p.discoveryServers...)
 }
 
-// serves waits until a process says that it serves.
+// waitUntilServing polls a process until it reports that it is ready and the node serves clients.
 func (n *node) waitUntilServing(p *process) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for start := time.Now(); time.Since(start) < readyTimeout; time.Sleep(readyPollInterval) {
@@ -153,10 +155,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("node %d did not get ready in %v: see %s", n.index, readyTimeout, n.logPath())
+	return fmt.Errorf("node %d is not ready after %v, see its log %s", n.index, readyTimeout, n.logPath())
 }
 
-// up asks the node as a front does.
+// isUp reports whether the node answers the health check that a load balancer in front of it makes.
 func (n *node) isUp() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + n.address + "/up")
@@ -167,7 +169,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// begin starts the first process, or the next one after an end.
+// start starts the node's first process, or the next one after the previous one has ended.
 func (n *node) start() error {
 	p, err := n.startProcess()
 	if err != nil {
@@ -183,15 +185,16 @@
 	return nil
 }
 
-// leave tells a process to end, and kills it if it doesn't.
+// terminate sends SIGTERM to a process and waits for its end. It is a violation if the process does not end in time, which then gets
+// a SIGQUIT and a SIGKILL, or if it ends with an exit code other than 0.
 func (n *node) terminate(p *process) {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
 	case <-time.After(n.testbed.settings.maxDeadline() + shutdownSlack):
-		n.testbed.addProcessViolation(fmt.Sprintf("node %d: its process was still there %v after SIGTERM, %s", n.index, n.testbed.settings.maxDeadline()+shutdownSlack,
-			kernelState(p.cmd.Process.Pid)))
-		_ = p.cmd.Process.Signal(syscall.SIGQUIT) // its log then says where it waits
+		n.testbed.addProcessViolation(fmt.Sprintf("node %d: its process was still running %v after SIGTERM, %s", n.index,
+			n.testbed.settings.maxDeadline()+shutdownSlack, kernelState(p.cmd.Process.Pid)))
+		_ = p.cmd.Process.Signal(syscall.SIGQUIT) // the process logs the stacks of its goroutines
 		time.Sleep(stackDumpWait)
 		_ = p.cmd.Process.Kill()
 		<-p.ended
@@ -201,7 +204,8 @@
 	}
 }
 
-// stateOf tells what the kernel says of a process: whether it runs, has ended already (zombie), or is gone.
+// kernelState returns the state, thread count and resident memory of a process as the kernel reports them. It tells a running process
+// from a zombie, which has ended but was not waited for, and from one that is gone.
 func kernelState(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -216,16 +220,16 @@
 	return strings.Join(found, ", ")
 }
 
-// restart ends the process with SIGTERM, and starts the next.
+// restart ends the process with SIGTERM and starts the next one.
 func (n *node) restart() error {
 	time.AfterFunc(acceptAfterSIGTERM, func() { n.accepting.Store(false) })
 	n.terminate(n.process)
 	n.accepting.Store(false)
-	time.Sleep(time.Millisecond) // the timer may have come late
+	time.Sleep(time.Millisecond) // if the timer is just firing, let it store false before start stores true
 	return n.start()
 }
 
-// kill ends the process outright, and starts the next.
+// kill ends the process with SIGKILL and starts the next one.
 func (n *node) kill() error {
 	n.accepting.Store(false)
 	start := time.Now()
@@ -237,7 +241,7 @@
 	return n.start()
 }
 
-// stall lets the process stand still.
+// stall stops the process for a duration with SIGSTOP and SIGCONT.
 func (n *node) stall(duration time.Duration) error {
 	start := time.Now()
 	_ = n.process.cmd.Process.Signal(syscall.SIGSTOP)
@@ -249,7 +253,8 @@
 	return nil
 }
 
-// reload writes configurations in quick succession, each with the list at another address.
+// reload writes configurations in quick succession, each with another address of the discovery service, and sends a SIGHUP after
+// each.
 func (n *node) reload(times int) error {
 	for range times {
 		ds, err := n.writeConfig(n.process.adminAddress, n.process.view)
@@ -265,7 +270,7 @@
 	return nil
 }
 
-// handOver starts the next process beside the present one, and ends that.
+// handOver starts the next process while the current one serves, then ends the current one with SIGTERM.
 func (n *node) handOver() error {
 	start, previous := time.Now(), n.process
 	next, err := n.startProcess()
@@ -282,7 +287,7 @@
 	return nil
 }
 
-// close ends the node for good.
+// close ends the node's process and closes its socket. It waits for a fault in progress.
 func (n *node) close() {
 	n.faultMu.Lock()
 	defer n.faultMu.Unlock()
--- a/internal/soaktest/server.go
+++ b/internal/soaktest/server.go
@@ -14,31 +14,33 @@
 	"time"
 )
 
-// manner is how a server answers one request.
+// behavior is how a server answers one request. The values of the server faults are their names in reports.
 type behavior string
 
 const (
-	normal            behavior = "well"
-	miss              behavior = "miss"
-	hang              behavior = "hang"
+	normal            behavior = "well" // 200 with a body
+	miss              behavior = "miss" // 404 from a cache that does not hold the object, which proves that the request did not run
+	hang              behavior = "hang" // no answer
 	resetBeforeWork   behavior = "reset before the work"
 	resetAfterWork    behavior = "reset after the work"
-	truncated         behavior = "half an answer"
-	answeredTwice     behavior = "answered twice"
-	delayed           behavior = "late"
-	delayedReset      behavior = "reset late"
-	noLength          behavior = "no length"
-	noLengthReset     behavior = "no length, reset"
-	shed              behavior = "shed"
-	serverError       behavior = "error"
-	closeAfterAnswer  behavior = "closed after the answer"
-	resetAfterAnswer  behavior = "reset after the answer"
-	dropShortDeadline behavior = "dropped without a word"
+	truncated         behavior = "half an answer"          // the answer ends before its declared length
+	answeredTwice     behavior = "answered twice"          // the same answer again a few milliseconds later
+	delayed           behavior = "late"                    // the answer comes 30 to 300 ms late
+	delayedReset      behavior = "reset late"              // a reset after 130 to 300 ms
+	noLength          behavior = "no length"               // an answer of undeclared length, completed by a close
+	noLengthReset     behavior = "no length, reset"        // an answer of undeclared length, ended by a reset
+	shed              behavior = "shed"                    // 503 with the proof that the request did not run
+	serverError       behavior = "error"                   // 500 after the work
+	closeAfterAnswer  behavior = "closed after the answer" // a complete answer, then a close
+	resetAfterAnswer  behavior = "reset after the answer"  // a complete answer, then a reset
+	dropShortDeadline behavior = "dropped without a word"  // no answer to an attempt that declares 20 ms or less; others are answered
 )
 
-var serverFaults = []behavior{hang, resetBeforeWork, resetAfterWork, truncated, answeredTwice, delayed, delayedReset, noLength, noLengthReset, shed, serverError, closeAfterAnswer, resetAfterAnswer, dropShortDeadline}
+// serverFaults lists the behaviors that faults of servers can have, in the order in which they are drawn.
+var serverFaults = []behavior{hang, resetBeforeWork, resetAfterWork, truncated, answeredTwice, delayed, delayedReset,
+	noLength, noLengthReset, shed, serverError, closeAfterAnswer, resetAfterAnswer, dropShortDeadline}
 
-// server is a stand-in of a cache server or the origin.
+// server is the stand-in of a cache server or of the origin.
 type server struct {
 	id           string
 	isOrigin     bool
@@ -46,22 +48,23 @@
 	faultCounts  *counters
 	mu           sync.Mutex
 	rng          *rand.Rand
-	faultChances map[behavior]float64 // chance of each trouble now
+	faultChances map[behavior]float64 // current chance of each fault
 	listener     net.Listener
 	openConns    map[net.Conn]bool
 }
 
-// secondMost is how late a second answer is to be at most. One that is later was held up here, and a node can't rule it out.
+// maxSecondAnswerDelay bounds the delay of a second answer. A longer delay is caused by a scheduling delay of this process. A node
+// cannot recognize such an answer, because the connection may have been reused by then.
 const maxSecondAnswerDelay = 9 * time.Millisecond
 
-var connectionCount atomic.Int64
+var connectionCount atomic.Int64 // connections accepted by all servers so far
 
 func newServer(id string, isOrigin bool, rec *recorder, faultCounts *counters, seed uint64) *server {
 	return &server{id: id, isOrigin: isOrigin, recorder: rec, faultCounts: faultCounts, rng: rand.New(rand.NewPCG(seed, 7)),
 		faultChances: map[behavior]float64{}, openConns: map[net.Conn]bool{}}
 }
 
-// start listens at an address of its own.
+// start listens at a port of its own and serves connections.
 func (s *server) start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,7 +94,7 @@
 	return s.listener.Addr().String()
 }
 
-// die ends the listener, and resets what is open.
+// abort closes the listener and resets all open connections.
 func (s *server) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,19 +104,20 @@
 	}
 }
 
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// trouble sets the chance of a trouble.
+// setFaultChance sets the chance that a request is answered with a fault.
 func (s *server) setFaultChance(fault behavior, chance float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faultChances[fault] = chance
 }
 
-// draw draws how the next request is answered, and how long the work takes.
+// drawBehavior draws how the next request is answered and how long its work takes.
 func (s *server) drawBehavior() (behavior, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,14 +134,14 @@
 	return normal, workTime
 }
 
-// between draws a span.
+// randomDuration draws a duration with the server's own generator.
 func (s *server) randomDuration(shortest, longest time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return shortest + time.Duration(s.rng.Int64N(int64(longest-shortest)+1))
 }
 
-// serve answers one connection.
+// serveConn answers the requests of one connection.
 func (s *server) serveConn(c *net.TCPConn) {
 	connectionID := connectionCount.Add(1)
 	defer func() {
@@ -168,7 +172,7 @@
 			continue
 		}
 		peeked := make(chan struct{})
-		go func() { // the node's end, while the request is worked on
+		go func() { // notices while the request is in progress that the node has closed the connection
 			defer close(peeked)
 			if _, err := reader.Peek(1); err != nil {
 				s.recorder.endAttempt(a)
@@ -177,16 +181,17 @@
 		if !s.answer(c, id, a, peeked) {
 			return
 		}
-		<-peeked // the next request's first byte, or the end
+		<-peeked // the first byte of the next request has arrived, or the connection has ended
 	}
 }
 
+// parseMicroseconds parses a duration such as "1500u".
 func parseMicroseconds(text string) time.Duration {
 	us, _ := strconv.ParseInt(strings.TrimSuffix(text, "u"), 10, 64)
 	return time.Duration(us) * time.Microsecond
 }
 
-// answer answers one request, and says whether the connection goes on.
+// answer answers one request and reports whether the connection stays open.
 func (s *server) answer(c *net.TCPConn, id string, a *attempt, peeked <-chan struct{}) bool {
 	chosen, workTime := s.drawBehavior()
 	if chosen != normal && chosen != miss {
@@ -207,7 +212,7 @@
 		return false
 	case dropShortDeadline:
 		if a.declaredDeadline > 20*time.Millisecond {
-			break // as well
+			break // answered as usual
 		}
 		<-peeked
 		return false
@@ -270,7 +275,7 @@
 	doWork()
 	s.recorder.addCompleteBody(id, body)
 	endAttempt()
-	writeStart := time.Now() // before the write: this process may have no core between it and the next line
+	writeStart := time.Now() // before the write, as this process may be descheduled between the two lines
 	fmt.Fprint(c, response)
 	switch chosen {
 	case answeredTwice:
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -14,7 +14,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// build makes the program with the tag faults. THISTLERUDDER_SOAK_PROGRAM names another one to play.
+// buildProgram builds the program with the tag faults and returns its path. THISTLERUDDER_SOAK_PROGRAM names a program to use
+// instead.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	if path := os.Getenv("THISTLERUDDER_SOAK_PROGRAM"); path != "" {
@@ -28,7 +29,8 @@
 	return path
 }
 
-// Dozens of nodes under overlapping troubles keep the rules. THISTLERUDDER_SOAK_SEED and THISTLERUDDER_SOAK_SECONDS play another run.
+// No request violates a rule while faults of dozens of nodes, of servers and of discovery overlap. THISTLERUDDER_SOAK_SEED and
+// THISTLERUDDER_SOAK_SECONDS select another run.
 func TestNodesKeepTheRulesUnderTroubles(t *testing.T) {
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
@@ -47,23 +49,24 @@
 	}
 	checkResult(t, result, seed)
 	if checked := result.Requests - result.Inconclusive; checked < result.Requests/2 || checked < 1000 {
-		t.Errorf("only %d of %d requests could be judged", checked, result.Requests)
+		t.Errorf("only %d of %d requests could be checked", checked, result.Requests)
 	}
 }
 
-// kept says that a run kept the rules, and served enough of its requests to show anything.
+// checkResult fails the test if the run violated a rule, or served less than half of its requests and so shows little.
 func checkResult(t *testing.T, result Result, seed uint64) {
 	t.Helper()
 	t.Log(result.Summary())
 	if len(result.Violations) > 0 {
-		t.Errorf("%d breaks of the rules; the run again: seed %d", len(result.Violations), seed)
+		t.Errorf("%d violations of the rules; repeat the run with seed %d", len(result.Violations), seed)
 	}
 	if counts := result.Outcomes; counts["served"] < result.Requests/2 {
 		t.Errorf("only %d of %d requests were served", counts["served"], result.Requests)
 	}
 }
 
-// The same with calls of the kernel that fail in the nodes at all times, as their manual pages document: one in fifty, several at once.
+// No request violates a rule while one in fifty system calls of the nodes fails, several at once, in a way that its manual page
+// documents.
 func TestNodesKeepTheRulesWhileCallsFail(t *testing.T) {
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
@@ -76,7 +79,7 @@
 	checkResult(t, result, seed)
 }
 
-// The judge says so where a safeguard is taken out of the nodes: one that never spoke would prove nothing.
+// The checks find a violation if a safeguard of the nodes is disabled. A check that never fails would prove nothing.
 func TestTheJudgeMissesEachSafeguard(t *testing.T) {
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
@@ -92,14 +95,14 @@
 				t.Fatal(err)
 			}
 			if !slices.ContainsFunc(result.Violations, func(v Violation) bool { return v.Rule == rule }) {
-				t.Errorf("no break of %q was seen:\n%s", rule, result.Summary())
+				t.Errorf("no violation of %q was found:\n%s", rule, result.Summary())
 			}
 		})
 	}
 }
 
-// What one node needs grows with the cache servers and nodes no more than the operators allow: at 4 and 16 times the usual 200, and three times the
-// usual 300 nodes.
+// The resource usage of one node stays within the limits of the operators as the fleet grows, to 4 and 16 times the usual 200 cache
+// servers and three times the usual 300 nodes.
 func TestANodeGrowsWithinItsLimits(t *testing.T) {
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: processes that are measured, as .ci/run plays them by themselves")
--- a/internal/soaktest/usage.go
+++ b/internal/soaktest/usage.go
@@ -12,36 +12,38 @@
 	"time"
 )
 
-// Size is what one node needed over a day of so many cache servers, in a fleet of so many nodes.
+// ResourceUsage is what one node used in a run with a number of cache servers, and with settings for a number of nodes.
 type ResourceUsage struct {
 	Caches         int
 	Nodes          int
-	CPU            time.Duration // user's and system's, from readiness to the end
-	PeakMemoryKB   int           // the peak
-	MaxDescriptors int           // the most that were open at a look
-	Connections    int64         // made to cache servers
-	ListBytes      int64         // of answers from discovery while it told changes
-	ServedShare    float64       // share of the requests
+	CPU            time.Duration // user and system time of the process since its start
+	PeakMemoryKB   int           // peak resident memory
+	MaxDescriptors int           // most open file descriptors in any sample
+	Connections    int64         // opened to the stand-ins of servers
+	ListBytes      int64         // of discovery responses during the measurement
+	ServedShare    float64       // share of the requests that were answered with 200
 }
 
 const (
-	standInCount           = 8                      // processes' worth of stand-ins behind all ids
-	usageClients           = 8                      // of the one node
-	replacementInterval    = 300 * time.Millisecond // discovery tells changes so often
-	replacedShare          = 0.6                    // of the cache servers are replaced
-	replacementDuration    = 7 * time.Second
+	standInCount           = 8                      // cache server stand-ins, which share the entries of the list
+	usageClients           = 8                      // clients of the node
+	replacementInterval    = 300 * time.Millisecond // time between two changes of the list
+	replacedShare          = 0.6                    // share of the cache servers that are replaced
+	replacementDuration    = 7 * time.Second        // from the first change of the list to the last
 	descriptorPollInterval = 50 * time.Millisecond
 )
 
-// Grow plays a day of one node before so many cache servers, of which six in ten are replaced within 7 s. Its settings tell it of so many nodes. The
-// traffic is the same at each size.
+// MeasureUsage measures the resource usage of one node for a duration. The endpoint list has the given number of cache servers, of
+// which replacedShare are replaced within replacementDuration. The node's settings name the given number of nodes. The traffic does
+// not depend on either number.
 func MeasureUsage(ctx context.Context, program string, caches, nodes int, duration time.Duration) (usage ResourceUsage, err error) {
 	folder, err := os.MkdirTemp("", "growth")
 	if err != nil {
 		return usage, err
 	}
 	defer os.RemoveAll(folder)
-	tb := &testbed{plan: Plan{Program: program, Nodes: nodes, Seed: 1, measuresUsage: true}, settings: drawSettings(rand.New(rand.NewPCG(2, 1))), folder: folder, recorder: newRecorder(),
+	tb := &testbed{plan: Plan{Program: program, Nodes: nodes, Seed: 1, measuresUsage: true},
+		settings: drawSettings(rand.New(rand.NewPCG(2, 1))), folder: folder, recorder: newRecorder(),
 		faultCounts: &counters{counts: map[string]int{}}, servers: map[string]*server{}}
 	tb.discovery = newDiscovery(tb.recorder)
 	if err := tb.startStandInsFor(caches); err != nil {
@@ -62,7 +64,7 @@
 	return usage, err
 }
 
-// standFor starts stand-ins of so many cache servers, several ids to each, and of the origin.
+// startStandInsFor starts standInCount stand-ins, divides the entries of all cache servers among them, and starts the origin.
 func (tb *testbed) startStandInsFor(caches int) error {
 	for n := range standInCount + 1 {
 		s := newServer(fmt.Sprintf("c%d", n), n == standInCount, tb.recorder, tb.faultCounts, uint64(n))
@@ -79,11 +81,12 @@
 	return nil
 }
 
+// cacheEntry returns the list entry of cache server n.
 func (tb *testbed) cacheEntry(n int) entry {
 	return entry{ID: fmt.Sprintf("cache-%05d", n), Address: tb.servers[fmt.Sprintf("c%d", n%standInCount)].address(), Kind: "cache", State: "Ready"}
 }
 
-// grow lets the clients call while cache servers are replaced, and measures the node's process.
+// measureUsage runs the clients while cache servers are replaced, and measures the node's process.
 func (tb *testbed) measureUsage(ctx context.Context, nd *node, caches int, duration time.Duration) (ResourceUsage, error) {
 	usage := ResourceUsage{Caches: caches}
 	pid := nd.process.cmd.Process.Pid
@@ -114,7 +117,7 @@
 	}
 }
 
-// replaceMost replaces six in ten of the cache servers by others, a part in each period.
+// replaceCaches replaces replacedShare of the cache servers by new ones, an equal part at each replacementInterval.
 func (tb *testbed) replaceCaches(caches int, done <-chan struct{}) {
 	steps := int(replacementDuration / replacementInterval)
 	replaced := int(replacedShare * float64(caches))
@@ -135,7 +138,7 @@
 	}
 }
 
-// served gives the share of the requests that were.
+// servedShare returns the share of the requests that were answered with 200.
 func (rec *recorder) servedShare() float64 {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -148,14 +151,14 @@
 	return float64(n) / float64(max(1, len(rec.requests)))
 }
 
-// ticksASecond is the unit of processor times in /proc, the same on all of Linux's machines.
+// clockTicksPerSecond is the unit of processor times in /proc. It is the same on all platforms of Linux.
 const clockTicksPerSecond = 100
 
-// spent gives a process's processor time.
+// cpuTime returns the user and system time of a process.
 func cpuTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	const user, system = 11, 12 // counted from the state
+	const user, system = 11, 12 // index of the fields, counted from the state
 	if len(fields) <= system {
 		return 0
 	}
@@ -164,7 +167,7 @@
 	return time.Duration(u+s) * time.Second / clockTicksPerSecond
 }
 
-// peak gives the most memory that a process has had.
+// peakMemoryKB returns the peak resident memory of a process.
 func peakMemoryKB(pid int) int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(text)) {
@@ -176,7 +179,8 @@
 	return 0
 }
 
-// Allowed says what of a size passes what may grow over the usual one, as the operators' page has it; empty: nothing.
+// ExceededLimits returns the resources of which the usage exceeds the limits that the operators set relative to a baseline, with their
+// values. It is empty if there are none.
 func (u ResourceUsage) ExceededLimits(baseline ResourceUsage) (exceeded []string) {
 	thousands := float64(u.Caches) / 1000
 	check := func(resource string, got, limit float64) {
@@ -189,11 +193,11 @@
 	check("descriptors", float64(u.MaxDescriptors), 2*float64(baseline.MaxDescriptors)+40)
 	check("connections", float64(u.Connections), 2.5*float64(baseline.Connections)+40)
 	check("KB of lists", float64(u.ListBytes)/1024, 2*float64(baseline.ListBytes)/1024+64+500*thousands)
-	check("not served beside the usual", 1-u.ServedShare, 1-0.85*baseline.ServedShare)
+	check("share of requests not served", 1-u.ServedShare, 1-0.85*baseline.ServedShare)
 	return exceeded
 }
 
-// String tells a size in a line.
+// String returns the usage as one line.
 func (u ResourceUsage) String() string {
 	return fmt.Sprintf("%d cache servers, %d nodes: %.2f s of processor, %d MB, %d descriptors, %d connections, %d KB of lists, %.3f served", u.Caches, u.Nodes,
 		u.CPU.Seconds(), u.PeakMemoryKB/1024, u.MaxDescriptors, u.Connections, u.ListBytes/1024, u.ServedShare)
