--- a/tools/knownred/evaluate.go
+++ b/tools/knownred/evaluate.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// linesMost bounds the list: it is for faults that a sitting could not mend, and the next one mends first.
+// maxKnownFailures bounds the list. It is for faults that could not be fixed when they were found, and that are fixed before other work.
 const maxKnownFailures = 3
 
-// line names a test that may be red for now.
+// knownFailure is a line of the list: a test that may fail for now, the cause, and the number of its issue.
 type knownFailure struct{ Package, Test, Cause, Issue string }
 
+// String returns the package and the test.
 func (k knownFailure) String() string { return k.Package + " " + k.Test }
 
-// covers says whether a failure of a test is that of the line's, or of a part of it.
+// covers reports whether a test is the listed one or one of its subtests.
 func (k knownFailure) covers(pkg, testName string) bool {
 	return pkg == k.Package && (testName == k.Test || strings.HasPrefix(testName, k.Test+"/"))
 }
 
 var lineFormat = regexp.MustCompile(`^(\S+) (\S+): (.*\S); issue (\d+)$`)
 
-// parse reads the list. Empty lines are left out.
+// parseList parses the list. It skips empty lines.
 func parseList(text string) (known []knownFailure, err error) {
 	seen := map[string]bool{}
 	for i, line := range strings.Split(text, "\n") {
@@ -46,47 +47,47 @@
 	return known, nil
 }
 
-// event is what go test -json says, one a line.
+// event is an event that go test -json prints as one line.
 type event struct {
 	Action, Package, Test, Output string
 	FailedBuild                   string
 }
 
-// outcome is how a test ended in a run. The worse one stands where it ran more than once.
+// outcome is how a test ended in a run, from best to worst. If a test ran more than once, its worst outcome counts.
 type outcome int
 
 const (
-	absent outcome = iota // there is none of that name, or the run did not ask for it
+	absent outcome = iota // no test of that name exists, or the run did not select it
 	skipped
 	passed
-	unfinished // it began, and the process was gone before it ended
+	unfinished // the test started, and the process ended before the test did
 	failed
 )
 
 var outcomeByAction = map[string]outcome{"run": unfinished, "skip": skipped, "pass": passed, "fail": failed}
 
-// packet is what a run knows of a package.
+// packageResult holds the results of a package in a run.
 type packageResult struct {
 	outcomes    map[string]outcome
-	startOrder  []string        // its tests, in the order of their starts
-	wroteOutput map[string]bool // tests that wrote something themselves, beside go test's framing
+	startOrder  []string        // names of its tests, in the order in which they started
+	wroteOutput map[string]bool // tests that wrote output of their own, which excludes the framing lines of go test
 	failed      bool
-	buildFailed bool   // it could not be built
-	lastOutput  string // what the test process itself wrote last
+	buildFailed bool   // the package could not be built
+	lastOutput  string // last output of the test process itself
 }
 
-// run gathers what a run of go test told.
+// testRun collects the events of a run of go test.
 type testRun struct {
 	packages     map[string]*packageResult
-	packageNames []string // of packages, in the order in which they came
+	packageNames []string // in the order of their first events
 }
 
 var framingLine = regexp.MustCompile(`^\s*(=== (RUN|PAUSE|CONT|NAME) |--- (FAIL|PASS|SKIP): )`)
 
-// add takes one more event.
+// add adds an event.
 func (r *testRun) add(e event) {
 	if e.Package == "" {
-		return // of a build: the package's own end tells that it failed
+		return // an event of a build; if it fails, the last event of the package says so
 	}
 	p := r.packages[e.Package]
 	if p == nil {
@@ -115,7 +116,7 @@
 	}
 }
 
-// verdict says what decides against a run that ended with a code, and how each listed test ended in it.
+// evaluate returns the failures that the list does not cover, and the outcome of each listed test. The run ended with exitCode.
 func (r *testRun) evaluate(known []knownFailure, exitCode int) (problems []string, outcomes []outcome) {
 	outcomes = make([]outcome, len(known))
 	for i, k := range known {
@@ -140,7 +141,7 @@
 		case p.buildFailed:
 			problems = append(problems, name+" could not be built")
 		case p.lastOutput != "FAIL\n":
-			// A panic, a time-out or an exit takes the tests along that had not begun: nobody knows how they are.
+			// After a panic, a timeout or an exit the tests that had not started have no outcome.
 			problems = append(problems, name+" did not run to its end")
 		case !anyFailed:
 			problems = append(problems, name+" failed, and no test says why")
@@ -153,8 +154,8 @@
 	return problems, outcomes
 }
 
-// excused says whether a listed test accounts for a failure. A listed part fails its whole along with it; that is passed
-// over only where the whole has written nothing itself, since one that failed of its own would have said so.
+// explainedByList reports whether a listed test accounts for a failure. A listed subtest that fails makes its parent fail too. This
+// is accepted only if the parent wrote no output of its own, because a parent that failed for another reason would have.
 func (p *packageResult) explainedByList(known []knownFailure, pkg, test string) bool {
 	for _, k := range known {
 		listedSubtestFailed := pkg == k.Package && strings.HasPrefix(k.Test, test+"/") && p.outcomes[k.Test] == failed && !p.wroteOutput[test]
@@ -165,8 +166,8 @@
 	return false
 }
 
-// settle says which lines must go, by the outcomes in all runs. A line stands as long as its test is red in one of them: what
-// is red only under the race detector, or only without, is still a fault to be mended.
+// staleLines returns the lines to remove, given the outcomes of all runs. A line stays as long as its test fails in one of them: a
+// test that fails only under the race detector, or only without it, still shows a fault.
 func staleLines(known []knownFailure, runs [][]outcome) (problems []string) {
 	for i, k := range known {
 		worst := absent
@@ -175,11 +176,11 @@
 		}
 		switch worst {
 		case absent:
-			problems = append(problems, k.String()+" is listed, and there is no such test in any run")
+			problems = append(problems, k.String()+" is listed, but there is no such test in any run")
 		case skipped:
-			problems = append(problems, k.String()+" is listed, and was skipped wherever it was asked for")
+			problems = append(problems, k.String()+" is listed, but was skipped in each run that selected it")
 		case passed:
-			problems = append(problems, k.String()+" is listed, and passed in each run: take its line out")
+			problems = append(problems, k.String()+" is listed, but passed in each run: remove its line")
 		}
 	}
 	return problems
--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -12,6 +12,7 @@
 	"testing/quick"
 )
 
+// The list accepts lines of the expected form, and rejects others, repeated tests and too many tests.
 func TestParseListRejectsInvalidLines(t *testing.T) {
 	const good = "m/a TestBad: the wait is too long; issue 37\n"
 	known, err := parseList("\n" + good + "\n")
@@ -19,7 +20,7 @@
 		t.Errorf("got %+v, %v", known, err)
 	}
 	if known, err := parseList(" \n\n"); err != nil || len(known) != 0 {
-		t.Errorf("an empty list: got %+v, %v", known, err)
+		t.Errorf("empty list: got %+v, %v", known, err)
 	}
 	for _, c := range []struct{ text, want string }{
 		{"m/a TestBad\n", "line 1: expected"},
@@ -37,7 +38,8 @@
 	}
 }
 
-// told makes a run of lines like "fail m/a TestBad", "says m/a TestBad words" and "ends m/a" (with FAIL).
+// newTestRun returns a run with the events of the steps. A step is an action, a package and a test, such as "fail m/a TestBad". The
+// step "says m/a TestBad words" is output of the test, "unbuilt m/a" a failed build, and "ends m/a" a package that ends with FAIL.
 func newTestRun(steps ...string) *testRun {
 	r := &testRun{}
 	for _, step := range steps {
@@ -61,6 +63,7 @@
 	return r
 }
 
+// Of the failures in a run, exactly those are reported that the list does not cover.
 func TestEvaluateReportsUnlistedFailures(t *testing.T) {
 	bad, subtest := knownFailure{"m/a", "TestBad", "c", "1"}, knownFailure{"m/a", "TestSub/x", "c", "1"}
 	for _, c := range []struct {
@@ -68,53 +71,53 @@
 		known    []knownFailure
 		run      *testRun
 		exitCode int
-		want     []string // faults
-		outcome  outcome  // of the first line
+		want     []string // failures reported
+		outcome  outcome  // of the first listed test
 	}{
-		{"all is well", nil, newTestRun("run m/a TestBad", "pass m/a TestBad", "pass m/a"), 0, nil, absent},
-		{"nothing is passed over without a list", nil, newTestRun("run m/a TestBad", "fail m/a TestBad", "ends m/a"), 1, []string{"m/a TestBad failed"}, absent},
-		{"a listed test is", []knownFailure{bad}, newTestRun("run m/a TestBad", "fail m/a TestBad", "ends m/a"), 1, nil, failed},
-		{"another beside it decides", []knownFailure{bad}, newTestRun("run m/a TestBad", "fail m/a TestBad", "run m/a TestB", "fail m/a TestB", "ends m/a"), 1,
+		{"passing test, no list", nil, newTestRun("run m/a TestBad", "pass m/a TestBad", "pass m/a"), 0, nil, absent},
+		{"failing test, no list", nil, newTestRun("run m/a TestBad", "fail m/a TestBad", "ends m/a"), 1, []string{"m/a TestBad failed"}, absent},
+		{"listed test fails", []knownFailure{bad}, newTestRun("run m/a TestBad", "fail m/a TestBad", "ends m/a"), 1, nil, failed},
+		{"unlisted test fails beside a listed one", []knownFailure{bad}, newTestRun("run m/a TestBad", "fail m/a TestBad", "run m/a TestB", "fail m/a TestB", "ends m/a"), 1,
 			[]string{"m/a TestB failed"}, failed},
-		{"a longer name is another test", []knownFailure{bad}, newTestRun("run m/a TestBadly", "fail m/a TestBadly", "ends m/a"), 1, []string{"m/a TestBadly failed"}, absent},
-		{"the same name in another package is another test", []knownFailure{bad}, newTestRun("run m/b TestBad", "fail m/b TestBad", "ends m/b"), 1,
+		{"test whose name begins with a listed one", []knownFailure{bad}, newTestRun("run m/a TestBadly", "fail m/a TestBadly", "ends m/a"), 1, []string{"m/a TestBadly failed"}, absent},
+		{"same name in another package", []knownFailure{bad}, newTestRun("run m/b TestBad", "fail m/b TestBad", "ends m/b"), 1,
 			[]string{"m/b TestBad failed"}, absent},
-		{"another package's fault decides", []knownFailure{bad}, newTestRun("run m/a TestBad", "fail m/a TestBad", "ends m/a", "run m/b T", "fail m/b T", "ends m/b"), 1,
+		{"unlisted test of another package fails", []knownFailure{bad}, newTestRun("run m/a TestBad", "fail m/a TestBad", "ends m/a", "run m/b T", "fail m/b T", "ends m/b"), 1,
 			[]string{"m/b T failed"}, failed},
-		{"a listed test may pass in one run", []knownFailure{bad}, newTestRun("run m/a TestBad", "pass m/a TestBad", "pass m/a"), 0, nil, passed},
-		{"or be skipped", []knownFailure{bad}, newTestRun("run m/a TestBad", "skip m/a TestBad", "pass m/a"), 0, nil, skipped},
-		{"its parts are its own", []knownFailure{bad}, newTestRun("run m/a TestBad", "run m/a TestBad/x", "fail m/a TestBad/x", "fail m/a TestBad", "ends m/a"), 1, nil, failed},
-		{"a listed part fails its whole", []knownFailure{subtest}, newTestRun("run m/a TestSub", "run m/a TestSub/x", "fail m/a TestSub/x",
+		{"listed test passes", []knownFailure{bad}, newTestRun("run m/a TestBad", "pass m/a TestBad", "pass m/a"), 0, nil, passed},
+		{"listed test is skipped", []knownFailure{bad}, newTestRun("run m/a TestBad", "skip m/a TestBad", "pass m/a"), 0, nil, skipped},
+		{"subtest of a listed test fails", []knownFailure{bad}, newTestRun("run m/a TestBad", "run m/a TestBad/x", "fail m/a TestBad/x", "fail m/a TestBad", "ends m/a"), 1, nil, failed},
+		{"parent of a listed subtest fails without output", []knownFailure{subtest}, newTestRun("run m/a TestSub", "run m/a TestSub/x", "fail m/a TestSub/x",
 			"says m/a TestSub --- FAIL: TestSub (0.00s)", "fail m/a TestSub", "ends m/a"), 1, nil, failed},
-		{"a part beside a listed one decides", []knownFailure{subtest}, newTestRun("run m/a TestSub", "run m/a TestSub/x", "fail m/a TestSub/x",
+		{"unlisted subtest fails beside a listed one", []knownFailure{subtest}, newTestRun("run m/a TestSub", "run m/a TestSub/x", "fail m/a TestSub/x",
 			"run m/a TestSub/y", "fail m/a TestSub/y", "fail m/a TestSub", "ends m/a"), 1, []string{"m/a TestSub/y failed"}, failed},
-		{"a whole that says something itself decides", []knownFailure{subtest}, newTestRun("run m/a TestSub", "run m/a TestSub/x", "fail m/a TestSub/x",
+		{"parent of a listed subtest fails with output of its own", []knownFailure{subtest}, newTestRun("run m/a TestSub", "run m/a TestSub/x", "fail m/a TestSub/x",
 			"says m/a TestSub     a_test.go:5: too many", "fail m/a TestSub", "ends m/a"), 1, []string{"m/a TestSub failed"}, failed},
-		{"a whole that fails without its listed part decides", []knownFailure{subtest}, newTestRun("run m/a TestSub", "run m/a TestSub/x", "pass m/a TestSub/x",
+		{"parent fails though its listed subtest passes", []knownFailure{subtest}, newTestRun("run m/a TestSub", "run m/a TestSub/x", "pass m/a TestSub/x",
 			"fail m/a TestSub", "ends m/a"), 1, []string{"m/a TestSub failed"}, passed},
-		{"a build that fails decides", []knownFailure{bad}, newTestRun("unbuilt m/a"), 1, []string{"m/a could not be built"}, absent},
-		{"a panic of a listed test takes its package along", []knownFailure{bad}, newTestRun("run m/a TestBad", "says m/a TestBad panic: x", "fail m/a TestBad", "fail m/a"), 1,
+		{"build fails", []knownFailure{bad}, newTestRun("unbuilt m/a"), 1, []string{"m/a could not be built"}, absent},
+		{"listed test panics", []knownFailure{bad}, newTestRun("run m/a TestBad", "says m/a TestBad panic: x", "fail m/a TestBad", "fail m/a"), 1,
 			[]string{"m/a did not run to its end"}, failed},
-		{"so does a time-out", []knownFailure{bad}, newTestRun("run m/a TestBad", "run m/a TestB", "says m/a TestBad panic: test timed out", "fail m/a"), 1,
+		{"listed test times out", []knownFailure{bad}, newTestRun("run m/a TestBad", "run m/a TestB", "says m/a TestBad panic: test timed out", "fail m/a"), 1,
 			[]string{"m/a TestBad did not end", "m/a TestB did not end", "m/a did not run to its end"}, unfinished},
-		{"an exit in the middle too", []knownFailure{bad}, newTestRun("run m/a TestBad", "fail m/a TestBad", "run m/a TestB", "fail m/a"), 1,
+		{"process exits during a test", []knownFailure{bad}, newTestRun("run m/a TestBad", "fail m/a TestBad", "run m/a TestB", "fail m/a"), 1,
 			[]string{"m/a TestB did not end", "m/a did not run to its end"}, failed},
-		{"red once of several times is red", nil, newTestRun("run m/a T", "fail m/a T", "run m/a T", "pass m/a T", "ends m/a"), 1, []string{"m/a T failed"}, absent},
-		{"a package that fails after its tests decides", []knownFailure{bad}, newTestRun("run m/a TestBad", "pass m/a TestBad", "ends m/a"), 1,
+		{"test fails once and passes once", nil, newTestRun("run m/a T", "fail m/a T", "run m/a T", "pass m/a T", "ends m/a"), 1, []string{"m/a T failed"}, absent},
+		{"package fails after its tests pass", []knownFailure{bad}, newTestRun("run m/a TestBad", "pass m/a TestBad", "ends m/a"), 1,
 			[]string{"m/a failed, and no test says why"}, passed},
-		{"so does go test that says nothing", []knownFailure{bad}, newTestRun(), 2, []string{"go test ended with 2, and no test says why"}, absent},
+		{"go test fails without output", []knownFailure{bad}, newTestRun(), 2, []string{"go test ended with 2, and no test says why"}, absent},
 	} {
 		problems, outcomes := c.run.evaluate(c.known, c.exitCode)
 		if !slices.Equal(problems, c.want) {
 			t.Errorf("%s: got %q, want %q", c.name, problems, c.want)
 		}
 		if len(c.known) > 0 && outcomes[0] != c.outcome {
-			t.Errorf("%s: its test %s, want %s", c.name, outcomeNames[outcomes[0]], outcomeNames[c.outcome])
+			t.Errorf("%s: the listed test %s, want %s", c.name, outcomeNames[outcomes[0]], outcomeNames[c.outcome])
 		}
 	}
 }
 
-// Whatever some tests of some packages do, what is not listed and failed, or did not end, is named, and nothing else is.
+// In random runs, exactly those failures are reported that are not listed.
 func TestEvaluateRandomRunsReportsUnlistedFailures(t *testing.T) {
 	check := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
@@ -154,7 +157,7 @@
 	}
 }
 
-// A line stands as long as its test is red in one of CI's runs.
+// A line is stale unless its test fails in one of the runs.
 func TestStaleLinesReported(t *testing.T) {
 	for _, c := range []struct {
 		runs []outcome
@@ -187,7 +190,8 @@
 	}
 }
 
-// The go command itself: what it says of a red test, a panic and a build that fails is what the cases above take for granted.
+// The go command reports a failing test, a panic and a failed build in the form that the cases above assume. If a Go release
+// changed that form, knownred could misjudge a run.
 func TestGoCommandOutputEvaluated(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -205,7 +209,7 @@
 	write("b/b_test.go", "package b\nimport \"testing\"\nfunc TestDies(t *testing.T) { panic(\"gone\") }\nfunc TestLater(t *testing.T) {}\n")
 	write("c/c_test.go", "package c\nimport \"testing\"\nfunc TestX(t *testing.T) { nothing() }\n")
 	t.Chdir(dir)
-	t.Setenv("GOFLAGS", "") // not CI's: there is no module to read
+	t.Setenv("GOFLAGS", "") // CI's flags are not inherited: this module has no dependencies to read
 	t.Setenv("GOWORK", "off")
 	runList := func(list string, args ...string) (string, error) {
 		write("list", list)
@@ -221,13 +225,13 @@
 		}
 	}
 	if err != nil || strings.Contains(output, "not to be seen") {
-		t.Errorf("a listed red test: %v, printed %q", err, output)
+		t.Errorf("failing listed test: %v, printed %q", err, output)
 	}
 	if err := checkList("list", "outcomes", &bytes.Buffer{}); err != nil {
-		t.Errorf("its line is true: %v", err)
+		t.Errorf("the listed test still fails: %v", err)
 	}
 	if _, err := runList("", "./a"); err == nil || !strings.Contains(err.Error(), "m/a TestBad failed") {
-		t.Errorf("an empty list: %v", err)
+		t.Errorf("empty list: %v", err)
 	}
 	output, err = runList(listedTest+"m/b TestDies: c; issue 1\nm/c TestX: c; issue 1\n", "./...")
 	for _, want := range []string{"m/b did not run to its end", "m/c could not be built"} {
@@ -239,12 +243,12 @@
 		t.Errorf("printed %q", output)
 	}
 	if output, err = runList(listedTest, "./none"); err == nil {
-		t.Errorf("no such package: it passed and printed %q", output)
+		t.Errorf("no such package: passed and printed %q", output)
 	}
 	if output, err = runList(listedTest, "-run", "TestGood", "./a"); err != nil || !strings.Contains(output, "ok  \tm/a\t") {
-		t.Errorf("all is well: %v, printed %q", err, output)
+		t.Errorf("passing test: %v, printed %q", err, output)
 	}
 	if err := runTests("list", "outcomes", []string{"go", "vet", "./a"}, &bytes.Buffer{}); err == nil {
-		t.Error("go vet was taken for go test")
+		t.Error("go vet was accepted as go test")
 	}
 }
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,10 +1,10 @@
-// Command knownred lets CI pass over the tests that are known to be red, and over nothing else.
+// Command knownred runs go test in CI and ignores failures of the tests that are known to fail, but no others.
 //
 //	knownred run KNOWN-RED.txt OUTCOMES go test ./...
 //	knownred settle KNOWN-RED.txt OUTCOMES
 //
-// The first runs go test, prints what it prints, and decides by all tests but the listed ones, whose outcomes it adds to
-// a file. After the last run the second finds the lines that are no longer true.
+// The first form runs go test, prints its output, and fails if a test that is not listed fails. It appends the outcomes of the
+// listed tests to the file OUTCOMES. The second form, after the last run, fails if a listed test no longer fails in any run.
 package main
 
 import (
@@ -23,10 +23,10 @@
 
 func main() {
 	root := &cobra.Command{Use: "knownred", SilenceUsage: true, SilenceErrors: true}
-	runCmd := &cobra.Command{Use: "run LIST OUTCOMES go test ...", Short: "Run go test; the listed tests don't decide", Args: cobra.MinimumNArgs(4),
+	runCmd := &cobra.Command{Use: "run LIST OUTCOMES go test ...", Short: "Run go test and ignore failures of the listed tests", Args: cobra.MinimumNArgs(4),
 		RunE: func(_ *cobra.Command, args []string) error { return runTests(args[0], args[1], args[2:], os.Stdout) }}
-	runCmd.Flags().SetInterspersed(false) // flags after the first argument are go test's
-	root.AddCommand(runCmd, &cobra.Command{Use: "settle LIST OUTCOMES", Short: "Find lines that are no longer true", Args: cobra.ExactArgs(2),
+	runCmd.Flags().SetInterspersed(false) // flags after the first argument belong to go test
+	root.AddCommand(runCmd, &cobra.Command{Use: "settle LIST OUTCOMES", Short: "Find listed tests that no longer fail", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error { return checkList(args[0], args[1], os.Stdout) }})
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "known red:", err)
@@ -34,7 +34,7 @@
 	}
 }
 
-// read reads the list.
+// readList reads the list from a file.
 func readList(path string) ([]knownFailure, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -47,7 +47,8 @@
 	return known, nil
 }
 
-// runTests runs go test as told, with -json, and judges it.
+// runTests runs go test with the given arguments and -json, prints its output, and returns an error if a test that is not listed
+// failed.
 func runTests(listPath, outcomesPath string, args []string, w io.Writer) error {
 	known, err := readList(listPath)
 	if err != nil {
@@ -86,14 +87,15 @@
 		}
 	}
 	if len(problems) > 0 {
-		return errors.New("these decide:\n\t" + strings.Join(problems, "\n\t"))
+		return errors.New("failures that the list does not cover:\n\t" + strings.Join(problems, "\n\t"))
 	}
 	return nil
 }
 
+// outcomeNames are the names of outcomes in the output.
 var outcomeNames = map[outcome]string{absent: "was not there", skipped: "was skipped", passed: "passed", unfinished: "did not end", failed: "failed"}
 
-// each reads events, one a line. What is none is printed by the printer as it came.
+// readEvents reads events, one per line, and calls handle for each. A line that is no event becomes output to print.
 func readEvents(r io.Reader, handle func(event)) error {
 	lines := bufio.NewReader(r)
 	for {
@@ -113,14 +115,16 @@
 	}
 }
 
-// printer prints as go test does without -json: closing lines of packages, and all that a failed test said.
+// printer prints what go test prints without -json: the summary lines of packages and the output of failed tests, or with -v all
+// output.
 type printer struct {
 	w       io.Writer
-	verbose bool // -v
-	// said is what tests said that have not ended, by package and test; only one that failed has it printed.
+	verbose bool // go test has the flag -v
+	// pendingOutput is the output of tests that have not ended, by package and test. It is printed when the test fails.
 	pendingOutput map[[2]string][]string
 }
 
+// add prints the event, or keeps its output until the test ends.
 func (p *printer) add(e event) {
 	key := [2]string{e.Package, e.Test}
 	switch {
@@ -133,7 +137,7 @@
 	case e.Action == "output" || e.Action == "build-output":
 		fmt.Fprint(p.w, e.Output)
 	case e.Action == "fail" && e.Test == "":
-		var unfinished [][2]string // tests that had no time to end
+		var unfinished [][2]string // tests that the end of the process interrupted
 		for k := range p.pendingOutput {
 			if k[0] == e.Package {
 				unfinished = append(unfinished, k)
@@ -152,7 +156,7 @@
 	}
 }
 
-// keep adds a run's outcomes to a file, one run a line.
+// appendOutcomes appends the outcomes of a run to a file as one line of JSON.
 func appendOutcomes(path string, outcomes []outcome) error {
 	text, err := json.Marshal(outcomes)
 	if err != nil {
@@ -166,7 +170,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// settleLines judges the lines by all runs.
+// checkList prints the outcomes of each listed test in all runs, and returns an error if one no longer fails in any of them.
 func checkList(listPath, outcomesPath string, w io.Writer) error {
 	known, err := readList(listPath)
 	if err != nil {
@@ -183,7 +187,7 @@
 			return fmt.Errorf("%s: %w", outcomesPath, err)
 		}
 		if len(outcomes) != len(known) {
-			return fmt.Errorf("%s: a run judged %d lines, and the list has %d", outcomesPath, len(outcomes), len(known))
+			return fmt.Errorf("%s: a run has outcomes of %d tests, but the list has %d", outcomesPath, len(outcomes), len(known))
 		}
 		runs = append(runs, outcomes)
 	}
--- a/tools/plots/main.go
+++ b/tools/plots/main.go
@@ -1,4 +1,4 @@
-// Command plots draws the tables that `thistlerudder emulate --budgets` writes, for the docs.
+// Command plots draws the tables that `thistlerudder emulate --budgets` writes as images for the docs.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// draw makes a picture, of the kind that its name ends with, of one experiment of a table.
+// drawExperiment draws one experiment of a table. The extension of the image path selects the image format.
 func drawExperiment(tablePath, experiment, imagePath, title string) error {
 	file, err := os.Open(tablePath)
 	if err != nil {
