--- a/cmd/thistlerudder/soaktest_on.go
+++ b/cmd/thistlerudder/soaktest_on.go
@@ -16,15 +16,15 @@
 	"github.com/thistlerudder/thistlerudder/internal/soaktest"
 )
 
-// trialSoak plays dozens of nodes under overlapping troubles, one run a seed.
+// trialSoak returns the command soak. It runs dozens of nodes while faults overlap, once per seed, and checks each request.
 func trialSoak() *cobra.Command {
-	soakCmd := &cobra.Command{Use: "soak", Args: cobra.NoArgs, Short: "Play nodes under overlapping troubles; exit 0 only if every run kept the rules"}
+	soakCmd := &cobra.Command{Use: "soak", Args: cobra.NoArgs, Short: "Run nodes under overlapping faults; exit 0 only if no run violates a rule"}
 	seeds := soakCmd.Flags().String("seeds", "1-5", "FROM-TO")
-	nodes := soakCmd.Flags().Int("nodes", 30, "how many")
-	duration := soakCmd.Flags().Duration("for", 20*time.Second, "how long each run is")
-	disabledSafeguard := soakCmd.Flags().String("without", "", "a safeguard to take out: the runs should then fail")
-	programPath := soakCmd.Flags().String("program", "", "another build of the program to play; this one if empty")
-	keepLogs := soakCmd.Flags().Bool("keep", false, "keep the nodes' logs of runs that broke a rule")
+	nodes := soakCmd.Flags().Int("nodes", 30, "number of nodes")
+	duration := soakCmd.Flags().Duration("for", 20*time.Second, "duration of each run")
+	disabledSafeguard := soakCmd.Flags().String("without", "", "a safeguard to disable; the runs should then fail")
+	programPath := soakCmd.Flags().String("program", "", "path of the program to run as nodes; this program if empty")
+	keepLogs := soakCmd.Flags().Bool("keep", false, "keep the nodes' logs of runs that violate a rule")
 	soakCmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		from, to, err := seedsOf(*seeds)
 		if err != nil {
@@ -57,7 +57,7 @@
 			}
 		}
 		if failed > 0 {
-			return fmt.Errorf("%d runs broke a rule", failed)
+			return fmt.Errorf("%d runs violated a rule", failed)
 		}
 		return nil
 	}
