--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -14,8 +14,9 @@
 	"github.com/thistlerudder/thistlerudder/internal/kernel"
 )
 
-// build makes the program with the tag faults. THISTLERUDDER_SOAK_PROGRAM names another one to play.
-func build(t *testing.T) string {
+// buildProgram builds the program with the tag faults and returns its path. THISTLERUDDER_SOAK_PROGRAM names a program to use
+// instead.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	if path := os.Getenv("THISTLERUDDER_SOAK_PROGRAM"); path != "" {
 		return path
@@ -28,96 +29,98 @@
 	return path
 }
 
-// Dozens of nodes under overlapping troubles keep the rules. THISTLERUDDER_SOAK_SEED and THISTLERUDDER_SOAK_SECONDS play another run.
+// No request violates a rule while faults of dozens of nodes, of servers and of discovery overlap. THISTLERUDDER_SOAK_SEED and
+// THISTLERUDDER_SOAK_SECONDS select another run.
 func TestNodesKeepTheRulesUnderTroubles(t *testing.T) {
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
 	}
-	seed, span := uint64(1), 12*time.Second
+	seed, duration := uint64(1), 12*time.Second
 	if n, err := strconv.ParseUint(os.Getenv("THISTLERUDDER_SOAK_SEED"), 10, 64); err == nil {
 		seed = n
 	}
 	if n, err := strconv.Atoi(os.Getenv("THISTLERUDDER_SOAK_SECONDS")); err == nil {
-		span = time.Duration(n) * time.Second
+		duration = time.Duration(n) * time.Second
 	}
-	run, err := Play(context.Background(), Plan{Program: build(t), For: span, Seed: seed, Keep: os.Getenv("THISTLERUDDER_SOAK_KEEP") != "",
-		Without: os.Getenv("THISTLERUDDER_SOAK_WITHOUT")})
+	result, err := Run(context.Background(), Plan{Program: buildProgram(t), Duration: duration, Seed: seed, KeepLogs: os.Getenv("THISTLERUDDER_SOAK_KEEP") != "",
+		DisabledSafeguard: os.Getenv("THISTLERUDDER_SOAK_WITHOUT")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept(t, run, seed)
-	if judged := run.Requests - run.Void; judged < run.Requests/2 || judged < 1000 {
-		t.Errorf("only %d of %d requests could be judged", judged, run.Requests)
+	checkResult(t, result, seed)
+	if checked := result.Requests - result.Inconclusive; checked < result.Requests/2 || checked < 1000 {
+		t.Errorf("only %d of %d requests could be checked", checked, result.Requests)
 	}
 }
 
-// kept says that a run kept the rules, and served enough of its requests to show anything.
-func kept(t *testing.T, run Run, seed uint64) {
+// checkResult fails the test if the run violated a rule, or served less than half of its requests and so shows little.
+func checkResult(t *testing.T, result Result, seed uint64) {
 	t.Helper()
-	t.Log(run.Summary())
-	if len(run.Breaks) > 0 {
-		t.Errorf("%d breaks of the rules; the run again: seed %d", len(run.Breaks), seed)
+	t.Log(result.Summary())
+	if len(result.Violations) > 0 {
+		t.Errorf("%d violations of the rules; repeat the run with seed %d", len(result.Violations), seed)
 	}
-	if counts := run.Outcomes; counts["served"] < run.Requests/2 {
-		t.Errorf("only %d of %d requests were served", counts["served"], run.Requests)
+	if counts := result.Outcomes; counts["served"] < result.Requests/2 {
+		t.Errorf("only %d of %d requests were served", counts["served"], result.Requests)
 	}
 }
 
-// The same with calls of the kernel that fail in the nodes at all times, as their manual pages document: one in fifty, several at once.
+// No request violates a rule while one in fifty system calls of the nodes fails, several at once, in a way that its manual page
+// documents.
 func TestNodesKeepTheRulesWhileCallsFail(t *testing.T) {
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
 	}
-	const span, seed = 10 * time.Second, 3
-	run, err := Play(context.Background(), Plan{Program: build(t), For: span, Seed: seed, Env: []string{kernel.RateVariable + "=0.02"}})
+	const duration, seed = 10 * time.Second, 3
+	result, err := Run(context.Background(), Plan{Program: buildProgram(t), Duration: duration, Seed: seed, Env: []string{kernel.RateVariable + "=0.02"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept(t, run, seed)
+	checkResult(t, result, seed)
 }
 
-// The judge says so where a safeguard is taken out of the nodes: one that never spoke would prove nothing.
+// The checks find a violation if a safeguard of the nodes is disabled. A check that never fails would prove nothing.
 func TestTheJudgeMissesEachSafeguard(t *testing.T) {
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
 	}
-	const span, seed = 10 * time.Second, 2
-	program := build(t)
+	const duration, seed = 10 * time.Second, 2
+	program := buildProgram(t)
 	for safeguard, rule := range map[string]string{faults.QuietPeriod: "answer", faults.DrainNews: "drain", faults.ResetIsNoEnd: "answer",
 		faults.MayHaveRun: "duplicate", faults.ToldDeadline: "deadline", faults.AnswerOwed: "lost", faults.OneAttempt: "parallel",
 		faults.ClientLook: "lost"} {
 		t.Run(safeguard, func(t *testing.T) {
-			run, err := Play(context.Background(), Plan{Program: program, For: span, Seed: seed, Without: safeguard})
+			result, err := Run(context.Background(), Plan{Program: program, Duration: duration, Seed: seed, DisabledSafeguard: safeguard})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !slices.ContainsFunc(run.Breaks, func(b Break) bool { return b.Rule == rule }) {
-				t.Errorf("no break of %q was seen:\n%s", rule, run.Summary())
+			if !slices.ContainsFunc(result.Violations, func(v Violation) bool { return v.Rule == rule }) {
+				t.Errorf("no violation of %q was found:\n%s", rule, result.Summary())
 			}
 		})
 	}
 }
 
-// What one node needs grows with the cache servers and nodes no more than the operators allow: at 4 and 16 times the usual 200, and three times the
-// usual 300 nodes.
+// The resource usage of one node stays within the limits of the operators as the fleet grows, to 4 and 16 times the usual 200 cache
+// servers and three times the usual 300 nodes.
 func TestANodeGrowsWithinItsLimits(t *testing.T) {
 	if os.Getenv("THISTLERUDDER_TRIAL") == "" {
 		t.Skip("THISTLERUDDER_TRIAL is not set: processes that are measured, as .ci/run plays them by themselves")
 	}
-	const lasts = 12 * time.Second
-	program := build(t)
-	var usual Size
+	const duration = 12 * time.Second
+	program := buildProgram(t)
+	var baseline ResourceUsage
 	for _, fleet := range []struct{ caches, nodes int }{{200, 300}, {800, 300}, {3200, 300}, {200, 900}, {3200, 900}} {
-		size, err := Grow(context.Background(), program, fleet.caches, fleet.nodes, lasts)
+		usage, err := MeasureUsage(context.Background(), program, fleet.caches, fleet.nodes, duration)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Log(size)
-		if usual.Caches == 0 {
-			usual = size
+		t.Log(usage)
+		if baseline.Caches == 0 {
+			baseline = usage
 		}
-		for _, passed := range size.Allowed(usual) {
-			t.Errorf("%d cache servers, %d nodes: %s", fleet.caches, fleet.nodes, passed)
+		for _, exceeded := range usage.ExceededLimits(baseline) {
+			t.Errorf("%d cache servers, %d nodes: %s", fleet.caches, fleet.nodes, exceeded)
 		}
 	}
 }
