--- /dev/null
+++ b/internal/faulttest/cluster.go
@@ -0,0 +1,363 @@
+package faulttest
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+// Plan is what is played.
+type Plan struct {
+	Program            string // of a build with the tag faults
+	Nodes              int    // 3 of them vote
+	Seed               uint64
+	DisabledSafeguard  string // a safeguard that is taken out; empty: none
+	OnlyFault          string // one kind of fault; empty: all, by chance
+	KeepDir            string // where the histories of broken runs stay; empty: nowhere
+	testBudgets        bool   // budgets are played, not leases
+	lastNodeStandalone bool   // the last process has no fleet
+	Slot               int    // another one for each run that goes on at the same time
+}
+
+const (
+	voterCount       = 3
+	leaseDuration    = 600 * time.Millisecond
+	maxNetworkDelay  = 20 * time.Millisecond
+	maxClockDrift    = 0.01
+	widestClockDrift = 0.2 // the widest bound that a configuration takes
+	bootstrapTimeout = 15 * time.Second
+	startupWait      = 500 * time.Millisecond
+	finalWait        = 1200 * time.Millisecond // after the last fault: two leases
+	faultsPerRun     = 5                       // faults in a run
+	maxProcessDelay  = leaseDuration / 6       // of a process that nobody stopped: beyond, the run tells of the machine
+)
+
+// route identifies the relay from one node to another, by their indexes.
+type route struct{ from, to int }
+
+// world is one run.
+type testCluster struct {
+	plan         Plan
+	program      string
+	dir          string
+	rnd          *rand.Rand
+	nodes        []*clusterNode
+	relays       map[route]*relay // from, to
+	resource     *guardedResource
+	stubBackends *stubBackends
+	faultCounts  map[string]int
+
+	mu           sync.Mutex
+	pauses       []pause
+	holderLosses []holderLoss
+	slowExits    []string      // nodes that took too long to end
+	excusedUntil map[int]int64 // until when a process may fail its clients, by number
+
+	countingBackends *countingBackends // of a run on budgets
+	limits           map[string][]limit
+	loadFocus        atomic.Int32   // what demand is fixed on; 0: it comes as it comes
+	nodeNames        map[int]string // of nodes, by process
+}
+
+// left notes how long a node took to end.
+func (tc *testCluster) recordExit(node *clusterNode, elapsed time.Duration) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	if elapsed > maxExitTime {
+		tc.slowExits = append(tc.slowExits, fmt.Sprintf("%s took %v to end", node.name, elapsed.Round(time.Millisecond)))
+	}
+}
+
+func (tc *testCluster) recordPause(p pause) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	tc.pauses = append(tc.pauses, p)
+}
+
+// ip gives an address of the loopback net that no other run has.
+func (tc *testCluster) ip(host int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 1+tc.plan.Slot%250, host)
+}
+
+const (
+	clientPort     = 7070
+	clusterPort    = 7100
+	firstAdminPort = 7200
+	firstRelayPort = 8000 // and the number of whom it leads to
+)
+
+// setUp lays all out and starts it.
+func (tc *testCluster) setUp(ctx context.Context) (err error) {
+	if tc.resource, err = newGuardedResource(tc.ip(250)+":8600", strings.Contains(tc.plan.DisabledSafeguard, "door-token")); err != nil {
+		return err
+	}
+	discovery := ""
+	if tc.plan.testBudgets {
+		if tc.countingBackends, err = newCountingBackends(tc.ip(251)); err == nil {
+			discovery = tc.countingBackends.discoveryAddr
+		}
+	} else if tc.stubBackends, err = newStubBackends(tc.ip(251)); err == nil {
+		discovery = tc.stubBackends.discoveryAddr
+	}
+	if err != nil {
+		return err
+	}
+	var voters []map[string]string
+	for i := range voterCount {
+		voters = append(voters, map[string]string{"name": fmt.Sprint("n", i), "address": fmt.Sprintf("%s:%d", tc.ip(i+1), clusterPort)})
+	}
+	for i := range tc.plan.Nodes {
+		node := &clusterNode{cluster: tc, index: i, name: fmt.Sprint("n", i), ip: tc.ip(i + 1), configPath: filepath.Join(tc.dir, fmt.Sprintf("n%d.json", i)),
+			pointsDir: filepath.Join(tc.dir, fmt.Sprintf("points%d", i)), clockRate: 1 + (2*tc.rnd.Float64()-1)*maxClockDrift*0.9}
+		drift := maxClockDrift
+		switch tc.plan.OnlyFault {
+		case "clock-bound":
+			drift = widestClockDrift
+			node.clockRate = []float64{1 + widestClockDrift*0.95, 1 - widestClockDrift*0.95}[min(1, i/voterCount)] // those who lead are fast, some that hold slow
+		case "clock-beyond":
+			node.clockRate = []float64{0.6, 1}[i%2] // the lease of a slow one lasts far longer than it thinks
+		}
+		if err := os.Mkdir(node.pointsDir, 0o700); err != nil {
+			return err
+		}
+		routes := map[string]string{}
+		for to := range tc.plan.Nodes {
+			if to == i {
+				continue
+			}
+			target := fmt.Sprintf("%s:%d", tc.ip(to+1), clusterPort)
+			listenAddr := fmt.Sprintf("%s:%d", node.ip, firstRelayPort+to)
+			if tc.relays[route{i, to}], err = newRelay(listenAddr, target); err != nil {
+				return err
+			}
+			routes[target] = listenAddr
+		}
+		clusterConfig := map[string]any{"name": "trial", "address": fmt.Sprintf("%s:%d", node.ip, clusterPort), "voters": voters, "routes": routes,
+			"lease_ms": leaseDuration.Milliseconds(), "delay_ms": maxNetworkDelay.Milliseconds(), "drift": drift,
+			"tasks": []string{"trial", "roll-up", "probe"}, "roll_up_ms": 1000}
+		if i < voterCount {
+			node.folder = filepath.Join(tc.dir, fmt.Sprintf("voter%d", i))
+			clusterConfig["folder"] = node.folder
+		}
+		nodeConfig := map[string]any{"name": node.name, "listen": fmt.Sprintf("%s:%d", node.ip, clientPort),
+			"discovery": discovery, "admin_addr": fmt.Sprintf("%s:%d", node.ip, firstAdminPort), "fleet": clusterConfig,
+			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512},
+			"settings": map[string]any{"models": []string{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1},
+				"permissions": map[string]any{"most-shots": 3},
+				"namespaces":  []map[string]any{{"name": "read", "repeat": "safe", "target-time-ms": 400, "time-limit-ms": 900}}}}
+		if tc.plan.testBudgets {
+			tc.addBudgets(i, nodeConfig, clusterConfig)
+		}
+		if tc.plan.lastNodeStandalone {
+			clusterConfig["tasks"] = []string{"roll-up", "probe"}
+		}
+		if tc.plan.lastNodeStandalone && i == tc.plan.Nodes-1 {
+			delete(nodeConfig, "fleet")
+		}
+		data, _ := json.Marshal(nodeConfig)
+		if err := os.WriteFile(node.configPath, data, 0o600); err != nil {
+			return err
+		}
+		listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", node.ip, clientPort))
+		if err != nil {
+			return err
+		}
+		if node.clientSocket, err = listener.(*net.TCPListener).File(); err != nil {
+			return err
+		}
+		_ = listener.Close()
+		tc.nodes = append(tc.nodes, node)
+		if tc.joinsLate(i) {
+			continue // it comes later, with other papers
+		}
+		if _, _, err := node.start(); err != nil {
+			return err
+		}
+	}
+	for deadline := time.Now().Add(bootstrapTimeout); ; time.Sleep(50 * time.Millisecond) {
+		out, err := tc.runCommand(ctx, 0, "fleet", "found")
+		if err == nil {
+			return nil
+		}
+		if time.Now().After(deadline) || ctx.Err() != nil {
+			return fmt.Errorf("the fleet was not founded: %w: %s", err, out)
+		}
+	}
+}
+
+// command runs the program's own for an operator on a node.
+func (tc *testCluster) runCommand(ctx context.Context, nodeIndex int, args ...string) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
+	defer cancel()
+	cmd := exec.CommandContext(ctx, tc.program, append(args, "--config", tc.nodes[nodeIndex].configPath)...)
+	out, err := cmd.CombinedOutput()
+	return strings.TrimSpace(string(out)), err
+}
+
+// tearDown ends all that the run started, each process by its id.
+func (tc *testCluster) tearDown() {
+	var stopping sync.WaitGroup
+	for _, node := range tc.nodes {
+		stopping.Go(func() {
+			node.signal(syscall.SIGCONT)
+			node.stop(syscall.SIGTERM)
+			_ = node.clientSocket.Close()
+		})
+	}
+	stopping.Wait()
+	for _, r := range tc.relays {
+		r.close()
+	}
+	if tc.resource != nil {
+		_ = tc.resource.server.Close()
+	}
+	if tc.stubBackends != nil {
+		tc.stubBackends.close()
+	}
+	if tc.countingBackends != nil {
+		tc.countingBackends.close()
+	}
+}
+
+// Run is what became of one.
+type Run struct {
+	Seed              uint64
+	Actions           int
+	InjectedFaults    map[string]int // that really struck, by kind
+	FencingViolations int            // overlaps at a door
+	Overlaps          int
+	ExcusedOverlaps   int // overlaps outside a door that nothing promised against
+	FailoverTimes     map[string][]time.Duration
+	Violations        []string
+	VoidReason        string             // why it shows nothing; empty: it does
+	Lookups           int64              // lookups at the nodes meanwhile
+	UnservedLookups   int64              // of those: not answered well, though their node ran
+	FirstUnserved     string             // of the first of them
+	Windows           int                // judged, of budgets
+	Utilization       map[string]float64 // of each whole, over the run
+	PeakShares        map[string]float64 // the most that came in one, as a share of what it may be, by budget
+	HistoryDir        string
+}
+
+// keep lets the history of a run that failed stay where the plan wants it, and removes any other.
+func (tc *testCluster) keepHistory(run *Run, err error, prefix string) {
+	if len(run.Violations) == 0 && err == nil || tc.plan.KeepDir == "" {
+		_ = os.RemoveAll(tc.dir)
+		return
+	}
+	run.HistoryDir = filepath.Join(tc.plan.KeepDir, fmt.Sprintf("%s-%d", prefix, tc.plan.Seed))
+	_ = os.RemoveAll(run.HistoryDir)
+	if errors.Join(os.MkdirAll(tc.plan.KeepDir, 0o700), os.Rename(tc.dir, run.HistoryDir)) != nil {
+		run.HistoryDir = tc.dir
+	}
+}
+
+// Play plays one run.
+func Play(ctx context.Context, plan Plan) (r Run, err error) {
+	r.Seed = plan.Seed
+	tc := &testCluster{plan: plan, program: plan.Program, rnd: rand.New(rand.NewPCG(plan.Seed, 29)), relays: map[route]*relay{},
+		faultCounts: map[string]int{}, excusedUntil: map[int]int64{}}
+	if tc.dir, err = os.MkdirTemp("", "rig-"); err != nil {
+		return r, err
+	}
+	defer func() { tc.keepHistory(&r, err, "seed") }()
+	err = tc.setUp(ctx)
+	done := make(chan struct{})
+	var clients lookupClient
+	var running sync.WaitGroup
+	if err == nil {
+		for _, node := range tc.nodes {
+			running.Go(func() {
+				clients.run(fmt.Sprintf("%s:%d", node.ip, clientPort), done, func(startNs int64) bool {
+					tc.mu.Lock()
+					defer tc.mu.Unlock()
+					return startNs < tc.excusedUntil[node.index]
+				})
+			})
+		}
+		tc.sleep(ctx, startupWait)
+		tc.injectFaults(ctx)
+		tc.sleep(ctx, finalWait)
+	}
+	close(done)
+	running.Wait()
+	tc.tearDown()
+	if err != nil {
+		return r, err
+	}
+	if ctx.Err() != nil {
+		return r, ctx.Err()
+	}
+	history := &history{requests: tc.resource.requests, pauses: tc.pauses, holderLosses: tc.holderLosses, clocksBeyondBound: plan.OnlyFault == "clock-beyond", leaseDuration: leaseDuration}
+	records, _ := filepath.Glob(filepath.Join(tc.dir, "*.record"))
+	for _, path := range records {
+		events, err := readEvents(path)
+		if err != nil {
+			return r, err
+		}
+		history.events = append(history.events, events...)
+	}
+	slices.SortStableFunc(history.events, func(a, b event) int { return int(a.TimeNs - b.TimeNs) })
+	summary, _ := json.Marshal(map[string]any{"passes": len(history.requests), "pauses": fmt.Sprint(history.pauses), "losses": fmt.Sprint(history.holderLosses)})
+	_ = os.WriteFile(filepath.Join(tc.dir, "rig.json"), summary, 0o600)
+	result := history.check()
+	r.Actions, r.InjectedFaults, r.FencingViolations, r.Overlaps, r.ExcusedOverlaps = result.actions, tc.faultCounts, len(result.fencingViolations)+len(result.orderViolations), len(result.overlaps), result.excusedOverlaps
+	r.FailoverTimes, r.Violations = result.failoverTimes, result.violations()
+	r.Lookups, r.UnservedLookups = clients.sent.Load(), clients.unserved.Load()
+	if r.FirstUnserved, _ = clients.firstUnserved.Load().(string); r.UnservedLookups > 0 {
+		r.Violations = append(r.Violations, fmt.Sprintf("%d lookups were not served by nodes that ran; the first: %s", r.UnservedLookups, r.FirstUnserved))
+	}
+	r.Violations = append(append(r.Violations, tc.slowExits...), tc.checkLogs()...)
+	switch {
+	case result.orderUnknown:
+		r.VoidReason = "the order of its askings could not be looked through in time"
+	case result.maxDelay > maxProcessDelay:
+		r.VoidReason = fmt.Sprintf("a process that nobody stopped was %v late: too few cores", result.maxDelay.Round(time.Millisecond))
+	case result.actions == 0:
+		r.VoidReason = "nobody acted"
+	}
+	if r.VoidReason != "" && len(result.fencingViolations)+len(result.orderViolations) == 0 {
+		r.Violations = nil // what is promised outside doors is promised to processes that run
+	}
+	return r, nil
+}
+
+func (tc *testCluster) sleep(ctx context.Context, duration time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(duration):
+	}
+}
+
+// inLogs finds what no process may write: a panic, or a period that is written twice.
+func (tc *testCluster) checkLogs() (violations []string) {
+	writers := map[string]string{}
+	for _, node := range tc.nodes {
+		log, _ := os.ReadFile(filepath.Join(tc.dir, node.name+".log"))
+		for line := range strings.SplitSeq(string(log), "\n") {
+			if strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
+				violations = append(violations, node.name+": "+line)
+			}
+			var rollUp struct{ Msg, Until string }
+			if json.Unmarshal([]byte(line), &rollUp) == nil && rollUp.Msg == "roll-up" {
+				if firstWriter, written := writers[rollUp.Until]; written {
+					violations = append(violations, fmt.Sprintf("the period until %s is written by %s and %s", rollUp.Until, firstWriter, node.name))
+				}
+				writers[rollUp.Until] = node.name
+			}
+		}
+	}
+	return violations
+}
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -17,96 +17,96 @@
 )
 
 // Measured is what a fleet in peace costs.
-type Measured struct {
-	With, Without map[float64]time.Duration // times of lookups by percentile, at a voter and at a node that has no fleet
-	Lookups       int64
-	CPU           map[string]float64 // shares of a core, by node
-	GrowthAnHour  int64              // bytes of a voter's folder
+type ClusterCost struct {
+	VoterLatency, StandaloneLatency map[float64]time.Duration // times of lookups by percentile, at a voter and at a node that has no fleet
+	Lookups                         int64
+	CoreShares                      map[string]float64 // shares of a core, by node
+	FolderBytesPerHour              int64              // bytes of a voter's folder
 }
 
 const (
-	clockTicks = 100 // a second, as the kernel tells processes' times on Linux
-	settle     = 3 * time.Second
+	clockTicksPerSecond = 100 // a second, as the kernel tells processes' times on Linux
+	settleTime          = 3 * time.Second
 )
 
 // Measure starts a fleet without faults, and beside it one node that has none, and asks a voter and that node in turn.
-func Measure(ctx context.Context, plan Plan, span time.Duration) (m Measured, err error) {
-	plan.plain = true
-	w := &world{plan: plan, program: plan.Program, rnd: rand.New(rand.NewPCG(plan.Seed, 29)), links: map[[2]int]*link{},
-		struck: map[string]int{}, touched: map[int]int64{}}
-	if w.folder, err = os.MkdirTemp("", "rig-"); err != nil {
-		return m, err
+func Measure(ctx context.Context, plan Plan, duration time.Duration) (cost ClusterCost, err error) {
+	plan.lastNodeStandalone = true
+	tc := &testCluster{plan: plan, program: plan.Program, rnd: rand.New(rand.NewPCG(plan.Seed, 29)), relays: map[route]*relay{},
+		faultCounts: map[string]int{}, excusedUntil: map[int]int64{}}
+	if tc.dir, err = os.MkdirTemp("", "rig-"); err != nil {
+		return cost, err
 	}
-	defer os.RemoveAll(w.folder)
-	err = w.setUp(ctx)
-	defer w.tearDown()
+	defer os.RemoveAll(tc.dir)
+	err = tc.setUp(ctx)
+	defer tc.tearDown()
 	if err != nil {
-		return m, err
+		return cost, err
 	}
-	w.sleep(ctx, settle)
-	size, used, began := sizeOf(w.processes[0].folder), w.cpu(), time.Now()
-	asked := []*process{w.processes[0], w.processes[plan.Processes-1]}
-	times := []*hdrhistogram.Histogram{hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)}
-	h := &http.Client{Timeout: 2 * time.Second}
-	for i := 0; time.Since(began) < span && ctx.Err() == nil; i++ {
-		p := asked[i%2]
-		r, _ := http.NewRequest("GET", fmt.Sprintf("http://%s:%d/read/k%d", p.ip, clientsPort, i%100), nil)
-		r.Header.Set("X-Trace-Id", fmt.Sprint("m", i))
-		r.Header.Set("X-Expires-In", "700m")
-		from := time.Now()
-		resp, err := h.Do(r)
+	tc.sleep(ctx, settleTime)
+	folderBytes, cpuBefore, start := diskUsage(tc.nodes[0].folder), tc.cpuSeconds(), time.Now()
+	nodes := []*clusterNode{tc.nodes[0], tc.nodes[plan.Nodes-1]}
+	latencies := []*hdrhistogram.Histogram{hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)}
+	client := &http.Client{Timeout: 2 * time.Second}
+	for i := 0; time.Since(start) < duration && ctx.Err() == nil; i++ {
+		node := nodes[i%2]
+		req, _ := http.NewRequest("GET", fmt.Sprintf("http://%s:%d/read/k%d", node.ip, clientPort, i%100), nil)
+		req.Header.Set("X-Trace-Id", fmt.Sprint("m", i))
+		req.Header.Set("X-Expires-In", "700m")
+		sentAt := time.Now()
+		resp, err := client.Do(req)
 		if err != nil {
-			return m, err
+			return cost, err
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
-			return m, fmt.Errorf("%s: %s", p.name, resp.Status)
+			return cost, fmt.Errorf("%s: %s", node.name, resp.Status)
 		}
-		_ = times[i%2].RecordValue(time.Since(from).Microseconds())
-		m.Lookups++
+		_ = latencies[i%2].RecordValue(time.Since(sentAt).Microseconds())
+		cost.Lookups++
 		time.Sleep(time.Millisecond)
 	}
-	took := time.Since(began)
-	m.With, m.Without = map[float64]time.Duration{}, map[float64]time.Duration{}
-	for _, p := range []float64{50, 90, 99} {
-		m.With[p] = time.Duration(times[0].ValueAtPercentile(p)) * time.Microsecond
-		m.Without[p] = time.Duration(times[1].ValueAtPercentile(p)) * time.Microsecond
+	elapsed := time.Since(start)
+	cost.VoterLatency, cost.StandaloneLatency = map[float64]time.Duration{}, map[float64]time.Duration{}
+	for _, percentile := range []float64{50, 90, 99} {
+		cost.VoterLatency[percentile] = time.Duration(latencies[0].ValueAtPercentile(percentile)) * time.Microsecond
+		cost.StandaloneLatency[percentile] = time.Duration(latencies[1].ValueAtPercentile(percentile)) * time.Microsecond
 	}
-	m.GrowthAnHour = int64(float64(sizeOf(w.processes[0].folder)-size) * float64(time.Hour) / float64(took))
-	m.CPU = map[string]float64{}
-	for name, t := range w.cpu() {
-		m.CPU[name] = (t - used[name]) / took.Seconds()
+	cost.FolderBytesPerHour = int64(float64(diskUsage(tc.nodes[0].folder)-folderBytes) * float64(time.Hour) / float64(elapsed))
+	cost.CoreShares = map[string]float64{}
+	for name, t := range tc.cpuSeconds() {
+		cost.CoreShares[name] = (t - cpuBefore[name]) / elapsed.Seconds()
 	}
-	return m, ctx.Err()
+	return cost, ctx.Err()
 }
 
 // sizeOf adds up what a folder's files take on the disk: a store's file is longer than what is written of it.
-func sizeOf(folder string) (sum int64) {
-	_ = filepath.WalkDir(folder, func(_ string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() {
+func diskUsage(folder string) (bytes int64) {
+	_ = filepath.WalkDir(folder, func(_ string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
 			return nil
 		}
-		if i, err := d.Info(); err == nil {
-			if s, ok := i.Sys().(*syscall.Stat_t); ok {
-				sum += s.Blocks * 512
+		if info, err := entry.Info(); err == nil {
+			if stat, ok := info.Sys().(*syscall.Stat_t); ok {
+				bytes += stat.Blocks * 512
 			}
 		}
 		return nil
 	})
-	return sum
+	return bytes
 }
 
 // cpu gives the seconds that each process has had.
-func (w *world) cpu() map[string]float64 {
-	all := map[string]float64{}
-	for _, p := range w.processes {
-		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
-		_, after, _ := strings.Cut(string(text), ") ")
-		if f := strings.Fields(after); len(f) > 12 {
-			user, _ := strconv.Atoi(f[11])
-			system, _ := strconv.Atoi(f[12])
-			all[p.name] = float64(user+system) / clockTicks
+func (tc *testCluster) cpuSeconds() map[string]float64 {
+	seconds := map[string]float64{}
+	for _, node := range tc.nodes {
+		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", node.cmd.Process.Pid))
+		_, afterName, _ := strings.Cut(string(stat), ") ")
+		if fields := strings.Fields(afterName); len(fields) > 12 {
+			userTicks, _ := strconv.Atoi(fields[11])
+			systemTicks, _ := strconv.Atoi(fields[12])
+			seconds[node.name] = float64(userTicks+systemTicks) / clockTicksPerSecond
 		}
 	}
-	return all
+	return seconds
 }
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -11,11 +11,11 @@
 )
 
 // link is one way from a process to another, with all connections on it.
-type link struct {
+type relay struct {
 	listener net.Listener
 	target   string
-	forth    flow // from who dials
-	back     flow
+	toTarget relayDirection // from who dials
+	toDialer relayDirection
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -23,122 +23,122 @@
 
 // flow is one direction of a link. What is held is neither lost nor told of: the connection stays open, as where a
 // machine vanished or a way is cut.
-type flow struct {
-	held  atomic.Bool
-	delay atomic.Int64
+type relayDirection struct {
+	blocked atomic.Bool
+	delayNs atomic.Int64
 }
 
 // chunk is what came in one read, and when it is to go on.
 type chunk struct {
-	bytes []byte
-	due   time.Time
+	data      []byte
+	deliverAt time.Time
 }
 
 const (
-	holdLook   = 2 * time.Millisecond
-	chunksMost = 256 // on the way on one connection; beyond, who sends waits
+	blockedPollInterval = 2 * time.Millisecond
+	maxQueuedChunks     = 256 // on the way on one connection; beyond, who sends waits
 )
 
-func newLink(at, target string) (*link, error) {
-	l, err := net.Listen("tcp", at)
+func newRelay(listenAddr, target string) (*relay, error) {
+	l, err := net.Listen("tcp", listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	k := &link{listener: l, target: target, conns: map[net.Conn]bool{}}
-	go k.serve()
-	return k, nil
+	r := &relay{listener: l, target: target, conns: map[net.Conn]bool{}}
+	go r.serve()
+	return r, nil
 }
 
-func (k *link) serve() {
+func (r *relay) serve() {
 	for {
-		c, err := k.listener.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.join(c)
+		go r.forward(c)
 	}
 }
 
-func (k *link) keep(c net.Conn, is bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if is {
-		k.conns[c] = true
+func (r *relay) track(c net.Conn, open bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if open {
+		r.conns[c] = true
 	} else {
-		delete(k.conns, c)
+		delete(r.conns, c)
 	}
 }
 
-func (k *link) join(c net.Conn) {
-	defer c.Close()
-	k.keep(c, true)
-	defer k.keep(c, false)
-	for k.forth.held.Load() || k.back.held.Load() { // a cut way opens no connection
-		time.Sleep(holdLook)
+func (r *relay) forward(dialer net.Conn) {
+	defer dialer.Close()
+	r.track(dialer, true)
+	defer r.track(dialer, false)
+	for r.toTarget.blocked.Load() || r.toDialer.blocked.Load() { // a cut way opens no connection
+		time.Sleep(blockedPollInterval)
 	}
-	o, err := net.DialTimeout("tcp", k.target, time.Second)
+	upstream, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
-		k.reset(c)
+		r.reset(dialer)
 		return
 	}
-	defer o.Close()
-	k.keep(o, true)
-	defer k.keep(o, false)
-	var both sync.WaitGroup
-	carry := func(to, from net.Conn, f *flow) {
-		defer to.Close()
-		defer from.Close()
-		chunks := make(chan chunk, chunksMost)
-		both.Go(func() {
+	defer upstream.Close()
+	r.track(upstream, true)
+	defer r.track(upstream, false)
+	var copying sync.WaitGroup
+	copyDirection := func(dst, src net.Conn, direction *relayDirection) {
+		defer dst.Close()
+		defer src.Close()
+		chunks := make(chan chunk, maxQueuedChunks)
+		copying.Go(func() {
 			defer close(chunks)
 			for {
-				buf := make([]byte, 16<<10)
-				n, err := from.Read(buf)
+				data := make([]byte, 16<<10)
+				n, err := src.Read(data)
 				if n > 0 {
-					chunks <- chunk{buf[:n], time.Now().Add(time.Duration(f.delay.Load()))}
+					chunks <- chunk{data[:n], time.Now().Add(time.Duration(direction.delayNs.Load()))}
 				}
 				if err != nil {
 					return
 				}
 			}
 		})
-		for x := range chunks {
-			time.Sleep(time.Until(x.due))
-			for f.held.Load() {
-				time.Sleep(holdLook)
+		for c := range chunks {
+			time.Sleep(time.Until(c.deliverAt))
+			for direction.blocked.Load() {
+				time.Sleep(blockedPollInterval)
 			}
-			if _, err := to.Write(x.bytes); err != nil {
-				_ = from.Close()
+			if _, err := dst.Write(c.data); err != nil {
+				_ = src.Close()
 				for range chunks { // until the reader has noticed
 				}
 				return
 			}
 		}
 	}
-	both.Go(func() { carry(o, c, &k.forth) })
-	both.Go(func() { carry(c, o, &k.back) })
-	both.Wait()
+	copying.Go(func() { copyDirection(upstream, dialer, &r.toTarget) })
+	copying.Go(func() { copyDirection(dialer, upstream, &r.toDialer) })
+	copying.Wait()
 }
 
 // reset ends a connection as a reset.
-func (k *link) reset(c net.Conn) {
+func (r *relay) reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-func (k *link) resetAll() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for c := range k.conns {
-		k.reset(c)
+func (r *relay) resetAll() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for c := range r.conns {
+		r.reset(c)
 	}
 }
 
-func (k *link) close() {
-	k.forth.held.Store(false)
-	k.back.held.Store(false)
-	_ = k.listener.Close()
-	k.resetAll()
+func (r *relay) close() {
+	r.toTarget.blocked.Store(false)
+	r.toDialer.blocked.Store(false)
+	_ = r.listener.Close()
+	r.resetAll()
 }
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -15,372 +15,381 @@
 
 // fault is one kind: it strikes, and heals before it returns. It says whether it really struck.
 type fault struct {
-	name, what string
-	of         func(w *world, ctx context.Context, p *process) bool
-	voter      bool // it strikes a voter
+	name, description string
+	inject            func(tc *testCluster, ctx context.Context, node *clusterNode) bool
+	needsVoter        bool // it strikes a voter
 }
 
 const (
-	past       = leaseSpan * 13 / 10 // beyond a lease and all that is added to it
-	brief      = leaseSpan / 2
-	lateAnswer = 95 * time.Millisecond // a little less than a call may take
+	overOneLease  = leaseDuration * 13 / 10 // beyond a lease and all that is added to it
+	halfLease     = leaseDuration / 2
+	responseDelay = 95 * time.Millisecond // a little less than a call may take
 )
 
-var kinds = []fault{
-	{"kill", "SIGKILL, and a start soon after", func(w *world, ctx context.Context, p *process) bool {
-		return w.again(ctx, p, syscall.SIGKILL, brief, nil)
+var leaseFaults = []fault{
+	{"kill", "SIGKILL, and a start soon after", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		return tc.restart(ctx, node, syscall.SIGKILL, halfLease, nil)
 	}, false},
-	{"kill-holder", "the same for whoever holds the lease", func(w *world, ctx context.Context, p *process) bool {
-		return w.again(ctx, w.holder(p), syscall.SIGKILL, past, nil)
+	{"kill-holder", "the same for whoever holds the lease", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		return tc.restart(ctx, tc.lastHolder(node), syscall.SIGKILL, overOneLease, nil)
 	}, false},
-	{"term", "SIGTERM, and a start soon after", func(w *world, ctx context.Context, p *process) bool {
-		return w.again(ctx, p, syscall.SIGTERM, brief, nil)
+	{"term", "SIGTERM, and a start soon after", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		return tc.restart(ctx, node, syscall.SIGTERM, halfLease, nil)
 	}, false},
-	{"stop", "SIGSTOP for longer than a lease, and SIGCONT", func(w *world, _ context.Context, p *process) bool {
-		p = w.holder(p)
-		w.lost("stop", p, past+leaseSpan)
-		return p.stand("", past)
+	{"stop", "SIGSTOP for longer than a lease, and SIGCONT", func(tc *testCluster, _ context.Context, node *clusterNode) bool {
+		node = tc.lastHolder(node)
+		tc.recordHolderLoss("stop", node, overOneLease+leaseDuration)
+		return node.pause("", overOneLease)
 	}, false},
-	{"stop-before-act", "a stop exactly between the check and the act", func(w *world, _ context.Context, p *process) bool {
-		p = w.holder(p)
-		w.touch(p, pointWithin+past+leaseSpan)
-		return p.stand("before-act", past)
+	{"stop-before-act", "a stop exactly between the check and the act", func(tc *testCluster, _ context.Context, node *clusterNode) bool {
+		node = tc.lastHolder(node)
+		tc.excuse(node, pointTimeout+overOneLease+leaseDuration)
+		return node.pause("before-act", overOneLease)
 	}, false},
-	{"stop-in-act", "a stop in the middle of an act that has no door", func(w *world, _ context.Context, p *process) bool {
-		p = w.holder(p)
-		w.touch(p, pointWithin+past+leaseSpan)
-		return p.stand("in-act", past)
+	{"stop-in-act", "a stop in the middle of an act that has no door", func(tc *testCluster, _ context.Context, node *clusterNode) bool {
+		node = tc.lastHolder(node)
+		tc.excuse(node, pointTimeout+overOneLease+leaseDuration)
+		return node.pause("in-act", overOneLease)
 	}, false},
-	{"stop-on-renewal", "a stop of the leader, with renewals in its queues", func(w *world, ctx context.Context, p *process) bool {
-		p = w.leader(ctx, p)
-		w.touch(p, pointWithin+past+leaseSpan)
-		return p.stand("on-renewal", past)
+	{"stop-on-renewal", "a stop of the leader, with renewals in its queues", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		node = tc.leader(ctx, node)
+		tc.excuse(node, pointTimeout+overOneLease+leaseDuration)
+		return node.pause("on-renewal", overOneLease)
 	}, true},
-	{"cut", "a process and all others hear nothing of each other", func(w *world, ctx context.Context, p *process) bool {
-		return w.way(ctx, "cut", w.holder(p), past+leaseSpan, func(f, b *flow, on bool) { f.held.Store(on); b.held.Store(on) })
+	{"cut", "a process and all others hear nothing of each other", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		return tc.changeRelays(ctx, "cut", tc.lastHolder(node), overOneLease+leaseDuration, func(toTarget, toDialer *relayDirection, active bool) {
+			toTarget.blocked.Store(active)
+			toDialer.blocked.Store(active)
+		})
 	}, false},
-	{"part", "the leader, and the holder if it doesn't vote, are cut off from all others", func(w *world, ctx context.Context, p *process) bool {
-		leader, holder := w.leader(ctx, p), w.holder(p)
-		side := map[int]bool{leader.n: true}
-		if holder.n >= votersOf {
-			side[holder.n] = true
+	{"part", "the leader, and the holder if it doesn't vote, are cut off from all others", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		leader, holder := tc.leader(ctx, node), tc.lastHolder(node)
+		isolated := map[int]bool{leader.index: true}
+		if holder.index >= voterCount {
+			isolated[holder.index] = true
 		}
-		all := func(on bool) {
-			for at, l := range w.links {
-				if side[at[0]] != side[at[1]] {
-					l.forth.held.Store(on)
-					l.back.held.Store(on)
+		setBlocked := func(active bool) {
+			for route, r := range tc.relays {
+				if isolated[route.from] != isolated[route.to] {
+					r.toTarget.blocked.Store(active)
+					r.toDialer.blocked.Store(active)
 				}
 			}
 		}
-		if side[holder.n] {
-			w.lost("part", holder, 0)
+		if isolated[holder.index] {
+			tc.recordHolderLoss("part", holder, 0)
 		}
-		all(true)
-		w.sleep(ctx, past+2*leaseSpan)
-		all(false)
+		setBlocked(true)
+		tc.sleep(ctx, overOneLease+2*leaseDuration)
+		setBlocked(false)
 		return true
 	}, true},
-	{"deaf", "a process is heard, and hears nobody", func(w *world, ctx context.Context, p *process) bool {
-		return w.oneWay(ctx, p, past, func(in *flow, on bool) { in.held.Store(on) })
+	{"deaf", "a process is heard, and hears nobody", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		return tc.changeInbound(ctx, node, overOneLease, func(inbound *relayDirection, active bool) { inbound.blocked.Store(active) })
 	}, true},
-	{"slow", "all ways of a process take ten delays more", func(w *world, ctx context.Context, p *process) bool {
-		return w.way(ctx, "", p, past, func(f, b *flow, on bool) {
-			d := int64(0)
-			if on {
-				d = int64(10 * delaySpan)
+	{"slow", "all ways of a process take ten delays more", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		return tc.changeRelays(ctx, "", node, overOneLease, func(toTarget, toDialer *relayDirection, active bool) {
+			delayNs := int64(0)
+			if active {
+				delayNs = int64(10 * maxNetworkDelay)
 			}
-			f.delay.Store(d)
-			b.delay.Store(d)
+			toTarget.delayNs.Store(delayNs)
+			toDialer.delayNs.Store(delayNs)
 		})
 	}, false},
-	{"reset", "all connections of a process are reset, three times", func(w *world, ctx context.Context, p *process) bool {
+	{"reset", "all connections of a process are reset, three times", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		for range 3 {
-			for at, l := range w.links {
-				if at[0] == p.n || at[1] == p.n {
-					l.resetAll()
+			for route, r := range tc.relays {
+				if route.from == node.index || route.to == node.index {
+					r.resetAll()
 				}
 			}
-			w.sleep(ctx, brief/3)
+			tc.sleep(ctx, halfLease/3)
 		}
 		return true
 	}, false},
-	{"power", "two of three voters lose power together", func(w *world, ctx context.Context, p *process) bool {
-		o := w.processes[(p.n+1)%votersOf]
-		w.touch(o, 3*time.Second)
-		o.end(syscall.SIGKILL)
-		struck := w.again(ctx, p, syscall.SIGKILL, brief, nil)
-		_, _, err := o.start()
-		return struck && err == nil
+	{"power", "two of three voters lose power together", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		second := tc.nodes[(node.index+1)%voterCount]
+		tc.excuse(second, 3*time.Second)
+		second.stop(syscall.SIGKILL)
+		injected := tc.restart(ctx, node, syscall.SIGKILL, halfLease, nil)
+		_, _, err := second.start()
+		return injected && err == nil
 	}, true},
-	{"folder-lost", "a voter comes back without its folder, and is replaced by an operator", func(w *world, ctx context.Context, p *process) bool {
-		return w.again(ctx, p, syscall.SIGKILL, brief, func() { _ = os.RemoveAll(p.folder) }) && w.replaced(ctx, p)
+	{"folder-lost", "a voter comes back without its folder, and is replaced by an operator", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		return tc.restart(ctx, node, syscall.SIGKILL, halfLease, func() { _ = os.RemoveAll(node.folder) }) && tc.replaceVoter(ctx, node)
 	}, true},
-	{"folder-cut", "a voter's log is cut short while it is down", func(w *world, ctx context.Context, p *process) bool {
-		struck := w.again(ctx, p, syscall.SIGKILL, brief, func() {
-			path := filepath.Join(p.folder, "log.db")
-			if i, err := os.Stat(path); err == nil {
-				_ = os.Truncate(path, i.Size()/3)
+	{"folder-cut", "a voter's log is cut short while it is down", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		injected := tc.restart(ctx, node, syscall.SIGKILL, halfLease, func() {
+			path := filepath.Join(node.folder, "log.db")
+			if info, err := os.Stat(path); err == nil {
+				_ = os.Truncate(path, info.Size()/3)
 			}
 		})
-		w.sleep(ctx, brief)
-		return struck && w.again(ctx, p, syscall.SIGTERM, brief, func() { _ = os.RemoveAll(p.folder) }) && w.replaced(ctx, p)
+		tc.sleep(ctx, halfLease)
+		return injected && tc.restart(ctx, node, syscall.SIGTERM, halfLease, func() { _ = os.RemoveAll(node.folder) }) && tc.replaceVoter(ctx, node)
 	}, true},
-	{"folder-full", "a voter's files can't grow any more", func(w *world, ctx context.Context, p *process) bool {
-		p.mu.Lock()
-		pid := p.cmd.Process.Pid
-		p.mu.Unlock()
+	{"folder-full", "a voter's files can't grow any more", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		node.mu.Lock()
+		pid := node.cmd.Process.Pid
+		node.mu.Unlock()
 		if unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY}, nil) != nil {
 			return false
 		}
-		w.sleep(ctx, past)
-		return w.again(ctx, p, syscall.SIGTERM, brief, nil)
+		tc.sleep(ctx, overOneLease)
+		return tc.restart(ctx, node, syscall.SIGTERM, halfLease, nil)
 	}, true},
-	{"late-answers", "who doesn't vote hears answers late, and then a holder among them nothing", func(w *world, ctx context.Context, p *process) bool {
-		late := func(span time.Duration) {
-			for at, l := range w.links {
-				if at[0] >= votersOf {
-					l.back.delay.Store(int64(span))
+	{"late-answers", "who doesn't vote hears answers late, and then a holder among them nothing", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		setDelay := func(delay time.Duration) {
+			for route, r := range tc.relays {
+				if route.from >= voterCount {
+					r.toDialer.delayNs.Store(int64(delay))
 				}
 			}
 		}
-		late(lateAnswer)
-		w.sleep(ctx, 2*leaseSpan)
-		struck := w.way(ctx, "cut", w.holder(p), past, func(f, b *flow, on bool) { f.held.Store(on); b.held.Store(on) })
-		late(0)
-		return struck
+		setDelay(responseDelay)
+		tc.sleep(ctx, 2*leaseDuration)
+		injected := tc.changeRelays(ctx, "cut", tc.lastHolder(node), overOneLease, func(toTarget, toDialer *relayDirection, active bool) {
+			toTarget.blocked.Store(active)
+			toDialer.blocked.Store(active)
+		})
+		setDelay(0)
+		return injected
 	}, false},
-	{"amnesia", "a voter is behind, one loses its folder, and the third is down: those two must not agree", func(w *world, ctx context.Context, p *process) bool {
-		behind, gone := w.processes[(p.n+1)%votersOf], w.processes[(p.n+2)%votersOf]
-		cut := func(on bool) {
-			for at, l := range w.links {
-				if at[0] == behind.n || at[1] == behind.n {
-					l.forth.held.Store(on)
-					l.back.held.Store(on)
+	{"amnesia", "a voter is behind, one loses its folder, and the third is down: those two must not agree", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		outdated, restarted := tc.nodes[(node.index+1)%voterCount], tc.nodes[(node.index+2)%voterCount]
+		setBlocked := func(active bool) {
+			for route, r := range tc.relays {
+				if route.from == outdated.index || route.to == outdated.index {
+					r.toTarget.blocked.Store(active)
+					r.toDialer.blocked.Store(active)
 				}
 			}
 		}
-		cut(true)
-		w.sleep(ctx, past+leaseSpan) // the others go on, and agree on some entries
-		w.touch(gone, 8*time.Second)
-		w.touch(p, 8*time.Second)
-		p.end(syscall.SIGKILL)
-		_ = os.RemoveAll(p.folder)
-		gone.end(syscall.SIGKILL)
-		_, _, err := p.start()
-		cut(false)
-		w.sleep(ctx, past+2*leaseSpan) // room for what must not happen
-		_, _, again := gone.start()
-		w.sleep(ctx, leaseSpan)
-		return err == nil && again == nil && w.replaced(ctx, p)
+		setBlocked(true)
+		tc.sleep(ctx, overOneLease+leaseDuration) // the others go on, and agree on some entries
+		tc.excuse(restarted, 8*time.Second)
+		tc.excuse(node, 8*time.Second)
+		node.stop(syscall.SIGKILL)
+		_ = os.RemoveAll(node.folder)
+		restarted.stop(syscall.SIGKILL)
+		_, _, err := node.start()
+		setBlocked(false)
+		tc.sleep(ctx, overOneLease+2*leaseDuration) // room for what must not happen
+		_, _, secondErr := restarted.start()
+		tc.sleep(ctx, leaseDuration)
+		return err == nil && secondErr == nil && tc.replaceVoter(ctx, node)
 	}, true},
-	{"upgrade", "a node is replaced by its next process on the passed socket", func(w *world, ctx context.Context, p *process) bool {
-		p = w.holder(p)
-		before, ended, err := p.start()
+	{"upgrade", "a node is replaced by its next process on the passed socket", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+		node = tc.lastHolder(node)
+		previous, exited, err := node.start()
 		if err != nil {
 			return false
 		}
-		w.touch(p, brief) // until it has the list, the next one defers what it takes from the socket of both
-		serves := p.serves()
-		_ = before.Process.Signal(syscall.SIGTERM)
+		tc.excuse(node, halfLease) // until it has the list, the next one defers what it takes from the socket of both
+		ready := node.waitReady()
+		_ = previous.Process.Signal(syscall.SIGTERM)
 		select {
-		case <-ended:
-			w.sleep(ctx, brief)
-			return serves
-		case <-time.After(endWithin):
-			_ = before.Process.Kill()
+		case <-exited:
+			tc.sleep(ctx, halfLease)
+			return ready
+		case <-time.After(exitTimeout):
+			_ = previous.Process.Kill()
 			return false
 		}
 	}, false},
 }
 
 // The kinds that reign over a whole run: how the clocks go.
-var clocks = []fault{
-	{name: "clock-bound", what: "clocks up to a fifth off, as the configuration allows; with cuts of the holder"},
-	{name: "clock-beyond", what: "clocks of unlike rate far beyond the bound; with kills and stops of the holder"},
+var clockFaults = []fault{
+	{name: "clock-bound", description: "clocks up to a fifth off, as the configuration allows; with cuts of the holder"},
+	{name: "clock-beyond", description: "clocks of unlike rate far beyond the bound; with kills and stops of the holder"},
 }
 
+// FaultInfo names and describes a fault.
+type FaultInfo struct{ Name, Description string }
+
 // FaultKinds tells them by name, in order.
-func FaultKinds() (all [][2]string) {
-	for _, k := range slices.Concat(kinds, clocks) {
-		all = append(all, [2]string{k.name, k.what})
+func LeaseFaults() (infos []FaultInfo) {
+	for _, f := range slices.Concat(leaseFaults, clockFaults) {
+		infos = append(infos, FaultInfo{f.name, f.description})
 	}
-	return all
+	return infos
 }
 
 // BudgetKinds tells those of runs on budgets.
-func BudgetKinds() (all [][2]string) {
-	for _, k := range append(dividing(), clocks[0]) {
-		all = append(all, [2]string{k.name, k.what})
+func BudgetFaults() (infos []FaultInfo) {
+	for _, f := range append(budgetFaultOrder(), clockFaults[0]) {
+		infos = append(infos, FaultInfo{f.name, f.description})
 	}
-	k, _ := kindOf("late-answers")
-	return append(all, [2]string{k.name, k.what})
+	f, _ := faultByName("late-answers")
+	return append(infos, FaultInfo{f.name, f.description})
 }
 
-func kindOf(name string) (fault, bool) {
-	all := slices.Concat(kinds, ofBudgets)
-	i := slices.IndexFunc(all, func(k fault) bool { return k.name == name })
+func faultByName(name string) (fault, bool) {
+	faults := slices.Concat(leaseFaults, budgetOnlyFaults)
+	i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 	if i < 0 {
 		return fault{}, false
 	}
-	return all[i], true
+	return faults[i], true
 }
 
 // script strikes one fault after another, each healed before the next. Over the seeds the kinds come in turn, so that some
 // runs have them all; whom they strike, and when, is chance.
-func (w *world) script(ctx context.Context) {
-	kinds := kinds
-	if w.plan.Budgets {
-		kinds = dividing()
+func (tc *testCluster) injectFaults(ctx context.Context) {
+	candidates := leaseFaults
+	if tc.plan.testBudgets {
+		candidates = budgetFaultOrder()
 	}
-	for i := range faultsRun {
-		k := kinds[(int(w.plan.Seed)*faultsRun+i)%len(kinds)]
-		if only, is := kindOf(w.plan.Only); is {
-			k = only
+	for i := range faultsPerRun {
+		f := candidates[(int(tc.plan.Seed)*faultsPerRun+i)%len(candidates)]
+		if only, known := faultByName(tc.plan.OnlyFault); known {
+			f = only
 		}
-		if w.plan.Budgets && w.plan.Only == "late-answers" {
-			k, _ = kindOf("handed-on")
+		if tc.plan.testBudgets && tc.plan.OnlyFault == "late-answers" {
+			f, _ = faultByName("handed-on")
 		}
-		switch w.plan.Only {
+		switch tc.plan.OnlyFault {
 		case "clock-bound":
-			k, _ = kindOf("cut")
-			if w.plan.Budgets {
-				k, _ = kindOf("handed-on")
+			f, _ = faultByName("cut")
+			if tc.plan.testBudgets {
+				f, _ = faultByName("handed-on")
 			}
 		case "clock-beyond":
-			k, _ = kindOf([]string{"kill-holder", "stop-before-act", "cut"}[w.rnd.IntN(3)])
+			f, _ = faultByName([]string{"kill-holder", "stop-before-act", "cut"}[tc.rnd.IntN(3)])
 		}
-		at := w.rnd.IntN(w.plan.Processes)
-		if k.voter {
-			at %= votersOf
+		nodeIndex := tc.rnd.IntN(tc.plan.Nodes)
+		if f.needsVoter {
+			nodeIndex %= voterCount
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		w.log("%s at n%d", k.name, at)
-		if k.of(w, ctx, w.processes[at]) {
-			w.struck[k.name]++
+		tc.logf("%s at n%d", f.name, nodeIndex)
+		if f.inject(tc, ctx, tc.nodes[nodeIndex]) {
+			tc.faultCounts[f.name]++
 		}
-		w.log("%s over", k.name)
-		w.sleep(ctx, brief+time.Duration(w.rnd.Int64N(int64(brief))))
+		tc.logf("%s over", f.name)
+		tc.sleep(ctx, halfLease+time.Duration(tc.rnd.Int64N(int64(halfLease))))
 	}
-	if w.plan.Only != "" && len(w.struck) > 0 {
-		w.struck[w.plan.Only] = max(1, w.struck[w.plan.Only])
+	if tc.plan.OnlyFault != "" && len(tc.faultCounts) > 0 {
+		tc.faultCounts[tc.plan.OnlyFault] = max(1, tc.faultCounts[tc.plan.OnlyFault])
 	}
 }
 
 // log writes a line of the rig's own, by the boot clock and the wall's, beside the nodes' logs.
-func (w *world) log(format string, args ...any) {
-	f, err := os.OpenFile(filepath.Join(w.folder, "rig.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (tc *testCluster) logf(format string, args ...any) {
+	f, err := os.OpenFile(filepath.Join(tc.dir, "rig.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return
 	}
 	defer f.Close()
-	fmt.Fprintf(f, "%d %s %s\n", boot(), time.Now().UTC().Format("15:04:05.000"), fmt.Sprintf(format, args...))
+	fmt.Fprintf(f, "%d %s %s\n", bootTimeNs(), time.Now().UTC().Format("15:04:05.000"), fmt.Sprintf(format, args...))
 }
 
 // holder gives whoever acted last at the door, or the process at hand.
-func (w *world) holder(otherwise *process) *process {
-	who := w.door.holder()
-	for _, p := range w.processes {
-		if p.name == who {
-			return p
+func (tc *testCluster) lastHolder(fallback *clusterNode) *clusterNode {
+	name := tc.resource.lastHolder()
+	for _, node := range tc.nodes {
+		if node.name == name {
+			return node
 		}
 	}
-	return otherwise
+	return fallback
 }
 
 // leader gives whoever leads, or the process at hand.
-func (w *world) leader(ctx context.Context, otherwise *process) *process {
-	out, err := w.command(ctx, otherwise.n, "fleet", "status")
-	for _, p := range w.processes {
-		if err == nil && strings.Contains(out, "led by "+p.name+".") {
-			return p
+func (tc *testCluster) leader(ctx context.Context, fallback *clusterNode) *clusterNode {
+	out, err := tc.runCommand(ctx, fallback.index, "fleet", "status")
+	for _, node := range tc.nodes {
+		if err == nil && strings.Contains(out, "led by "+node.name+".") {
+			return node
 		}
 	}
-	return otherwise
+	return fallback
 }
 
 // touch excuses a process from serving its clients for a while.
-func (w *world) touch(p *process, span time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.touched[p.n] = max(w.touched[p.n], boot()+int64(span))
+func (tc *testCluster) excuse(node *clusterNode, duration time.Duration) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	tc.excusedUntil[node.index] = max(tc.excusedUntil[node.index], bootTimeNs()+int64(duration))
 }
 
 // lost notes that a holder is struck, if it is one.
-func (w *world) lost(kind string, p *process, span time.Duration) {
-	w.touch(p, span)
-	if w.door.holder() == p.name {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.losses = append(w.losses, loss{kind, p.name, boot()})
+func (tc *testCluster) recordHolderLoss(faultName string, node *clusterNode, excusedFor time.Duration) {
+	tc.excuse(node, excusedFor)
+	if tc.resource.lastHolder() == node.name {
+		tc.mu.Lock()
+		defer tc.mu.Unlock()
+		tc.holderLosses = append(tc.holderLosses, holderLoss{faultName, node.name, bootTimeNs()})
 	}
 }
 
 // again ends a process, and starts the node's next.
-func (w *world) again(ctx context.Context, p *process, s syscall.Signal, after time.Duration, meanwhile func()) bool {
-	kind := "kill"
-	if s == syscall.SIGTERM {
-		kind = "term"
+func (tc *testCluster) restart(ctx context.Context, node *clusterNode, sig syscall.Signal, downtime time.Duration, whileDown func()) bool {
+	faultName := "kill"
+	if sig == syscall.SIGTERM {
+		faultName = "term"
 	}
-	w.lost(kind, p, after+5*time.Second)
-	p.end(s)
-	w.sleep(ctx, after)
-	if meanwhile != nil {
-		meanwhile()
+	tc.recordHolderLoss(faultName, node, downtime+5*time.Second)
+	node.stop(sig)
+	tc.sleep(ctx, downtime)
+	if whileDown != nil {
+		whileDown()
 	}
-	_, _, err := p.start()
+	_, _, err := node.start()
 	return err == nil
 }
 
 // replaced lets an operator remove the voter that was, and add the one that is.
-func (w *world) replaced(ctx context.Context, p *process) bool {
-	w.sleep(ctx, brief)
-	asked := (p.n + 1) % votersOf
-	_, _ = w.command(ctx, asked, "fleet", "voter", "remove", p.name)
+func (tc *testCluster) replaceVoter(ctx context.Context, node *clusterNode) bool {
+	tc.sleep(ctx, halfLease)
+	contactIndex := (node.index + 1) % voterCount
+	_, _ = tc.runCommand(ctx, contactIndex, "fleet", "voter", "remove", node.name)
 	for range 10 {
-		if _, err := w.command(ctx, asked, "fleet", "voter", "add", p.name, w.ip(p.n+1)+":7100"); err == nil {
+		if _, err := tc.runCommand(ctx, contactIndex, "fleet", "voter", "add", node.name, tc.ip(node.index+1)+":7100"); err == nil {
 			return true
 		}
-		w.sleep(ctx, brief)
+		tc.sleep(ctx, halfLease)
 	}
 	return false
 }
 
 // way changes all ways of a process for a while. With a kind it is a loss, if the process holds the lease.
-func (w *world) way(ctx context.Context, kind string, p *process, span time.Duration, f func(forth, back *flow, on bool)) bool {
-	all := func(on bool) {
-		for at, l := range w.links {
-			if at[0] == p.n || at[1] == p.n {
-				f(&l.forth, &l.back, on)
+func (tc *testCluster) changeRelays(ctx context.Context, faultName string, node *clusterNode, duration time.Duration, change func(toTarget, toDialer *relayDirection, active bool)) bool {
+	setActive := func(active bool) {
+		for route, r := range tc.relays {
+			if route.from == node.index || route.to == node.index {
+				change(&r.toTarget, &r.toDialer, active)
 			}
 		}
 	}
-	if kind != "" {
-		w.lost(kind, p, 0)
+	if faultName != "" {
+		tc.recordHolderLoss(faultName, node, 0)
 	}
-	all(true)
-	w.sleep(ctx, span)
-	all(false)
+	setActive(true)
+	tc.sleep(ctx, duration)
+	setActive(false)
 	return true
 }
 
 // oneWay changes all that a process would hear.
-func (w *world) oneWay(ctx context.Context, p *process, span time.Duration, f func(in *flow, on bool)) bool {
-	all := func(on bool) {
-		for at, l := range w.links {
-			if at[1] == p.n {
-				f(&l.forth, on)
+func (tc *testCluster) changeInbound(ctx context.Context, node *clusterNode, duration time.Duration, change func(inbound *relayDirection, active bool)) bool {
+	setActive := func(active bool) {
+		for route, r := range tc.relays {
+			if route.to == node.index {
+				change(&r.toTarget, active)
 			}
-			if at[0] == p.n {
-				f(&l.back, on)
+			if route.from == node.index {
+				change(&r.toDialer, active)
 			}
 		}
 	}
-	w.lost("deaf", p, 0)
-	all(true)
-	w.sleep(ctx, span)
-	all(false)
+	tc.recordHolderLoss("deaf", node, 0)
+	setActive(true)
+	tc.sleep(ctx, duration)
+	setActive(false)
 	return true
 }
