--- a/cmd/thistlerudder/faulttest_on.go
+++ b/cmd/thistlerudder/faulttest_on.go
@@ -23,18 +23,18 @@
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
-// faultTests gives the rig's commands.
+// faultTests returns the commands of the test rig.
 func faultTests() []*cobra.Command {
-	c := &cobra.Command{Use: "trial", Short: "Play processes under faults, and judge them"}
+	c := &cobra.Command{Use: "trial", Short: "Run clusters under faults and check them"}
 	c.AddCommand(newTrialCommand(&leaseTrials), newTrialCommand(&budgetTrials), newMeasureCommand(), trialScale(), trialSoak(), hollowNodes(), directory())
 	return []*cobra.Command{c}
 }
 
-// newMeasureCommand tells what a fleet in peace costs.
+// newMeasureCommand returns the command that measures the cost of a cluster without faults.
 func newMeasureCommand() *cobra.Command {
-	c := &cobra.Command{Use: "measure", Args: cobra.NoArgs, Short: "Say what a fleet in peace costs its nodes"}
-	processes := c.Flags().Int("processes", 6, "how many, 3 of them voters, the last without a fleet")
-	span := c.Flags().Duration("for", 20*time.Second, "how long")
+	c := &cobra.Command{Use: "measure", Args: cobra.NoArgs, Short: "Measure the cost of a cluster without faults"}
+	processes := c.Flags().Int("processes", 6, "number of processes; 3 are voters, and the last runs without the cluster")
+	span := c.Flags().Duration("for", 20*time.Second, "duration of the measurement")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		program, err := os.Executable()
 		if err != nil {
@@ -56,34 +56,35 @@
 	return c
 }
 
-const maxAttempts = 3 // for a run that was void
+const maxAttempts = 3 // of a run, while it is inconclusive
 
-// played is a kind of trial.
+// trialKind is a kind of test run.
 type trialKind struct {
 	name, short string
 	faults      func() []faulttest.FaultInfo
 	safeguards  []string
-	play        func(context.Context, faulttest.Plan) (faulttest.Run, error)
-	coresPerRun int // for a run of five processes; more at once make them late
+	run         func(context.Context, faulttest.Plan) (faulttest.RunResult, error)
+	coresPerRun int // that a run of five processes needs; with fewer, processes are delayed and runs become inconclusive
 }
 
 var (
-	leaseTrials = trialKind{"leases", "Play leases under faults; exit 0 only if every run kept the rules", faulttest.LeaseFaults, faults.Safeguards,
-		faulttest.Play, 2}
-	budgetTrials = trialKind{"budgets", "Play budgets under faults; exit 0 only if no window of any run passed a whole", faulttest.BudgetFaults,
-		faults.BudgetSafeguards, faulttest.PlayBudgets, 3}
+	leaseTrials = trialKind{"leases", "Check leases under faults; exit 0 only if every run keeps the rules", faulttest.LeaseFaults, faults.Safeguards,
+		faulttest.RunLeases, 2}
+	budgetTrials = trialKind{"budgets", "Check budgets under faults; exit 0 only if no run exceeds a budget in any window", faulttest.BudgetFaults,
+		faults.BudgetSafeguards, faulttest.RunBudgets, 3}
 )
 
+// newTrialCommand returns the command for a kind of test run.
 func newTrialCommand(kind *trialKind) *cobra.Command {
 	c := &cobra.Command{Use: kind.name, Args: cobra.NoArgs, Short: kind.short}
 	seeds := c.Flags().String("seeds", "1-20", "FROM-TO")
-	processes := c.Flags().Int("processes", 5, "how many, 3 of them voters")
-	without := c.Flags().String("without", "", "a safeguard to take out: the runs should then fail")
-	only := c.Flags().String("only", "", "one kind of fault")
-	keep := c.Flags().String("keep", "", "a folder for the histories of runs that failed")
-	list := c.Flags().Bool("list", false, "name the faults and the safeguards")
-	jobs := c.Flags().Int("jobs", 0, "runs at once; 0: by the cores")
-	first := c.Flags().Bool("first", false, "end at the first run that breaks a rule")
+	processes := c.Flags().Int("processes", 5, "number of processes; 3 are voters")
+	without := c.Flags().String("without", "", "a safeguard to disable; some runs should then fail")
+	only := c.Flags().String("only", "", "the only fault to inject")
+	keep := c.Flags().String("keep", "", "a folder for the histories of failed runs")
+	list := c.Flags().Bool("list", false, "list the faults and the safeguards")
+	jobs := c.Flags().Int("jobs", 0, "number of concurrent runs; 0: depends on the number of cores")
+	first := c.Flags().Bool("first", false, "stop at the first run that breaks a rule")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		knownFaults := kind.faults()
 		if *list {
@@ -105,7 +106,7 @@
 		case *without != "" && !slices.Contains(kind.safeguards, *without):
 			return fmt.Errorf("without: expected one of %v, not %q", kind.safeguards, *without)
 		case *only != "" && !slices.ContainsFunc(knownFaults, func(f faulttest.FaultInfo) bool { return f.Name == *only }):
-			return fmt.Errorf("only: expected a fault as --list names them, not %q", *only)
+			return fmt.Errorf("only: expected a fault that --list names, not %q", *only)
 		}
 		program, err := os.Executable()
 		if err != nil {
@@ -119,6 +120,7 @@
 	return c
 }
 
+// seedsOf parses a range of seeds, FROM-TO, or a single seed.
 func seedsOf(s string) (from, to uint64, err error) {
 	first, last, found := strings.Cut(s, "-")
 	if !found {
@@ -127,11 +129,12 @@
 	from, err1 := strconv.ParseUint(first, 10, 64)
 	to, err2 := strconv.ParseUint(last, 10, 64)
 	if err1 != nil || err2 != nil || to < from {
-		return 0, 0, fmt.Errorf("seeds: expected FROM-TO as 1-20, not %q", s)
+		return 0, 0, fmt.Errorf("seeds: expected FROM-TO, such as 1-20, not %q", s)
 	}
 	return from, to, nil
 }
 
+// runTrials runs the test once for each seed from from to to, up to jobs runs at a time, and prints a summary.
 func runTrials(ctx context.Context, cmd *cobra.Command, kind *trialKind, plan faulttest.Plan, from, to uint64, jobs int, first bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -159,10 +162,10 @@
 			defer func() { slots <- slot }()
 			p := plan
 			p.Seed, p.Slot = seed, slot
-			var r faulttest.Run
+			var r faulttest.RunResult
 			var err error
 			for range maxAttempts {
-				if r, err = kind.play(ctx, p); err != nil || r.VoidReason == "" {
+				if r, err = kind.run(ctx, p); err != nil || r.VoidReason == "" {
 					break
 				}
 			}
@@ -247,14 +250,14 @@
 	case len(failures) > 0:
 		return fmt.Errorf("%d runs broke a rule", len(failures))
 	case ctx.Err() != nil:
-		return fmt.Errorf("ended before all runs were played")
+		return fmt.Errorf("canceled before all runs were finished")
 	case voidRuns > 0:
-		return fmt.Errorf("%d runs show nothing: too few cores", voidRuns)
+		return fmt.Errorf("%d runs are inconclusive: too few cores", voidRuns)
 	}
 	return nil
 }
 
-// percentile of what is in order.
+// percentile returns a percentile of sorted durations, rounded to milliseconds, or 0 if there are none.
 func percentile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -262,6 +265,7 @@
 	return sorted[max(0, int(math.Ceil(float64(len(sorted))*p/100))-1)].Round(time.Millisecond)
 }
 
+// availableCores returns the number of cores that this process may run on.
 func availableCores() int {
 	var set unix.CPUSet
 	if unix.SchedGetaffinity(0, &set) != nil {
--- a/internal/faulttest/backends.go
+++ b/internal/faulttest/backends.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// door is an effect outside the fleet that refuses an old token, as whoever guards a thing well does.
+// guardedResource is a resource outside the cluster that checks fencing tokens: it rejects requests whose token is lower than
+// one that it has seen.
 type guardedResource struct {
 	addr      string
 	server    *http.Server
-	acceptAll bool // it lets all pass: the safeguard is taken out
+	acceptAll bool // the safeguard door-token is disabled
 	mu        sync.Mutex
 	maxToken  uint64
 	requests  []resourceRequest
@@ -47,7 +48,7 @@
 	}
 }
 
-// holder is who passed last.
+// lastHolder returns the name of the node whose request was accepted last, and "" before the first.
 func (g *guardedResource) lastHolder() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,7 +60,7 @@
 	return ""
 }
 
-// stands are what a node serves beside: a cache, an origin, and the list of both.
+// stubBackends are the backends of a run that tests leases: a cache, an origin, and the discovery service that lists them.
 type stubBackends struct {
 	servers       []*http.Server
 	discoveryAddr string
@@ -105,10 +106,10 @@
 	}
 }
 
-// client asks one node for something, again and again. Whatever becomes of the fleet, a node that runs answers.
+// lookupClient sends lookups to a node at lookupInterval. A running node has to serve them whatever the state of the cluster.
 type lookupClient struct {
 	sent, served, unserved atomic.Int64
-	firstUnserved          atomic.Value // of the first that failed
+	firstUnserved          atomic.Value // description of the first unserved lookup
 }
 
 const lookupInterval = 25 * time.Millisecond
--- a/internal/faulttest/budget_backends.go
+++ b/internal/faulttest/budget_backends.go
@@ -14,16 +14,17 @@
 	"time"
 )
 
-// arrival is an act as a stand-in saw it, by the machine's boot clock. What goes on has an end as well.
+// arrival is an event that a budget limits, as a backend saw it: a request, or a connection. Times are boot times in ns. endNs is
+// only set where concurrency is limited, and 0 before the end.
 type arrival struct {
 	startNs, endNs int64
-	node           string // whose client's lookup it was for, if that is known
+	node           string // the node that caused it; empty: unknown
 }
 
-// coldPeriod is the time after a restart of a cache.
+// coldPeriod is the time after a restart in which a cache counts as cold.
 type coldPeriod struct{ startNs, endNs int64 }
 
-// ledger is all that came under one bound.
+// arrivalLog holds the arrivals under one limit.
 type arrivalLog struct {
 	mu       sync.Mutex
 	arrivals []arrival
@@ -42,34 +43,35 @@
 	l.arrivals[index].endNs = bootTimeNs()
 }
 
-// name tells whose something was, once that is known.
+// setNode sets the node of an arrival that began before the node was known.
 func (l *arrivalLog) setNode(index int, node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals[index].node = node
 }
 
-// tallies are the stand-ins of a run on budgets: an origin, caches that lack most of what is asked, one of which starts
-// again now and then, and the list. They count what comes; what they answer tells nobody of any budget.
+// countingBackends are the backends of a run that tests budgets: an origin, caches that miss most lookups, of which the first
+// restarts from time to time, and the discovery service that lists them. They record arrivals. Their responses don't depend on
+// the budgets.
 type countingBackends struct {
 	servers       []*http.Server
 	ip            string
 	discoveryAddr string
-	arrivalLogs   map[string]*arrivalLog // by budget; cold and links by cache too
+	arrivalLogs   map[string]*arrivalLog // by budget; the budget links has one log per cache
 
 	mu             sync.Mutex
 	listVersion    int
-	cacheStartedMs int64 // of the cache that starts again, Unix milliseconds
-	cacheListed    bool
-	listChanged    chan struct{}
-	coldPeriods    []coldPeriod // when it was cold
+	cacheStartedMs int64         // Unix time of the last restart of the first cache
+	cacheListed    bool          // the first cache is on the endpoint list
+	listChanged    chan struct{} // closed at the next change of the list
+	coldPeriods    []coldPeriod  // of the first cache
 	seenTraces     map[string]bool
 }
 
 const (
 	cacheCount         = 2
-	cacheWarmUp        = 2500 * time.Millisecond // warm-up, as the settings tell it
-	removalPropagation = 400 * time.Millisecond  // for all nodes to hear that it is gone
+	cacheWarmUp        = 2500 * time.Millisecond // as in the settings of the nodes
+	removalPropagation = 400 * time.Millisecond  // in which all nodes learn that the cache has been removed
 	minFetchTime       = 20 * time.Millisecond
 	maxFetchTime       = 120 * time.Millisecond
 )
@@ -122,14 +124,17 @@
 	return b, nil
 }
 
+// connIndexKey is the context key of the index of a connection in its arrivalLog.
 type connIndexKey struct{}
 
+// nodeOf returns the name of the node that a lookup was sent to, which the load generator puts into the trace ID.
 func nodeOf(r *http.Request) string {
 	node, _, _ := strings.Cut(r.Header.Get("X-Trace-Id"), "-")
 	return node
 }
 
-// first counts a lookup of the partner when any stand-in sees it first.
+// countPartnerLookup records a lookup of the tenant acme when it reaches the first backend. Later attempts for the same lookup
+// don't count.
 func (b *countingBackends) countPartnerLookup(r *http.Request) {
 	trace := r.Header.Get("X-Trace-Id")
 	b.mu.Lock()
@@ -169,7 +174,7 @@
 	fmt.Fprint(w, "value")
 }
 
-// list answers with all, or waits for a change.
+// serveList responds with the endpoint list. A watch request for the current version waits for a change.
 func (b *countingBackends) serveList(w http.ResponseWriter, r *http.Request) {
 	if r.URL.RawQuery == "" {
 		b.arrivalLogs["lists"].begin("")
@@ -200,6 +205,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"version": b.listVersion, "full": true, "servers": append(servers, restarting)})
 }
 
+// updateList changes the list under the lock and wakes the watchers.
 func (b *countingBackends) updateList(update func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -209,7 +215,7 @@
 	b.listChanged = make(chan struct{})
 }
 
-// restart takes the first cache off the list and, once all have heard, back on it, cold.
+// restartCache marks the first cache as terminating, and lists it again as restarted once all nodes have learned of it.
 func (b *countingBackends) restartCache(ctx context.Context) {
 	b.updateList(func() { b.cacheListed = false })
 	select {
@@ -228,17 +234,17 @@
 	}
 }
 
-// demand is the clients of a run: before each node as many as it is due, at times of chance, never waiting for each other.
+// loadGenerator sends lookups to the nodes at random times with a given mean rate per node, without waiting for responses.
 type loadGenerator struct {
-	lookupsPerSecond []atomic.Int64 // lookups a second, by node
+	lookupsPerSecond []atomic.Int64 // mean rate, by node index
 	sent             atomic.Int64
 	succeeded        atomic.Int64
 	unanswered       atomic.Int64
-	firstUnanswered  atomic.Value
+	firstUnanswered  atomic.Value // description of the first unanswered lookup
 }
 
 const (
-	maxOutstandingLookups = 200 // of one node's clients at once
+	maxOutstandingLookups = 200 // per node
 	lookupTimeout         = 700 * time.Millisecond
 	maxAnswerTime         = lookupTimeout + 600*time.Millisecond
 )
@@ -294,26 +300,27 @@
 	return (seed*31+uint64(nodeIndex)*7+uint64(lookupIndex)*2654435761)%100003*10 + uint64(lookupIndex%10)
 }
 
-// span of a bound in force: from a time on, a rate with a burst or a number at a time.
+// limit is the limit of a budget from fromNs on, until the next limit of that budget. For a rate, max is the burst; with
+// concurrency, max is the limit of concurrent arrivals, and perSecond is 0.
 type limit struct {
 	fromNs         int64
 	perSecond, max float64
 	concurrency    bool
 }
 
-// passed is what the judge finds of one bound.
+// limitResult is the outcome of the check of one budget.
 type limitResult struct {
 	actions     int
 	windows     int
-	peakShare   float64 // the most that came in a window, as a share of its bound
-	utilization float64 // of all that might have been, from the first act to the last
+	peakShare   float64 // of the fullest window, as a share of the limit
+	utilization float64 // mean use from the first arrival to the last, as a share of the first limit
 	violations  []string
 }
 
-const transitTime = 75 * time.Millisecond // for a shot that was allowed, until it has come: 50 ms to its first byte, and the stand-in's own lateness
+const transitTime = 75 * time.Millisecond // of an allowed attempt until a backend records it: 50 ms until its first byte is sent, plus the delay of the backend itself
 
-// judgeRate holds arrivals against a rate: in each window at most rate × (window + what may be on the way) + burst. It
-// looks at every window that begins and ends with an arrival; any other holds no more and is longer.
+// checkRate checks arrivals against rates. A window may have at most rate × (window + transitTime) + burst arrivals. checkRate
+// covers every window that begins and ends with an arrival; any other window has no more arrivals than one of these and is longer.
 func checkRate(budget string, arrivals []arrival, limits []limit) (result limitResult) {
 	slices.SortFunc(arrivals, func(a, b arrival) int { return int(a.startNs - b.startNs) })
 	for i, l := range limits {
@@ -335,9 +342,9 @@
 			lastNs = a.startNs
 			result.actions++
 			if maxExcess := l.max + l.perSecond*transitTime.Seconds(); excess > maxExcess {
-				result.violations = append(result.violations, fmt.Sprintf("%s at %d: %.1f more than its rate of %g in a window, %.1f may be; the last is of %s",
+				result.violations = append(result.violations, fmt.Sprintf("%s at %d: %.1f arrivals above the rate of %g in a window, limit %.1f; the last is from %s",
 					budget, a.startNs, excess, l.perSecond, maxExcess, a.node))
-				excess = 1 // each window once
+				excess = 1 // reports each violation once
 			}
 		}
 		for _, window := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second, time.Minute} {
@@ -354,7 +361,7 @@
 	return result
 }
 
-// judgeNumber holds what went on at once against a number.
+// checkConcurrency checks the number of concurrent arrivals against limits.
 func checkConcurrency(budget string, arrivals []arrival, limits []limit) (result limitResult) {
 	type edge struct {
 		timeNs  int64
@@ -393,7 +400,7 @@
 		result.windows++
 		result.peakShare = max(result.peakShare, float64(concurrent)/limits[limitIndex].max)
 		if float64(concurrent) > limits[limitIndex].max {
-			result.violations = append(result.violations, fmt.Sprintf("%s at %d: %d at once, %g may be; the last is of %s", budget, e.timeNs, concurrent, limits[limitIndex].max, e.arrival.node))
+			result.violations = append(result.violations, fmt.Sprintf("%s at %d: %d concurrent arrivals, limit %g; the last is from %s", budget, e.timeNs, concurrent, limits[limitIndex].max, e.arrival.node))
 		}
 	}
 	return result
--- a/internal/faulttest/budgets.go
+++ b/internal/faulttest/budgets.go
@@ -14,35 +14,36 @@
 	"time"
 )
 
-// The budgets of a run. What they bound is counted by the stand-ins.
+// The limits of the budgets in a run. The counting backends record what the budgets limit.
 const (
-	fetchesPerSecond = 240.0 // a second at the origin
+	fetchesPerSecond = 240.0 // at the origin
 	acmePerSecond    = 60.0
 	listsPerSecond   = 60.0
 	coldPerSecond    = 30.0
 	maxCacheConns    = 36
-	spareNodes       = 2 // nodes that there may be beside those that there are
+	spareNodes       = 2 // the configuration allows this many nodes more than the run has
 
 	longLeaseDuration = 1500 * time.Millisecond
-	longResponseDelay = longLeaseDuration / 4 // nearly as late as a call may take
-	quotaShiftTime    = 1300 * time.Millisecond
+	longResponseDelay = longLeaseDuration / 4   // slightly below the time limit of a call
+	quotaShiftTime    = 1300 * time.Millisecond // in which quota moves to the nodes under load
 )
 
-// sizes are what the seed of a run decides of its budgets.
+// budgetSizes returns the parameters of the budgets fetches and room, which depend on the seed of the run: the burst and the
+// reserved fraction of fetches, and the limit of concurrent fetches, which is the budget room.
 func (tc *testCluster) budgetSizes() (burst int, reservedFraction float64, maxFetches int) {
 	maxNodes := float64(tc.plan.Nodes + spareNodes)
 	if tc.plan.Seed%2 == 0 && tc.plan.DisabledSafeguard == "" {
-		return 8, 0, 60 // the rate is what is short
+		return 8, 0, 60 // the rate of fetches is the bottleneck
 	}
-	return 16, maxNodes/16 + 0.01, 3 + int(tc.plan.Seed)%9 // the number is; smaller than the fleet at times, so that units go round
+	return 16, maxNodes/16 + 0.01, 3 + int(tc.plan.Seed)%9 // the concurrency is; it can be below the number of nodes, so that units have to move between nodes
 }
 
-// odd says whether a node comes late, with wholes of its own in its papers.
+// joinsLate reports whether a node joins after the others, with different budget totals in its configuration.
 func (tc *testCluster) joinsLate(nodeIndex int) bool {
 	return tc.plan.testBudgets && nodeIndex >= voterCount && nodeIndex == tc.plan.Nodes-1
 }
 
-// budgeted changes a node's papers for a run on budgets. The last node's have wholes of their own, which must not count.
+// addBudgets adds budgets to a node's configuration. The last node's has different totals, which the cluster must ignore.
 func (tc *testCluster) addBudgets(nodeIndex int, nodeConfig, clusterConfig map[string]any) {
 	burst, reservedFraction, maxFetches := tc.budgetSizes()
 	factor := 1.0
@@ -68,6 +69,7 @@
 	settings["namespaces"] = []map[string]any{{"name": "read", "repeat": "safe", "target-time-ms": 400, "time-limit-ms": lookupTimeout.Milliseconds()}}
 }
 
+// setNodeName records which node a process belongs to.
 func (tc *testCluster) setNodeName(pid int, name string) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -77,7 +79,7 @@
 	tc.nodeNames[pid] = name
 }
 
-// dividing are the kinds of fault that runs on budgets have in turn.
+// budgetFaultOrder returns the faults of runs that test budgets, in the order in which the seeds go through them.
 func budgetFaultOrder() (faults []fault) {
 	for _, name := range []string{"handed-on", "kill-third", "in-turn", "stop", "cut", "whole-lowered", "part", "handed-on-unled", "come-and-go", "deaf", "upgrade", "stop-on-renewal",
 		"folder-lost", "kill", "slow", "reset", "power"} {
@@ -87,15 +89,15 @@
 	return faults
 }
 
-// ofBudgets are those that only such runs have. It is filled at the start, since kinds refer to each other by name.
+// budgetOnlyFaults are the faults that only runs on budgets have.
 var budgetOnlyFaults = []fault{
-	{"handed-on", "one node alone has all, then it is cut off and all others want it", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"handed-on", "one node gets all quota, then it is partitioned while all nodes want quota", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.isolateLoadedNode(ctx, node, false)
 	}, false},
-	{"handed-on-unled", "the same, and the leader is killed meanwhile", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"handed-on-unled", "the same, and the leader is killed during the partition", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.isolateLoadedNode(ctx, node, true)
 	}, false},
-	{"in-turn", "each node in turn has nearly all, then nobody wants any, then all at once", func(tc *testCluster, ctx context.Context, _ *clusterNode) bool {
+	{"in-turn", "each node in turn gets nearly all load, then no node, then all nodes at once", func(tc *testCluster, ctx context.Context, _ *clusterNode) bool {
 		defer tc.loadFocus.Store(0)
 		for i := range tc.nodes {
 			tc.loadFocus.Store(int32(i + 1))
@@ -107,7 +109,7 @@
 		tc.sleep(ctx, halfLease)
 		return true
 	}, false},
-	{"kill-third", "SIGKILL of a third of all at once, and a start soon after", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"kill-third", "SIGKILL of a third of the nodes at once, and a restart half a lease later", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		var restarts sync.WaitGroup
 		injected := atomic.Int32{}
 		for i := range (tc.plan.Nodes + 2) / 3 {
@@ -122,7 +124,7 @@
 		tc.sleep(ctx, overOneLease)
 		return injected.Load() > 0
 	}, false},
-	{"come-and-go", "a node leaves and joins again, without pause", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"come-and-go", "a node leaves and joins again at once, three times", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		for range 3 {
 			if !tc.restart(ctx, node, syscall.SIGTERM, 0, nil) {
 				return false
@@ -131,9 +133,9 @@
 		}
 		return true
 	}, false},
-	{"whole-lowered", "an operator lowers wholes under load, and raises them again", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"whole-lowered", "an operator lowers budget totals under load, and raises them again", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		burst, _, maxFetches := tc.budgetSizes()
-		lowered := max(tc.plan.Nodes+spareNodes, burst*5/8) // not below what is apart
+		lowered := max(tc.plan.Nodes+spareNodes, burst*5/8) // not below the reserved units
 		if burst == 8 {
 			lowered = 5
 		}
@@ -145,7 +147,7 @@
 		if !setTotal("fetches", perUnit*float64(lowered)) || !setTotal("room", float64((maxFetches+1)/2)) {
 			return false
 		}
-		tc.sleep(ctx, leaseDuration*125/100+100*time.Millisecond) // by then all that was out has come back
+		tc.sleep(ctx, leaseDuration*125/100+100*time.Millisecond) // by then all quota beyond the new totals has been returned or has expired
 		tc.addLimit("fetches", limit{fromNs: bootTimeNs(), perSecond: perUnit * float64(lowered), max: float64(lowered)})
 		tc.addLimit("room", limit{fromNs: bootTimeNs(), max: float64((maxFetches + 1) / 2), concurrency: true})
 		tc.sleep(ctx, overOneLease)
@@ -160,12 +162,14 @@
 	}, false},
 }
 
-// long says whether leases are longer in a run: answers can be late by more then, and a leader is followed well within one.
+// usesLongLeases reports whether the run has longer leases. These allow longer response delays, and a new leader is elected well
+// within one lease.
 func (tc *testCluster) usesLongLeases() bool {
 	return tc.plan.OnlyFault == "late-answers" || tc.plan.OnlyFault == "handed-on-unled"
 }
 
-// handedOn lets a node that doesn't vote, or any where all do, come to have nearly all, and cuts it off while all want it.
+// isolateLoadedNode lets one node get nearly all quota, and then partitions it while all nodes are under load. It takes a node that
+// is not a voter if there is one.
 func (tc *testCluster) isolateLoadedNode(ctx context.Context, node *clusterNode, killLeader bool) bool {
 	if len(tc.nodes) > voterCount {
 		node = tc.nodes[voterCount+node.index%(len(tc.nodes)-voterCount)]
@@ -201,20 +205,21 @@
 	return <-injected
 }
 
+// addLimit adds a limit of a budget that applies from now on.
 func (tc *testCluster) addLimit(budget string, l limit) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	tc.limits[budget] = append(tc.limits[budget], l)
 }
 
-// showsAt tells at which fault a safeguard is missed most.
+// faultForSafeguard maps a safeguard to the fault that shows most often that it is disabled.
 var faultForSafeguard = map[string]string{"drift-margin": "clock-bound", "count-from-answer": "late-answers", "burst-kept": "in-turn",
 	"leader-forgets": "handed-on-unled"}
 
-// PlayBudgets plays one run on budgets.
-func PlayBudgets(ctx context.Context, plan Plan) (r Run, err error) {
+// RunBudgets runs a cluster under faults and checks its budgets.
+func RunBudgets(ctx context.Context, plan Plan) (r RunResult, err error) {
 	plan.testBudgets = true
-	if plan.OnlyFault == "" && plan.Seed%4 > 0 { // what is missing is looked for where it counts, and in a quarter anywhere
+	if plan.OnlyFault == "" && plan.Seed%4 > 0 { // a quarter of the seeds use all faults, the others the one that fits the safeguard
 		plan.OnlyFault = faultForSafeguard[plan.DisabledSafeguard]
 	}
 	r.Seed = plan.Seed
@@ -236,7 +241,7 @@
 	var running sync.WaitGroup
 	var maxDelayNs atomic.Int64
 	if last := plan.Nodes - 1; err == nil && tc.joinsLate(last) {
-		tc.sleep(ctx, startupWait) // the wholes are agreed before the node with others comes
+		tc.sleep(ctx, startupWait) // the cluster has agreed on the totals before the node with different ones joins
 		_, _, err = tc.nodes[last].start()
 	}
 	if err == nil {
@@ -268,7 +273,7 @@
 	tc.checkBudgets(&r)
 	r.InjectedFaults, r.Lookups, r.UnservedLookups = tc.faultCounts, load.sent.Load(), load.unanswered.Load()
 	if r.FirstUnserved, _ = load.firstUnanswered.Load().(string); r.UnservedLookups > 0 {
-		r.Violations = append(r.Violations, fmt.Sprintf("%d lookups had no answer in time from nodes that ran; the first: %s", r.UnservedLookups, r.FirstUnserved))
+		r.Violations = append(r.Violations, fmt.Sprintf("%d lookups got no response in time from nodes that ran; the first: %s", r.UnservedLookups, r.FirstUnserved))
 	}
 	limitViolations := len(r.Violations)
 	r.Violations = append(append(r.Violations, tc.slowExits...), tc.checkLogs()...)
@@ -277,9 +282,9 @@
 	_ = os.WriteFile(filepath.Join(tc.dir, "rig.json"), summary, 0o600)
 	switch maxDelay := time.Duration(maxDelayNs.Load()); {
 	case maxDelay > maxProcessDelay/2:
-		r.VoidReason = fmt.Sprintf("the rig itself was %v late: too few cores", maxDelay.Round(time.Millisecond))
+		r.VoidReason = fmt.Sprintf("the rig itself was delayed by %v: too few cores", maxDelay.Round(time.Millisecond))
 	case r.Actions < 200:
-		r.VoidReason = fmt.Sprintf("%d acts only", r.Actions)
+		r.VoidReason = fmt.Sprintf("only %d actions", r.Actions)
 	}
 	if r.VoidReason != "" && limitViolations == 0 {
 		r.Violations = nil
@@ -287,15 +292,15 @@
 	return r, nil
 }
 
-// What demand may be fixed on, beside a node's number and one.
+// The values of loadFocus beside 0 and 1 + the index of a node.
 const (
-	focusNone = -1
-	focusAll  = -100 // less a node's number and one, which is asked most; all others much
+	focusNone = -1   // no node is under load
+	focusAll  = -100 // all nodes are under load; minus (1 + index): that node most
 
-	baseLookupsPerSecond = 50 // lookups a second before each node
+	baseLookupsPerSecond = 50 // to each node in the usual pattern
 )
 
-// lateness notes how late the rig itself is for want of cores.
+// recordMaxDelay records the longest delay of a timer of the rig, which shows whether the machine has too few cores.
 func recordMaxDelay(maxNs *atomic.Int64, done <-chan struct{}) {
 	for {
 		beforeNs := bootTimeNs()
@@ -310,8 +315,8 @@
 
 const delayCheckInterval = 10 * time.Millisecond
 
-// shift moves the clients' demand about, and lets a cache start again now and then: one node has ten times what another has,
-// and all together want twice what they may.
+// varyLoad varies the load of the nodes and restarts a cache from time to time. In the usual pattern a randomly chosen node gets
+// five times the load of any other, and the total is above what the budgets allow.
 func (tc *testCluster) varyLoad(load *loadGenerator, done <-chan struct{}) {
 	rnd := rand.New(rand.NewPCG(tc.plan.Seed, 31))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -325,9 +330,9 @@
 		for i := range load.lookupsPerSecond {
 			perSecond := int64(baseLookupsPerSecond)
 			switch focus := tc.loadFocus.Load(); {
-			case focus == focusNone || focus > 0 && int(focus) != i+1: // one alone
+			case focus == focusNone || focus > 0 && int(focus) != i+1: // another node is under load, or none
 				perSecond = 1
-			case int(focus) == i+1 || focus == focusAll-int32(i+1): // it goes on
+			case int(focus) == i+1 || focus == focusAll-int32(i+1): // the node in focus
 				perSecond = 8 * baseLookupsPerSecond
 			case focus != 0:
 				perSecond = 3 * baseLookupsPerSecond
@@ -339,7 +344,7 @@
 		switch {
 		case tc.loadFocus.Load() != 0:
 			tc.sleep(ctx, 20*time.Millisecond)
-		case step%4 == 1: // a lull, and all at once
+		case step%4 == 1: // almost no load, then all nodes at once
 			for i := range load.lookupsPerSecond {
 				load.lookupsPerSecond[i].Store(1)
 			}
@@ -359,15 +364,15 @@
 	}
 }
 
-// judgeBudgets holds what the stand-ins saw against the wholes.
-func (tc *testCluster) checkBudgets(run *Run) {
+// checkBudgets checks the arrivals at the counting backends against the limits.
+func (tc *testCluster) checkBudgets(run *RunResult) {
 	run.PeakShares, run.Utilization = map[string]float64{}, map[string]float64{}
 	for budget, log := range tc.countingBackends.arrivalLogs {
 		log.mu.Lock()
 		arrivals := slices.Clone(log.arrivals)
 		log.mu.Unlock()
 		if budget == "cold" || budget == "links-0" || budget == "links-1" {
-			// Who stood still neither heard that a cache starts again nor could close a connection.
+			// A paused node can neither learn that a cache restarted nor close a connection.
 			arrivals = slices.DeleteFunc(arrivals, func(a arrival) bool { return tc.pausedAround(a) })
 		}
 		var result limitResult
@@ -384,7 +389,8 @@
 	slices.Sort(run.Violations)
 }
 
-// stood says whether the node that an arrival is of stood still about then.
+// pausedAround reports whether the node that caused an arrival was paused around that time. An arrival of an unknown node counts
+// as caused by any node.
 func (tc *testCluster) pausedAround(a arrival) bool {
 	const marginNs = int64(1500 * time.Millisecond)
 	for _, p := range tc.pauses {
--- a/internal/faulttest/check.go
+++ b/internal/faulttest/check.go
@@ -12,7 +12,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// note is one line of a process's record, by the machine's boot clock in nanoseconds.
+// event is a line of a process's record, as package cluster writes it. Its times are boot times in ns.
 type event struct {
 	Type           string `json:"what"`
 	Node           string `json:"who"`
@@ -30,7 +30,7 @@
 	DelayNs        int64  `json:"ns"`
 }
 
-// pass is what the door outside saw.
+// resourceRequest is a request that the guarded resource received.
 type resourceRequest struct {
 	timeNs   int64
 	node     string
@@ -38,44 +38,44 @@
 	accepted bool
 }
 
-// pause is when the rig let a process stand still, or ended it.
+// pause is a time in which the rig had a process stopped. It ends at 1 << 62 if the process exited.
 type pause struct {
 	pid            int
 	startNs, endNs int64
 }
 
-// history is all that a run left behind.
+// history is everything that was recorded in a run.
 type history struct {
 	events            []event
 	requests          []resourceRequest
 	pauses            []pause
 	holderLosses      []holderLoss
-	clocksBeyondBound bool // a clock was beyond the bound: outside a door nothing is promised
+	clocksBeyondBound bool // a clock rate was beyond fleet.drift, so that only fencing tokens protect actions
 	leaseDuration     time.Duration
 }
 
-// loss is a holder struck at a time.
+// holderLoss is a fault that struck the holder of the lease.
 type holderLoss struct {
 	fault, node string
 	timeNs      int64
 }
 
-// verdict is what the judge makes of it.
+// checkResult is the outcome of the checks of a history.
 type checkResult struct {
 	actions           int
-	fencingViolations []string // overlaps at a door: never
-	overlaps          []string // overlaps outside one: never while clocks keep the bound and nobody is paused
-	orderViolations   []string // what no single order explains
-	maxDelay          time.Duration
-	failoverTimes     map[string][]time.Duration
-	orderUnknown      bool // the order could not be looked through in time
-	excusedOverlaps   int  // overlaps outside a door while paused or beyond the bound
-	acceptedRequests  int
+	fencingViolations []string                   // stale tokens that the guarded resource accepted
+	overlaps          []string                   // of unguarded actions, while no process was paused and all clock rates were in bounds
+	orderViolations   []string                   // histories of lease requests that no order explains
+	maxDelay          time.Duration              // of a process that the rig did not pause
+	failoverTimes     map[string][]time.Duration // by fault
+	orderUnknown      bool                       // the check of the order timed out
+	excusedOverlaps   int                        // of unguarded actions, while a process was paused or a clock rate out of bounds
+	acceptedRequests  int                        // by the guarded resource
 }
 
 const (
 	orderCheckTimeout   = 20 * time.Second
-	pauseLookbackLeases = 2 // leases before an act in which a pause may be behind it
+	pauseLookbackLeases = 2 // a pause in this many lease durations before an action excuses an overlap
 )
 
 func readEvents(path string) (events []event, err error) {
@@ -86,18 +86,19 @@
 	defer f.Close()
 	for scanner := bufio.NewScanner(f); scanner.Scan(); {
 		var e event
-		if json.Unmarshal(scanner.Bytes(), &e) == nil { // the last line of a killed process may be cut
+		if json.Unmarshal(scanner.Bytes(), &e) == nil { // the last line of a killed process may be truncated
 			events = append(events, e)
 		}
 	}
 	return events, nil
 }
 
+// pausedDuring reports whether the rig had the process stopped at some time from startNs to endNs.
 func (h *history) pausedDuring(pid int, startNs, endNs int64) bool {
 	return slices.ContainsFunc(h.pauses, func(p pause) bool { return p.pid == pid && p.startNs <= endNs && p.endNs >= startNs })
 }
 
-// judge holds a run against the rules.
+// check checks the history against the guarantees of leases.
 func (h *history) check() (result checkResult) {
 	h.checkFencing(&result)
 	h.checkOverlaps(&result)
@@ -111,7 +112,8 @@
 	return result
 }
 
-// atDoors: once a later token has passed, no earlier one does. Inside the fleet the order is looked at by inOrder.
+// checkFencing checks that the guarded resource accepts no token after a higher one. checkOrder checks the same for effects in
+// the replicated state.
 func (h *history) checkFencing(result *checkResult) {
 	maxToken := uint64(0)
 	for _, request := range h.requests {
@@ -121,13 +123,13 @@
 		result.acceptedRequests++
 		result.actions++
 		if request.token < maxToken {
-			result.fencingViolations = append(result.fencingViolations, fmt.Sprintf("%s passes with token %d after %d", request.node, request.token, maxToken))
+			result.fencingViolations = append(result.fencingViolations, fmt.Sprintf("%s was accepted with token %d after token %d", request.node, request.token, maxToken))
 		}
 		maxToken = max(maxToken, request.token)
 	}
 }
 
-// outsideDoors: acts of two holdings never overlap.
+// checkOverlaps checks that the actions of two holders on the unguarded resource never overlap.
 func (h *history) checkOverlaps(result *checkResult) {
 	type action struct {
 		event
@@ -145,7 +147,7 @@
 				a.endNs = end.TimeNs
 			}
 		}
-		if a.endNs == math.MaxInt64 { // the process ended in the middle
+		if a.endNs == math.MaxInt64 { // the process exited during the action
 			for _, p := range h.pauses {
 				if p.pid == e.PID && p.startNs >= e.TimeNs {
 					a.endNs = min(a.endNs, p.startNs)
@@ -168,21 +170,22 @@
 				result.excusedOverlaps++
 				continue
 			}
-			result.overlaps = append(result.overlaps, fmt.Sprintf("%s with token %d and %s with token %d act at once, for %v", a.Node, a.Token,
+			result.overlaps = append(result.overlaps, fmt.Sprintf("actions of %s with token %d and %s with token %d overlap for %v", a.Node, a.Token,
 				b.Node, b.Token, time.Duration(min(a.endNs, b.endNs)-b.TimeNs)))
 		}
 	}
 }
 
-// held is the lease in the model: the last token, and whether it is held yet.
+// leaseState is the state of the lease in the model that checkOrder uses.
 type leaseState struct {
 	lastToken uint64
 	holder    string
 	held      bool
 }
 
-// inOrder: some single order of all askings, each between its call and its return, explains all answers. A lease may run
-// out at any time; what nobody had an answer of may have happened or not, and can't be contradicted by a later answer.
+// checkOrder checks that the lease requests are linearizable: one order of all requests, each between its call and its return,
+// explains all responses. In the model, a lease may expire at any time. Requests without a response are left out: they may
+// or may not have taken effect, and no later response can contradict either.
 func (h *history) checkOrder(result *checkResult) {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{leaseState{}} },
@@ -194,7 +197,7 @@
 			case e.Operation == "acquire" && ok && lease.held && lease.holder == e.Holder && lease.lastToken == e.Token:
 				return []any{lease}
 			case e.Operation == "acquire" && ok && e.Token > lease.lastToken:
-				return []any{leaseState{e.Token, e.Holder, true}} // the one before has run out
+				return []any{leaseState{e.Token, e.Holder, true}} // the previous lease has expired
 			case (e.Operation == "renew" || e.Operation == "do") && ok && lease.held && lease.lastToken == e.RequestToken:
 				return []any{lease}
 			case e.Operation == "release" && ok && lease.held && lease.lastToken == e.RequestToken:
@@ -223,13 +226,13 @@
 	}
 	switch porcupine.CheckOperationsTimeout(model.ToModel(), ops, orderCheckTimeout) {
 	case porcupine.Illegal:
-		result.orderViolations = append(result.orderViolations, fmt.Sprintf("no order of %d askings explains their answers", len(ops)))
+		result.orderViolations = append(result.orderViolations, fmt.Sprintf("no order of the %d lease requests explains their responses", len(ops)))
 	case porcupine.Unknown:
 		result.orderUnknown = true
 	}
 }
 
-// handedOn measures from the loss of a holder to the next act of another.
+// measureFailovers measures the time from the loss of each holder to the next action of another node.
 func (h *history) measureFailovers(result *checkResult) {
 	result.failoverTimes = map[string][]time.Duration{}
 	for _, loss := range h.holderLosses {
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -18,17 +18,17 @@
 	"time"
 )
 
-// Plan is what is played.
+// Plan configures a run.
 type Plan struct {
-	Program            string // of a build with the tag faults
-	Nodes              int    // 3 of them vote
+	Program            string // path of a binary built with the tag faults
+	Nodes              int    // the first 3 are voters
 	Seed               uint64
-	DisabledSafeguard  string // a safeguard that is taken out; empty: none
-	OnlyFault          string // one kind of fault; empty: all, by chance
-	KeepDir            string // where the histories of broken runs stay; empty: nowhere
-	testBudgets        bool   // budgets are played, not leases
-	lastNodeStandalone bool   // the last process has no fleet
-	Slot               int    // another one for each run that goes on at the same time
+	DisabledSafeguard  string // name of a safeguard; empty: none is disabled
+	OnlyFault          string // name of a fault; empty: all faults in turn
+	KeepDir            string // directory for the histories of failed runs; empty: they are deleted
+	testBudgets        bool   // the run tests budgets, not leases
+	lastNodeStandalone bool   // the last node runs without the cluster
+	Slot               int    // differs between runs that are active at the same time
 }
 
 const (
@@ -36,25 +36,25 @@
 	leaseDuration    = 600 * time.Millisecond
 	maxNetworkDelay  = 20 * time.Millisecond
 	maxClockDrift    = 0.01
-	widestClockDrift = 0.2 // the widest bound that a configuration takes
+	widestClockDrift = 0.2 // the largest fleet.drift that a configuration accepts
 	bootstrapTimeout = 15 * time.Second
 	startupWait      = 500 * time.Millisecond
-	finalWait        = 1200 * time.Millisecond // after the last fault: two leases
-	faultsPerRun     = 5                       // faults in a run
-	maxProcessDelay  = leaseDuration / 6       // of a process that nobody stopped: beyond, the run tells of the machine
+	finalWait        = 1200 * time.Millisecond // after the last fault; two lease durations
+	faultsPerRun     = 5
+	maxProcessDelay  = leaseDuration / 6 // of a process that the rig did not stop; a longer delay shows that the machine has too few cores
 )
 
-// route identifies the relay from one node to another, by their indexes.
+// route identifies the relay from one node to another by the indexes of the nodes.
 type route struct{ from, to int }
 
-// world is one run.
+// testCluster is the cluster of one run, with its relays, backends and recorded events.
 type testCluster struct {
 	plan         Plan
 	program      string
 	dir          string
 	rnd          *rand.Rand
 	nodes        []*clusterNode
-	relays       map[route]*relay // from, to
+	relays       map[route]*relay
 	resource     *guardedResource
 	stubBackends *stubBackends
 	faultCounts  map[string]int
@@ -62,21 +62,21 @@
 	mu           sync.Mutex
 	pauses       []pause
 	holderLosses []holderLoss
-	slowExits    []string      // nodes that took too long to end
-	excusedUntil map[int]int64 // until when a process may fail its clients, by number
+	slowExits    []string      // a message for each process that took too long to exit
+	excusedUntil map[int]int64 // boot time in ns until which lookups at a node may fail, by node index
 
-	countingBackends *countingBackends // of a run on budgets
-	limits           map[string][]limit
-	loadFocus        atomic.Int32   // what demand is fixed on; 0: it comes as it comes
-	nodeNames        map[int]string // of nodes, by process
+	countingBackends *countingBackends  // only in runs that test budgets
+	limits           map[string][]limit // by budget, in order of fromNs
+	loadFocus        atomic.Int32       // 1 + index of the only node under load, or a focus constant; 0: the usual pattern
+	nodeNames        map[int]string     // by PID
 }
 
-// left notes how long a node took to end.
+// recordExit records a process that took longer than maxExitTime to exit.
 func (tc *testCluster) recordExit(node *clusterNode, elapsed time.Duration) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	if elapsed > maxExitTime {
-		tc.slowExits = append(tc.slowExits, fmt.Sprintf("%s took %v to end", node.name, elapsed.Round(time.Millisecond)))
+		tc.slowExits = append(tc.slowExits, fmt.Sprintf("%s took %v to exit", node.name, elapsed.Round(time.Millisecond)))
 	}
 }
 
@@ -86,7 +86,7 @@
 	tc.pauses = append(tc.pauses, p)
 }
 
-// ip gives an address of the loopback net that no other run has.
+// ip returns a loopback address that no other active run uses.
 func (tc *testCluster) ip(host int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 1+tc.plan.Slot%250, host)
 }
@@ -95,10 +95,10 @@
 	clientPort     = 7070
 	clusterPort    = 7100
 	firstAdminPort = 7200
-	firstRelayPort = 8000 // and the number of whom it leads to
+	firstRelayPort = 8000 // plus the index of the target node
 )
 
-// setUp lays all out and starts it.
+// setUp starts the backends, relays and nodes, and bootstraps the cluster.
 func (tc *testCluster) setUp(ctx context.Context) (err error) {
 	if tc.resource, err = newGuardedResource(tc.ip(250)+":8600", strings.Contains(tc.plan.DisabledSafeguard, "door-token")); err != nil {
 		return err
@@ -125,9 +125,9 @@
 		switch tc.plan.OnlyFault {
 		case "clock-bound":
 			drift = widestClockDrift
-			node.clockRate = []float64{1 + widestClockDrift*0.95, 1 - widestClockDrift*0.95}[min(1, i/voterCount)] // those who lead are fast, some that hold slow
+			node.clockRate = []float64{1 + widestClockDrift*0.95, 1 - widestClockDrift*0.95}[min(1, i/voterCount)] // voters, which can lead, are fast; the other nodes, which can hold leases, are slow
 		case "clock-beyond":
-			node.clockRate = []float64{0.6, 1}[i%2] // the lease of a slow one lasts far longer than it thinks
+			node.clockRate = []float64{0.6, 1}[i%2] // a slow node takes its lease to be valid long after it has expired
 		}
 		if err := os.Mkdir(node.pointsDir, 0o700); err != nil {
 			return err
@@ -180,7 +180,7 @@
 		_ = listener.Close()
 		tc.nodes = append(tc.nodes, node)
 		if tc.joinsLate(i) {
-			continue // it comes later, with other papers
+			continue // RunBudgets starts it later
 		}
 		if _, _, err := node.start(); err != nil {
 			return err
@@ -192,12 +192,12 @@
 			return nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return fmt.Errorf("the fleet was not founded: %w: %s", err, out)
+			return fmt.Errorf("cluster not bootstrapped: %w: %s", err, out)
 		}
 	}
 }
 
-// command runs the program's own for an operator on a node.
+// runCommand runs an operator's command of the program with the configuration of a node.
 func (tc *testCluster) runCommand(ctx context.Context, nodeIndex int, args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -206,7 +206,7 @@
 	return strings.TrimSpace(string(out)), err
 }
 
-// tearDown ends all that the run started, each process by its id.
+// tearDown stops all processes, relays and servers of the run. It signals each process by its PID.
 func (tc *testCluster) tearDown() {
 	var stopping sync.WaitGroup
 	for _, node := range tc.nodes {
@@ -231,28 +231,28 @@
 	}
 }
 
-// Run is what became of one.
-type Run struct {
+// RunResult is the outcome of one run.
+type RunResult struct {
 	Seed              uint64
 	Actions           int
-	InjectedFaults    map[string]int // that really struck, by kind
-	FencingViolations int            // overlaps at a door
-	Overlaps          int
-	ExcusedOverlaps   int // overlaps outside a door that nothing promised against
-	FailoverTimes     map[string][]time.Duration
+	InjectedFaults    map[string]int             // number of times that each fault took effect
+	FencingViolations int                        // stale tokens accepted, and histories of lease requests that no order explains
+	Overlaps          int                        // of actions that no fencing token protects
+	ExcusedOverlaps   int                        // overlaps while a process was paused, or its clock rate out of bounds
+	FailoverTimes     map[string][]time.Duration // by fault
 	Violations        []string
-	VoidReason        string             // why it shows nothing; empty: it does
-	Lookups           int64              // lookups at the nodes meanwhile
-	UnservedLookups   int64              // of those: not answered well, though their node ran
-	FirstUnserved     string             // of the first of them
-	Windows           int                // judged, of budgets
-	Utilization       map[string]float64 // of each whole, over the run
-	PeakShares        map[string]float64 // the most that came in one, as a share of what it may be, by budget
-	HistoryDir        string
+	VoidReason        string             // why the run is inconclusive; empty: it is conclusive
+	Lookups           int64              // sent to the nodes during the run
+	UnservedLookups   int64              // lookups that a running node did not answer with success
+	FirstUnserved     string             // description of the first unserved lookup
+	Windows           int                // time windows checked against the limits of budgets
+	Utilization       map[string]float64 // mean use of each budget, as a share of its limit
+	PeakShares        map[string]float64 // the fullest window of each budget, as a share of its limit
+	HistoryDir        string             // of a failed run
 }
 
-// keep lets the history of a run that failed stay where the plan wants it, and removes any other.
-func (tc *testCluster) keepHistory(run *Run, err error, prefix string) {
+// keepHistory moves the files of a failed run to KeepDir, and deletes those of any other run.
+func (tc *testCluster) keepHistory(run *RunResult, err error, prefix string) {
 	if len(run.Violations) == 0 && err == nil || tc.plan.KeepDir == "" {
 		_ = os.RemoveAll(tc.dir)
 		return
@@ -264,8 +264,8 @@
 	}
 }
 
-// Play plays one run.
-func Play(ctx context.Context, plan Plan) (r Run, err error) {
+// RunLeases runs a cluster under faults and checks its leases.
+func RunLeases(ctx context.Context, plan Plan) (r RunResult, err error) {
 	r.Seed = plan.Seed
 	tc := &testCluster{plan: plan, program: plan.Program, rnd: rand.New(rand.NewPCG(plan.Seed, 29)), relays: map[route]*relay{},
 		faultCounts: map[string]int{}, excusedUntil: map[int]int64{}}
@@ -322,14 +322,14 @@
 	r.Violations = append(append(r.Violations, tc.slowExits...), tc.checkLogs()...)
 	switch {
 	case result.orderUnknown:
-		r.VoidReason = "the order of its askings could not be looked through in time"
+		r.VoidReason = "the check of the order of lease requests timed out"
 	case result.maxDelay > maxProcessDelay:
-		r.VoidReason = fmt.Sprintf("a process that nobody stopped was %v late: too few cores", result.maxDelay.Round(time.Millisecond))
+		r.VoidReason = fmt.Sprintf("a process that the rig did not stop was delayed by %v: too few cores", result.maxDelay.Round(time.Millisecond))
 	case result.actions == 0:
-		r.VoidReason = "nobody acted"
+		r.VoidReason = "no node performed an action"
 	}
 	if r.VoidReason != "" && len(result.fencingViolations)+len(result.orderViolations) == 0 {
-		r.Violations = nil // what is promised outside doors is promised to processes that run
+		r.Violations = nil // the other guarantees hold only for processes that get a core
 	}
 	return r, nil
 }
@@ -341,7 +341,7 @@
 	}
 }
 
-// inLogs finds what no process may write: a panic, or a period that is written twice.
+// checkLogs searches the nodes' logs for panics, and for roll-up periods that were written twice.
 func (tc *testCluster) checkLogs() (violations []string) {
 	writers := map[string]string{}
 	for _, node := range tc.nodes {
@@ -353,7 +353,7 @@
 			var rollUp struct{ Msg, Until string }
 			if json.Unmarshal([]byte(line), &rollUp) == nil && rollUp.Msg == "roll-up" {
 				if firstWriter, written := writers[rollUp.Until]; written {
-					violations = append(violations, fmt.Sprintf("the period until %s is written by %s and %s", rollUp.Until, firstWriter, node.name))
+					violations = append(violations, fmt.Sprintf("the roll-up period until %s was written by %s and %s", rollUp.Until, firstWriter, node.name))
 				}
 				writers[rollUp.Until] = node.name
 			}
--- a/internal/faulttest/exported.go
+++ b/internal/faulttest/exported.go
@@ -1,37 +1,38 @@
 package faulttest
 
-// What runs at scale borrow from this package.
+// The parts of this package that internal/scaletest uses.
 
-// Boot reads the machine's clock that goes on in suspension, in nanoseconds.
+// Boot returns the time of the machine's boot clock in ns. It also advances during suspend.
 func Boot() int64 { return bootTimeNs() }
 
-// Relay is a way to an address that can be cut.
+// Relay forwards connections to an address, and can block them.
 type Relay struct{ relay *relay }
 
-// NewRelay opens one.
+// NewRelay listens on listenAddr and forwards connections to target.
 func NewRelay(listenAddr, target string) (*Relay, error) {
 	r, err := newRelay(listenAddr, target)
 	return &Relay{r}, err
 }
 
-// Cut holds back all that goes over it, both ways, and opens no connection, until it is told otherwise.
+// Cut blocks both directions and new connections while cut is true. Blocked data is delivered after Cut(false).
 func (r *Relay) Cut(cut bool) {
 	r.relay.toTarget.blocked.Store(cut)
 	r.relay.toDialer.blocked.Store(cut)
 }
 
-// Close ends it.
+// Close closes the listener and resets all connections.
 func (r *Relay) Close() { r.relay.close() }
 
-// Lookups asks nodes for something, again and again, and judges the answers.
+// Lookups sends lookups to nodes and counts those that fail.
 type Lookups struct{ lookupClient }
 
-// Ask asks one node until done is closed. A lookup may go unserved if it is excused, by the time it began.
+// Ask sends lookups to one node until done is closed. A failed lookup does not count if excused returns true for its start,
+// which is a boot time in ns.
 func (l *Lookups) Ask(address string, done <-chan struct{}, excused func(startNs int64) bool) {
 	l.run(address, done, excused)
 }
 
-// Verdict tells how many lookups there were, how many a running node left unserved, and why the first.
+// Verdict returns the number of lookups, the number that a running node did not serve, and a description of the first of these.
 func (l *Lookups) Verdict() (sent, unserved int64, firstUnserved string) {
 	firstUnserved, _ = l.firstUnserved.Load().(string)
 	return l.sent.Load(), l.unserved.Load(), firstUnserved
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -16,20 +16,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Measured is what a fleet in peace costs.
+// ClusterCost is the cost of membership in a cluster without faults.
 type ClusterCost struct {
-	VoterLatency, StandaloneLatency map[float64]time.Duration // times of lookups by percentile, at a voter and at a node that has no fleet
+	VoterLatency, StandaloneLatency map[float64]time.Duration // of lookups by percentile, at a voter and at a node without the cluster
 	Lookups                         int64
-	CoreShares                      map[string]float64 // shares of a core, by node
-	FolderBytesPerHour              int64              // bytes of a voter's folder
+	CoreShares                      map[string]float64 // mean use of a processor core, by node
+	FolderBytesPerHour              int64              // growth of a voter's folder on the disk
 }
 
 const (
-	clockTicksPerSecond = 100 // a second, as the kernel tells processes' times on Linux
+	clockTicksPerSecond = 100 // unit of the CPU times in /proc/PID/stat on Linux
 	settleTime          = 3 * time.Second
 )
 
-// Measure starts a fleet without faults, and beside it one node that has none, and asks a voter and that node in turn.
+// Measure runs a cluster without faults and one node without the cluster. It sends lookups to a voter and to that node in turn.
 func Measure(ctx context.Context, plan Plan, duration time.Duration) (cost ClusterCost, err error) {
 	plan.lastNodeStandalone = true
 	tc := &testCluster{plan: plan, program: plan.Program, rnd: rand.New(rand.NewPCG(plan.Seed, 29)), relays: map[route]*relay{},
@@ -80,7 +80,8 @@
 	return cost, ctx.Err()
 }
 
-// sizeOf adds up what a folder's files take on the disk: a store's file is longer than what is written of it.
+// diskUsage returns the disk space of the files in a folder. It counts allocated blocks, since the log's file is longer than
+// the part that has been written.
 func diskUsage(folder string) (bytes int64) {
 	_ = filepath.WalkDir(folder, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
@@ -96,7 +97,7 @@
 	return bytes
 }
 
-// cpu gives the seconds that each process has had.
+// cpuSeconds returns the CPU time of the current process of each node, by node name.
 func (tc *testCluster) cpuSeconds() map[string]float64 {
 	seconds := map[string]float64{}
 	for _, node := range tc.nodes {
--- a/internal/faulttest/node.go
+++ b/internal/faulttest/node.go
@@ -13,33 +13,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is one node of a run; over the run it may be several processes in turn, or two at once during a replacement.
+// clusterNode is a node of the test cluster. Each restart gives it a new process. During an upgrade it has two processes.
 type clusterNode struct {
 	cluster      *testCluster
 	index        int
 	name         string
 	ip           string
 	configPath   string
-	folder       string // of its vote, empty: it has none
-	pointsDir    string // files here stop it at a point
+	folder       string // fleet.folder of a voter; empty: the node is not a voter
+	pointsDir    string // a file in it, named after a point of package faults, stops the process there
 	clockRate    float64
-	clientSocket *os.File // the clients', handed to each in turn
+	clientSocket *os.File // listens for clients; each process inherits it
 	mu           sync.Mutex
 	cmd          *exec.Cmd
 	exited       chan struct{}
-	startedNs    int64 // when this one was started
-	stoppedNs    int64 // since when it stands still, 0: it runs
-	startCount   int   // processes so far
+	startedNs    int64 // start time of the current process
+	stoppedNs    int64 // 0: the process is not stopped
+	startCount   int   // processes started so far
 }
 
-// boot reads the machine's clock that goes on in suspension, which all processes stamp by.
+// bootTimeNs returns the time of the machine's boot clock, which also advances during suspend. All recorded times use it.
 func bootTimeNs() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return t.Nano()
 }
 
-// start starts the node's next process, and gives back the one before.
+// start starts a new process of the node. It returns the previous one, and a channel that is closed when that one exits.
 func (n *clusterNode) start() (previous *exec.Cmd, previousExited chan struct{}, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,7 +55,7 @@
 		"THISTLERUDDER_TRIAL_RECORD="+filepath.Join(n.cluster.dir, fmt.Sprintf("%s.%d.record", n.name, n.startCount)),
 		fmt.Sprintf("BALANCER_ADMIN_ADDR=%s:%d", n.ip, n.adminPort()), "BALANCER_PASSED_SOCKET=3", "TMPDIR="+n.cluster.dir, "GOMAXPROCS=2")
 	cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = logFile, logFile, []*os.File{n.clientSocket}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // not even when the rig itself is killed does one stay
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no node outlives the rig, even if the rig is killed
 	if err := cmd.Start(); err != nil {
 		return nil, nil, err
 	}
@@ -71,10 +71,10 @@
 	return previous, previousExited, nil
 }
 
-// admin is the operators' port of the present process: another one for each, since two serve side by side meanwhile.
+// adminPort returns the admin port of the current process. Each process has its own, since two of them run during an upgrade.
 func (n *clusterNode) adminPort() int { return firstAdminPort + n.startCount%100 }
 
-// serves waits until the present process says that it serves.
+// waitReady waits until the current process reports that it is ready.
 func (n *clusterNode) waitReady() bool {
 	for deadline := time.Now().Add(exitTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		resp, err := http.Get(fmt.Sprintf("http://%s:%d/status", n.ip, n.adminPort()))
@@ -89,7 +89,7 @@
 	return false
 }
 
-// signal sends one to the present process.
+// signal sends a signal to the current process.
 func (n *clusterNode) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// end ends the present process by a signal, and waits for it.
+// stop sends a signal to the current process and waits until it exits. A process that hangs is killed.
 func (n *clusterNode) stop(sig syscall.Signal) {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
@@ -113,7 +113,7 @@
 		n.cluster.recordExit(n, time.Since(sentAt))
 	case <-time.After(exitTimeout):
 		n.cluster.recordExit(n, time.Since(sentAt))
-		_ = cmd.Process.Signal(syscall.SIGQUIT) // the log then says where it waits
+		_ = cmd.Process.Signal(syscall.SIGQUIT) // writes the stacks of its goroutines to the log
 		time.Sleep(stackDumpTime)
 		_ = cmd.Process.Kill()
 		<-exited
@@ -123,10 +123,11 @@
 const (
 	exitTimeout   = 5 * time.Second
 	stackDumpTime = 300 * time.Millisecond
-	maxExitTime   = 2500 * time.Millisecond // what a node may take to end: its clients' longest limit, and a second and a half
+	maxExitTime   = 2500 * time.Millisecond // for a shutdown: the longest time limit of a client, plus 1.5 s
 )
 
-// stand lets the process stand still for a while. A stop at a point is waited for, and doesn't come if nothing passes it.
+// pause stops the process for the duration: at once if point is empty, and else when it reaches that point of package faults.
+// It reports whether the process was stopped, which doesn't happen if the process doesn't reach the point within pointTimeout.
 func (n *clusterNode) pause(point string, duration time.Duration) (paused bool) {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
@@ -154,7 +155,7 @@
 		}
 	}
 	_ = os.Remove(file)
-	n.signal(syscall.SIGCONT) // it may have come just now
+	n.signal(syscall.SIGCONT) // the process may have reached the point just before the file was removed
 	n.cluster.recordPause(pause{pid, startNs, bootTimeNs()})
 	return false
 }
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -1,6 +1,6 @@
-// Package faulttest starts several real processes of the program on loopback, lets all talk between them go through relays of
-// its own, strikes them with faults by a seeded script, and judges what they did by their records. The judge shares no
-// code with the program.
+// Package faulttest tests a cluster of real processes under faults. It starts the processes on loopback addresses, routes all
+// traffic between them through its own relays, injects a seeded sequence of faults, and then checks leases and budgets by the
+// events that the processes and backends recorded. The checks share no code with the program.
 package faulttest
 
 import (
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// link is one way from a process to another, with all connections on it.
+// relay forwards the connections that one node opens to another.
 type relay struct {
 	listener net.Listener
 	target   string
-	toTarget relayDirection // from who dials
+	toTarget relayDirection // from the node that dials
 	toDialer relayDirection
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
-// flow is one direction of a link. What is held is neither lost nor told of: the connection stays open, as where a
-// machine vanished or a way is cut.
+// relayDirection controls one direction of a relay. While it is blocked, data is neither lost nor delivered and the connections
+// stay open, as when a machine loses power or a network is partitioned.
 type relayDirection struct {
 	blocked atomic.Bool
 	delayNs atomic.Int64
 }
 
-// chunk is what came in one read, and when it is to go on.
+// chunk holds the data of one read and the time at which to forward it.
 type chunk struct {
 	data      []byte
 	deliverAt time.Time
@@ -36,7 +36,7 @@
 
 const (
 	blockedPollInterval = 2 * time.Millisecond
-	maxQueuedChunks     = 256 // on the way on one connection; beyond, who sends waits
+	maxQueuedChunks     = 256 // per connection and direction; when the queue is full, the relay stops reading from the sender
 )
 
 func newRelay(listenAddr, target string) (*relay, error) {
@@ -73,7 +73,7 @@
 	defer dialer.Close()
 	r.track(dialer, true)
 	defer r.track(dialer, false)
-	for r.toTarget.blocked.Load() || r.toDialer.blocked.Load() { // a cut way opens no connection
+	for r.toTarget.blocked.Load() || r.toDialer.blocked.Load() { // a blocked relay opens no connection to its target
 		time.Sleep(blockedPollInterval)
 	}
 	upstream, err := net.DialTimeout("tcp", r.target, time.Second)
@@ -109,7 +109,7 @@
 			}
 			if _, err := dst.Write(c.data); err != nil {
 				_ = src.Close()
-				for range chunks { // until the reader has noticed
+				for range chunks { // drain, so that the reading goroutine can exit
 				}
 				return
 			}
@@ -120,7 +120,7 @@
 	copying.Wait()
 }
 
-// reset ends a connection as a reset.
+// reset closes a connection with a TCP reset.
 func (r *relay) reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- a/internal/faulttest/rig_test.go
+++ b/internal/faulttest/rig_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// The judge is shown histories that break one rule each, and must see it; and what is no breach, and must not.
-func TestHistoryWithViolationReported(t *testing.T) {
+// Each history either breaks one rule, which the check has to report, or looks similar but breaks none. A check that misses
+// violations lets TestProcessesUnderFaults pass with a broken cluster.
+func TestHistoryCheckReportsOnlyViolations(t *testing.T) {
 	ms := int64(time.Millisecond)
 	recorded := func(eventType, node string, pid int, timeMs, startMs int64, token uint64) event {
 		return event{Type: eventType, Node: node, PID: pid, TimeNs: timeMs * ms, StartNs: startMs * ms, Token: token}
@@ -25,33 +26,33 @@
 		history                              history
 		wantFencing, wantOverlaps, wantOrder int
 	}{
-		{"an old token passes", history{requests: []resourceRequest{{1, "a", 1, true}, {2, "b", 2, true}, {3, "a", 1, true}}}, 1, 0, 0},
-		{"an old token is refused", history{requests: []resourceRequest{{1, "a", 1, true}, {2, "b", 2, true}, {3, "a", 1, false}}}, 0, 0, 0},
-		{"two act at once", history{events: overlap}, 0, 1, 0},
-		{"two act at once, one was paused", history{events: overlap, pauses: []pause{{1, 0, 14 * ms}}}, 0, 0, 0},
-		{"two act at once, another was paused", history{events: overlap, pauses: []pause{{3, 0, 14 * ms}}}, 0, 1, 0},
-		{"two act at once, clocks beyond the bound", history{events: overlap, clocksBeyondBound: true}, 0, 0, 0},
-		{"killed in the act", history{events: overlap[:2], pauses: []pause{{1, 12 * ms, 1 << 62}}}, 0, 0, 0},
-		{"one token twice", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("acquire", "b", 3, 4, 0, 1, "")}}, 0, 0, 1},
-		{"tokens go back", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 2, ""), leaseRequest("acquire", "b", 3, 4, 0, 1, "")}}, 0, 0, 1},
-		{"an act after the next grant", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("acquire", "b", 3, 4, 0, 2, ""),
+		{"stale token accepted", history{requests: []resourceRequest{{1, "a", 1, true}, {2, "b", 2, true}, {3, "a", 1, true}}}, 1, 0, 0},
+		{"stale token rejected", history{requests: []resourceRequest{{1, "a", 1, true}, {2, "b", 2, true}, {3, "a", 1, false}}}, 0, 0, 0},
+		{"actions overlap", history{events: overlap}, 0, 1, 0},
+		{"actions overlap, one process was paused", history{events: overlap, pauses: []pause{{1, 0, 14 * ms}}}, 0, 0, 0},
+		{"actions overlap, an uninvolved process was paused", history{events: overlap, pauses: []pause{{3, 0, 14 * ms}}}, 0, 1, 0},
+		{"actions overlap, clock rates out of bounds", history{events: overlap, clocksBeyondBound: true}, 0, 0, 0},
+		{"process killed during its action", history{events: overlap[:2], pauses: []pause{{1, 12 * ms, 1 << 62}}}, 0, 0, 0},
+		{"token granted twice", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("acquire", "b", 3, 4, 0, 1, "")}}, 0, 0, 1},
+		{"token lower than the previous one", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 2, ""), leaseRequest("acquire", "b", 3, 4, 0, 1, "")}}, 0, 0, 1},
+		{"action after the next grant", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("acquire", "b", 3, 4, 0, 2, ""),
 			leaseRequest("do", "a", 5, 6, 1, 1, "")}}, 0, 0, 1},
-		{"an act beside the next grant", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("acquire", "b", 3, 9, 0, 2, ""),
+		{"action concurrent with the next grant", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("acquire", "b", 3, 9, 0, 2, ""),
 			leaseRequest("do", "a", 5, 6, 1, 1, "")}}, 0, 0, 0},
-		{"a renewal after the release", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("release", "a", 3, 4, 1, 0, ""),
+		{"renewal after the release", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("release", "a", 3, 4, 1, 0, ""),
 			leaseRequest("renew", "a", 5, 6, 1, 1, "")}}, 0, 0, 1},
-		{"granted while held: it ran out", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("renew", "a", 3, 4, 1, 1, ""),
+		{"granted to another holder after expiry", history{events: []event{leaseRequest("acquire", "a", 1, 2, 0, 1, ""), leaseRequest("renew", "a", 3, 4, 1, 1, ""),
 			leaseRequest("acquire", "b", 5, 6, 0, 5, ""), leaseRequest("do", "a", 7, 8, 1, 0, "lapsed")}}, 0, 0, 0},
 	} {
 		c.history.leaseDuration = time.Millisecond
 		result := c.history.check()
 		if len(result.fencingViolations) != c.wantFencing || len(result.overlaps) != c.wantOverlaps || len(result.orderViolations) != c.wantOrder {
-			t.Errorf("%s: %v, want %d at the door, %d outside, %d in order", c.name, result.violations(), c.wantFencing, c.wantOverlaps, c.wantOrder)
+			t.Errorf("%s: %v, want %d fencing violations, %d overlaps, %d order violations", c.name, result.violations(), c.wantFencing, c.wantOverlaps, c.wantOrder)
 		}
 	}
 }
 
-// build makes the program with the tag faults, once.
+// buildProgram builds the program with the tag faults and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "thistlerudder")
@@ -62,8 +63,9 @@
 	return path
 }
 
-// The judge of budgets is shown what came, and must see what passes a whole, and only that.
-func TestArrivalsAboveLimitReported(t *testing.T) {
+// Each sequence of arrivals is within its limit or above it, and the check has to tell which. A check that misses violations lets
+// TestProcessesUnderFaults pass with a broken budget.
+func TestLimitCheckReportsOnlyExceededLimits(t *testing.T) {
 	ms := int64(time.Millisecond)
 	arrivalsEvery := func(intervalMs int64, count int) (arrivals []arrival) {
 		for i := range count {
@@ -77,16 +79,16 @@
 		wantViolation bool
 		result        limitResult
 	}{
-		{"at its rate", false, checkRate("", arrivalsEvery(10, 300), rate)},
-		{"its burst at once", false, checkRate("", arrivalsEvery(0, 10), rate)},
-		{"twice its burst at once", true, checkRate("", arrivalsEvery(0, 20), rate)},
-		{"a fifth beyond its rate for long", true, checkRate("", arrivalsEvery(8, 300), rate)},
-		{"a fifth beyond its rate for a moment", false, checkRate("", arrivalsEvery(8, 30), rate)},
-		{"a rate that was lowered", true, checkRate("", arrivalsEvery(10, 300), append(rate, limit{fromNs: 1000 * ms, perSecond: 50, max: 5}))},
-		{"three at once", false, checkConcurrency("", arrivalsEvery(10, 50), concurrency)},
-		{"four at once", true, checkConcurrency("", arrivalsEvery(8, 50), concurrency)},
-		{"what never ends", true, checkConcurrency("", []arrival{{startNs: 1}, {startNs: 2}, {startNs: 3}, {startNs: 4}}, concurrency)},
-		{"two are too many once it is lowered", true, checkConcurrency("", arrivalsEvery(10, 50), append(concurrency, limit{fromNs: 100 * ms, max: 2, concurrency: true}))},
+		{"at the rate", false, checkRate("", arrivalsEvery(10, 300), rate)},
+		{"burst at once", false, checkRate("", arrivalsEvery(0, 10), rate)},
+		{"twice the burst at once", true, checkRate("", arrivalsEvery(0, 20), rate)},
+		{"a quarter above the rate for 2.4 s", true, checkRate("", arrivalsEvery(8, 300), rate)},
+		{"a quarter above the rate for 240 ms", false, checkRate("", arrivalsEvery(8, 30), rate)},
+		{"above the rate after it was lowered", true, checkRate("", arrivalsEvery(10, 300), append(rate, limit{fromNs: 1000 * ms, perSecond: 50, max: 5}))},
+		{"three concurrent", false, checkConcurrency("", arrivalsEvery(10, 50), concurrency)},
+		{"four concurrent", true, checkConcurrency("", arrivalsEvery(8, 50), concurrency)},
+		{"four that never end", true, checkConcurrency("", []arrival{{startNs: 1}, {startNs: 2}, {startNs: 3}, {startNs: 4}}, concurrency)},
+		{"above the limit after it was lowered", true, checkConcurrency("", arrivalsEvery(10, 50), append(concurrency, limit{fromNs: 100 * ms, max: 2, concurrency: true}))},
 	} {
 		if (len(c.result.violations) > 0) != c.wantViolation || c.result.windows == 0 {
 			t.Errorf("%s: %v, %d windows", c.name, c.result.violations, c.result.windows)
@@ -96,11 +98,12 @@
 
 const faultTestVariable = "THISTLERUDDER_TRIAL"
 
-// Real processes, with all kinds of fault in turn. The rules hold in each run; with a safeguard taken out, they don't in
-// some. Each kind has a run of its own name: thistlerudder trial leases --only KIND.
+// The test runs clusters of real processes under all faults in turn. Every run has to keep the rules. With a safeguard disabled,
+// some run has to break one, which shows that the checks detect what the safeguard prevents. To inject only one fault, run
+// "thistlerudder trial leases --only FAULT".
 func TestProcessesUnderFaults(t *testing.T) {
 	if os.Getenv(faultTestVariable) == "" {
-		t.Skip("it wants the cores for itself, and takes some minutes: set " + faultTestVariable)
+		t.Skip("needs all cores and takes several minutes: set " + faultTestVariable)
 	}
 	program := buildProgram(t)
 	for _, c := range []struct {
@@ -136,7 +139,7 @@
 			case c.wantPass && err != nil:
 				t.Errorf("%v:\n%s", err, out)
 			case !c.wantPass && (err == nil || !strings.Contains(string(out), "broke a rule")):
-				t.Errorf("no run shows that it is missing: %v\n%s", err, out)
+				t.Errorf("no run broke a rule although the safeguard is disabled: %v\n%s", err, out)
 			default:
 				t.Log(fmt.Sprint(lines[max(0, len(lines)-2):]))
 			}
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -13,27 +13,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// fault is one kind: it strikes, and heals before it returns. It says whether it really struck.
+// fault is a kind of fault. inject injects it, undoes it before it returns, and reports whether it took effect.
 type fault struct {
 	name, description string
 	inject            func(tc *testCluster, ctx context.Context, node *clusterNode) bool
-	needsVoter        bool // it strikes a voter
+	needsVoter        bool // inject has to get a voter
 }
 
 const (
-	overOneLease  = leaseDuration * 13 / 10 // beyond a lease and all that is added to it
+	overOneLease  = leaseDuration * 13 / 10 // longer than a lease with all its margins
 	halfLease     = leaseDuration / 2
-	responseDelay = 95 * time.Millisecond // a little less than a call may take
+	responseDelay = 95 * time.Millisecond // slightly below the time limit of a call
 )
 
+// leaseFaults are the faults of runs that test leases, in the order in which the seeds go through them.
 var leaseFaults = []fault{
-	{"kill", "SIGKILL, and a start soon after", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"kill", "SIGKILL, and a restart half a lease later", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.restart(ctx, node, syscall.SIGKILL, halfLease, nil)
 	}, false},
-	{"kill-holder", "the same for whoever holds the lease", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"kill-holder", "SIGKILL of the lease holder, and a restart after its lease has expired", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.restart(ctx, tc.lastHolder(node), syscall.SIGKILL, overOneLease, nil)
 	}, false},
-	{"term", "SIGTERM, and a start soon after", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"term", "SIGTERM, and a restart half a lease later", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.restart(ctx, node, syscall.SIGTERM, halfLease, nil)
 	}, false},
 	{"stop", "SIGSTOP for longer than a lease, and SIGCONT", func(tc *testCluster, _ context.Context, node *clusterNode) bool {
@@ -41,28 +42,28 @@
 		tc.recordHolderLoss("stop", node, overOneLease+leaseDuration)
 		return node.pause("", overOneLease)
 	}, false},
-	{"stop-before-act", "a stop exactly between the check and the act", func(tc *testCluster, _ context.Context, node *clusterNode) bool {
+	{"stop-before-act", "SIGSTOP of the lease holder between the check of the lease and the action", func(tc *testCluster, _ context.Context, node *clusterNode) bool {
 		node = tc.lastHolder(node)
 		tc.excuse(node, pointTimeout+overOneLease+leaseDuration)
 		return node.pause("before-act", overOneLease)
 	}, false},
-	{"stop-in-act", "a stop in the middle of an act that has no door", func(tc *testCluster, _ context.Context, node *clusterNode) bool {
+	{"stop-in-act", "SIGSTOP of the lease holder during an action without a fencing token", func(tc *testCluster, _ context.Context, node *clusterNode) bool {
 		node = tc.lastHolder(node)
 		tc.excuse(node, pointTimeout+overOneLease+leaseDuration)
 		return node.pause("in-act", overOneLease)
 	}, false},
-	{"stop-on-renewal", "a stop of the leader, with renewals in its queues", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"stop-on-renewal", "SIGSTOP of the leader while renewals are queued", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		node = tc.leader(ctx, node)
 		tc.excuse(node, pointTimeout+overOneLease+leaseDuration)
 		return node.pause("on-renewal", overOneLease)
 	}, true},
-	{"cut", "a process and all others hear nothing of each other", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"cut", "a node is partitioned from all other nodes", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.changeRelays(ctx, "cut", tc.lastHolder(node), overOneLease+leaseDuration, func(toTarget, toDialer *relayDirection, active bool) {
 			toTarget.blocked.Store(active)
 			toDialer.blocked.Store(active)
 		})
 	}, false},
-	{"part", "the leader, and the holder if it doesn't vote, are cut off from all others", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"part", "the leader, and the lease holder if it is not a voter, are partitioned from all other nodes", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		leader, holder := tc.leader(ctx, node), tc.lastHolder(node)
 		isolated := map[int]bool{leader.index: true}
 		if holder.index >= voterCount {
@@ -84,10 +85,10 @@
 		setBlocked(false)
 		return true
 	}, true},
-	{"deaf", "a process is heard, and hears nobody", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"deaf", "a node can send but receives nothing", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.changeInbound(ctx, node, overOneLease, func(inbound *relayDirection, active bool) { inbound.blocked.Store(active) })
 	}, true},
-	{"slow", "all ways of a process take ten delays more", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"slow", "all messages from and to a node are delayed by ten times the expected maximum", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.changeRelays(ctx, "", node, overOneLease, func(toTarget, toDialer *relayDirection, active bool) {
 			delayNs := int64(0)
 			if active {
@@ -97,7 +98,7 @@
 			toDialer.delayNs.Store(delayNs)
 		})
 	}, false},
-	{"reset", "all connections of a process are reset, three times", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"reset", "all connections of a node to other nodes are reset three times", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		for range 3 {
 			for route, r := range tc.relays {
 				if route.from == node.index || route.to == node.index {
@@ -116,10 +117,10 @@
 		_, _, err := second.start()
 		return injected && err == nil
 	}, true},
-	{"folder-lost", "a voter comes back without its folder, and is replaced by an operator", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"folder-lost", "a voter restarts without its folder, and an operator replaces it", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		return tc.restart(ctx, node, syscall.SIGKILL, halfLease, func() { _ = os.RemoveAll(node.folder) }) && tc.replaceVoter(ctx, node)
 	}, true},
-	{"folder-cut", "a voter's log is cut short while it is down", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"folder-cut", "a voter's log is truncated while it is down", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		injected := tc.restart(ctx, node, syscall.SIGKILL, halfLease, func() {
 			path := filepath.Join(node.folder, "log.db")
 			if info, err := os.Stat(path); err == nil {
@@ -129,7 +130,7 @@
 		tc.sleep(ctx, halfLease)
 		return injected && tc.restart(ctx, node, syscall.SIGTERM, halfLease, func() { _ = os.RemoveAll(node.folder) }) && tc.replaceVoter(ctx, node)
 	}, true},
-	{"folder-full", "a voter's files can't grow any more", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"folder-full", "a voter's files cannot grow", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		node.mu.Lock()
 		pid := node.cmd.Process.Pid
 		node.mu.Unlock()
@@ -139,7 +140,7 @@
 		tc.sleep(ctx, overOneLease)
 		return tc.restart(ctx, node, syscall.SIGTERM, halfLease, nil)
 	}, true},
-	{"late-answers", "who doesn't vote hears answers late, and then a holder among them nothing", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"late-answers", "responses to nodes that are not voters are late, then the lease holder is partitioned", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		setDelay := func(delay time.Duration) {
 			for route, r := range tc.relays {
 				if route.from >= voterCount {
@@ -156,7 +157,7 @@
 		setDelay(0)
 		return injected
 	}, false},
-	{"amnesia", "a voter is behind, one loses its folder, and the third is down: those two must not agree", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"amnesia", "one voter is outdated, one loses its folder, and the third is down: the first two must not form a majority", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		outdated, restarted := tc.nodes[(node.index+1)%voterCount], tc.nodes[(node.index+2)%voterCount]
 		setBlocked := func(active bool) {
 			for route, r := range tc.relays {
@@ -167,7 +168,7 @@
 			}
 		}
 		setBlocked(true)
-		tc.sleep(ctx, overOneLease+leaseDuration) // the others go on, and agree on some entries
+		tc.sleep(ctx, overOneLease+leaseDuration) // the other two voters commit entries
 		tc.excuse(restarted, 8*time.Second)
 		tc.excuse(node, 8*time.Second)
 		node.stop(syscall.SIGKILL)
@@ -175,18 +176,18 @@
 		restarted.stop(syscall.SIGKILL)
 		_, _, err := node.start()
 		setBlocked(false)
-		tc.sleep(ctx, overOneLease+2*leaseDuration) // room for what must not happen
+		tc.sleep(ctx, overOneLease+2*leaseDuration) // time in which the two voters must not elect a leader
 		_, _, secondErr := restarted.start()
 		tc.sleep(ctx, leaseDuration)
 		return err == nil && secondErr == nil && tc.replaceVoter(ctx, node)
 	}, true},
-	{"upgrade", "a node is replaced by its next process on the passed socket", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
+	{"upgrade", "the process of a node is replaced by a new one that inherits its socket", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		node = tc.lastHolder(node)
 		previous, exited, err := node.start()
 		if err != nil {
 			return false
 		}
-		tc.excuse(node, halfLease) // until it has the list, the next one defers what it takes from the socket of both
+		tc.excuse(node, halfLease) // until it has the endpoint list, the new process delays the requests that it accepts from the shared socket
 		ready := node.waitReady()
 		_ = previous.Process.Signal(syscall.SIGTERM)
 		select {
@@ -200,16 +201,16 @@
 	}, false},
 }
 
-// The kinds that reign over a whole run: how the clocks go.
+// clockFaults last for a whole run. They set the rates of the clocks.
 var clockFaults = []fault{
-	{name: "clock-bound", description: "clocks up to a fifth off, as the configuration allows; with cuts of the holder"},
-	{name: "clock-beyond", description: "clocks of unlike rate far beyond the bound; with kills and stops of the holder"},
+	{name: "clock-bound", description: "clock rates up to a fifth off, as the configuration allows; the lease holder is partitioned"},
+	{name: "clock-beyond", description: "clock rates far out of bounds; the lease holder is killed, stopped and partitioned"},
 }
 
-// FaultInfo names and describes a fault.
+// FaultInfo is the name and description of a fault.
 type FaultInfo struct{ Name, Description string }
 
-// FaultKinds tells them by name, in order.
+// LeaseFaults lists the faults of runs that test leases.
 func LeaseFaults() (infos []FaultInfo) {
 	for _, f := range slices.Concat(leaseFaults, clockFaults) {
 		infos = append(infos, FaultInfo{f.name, f.description})
@@ -217,7 +218,7 @@
 	return infos
 }
 
-// BudgetKinds tells those of runs on budgets.
+// BudgetFaults lists the faults of runs that test budgets.
 func BudgetFaults() (infos []FaultInfo) {
 	for _, f := range append(budgetFaultOrder(), clockFaults[0]) {
 		infos = append(infos, FaultInfo{f.name, f.description})
@@ -235,8 +236,8 @@
 	return faults[i], true
 }
 
-// script strikes one fault after another, each healed before the next. Over the seeds the kinds come in turn, so that some
-// runs have them all; whom they strike, and when, is chance.
+// injectFaults injects faultsPerRun faults, one after another. Consecutive seeds go through the faults in turn, so that a few
+// runs cover them all. The affected nodes and the times are random.
 func (tc *testCluster) injectFaults(ctx context.Context) {
 	candidates := leaseFaults
 	if tc.plan.testBudgets {
@@ -278,7 +279,7 @@
 	}
 }
 
-// log writes a line of the rig's own, by the boot clock and the wall's, beside the nodes' logs.
+// logf appends a line to the rig's own log, with the boot time and the wall time. The log is stored beside the nodes' logs.
 func (tc *testCluster) logf(format string, args ...any) {
 	f, err := os.OpenFile(filepath.Join(tc.dir, "rig.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -288,7 +289,7 @@
 	fmt.Fprintf(f, "%d %s %s\n", bootTimeNs(), time.Now().UTC().Format("15:04:05.000"), fmt.Sprintf(format, args...))
 }
 
-// holder gives whoever acted last at the door, or the process at hand.
+// lastHolder returns the node whose request the guarded resource accepted last, or fallback if there is none.
 func (tc *testCluster) lastHolder(fallback *clusterNode) *clusterNode {
 	name := tc.resource.lastHolder()
 	for _, node := range tc.nodes {
@@ -299,7 +300,7 @@
 	return fallback
 }
 
-// leader gives whoever leads, or the process at hand.
+// leader returns the leader, or fallback if it is not known.
 func (tc *testCluster) leader(ctx context.Context, fallback *clusterNode) *clusterNode {
 	out, err := tc.runCommand(ctx, fallback.index, "fleet", "status")
 	for _, node := range tc.nodes {
@@ -310,14 +311,14 @@
 	return fallback
 }
 
-// touch excuses a process from serving its clients for a while.
+// excuse allows lookups at a node to fail for the duration.
 func (tc *testCluster) excuse(node *clusterNode, duration time.Duration) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	tc.excusedUntil[node.index] = max(tc.excusedUntil[node.index], bootTimeNs()+int64(duration))
 }
 
-// lost notes that a holder is struck, if it is one.
+// recordHolderLoss records a holder loss if the node holds the lease, and excuses the node.
 func (tc *testCluster) recordHolderLoss(faultName string, node *clusterNode, excusedFor time.Duration) {
 	tc.excuse(node, excusedFor)
 	if tc.resource.lastHolder() == node.name {
@@ -327,7 +328,7 @@
 	}
 }
 
-// again ends a process, and starts the node's next.
+// restart stops the process of a node by a signal, and starts a new one after the downtime. whileDown may be nil.
 func (tc *testCluster) restart(ctx context.Context, node *clusterNode, sig syscall.Signal, downtime time.Duration, whileDown func()) bool {
 	faultName := "kill"
 	if sig == syscall.SIGTERM {
@@ -343,7 +344,7 @@
 	return err == nil
 }
 
-// replaced lets an operator remove the voter that was, and add the one that is.
+// replaceVoter removes a voter that lost its folder, and adds the node as a new voter, as an operator does.
 func (tc *testCluster) replaceVoter(ctx context.Context, node *clusterNode) bool {
 	tc.sleep(ctx, halfLease)
 	contactIndex := (node.index + 1) % voterCount
@@ -357,7 +358,8 @@
 	return false
 }
 
-// way changes all ways of a process for a while. With a kind it is a loss, if the process holds the lease.
+// changeRelays applies a change to all relays from and to a node for the duration. With a fault name, it records a holder loss
+// if the node holds the lease.
 func (tc *testCluster) changeRelays(ctx context.Context, faultName string, node *clusterNode, duration time.Duration, change func(toTarget, toDialer *relayDirection, active bool)) bool {
 	setActive := func(active bool) {
 		for route, r := range tc.relays {
@@ -375,7 +377,8 @@
 	return true
 }
 
-// oneWay changes all that a process would hear.
+// changeInbound applies a change to everything that a node receives, for the duration. It records a holder loss if the node
+// holds the lease.
 func (tc *testCluster) changeInbound(ctx context.Context, node *clusterNode, duration time.Duration, change func(inbound *relayDirection, active bool)) bool {
 	setActive := func(active bool) {
 		for route, r := range tc.relays {
