--- a/cmd/thistlerudder/faulttest_on.go
+++ b/cmd/thistlerudder/faulttest_on.go
@@ -134,7 +134,88 @@
 	return from, to, nil
 }
 
-// runTrials runs the test once for each seed from from to to, up to jobs runs at a time, and prints a summary.
+// trialSummary adds up the results of all runs.
+type trialSummary struct {
+	runs, voidRuns                               int
+	actions                                      int
+	fencingViolations, overlaps, excusedOverlaps int
+	lookups, unservedLookups                     int64
+	faultCounts                                  map[string]int
+	failoverTimes                                []time.Duration
+	failoverTimesByFault                         map[string][]time.Duration
+	windows                                      int
+	peakShares                                   map[string]float64 // by budget; the highest of all runs
+	utilization                                  map[string]float64 // by budget; the sum of all runs
+	failures                                     []string           // a message for each failed run
+}
+
+func newTrialSummary() *trialSummary {
+	return &trialSummary{faultCounts: map[string]int{}, failoverTimesByFault: map[string][]time.Duration{}, peakShares: map[string]float64{},
+		utilization: map[string]float64{}}
+}
+
+// add adds the figures of a run. It doesn't look at the run's outcome.
+func (s *trialSummary) add(r *faulttest.RunResult) {
+	s.runs++
+	s.actions += r.Actions
+	s.fencingViolations += r.FencingViolations
+	s.overlaps += r.Overlaps
+	s.excusedOverlaps += r.ExcusedOverlaps
+	s.lookups += r.Lookups
+	s.unservedLookups += r.UnservedLookups
+	for fault, n := range r.InjectedFaults {
+		s.faultCounts[fault] += n
+	}
+	s.windows += r.Windows
+	for budget, share := range r.PeakShares {
+		s.peakShares[budget] = max(s.peakShares[budget], share)
+		s.utilization[budget] += r.Utilization[budget]
+	}
+	for fault, times := range r.FailoverTimes {
+		s.failoverTimesByFault[fault] = append(s.failoverTimesByFault[fault], times...)
+		s.failoverTimes = append(s.failoverTimes, times...)
+	}
+}
+
+// print prints the figures of all runs.
+func (s *trialSummary) print(cmd *cobra.Command) {
+	for _, fault := range slices.Sorted(maps.Keys(s.failoverTimesByFault)) {
+		times := s.failoverTimesByFault[fault]
+		slices.Sort(times)
+		cmd.Printf("handed on after %s: %d times, p50 %v, p99 %v\n", fault, len(times), percentile(times, 50), percentile(times, 99))
+	}
+	slices.Sort(s.failoverTimes)
+	var faults []string
+	for _, fault := range slices.Sorted(maps.Keys(s.faultCounts)) {
+		faults = append(faults, fmt.Sprintf("%s %d", fault, s.faultCounts[fault]))
+	}
+	cmd.Printf("runs %d, void %d, failed %d, acts %d, faults: %s; lookups %d, unserved by a running node %d; ", s.runs, s.voidRuns, len(s.failures), s.actions,
+		strings.Join(faults, ", "), s.lookups, s.unservedLookups)
+	if len(s.peakShares) == 0 {
+		cmd.Printf("overlaps at a door %d, overlaps outside %d (excused %d), worst handing on %v\n", s.fencingViolations, s.overlaps,
+			s.excusedOverlaps, percentile(s.failoverTimes, 100))
+		return
+	}
+	shares := ""
+	for _, budget := range slices.Sorted(maps.Keys(s.peakShares)) {
+		shares += fmt.Sprintf(", %s %.2f (%.2f of it used in the mean)", budget, s.peakShares[budget], s.utilization[budget]/float64(s.runs))
+	}
+	cmd.Printf("windows judged %d, the fullest as a share of its bound%s\n", s.windows, strings.Replace(shares, ",", ":", 1))
+}
+
+// rerunCommand returns the command line that repeats the run of a seed.
+func rerunCommand(kind *trialKind, plan *faulttest.Plan, seed uint64) string {
+	command := fmt.Sprintf("thistlerudder trial %s --seeds %d --processes %d", kind.name, seed, plan.Nodes)
+	for flag, v := range map[string]string{"without": plan.DisabledSafeguard, "only": plan.OnlyFault} {
+		if v != "" {
+			command += " --" + flag + " " + v
+		}
+	}
+	return command
+}
+
+// runTrials runs the test once for each seed in [from, to], up to jobs runs at a time, and prints a summary. With first, it stops at
+// the first failed run.
 func runTrials(ctx context.Context, cmd *cobra.Command, kind *trialKind, plan faulttest.Plan, from, to uint64, jobs int, first bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -144,13 +225,7 @@
 	_, err := unix.IoctlGetTermios(int(os.Stderr.Fd()), unix.TCGETS)
 	terminal := err == nil
 	var mu sync.Mutex
-	var failures []string
-	var failoverTimes []time.Duration
-	runs, voidRuns, actions, fencingViolations, overlaps, excusedOverlaps := 0, 0, 0, 0, 0, 0
-	lookups, unservedLookups := int64(0), int64(0)
-	faultCounts := map[string]int{}
-	failoverTimesByFault := map[string][]time.Duration{}
-	windows, peakShares, utilization := 0, map[string]float64{}, map[string]float64{}
+	s := newTrialSummary()
 	slots := make(chan int, jobs)
 	for i := range jobs {
 		slots <- i
@@ -174,22 +249,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			runs++
-			actions, fencingViolations = actions+r.Actions, fencingViolations+r.FencingViolations
-			overlaps, excusedOverlaps = overlaps+r.Overlaps, excusedOverlaps+r.ExcusedOverlaps
-			lookups, unservedLookups = lookups+r.Lookups, unservedLookups+r.UnservedLookups
-			for fault, n := range r.InjectedFaults {
-				faultCounts[fault] += n
-			}
-			windows += r.Windows
-			for budget, share := range r.PeakShares {
-				peakShares[budget] = max(peakShares[budget], share)
-				utilization[budget] += r.Utilization[budget]
-			}
-			for fault, times := range r.FailoverTimes {
-				failoverTimesByFault[fault] = append(failoverTimesByFault[fault], times...)
-				failoverTimes = append(failoverTimes, times...)
-			}
+			s.add(&r)
 			failure := ""
 			switch {
 			case err != nil:
@@ -197,23 +257,17 @@
 			case len(r.Violations) > 0:
 				failure = strings.Join(r.Violations, "; ")
 			case r.VoidReason != "":
-				voidRuns++
+				s.voidRuns++
 				cmd.PrintErrf("seed %d: void: %s\n", seed, r.VoidReason)
 			}
 			if failure != "" {
-				rerun := fmt.Sprintf("thistlerudder trial %s --seeds %d --processes %d", kind.name, seed, plan.Nodes)
-				for flag, v := range map[string]string{"without": plan.DisabledSafeguard, "only": plan.OnlyFault} {
-					if v != "" {
-						rerun += " --" + flag + " " + v
-					}
-				}
-				failures = append(failures, fmt.Sprintf("seed %d: %s\n  again: %s; history: %s", seed, failure, rerun, r.HistoryDir))
+				s.failures = append(s.failures, fmt.Sprintf("seed %d: %s\n  again: %s; history: %s", seed, failure, rerunCommand(kind, &plan, seed), r.HistoryDir))
 				if first {
 					cancel()
 				}
 			}
 			if terminal {
-				cmd.PrintErrf("\r%d of %d runs, %d failed, %d void ", runs, to-from+1, len(failures), voidRuns)
+				cmd.PrintErrf("\r%d of %d runs, %d failed, %d void ", s.runs, to-from+1, len(s.failures), s.voidRuns)
 			}
 		})
 	}
@@ -221,38 +275,17 @@
 	if terminal {
 		cmd.PrintErrln()
 	}
-	for _, f := range failures {
+	for _, f := range s.failures {
 		cmd.PrintErrln(f)
 	}
-	for _, fault := range slices.Sorted(maps.Keys(failoverTimesByFault)) {
-		times := failoverTimesByFault[fault]
-		slices.Sort(times)
-		cmd.Printf("handed on after %s: %d times, p50 %v, p99 %v\n", fault, len(times), percentile(times, 50), percentile(times, 99))
-	}
-	slices.Sort(failoverTimes)
-	var faults []string
-	for _, fault := range slices.Sorted(maps.Keys(faultCounts)) {
-		faults = append(faults, fmt.Sprintf("%s %d", fault, faultCounts[fault]))
-	}
-	cmd.Printf("runs %d, void %d, failed %d, acts %d, faults: %s; lookups %d, unserved by a running node %d; ", runs, voidRuns, len(failures), actions,
-		strings.Join(faults, ", "), lookups, unservedLookups)
-	if len(peakShares) == 0 {
-		cmd.Printf("overlaps at a door %d, overlaps outside %d (excused %d), worst handing on %v\n", fencingViolations, overlaps,
-			excusedOverlaps, percentile(failoverTimes, 100))
-	} else {
-		shares := ""
-		for _, budget := range slices.Sorted(maps.Keys(peakShares)) {
-			shares += fmt.Sprintf(", %s %.2f (%.2f of it used in the mean)", budget, peakShares[budget], utilization[budget]/float64(runs))
-		}
-		cmd.Printf("windows judged %d, the fullest as a share of its bound%s\n", windows, strings.Replace(shares, ",", ":", 1))
-	}
+	s.print(cmd)
 	switch {
-	case len(failures) > 0:
-		return fmt.Errorf("%d runs broke a rule", len(failures))
+	case len(s.failures) > 0:
+		return fmt.Errorf("%d runs broke a rule", len(s.failures))
 	case ctx.Err() != nil:
 		return fmt.Errorf("canceled before all runs were finished")
-	case voidRuns > 0:
-		return fmt.Errorf("%d runs are inconclusive: too few cores", voidRuns)
+	case s.voidRuns > 0:
+		return fmt.Errorf("%d runs are inconclusive: too few cores", s.voidRuns)
 	}
 	return nil
 }
--- a/internal/faulttest/budget_backends.go
+++ b/internal/faulttest/budget_backends.go
@@ -30,6 +30,7 @@
 	arrivals []arrival
 }
 
+// begin records an arrival and returns its index.
 func (l *arrivalLog) begin(node string) (index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,6 +38,7 @@
 	return len(l.arrivals) - 1
 }
 
+// end records the end of an arrival.
 func (l *arrivalLog) end(index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,6 +78,7 @@
 	maxFetchTime       = 120 * time.Millisecond
 )
 
+// newCountingBackends starts the backends on ports of an address.
 func newCountingBackends(ip string) (*countingBackends, error) {
 	b := &countingBackends{ip: ip, discoveryAddr: ip + ":8500", arrivalLogs: map[string]*arrivalLog{}, cacheListed: true, listChanged: make(chan struct{}), seenTraces: map[string]bool{}}
 	for _, name := range []string{"fetches", "room", "acme", "lists", "cold", "links-0", "links-1"} {
@@ -249,6 +252,7 @@
 	maxAnswerTime         = lookupTimeout + 600*time.Millisecond
 )
 
+// run sends lookups to one node until done is closed. excused is as in Lookups.Ask.
 func (g *loadGenerator) run(nodeIndex int, address string, seed uint64, done <-chan struct{}, excused func(startNs int64) bool) {
 	rnd := rand.New(rand.NewPCG(seed, uint64(nodeIndex)))
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
@@ -296,6 +300,7 @@
 	}
 }
 
+// lookupKey returns a pseudorandom key. A tenth of the keys end in 0, and the caches hold only these.
 func lookupKey(seed uint64, nodeIndex, lookupIndex int) uint64 {
 	return (seed*31+uint64(nodeIndex)*7+uint64(lookupIndex)*2654435761)%100003*10 + uint64(lookupIndex%10)
 }
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -80,6 +80,7 @@
 	}
 }
 
+// recordPause records a time in which a process was stopped, or its exit.
 func (tc *testCluster) recordPause(p pause) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -99,18 +100,8 @@
 )
 
 // setUp starts the backends, relays and nodes, and bootstraps the cluster.
-func (tc *testCluster) setUp(ctx context.Context) (err error) {
-	if tc.resource, err = newGuardedResource(tc.ip(250)+":8600", strings.Contains(tc.plan.DisabledSafeguard, "door-token")); err != nil {
-		return err
-	}
-	discovery := ""
-	if tc.plan.testBudgets {
-		if tc.countingBackends, err = newCountingBackends(tc.ip(251)); err == nil {
-			discovery = tc.countingBackends.discoveryAddr
-		}
-	} else if tc.stubBackends, err = newStubBackends(tc.ip(251)); err == nil {
-		discovery = tc.stubBackends.discoveryAddr
-	}
+func (tc *testCluster) setUp(ctx context.Context) error {
+	discoveryAddr, err := tc.startBackends()
 	if err != nil {
 		return err
 	}
@@ -119,55 +110,15 @@
 		voters = append(voters, map[string]string{"name": fmt.Sprint("n", i), "address": fmt.Sprintf("%s:%d", tc.ip(i+1), clusterPort)})
 	}
 	for i := range tc.plan.Nodes {
-		node := &clusterNode{cluster: tc, index: i, name: fmt.Sprint("n", i), ip: tc.ip(i + 1), configPath: filepath.Join(tc.dir, fmt.Sprintf("n%d.json", i)),
-			pointsDir: filepath.Join(tc.dir, fmt.Sprintf("points%d", i)), clockRate: 1 + (2*tc.rnd.Float64()-1)*maxClockDrift*0.9}
-		drift := maxClockDrift
-		switch tc.plan.OnlyFault {
-		case "clock-bound":
-			drift = widestClockDrift
-			node.clockRate = []float64{1 + widestClockDrift*0.95, 1 - widestClockDrift*0.95}[min(1, i/voterCount)] // voters, which can lead, are fast; the other nodes, which can hold leases, are slow
-		case "clock-beyond":
-			node.clockRate = []float64{0.6, 1}[i%2] // a slow node takes its lease to be valid long after it has expired
-		}
+		node, drift := tc.newNode(i)
 		if err := os.Mkdir(node.pointsDir, 0o700); err != nil {
 			return err
 		}
-		routes := map[string]string{}
-		for to := range tc.plan.Nodes {
-			if to == i {
-				continue
-			}
-			target := fmt.Sprintf("%s:%d", tc.ip(to+1), clusterPort)
-			listenAddr := fmt.Sprintf("%s:%d", node.ip, firstRelayPort+to)
-			if tc.relays[route{i, to}], err = newRelay(listenAddr, target); err != nil {
-				return err
-			}
-			routes[target] = listenAddr
-		}
-		clusterConfig := map[string]any{"name": "trial", "address": fmt.Sprintf("%s:%d", node.ip, clusterPort), "voters": voters, "routes": routes,
-			"lease_ms": leaseDuration.Milliseconds(), "delay_ms": maxNetworkDelay.Milliseconds(), "drift": drift,
-			"tasks": []string{"trial", "roll-up", "probe"}, "roll_up_ms": 1000}
-		if i < voterCount {
-			node.folder = filepath.Join(tc.dir, fmt.Sprintf("voter%d", i))
-			clusterConfig["folder"] = node.folder
-		}
-		nodeConfig := map[string]any{"name": node.name, "listen": fmt.Sprintf("%s:%d", node.ip, clientPort),
-			"discovery": discovery, "admin_addr": fmt.Sprintf("%s:%d", node.ip, firstAdminPort), "fleet": clusterConfig,
-			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512},
-			"settings": map[string]any{"models": []string{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1},
-				"permissions": map[string]any{"most-shots": 3},
-				"namespaces":  []map[string]any{{"name": "read", "repeat": "safe", "target-time-ms": 400, "time-limit-ms": 900}}}}
-		if tc.plan.testBudgets {
-			tc.addBudgets(i, nodeConfig, clusterConfig)
-		}
-		if tc.plan.lastNodeStandalone {
-			clusterConfig["tasks"] = []string{"roll-up", "probe"}
-		}
-		if tc.plan.lastNodeStandalone && i == tc.plan.Nodes-1 {
-			delete(nodeConfig, "fleet")
+		routes, err := tc.startRelays(node)
+		if err != nil {
+			return err
 		}
-		data, _ := json.Marshal(nodeConfig)
-		if err := os.WriteFile(node.configPath, data, 0o600); err != nil {
+		if err := tc.writeConfig(node, discoveryAddr, voters, routes, drift); err != nil {
 			return err
 		}
 		listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", node.ip, clientPort))
@@ -197,6 +148,86 @@
 	}
 }
 
+// startBackends starts the guarded resource and the backends. It returns the address of the discovery service.
+func (tc *testCluster) startBackends() (discoveryAddr string, err error) {
+	if tc.resource, err = newGuardedResource(tc.ip(250)+":8600", strings.Contains(tc.plan.DisabledSafeguard, "door-token")); err != nil {
+		return "", err
+	}
+	if tc.plan.testBudgets {
+		if tc.countingBackends, err = newCountingBackends(tc.ip(251)); err != nil {
+			return "", err
+		}
+		return tc.countingBackends.discoveryAddr, nil
+	}
+	if tc.stubBackends, err = newStubBackends(tc.ip(251)); err != nil {
+		return "", err
+	}
+	return tc.stubBackends.discoveryAddr, nil
+}
+
+// newNode returns a node that is not started yet, and the fleet.drift of its configuration.
+func (tc *testCluster) newNode(i int) (node *clusterNode, drift float64) {
+	node = &clusterNode{cluster: tc, index: i, name: fmt.Sprint("n", i), ip: tc.ip(i + 1), configPath: filepath.Join(tc.dir, fmt.Sprintf("n%d.json", i)),
+		pointsDir: filepath.Join(tc.dir, fmt.Sprintf("points%d", i)), clockRate: 1 + (2*tc.rnd.Float64()-1)*maxClockDrift*0.9}
+	drift = maxClockDrift
+	switch tc.plan.OnlyFault {
+	case "clock-bound":
+		drift = widestClockDrift
+		// The voters, which can lead, are fast. The other nodes, which can hold leases, are slow.
+		node.clockRate = []float64{1 + widestClockDrift*0.95, 1 - widestClockDrift*0.95}[min(1, i/voterCount)]
+	case "clock-beyond":
+		node.clockRate = []float64{0.6, 1}[i%2] // a slow node takes its lease to be valid long after it has expired
+	}
+	if i < voterCount {
+		node.folder = filepath.Join(tc.dir, fmt.Sprintf("voter%d", i))
+	}
+	return node, drift
+}
+
+// startRelays starts the relays from a node to all others. It returns their addresses by the address of the target.
+func (tc *testCluster) startRelays(node *clusterNode) (routes map[string]string, err error) {
+	routes = map[string]string{}
+	for to := range tc.plan.Nodes {
+		if to == node.index {
+			continue
+		}
+		target := fmt.Sprintf("%s:%d", tc.ip(to+1), clusterPort)
+		listenAddr := fmt.Sprintf("%s:%d", node.ip, firstRelayPort+to)
+		if tc.relays[route{node.index, to}], err = newRelay(listenAddr, target); err != nil {
+			return nil, err
+		}
+		routes[target] = listenAddr
+	}
+	return routes, nil
+}
+
+// writeConfig writes the configuration file of a node.
+func (tc *testCluster) writeConfig(node *clusterNode, discoveryAddr string, voters []map[string]string, routes map[string]string, drift float64) error {
+	clusterConfig := map[string]any{"name": "trial", "address": fmt.Sprintf("%s:%d", node.ip, clusterPort), "voters": voters, "routes": routes,
+		"lease_ms": leaseDuration.Milliseconds(), "delay_ms": maxNetworkDelay.Milliseconds(), "drift": drift,
+		"tasks": []string{"trial", "roll-up", "probe"}, "roll_up_ms": 1000}
+	if node.folder != "" {
+		clusterConfig["folder"] = node.folder
+	}
+	nodeConfig := map[string]any{"name": node.name, "listen": fmt.Sprintf("%s:%d", node.ip, clientPort),
+		"discovery": discoveryAddr, "admin_addr": fmt.Sprintf("%s:%d", node.ip, firstAdminPort), "fleet": clusterConfig,
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512},
+		"settings": map[string]any{"models": []string{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1},
+			"permissions": map[string]any{"most-shots": 3},
+			"namespaces":  []map[string]any{{"name": "read", "repeat": "safe", "target-time-ms": 400, "time-limit-ms": 900}}}}
+	if tc.plan.testBudgets {
+		tc.addBudgets(node.index, nodeConfig, clusterConfig)
+	}
+	if tc.plan.lastNodeStandalone {
+		clusterConfig["tasks"] = []string{"roll-up", "probe"}
+	}
+	if tc.plan.lastNodeStandalone && node.index == tc.plan.Nodes-1 {
+		delete(nodeConfig, "fleet")
+	}
+	data, _ := json.Marshal(nodeConfig)
+	return os.WriteFile(node.configPath, data, 0o600)
+}
+
 // runCommand runs an operator's command of the program with the configuration of a node.
 func (tc *testCluster) runCommand(ctx context.Context, nodeIndex int, args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
@@ -300,12 +331,19 @@
 	if ctx.Err() != nil {
 		return r, ctx.Err()
 	}
-	history := &history{requests: tc.resource.requests, pauses: tc.pauses, holderLosses: tc.holderLosses, clocksBeyondBound: plan.OnlyFault == "clock-beyond", leaseDuration: leaseDuration}
+	err = tc.checkLeases(&r, &clients)
+	return r, err
+}
+
+// checkLeases checks the records of a run against the guarantees of leases, and sets the fields of its result.
+func (tc *testCluster) checkLeases(r *RunResult, clients *lookupClient) error {
+	history := &history{requests: tc.resource.requests, pauses: tc.pauses, holderLosses: tc.holderLosses,
+		clocksBeyondBound: tc.plan.OnlyFault == "clock-beyond", leaseDuration: leaseDuration}
 	records, _ := filepath.Glob(filepath.Join(tc.dir, "*.record"))
 	for _, path := range records {
 		events, err := readEvents(path)
 		if err != nil {
-			return r, err
+			return err
 		}
 		history.events = append(history.events, events...)
 	}
@@ -313,7 +351,9 @@
 	summary, _ := json.Marshal(map[string]any{"passes": len(history.requests), "pauses": fmt.Sprint(history.pauses), "losses": fmt.Sprint(history.holderLosses)})
 	_ = os.WriteFile(filepath.Join(tc.dir, "rig.json"), summary, 0o600)
 	result := history.check()
-	r.Actions, r.InjectedFaults, r.FencingViolations, r.Overlaps, r.ExcusedOverlaps = result.actions, tc.faultCounts, len(result.fencingViolations)+len(result.orderViolations), len(result.overlaps), result.excusedOverlaps
+	r.Actions, r.InjectedFaults = result.actions, tc.faultCounts
+	r.FencingViolations = len(result.fencingViolations) + len(result.orderViolations)
+	r.Overlaps, r.ExcusedOverlaps = len(result.overlaps), result.excusedOverlaps
 	r.FailoverTimes, r.Violations = result.failoverTimes, result.violations()
 	r.Lookups, r.UnservedLookups = clients.sent.Load(), clients.unserved.Load()
 	if r.FirstUnserved, _ = clients.firstUnserved.Load().(string); r.UnservedLookups > 0 {
@@ -331,9 +371,10 @@
 	if r.VoidReason != "" && len(result.fencingViolations)+len(result.orderViolations) == 0 {
 		r.Violations = nil // the other guarantees hold only for processes that get a core
 	}
-	return r, nil
+	return nil
 }
 
+// sleep waits for the duration, or until ctx is done.
 func (tc *testCluster) sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -17,7 +17,7 @@
 type fault struct {
 	name, description string
 	inject            func(tc *testCluster, ctx context.Context, node *clusterNode) bool
-	needsVoter        bool // inject has to get a voter
+	needsVoter        bool // the node passed to inject must be a voter
 }
 
 const (
