--- a/cmd/thistlerudder/faulttest_on.go
+++ b/cmd/thistlerudder/faulttest_on.go
@@ -23,18 +23,18 @@
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
-// faultTests gives the rig's commands.
+// faultTests returns the commands of the test rig.
 func faultTests() []*cobra.Command {
-	c := &cobra.Command{Use: "trial", Short: "Play processes under faults, and judge them"}
-	c.AddCommand(trialOf(&leaseTrial), trialOf(&budgetTrial), trialMeasure(), trialScale(), trialSoak(), hollowNodes(), directory())
+	c := &cobra.Command{Use: "trial", Short: "Run clusters under faults and check them"}
+	c.AddCommand(newTrialCommand(&leaseTrials), newTrialCommand(&budgetTrials), newMeasureCommand(), trialScale(), trialSoak(), hollowNodes(), directory())
 	return []*cobra.Command{c}
 }
 
-// trialMeasure tells what a fleet in peace costs.
-func trialMeasure() *cobra.Command {
-	c := &cobra.Command{Use: "measure", Args: cobra.NoArgs, Short: "Say what a fleet in peace costs its nodes"}
-	processes := c.Flags().Int("processes", 6, "how many, 3 of them voters, the last without a fleet")
-	span := c.Flags().Duration("for", 20*time.Second, "how long")
+// newMeasureCommand returns the command that measures the cost of a cluster without faults.
+func newMeasureCommand() *cobra.Command {
+	c := &cobra.Command{Use: "measure", Args: cobra.NoArgs, Short: "Measure the cost of a cluster without faults"}
+	processes := c.Flags().Int("processes", 6, "number of processes; 3 are voters, and the last runs without the cluster")
+	span := c.Flags().Duration("for", 20*time.Second, "duration of the measurement")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		program, err := os.Executable()
 		if err != nil {
@@ -42,55 +42,56 @@
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		m, err := faulttest.Measure(ctx, faulttest.Plan{Program: program, Processes: max(4, *processes), Seed: 1}, *span)
+		cost, err := faulttest.Measure(ctx, faulttest.Plan{Program: program, Nodes: max(4, *processes), Seed: 1}, *span)
 		if err != nil {
 			return err
 		}
-		cmd.Printf("%d lookups in turn; with a fleet %v, without %v; a voter's folder grows by %d KB an hour\n", m.Lookups, m.With, m.Without,
-			m.GrowthAnHour>>10)
-		for _, name := range slices.Sorted(maps.Keys(m.CPU)) {
-			cmd.Printf("%s: %.1f%% of a core\n", name, 100*m.CPU[name])
+		cmd.Printf("%d lookups in turn; with a fleet %v, without %v; a voter's folder grows by %d KB an hour\n", cost.Lookups, cost.VoterLatency, cost.StandaloneLatency,
+			cost.FolderBytesPerHour>>10)
+		for _, name := range slices.Sorted(maps.Keys(cost.CoreShares)) {
+			cmd.Printf("%s: %.1f%% of a core\n", name, 100*cost.CoreShares[name])
 		}
 		return nil
 	}
 	return c
 }
 
-const triesMost = 3 // for a run that was void
+const maxAttempts = 3 // of a run, while it is inconclusive
 
-// played is a kind of trial.
-type played struct {
+// trialKind is a kind of test run.
+type trialKind struct {
 	name, short string
-	kinds       func() [][2]string
+	faults      func() []faulttest.FaultInfo
 	safeguards  []string
-	play        func(context.Context, faulttest.Plan) (faulttest.Run, error)
-	coresEach   int // for a run of five processes; more at once make them late
+	run         func(context.Context, faulttest.Plan) (faulttest.RunResult, error)
+	coresPerRun int // that a run of five processes needs; with fewer, processes are delayed and runs become inconclusive
 }
 
 var (
-	leaseTrial = played{"leases", "Play leases under faults; exit 0 only if every run kept the rules", faulttest.FaultKinds, faults.Safeguards,
-		faulttest.Play, 2}
-	budgetTrial = played{"budgets", "Play budgets under faults; exit 0 only if no window of any run passed a whole", faulttest.BudgetKinds,
-		faults.BudgetSafeguards, faulttest.PlayBudgets, 3}
+	leaseTrials = trialKind{"leases", "Check leases under faults; exit 0 only if every run keeps the rules", faulttest.LeaseFaults, faults.Safeguards,
+		faulttest.RunLeases, 2}
+	budgetTrials = trialKind{"budgets", "Check budgets under faults; exit 0 only if no run exceeds a budget in any window", faulttest.BudgetFaults,
+		faults.BudgetSafeguards, faulttest.RunBudgets, 3}
 )
 
-func trialOf(of *played) *cobra.Command {
-	c := &cobra.Command{Use: of.name, Args: cobra.NoArgs, Short: of.short}
+// newTrialCommand returns the command for a kind of test run.
+func newTrialCommand(kind *trialKind) *cobra.Command {
+	c := &cobra.Command{Use: kind.name, Args: cobra.NoArgs, Short: kind.short}
 	seeds := c.Flags().String("seeds", "1-20", "FROM-TO")
-	processes := c.Flags().Int("processes", 5, "how many, 3 of them voters")
-	without := c.Flags().String("without", "", "a safeguard to take out: the runs should then fail")
-	only := c.Flags().String("only", "", "one kind of fault")
-	keep := c.Flags().String("keep", "", "a folder for the histories of runs that failed")
-	list := c.Flags().Bool("list", false, "name the faults and the safeguards")
-	jobs := c.Flags().Int("jobs", 0, "runs at once; 0: by the cores")
-	first := c.Flags().Bool("first", false, "end at the first run that breaks a rule")
+	processes := c.Flags().Int("processes", 5, "number of processes; 3 are voters")
+	without := c.Flags().String("without", "", "a safeguard to disable; some runs should then fail")
+	only := c.Flags().String("only", "", "the only fault to inject")
+	keep := c.Flags().String("keep", "", "a folder for the histories of failed runs")
+	list := c.Flags().Bool("list", false, "list the faults and the safeguards")
+	jobs := c.Flags().Int("jobs", 0, "number of concurrent runs; 0: depends on the number of cores")
+	first := c.Flags().Bool("first", false, "stop at the first run that breaks a rule")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		kinds := of.kinds()
+		knownFaults := kind.faults()
 		if *list {
-			for _, k := range kinds {
-				cmd.Printf("fault %s: %s\n", k[0], k[1])
+			for _, f := range knownFaults {
+				cmd.Printf("fault %s: %s\n", f.Name, f.Description)
 			}
-			for _, s := range of.safeguards {
+			for _, s := range kind.safeguards {
 				cmd.Printf("safeguard %s\n", s)
 			}
 			return nil
@@ -102,10 +103,10 @@
 		switch {
 		case *processes < 3 || *processes > 60:
 			return fmt.Errorf("processes: expected 3 to 60, not %d", *processes)
-		case *without != "" && !slices.Contains(of.safeguards, *without):
-			return fmt.Errorf("without: expected one of %v, not %q", of.safeguards, *without)
-		case *only != "" && !slices.ContainsFunc(kinds, func(k [2]string) bool { return k[0] == *only }):
-			return fmt.Errorf("only: expected a fault as --list names them, not %q", *only)
+		case *without != "" && !slices.Contains(kind.safeguards, *without):
+			return fmt.Errorf("without: expected one of %v, not %q", kind.safeguards, *without)
+		case *only != "" && !slices.ContainsFunc(knownFaults, func(f faulttest.FaultInfo) bool { return f.Name == *only }):
+			return fmt.Errorf("only: expected a fault that --list names, not %q", *only)
 		}
 		program, err := os.Executable()
 		if err != nil {
@@ -113,56 +114,133 @@
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		return trial(ctx, cmd, of, faulttest.Plan{Program: program, Processes: *processes, Without: *without, Only: *only, Keep: *keep},
+		return runTrials(ctx, cmd, kind, faulttest.Plan{Program: program, Nodes: *processes, DisabledSafeguard: *without, OnlyFault: *only, KeepDir: *keep},
 			from, to, *jobs, *first)
 	}
 	return c
 }
 
+// seedsOf parses a range of seeds, FROM-TO, or a single seed.
 func seedsOf(s string) (from, to uint64, err error) {
-	a, b, two := strings.Cut(s, "-")
-	if !two {
-		b = a
+	first, last, found := strings.Cut(s, "-")
+	if !found {
+		last = first
 	}
-	from, err1 := strconv.ParseUint(a, 10, 64)
-	to, err2 := strconv.ParseUint(b, 10, 64)
+	from, err1 := strconv.ParseUint(first, 10, 64)
+	to, err2 := strconv.ParseUint(last, 10, 64)
 	if err1 != nil || err2 != nil || to < from {
-		return 0, 0, fmt.Errorf("seeds: expected FROM-TO as 1-20, not %q", s)
+		return 0, 0, fmt.Errorf("seeds: expected FROM-TO, such as 1-20, not %q", s)
 	}
 	return from, to, nil
 }
 
-func trial(ctx context.Context, cmd *cobra.Command, of *played, plan faulttest.Plan, from, to uint64, jobs int, first bool) error {
-	ctx, enough := context.WithCancel(ctx)
-	defer enough()
+// trialSummary adds up the results of all runs.
+type trialSummary struct {
+	runs, voidRuns                               int
+	actions                                      int
+	fencingViolations, overlaps, excusedOverlaps int
+	lookups, unservedLookups                     int64
+	faultCounts                                  map[string]int
+	failoverTimes                                []time.Duration
+	failoverTimesByFault                         map[string][]time.Duration
+	windows                                      int
+	peakShares                                   map[string]float64 // by budget; the highest of all runs
+	utilization                                  map[string]float64 // by budget; the sum of all runs
+	failures                                     []string           // a message for each failed run
+}
+
+func newTrialSummary() *trialSummary {
+	return &trialSummary{faultCounts: map[string]int{}, failoverTimesByFault: map[string][]time.Duration{}, peakShares: map[string]float64{},
+		utilization: map[string]float64{}}
+}
+
+// add adds the figures of a run. It doesn't look at the run's outcome.
+func (s *trialSummary) add(r *faulttest.RunResult) {
+	s.runs++
+	s.actions += r.Actions
+	s.fencingViolations += r.FencingViolations
+	s.overlaps += r.Overlaps
+	s.excusedOverlaps += r.ExcusedOverlaps
+	s.lookups += r.Lookups
+	s.unservedLookups += r.UnservedLookups
+	for fault, n := range r.InjectedFaults {
+		s.faultCounts[fault] += n
+	}
+	s.windows += r.Windows
+	for budget, share := range r.PeakShares {
+		s.peakShares[budget] = max(s.peakShares[budget], share)
+		s.utilization[budget] += r.Utilization[budget]
+	}
+	for fault, times := range r.FailoverTimes {
+		s.failoverTimesByFault[fault] = append(s.failoverTimesByFault[fault], times...)
+		s.failoverTimes = append(s.failoverTimes, times...)
+	}
+}
+
+// print prints the figures of all runs.
+func (s *trialSummary) print(cmd *cobra.Command) {
+	for _, fault := range slices.Sorted(maps.Keys(s.failoverTimesByFault)) {
+		times := s.failoverTimesByFault[fault]
+		slices.Sort(times)
+		cmd.Printf("handed on after %s: %d times, p50 %v, p99 %v\n", fault, len(times), percentile(times, 50), percentile(times, 99))
+	}
+	slices.Sort(s.failoverTimes)
+	var faults []string
+	for _, fault := range slices.Sorted(maps.Keys(s.faultCounts)) {
+		faults = append(faults, fmt.Sprintf("%s %d", fault, s.faultCounts[fault]))
+	}
+	cmd.Printf("runs %d, void %d, failed %d, acts %d, faults: %s; lookups %d, unserved by a running node %d; ", s.runs, s.voidRuns, len(s.failures), s.actions,
+		strings.Join(faults, ", "), s.lookups, s.unservedLookups)
+	if len(s.peakShares) == 0 {
+		cmd.Printf("overlaps at a door %d, overlaps outside %d (excused %d), worst handing on %v\n", s.fencingViolations, s.overlaps,
+			s.excusedOverlaps, percentile(s.failoverTimes, 100))
+		return
+	}
+	shares := ""
+	for _, budget := range slices.Sorted(maps.Keys(s.peakShares)) {
+		shares += fmt.Sprintf(", %s %.2f (%.2f of it used in the mean)", budget, s.peakShares[budget], s.utilization[budget]/float64(s.runs))
+	}
+	cmd.Printf("windows judged %d, the fullest as a share of its bound%s\n", s.windows, strings.Replace(shares, ",", ":", 1))
+}
+
+// rerunCommand returns the command line that repeats the run of a seed.
+func rerunCommand(kind *trialKind, plan *faulttest.Plan, seed uint64) string {
+	command := fmt.Sprintf("thistlerudder trial %s --seeds %d --processes %d", kind.name, seed, plan.Nodes)
+	for flag, v := range map[string]string{"without": plan.DisabledSafeguard, "only": plan.OnlyFault} {
+		if v != "" {
+			command += " --" + flag + " " + v
+		}
+	}
+	return command
+}
+
+// runTrials runs the test once for each seed in [from, to], up to jobs runs at a time, and prints a summary. With first, it stops at
+// the first failed run.
+func runTrials(ctx context.Context, cmd *cobra.Command, kind *trialKind, plan faulttest.Plan, from, to uint64, jobs int, first bool) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	if jobs <= 0 {
-		jobs = max(1, unixCores()*5/(of.coresEach*plan.Processes))
+		jobs = max(1, availableCores()*5/(kind.coresPerRun*plan.Nodes))
 	}
 	_, err := unix.IoctlGetTermios(int(os.Stderr.Fd()), unix.TCGETS)
 	terminal := err == nil
 	var mu sync.Mutex
-	var failed []string
-	var handings []time.Duration
-	runs, void, acts, door, outside, excused := 0, 0, 0, 0, 0, 0
-	asked, unserved := int64(0), int64(0)
-	struck := map[string]int{}
-	by := map[string][]time.Duration{}
-	windows, worst, used := 0, map[string]float64{}, map[string]float64{}
-	places := make(chan int, jobs)
+	s := newTrialSummary()
+	slots := make(chan int, jobs)
 	for i := range jobs {
-		places <- i
+		slots <- i
 	}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for seed := from; seed <= to && ctx.Err() == nil; seed++ {
-		slot := <-places
-		all.Go(func() {
-			defer func() { places <- slot }()
+		slot := <-slots
+		running.Go(func() {
+			defer func() { slots <- slot }()
 			p := plan
 			p.Seed, p.Slot = seed, slot
-			var r faulttest.Run
+			var r faulttest.RunResult
 			var err error
-			for range triesMost {
-				if r, err = of.play(ctx, p); err != nil || r.Void == "" {
+			for range maxAttempts {
+				if r, err = kind.run(ctx, p); err != nil || r.VoidReason == "" {
 					break
 				}
 			}
@@ -171,95 +249,57 @@
 			if ctx.Err() != nil {
 				return
 			}
-			runs++
-			acts, door, outside, excused = acts+r.Acts, door+r.Door, outside+r.Outside, excused+r.Excused
-			asked, unserved = asked+r.Asked, unserved+r.Unserved
-			for k, n := range r.Faults {
-				struck[k] += n
-			}
-			windows += r.Windows
-			for k, share := range r.Worst {
-				worst[k] = max(worst[k], share)
-				used[k] += r.Used[k]
-			}
-			for k, ds := range r.Handings {
-				by[k] = append(by[k], ds...)
-				handings = append(handings, ds...)
-			}
-			what := ""
+			s.add(&r)
+			failure := ""
 			switch {
 			case err != nil:
-				what = err.Error()
-			case len(r.Broken) > 0:
-				what = strings.Join(r.Broken, "; ")
-			case r.Void != "":
-				void++
-				cmd.PrintErrf("seed %d: void: %s\n", seed, r.Void)
+				failure = err.Error()
+			case len(r.Violations) > 0:
+				failure = strings.Join(r.Violations, "; ")
+			case r.VoidReason != "":
+				s.voidRuns++
+				cmd.PrintErrf("seed %d: void: %s\n", seed, r.VoidReason)
 			}
-			if what != "" {
-				again := fmt.Sprintf("thistlerudder trial %s --seeds %d --processes %d", of.name, seed, plan.Processes)
-				for flag, v := range map[string]string{"without": plan.Without, "only": plan.Only} {
-					if v != "" {
-						again += " --" + flag + " " + v
-					}
-				}
-				failed = append(failed, fmt.Sprintf("seed %d: %s\n  again: %s; history: %s", seed, what, again, r.Kept))
+			if failure != "" {
+				s.failures = append(s.failures, fmt.Sprintf("seed %d: %s\n  again: %s; history: %s", seed, failure, rerunCommand(kind, &plan, seed), r.HistoryDir))
 				if first {
-					enough()
+					cancel()
 				}
 			}
 			if terminal {
-				cmd.PrintErrf("\r%d of %d runs, %d failed, %d void ", runs, to-from+1, len(failed), void)
+				cmd.PrintErrf("\r%d of %d runs, %d failed, %d void ", s.runs, to-from+1, len(s.failures), s.voidRuns)
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	if terminal {
 		cmd.PrintErrln()
 	}
-	for _, f := range failed {
+	for _, f := range s.failures {
 		cmd.PrintErrln(f)
 	}
-	for _, k := range slices.Sorted(maps.Keys(by)) {
-		slices.Sort(by[k])
-		cmd.Printf("handed on after %s: %d times, p50 %v, p99 %v\n", k, len(by[k]), percentile(by[k], 50), percentile(by[k], 99))
-	}
-	slices.Sort(handings)
-	var kinds []string
-	for _, k := range slices.Sorted(maps.Keys(struck)) {
-		kinds = append(kinds, fmt.Sprintf("%s %d", k, struck[k]))
-	}
-	cmd.Printf("runs %d, void %d, failed %d, acts %d, faults: %s; lookups %d, unserved by a running node %d; ", runs, void, len(failed), acts,
-		strings.Join(kinds, ", "), asked, unserved)
-	if len(worst) == 0 {
-		cmd.Printf("overlaps at a door %d, overlaps outside %d (excused %d), worst handing on %v\n", door, outside, excused, percentile(handings, 100))
-	} else {
-		most := ""
-		for _, k := range slices.Sorted(maps.Keys(worst)) {
-			most += fmt.Sprintf(", %s %.2f (%.2f of it used in the mean)", k, worst[k], used[k]/float64(runs))
-		}
-		cmd.Printf("windows judged %d, the fullest as a share of its bound%s\n", windows, strings.Replace(most, ",", ":", 1))
-	}
+	s.print(cmd)
 	switch {
-	case len(failed) > 0:
-		return fmt.Errorf("%d runs broke a rule", len(failed))
+	case len(s.failures) > 0:
+		return fmt.Errorf("%d runs broke a rule", len(s.failures))
 	case ctx.Err() != nil:
-		return fmt.Errorf("ended before all runs were played")
-	case void > 0:
-		return fmt.Errorf("%d runs show nothing: too few cores", void)
+		return fmt.Errorf("canceled before all runs were finished")
+	case s.voidRuns > 0:
+		return fmt.Errorf("%d runs are inconclusive: too few cores", s.voidRuns)
 	}
 	return nil
 }
 
-// percentile of what is in order.
-func percentile(of []time.Duration, p float64) time.Duration {
-	if len(of) == 0 {
+// percentile returns a percentile of sorted durations, rounded to milliseconds, or 0 if there are none.
+func percentile(sorted []time.Duration, p float64) time.Duration {
+	if len(sorted) == 0 {
 		return 0
 	}
-	return of[max(0, int(math.Ceil(float64(len(of))*p/100))-1)].Round(time.Millisecond)
+	return sorted[max(0, int(math.Ceil(float64(len(sorted))*p/100))-1)].Round(time.Millisecond)
 }
 
-func unixCores() int {
+// availableCores returns the number of cores that this process may run on.
+func availableCores() int {
 	var set unix.CPUSet
 	if unix.SchedGetaffinity(0, &set) != nil {
 		return 1
