--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -11,56 +11,60 @@
 
 // Entry is a machine on the list, in the discovery service's form, with its place beside.
 type Entry struct {
-	ID      string  `json:"id"`
-	Address string  `json:"addr"`
-	Kind    string  `json:"kind"`
-	State   string  `json:"state"`
-	Started float64 `json:"started_ms"`
-	Region  string  `json:"region"`
-	Zone    string  `json:"zone"`
+	ID        string  `json:"id"`
+	Address   string  `json:"addr"`
+	Kind      string  `json:"kind"`
+	State     string  `json:"state"`
+	StartedMs float64 `json:"started_ms"`
+	Region    string  `json:"region"`
+	Zone      string  `json:"zone"`
 }
 
 // page is an answer.
-type page struct {
+type listResponse struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
 const (
-	changesKept = 1024 // who asks from before them is told all
-	holdMost    = 20 * time.Second
+	maxKeptVersions = 1024 // who asks from before them is told all
+	maxHold         = 20 * time.Second
 )
 
 // Calls counts what was asked of the stand-in.
-type Calls struct{ Whole, Changes, Empty int64 }
+type CallCounts struct {
+	FullLists int64 `json:"Whole"`
+	Changes   int64 `json:"Changes"`
+	Empty     int64 `json:"Empty"`
+}
 
 // Directory stands in for the discovery service: it gives the list whole, or holds a call until there are changes since a
 // version and gives these. An answer's text is made once for all who wait for the same.
-type Directory struct {
-	mu      sync.Mutex
-	version int64
-	entries map[string]Entry
-	order   []string
-	changes [][]string // ids by version, the latest last
-	whole   []byte     // of this version, nil: not made yet
-	since   map[int64][]byte
-	changed chan struct{} // closed with the next change
-	calls   Calls
+type DiscoveryServer struct {
+	mu             sync.Mutex
+	version        int64
+	entries        map[string]Entry
+	ids            []string
+	changedIDs     [][]string // ids by version, the latest last
+	encodedList    []byte     // of this version, nil: not made yet
+	encodedChanges map[int64][]byte
+	nextChange     chan struct{} // closed with the next change
+	callCounts     CallCounts
 }
 
 // NewDirectory makes one.
-func NewDirectory(entries []Entry) *Directory {
-	d := &Directory{version: 1, entries: map[string]Entry{}, changed: make(chan struct{}), since: map[int64][]byte{}}
+func NewDiscoveryServer(entries []Entry) *DiscoveryServer {
+	d := &DiscoveryServer{version: 1, entries: map[string]Entry{}, nextChange: make(chan struct{}), encodedChanges: map[int64][]byte{}}
 	for _, e := range entries {
 		d.entries[e.ID] = e
-		d.order = append(d.order, e.ID)
+		d.ids = append(d.ids, e.ID)
 	}
 	return d
 }
 
 // Change changes entries that are known, as one version, and tells which.
-func (d *Directory) Change(entries []Entry) int64 {
+func (d *DiscoveryServer) ChangeEntries(entries []Entry) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var ids []string
@@ -71,95 +75,95 @@
 		}
 	}
 	d.version++
-	if d.changes = append(d.changes, ids); len(d.changes) > changesKept {
-		d.changes = d.changes[1:]
+	if d.changedIDs = append(d.changedIDs, ids); len(d.changedIDs) > maxKeptVersions {
+		d.changedIDs = d.changedIDs[1:]
 	}
-	d.whole, d.since = nil, map[int64][]byte{}
-	close(d.changed)
-	d.changed = make(chan struct{})
+	d.encodedList, d.encodedChanges = nil, map[int64][]byte{}
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 	return d.version
 }
 
 // Calls tells what was asked so far.
-func (d *Directory) Calls() Calls {
+func (d *DiscoveryServer) CallCounts() CallCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls
+	return d.callCounts
 }
 
 // all gives the whole list's text. Called with the lock held.
-func (d *Directory) all() []byte {
-	d.calls.Whole++
-	if d.whole == nil {
-		p := page{Version: d.version, Full: true, Servers: []Entry{}}
-		for _, id := range d.order {
+func (d *DiscoveryServer) fullList() []byte {
+	d.callCounts.FullLists++
+	if d.encodedList == nil {
+		list := listResponse{Version: d.version, Full: true, Servers: []Entry{}}
+		for _, id := range d.ids {
 			if e := d.entries[id]; e.State != "Gone" {
-				p.Servers = append(p.Servers, e)
+				list.Servers = append(list.Servers, e)
 			}
 		}
-		d.whole = text(p)
+		d.encodedList = encode(list)
 	}
-	return d.whole
+	return d.encodedList
 }
 
 // news gives the text of what has changed since a version; nil: nothing has. Called with the lock held.
-func (d *Directory) news(from int64) []byte {
-	back := int(d.version - from)
+func (d *DiscoveryServer) changesSince(version int64) []byte {
+	versionsBehind := int(d.version - version)
 	switch {
-	case back == 0:
+	case versionsBehind == 0:
 		return nil
-	case back < 0 || back > len(d.changes): // of another run of the service, or too old
-		return d.all()
+	case versionsBehind < 0 || versionsBehind > len(d.changedIDs): // of another run of the service, or too old
+		return d.fullList()
 	}
-	d.calls.Changes++
-	if d.since[from] == nil {
-		p, told := page{Version: d.version, Servers: []Entry{}}, map[string]bool{}
-		for _, ids := range d.changes[len(d.changes)-back:] {
+	d.callCounts.Changes++
+	if d.encodedChanges[version] == nil {
+		changes, added := listResponse{Version: d.version, Servers: []Entry{}}, map[string]bool{}
+		for _, ids := range d.changedIDs[len(d.changedIDs)-versionsBehind:] {
 			for _, id := range ids {
-				if !told[id] {
-					told[id] = true
-					p.Servers = append(p.Servers, d.entries[id])
+				if !added[id] {
+					added[id] = true
+					changes.Servers = append(changes.Servers, d.entries[id])
 				}
 			}
 		}
-		d.since[from] = text(p)
+		d.encodedChanges[version] = encode(changes)
 	}
-	return d.since[from]
+	return d.encodedChanges[version]
 }
 
-func text(p page) []byte {
+func encode(list listResponse) []byte {
 	var b bytes.Buffer
-	_ = json.NewEncoder(&b).Encode(p)
+	_ = json.NewEncoder(&b).Encode(list)
 	return b.Bytes()
 }
 
-func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	from, err := strconv.ParseInt(q.Get("from"), 10, 64)
-	hold, _ := strconv.Atoi(q.Get("hold_ms"))
+	version, err := strconv.ParseInt(q.Get("from"), 10, 64)
+	holdMs, _ := strconv.Atoi(q.Get("hold_ms"))
 	var body []byte
 	if err != nil {
 		d.mu.Lock()
-		body = d.all()
+		body = d.fullList()
 		d.mu.Unlock()
 	} else {
-		end := time.NewTimer(min(holdMost, time.Duration(hold)*time.Millisecond))
-		defer end.Stop()
-		for over := false; body == nil; {
+		holdTimer := time.NewTimer(min(maxHold, time.Duration(holdMs)*time.Millisecond))
+		defer holdTimer.Stop()
+		for holdExpired := false; body == nil; {
 			d.mu.Lock()
-			changed := d.changed
-			if body = d.news(from); body == nil && over {
-				d.calls.Empty++
-				body = text(page{Version: d.version, Servers: []Entry{}})
+			nextChange := d.nextChange
+			if body = d.changesSince(version); body == nil && holdExpired {
+				d.callCounts.Empty++
+				body = encode(listResponse{Version: d.version, Servers: []Entry{}})
 			}
 			d.mu.Unlock()
 			if body != nil {
 				break
 			}
 			select {
-			case <-changed:
-			case <-end.C:
-				over = true
+			case <-nextChange:
+			case <-holdTimer.C:
+				holdExpired = true
 			case <-r.Context().Done():
 				return
 			}
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -10,31 +10,31 @@
 )
 
 // Point is one figure of a run.
-type Point struct {
-	Nodes, Real, Servers int
-	Seed                 uint64
-	Phase, Role, What    string // what it tells, with its unit
-	Value                float64
+type Measurement struct {
+	HollowNodes, RealNodes, CacheServers int
+	Seed                                 uint64
+	Phase, Role, Metric                  string // what it tells, with its unit
+	Value                                float64
 }
 
 var columns = []string{"nodes", "real", "servers", "seed", "phase", "role", "what", "value"}
 
 // Write adds points to a file, with a line of headings where it is new.
-func Write(w io.Writer, points []Point, headings bool) error {
+func WriteMeasurements(w io.Writer, measurements []Measurement, withHeader bool) error {
 	c := csv.NewWriter(w)
-	if headings {
+	if withHeader {
 		_ = c.Write(columns)
 	}
-	for _, p := range points {
-		_ = c.Write([]string{strconv.Itoa(p.Nodes), strconv.Itoa(p.Real), strconv.Itoa(p.Servers), strconv.FormatUint(p.Seed, 10),
-			p.Phase, p.Role, p.What, strconv.FormatFloat(p.Value, 'g', 6, 64)})
+	for _, m := range measurements {
+		_ = c.Write([]string{strconv.Itoa(m.HollowNodes), strconv.Itoa(m.RealNodes), strconv.Itoa(m.CacheServers), strconv.FormatUint(m.Seed, 10),
+			m.Phase, m.Role, m.Metric, strconv.FormatFloat(m.Value, 'g', 6, 64)})
 	}
 	c.Flush()
 	return c.Error()
 }
 
 // ReadPoints reads what Write wrote.
-func ReadPoints(r io.Reader) (all []Point, err error) {
+func ReadMeasurements(r io.Reader) (measurements []Measurement, err error) {
 	c := csv.NewReader(r)
 	c.FieldsPerRecord = len(columns)
 	rows, err := c.ReadAll()
@@ -42,112 +42,112 @@
 		if i == 0 && slices.Equal(row, columns) {
 			continue
 		}
-		p := Point{Phase: row[4], Role: row[5], What: row[6]}
+		m := Measurement{Phase: row[4], Role: row[5], Metric: row[6]}
 		var errs [5]error
-		p.Nodes, errs[0] = strconv.Atoi(row[0])
-		p.Real, errs[1] = strconv.Atoi(row[1])
-		p.Servers, errs[2] = strconv.Atoi(row[2])
-		p.Seed, errs[3] = strconv.ParseUint(row[3], 10, 64)
-		p.Value, errs[4] = strconv.ParseFloat(row[7], 64)
+		m.HollowNodes, errs[0] = strconv.Atoi(row[0])
+		m.RealNodes, errs[1] = strconv.Atoi(row[1])
+		m.CacheServers, errs[2] = strconv.Atoi(row[2])
+		m.Seed, errs[3] = strconv.ParseUint(row[3], 10, 64)
+		m.Value, errs[4] = strconv.ParseFloat(row[7], 64)
 		for _, e := range errs {
 			if e != nil {
 				return nil, fmt.Errorf("line %d: expected %v: %w", i+1, columns, e)
 			}
 		}
-		all = append(all, p)
+		measurements = append(measurements, m)
 	}
-	return all, err
+	return measurements, err
 }
 
 // Line is a straight line through points, by least squares.
-type Line struct {
-	Phase, Role, What string
-	At                []float64 // sizes, and the figures there
-	Values            []float64
-	Base, Slope       float64
-	Residuals         []float64 // what was measured less the line
-	R2                float64   // share of the values' spread that the line explains; 1 where they have none
+type FittedLine struct {
+	Phase, Role, Metric string
+	Sizes               []float64 // sizes, and the figures there
+	Values              []float64
+	Intercept, Slope    float64
+	Residuals           []float64 // what was measured less the line
+	R2                  float64   // share of the values' spread that the line explains; 1 where they have none
 }
 
 // Value gives the line's at a size.
-func (l *Line) Value(size float64) float64 { return l.Base + l.Slope*size }
+func (l *FittedLine) Predict(size float64) float64 { return l.Intercept + l.Slope*size }
 
 // Worst gives the largest residual as a share of what was measured there, or of the largest value where that is 0.
-func (l *Line) Worst() (worst float64) {
+func (l *FittedLine) WorstRelativeResidual() (worst float64) {
 	for i, r := range l.Residuals {
-		of := math.Abs(l.Values[i])
-		if of == 0 {
+		reference := math.Abs(l.Values[i])
+		if reference == 0 {
 			for _, v := range l.Values {
-				of = max(of, math.Abs(v))
+				reference = max(reference, math.Abs(v))
 			}
 		}
-		if of > 0 {
-			worst = max(worst, math.Abs(r)/of)
+		if reference > 0 {
+			worst = max(worst, math.Abs(r)/reference)
 		}
 	}
 	return worst
 }
 
 // leastSquares fits values at sizes.
-func leastSquares(at, values []float64) (base, slope float64, residuals []float64, r2 float64) {
-	n, x, y := float64(len(at)), 0.0, 0.0
-	for i := range at {
-		x += at[i] / n
-		y += values[i] / n
+func leastSquares(sizes, values []float64) (intercept, slope float64, residuals []float64, r2 float64) {
+	n, meanSize, meanValue := float64(len(sizes)), 0.0, 0.0
+	for i := range sizes {
+		meanSize += sizes[i] / n
+		meanValue += values[i] / n
 	}
-	xx, xy, yy := 0.0, 0.0, 0.0
-	for i := range at {
-		xx += (at[i] - x) * (at[i] - x)
-		xy += (at[i] - x) * (values[i] - y)
-		yy += (values[i] - y) * (values[i] - y)
+	sizeVariation, covariation, valueVariation := 0.0, 0.0, 0.0
+	for i := range sizes {
+		sizeVariation += (sizes[i] - meanSize) * (sizes[i] - meanSize)
+		covariation += (sizes[i] - meanSize) * (values[i] - meanValue)
+		valueVariation += (values[i] - meanValue) * (values[i] - meanValue)
 	}
-	if xx > 0 {
-		slope = xy / xx
+	if sizeVariation > 0 {
+		slope = covariation / sizeVariation
 	}
-	base = y - slope*x
-	left := 0.0
-	for i := range at {
-		r := values[i] - base - slope*at[i]
-		residuals = append(residuals, r)
-		left += r * r
+	intercept = meanValue - slope*meanSize
+	residualSum := 0.0
+	for i := range sizes {
+		residual := values[i] - intercept - slope*sizes[i]
+		residuals = append(residuals, residual)
+		residualSum += residual * residual
 	}
-	if r2 = 1; yy > 0 {
-		r2 = 1 - left/yy
+	if r2 = 1; valueVariation > 0 {
+		r2 = 1 - residualSum/valueVariation
 	}
-	return base, slope, residuals, r2
+	return intercept, slope, residuals, r2
 }
 
 // Lines fits each figure over the nodes, or over the servers, whose points may be in any order. What has fewer than three sizes
 // has no line.
-func Lines(points []Point, byServers bool) (all []Line) {
-	points = slices.Clone(points)
-	slices.SortStableFunc(points, func(a, b Point) int {
+func FitLines(measurements []Measurement, byServers bool) (lines []FittedLine) {
+	measurements = slices.Clone(measurements)
+	slices.SortStableFunc(measurements, func(a, b Measurement) int {
 		if byServers {
-			return a.Servers - b.Servers
+			return a.CacheServers - b.CacheServers
 		}
-		return a.Nodes - b.Nodes
+		return a.HollowNodes - b.HollowNodes
 	})
-	type key struct{ phase, role, what string }
+	type key struct{ phase, role, metric string }
 	var order []key
-	at, values := map[key][]float64{}, map[key][]float64{}
-	for _, p := range points {
-		k, size := key{p.Phase, p.Role, p.What}, p.Nodes
+	sizes, values := map[key][]float64{}, map[key][]float64{}
+	for _, m := range measurements {
+		k, size := key{m.Phase, m.Role, m.Metric}, m.HollowNodes
 		if byServers {
-			size = p.Servers
+			size = m.CacheServers
 		}
-		if _, known := at[k]; !known {
+		if _, known := sizes[k]; !known {
 			order = append(order, k)
 		}
-		at[k], values[k] = append(at[k], float64(size)), append(values[k], p.Value)
+		sizes[k], values[k] = append(sizes[k], float64(size)), append(values[k], m.Value)
 	}
 	for _, k := range order {
-		sizes := slices.Compact(slices.Sorted(slices.Values(at[k])))
-		if len(sizes) < 3 {
+		distinctSizes := slices.Compact(slices.Sorted(slices.Values(sizes[k])))
+		if len(distinctSizes) < 3 {
 			continue
 		}
-		l := Line{Phase: k.phase, Role: k.role, What: k.what, At: at[k], Values: values[k]}
-		l.Base, l.Slope, l.Residuals, l.R2 = leastSquares(l.At, l.Values)
-		all = append(all, l)
+		l := FittedLine{Phase: k.phase, Role: k.role, Metric: k.metric, Sizes: sizes[k], Values: values[k]}
+		l.Intercept, l.Slope, l.Residuals, l.R2 = leastSquares(l.Sizes, l.Values)
+		lines = append(lines, l)
 	}
-	return all
+	return lines
 }
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -38,26 +38,26 @@
 )
 
 // order is what a run tells a process of its own, one line each; reply is a line back.
-type order struct {
-	Do      string
-	Nodes   []int   `json:",omitempty"`
-	Entries []Entry `json:",omitempty"`
-	Ms      int64   `json:",omitempty"`
+type command struct {
+	Name    string  `json:"Do"`
+	Nodes   []int   `json:"Nodes,omitempty"`
+	Entries []Entry `json:"Entries,omitempty"`
+	Ms      int64   `json:"Ms,omitempty"`
 }
 
-type reply struct {
-	Err     string        `json:",omitempty"`
-	At      int64         `json:",omitempty"` // by the boot clock
-	Version int64         `json:",omitempty"`
-	Marks   []Mark        `json:",omitempty"`
-	Used    *faults.Usage `json:",omitempty"`
-	Calls   *Calls        `json:",omitempty"`
+type response struct {
+	Error      string        `json:"Err,omitempty"`
+	BootTimeNs int64         `json:"At,omitempty"` // by the boot clock
+	Version    int64         `json:"Version,omitempty"`
+	NodeEvents []NodeEvent   `json:"Marks,omitempty"`
+	Usage      *faults.Usage `json:"Used,omitempty"`
+	CallCounts *CallCounts   `json:"Calls,omitempty"`
 }
 
 // obey answers orders until there are no more: a process whose run has ended ends too.
-func obey(in io.Reader, out io.Writer, do func(order) reply) error {
+func serveCommands(in io.Reader, out io.Writer, handle func(command) response) error {
 	lines := bufio.NewReader(in)
-	to := json.NewEncoder(out)
+	encoder := json.NewEncoder(out)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
@@ -66,300 +66,300 @@
 		if err != nil {
 			return err
 		}
-		var o order
-		if err := json.Unmarshal(line, &o); err != nil {
+		var c command
+		if err := json.Unmarshal(line, &c); err != nil {
 			return err
 		}
-		if err := to.Encode(do(o)); err != nil {
+		if err := encoder.Encode(handle(c)); err != nil {
 			return err
 		}
 	}
 }
 
 const (
-	nodeGC      = 300 // as a node sets it for itself
-	demandLow   = 5.0 // acts a second that most nodes want of the budget,
-	demandHigh  = 50.0
-	demandParts = 10 // and one in so many wants
+	gcPercent         = 300 // as a node sets it for itself
+	lowDemandRate     = 5.0 // acts a second that most nodes want of the budget,
+	highDemandRate    = 50.0
+	highDemandDivisor = 10 // and one in so many wants
 )
 
 // host runs hollow nodes.
 type host struct {
-	folder string
-	quiet  bool
-	seed   uint64
-	log    zapcore.Core
+	dir     string
+	noLoad  bool
+	seed    uint64
+	logCore zapcore.Core
 
-	mu    sync.Mutex
-	nodes map[int]*hollow
-	marks []Mark
+	mu         sync.Mutex
+	nodes      map[int]*hollowNode
+	nodeEvents []NodeEvent
 }
 
-type hollow struct {
+type hollowNode struct {
 	signals chan os.Signal
 	stop    context.CancelFunc
-	ended   chan struct{}
+	done    chan struct{}
 }
 
 // Host runs hollow nodes by the orders that come in. Their files lie in the folder.
-func Host(ctx context.Context, in io.Reader, out io.Writer, folder, name string, quiet bool, seed uint64) error {
+func RunHollowNodes(ctx context.Context, in io.Reader, out io.Writer, dir, name string, noLoad bool, seed uint64) error {
 	runtime.GOMAXPROCS(1) // as nodes of one core have it
-	debug.SetGCPercent(nodeGC)
-	file, err := os.OpenFile(filepath.Join(folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	debug.SetGCPercent(gcPercent)
+	file, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
-	h := &host{folder: folder, quiet: quiet, seed: seed, nodes: map[int]*hollow{},
-		log: zapcore.NewCore(zapcore.NewJSONEncoder(encoding), zapcore.Lock(file), zapcore.InfoLevel)}
-	cluster.Trace(h.asked, h.parts)
-	over := make(chan error, 1)
-	go func() { over <- obey(in, out, h.do) }()
+	h := &host{dir: dir, noLoad: noLoad, seed: seed, nodes: map[int]*hollowNode{},
+		logCore: zapcore.NewCore(zapcore.NewJSONEncoder(encoding), zapcore.Lock(file), zapcore.InfoLevel)}
+	cluster.Trace(h.traceLeaseRequest, h.traceQuotas)
+	commandsDone := make(chan error, 1)
+	go func() { commandsDone <- serveCommands(in, out, h.handle) }()
 	select {
-	case err = <-over:
+	case err = <-commandsDone:
 	case <-ctx.Done():
 	}
-	h.leave(h.all())
+	h.shutDown(h.nodeNumbers())
 	return err
 }
 
-func (h *host) do(o order) (r reply) {
-	r.At = faulttest.Boot()
-	switch o.Do {
+func (h *host) handle(c command) (answer response) {
+	answer.BootTimeNs = faulttest.Boot()
+	switch c.Name {
 	case "start":
-		for _, n := range o.Nodes {
+		for _, n := range c.Nodes {
 			if err := h.start(n); err != nil {
-				r.Err = err.Error()
+				answer.Error = err.Error()
 			}
 		}
 	case "restart":
 		go func() {
-			h.leave(o.Nodes)
-			for _, n := range o.Nodes {
+			h.shutDown(c.Nodes)
+			for _, n := range c.Nodes {
 				_ = h.start(n)
 			}
 		}()
 	case "reload":
 		h.mu.Lock()
-		for _, x := range h.nodes {
+		for _, node := range h.nodes {
 			select {
-			case x.signals <- syscall.SIGHUP:
+			case node.signals <- syscall.SIGHUP:
 			default: // one is enough
 			}
 		}
 		h.mu.Unlock()
 	case "leave":
-		h.leave(h.all())
+		h.shutDown(h.nodeNumbers())
 	case "marks":
 		h.mu.Lock()
-		r.Marks, h.marks = h.marks, nil
+		answer.NodeEvents, h.nodeEvents = h.nodeEvents, nil
 		h.mu.Unlock()
 	case "use":
-		u := faults.Used()
-		r.Used = &u
+		usage := faults.Used()
+		answer.Usage = &usage
 	default:
-		r.Err = "unknown order " + o.Do
+		answer.Error = "unknown order " + c.Name
 	}
-	return r
+	return answer
 }
 
-func (h *host) all() (all []int) {
+func (h *host) nodeNumbers() (numbers []int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for n := range h.nodes {
-		all = append(all, n)
+		numbers = append(numbers, n)
 	}
-	return all
+	return numbers
 }
 
 // start starts a node as a process of its own would.
 func (h *host) start(n int) error {
-	h.mark(Mark{Node: n, What: markStart})
-	s, err := config.Read(filepath.Join(h.folder, fileOf(n)))
+	h.addEvent(NodeEvent{Node: n, Kind: eventStart})
+	nodeConfig, err := config.Read(filepath.Join(h.dir, hollowConfigFile(n)))
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	x := &hollow{signals: make(chan os.Signal, 1), stop: stop, ended: make(chan struct{})}
+	started := &hollowNode{signals: make(chan os.Signal, 1), stop: stop, done: make(chan struct{})}
 	h.mu.Lock()
-	h.nodes[n] = x
+	h.nodes[n] = started
 	h.mu.Unlock()
-	log := zap.New(zapcore.NewTee(zapcore.NewSamplerWithOptions(h.log, time.Second, 10, 100), &heard{h, n}))
+	log := zap.New(zapcore.NewTee(zapcore.NewSamplerWithOptions(h.logCore, time.Second, 10, 100), &eventCore{h, n}))
 	go func() {
-		defer close(x.ended)
-		_ = node.Hollow(ctx, s, x.signals, log, func(own cluster.LocalNode) cluster.LocalNode {
-			return &demanding{LocalNode: own, h: h, n: n, rnd: rand.New(rand.NewPCG(h.seed, uint64(n))), at: time.Now()}
+		defer close(started.done)
+		_ = node.Hollow(ctx, nodeConfig, started.signals, log, func(local cluster.LocalNode) cluster.LocalNode {
+			return &loadedNode{LocalNode: local, host: h, number: n, rnd: rand.New(rand.NewPCG(h.seed, uint64(n))), lastCall: time.Now()}
 		})
 	}()
 	return nil
 }
 
 // leave ends nodes well.
-func (h *host) leave(nodes []int) {
-	var ended []chan struct{}
+func (h *host) shutDown(nodes []int) {
+	var done []chan struct{}
 	h.mu.Lock()
 	for _, n := range nodes {
-		if x, runs := h.nodes[n]; runs {
-			x.stop()
-			ended = append(ended, x.ended)
+		if node, isRunning := h.nodes[n]; isRunning {
+			node.stop()
+			done = append(done, node.done)
 			delete(h.nodes, n)
 		}
 	}
 	h.mu.Unlock()
-	for _, e := range ended {
-		<-e
+	for _, nodeDone := range done {
+		<-nodeDone
 	}
 }
 
-func (h *host) mark(m Mark) {
-	m.At = faulttest.Boot()
+func (h *host) addEvent(event NodeEvent) {
+	event.BootTimeNs = faulttest.Boot()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.marks = append(h.marks, m)
+	h.nodeEvents = append(h.nodeEvents, event)
 }
 
 // heard takes marks from what a node logs once it is done.
-type heard struct {
-	h *host
-	n int
+type eventCore struct {
+	host *host
+	node int
 }
 
-func (c *heard) Enabled(l zapcore.Level) bool      { return l >= zapcore.InfoLevel }
-func (c *heard) With([]zapcore.Field) zapcore.Core { return c }
-func (c *heard) Sync() error                       { return nil }
-func (c *heard) Check(e zapcore.Entry, x *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if _, is := markOf[e.Message]; is {
-		return x.AddCore(e, c)
+func (c *eventCore) Enabled(l zapcore.Level) bool      { return l >= zapcore.InfoLevel }
+func (c *eventCore) With([]zapcore.Field) zapcore.Core { return c }
+func (c *eventCore) Sync() error                       { return nil }
+func (c *eventCore) Check(e zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if _, marksEvent := eventKindsByMessage[e.Message]; marksEvent {
+		return checked.AddCore(e, c)
 	}
-	return x
+	return checked
 }
 
 // markOf gives the mark of a log line.
-var markOf = map[string]string{"endpoint list updated": markList, "configuration reloaded": markFile, "a lease is lost": markLost}
+var eventKindsByMessage = map[string]string{"endpoint list updated": eventListInForce, "configuration reloaded": eventConfigInForce, "a lease is lost": eventLeaseLost}
 
-func (c *heard) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	m := Mark{Node: c.n, What: markOf[e.Message]}
+func (c *eventCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
+	event := NodeEvent{Node: c.node, Kind: eventKindsByMessage[e.Message]}
 	for _, f := range fields {
 		if f.Key == "version" {
-			m.N = f.Integer
+			event.Value = f.Integer
 		}
 	}
-	c.h.mark(m)
+	c.host.addEvent(event)
 	return nil
 }
 
 // asked is told of each asking for the lease of a node's name.
-func (h *host) asked(a lease.Request) func(lease.Response, error) {
-	n, err := strconv.Atoi(strings.TrimPrefix(a.Holder.Name, hollowName))
-	if err != nil || a.Operation != lease.OpAcquire && a.Operation != lease.OpRenew {
+func (h *host) traceLeaseRequest(request lease.Request) func(lease.Response, error) {
+	n, err := strconv.Atoi(strings.TrimPrefix(request.Holder.Name, hollowNodePrefix))
+	if err != nil || request.Operation != lease.OpAcquire && request.Operation != lease.OpRenew {
 		return func(lease.Response, error) {}
 	}
-	from := faulttest.Boot()
-	return func(x lease.Response, err error) {
-		m := Mark{Node: n, N: faulttest.Boot() - from}
+	sentNs := faulttest.Boot()
+	return func(answer lease.Response, err error) {
+		event := NodeEvent{Node: n, Value: faulttest.Boot() - sentNs}
 		switch {
-		case errors.Is(x.Err, lease.ErrStillHeld):
+		case errors.Is(answer.Err, lease.ErrStillHeld):
 			return
-		case err != nil || x.Err != nil:
-			m.What = markFailed
-		case a.Operation == lease.OpAcquire:
-			m.What = markHeld
+		case err != nil || answer.Err != nil:
+			event.Kind = eventLeaseRequestFailed
+		case request.Operation == lease.OpAcquire:
+			event.Kind = eventLeaseAcquired
 		default:
-			m.What = markRenews
+			event.Kind = eventLeaseRenewed
 		}
-		h.mark(m)
+		h.addEvent(event)
 	}
 }
 
-func (h *host) parts(name string, news []budget.QuotaUpdate) {
-	n, err := strconv.Atoi(strings.TrimPrefix(name, hollowName))
-	for _, b := range news {
+func (h *host) traceQuotas(name string, updates []budget.QuotaUpdate) {
+	n, err := strconv.Atoi(strings.TrimPrefix(name, hollowNodePrefix))
+	for _, update := range updates {
 		if err == nil {
-			h.mark(Mark{Node: n, What: markParts, N: int64(b.Config.Revision)})
+			h.addEvent(NodeEvent{Node: n, Kind: eventQuotasReceived, Value: int64(update.Config.Revision)})
 		}
 	}
 }
 
 // demanding stands in for the lookups that a hollow node doesn't take: it wants as much of the budget as lookups would.
-type demanding struct {
+type loadedNode struct {
 	cluster.LocalNode
-	h   *host
-	n   int
-	mu  sync.Mutex
-	rnd *rand.Rand
-	at  time.Time
+	host     *host
+	number   int
+	mu       sync.Mutex
+	rnd      *rand.Rand
+	lastCall time.Time
 }
 
-func (d *demanding) SetQuota(of routing.Limit, partner string, p allowance.Quota, left, takes time.Duration) allowance.Usage {
-	u := d.LocalNode.SetQuota(of, partner, p, left, takes)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	span := time.Since(d.at).Seconds()
-	d.at = time.Now()
-	if d.h.quiet {
-		return u
+func (l *loadedNode) SetQuota(limit routing.Limit, partner string, quota allowance.Quota, duration, cutoffMargin time.Duration) allowance.Usage {
+	usage := l.LocalNode.SetQuota(limit, partner, quota, duration, cutoffMargin)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	seconds := time.Since(l.lastCall).Seconds()
+	l.lastCall = time.Now()
+	if l.host.noLoad {
+		return usage
 	}
-	mean := demandOf(d.h.seed, d.n, d.at) * span
-	asked := max(0, mean+d.rnd.NormFloat64()*mean/2)
-	return u.Max(allowance.Usage{Wanted: asked, Done: min(asked, p.Rate*span)})
+	mean := demandRate(l.host.seed, l.number, l.lastCall) * seconds
+	wanted := max(0, mean+l.rnd.NormFloat64()*mean/2)
+	return usage.Max(allowance.Usage{Wanted: wanted, Done: min(wanted, quota.Rate*seconds)})
 }
 
 // demandOf is by chance, and moves.
-func demandOf(seed uint64, n int, at time.Time) float64 {
-	h := fnv.New64a()
-	fmt.Fprint(h, seed, n, at.Unix()/int64(demandEvery/time.Second))
-	if h.Sum64()%demandParts == 0 {
-		return demandHigh
+func demandRate(seed uint64, node int, at time.Time) float64 {
+	hash := fnv.New64a()
+	fmt.Fprint(hash, seed, node, at.Unix()/int64(demandShiftInterval/time.Second))
+	if hash.Sum64()%highDemandDivisor == 0 {
+		return highDemandRate
 	}
-	return demandLow
+	return lowDemandRate
 }
 
 // Serve runs the stand-in of the discovery service by the orders that come in.
-func Serve(ctx context.Context, in io.Reader, out io.Writer, address string) error {
+func RunDiscovery(ctx context.Context, in io.Reader, out io.Writer, address string) error {
 	runtime.GOMAXPROCS(2)
-	var d *Directory
+	var discovery *DiscoveryServer
 	var server *http.Server
-	open := func() error {
+	listen := func() error {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			return err
 		}
-		server = &http.Server{Handler: d}
-		go func() { _ = server.Serve(listener{l}) }()
+		server = &http.Server{Handler: discovery}
+		go func() { _ = server.Serve(countingListener{l}) }()
 		return nil
 	}
-	over := make(chan error, 1)
+	commandsDone := make(chan error, 1)
 	go func() {
-		over <- obey(in, out, func(o order) (r reply) {
+		commandsDone <- serveCommands(in, out, func(c command) (answer response) {
 			var err error
-			switch o.Do {
+			switch c.Name {
 			case "open":
-				d = NewDirectory(o.Entries)
-				err = open()
+				discovery = NewDiscoveryServer(c.Entries)
+				err = listen()
 			case "change":
-				r.At = faulttest.Boot()
-				r.Version = d.Change(o.Entries)
+				answer.BootTimeNs = faulttest.Boot()
+				answer.Version = discovery.ChangeEntries(c.Entries)
 			case "close":
 				err = server.Close()
 			case "open again":
-				r.At = faulttest.Boot()
-				err = open()
+				answer.BootTimeNs = faulttest.Boot()
+				err = listen()
 			case "use":
-				u, c := faults.Used(), d.Calls()
-				r.Used, r.Calls = &u, &c
+				usage, counts := faults.Used(), discovery.CallCounts()
+				answer.Usage, answer.CallCounts = &usage, &counts
 			default:
-				err = errors.New("unknown order " + o.Do)
+				err = errors.New("unknown order " + c.Name)
 			}
 			if err != nil {
-				r.Err = err.Error()
+				answer.Error = err.Error()
 			}
-			return r
+			return answer
 		})
 	}()
 	select {
-	case err := <-over:
+	case err := <-commandsDone:
 		return err
 	case <-ctx.Done():
 		return nil
@@ -367,9 +367,9 @@
 }
 
 // listener counts what goes over its connections.
-type listener struct{ net.Listener }
+type countingListener struct{ net.Listener }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/internal/scaletest/processes_test.go
+++ b/internal/scaletest/processes_test.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-const trialVariable = "THISTLERUDDER_TRIAL"
+const trialEnvVariable = "THISTLERUDDER_TRIAL"
 
 // playedBy makes the program with the tag faults, and gives a command of it whose runs keep their files in a folder.
-func playedBy(t *testing.T) (trial func(args ...string) *exec.Cmd, folder string) {
+func buildProgram(t *testing.T) (trial func(args ...string) *exec.Cmd, folder string) {
 	t.Helper()
-	if os.Getenv(trialVariable) == "" {
-		t.Skip("it starts some ten processes: set " + trialVariable)
+	if os.Getenv(trialEnvVariable) == "" {
+		t.Skip("it starts some ten processes: set " + trialEnvVariable)
 	}
 	path := filepath.Join(t.TempDir(), "thistlerudder")
 	if out, err := exec.Command("go", "build", "-tags", "faults", "-o", path, "../../cmd/thistlerudder").CombinedOutput(); err != nil {
@@ -33,11 +33,11 @@
 }
 
 // leftOver gives the processes that were started for a folder, and the files in it.
-func leftOver(folder string) (processes, files []string) {
-	all, _ := filepath.Glob("/proc/[0-9]*/environ")
-	for _, path := range all {
-		b, _ := os.ReadFile(path)
-		if strings.Contains(string(b), "TMPDIR="+folder) {
+func findLeftovers(folder string) (processes, files []string) {
+	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
+	for _, path := range paths {
+		environ, _ := os.ReadFile(path)
+		if strings.Contains(string(environ), "TMPDIR="+folder) {
 			processes = append(processes, filepath.Dir(path))
 		}
 	}
@@ -47,14 +47,14 @@
 
 // A small fleet is played, with a zone restarted together and the leader killed; it ends by itself and leaves nothing behind.
 func TestProcessesAtScale(t *testing.T) {
-	trial, folder := playedBy(t)
-	points := filepath.Join(folder, "points.csv")
+	trial, folder := buildProgram(t)
+	measurementsPath := filepath.Join(folder, "points.csv")
 	var out []byte
 	var err error
 	for range 3 { // a run on a machine that stood still is void
-		_ = os.Remove(points)
+		_ = os.Remove(measurementsPath)
 		out, err = trial("--nodes", "24", "--real", "2", "--servers", "12", "--for", "4s", "--what", "list,lease,budget,configuration,restart,leader",
-			"--out", points).CombinedOutput()
+			"--out", measurementsPath).CombinedOutput()
 		if err == nil || !strings.Contains(string(out), "Error: void") {
 			break
 		}
@@ -64,65 +64,65 @@
 		t.Fatalf("%v:\n%s", err, out)
 	}
 	t.Logf("%s", out)
-	have := pointsOf(t, points)
-	for _, what := range []string{"peace: node: share of a core %", "peace: real node: bytes sent /s", "peace: leader: share of a core %",
+	values := readMeasurements(t, measurementsPath)
+	for _, metric := range []string{"peace: node: share of a core %", "peace: real node: bytes sent /s", "peace: leader: share of a core %",
 		"peace: other voter: messages sent /s", "peace: discovery: bytes sent /s", "peace: node: live heap KB", "peace: last node: list in force worst ms",
 		"peace: last node: configuration in force worst ms", "peace: last node: budget's whole in force worst ms", "peace: node: a renewal p99 ms",
 		"restart: last node: list after a start worst ms", "restart: last node: lease after a start worst ms", "leader: last node: lease renewed or had again worst ms"} {
-		if have[what] <= 0 {
-			t.Errorf("%s: %g", what, have[what])
+		if values[metric] <= 0 {
+			t.Errorf("%s: %g", metric, values[metric])
 		}
 	}
-	if p, f := leftOver(folder); len(p)+len(f) > 0 {
-		t.Errorf("left behind: %v %v", p, f)
+	if processes, files := findLeftovers(folder); len(processes)+len(files) > 0 {
+		t.Errorf("left behind: %v %v", processes, files)
 	}
 }
 
 // A hollow node alone in its process costs what a real one does: bytes, live heap and processor time within a fifth.
 func TestProcessesAtScaleHollowAsReal(t *testing.T) {
-	trial, folder := playedBy(t)
-	points := filepath.Join(folder, "points.csv")
-	out, err := trial("--nodes", "8", "--real", "8", "--servers", "30", "--for", "8s", "--quiet", "--out", points).CombinedOutput()
+	trial, folder := buildProgram(t)
+	measurementsPath := filepath.Join(folder, "points.csv")
+	out, err := trial("--nodes", "8", "--real", "8", "--servers", "30", "--for", "8s", "--quiet", "--out", measurementsPath).CombinedOutput()
 	if err != nil && !strings.Contains(string(out), "Error: void") { // what it costs is told all the same
 		t.Fatalf("%v:\n%s", err, out)
 	}
-	have := pointsOf(t, points)
-	for _, what := range []string{"share of a core %", "bytes sent /s", "bytes received /s", "messages sent /s", "live heap KB", "resident MB"} {
-		hollow, genuine := have["peace: node: "+what], have["peace: real node: "+what]
-		t.Logf("%s: hollow %.4g, real %.4g", what, hollow, genuine)
-		if hollow <= 0 || math.Abs(hollow-genuine) > 0.2*genuine {
-			t.Errorf("%s: hollow %g, real %g", what, hollow, genuine)
+	values := readMeasurements(t, measurementsPath)
+	for _, metric := range []string{"share of a core %", "bytes sent /s", "bytes received /s", "messages sent /s", "live heap KB", "resident MB"} {
+		hollow, realNode := values["peace: node: "+metric], values["peace: real node: "+metric]
+		t.Logf("%s: hollow %.4g, real %.4g", metric, hollow, realNode)
+		if hollow <= 0 || math.Abs(hollow-realNode) > 0.2*realNode {
+			t.Errorf("%s: hollow %g, real %g", metric, hollow, realNode)
 		}
 	}
 }
 
 // pointsOf reads a run's points, by phase, role and what they tell.
-func pointsOf(t *testing.T, path string) map[string]float64 {
+func readMeasurements(t *testing.T, path string) map[string]float64 {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	all, err := ReadPoints(f)
+	measurements, err := ReadMeasurements(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	have := map[string]float64{}
-	for _, p := range all {
-		have[p.Phase+": "+p.Role+": "+p.What] = p.Value
+	values := map[string]float64{}
+	for _, m := range measurements {
+		values[m.Phase+": "+m.Role+": "+m.Metric] = m.Value
 	}
-	return have
+	return values
 }
 
 // A run that is interrupted ends at once and leaves nothing behind; one that is killed leaves no process.
 func TestProcessesAtScaleEndWithTheirRun(t *testing.T) {
-	trial, folder := playedBy(t)
-	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
-		c := trial("--nodes", "16", "--real", "1", "--servers", "4", "--for", "1m")
-		out, err := c.StdoutPipe()
+	trial, folder := buildProgram(t)
+	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
+		cmd := trial("--nodes", "16", "--real", "1", "--servers", "4", "--for", "1m")
+		out, err := cmd.StdoutPipe()
 		if err == nil {
-			err = c.Start()
+			err = cmd.Start()
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -130,43 +130,43 @@
 		if _, err := bufio.NewReader(out).ReadString('\n'); err != nil { // all have started
 			t.Fatal(err)
 		}
-		if p, _ := leftOver(folder); len(p) < 10 {
-			t.Errorf("%v: only %d processes run", s, len(p))
+		if processes, _ := findLeftovers(folder); len(processes) < 10 {
+			t.Errorf("%v: only %d processes run", signal, len(processes))
 		}
-		began := time.Now()
-		_ = c.Process.Signal(s)
-		if err := c.Wait(); err == nil {
-			t.Errorf("%v: it says that all was played", s)
+		signalTime := time.Now()
+		_ = cmd.Process.Signal(signal)
+		if err := cmd.Wait(); err == nil {
+			t.Errorf("%v: it says that all was played", signal)
 		}
-		if took := time.Since(began); took > 15*time.Second {
-			t.Errorf("%v: it took %v to end", s, took)
+		if took := time.Since(signalTime); took > 15*time.Second {
+			t.Errorf("%v: it took %v to end", signal, took)
 		}
-		var p, f []string
-		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			if p, f = leftOver(folder); len(p) == 0 {
+		var processes, files []string
+		for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+			if processes, files = findLeftovers(folder); len(processes) == 0 {
 				break
 			}
 		}
-		if len(p) > 0 || len(f) > 0 && s != syscall.SIGKILL {
-			t.Errorf("%v: left behind: %v %v", s, p, f)
+		if len(processes) > 0 || len(files) > 0 && signal != syscall.SIGKILL {
+			t.Errorf("%v: left behind: %v %v", signal, processes, files)
 		}
 	}
 }
 
 // What doesn't fit is refused before anything is started.
 func TestProcessesAtScaleAreRefusedInTime(t *testing.T) {
-	trial, folder := playedBy(t)
-	for args, why := range map[string]string{
+	trial, folder := buildProgram(t)
+	for args, reason := range map[string]string{
 		"--nodes 5000":                " would fit",
 		"--nodes 1000000 --what list": " would fit",
 		"--what list,purge":           "no mechanism carries purges today",
 	} {
 		out, err := trial(strings.Fields(args)...).CombinedOutput()
-		if err == nil || !strings.Contains(string(out), why) {
+		if err == nil || !strings.Contains(string(out), reason) {
 			t.Errorf("%s: %v: %s", args, err, out)
 		}
 	}
-	if p, f := leftOver(folder); len(p)+len(f) > 0 {
-		t.Errorf("left behind: %v %v", p, f)
+	if processes, files := findLeftovers(folder); len(processes)+len(files) > 0 {
+		t.Errorf("left behind: %v %v", processes, files)
 	}
 }
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -25,303 +25,305 @@
 )
 
 const (
-	clientsPort   = 6070
-	fleetPort     = 6100
-	discoveryPort = 6500
-	relayPort     = 6600
-	cachePort     = 6700
-	hollowName    = "h"
-	budgetName    = "fetches"
-	eachNode      = 20.0 // a second, of the budget's whole
-	guardEvery    = 500 * time.Millisecond
+	clientPort         = 6070
+	clusterPort        = 6100
+	discoveryPort      = 6500
+	relayPort          = 6600
+	cachePort          = 6700
+	hollowNodePrefix   = "h"
+	budgetName         = "fetches"
+	budgetRatePerNode  = 20.0 // a second, of the budget's whole
+	limitCheckInterval = 500 * time.Millisecond
 )
 
 // world is one run.
-type world struct {
+type run struct {
 	*Plan
-	room    Room
-	ctx     context.Context
-	folder  string
-	say     func(format string, args ...any)
-	entries []Entry
-	base    uint64 // live heap of a host with no nodes
-
-	discovery *process
-	voters    []*process
-	hosts     []*process // by rack
-	reals     []*process
-	relays    []*faulttest.Relay // of the region that is cut off
-	caches    []*http.Server
-	client    *cluster.Client
-	lookups   faulttest.Lookups
-	asking    sync.WaitGroup
-	done      chan struct{}
-	file      int             // changes of configuration so far,
-	notes     json.RawMessage // and what is in each file besides
-	whole     float64
-	marks     []Mark
-	result    Result
-	late      late
+	resources     Resources
+	ctx           context.Context
+	dir           string
+	logf          func(format string, args ...any)
+	entries       []Entry
+	baseHeapBytes uint64 // live heap of a host with no nodes
+
+	discovery      *process
+	voters         []*process
+	hosts          []*process // by rack
+	realNodes      []*process
+	relays         []*faulttest.Relay // of the region that is cut off
+	cacheServers   []*http.Server
+	client         *cluster.Client
+	lookups        faulttest.Lookups
+	lookupClients  sync.WaitGroup
+	done           chan struct{}
+	configRevision int             // changes of configuration so far,
+	configPadding  json.RawMessage // and what is in each file besides
+	budgetLimit    float64
+	nodeEvents     []NodeEvent
+	report         Report
+	stalls         stallMonitor
 }
 
 // Result is what became of a run.
-type Result struct {
-	Points []Point
-	Lines  []string
-	Broken []string
-	Void   string // why what is broken shows nothing of the program; empty: it does
+type Report struct {
+	Measurements   []Measurement
+	Lines          []string
+	ExceededBounds []string
+	VoidReason     string // why what is broken shows nothing of the program; empty: it does
 }
 
-func fileOf(n int) string { return fmt.Sprintf("%s%d.json", hollowName, n) }
+func hollowConfigFile(node int) string { return fmt.Sprintf("%s%d.json", hollowNodePrefix, node) }
 
 // ip gives an address of the loopback net.
-func ip(n int) string { return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, n/250, 1+n%250) }
+func loopbackIP(index int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, index/250, 1+index%250)
+}
 
 const (
-	discoveryAt = 60_000 // numbers of addresses: voters first, then real nodes, then hollow ones
-	relaysAt    = 60_010
-	cachesAt    = 60_100
+	discoveryAddrIndex  = 60_000 // numbers of addresses: voters first, then real nodes, then hollow ones
+	firstRelayAddrIndex = 60_010
+	firstCacheAddrIndex = 60_100
 )
 
 // Play plays one run. It ends whatever it started and removes what it wrote, however it ends.
-func Play(ctx context.Context, plan Plan, say func(format string, args ...any)) (r Result, err error) {
-	room, err := free()
+func Run(ctx context.Context, plan Plan, logf func(format string, args ...any)) (report Report, err error) {
+	resources, err := availableResources()
 	if err == nil {
-		err = plan.Fits(room)
+		err = plan.CheckFits(resources)
 	}
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	bounded, stop := context.WithTimeout(ctx, plan.Longest())
+	limitedCtx, stop := context.WithTimeout(ctx, plan.MaxDuration())
 	defer stop()
-	guarded, fail := context.WithCancelCause(bounded)
+	runCtx, fail := context.WithCancelCause(limitedCtx)
 	defer fail(nil)
-	w := &world{Plan: &plan, room: room, ctx: guarded, say: say, done: make(chan struct{}), whole: eachNode * float64(plan.Nodes+plan.Real+voters)}
-	if w.folder, err = os.MkdirTemp("", "scale-"); err != nil {
-		return r, err
+	r := &run{Plan: &plan, resources: resources, ctx: runCtx, logf: logf, done: make(chan struct{}), budgetLimit: budgetRatePerNode * float64(plan.HollowNodes+plan.RealNodes+voterCount)}
+	if r.dir, err = os.MkdirTemp("", "scale-"); err != nil {
+		return report, err
 	}
 	defer func() {
-		w.tearDown()
-		err = errors.Join(err, os.RemoveAll(w.folder))
+		r.tearDown()
+		err = errors.Join(err, os.RemoveAll(r.dir))
 	}()
-	w.layOut()
-	go w.guard(fail)
-	go w.late.watch(guarded)
-	if err = w.play(); err != nil && guarded.Err() != nil {
-		err = context.Cause(guarded)
+	r.defineProcesses()
+	go r.enforceLimits(fail)
+	go r.stalls.watch(runCtx)
+	if err = r.runPhases(); err != nil && runCtx.Err() != nil {
+		err = context.Cause(runCtx)
 	}
-	if worst := w.late.worst.Load(); len(w.result.Broken) > 0 && time.Duration(worst) > stillMost {
-		w.result.Void = fmt.Sprintf("the machine let a process of the run stand still for %v", time.Duration(worst).Round(time.Millisecond))
+	if longestStallNs := r.stalls.longestNs.Load(); len(r.report.ExceededBounds) > 0 && time.Duration(longestStallNs) > maxStall {
+		r.report.VoidReason = fmt.Sprintf("the machine let a process of the run stand still for %v", time.Duration(longestStallNs).Round(time.Millisecond))
 	}
-	return w.result, err
+	return r.report, err
 }
 
 // guard ends the run when it goes beyond its memory or its number of processes.
-func (w *world) guard(fail context.CancelCauseFunc) {
-	for every := time.NewTicker(guardEvery); ; {
+func (r *run) enforceLimits(fail context.CancelCauseFunc) {
+	for ticker := time.NewTicker(limitCheckInterval); ; {
 		select {
-		case <-w.ctx.Done():
-			every.Stop()
+		case <-r.ctx.Done():
+			ticker.Stop()
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
-		sum, n := residentOf(os.Getpid()), 1
-		for _, p := range w.all() {
-			if p.runs() {
-				sum += residentOf(p.pid())
-				n++
+		totalResidentBytes, processes := residentBytes(os.Getpid()), 1
+		for _, p := range r.processes() {
+			if p.isRunning() {
+				totalResidentBytes += residentBytes(p.pid())
+				processes++
 			}
 		}
-		if err := beyond(sum, n); err != nil {
+		if err := checkRunLimits(totalResidentBytes, processes); err != nil {
 			fail(err)
 		}
 	}
 }
 
 // layOut names all processes, before any is started.
-func (w *world) layOut() {
-	at := fmt.Sprintf("%s:%d", ip(discoveryAt), discoveryPort)
-	w.discovery = &process{name: "discovery", folder: w.folder, orders: true, args: []string{"trial", "directory", "--address", at}}
-	if w.Has(Lease) {
-		for i := range voters {
-			w.voters = append(w.voters, w.served(fmt.Sprint("v", i)))
-		}
-	}
-	for i := range w.Real {
-		w.reals = append(w.reals, w.served(fmt.Sprint("r", i)))
-	}
-	for rack := range w.Zones() * racksZone {
-		p := &process{name: fmt.Sprint("rack", rack), folder: w.folder, orders: true, args: []string{"trial", "hollow", "--folder", w.folder,
-			"--name", fmt.Sprint("rack", rack), "--seed", fmt.Sprint(w.Seed), fmt.Sprint("--quiet=", w.Quiet)}}
-		for n := range w.Nodes {
-			if w.PlaceOf(n).Rack == rack {
+func (r *run) defineProcesses() {
+	discoveryAddress := fmt.Sprintf("%s:%d", loopbackIP(discoveryAddrIndex), discoveryPort)
+	r.discovery = &process{name: "discovery", dir: r.dir, acceptsCommands: true, args: []string{"trial", "directory", "--address", discoveryAddress}}
+	if r.Includes(ScenarioLease) {
+		for i := range voterCount {
+			r.voters = append(r.voters, r.nodeProcess(fmt.Sprint("v", i)))
+		}
+	}
+	for i := range r.RealNodes {
+		r.realNodes = append(r.realNodes, r.nodeProcess(fmt.Sprint("r", i)))
+	}
+	for rack := range r.Zones() * racksPerZone {
+		p := &process{name: fmt.Sprint("rack", rack), dir: r.dir, acceptsCommands: true, args: []string{"trial", "hollow", "--folder", r.dir,
+			"--name", fmt.Sprint("rack", rack), "--seed", fmt.Sprint(r.Seed), fmt.Sprint("--quiet=", r.NoLoad)}}
+		for n := range r.HollowNodes {
+			if r.PlaceOf(n).Rack == rack {
 				p.nodes = append(p.nodes, n)
 			}
 		}
-		w.hosts = append(w.hosts, p)
+		r.hosts = append(r.hosts, p)
 	}
-	for i := range w.Servers {
-		place := w.PlaceOf(i)
-		w.entries = append(w.entries, Entry{ID: fmt.Sprintf("cache-%05d", i), Address: fmt.Sprintf("%s:%d", ip(cachesAt+i%cachesMost), cachePort),
+	for i := range r.CacheServers {
+		place := r.PlaceOf(i)
+		r.entries = append(r.entries, Entry{ID: fmt.Sprintf("cache-%05d", i), Address: fmt.Sprintf("%s:%d", loopbackIP(firstCacheAddrIndex+i%maxCacheListeners), cachePort),
 			Kind: "box", State: "Ready", Region: fmt.Sprint("region-", place.Region), Zone: fmt.Sprint("zone-", place.Zone)})
 	}
-	w.entries = append(w.entries, Entry{ID: "origin", Address: fmt.Sprintf("%s:%d", ip(cachesAt+cachesMost), cachePort), Kind: "origin",
+	r.entries = append(r.entries, Entry{ID: "origin", Address: fmt.Sprintf("%s:%d", loopbackIP(firstCacheAddrIndex+maxCacheListeners), cachePort), Kind: "origin",
 		State: "Ready", Region: "region-0", Zone: "zone-0"})
 }
 
-func (w *world) served(name string) *process {
-	return &process{name: name, folder: w.folder, args: []string{"serve", "--config", filepath.Join(w.folder, name+".json")}}
+func (r *run) nodeProcess(name string) *process {
+	return &process{name: name, dir: r.dir, args: []string{"serve", "--config", filepath.Join(r.dir, name+".json")}}
 }
 
-func (w *world) all() []*process {
-	return slices.Concat([]*process{w.discovery}, w.voters, w.reals, w.hosts)
+func (r *run) processes() []*process {
+	return slices.Concat([]*process{r.discovery}, r.voters, r.realNodes, r.hosts)
 }
 
 // tearDown ends all that was started, each process by its id.
-func (w *world) tearDown() {
+func (r *run) tearDown() {
 	select {
-	case <-w.done:
+	case <-r.done:
 	default:
-		close(w.done)
+		close(r.done)
 	}
-	w.asking.Wait()
-	if w.client != nil {
-		w.client.Close()
+	r.lookupClients.Wait()
+	if r.client != nil {
+		r.client.Close()
 	}
-	var ending sync.WaitGroup
-	for _, p := range w.all() {
-		ending.Go(func() { p.end(syscall.SIGKILL) }) // nothing of a run is kept, so nothing has to end well
+	var stopping sync.WaitGroup
+	for _, p := range r.processes() {
+		stopping.Go(func() { p.stop(syscall.SIGKILL) }) // nothing of a run is kept, so nothing has to end well
 	}
-	ending.Wait()
-	for _, r := range w.relays {
-		r.Close()
+	stopping.Wait()
+	for _, relay := range r.relays {
+		relay.Close()
 	}
-	for _, c := range w.caches {
-		_ = c.Close()
+	for _, server := range r.cacheServers {
+		_ = server.Close()
 	}
 }
 
 // papers writes a node's file.
-func (w *world) papers(name string, address int, vote, cut bool) error {
-	discovery := fmt.Sprintf("%s:%d", ip(discoveryAt), discoveryPort)
+func (r *run) writeNodeConfig(name string, addrIndex int, isVoter, viaRelays bool) error {
+	discovery := fmt.Sprintf("%s:%d", loopbackIP(discoveryAddrIndex), discoveryPort)
 	routes := map[string]string{}
-	var votes []map[string]string
-	for i := range voters {
-		at := fmt.Sprintf("%s:%d", ip(i), fleetPort)
-		votes = append(votes, map[string]string{"name": fmt.Sprint("v", i), "address": at})
-		routes[at] = fmt.Sprintf("%s:%d", ip(relaysAt), relayPort+i)
+	var voterList []map[string]string
+	for i := range voterCount {
+		clusterAddress := fmt.Sprintf("%s:%d", loopbackIP(i), clusterPort)
+		voterList = append(voterList, map[string]string{"name": fmt.Sprint("v", i), "address": clusterAddress})
+		routes[clusterAddress] = fmt.Sprintf("%s:%d", loopbackIP(firstRelayAddrIndex), relayPort+i)
 	}
 	sockets := 1024
-	if vote {
-		sockets = w.voterSockets(w.room.Descriptors)
+	if isVoter {
+		sockets = r.voterSocketLimit(r.resources.Descriptors)
 	}
-	x := map[string]any{"name": name, "listen": fmt.Sprintf("%s:%d", ip(address), clientsPort), "discovery": discovery,
+	file := map[string]any{"name": name, "listen": fmt.Sprintf("%s:%d", loopbackIP(addrIndex), clientPort), "discovery": discovery,
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": sockets},
-		"settings": map[string]any{"balancers": w.Nodes + w.Real, "models": []string{"box", "origin"},
+		"settings": map[string]any{"balancers": r.HollowNodes + r.RealNodes, "models": []string{"box", "origin"},
 			"domain":      map[string]any{"mode": "aside", "origin-kind": 1},
 			"permissions": map[string]any{"most-shots": 3},
 			"namespaces":  []map[string]any{{"name": "read", "repeat": "safe", "target-time-ms": 400, "time-limit-ms": 900}}}}
-	if w.Has(Lease) {
-		fleet := map[string]any{"name": "scale", "address": fmt.Sprintf("%s:%d", ip(address), fleetPort), "voters": votes}
-		if vote {
-			fleet["folder"], fleet["tasks"] = filepath.Join(w.folder, name+"-vote"), []string{"probe"}
+	if r.Includes(ScenarioLease) {
+		clusterSection := map[string]any{"name": "scale", "address": fmt.Sprintf("%s:%d", loopbackIP(addrIndex), clusterPort), "voters": voterList}
+		if isVoter {
+			clusterSection["folder"], clusterSection["tasks"] = filepath.Join(r.dir, name+"-vote"), []string{"probe"}
 		}
-		if w.Has(Budget) {
-			fleet["nodes"] = w.Nodes + w.Real + voters
-			whole := eachNode * float64(w.Nodes+w.Real+voters)
-			fleet["budgets"] = []map[string]any{{"name": budgetName, "kind": "rate", "bounds": "origin", "whole": whole, "burst": 2 * int(whole)}}
+		if r.Includes(ScenarioBudget) {
+			clusterSection["nodes"] = r.HollowNodes + r.RealNodes + voterCount
+			limit := budgetRatePerNode * float64(r.HollowNodes+r.RealNodes+voterCount)
+			clusterSection["budgets"] = []map[string]any{{"name": budgetName, "kind": "rate", "bounds": "origin", "whole": limit, "burst": 2 * int(limit)}}
 		}
-		if cut {
-			fleet["routes"] = routes
+		if viaRelays {
+			clusterSection["routes"] = routes
 		}
-		x["fleet"] = fleet
+		file["fleet"] = clusterSection
 	}
-	if cut {
-		x["discovery"] = fmt.Sprintf("%s:%d", ip(relaysAt), relayPort+voters)
+	if viaRelays {
+		file["discovery"] = fmt.Sprintf("%s:%d", loopbackIP(firstRelayAddrIndex), relayPort+voterCount)
 	}
-	if w.FileKB > 0 {
-		x["notes"] = w.notes
+	if r.ConfigFileKB > 0 {
+		file["notes"] = r.configPadding
 	}
-	b, err := json.Marshal(x)
+	encoded, err := json.Marshal(file)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(w.folder, name+".json")
-	if err := os.WriteFile(path+".new", b, 0o600); err != nil {
+	path := filepath.Join(r.dir, name+".json")
+	if err := os.WriteFile(path+".new", encoded, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
 // write writes all files.
-func (w *world) write() (err error) {
-	w.file++
-	notes := map[string]any{"revision": w.file} // unknown keys are accepted: they stand for what else a file has
-	for i := range w.FileKB * 16 {
-		notes[fmt.Sprintf("note-%05d", i)] = fmt.Sprintf("%048d", i)
+func (r *run) writeConfigs() (err error) {
+	r.configRevision++
+	padding := map[string]any{"revision": r.configRevision} // unknown keys are accepted: they stand for what else a file has
+	for i := range r.ConfigFileKB * 16 {
+		padding[fmt.Sprintf("note-%05d", i)] = fmt.Sprintf("%048d", i)
 	}
-	if w.notes, err = json.Marshal(notes); err != nil {
+	if r.configPadding, err = json.Marshal(padding); err != nil {
 		return err
 	}
-	for i, p := range w.voters {
-		err = errors.Join(err, w.papers(p.name, i, true, false))
+	for i, p := range r.voters {
+		err = errors.Join(err, r.writeNodeConfig(p.name, i, true, false))
 	}
-	for i, p := range w.reals {
-		err = errors.Join(err, w.papers(p.name, voters+i, false, false))
+	for i, p := range r.realNodes {
+		err = errors.Join(err, r.writeNodeConfig(p.name, voterCount+i, false, false))
 	}
-	for n := range w.Nodes {
-		cut := w.Has(Cut) && w.PlaceOf(n).Region == 0
-		err = errors.Join(err, w.papers(fmt.Sprint(hollowName, n), voters+w.Real+n, false, cut))
+	for n := range r.HollowNodes {
+		viaRelays := r.Includes(ScenarioPartition) && r.PlaceOf(n).Region == 0
+		err = errors.Join(err, r.writeNodeConfig(fmt.Sprint(hollowNodePrefix, n), voterCount+r.RealNodes+n, false, viaRelays))
 	}
 	return err
 }
 
 // each does something for processes side by side.
-func each(of []*process, do func(*process) error) error {
-	errs := make([]error, len(of))
-	var all sync.WaitGroup
-	for i, p := range of {
-		all.Go(func() { errs[i] = do(p) })
+func inParallel(processes []*process, do func(*process) error) error {
+	errs := make([]error, len(processes))
+	var running sync.WaitGroup
+	for i, p := range processes {
+		running.Go(func() { errs[i] = do(p) })
 	}
-	all.Wait()
+	running.Wait()
 	return errors.Join(errs...)
 }
 
-func (w *world) sleep(span time.Duration) {
+func (r *run) sleep(duration time.Duration) {
 	select {
-	case <-w.ctx.Done():
-	case <-time.After(span):
+	case <-r.ctx.Done():
+	case <-time.After(duration):
 	}
 }
 
 // play does all in turn.
-func (w *world) play() error {
-	if err := w.setUp(); err != nil {
+func (r *run) runPhases() error {
+	if err := r.start(); err != nil {
 		return err
 	}
-	w.sleep(settleSpan)
-	if err := w.collect(); err != nil {
+	r.sleep(settleDuration)
+	if err := r.fetchNodeEvents(); err != nil {
 		return err
 	}
-	if err := w.phase("peace", w.peace()); err != nil {
+	if err := r.runPhase("peace", r.steadyChanges()); err != nil {
 		return err
 	}
-	for _, what := range All {
-		if !w.Has(what) || w.ctx.Err() != nil {
+	for _, scenario := range AllScenarios {
+		if !r.Includes(scenario) || r.ctx.Err() != nil {
 			continue
 		}
 		var err error
-		switch what {
-		case Churn:
-			err = w.phase(Churn, w.churn())
-		case Restart, Rack, Zone, Region:
-			err = w.loss(what)
-		case Cut:
-			err = w.cutOff()
-		case Discovery:
-			err = w.outage()
-		case Leader:
-			err = w.deposed()
+		switch scenario {
+		case ScenarioChurn:
+			err = r.runPhase(ScenarioChurn, r.churnChanges())
+		case ScenarioRestart, ScenarioRackLoss, ScenarioZoneLoss, ScenarioRegionLoss:
+			err = r.loseAndRestore(scenario)
+		case ScenarioPartition:
+			err = r.runPartition()
+		case ScenarioDiscoveryOutage:
+			err = r.runDiscoveryOutage()
+		case ScenarioLeaderKill:
+			err = r.killLeader()
 		default:
 			continue
 		}
@@ -329,113 +331,113 @@
 			return err
 		}
 	}
-	if w.Real > 0 && !w.Quiet {
-		asked, unserved, why := w.lookups.Verdict()
-		w.line("lookups at %d real nodes: %d, left unserved by a running node: %d", w.Real, asked, unserved)
-		if unserved > 0 || asked == 0 {
-			w.broken("%d of %d lookups were not served by nodes that ran; the first: %s", unserved, asked, why)
+	if r.RealNodes > 0 && !r.NoLoad {
+		lookups, unserved, firstReason := r.lookups.Verdict()
+		r.addLine("lookups at %d real nodes: %d, left unserved by a running node: %d", r.RealNodes, lookups, unserved)
+		if unserved > 0 || lookups == 0 {
+			r.addExceededBound("%d of %d lookups were not served by nodes that ran; the first: %s", unserved, lookups, firstReason)
 		}
 	}
-	return w.ctx.Err()
+	return r.ctx.Err()
 }
 
-func (w *world) line(format string, args ...any) {
-	w.result.Lines = append(w.result.Lines, fmt.Sprintf(format, args...))
-	w.say(format, args...)
+func (r *run) addLine(format string, args ...any) {
+	r.report.Lines = append(r.report.Lines, fmt.Sprintf(format, args...))
+	r.logf(format, args...)
 }
 
-func (w *world) broken(format string, args ...any) {
-	w.result.Broken = append(w.result.Broken, fmt.Sprintf(format, args...))
+func (r *run) addExceededBound(format string, args ...any) {
+	r.report.ExceededBounds = append(r.report.ExceededBounds, fmt.Sprintf(format, args...))
 }
 
-func (w *world) point(phase, role, what string, v float64) {
-	w.result.Points = append(w.result.Points, Point{w.Nodes, w.Real, w.Servers, w.Seed, phase, role, what, v})
+func (r *run) addMeasurement(phase, role, metric string, value float64) {
+	r.report.Measurements = append(r.report.Measurements, Measurement{r.HollowNodes, r.RealNodes, r.CacheServers, r.Seed, phase, role, metric, value})
 }
 
 // setUp starts all, the hollow nodes together.
-func (w *world) setUp() (err error) {
-	if err = w.write(); err != nil {
+func (r *run) start() (err error) {
+	if err = r.writeConfigs(); err != nil {
 		return err
 	}
-	if err = w.discovery.start(w.Program); err != nil {
+	if err = r.discovery.start(r.Program); err != nil {
 		return err
 	}
-	if _, err = w.discovery.tell(order{Do: "open", Entries: w.entries}); err != nil {
+	if _, err = r.discovery.send(command{Name: "open", Entries: r.entries}); err != nil {
 		return err
 	}
-	if w.Real > 0 && !w.Quiet {
-		for i := range min(w.Servers, cachesMost) {
-			if err = w.cache(cachesAt + i); err != nil {
+	if r.RealNodes > 0 && !r.NoLoad {
+		for i := range min(r.CacheServers, maxCacheListeners) {
+			if err = r.startCacheServer(firstCacheAddrIndex + i); err != nil {
 				return err
 			}
 		}
-		if err = w.cache(cachesAt + cachesMost); err != nil {
+		if err = r.startCacheServer(firstCacheAddrIndex + maxCacheListeners); err != nil {
 			return err
 		}
 	}
-	if w.Has(Cut) {
-		for i := range voters + 1 {
-			target := fmt.Sprintf("%s:%d", ip(i), fleetPort)
-			if i == voters {
-				target = fmt.Sprintf("%s:%d", ip(discoveryAt), discoveryPort)
+	if r.Includes(ScenarioPartition) {
+		for i := range voterCount + 1 {
+			target := fmt.Sprintf("%s:%d", loopbackIP(i), clusterPort)
+			if i == voterCount {
+				target = fmt.Sprintf("%s:%d", loopbackIP(discoveryAddrIndex), discoveryPort)
 			}
-			r, err := faulttest.NewRelay(fmt.Sprintf("%s:%d", ip(relaysAt), relayPort+i), target)
+			relay, err := faulttest.NewRelay(fmt.Sprintf("%s:%d", loopbackIP(firstRelayAddrIndex), relayPort+i), target)
 			if err != nil {
 				return err
 			}
-			w.relays = append(w.relays, r)
+			r.relays = append(r.relays, relay)
 		}
 	}
-	if w.Has(Lease) {
-		if err = each(w.voters, func(p *process) error { return p.start(w.Program) }); err != nil {
+	if r.Includes(ScenarioLease) {
+		if err = inParallel(r.voters, func(p *process) error { return p.start(r.Program) }); err != nil {
 			return err
 		}
-		f, err := config.ReadCluster(filepath.Join(w.folder, "v0.json"))
+		clusterConfig, err := config.ReadCluster(filepath.Join(r.dir, "v0.json"))
 		if err != nil {
 			return err
 		}
-		w.client = cluster.NewClient(f, zap.NewNop())
-		for end := time.Now().Add(endWithin); ; w.sleep(50 * time.Millisecond) {
-			if err = w.client.FoundCluster(0); err == nil {
+		r.client = cluster.NewClient(clusterConfig, zap.NewNop())
+		for deadline := time.Now().Add(startStopTimeout); ; r.sleep(50 * time.Millisecond) {
+			if err = r.client.FoundCluster(0); err == nil {
 				break
 			}
-			if time.Now().After(end) || w.ctx.Err() != nil {
+			if time.Now().After(deadline) || r.ctx.Err() != nil {
 				return fmt.Errorf("the fleet was not founded: %w", err)
 			}
 		}
 	}
-	if err = each(slices.Concat(w.hosts, w.reals), func(p *process) error { return p.start(w.Program) }); err != nil {
+	if err = inParallel(slices.Concat(r.hosts, r.realNodes), func(p *process) error { return p.start(r.Program) }); err != nil {
 		return err
 	}
-	u, err := w.hosts[0].used()
+	usage, err := r.hosts[0].usage()
 	if err != nil {
 		return err
 	}
-	w.base = u.Heap
-	from := faulttest.Boot()
-	if err = each(w.hosts, func(p *process) error { _, err := p.tell(order{Do: "start", Nodes: p.nodes}); return err }); err != nil {
+	r.baseHeapBytes = usage.Heap
+	startNs := faulttest.Boot()
+	if err = inParallel(r.hosts, func(p *process) error { _, err := p.send(command{Name: "start", Nodes: p.nodes}); return err }); err != nil {
 		return err
 	}
-	if err = w.recovered("start", from, recoverMost); err != nil {
+	if err = r.awaitRecovery("start", startNs, maxRecovery); err != nil {
 		return err
 	}
-	if w.Real > 0 && !w.Quiet {
-		for i, p := range w.reals {
-			at := fmt.Sprintf("%s:%d", ip(voters+i), clientsPort)
-			if !w.up(at) {
+	if r.RealNodes > 0 && !r.NoLoad {
+		for i, p := range r.realNodes {
+			address := fmt.Sprintf("%s:%d", loopbackIP(voterCount+i), clientPort)
+			if !r.waitUntilServing(address) {
 				return fmt.Errorf("%s doesn't serve", p.name)
 			}
-			w.asking.Go(func() { w.lookups.Ask(at, w.done, func(int64) bool { return false }) })
+			r.lookupClients.Go(func() { r.lookups.Ask(address, r.done, func(int64) bool { return false }) })
 		}
 	}
-	return w.ctx.Err()
+	return r.ctx.Err()
 }
 
 // up waits until a real node says that it serves.
-func (w *world) up(at string) bool {
-	h := &http.Client{Timeout: time.Second}
-	for end := time.Now().Add(endWithin); time.Now().Before(end) && w.ctx.Err() == nil; w.sleep(20 * time.Millisecond) {
-		if resp, err := h.Get("http://" + at + "/up"); err == nil {
+func (r *run) waitUntilServing(address string) bool {
+	httpClient := &http.Client{Timeout: time.Second}
+	for deadline := time.Now().Add(startStopTimeout); time.Now().Before(deadline) && r.ctx.Err() == nil; r.sleep(20 * time.Millisecond) {
+		if resp, err := httpClient.Get("http://" + address + "/up"); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return true
@@ -446,178 +448,178 @@
 }
 
 // cache opens a stand-in of a cache or of the origin.
-func (w *world) cache(n int) error {
-	l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip(n), cachePort))
+func (r *run) startCacheServer(addrIndex int) error {
+	l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackIP(addrIndex), cachePort))
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "value") })}
-	w.caches = append(w.caches, s)
+	s := &http.Server{Handler: http.HandlerFunc(func(responseWriter http.ResponseWriter, _ *http.Request) { fmt.Fprint(responseWriter, "value") })}
+	r.cacheServers = append(r.cacheServers, s)
 	go func() { _ = s.Serve(l) }()
 	return nil
 }
 
 // collect takes the marks over that have come since the last time.
-func (w *world) collect() error {
+func (r *run) fetchNodeEvents() error {
 	var mu sync.Mutex
-	w.marks = nil
-	return each(w.hosts, func(p *process) error {
-		if !p.runs() {
+	r.nodeEvents = nil
+	return inParallel(r.hosts, func(p *process) error {
+		if !p.isRunning() {
 			return nil
 		}
-		r, err := p.tell(order{Do: "marks"})
+		fetched, err := p.send(command{Name: "marks"})
 		mu.Lock()
 		defer mu.Unlock()
-		w.marks = append(w.marks, r.Marks...)
+		r.nodeEvents = append(r.nodeEvents, fetched.NodeEvents...)
 		return err
 	})
 }
 
 // add is collect, and keeps what was taken over before.
-func (w *world) add() error {
-	before := w.marks
-	err := w.collect()
-	w.marks = append(before, w.marks...)
+func (r *run) appendNodeEvents() error {
+	earlier := r.nodeEvents
+	err := r.fetchNodeEvents()
+	r.nodeEvents = append(earlier, r.nodeEvents...)
 	return err
 }
 
 // nodes gives all hollow nodes' numbers but those of some racks.
-func (w *world) nodes(but map[int]bool) (all []int) {
-	for n := range w.Nodes {
-		if !but[w.PlaceOf(n).Rack] {
-			all = append(all, n)
+func (r *run) nodesOutside(racks map[int]bool) (nodes []int) {
+	for n := range r.HollowNodes {
+		if !racks[r.PlaceOf(n).Rack] {
+			nodes = append(nodes, n)
 		}
 	}
-	return all
+	return nodes
 }
 
 // wanted gives what every node comes to have.
-func (w *world) wanted() (all []string) {
-	all = []string{markList}
-	if w.Has(Lease) {
-		all = append(all, markHeld)
+func (r *run) requiredEvents() (kinds []string) {
+	kinds = []string{eventListInForce}
+	if r.Includes(ScenarioLease) {
+		kinds = append(kinds, eventLeaseAcquired)
 	}
-	if w.Has(Budget) {
-		all = append(all, markParts)
+	if r.Includes(ScenarioBudget) {
+		kinds = append(kinds, eventQuotasReceived)
 	}
-	return all
+	return kinds
 }
 
-var called = map[string]string{markList: "list", markHeld: "lease", markParts: "part", markFile: "configuration"}
+var eventLabels = map[string]string{eventListInForce: "list", eventLeaseAcquired: "lease", eventQuotasReceived: "part", eventConfigInForce: "configuration"}
 
 // recovered waits until all nodes that started since have all that they need, and tells how long each took.
-func (w *world) recovered(phase string, from int64, within time.Duration) error {
-	w.marks = nil
-	for end := time.Now().Add(within); ; w.sleep(200 * time.Millisecond) {
-		if err := w.add(); err != nil {
+func (r *run) awaitRecovery(phase string, sinceNs int64, timeout time.Duration) error {
+	r.nodeEvents = nil
+	for deadline := time.Now().Add(timeout); ; r.sleep(200 * time.Millisecond) {
+		if err := r.appendNodeEvents(); err != nil {
 			return err
 		}
-		of, missing := byNode(w.marks), 0
-		for _, what := range w.wanted() {
-			missing += sinceStart(of, w.nodes(nil), from, what, within).Missing
+		eventsByNode, missing := groupByNode(r.nodeEvents), 0
+		for _, kind := range r.requiredEvents() {
+			missing += startLatencies(eventsByNode, r.nodesOutside(nil), sinceNs, kind, timeout).Missing
 		}
-		if late := time.Now().After(end); missing == 0 || late || w.ctx.Err() != nil {
+		if timedOut := time.Now().After(deadline); missing == 0 || timedOut || r.ctx.Err() != nil {
 			break
 		}
 	}
-	of := byNode(w.marks)
-	for _, what := range w.wanted() {
-		w.told(phase, called[what]+" after a start", sinceStart(of, w.nodes(nil), from, what, within))
+	eventsByNode := groupByNode(r.nodeEvents)
+	for _, kind := range r.requiredEvents() {
+		r.reportLatencies(phase, eventLabels[kind]+" after a start", startLatencies(eventsByNode, r.nodesOutside(nil), sinceNs, kind, timeout))
 	}
-	return w.ctx.Err()
+	return r.ctx.Err()
 }
 
 // told keeps times as points, and as a line.
-func (w *world) told(phase, what string, t Times) {
-	ms := func(us int64) float64 { return float64(us) / 1000 }
-	if t.Each.TotalCount() > 0 {
-		for _, p := range []float64{50, 99, 100} {
-			name := fmt.Sprintf("p%g", p)
-			if p == 100 {
+func (r *run) reportLatencies(phase, label string, latencies Latencies) {
+	ms := func(micros int64) float64 { return float64(micros) / 1000 }
+	if latencies.PerNode.TotalCount() > 0 {
+		for _, percentile := range []float64{50, 99, 100} {
+			name := fmt.Sprintf("p%g", percentile)
+			if percentile == 100 {
 				name = "worst"
 			}
-			w.point(phase, "node", fmt.Sprintf("%s %s ms", what, name), ms(t.Each.ValueAtPercentile(p)))
-			w.point(phase, "last node", fmt.Sprintf("%s %s ms", what, name), ms(t.Last.ValueAtPercentile(p)))
+			r.addMeasurement(phase, "node", fmt.Sprintf("%s %s ms", label, name), ms(latencies.PerNode.ValueAtPercentile(percentile)))
+			r.addMeasurement(phase, "last node", fmt.Sprintf("%s %s ms", label, name), ms(latencies.LastNode.ValueAtPercentile(percentile)))
 		}
-		w.line("%s: %s: p50 %.1f, p99 %.1f, worst %.1f ms of %d; at the last node p50 %.1f, p99 %.1f, worst %.1f of %d; missing %d", phase, what,
-			ms(t.Each.ValueAtPercentile(50)), ms(t.Each.ValueAtPercentile(99)), ms(t.Each.Max()), t.Each.TotalCount(),
-			ms(t.Last.ValueAtPercentile(50)), ms(t.Last.ValueAtPercentile(99)), ms(t.Last.Max()), t.Last.TotalCount(), t.Missing)
+		r.addLine("%s: %s: p50 %.1f, p99 %.1f, worst %.1f ms of %d; at the last node p50 %.1f, p99 %.1f, worst %.1f of %d; missing %d", phase, label,
+			ms(latencies.PerNode.ValueAtPercentile(50)), ms(latencies.PerNode.ValueAtPercentile(99)), ms(latencies.PerNode.Max()), latencies.PerNode.TotalCount(),
+			ms(latencies.LastNode.ValueAtPercentile(50)), ms(latencies.LastNode.ValueAtPercentile(99)), ms(latencies.LastNode.Max()), latencies.LastNode.TotalCount(), latencies.Missing)
 	}
-	if w.point(phase, "node", what+" missing", float64(t.Missing)); t.Missing > 0 {
-		w.broken("%s: %s: %d times not in time", phase, what, t.Missing)
+	if r.addMeasurement(phase, "node", label+" missing", float64(latencies.Missing)); latencies.Missing > 0 {
+		r.addExceededBound("%s: %s: %d times not in time", phase, label, latencies.Missing)
 	}
 }
 
 // snapshot asks all processes for their use.
-func (w *world) snapshot() (map[*process]used, error) {
-	all := map[*process]used{}
+func (r *run) usageByProcess() (map[*process]processUsage, error) {
+	usages := map[*process]processUsage{}
 	var mu sync.Mutex
-	return all, each(w.all(), func(p *process) error {
-		u, err := p.used()
+	return usages, inParallel(r.processes(), func(p *process) error {
+		u, err := p.usage()
 		mu.Lock()
 		defer mu.Unlock()
-		all[p] = u
+		usages[p] = u
 		return err
 	})
 }
 
 // afresh collects, forgets the marks of what came before, and gives what each process has used so far.
-func (w *world) afresh() (map[*process]used, error) {
-	if err := w.collect(); err != nil {
+func (r *run) startMeasurement() (map[*process]processUsage, error) {
+	if err := r.fetchNodeEvents(); err != nil {
 		return nil, err
 	}
-	w.marks = nil
-	return w.snapshot()
+	r.nodeEvents = nil
+	return r.usageByProcess()
 }
 
 // leader gives the voter that leads, -1: none is known.
-func (w *world) leader() int {
-	if w.client == nil {
+func (r *run) leaderIndex() int {
+	if r.client == nil {
 		return -1
 	}
-	s, err := w.client.Status()
+	s, err := r.client.Status()
 	if err != nil {
 		return -1
 	}
-	return slices.IndexFunc(w.voters, func(p *process) bool { return p.name == s.Node })
+	return slices.IndexFunc(r.voters, func(p *process) bool { return p.name == s.Node })
 }
 
 // change lets entries change on the list.
-func (w *world) change(entries []Entry) (Change, error) {
-	r, err := w.discovery.tell(order{Do: "change", Entries: entries})
-	return Change{r.At, r.Version}, err
+func (r *run) changeEntries(entries []Entry) (AppliedChange, error) {
+	response, err := r.discovery.send(command{Name: "change", Entries: entries})
+	return AppliedChange{response.BootTimeNs, response.Version}, err
 }
 
 // reload lets all nodes read their files anew.
-func (w *world) reload() (Change, error) {
-	if err := w.write(); err != nil {
-		return Change{}, err
+func (r *run) reloadConfigs() (AppliedChange, error) {
+	if err := r.writeConfigs(); err != nil {
+		return AppliedChange{}, err
 	}
-	at := faulttest.Boot()
-	err := each(w.hosts, func(p *process) error { _, err := p.tell(order{Do: "reload"}); return err })
-	for _, p := range w.reals {
+	startNs := faulttest.Boot()
+	err := inParallel(r.hosts, func(p *process) error { _, err := p.send(command{Name: "reload"}); return err })
+	for _, p := range r.realNodes {
 		_ = p.cmd.Process.Signal(syscall.SIGHUP)
 	}
-	return Change{At: at}, err
+	return AppliedChange{BootTimeNs: startNs}, err
 }
 
 // phase plays events, and tells what they took.
-func (w *world) phase(name string, events []Event) error {
-	leads := w.leader()
-	before, err := w.snapshot()
+func (r *run) runPhase(name string, events []ScheduledChange) error {
+	leader := r.leaderIndex()
+	before, err := r.usageByProcess()
 	if err != nil {
 		return err
 	}
-	if err := w.collect(); err != nil { // what came before is told by others
+	if err := r.fetchNodeEvents(); err != nil { // what came before is told by others
 		return err
 	}
-	w.marks = nil
-	began, start := time.Now(), faulttest.Boot()
-	changes, unset := map[string][]Change{}, 0
-	var mu, reloads sync.Mutex
+	r.nodeEvents = nil
+	startTime, startNs := time.Now(), faulttest.Boot()
+	changes, failedLimitChanges := map[string][]AppliedChange{}, 0
+	var mu, reloadMu sync.Mutex
 	var errs []error
-	var slow sync.WaitGroup // what takes long must not hold up the other events
-	note := func(kind string, c Change, err error) {
+	var slowChanges sync.WaitGroup // what takes long must not hold up the other events
+	recordChange := func(kind string, c AppliedChange, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -626,166 +628,166 @@
 		}
 		changes[kind] = append(changes[kind], c)
 	}
-	for _, e := range events {
-		w.sleep(time.Until(began.Add(e.At)))
-		if w.ctx.Err() != nil {
-			return w.ctx.Err()
-		}
-		switch e.Kind {
-		case entryChanges:
-			x := w.entries[e.Index]
-			x.Started = float64(time.Now().UnixMilli())
-			c, err := w.change([]Entry{x})
-			note(e.Kind, c, err)
-		case fileChanges:
-			slow.Go(func() {
-				reloads.Lock() // one at a time
-				defer reloads.Unlock()
-				c, err := w.reload()
-				note(e.Kind, c, err)
+	for _, scheduled := range events {
+		r.sleep(time.Until(startTime.Add(scheduled.Offset)))
+		if r.ctx.Err() != nil {
+			return r.ctx.Err()
+		}
+		switch scheduled.Kind {
+		case changeEntry:
+			entry := r.entries[scheduled.Index]
+			entry.StartedMs = float64(time.Now().UnixMilli())
+			c, err := r.changeEntries([]Entry{entry})
+			recordChange(scheduled.Kind, c, err)
+		case changeConfig:
+			slowChanges.Go(func() {
+				reloadMu.Lock() // one at a time
+				defer reloadMu.Unlock()
+				c, err := r.reloadConfigs()
+				recordChange(scheduled.Kind, c, err)
 			})
-		case budgetChanges:
-			if w.whole *= 1.1; w.whole > 1.2*eachNode*float64(w.Nodes+w.Real+voters) {
-				w.whole /= 1.21
+		case changeBudget:
+			if r.budgetLimit *= 1.1; r.budgetLimit > 1.2*budgetRatePerNode*float64(r.HollowNodes+r.RealNodes+voterCount) {
+				r.budgetLimit /= 1.21
 			}
-			whole := math.Round(w.whole)
-			slow.Go(func() {
-				c := Change{At: faulttest.Boot()}
-				x, err := w.client.SetLimit(budgetName, whole)
+			limit := math.Round(r.budgetLimit)
+			slowChanges.Go(func() {
+				c := AppliedChange{BootTimeNs: faulttest.Boot()}
+				status, err := r.client.SetLimit(budgetName, limit)
 				if err != nil { // nobody led just now: the other changes go on
 					mu.Lock()
 					defer mu.Unlock()
-					w.line("%s: the budget's whole could not be set: %v", name, err)
-					unset++
+					r.addLine("%s: the budget's whole could not be set: %v", name, err)
+					failedLimitChanges++
 					return
 				}
-				c.N = int64(x.BudgetConfig.Revision)
-				note(e.Kind, c, nil)
+				c.MinValue = int64(status.BudgetConfig.Revision)
+				recordChange(scheduled.Kind, c, nil)
 			})
-		case nodeRestarts:
-			_, err := w.hosts[w.PlaceOf(e.Index).Rack].tell(order{Do: "restart", Nodes: []int{e.Index}})
-			note(e.Kind, Change{}, err)
+		case restartNode:
+			_, err := r.hosts[r.PlaceOf(scheduled.Index).Rack].send(command{Name: "restart", Nodes: []int{scheduled.Index}})
+			recordChange(scheduled.Kind, AppliedChange{}, err)
 		}
 	}
-	slow.Wait()
+	slowChanges.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	w.sleep(time.Until(began.Add(w.Span)))
-	after, err := w.snapshot()
+	r.sleep(time.Until(startTime.Add(r.PhaseDuration)))
+	after, err := r.usageByProcess()
 	if err != nil {
 		return err
 	}
-	w.sleep(lateMost / 5) // what is late comes yet
-	if err := w.add(); err != nil {
+	r.sleep(maxPropagation / 5) // what is late comes yet
+	if err := r.appendNodeEvents(); err != nil {
 		return err
 	}
-	w.costs(name, before, after, leads)
-	of, nodes := byNode(w.marks), w.nodes(nil)
-	for i, p := range w.reals {
-		of[realNodes+i] = p.logged(realNodes + i)
-		nodes = append(nodes, realNodes+i)
+	r.reportUsage(name, before, after, leader)
+	eventsByNode, nodes := groupByNode(r.nodeEvents), r.nodesOutside(nil)
+	for i, p := range r.realNodes {
+		eventsByNode[firstRealNodeNumber+i] = p.loggedEvents(firstRealNodeNumber + i)
+		nodes = append(nodes, firstRealNodeNumber+i)
 	}
-	w.told(name, "list in force", inForce(changes[entryChanges], of, nodes, markList, lateMost))
-	if w.Has(Configuration) {
-		w.told(name, "configuration in force", inForce(changes[fileChanges], of, nodes, markFile, lateMost))
+	r.reportLatencies(name, "list in force", changeLatencies(changes[changeEntry], eventsByNode, nodes, eventListInForce, maxPropagation))
+	if r.Includes(ScenarioConfiguration) {
+		r.reportLatencies(name, "configuration in force", changeLatencies(changes[changeConfig], eventsByNode, nodes, eventConfigInForce, maxPropagation))
 	}
-	if w.Has(Budget) {
-		if w.point(name, "node", "wholes that could not be set", float64(unset)); unset > 0 {
-			w.broken("%s: a budget's whole could not be set %d times", name, unset)
+	if r.Includes(ScenarioBudget) {
+		if r.addMeasurement(name, "node", "wholes that could not be set", float64(failedLimitChanges)); failedLimitChanges > 0 {
+			r.addExceededBound("%s: a budget's whole could not be set %d times", name, failedLimitChanges)
 		}
-		w.told(name, "budget's whole in force", inForce(changes[budgetChanges], of, w.nodes(nil), markParts, lateMost))
+		r.reportLatencies(name, "budget's whole in force", changeLatencies(changes[changeBudget], eventsByNode, r.nodesOutside(nil), eventQuotasReceived, maxPropagation))
 	}
-	if n := len(changes[nodeRestarts]); n > 0 {
-		w.line("%s: %d nodes restarted, %d entries changed: %g times the operators' whole fleet's", name, n, len(changes[entryChanges]), w.Faster)
-		for _, what := range w.wanted() {
-			w.told(name, called[what]+" after a start", sinceStart(of, w.nodes(nil), start, what, lateMost))
+	if n := len(changes[restartNode]); n > 0 {
+		r.addLine("%s: %d nodes restarted, %d entries changed: %g times the operators' whole fleet's", name, n, len(changes[changeEntry]), r.ChurnFactor)
+		for _, kind := range r.requiredEvents() {
+			r.reportLatencies(name, eventLabels[kind]+" after a start", startLatencies(eventsByNode, r.nodesOutside(nil), startNs, kind, maxPropagation))
 		}
 	}
-	if w.Has(Lease) {
-		w.renewals(name)
+	if r.Includes(ScenarioLease) {
+		r.reportRenewals(name)
 	}
-	if now := w.leader(); now != leads {
-		w.line("%s: another voter came to lead meanwhile: what the leader used is not all told", name)
+	if leaderNow := r.leaderIndex(); leaderNow != leader {
+		r.addLine("%s: another voter came to lead meanwhile: what the leader used is not all told", name)
 	}
 	return nil
 }
 
 // renewals tells how long askings for leases took, and how many came to nothing.
-func (w *world) renewals(phase string) {
-	t, failed, lost := newTimes(), 0, 0
-	for _, m := range w.marks {
-		switch m.What {
-		case markRenews:
-			record(t.Each, m.N)
-			record(t.Last, m.N)
-		case markFailed:
+func (r *run) reportRenewals(phase string) {
+	latencies, failed, lost := newLatencies(), 0, 0
+	for _, event := range r.nodeEvents {
+		switch event.Kind {
+		case eventLeaseRenewed:
+			recordLatency(latencies.PerNode, event.Value)
+			recordLatency(latencies.LastNode, event.Value)
+		case eventLeaseRequestFailed:
 			failed++
-		case markLost:
+		case eventLeaseLost:
 			lost++
 		}
 	}
-	w.told(phase, "a renewal", t)
-	w.point(phase, "node", "askings that came to nothing", float64(failed))
-	w.point(phase, "node", "leases lost", float64(lost))
-	w.line("%s: askings for leases that came to nothing %d, leases lost %d", phase, failed, lost)
+	r.reportLatencies(phase, "a renewal", latencies)
+	r.addMeasurement(phase, "node", "askings that came to nothing", float64(failed))
+	r.addMeasurement(phase, "node", "leases lost", float64(lost))
+	r.addLine("%s: askings for leases that came to nothing %d, leases lost %d", phase, failed, lost)
 }
 
 // costs tells what each role has used between two looks.
-func (w *world) costs(phase string, before, after map[*process]used, leads int) {
-	tell := func(role string, of []*process, per float64, base uint64) {
+func (r *run) reportUsage(phase string, before, after map[*process]processUsage, leader int) {
+	reportRole := func(role string, processes []*process, divisor float64, baseHeapBytes uint64) {
 		sums := map[string]float64{}
-		uses := map[string]float64{}
-		for _, p := range of {
-			a, b := before[p], after[p]
-			span := float64(b.at-a.at) / float64(time.Second)
-			sums["share of a core %"] += 100 * float64(b.CPUBefore-a.CPUAfter) / float64(time.Second) / span
-			for use, t := range b.Traffic {
-				was := a.Traffic[use]
-				sums["messages sent /s"] += float64(t.Writes-was.Writes) / span
-				sums["messages received /s"] += float64(t.Reads-was.Reads) / span
-				sums["bytes sent /s"] += float64(t.Sent-was.Sent) / span
-				sums["bytes received /s"] += float64(t.Received-was.Received) / span
-				uses["bytes both ways /s: "+use] += float64(t.Sent-was.Sent+t.Received-was.Received) / span
+		bytesByPurpose := map[string]float64{}
+		for _, p := range processes {
+			first, last := before[p], after[p]
+			seconds := float64(last.measuredNs-first.measuredNs) / float64(time.Second)
+			sums["share of a core %"] += 100 * float64(last.CPUBefore-first.CPUAfter) / float64(time.Second) / seconds
+			for purpose, traffic := range last.Traffic {
+				earlier := first.Traffic[purpose]
+				sums["messages sent /s"] += float64(traffic.Writes-earlier.Writes) / seconds
+				sums["messages received /s"] += float64(traffic.Reads-earlier.Reads) / seconds
+				sums["bytes sent /s"] += float64(traffic.Sent-earlier.Sent) / seconds
+				sums["bytes received /s"] += float64(traffic.Received-earlier.Received) / seconds
+				bytesByPurpose["bytes both ways /s: "+purpose] += float64(traffic.Sent-earlier.Sent+traffic.Received-earlier.Received) / seconds
 			}
-			sums["resident MB"] += float64(b.resident) / (1 << 20)
-			sums["live heap KB"] += (float64(b.Heap) - float64(base)) / 1024
-			sums["descriptors"] += float64(b.descriptors)
-			if b.calls != (Calls{}) {
-				sums["whole lists /s"] += float64(b.calls.Whole-a.calls.Whole) / span
-				sums["lists of changes /s"] += float64(b.calls.Changes-a.calls.Changes) / span
+			sums["resident MB"] += float64(last.residentBytes) / (1 << 20)
+			sums["live heap KB"] += (float64(last.Heap) - float64(baseHeapBytes)) / 1024
+			sums["descriptors"] += float64(last.descriptors)
+			if last.calls != (CallCounts{}) {
+				sums["whole lists /s"] += float64(last.calls.FullLists-first.calls.FullLists) / seconds
+				sums["lists of changes /s"] += float64(last.calls.Changes-first.calls.Changes) / seconds
 			}
 		}
 		text := fmt.Sprintf("%s: %s:", phase, role)
-		for _, what := range slices.Concat(measures, sortedKeys(uses)) {
-			v, is := sums[what]
-			if u, by := uses[what]; by {
-				v, is = u, true
+		for _, metric := range slices.Concat(metricOrder, sortedKeys(bytesByPurpose)) {
+			value, reported := sums[metric]
+			if bytes, isPurpose := bytesByPurpose[metric]; isPurpose {
+				value, reported = bytes, true
 			}
-			if is {
-				w.point(phase, role, what, v/per)
-				text += fmt.Sprintf(" %s %.4g,", what, v/per)
+			if reported {
+				r.addMeasurement(phase, role, metric, value/divisor)
+				text += fmt.Sprintf(" %s %.4g,", metric, value/divisor)
 			}
 		}
-		w.line("%s", text[:len(text)-1])
+		r.addLine("%s", text[:len(text)-1])
 	}
-	tell("node", w.hosts, float64(w.Nodes), w.base)
-	tell("all nodes", w.hosts, 1, w.base) // over sizes: what each comes to is the slope, and the processes' own part the base
-	if w.Real > 0 {
-		tell("real node", w.reals, float64(w.Real), w.base)
+	reportRole("node", r.hosts, float64(r.HollowNodes), r.baseHeapBytes)
+	reportRole("all nodes", r.hosts, 1, r.baseHeapBytes) // over sizes: what each comes to is the slope, and the processes' own part the base
+	if r.RealNodes > 0 {
+		reportRole("real node", r.realNodes, float64(r.RealNodes), r.baseHeapBytes)
 	}
-	if leads >= 0 {
-		tell("leader", w.voters[leads:leads+1], 1, w.base)
-		var others []*process
-		for i, p := range w.voters {
-			if i != leads && p.runs() {
-				others = append(others, p)
+	if leader >= 0 {
+		reportRole("leader", r.voters[leader:leader+1], 1, r.baseHeapBytes)
+		var otherVoters []*process
+		for i, p := range r.voters {
+			if i != leader && p.isRunning() {
+				otherVoters = append(otherVoters, p)
 			}
 		}
-		tell("other voter", others, float64(len(others)), w.base)
+		reportRole("other voter", otherVoters, float64(len(otherVoters)), r.baseHeapBytes)
 	}
-	tell("discovery", []*process{w.discovery}, 1, 0)
+	reportRole("discovery", []*process{r.discovery}, 1, 0)
 }
 
-var measures = []string{"share of a core %", "messages sent /s", "messages received /s", "bytes sent /s", "bytes received /s", "resident MB",
+var metricOrder = []string{"share of a core %", "messages sent /s", "messages received /s", "bytes sent /s", "bytes received /s", "resident MB",
 	"live heap KB", "descriptors", "whole lists /s", "lists of changes /s"}
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -22,8 +22,8 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-func TestWhatIsPlayedIsReadAndRefusedByName(t *testing.T) {
-	for _, c := range []struct{ what, refused string }{
+func TestParseScenariosRejectsInvalidLists(t *testing.T) {
+	for _, c := range []struct{ list, wantErr string }{
 		{"list", ""},
 		{"list, lease,budget,configuration,churn,restart", ""},
 		{"list,purge", "no mechanism carries purges today"},
@@ -32,143 +32,143 @@
 		{"list,budget", "expected lease"},
 		{"list,leader", "expected lease"},
 	} {
-		_, err := Parse(c.what)
-		if (err == nil) != (c.refused == "") || err != nil && !strings.Contains(err.Error(), c.refused) {
-			t.Errorf("%s: %v, want %q", c.what, err, c.refused)
+		_, err := ParseScenarios(c.list)
+		if (err == nil) != (c.wantErr == "") || err != nil && !strings.Contains(err.Error(), c.wantErr) {
+			t.Errorf("%s: %v, want %q", c.list, err, c.wantErr)
 		}
 	}
 }
 
 // A plan that doesn't fit is refused, and the number told is the largest that does.
-func TestARefusalTellsTheMostThatFits(t *testing.T) {
-	would := regexp.MustCompile(`; (\d+) would fit$`)
+func TestCheckFitsReportsLargestFittingNodeCount(t *testing.T) {
+	fittingNodes := regexp.MustCompile(`; (\d+) would fit$`)
 	rapid.Check(t, func(t *rapid.T) {
-		p := Plan{Nodes: rapid.IntRange(8, 100_000).Draw(t, "nodes"), Real: rapid.IntRange(0, 20).Draw(t, "real"),
-			Servers: rapid.IntRange(1, 6000).Draw(t, "servers"), Span: 10 * time.Second, Faster: 100, FileKB: rapid.IntRange(0, 100).Draw(t, "file"),
-			What: []string{List}}
+		p := Plan{HollowNodes: rapid.IntRange(8, 100_000).Draw(t, "nodes"), RealNodes: rapid.IntRange(0, 20).Draw(t, "real"),
+			CacheServers: rapid.IntRange(1, 6000).Draw(t, "servers"), PhaseDuration: 10 * time.Second, ChurnFactor: 100, ConfigFileKB: rapid.IntRange(0, 100).Draw(t, "file"),
+			Scenarios: []string{ScenarioList}}
 		if rapid.Bool().Draw(t, "lease") {
-			p.What = append(p.What, Lease)
+			p.Scenarios = append(p.Scenarios, ScenarioLease)
 		}
-		r := Room{rapid.Int64Range(2<<30, 64<<30).Draw(t, "memory"), rapid.IntRange(1024, 50_000).Draw(t, "descriptors")}
-		err := p.Fits(r)
-		if (err == nil) != (p.lacks(r) == "") {
-			t.Fatalf("%v, but %q", err, p.lacks(r))
+		available := Resources{rapid.Int64Range(2<<30, 64<<30).Draw(t, "memory"), rapid.IntRange(1024, 50_000).Draw(t, "descriptors")}
+		err := p.CheckFits(available)
+		if (err == nil) != (p.exceeded(available) == "") {
+			t.Fatalf("%v, but %q", err, p.exceeded(available))
 		}
 		if err == nil {
 			return
 		}
-		m := would.FindStringSubmatch(err.Error())
-		if m == nil {
+		match := fittingNodes.FindStringSubmatch(err.Error())
+		if match == nil {
 			if !strings.Contains(err.Error(), "no number") {
 				t.Fatal(err)
 			}
 			return
 		}
-		asked := p.Nodes
-		if p.Nodes, _ = strconv.Atoi(m[1]); p.lacks(r) != "" || p.Nodes >= asked {
-			t.Fatalf("%v: that doesn't fit either: %s", err, p.lacks(r))
+		requested := p.HollowNodes
+		if p.HollowNodes, _ = strconv.Atoi(match[1]); p.exceeded(available) != "" || p.HollowNodes >= requested {
+			t.Fatalf("%v: that doesn't fit either: %s", err, p.exceeded(available))
 		}
-		if p.Nodes++; p.lacks(r) == "" {
+		if p.HollowNodes++; p.exceeded(available) == "" {
 			t.Fatalf("%v: one more would fit too", err)
 		}
 	})
-	for _, p := range []Plan{{Nodes: 1, Servers: 1}, {Nodes: 100}, {Nodes: 100, Servers: 1, Span: time.Hour}, {Nodes: 100, Servers: 1, Span: time.Second},
-		{Nodes: 100, Servers: 1, Span: time.Second, Faster: 1, FileKB: 1 << 20}} {
-		if p.Fits(Room{64 << 30, 1 << 20}) == nil {
+	for _, p := range []Plan{{HollowNodes: 1, CacheServers: 1}, {HollowNodes: 100}, {HollowNodes: 100, CacheServers: 1, PhaseDuration: time.Hour}, {HollowNodes: 100, CacheServers: 1, PhaseDuration: time.Second},
+		{HollowNodes: 100, CacheServers: 1, PhaseDuration: time.Second, ChurnFactor: 1, ConfigFileKB: 1 << 20}} {
+		if p.CheckFits(Resources{64 << 30, 1 << 20}) == nil {
 			t.Errorf("%+v is taken", p)
 		}
 	}
 }
 
 // The wall of the leases that are held at once is told by name, with the number of nodes that fits, and only where there are leases.
-func TestTheLeasesBoundAFleet(t *testing.T) {
-	for _, c := range []struct{ real, fit int }{{0, 4091}, {6, 4085}} { // three voters and two tasks hold one each, and real nodes
-		p := Plan{Nodes: c.fit + 1, Real: c.real, Servers: 100, Span: time.Second, Faster: 1, What: []string{List, Lease}}
-		r := Room{64 << 30, 20_000}
-		if err := p.Fits(r); err == nil || !strings.Contains(err.Error(), "namesMost") || !strings.Contains(err.Error(), fmt.Sprintf("; %d would fit", c.fit)) {
+func TestCheckFitsEnforcesLeaseLimit(t *testing.T) {
+	for _, c := range []struct{ realNodes, fittingNodes int }{{0, 4091}, {6, 4085}} { // three voters and two tasks hold one each, and real nodes
+		p := Plan{HollowNodes: c.fittingNodes + 1, RealNodes: c.realNodes, CacheServers: 100, PhaseDuration: time.Second, ChurnFactor: 1, Scenarios: []string{ScenarioList, ScenarioLease}}
+		available := Resources{64 << 30, 20_000}
+		if err := p.CheckFits(available); err == nil || !strings.Contains(err.Error(), "namesMost") || !strings.Contains(err.Error(), fmt.Sprintf("; %d would fit", c.fittingNodes)) {
 			t.Error(err)
 		}
-		p.Nodes = c.fit
-		if err := p.Fits(r); err != nil {
+		p.HollowNodes = c.fittingNodes
+		if err := p.CheckFits(available); err != nil {
 			t.Error(err)
 		}
-		p.Nodes, p.What = 5000, []string{List}
-		if err := p.Fits(r); err != nil {
+		p.HollowNodes, p.Scenarios = 5000, []string{ScenarioList}
+		if err := p.CheckFits(available); err != nil {
 			t.Error(err)
 		}
 	}
-	s := lease.NewState()
+	state := lease.NewState()
 	apply := func(kind, name string) error {
-		return s.Apply(lease.Entry{Version: 1, Kind: kind, Name: name, Holder: lease.Holder{Name: name}}).Err
+		return state.Apply(lease.Entry{Version: 1, Kind: kind, Name: name, Holder: lease.Holder{Name: name}}).Err
 	}
 	if err := apply(lease.KindFoundCluster, "f"); err != nil {
 		t.Fatal(err)
 	}
-	for i := range namesMost {
+	for i := range maxLeases {
 		if err := apply(lease.KindGrant, fmt.Sprint("node/", i)); err != nil {
 			t.Fatalf("lease %d: %v", i, err)
 		}
 	}
 	if err := apply(lease.KindGrant, "node/more"); !errors.Is(err, lease.ErrLimitExceeded) {
-		t.Errorf("%d leases are held, and one more: %v", namesMost, err)
+		t.Errorf("%d leases are held, and one more: %v", maxLeases, err)
 	}
 }
 
 // The voters' descriptors bound a fleet where a process may have few: half of what is left is for the leader's connections.
-func TestTheVotersDescriptorsBoundAFleet(t *testing.T) {
-	p := Plan{Nodes: 1000, Real: 2, Servers: 100, Span: time.Second, Faster: 1, What: []string{List, Lease}}
-	need := 2*(1000+2+36) + 64
-	if err := p.Fits(Room{64 << 30, need}); err != nil {
+func TestCheckFitsEnforcesVoterDescriptorLimit(t *testing.T) {
+	p := Plan{HollowNodes: 1000, RealNodes: 2, CacheServers: 100, PhaseDuration: time.Second, ChurnFactor: 1, Scenarios: []string{ScenarioList, ScenarioLease}}
+	required := 2*(1000+2+36) + 64
+	if err := p.CheckFits(Resources{64 << 30, required}); err != nil {
 		t.Error(err)
 	}
-	if err := p.Fits(Room{64 << 30, need - 1}); err == nil || !strings.Contains(err.Error(), "descriptors in one process") || !strings.Contains(err.Error(), "; 999 would fit") {
+	if err := p.CheckFits(Resources{64 << 30, required - 1}); err == nil || !strings.Contains(err.Error(), "descriptors in one process") || !strings.Contains(err.Error(), "; 999 would fit") {
 		t.Error(err)
 	}
-	if few, many := p.voterSockets(need), p.voterSockets(20_000); few != need || many != 2*(1000+2+36)+512 {
-		t.Errorf("a voter's file has %d and %d", few, many)
+	if atMinimum, withSurplus := p.voterSocketLimit(required), p.voterSocketLimit(20_000); atMinimum != required || withSurplus != 2*(1000+2+36)+512 {
+		t.Errorf("a voter's file has %d and %d", atMinimum, withSurplus)
 	}
-	p.What = []string{List}
-	if err := p.Fits(Room{64 << 30, need - 1}); err != nil {
+	p.Scenarios = []string{ScenarioList}
+	if err := p.CheckFits(Resources{64 << 30, required - 1}); err != nil {
 		t.Error(err)
 	}
 }
 
 // What is estimated before a run may be wrong, so the run itself is held to the bounds as well.
-func TestARunThatGrowsBeyondItsBoundsIsEnded(t *testing.T) {
-	if err := errors.Join(beyond(12<<30, 200), beyond(0, 1)); err != nil {
+func TestCheckRunLimitsRejectsExcessMemoryAndProcesses(t *testing.T) {
+	if err := errors.Join(checkRunLimits(12<<30, 200), checkRunLimits(0, 1)); err != nil {
 		t.Error(err)
 	}
-	if beyond(12<<30+1, 1) == nil || beyond(0, 201) == nil {
+	if checkRunLimits(12<<30+1, 1) == nil || checkRunLimits(0, 201) == nil {
 		t.Error("it goes on")
 	}
 }
 
-func TestMachinesStandInAllPlaces(t *testing.T) {
+func TestPlaceOfSpreadsMachinesEvenly(t *testing.T) {
 	for _, n := range []int{8, 25, 150, 800, 2000, 5000} {
-		p := Plan{Nodes: n}
-		seen := map[Place]int{}
+		p := Plan{HollowNodes: n}
+		machinesByPlace := map[Place]int{}
 		for i := range n {
-			seen[p.PlaceOf(i)]++
+			machinesByPlace[p.PlaceOf(i)]++
 		}
 		regions := map[int]bool{}
-		for at, in := range seen {
-			regions[at.Region] = true
-			if least := n / (p.Zones() * racksZone); in < least || in > least+1 {
-				t.Errorf("%d nodes: %d stand in %v", n, in, at)
+		for place, machines := range machinesByPlace {
+			regions[place.Region] = true
+			if minPerRack := n / (p.Zones() * racksPerZone); machines < minPerRack || machines > minPerRack+1 {
+				t.Errorf("%d nodes: %d stand in %v", n, machines, place)
 			}
 		}
-		if len(seen) != min(n, p.Zones()*racksZone) || len(regions) != p.Regions() {
-			t.Errorf("%d nodes: %d racks, %d regions", n, len(seen), len(regions))
+		if len(machinesByPlace) != min(n, p.Zones()*racksPerZone) || len(regions) != p.Regions() {
+			t.Errorf("%d nodes: %d racks, %d regions", n, len(machinesByPlace), len(regions))
 		}
 	}
 }
 
 // Events are the seed's, lie inside their phase in order, and come at the operators' rates times the factor.
-func TestEventsComeAtTheirRates(t *testing.T) {
-	count := func(all []Event, kind string) (n int) {
-		for i, e := range all {
-			if i > 0 && e.At < all[i-1].At {
-				t.Fatalf("%v after %v", e, all[i-1])
+func TestScheduledChangesFollowOperatorRates(t *testing.T) {
+	count := func(changes []ScheduledChange, kind string) (n int) {
+		for i, e := range changes {
+			if i > 0 && e.Offset < changes[i-1].Offset {
+				t.Fatalf("%v after %v", e, changes[i-1])
 			}
 			if e.Kind == kind {
 				n++
@@ -176,157 +176,157 @@
 		}
 		return n
 	}
-	p := Plan{Nodes: 100, Servers: 30, Span: 10 * time.Minute, Seed: 7, Faster: 100, What: []string{List, Lease, Budget, Configuration, Churn}}
-	peace, churn := p.peace(), p.churn()
-	if !slices.Equal(peace, p.peace()) || !slices.Equal(churn, p.churn()) {
+	p := Plan{HollowNodes: 100, CacheServers: 30, PhaseDuration: 10 * time.Minute, Seed: 7, ChurnFactor: 100, Scenarios: []string{ScenarioList, ScenarioLease, ScenarioBudget, ScenarioConfiguration, ScenarioChurn}}
+	steady, churn := p.steadyChanges(), p.churnChanges()
+	if !slices.Equal(steady, p.steadyChanges()) || !slices.Equal(churn, p.churnChanges()) {
 		t.Error("the same seed gives other events")
 	}
-	for _, all := range [][]Event{peace, churn} {
-		for _, e := range all {
-			most := map[string]int{entryChanges: p.changing(), nodeRestarts: p.Nodes}[e.Kind]
-			if e.At < 0 || e.At >= p.Span || e.Index < 0 || e.Index >= max(1, most) {
+	for _, changes := range [][]ScheduledChange{steady, churn} {
+		for _, e := range changes {
+			indexBound := map[string]int{changeEntry: p.changingEntries(), restartNode: p.HollowNodes}[e.Kind]
+			if e.Offset < 0 || e.Offset >= p.PhaseDuration || e.Index < 0 || e.Index >= max(1, indexBound) {
 				t.Fatalf("%+v", e)
 			}
 		}
 	}
-	if n := count(peace, fileChanges); n != 84 { // 12,000 a day in ten minutes
+	if n := count(steady, changeConfig); n != 84 { // 12,000 a day in ten minutes
 		t.Errorf("%d changes of configuration", n)
 	}
-	if n := count(peace, nodeRestarts); n != 0 {
+	if n := count(steady, restartNode); n != 0 {
 		t.Errorf("%d restarts in peace", n)
 	}
-	entries, nodes := float64(count(churn, entryChanges)), float64(count(churn, nodeRestarts))
-	if all := 2126.0 / 144 * 100; math.Abs(entries+nodes-all) > 5*math.Sqrt(all) {
-		t.Errorf("%g machines came and went, want %g", entries+nodes, all)
+	entries, nodes := float64(count(churn, changeEntry)), float64(count(churn, restartNode))
+	if wantMachines := 2126.0 / 144 * 100; math.Abs(entries+nodes-wantMachines) > 5*math.Sqrt(wantMachines) {
+		t.Errorf("%g machines came and went, want %g", entries+nodes, wantMachines)
 	}
 	if share := entries / (entries + nodes); math.Abs(share-5700.0/24700) > 0.06 {
 		t.Errorf("%g of them are servers", share)
 	}
 	p.Seed++
-	if slices.Equal(churn, p.churn()) {
+	if slices.Equal(churn, p.churnChanges()) {
 		t.Error("another seed gives the same events")
 	}
 }
 
 // Least squares finds a line again, and its residuals are at right angles to it.
-func TestALineIsFoundAgain(t *testing.T) {
+func TestLeastSquaresRecoversLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, slope := rapid.Float64Range(-1e3, 1e3).Draw(t, "base"), rapid.Float64Range(-10, 10).Draw(t, "slope")
-		var at, exact, noisy []float64
+		var sizes, exact, noisy []float64
 		for i, x := range rapid.SliceOfNDistinct(rapid.IntRange(1, 20_000), 3, 12, rapid.ID[int]).Draw(t, "sizes") {
-			at = append(at, float64(x))
+			sizes = append(sizes, float64(x))
 			exact = append(exact, base+slope*float64(x))
 			noisy = append(noisy, exact[i]+rapid.Float64Range(-50, 50).Draw(t, "noise"))
 		}
-		b, s, _, r2 := leastSquares(at, exact)
+		b, s, _, r2 := leastSquares(sizes, exact)
 		if math.Abs(s-slope) > 1e-6*(1+math.Abs(slope)) || math.Abs(b-base) > 1e-4*(1+math.Abs(base)+math.Abs(slope)*20_000) || r2 < 0.999 && slope != 0 && math.Abs(slope) > 1e-6 {
 			t.Fatalf("%g + %g x, want %g + %g x, R2 %g", b, s, base, slope, r2)
 		}
-		_, _, left, _ := leastSquares(at, noisy)
-		sum, turn, scale := 0.0, 0.0, 0.0
-		for i, r := range left {
+		_, _, residuals, _ := leastSquares(sizes, noisy)
+		sum, weightedSum, scale := 0.0, 0.0, 0.0
+		for i, r := range residuals {
 			sum += r
-			turn += r * at[i]
-			scale += math.Abs(r*at[i]) + math.Abs(noisy[i]*at[i])
+			weightedSum += r * sizes[i]
+			scale += math.Abs(r*sizes[i]) + math.Abs(noisy[i]*sizes[i])
 		}
-		if math.Abs(sum) > 1e-6*(1+scale) || math.Abs(turn) > 1e-6*(1+scale) {
-			t.Fatalf("residuals add up to %g, and %g with their sizes", sum, turn)
+		if math.Abs(sum) > 1e-6*(1+scale) || math.Abs(weightedSum) > 1e-6*(1+scale) {
+			t.Fatalf("residuals add up to %g, and %g with their sizes", sum, weightedSum)
 		}
 	})
 }
 
-func TestPointsComeBackAndFiguresOfTooFewSizesHaveNoLine(t *testing.T) {
-	var points []Point
+func TestMeasurementsRoundTripAndFitNeedsThreeSizes(t *testing.T) {
+	var measurements []Measurement
 	for i, n := range []int{25, 60, 150, 350, 800} {
-		points = append(points, Point{n, 2, n / 3, 1, "peace", "leader", "share of a core %", 2 + 0.01*float64(n)},
-			Point{n, 2, n / 3, 1, "peace", "node", "descriptors", 7})
+		measurements = append(measurements, Measurement{n, 2, n / 3, 1, "peace", "leader", "share of a core %", 2 + 0.01*float64(n)},
+			Measurement{n, 2, n / 3, 1, "peace", "node", "descriptors", 7})
 		if i < 2 {
-			points = append(points, Point{n, 2, n / 3, 1, "churn", "node", "descriptors", 7})
+			measurements = append(measurements, Measurement{n, 2, n / 3, 1, "churn", "node", "descriptors", 7})
 		}
 	}
 	var b bytes.Buffer
-	if err := Write(&b, points[:3], true); err != nil {
+	if err := WriteMeasurements(&b, measurements[:3], true); err != nil {
 		t.Fatal(err)
 	}
-	if err := Write(&b, points[3:], false); err != nil {
+	if err := WriteMeasurements(&b, measurements[3:], false); err != nil {
 		t.Fatal(err)
 	}
-	back, err := ReadPoints(&b)
-	if err != nil || !reflect.DeepEqual(points, back) {
-		t.Fatalf("%v: %v", err, back)
+	parsed, err := ReadMeasurements(&b)
+	if err != nil || !reflect.DeepEqual(measurements, parsed) {
+		t.Fatalf("%v: %v", err, parsed)
 	}
-	slices.Reverse(back[2:6])
-	lines := Lines(back, false)
-	if !slices.IsSorted(lines[0].At) {
-		t.Errorf("%v", lines[0].At)
+	slices.Reverse(parsed[2:6])
+	lines := FitLines(parsed, false)
+	if !slices.IsSorted(lines[0].Sizes) {
+		t.Errorf("%v", lines[0].Sizes)
 	}
-	if len(lines) != 2 || math.Abs(lines[0].Slope-0.01) > 1e-9 || math.Abs(lines[0].Value(19_000)-192) > 1e-6 || lines[0].Worst() > 1e-9 ||
+	if len(lines) != 2 || math.Abs(lines[0].Slope-0.01) > 1e-9 || math.Abs(lines[0].Predict(19_000)-192) > 1e-6 || lines[0].WorstRelativeResidual() > 1e-9 ||
 		lines[1].Slope != 0 || lines[1].R2 != 1 {
 		t.Errorf("%+v", lines)
 	}
-	if by := Lines(back, true); math.Abs(by[0].At[4]-266) > 0 {
-		t.Errorf("%+v", by)
+	if linesByServers := FitLines(parsed, true); math.Abs(linesByServers[0].Sizes[4]-266) > 0 {
+		t.Errorf("%+v", linesByServers)
 	}
-	if _, err := ReadPoints(strings.NewReader("1,2,3,4,a,b,c,x\n")); err == nil {
+	if _, err := ReadMeasurements(strings.NewReader("1,2,3,4,a,b,c,x\n")); err == nil {
 		t.Error("a figure that is none is taken")
 	}
 }
 
 // The last node counts, what was down is left out, and what never came is missing.
-func TestTimesAreThoseOfTheLastNode(t *testing.T) {
+func TestLatenciesCountLastNodeAndMissingEvents(t *testing.T) {
 	ms := int64(time.Millisecond)
 	s := 1000 * ms
-	marks := []Mark{{0, markStart, 0, 0}, {0, markList, 1 * ms, 1}, {1, markStart, 0, 0}, {1, markList, 2 * ms, 1}, {2, markStart, 0, 0}, {2, markList, 2 * ms, 1},
-		{0, markList, 20*s + 3*ms, 2}, {1, markList, 20*s + 9*ms, 2}, {2, markList, 20*s + 4*ms, 2}, // a change at 20 s
-		{2, markStart, 30*s + 50*ms, 0}, {0, markList, 30*s + 5*ms, 3}, {1, markList, 30*s + 40*ms, 4}, // one at 30 s, which 1 has only with the next
-		{2, markList, 30*s + 60*ms, 4}}
-	of := byNode(marks)
-	got := inForce([]Change{{20 * s, 2}, {30 * s, 3}}, of, []int{0, 1, 2}, markList, time.Second)
-	if got.Missing != 0 || got.Each.TotalCount() != 5 || got.Last.TotalCount() != 2 {
-		t.Fatalf("%d, %d, %d missing", got.Each.TotalCount(), got.Last.TotalCount(), got.Missing)
+	events := []NodeEvent{{0, eventStart, 0, 0}, {0, eventListInForce, 1 * ms, 1}, {1, eventStart, 0, 0}, {1, eventListInForce, 2 * ms, 1}, {2, eventStart, 0, 0}, {2, eventListInForce, 2 * ms, 1},
+		{0, eventListInForce, 20*s + 3*ms, 2}, {1, eventListInForce, 20*s + 9*ms, 2}, {2, eventListInForce, 20*s + 4*ms, 2}, // a change at 20 s
+		{2, eventStart, 30*s + 50*ms, 0}, {0, eventListInForce, 30*s + 5*ms, 3}, {1, eventListInForce, 30*s + 40*ms, 4}, // one at 30 s, which 1 has only with the next
+		{2, eventListInForce, 30*s + 60*ms, 4}}
+	eventsByNode := groupByNode(events)
+	got := changeLatencies([]AppliedChange{{20 * s, 2}, {30 * s, 3}}, eventsByNode, []int{0, 1, 2}, eventListInForce, time.Second)
+	if got.Missing != 0 || got.PerNode.TotalCount() != 5 || got.LastNode.TotalCount() != 2 {
+		t.Fatalf("%d, %d, %d missing", got.PerNode.TotalCount(), got.LastNode.TotalCount(), got.Missing)
 	}
-	if worst, first := got.Last.Max(), got.Last.Min(); worst < 39_900 || worst > 40_100 || first < 8_990 || first > 9_010 {
-		t.Errorf("%d and %d us", first, worst)
+	if slowest, fastest := got.LastNode.Max(), got.LastNode.Min(); slowest < 39_900 || slowest > 40_100 || fastest < 8_990 || fastest > 9_010 {
+		t.Errorf("%d and %d us", fastest, slowest)
 	}
-	if late := inForce([]Change{{20 * s, 5}}, of, []int{0, 1, 2}, markList, time.Minute); late.Missing != 3 {
-		t.Errorf("%d missing, of a version that none has", late.Missing)
+	if incomplete := changeLatencies([]AppliedChange{{20 * s, 5}}, eventsByNode, []int{0, 1, 2}, eventListInForce, time.Minute); incomplete.Missing != 3 {
+		t.Errorf("%d missing, of a version that none has", incomplete.Missing)
 	}
-	if late := inForce([]Change{{20 * s, 2}}, of, []int{0, 1, 2}, markList, 5*time.Millisecond); late.Missing != 1 {
-		t.Errorf("%d late", late.Missing)
+	if incomplete := changeLatencies([]AppliedChange{{20 * s, 2}}, eventsByNode, []int{0, 1, 2}, eventListInForce, 5*time.Millisecond); incomplete.Missing != 1 {
+		t.Errorf("%d late", incomplete.Missing)
 	}
-	start := sinceStart(of, []int{0, 1, 2}, 30*s, markList, time.Second)
-	if start.Each.TotalCount() != 1 || start.Each.Max() < 9_990 || start.Each.Max() > 10_010 {
-		t.Errorf("%d, %d us", start.Each.TotalCount(), start.Each.Max())
+	start := startLatencies(eventsByNode, []int{0, 1, 2}, 30*s, eventListInForce, time.Second)
+	if start.PerNode.TotalCount() != 1 || start.PerNode.Max() < 9_990 || start.PerNode.Max() > 10_010 {
+		t.Errorf("%d, %d us", start.PerNode.TotalCount(), start.PerNode.Max())
 	}
-	if start := sinceStart(of, []int{0, 1, 2}, 30*s, markHeld, time.Second); start.Missing != 1 {
+	if start := startLatencies(eventsByNode, []int{0, 1, 2}, 30*s, eventLeaseAcquired, time.Second); start.Missing != 1 {
 		t.Errorf("%d have no lease", start.Missing)
 	}
 	// A renewal whose asking was sent before the loss tells nothing.
-	lease := byNode([]Mark{{0, markRenews, 10*s + 5*ms, 6 * ms}, {0, markRenews, 11 * s, 2 * ms}, {1, markHeld, 12 * s, ms}})
-	if got := renewed(lease, []int{0, 1}, 10*s, time.Minute); got.Missing != 0 || got.Each.Min() < 999_000 || got.Last.Max() < 1_999_000 {
-		t.Errorf("%d missing, %d to %d us", got.Missing, got.Each.Min(), got.Last.Max())
+	leaseEvents := groupByNode([]NodeEvent{{0, eventLeaseRenewed, 10*s + 5*ms, 6 * ms}, {0, eventLeaseRenewed, 11 * s, 2 * ms}, {1, eventLeaseAcquired, 12 * s, ms}})
+	if got := renewalLatencies(leaseEvents, []int{0, 1}, 10*s, time.Minute); got.Missing != 0 || got.PerNode.Min() < 999_000 || got.LastNode.Max() < 1_999_000 {
+		t.Errorf("%d missing, %d to %d us", got.Missing, got.PerNode.Min(), got.LastNode.Max())
 	}
 }
 
-func TestTheFactorIsOfTheOperatorsWholeFleet(t *testing.T) {
+func TestEntryChangeFactorRefersToWholeFleet(t *testing.T) {
 	// 2,126 machines a day, 5,700 of 24,700 of them servers: one each 176 s.
-	if r := Ratio(time.Second); math.Abs(r-176.1) > 0.1 {
-		t.Error(r)
+	if factor := EntryChangeFactor(time.Second); math.Abs(factor-176.1) > 0.1 {
+		t.Error(factor)
 	}
 }
 
 // The stand-in of discovery gives what the node's follower expects: all, what has changed since, nothing, all again.
-func TestTheDirectoryTellsWhatHasChanged(t *testing.T) {
+func TestDiscoveryServerReturnsChangesSinceVersion(t *testing.T) {
 	var entries []Entry
 	for i := range 5 {
 		entries = append(entries, Entry{ID: fmt.Sprint("c", i), Address: "127.0.0.1:1", Kind: "box", State: "Ready", Region: "r", Zone: "z"})
 	}
-	d := NewDirectory(entries)
-	s := httptest.NewServer(d)
-	defer s.Close()
-	get := func(query string) (p page) {
+	discovery := NewDiscoveryServer(entries)
+	server := httptest.NewServer(discovery)
+	defer server.Close()
+	get := func(query string) (p listResponse) {
 		t.Helper()
-		resp, err := http.Get(s.URL + query)
+		resp, err := http.Get(server.URL + query)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -342,85 +342,85 @@
 	if p := get("/?from=1&hold_ms=1"); p.Full || p.Version != 1 || len(p.Servers) != 0 {
 		t.Fatalf("nothing has changed: %+v", p)
 	}
-	held := make(chan page)
+	held := make(chan listResponse)
 	go func() { held <- get("/?from=1&hold_ms=10000") }()
 	time.Sleep(20 * time.Millisecond)
-	gone := entries[2]
-	gone.State = "Gone"
-	if v := d.Change([]Entry{gone, {ID: "unknown"}}); v != 2 {
-		t.Fatal(v)
+	removed := entries[2]
+	removed.State = "Gone"
+	if version := discovery.ChangeEntries([]Entry{removed, {ID: "unknown"}}); version != 2 {
+		t.Fatal(version)
 	}
-	if p := <-held; p.Full || p.Version != 2 || len(p.Servers) != 1 || p.Servers[0] != gone {
+	if p := <-held; p.Full || p.Version != 2 || len(p.Servers) != 1 || p.Servers[0] != removed {
 		t.Fatalf("%+v", p)
 	}
 	if p := get("/"); len(p.Servers) != 4 {
 		t.Fatalf("who has gone is on the list: %+v", p)
 	}
-	d.Change([]Entry{entries[2]})
-	d.Change([]Entry{entries[3]})
+	discovery.ChangeEntries([]Entry{entries[2]})
+	discovery.ChangeEntries([]Entry{entries[3]})
 	if p := get("/?from=1&hold_ms=1"); p.Full || p.Version != 4 || len(p.Servers) != 2 || p.Servers[0] != entries[2] {
 		t.Fatalf("three versions at once, each entry as it is now: %+v", p)
 	}
 	if p := get("/?from=9&hold_ms=1"); !p.Full || p.Version != 4 {
 		t.Fatalf("a version that never was: %+v", p)
 	}
-	for range changesKept + 1 {
-		d.Change(entries[:1])
+	for range maxKeptVersions + 1 {
+		discovery.ChangeEntries(entries[:1])
 	}
 	if p := get("/?from=2&hold_ms=1"); !p.Full || len(p.Servers) != 5 {
 		t.Fatalf("too far behind: %+v", p)
 	}
-	if c := d.Calls(); c.Whole != 4 || c.Changes != 2 || c.Empty != 1 {
-		t.Fatalf("%+v", c)
+	if counts := discovery.CallCounts(); counts.FullLists != 4 || counts.Changes != 2 || counts.Empty != 1 {
+		t.Fatalf("%+v", counts)
 	}
 }
 
 // Whoever follows the changes, by whatever steps, comes to the list as it is.
-func TestChangesAddUpToTheWhole(t *testing.T) {
+func TestDiscoveryServerChangesAddUpToFullList(t *testing.T) {
 	if err := quick.Check(func(steps []uint8) bool {
 		var entries []Entry
 		for i := range 6 {
 			entries = append(entries, Entry{ID: fmt.Sprint("c", i), State: "Ready"})
 		}
-		d := NewDirectory(entries)
-		have, version := map[string]string{}, int64(0)
-		take := func(b []byte) {
-			var p page
+		discovery := NewDiscoveryServer(entries)
+		followed, version := map[string]string{}, int64(0)
+		apply := func(b []byte) {
+			var p listResponse
 			_ = json.Unmarshal(b, &p)
 			if p.Full {
-				clear(have)
+				clear(followed)
 			}
 			for _, e := range p.Servers {
-				if have[e.ID] = e.State; e.State == "Gone" {
-					delete(have, e.ID)
+				if followed[e.ID] = e.State; e.State == "Gone" {
+					delete(followed, e.ID)
 				}
 			}
 			version = p.Version
 		}
-		look := func() {
-			d.mu.Lock()
-			b := d.news(version)
-			d.mu.Unlock()
+		poll := func() {
+			discovery.mu.Lock()
+			b := discovery.changesSince(version)
+			discovery.mu.Unlock()
 			if b != nil {
-				take(b)
+				apply(b)
 			}
 		}
-		take(d.all())
+		apply(discovery.fullList())
 		for _, s := range steps {
 			e := entries[int(s)%len(entries)]
 			e.State = []string{"Ready", "Terminating", "Gone"}[int(s)/len(entries)%3]
-			if d.Change([]Entry{e}); s%5 == 0 {
-				look()
+			if discovery.ChangeEntries([]Entry{e}); s%5 == 0 {
+				poll()
 			}
 		}
-		look()
-		mine := map[string]string{}
-		for id, e := range d.entries {
+		poll()
+		current := map[string]string{}
+		for id, e := range discovery.entries {
 			if e.State != "Gone" {
-				mine[id] = e.State
+				current[id] = e.State
 			}
 		}
-		return reflect.DeepEqual(have, mine) && version == d.version
+		return reflect.DeepEqual(followed, current) && version == discovery.version
 	}, nil); err != nil {
 		t.Error(err)
 	}
--- a/internal/scaletest/strains.go
+++ b/internal/scaletest/strains.go
@@ -16,242 +16,242 @@
 
 // loss lets all of a place go at once, and come back: its nodes' processes are killed, or for a restart told to leave, and its
 // cache servers go from the list.
-func (w *world) loss(what string) error {
-	lost := map[int]bool{}
-	for _, p := range w.hosts {
-		at := w.PlaceOf(p.nodes[0])
-		switch what {
-		case Rack:
-			lost[at.Rack] = lost[at.Rack] || at.Rack == 0
-		case Zone, Restart:
-			lost[at.Rack] = lost[at.Rack] || at.Zone == 0
-		case Region:
-			lost[at.Rack] = lost[at.Rack] || at.Region == 0
+func (r *run) loseAndRestore(scenario string) error {
+	lostRacks := map[int]bool{}
+	for _, p := range r.hosts {
+		place := r.PlaceOf(p.nodes[0])
+		switch scenario {
+		case ScenarioRackLoss:
+			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Rack == 0
+		case ScenarioZoneLoss, ScenarioRestart:
+			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Zone == 0
+		case ScenarioRegionLoss:
+			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Region == 0
 		}
 	}
 	var hosts []*process
-	for rack, is := range lost {
-		if is {
-			hosts = append(hosts, w.hosts[rack])
+	for rack, isLost := range lostRacks {
+		if isLost {
+			hosts = append(hosts, r.hosts[rack])
 		}
 	}
-	var gone []Entry
-	for i, e := range w.entries[:w.Servers] {
-		if at := w.PlaceOf(i); what != Restart && lost[at.Rack] {
+	var removedEntries []Entry
+	for i, e := range r.entries[:r.CacheServers] {
+		if place := r.PlaceOf(i); scenario != ScenarioRestart && lostRacks[place.Rack] {
 			e.State = "Gone"
-			gone = append(gone, e)
+			removedEntries = append(removedEntries, e)
 		}
 	}
-	before, err := w.afresh()
+	before, err := r.startMeasurement()
 	if err != nil {
 		return err
 	}
-	leads := w.leader()
-	if what == Restart {
-		_ = each(hosts, func(p *process) error { _, err := p.tell(order{Do: "leave"}); return err })
+	leader := r.leaderIndex()
+	if scenario == ScenarioRestart {
+		_ = inParallel(hosts, func(p *process) error { _, err := p.send(command{Name: "leave"}); return err })
 	}
-	_ = each(hosts, func(p *process) error { p.end(syscall.SIGKILL); return nil })
-	if what != Restart {
-		c, err := w.change(gone)
+	_ = inParallel(hosts, func(p *process) error { p.stop(syscall.SIGKILL); return nil })
+	if scenario != ScenarioRestart {
+		change, err := r.changeEntries(removedEntries)
 		if err != nil {
 			return err
 		}
-		w.sleep(lostFor)
-		if err := w.add(); err != nil {
+		r.sleep(outageDuration)
+		if err := r.appendNodeEvents(); err != nil {
 			return err
 		}
-		left := w.nodes(lost)
-		w.told(what, "list in force at who is left", inForce([]Change{c}, byNode(w.marks), left, markList, lateMost))
-		w.line("%s: %d nodes and %d cache servers lost at once", what, w.Nodes-len(left), len(gone))
+		remainingNodes := r.nodesOutside(lostRacks)
+		r.reportLatencies(scenario, "list in force at who is left", changeLatencies([]AppliedChange{change}, groupByNode(r.nodeEvents), remainingNodes, eventListInForce, maxPropagation))
+		r.addLine("%s: %d nodes and %d cache servers lost at once", scenario, r.HollowNodes-len(remainingNodes), len(removedEntries))
 	}
-	from := faulttest.Boot()
-	if err := each(hosts, func(p *process) error {
-		if err := p.start(w.Program); err != nil {
+	restartNs := faulttest.Boot()
+	if err := inParallel(hosts, func(p *process) error {
+		if err := p.start(r.Program); err != nil {
 			return err
 		}
-		_, err := p.tell(order{Do: "start", Nodes: p.nodes})
+		_, err := p.send(command{Name: "start", Nodes: p.nodes})
 		return err
 	}); err != nil {
 		return err
 	}
-	var c Change
-	if len(gone) > 0 {
-		for i := range gone {
-			gone[i].State, gone[i].Started = "Ready", float64(time.Now().UnixMilli())
+	var change AppliedChange
+	if len(removedEntries) > 0 {
+		for i := range removedEntries {
+			removedEntries[i].State, removedEntries[i].StartedMs = "Ready", float64(time.Now().UnixMilli())
 		}
-		if c, err = w.change(gone); err != nil {
+		if change, err = r.changeEntries(removedEntries); err != nil {
 			return err
 		}
 	}
-	if err := w.recovered(what, from, recoverMost); err != nil {
+	if err := r.awaitRecovery(scenario, restartNs, maxRecovery); err != nil {
 		return err
 	}
-	if len(gone) > 0 {
-		w.told(what, "list in force at its return", inForce([]Change{c}, byNode(w.marks), w.nodes(lost), markList, lateMost))
+	if len(removedEntries) > 0 {
+		r.reportLatencies(scenario, "list in force at its return", changeLatencies([]AppliedChange{change}, groupByNode(r.nodeEvents), r.nodesOutside(lostRacks), eventListInForce, maxPropagation))
 	}
-	return w.strain(what, before, leads, hosts)
+	return r.reportUsageOfSurvivors(scenario, before, leader, hosts)
 }
 
 // strain tells what the roles that went on have used in a strain.
-func (w *world) strain(what string, before map[*process]used, leads int, but []*process) error {
-	after := map[*process]used{}
-	for _, p := range w.all() {
-		if _, had := before[p]; !had || slices.Contains(but, p) {
+func (r *run) reportUsageOfSurvivors(scenario string, before map[*process]processUsage, leader int, excluded []*process) error {
+	after := map[*process]processUsage{}
+	for _, p := range r.processes() {
+		if _, measuredBefore := before[p]; !measuredBefore || slices.Contains(excluded, p) {
 			continue
 		}
-		u, err := p.used()
+		usage, err := p.usage()
 		if err != nil {
 			return err
 		}
-		after[p] = u
+		after[p] = usage
 	}
-	role := func(name string, p *process) {
-		a, b := before[p], after[p]
-		if a.at == 0 || b.at == 0 {
+	reportRole := func(name string, p *process) {
+		first, last := before[p], after[p]
+		if first.measuredNs == 0 || last.measuredNs == 0 {
 			return
 		}
-		span := float64(b.at-a.at) / float64(time.Second)
-		cpu := 100 * float64(b.CPUBefore-a.CPUAfter) / float64(time.Second) / span
-		out := 0.0
-		for use, t := range b.Traffic {
-			out += float64(t.Sent-a.Traffic[use].Sent) / span
+		seconds := float64(last.measuredNs-first.measuredNs) / float64(time.Second)
+		cpuPercent := 100 * float64(last.CPUBefore-first.CPUAfter) / float64(time.Second) / seconds
+		sentBytesPerSecond := 0.0
+		for purpose, traffic := range last.Traffic {
+			sentBytesPerSecond += float64(traffic.Sent-first.Traffic[purpose].Sent) / seconds
 		}
-		w.point(what, name, "share of a core %", cpu)
-		w.point(what, name, "bytes sent /s", out)
-		w.line("%s: %s: %.3g%% of a core and %.4g bytes sent a second over %.1f s", what, name, cpu, out, span)
+		r.addMeasurement(scenario, name, "share of a core %", cpuPercent)
+		r.addMeasurement(scenario, name, "bytes sent /s", sentBytesPerSecond)
+		r.addLine("%s: %s: %.3g%% of a core and %.4g bytes sent a second over %.1f s", scenario, name, cpuPercent, sentBytesPerSecond, seconds)
 	}
-	if leads >= 0 {
-		role("leader", w.voters[leads])
+	if leader >= 0 {
+		reportRole("leader", r.voters[leader])
 	}
-	role("discovery", w.discovery)
-	if a, b := before[w.discovery].calls, after[w.discovery].calls; a != b {
-		w.line("%s: discovery gave %d whole lists and %d of changes", what, b.Whole-a.Whole, b.Changes-a.Changes)
+	reportRole("discovery", r.discovery)
+	if first, last := before[r.discovery].calls, after[r.discovery].calls; first != last {
+		r.addLine("%s: discovery gave %d whole lists and %d of changes", scenario, last.FullLists-first.FullLists, last.Changes-first.Changes)
 	}
 	return nil
 }
 
 // cutOff lets a region reach nobody for a while: neither the voters nor discovery.
-func (w *world) cutOff() error {
-	before, err := w.afresh()
+func (r *run) runPartition() error {
+	before, err := r.startMeasurement()
 	if err != nil {
 		return err
 	}
-	leads, region := w.leader(), map[int]bool{}
-	for _, p := range w.hosts {
-		if at := w.PlaceOf(p.nodes[0]); at.Region != 0 {
-			region[at.Rack] = true
+	leader, racksOutside := r.leaderIndex(), map[int]bool{}
+	for _, p := range r.hosts {
+		if place := r.PlaceOf(p.nodes[0]); place.Region != 0 {
+			racksOutside[place.Rack] = true
 		}
 	}
-	inside := w.nodes(region)
-	for _, r := range w.relays {
-		r.Cut(true)
+	partitionedNodes := r.nodesOutside(racksOutside)
+	for _, relay := range r.relays {
+		relay.Cut(true)
 	}
-	w.sleep(w.CutFor / 2)
-	e := w.entries[0]
-	e.Started = float64(time.Now().UnixMilli())
-	c, err := w.change([]Entry{e}) // the others' side goes on
+	r.sleep(r.PartitionDuration / 2)
+	entry := r.entries[0]
+	entry.StartedMs = float64(time.Now().UnixMilli())
+	change, err := r.changeEntries([]Entry{entry}) // the others' side goes on
 	if err != nil {
 		return err
 	}
-	w.sleep(w.CutFor / 2)
-	from := faulttest.Boot()
-	for _, r := range w.relays {
-		r.Cut(false)
+	r.sleep(r.PartitionDuration / 2)
+	healedNs := faulttest.Boot()
+	for _, relay := range r.relays {
+		relay.Cut(false)
 	}
-	var list, lease Times
-	for end := time.Now().Add(recoverMost); ; w.sleep(200 * time.Millisecond) {
-		if err := w.add(); err != nil {
+	var listLatencies, leaseLatencies Latencies
+	for deadline := time.Now().Add(maxRecovery); ; r.sleep(200 * time.Millisecond) {
+		if err := r.appendNodeEvents(); err != nil {
 			return err
 		}
-		of := byNode(w.marks)
-		list = inForce([]Change{{from, c.N}}, of, inside, markList, recoverMost)
-		lease = renewed(of, inside, from, recoverMost)
-		if list.Missing+lease.Missing == 0 || !w.Has(Lease) && list.Missing == 0 || time.Now().After(end) || w.ctx.Err() != nil {
+		eventsByNode := groupByNode(r.nodeEvents)
+		listLatencies = changeLatencies([]AppliedChange{{healedNs, change.MinValue}}, eventsByNode, partitionedNodes, eventListInForce, maxRecovery)
+		leaseLatencies = renewalLatencies(eventsByNode, partitionedNodes, healedNs, maxRecovery)
+		if listLatencies.Missing+leaseLatencies.Missing == 0 || !r.Includes(ScenarioLease) && listLatencies.Missing == 0 || time.Now().After(deadline) || r.ctx.Err() != nil {
 			break
 		}
 	}
-	w.line("%s: %d nodes of a region reached nobody for %v", Cut, len(inside), w.CutFor)
-	w.told(Cut, "list in force after the cut", list)
-	if w.Has(Lease) {
-		w.told(Cut, "lease renewed or had again after the cut", lease)
-		w.renewalsLost(Cut)
+	r.addLine("%s: %d nodes of a region reached nobody for %v", ScenarioPartition, len(partitionedNodes), r.PartitionDuration)
+	r.reportLatencies(ScenarioPartition, "list in force after the cut", listLatencies)
+	if r.Includes(ScenarioLease) {
+		r.reportLatencies(ScenarioPartition, "lease renewed or had again after the cut", leaseLatencies)
+		r.reportLostLeases(ScenarioPartition)
 	}
-	return w.strain(Cut, before, leads, nil)
+	return r.reportUsageOfSurvivors(ScenarioPartition, before, leader, nil)
 }
 
-func (w *world) renewalsLost(what string) {
+func (r *run) reportLostLeases(scenario string) {
 	lost := 0
-	for _, m := range w.marks {
-		if m.What == markLost {
+	for _, event := range r.nodeEvents {
+		if event.Kind == eventLeaseLost {
 			lost++
 		}
 	}
-	w.point(what, "node", "leases lost", float64(lost))
-	w.line("%s: leases lost %d", what, lost)
+	r.addMeasurement(scenario, "node", "leases lost", float64(lost))
+	r.addLine("%s: leases lost %d", scenario, lost)
 }
 
 // outage lets discovery be away for a while, and come back with everybody calling.
-func (w *world) outage() error {
-	before, err := w.afresh()
+func (r *run) runDiscoveryOutage() error {
+	before, err := r.startMeasurement()
 	if err != nil {
 		return err
 	}
-	leads := w.leader()
-	if _, err := w.discovery.tell(order{Do: "close"}); err != nil {
+	leader := r.leaderIndex()
+	if _, err := r.discovery.send(command{Name: "close"}); err != nil {
 		return err
 	}
-	w.sleep(lostFor / 2)
-	e := w.entries[0]
-	e.Started = float64(time.Now().UnixMilli())
-	c, err := w.change([]Entry{e})
+	r.sleep(outageDuration / 2)
+	entry := r.entries[0]
+	entry.StartedMs = float64(time.Now().UnixMilli())
+	change, err := r.changeEntries([]Entry{entry})
 	if err != nil {
 		return err
 	}
-	w.sleep(lostFor / 2)
-	back, err := w.discovery.tell(order{Do: "open again"})
+	r.sleep(outageDuration / 2)
+	reopened, err := r.discovery.send(command{Name: "open again"})
 	if err != nil {
 		return err
 	}
-	var list Times
-	for end := time.Now().Add(recoverMost); ; w.sleep(200 * time.Millisecond) {
-		if err := w.add(); err != nil {
+	var latencies Latencies
+	for deadline := time.Now().Add(maxRecovery); ; r.sleep(200 * time.Millisecond) {
+		if err := r.appendNodeEvents(); err != nil {
 			return err
 		}
-		list = inForce([]Change{{back.At, c.N}}, byNode(w.marks), w.nodes(nil), markList, recoverMost)
-		if list.Missing == 0 || time.Now().After(end) || w.ctx.Err() != nil {
+		latencies = changeLatencies([]AppliedChange{{reopened.BootTimeNs, change.MinValue}}, groupByNode(r.nodeEvents), r.nodesOutside(nil), eventListInForce, maxRecovery)
+		if latencies.Missing == 0 || time.Now().After(deadline) || r.ctx.Err() != nil {
 			break
 		}
 	}
-	w.told(Discovery, fmt.Sprintf("list in force after an outage of %v", lostFor), list)
-	return w.strain(Discovery, before, leads, nil)
+	r.reportLatencies(ScenarioDiscoveryOutage, fmt.Sprintf("list in force after an outage of %v", outageDuration), latencies)
+	return r.reportUsageOfSurvivors(ScenarioDiscoveryOutage, before, leader, nil)
 }
 
 // deposed kills whoever leads, and lets it come back once others have gone on.
-func (w *world) deposed() error {
-	leads := w.leader()
-	if leads < 0 {
+func (r *run) killLeader() error {
+	leader := r.leaderIndex()
+	if leader < 0 {
 		return fmt.Errorf("nobody leads")
 	}
-	before, err := w.afresh()
+	before, err := r.startMeasurement()
 	if err != nil {
 		return err
 	}
-	from := faulttest.Boot()
-	w.voters[leads].end(syscall.SIGKILL)
-	var lease Times
-	for end := time.Now().Add(recoverMost); ; w.sleep(200 * time.Millisecond) {
-		if err := w.add(); err != nil {
+	killedNs := faulttest.Boot()
+	r.voters[leader].stop(syscall.SIGKILL)
+	var latencies Latencies
+	for deadline := time.Now().Add(maxRecovery); ; r.sleep(200 * time.Millisecond) {
+		if err := r.appendNodeEvents(); err != nil {
 			return err
 		}
-		lease = renewed(byNode(w.marks), w.nodes(nil), from, recoverMost)
-		if lease.Missing == 0 || time.Now().After(end) || w.ctx.Err() != nil {
+		latencies = renewalLatencies(groupByNode(r.nodeEvents), r.nodesOutside(nil), killedNs, maxRecovery)
+		if latencies.Missing == 0 || time.Now().After(deadline) || r.ctx.Err() != nil {
 			break
 		}
 	}
-	w.told(Leader, "lease renewed or had again", lease)
-	w.renewalsLost(Leader)
-	if err := w.strain(Leader, before, w.leader(), []*process{w.voters[leads]}); err != nil {
+	r.reportLatencies(ScenarioLeaderKill, "lease renewed or had again", latencies)
+	r.reportLostLeases(ScenarioLeaderKill)
+	if err := r.reportUsageOfSurvivors(ScenarioLeaderKill, before, r.leaderIndex(), []*process{r.voters[leader]}); err != nil {
 		return err
 	}
-	return w.voters[leads].start(w.Program)
+	return r.voters[leader].start(r.Program)
 }
--- a/internal/scaletest/times.go
+++ b/internal/scaletest/times.go
@@ -9,96 +9,98 @@
 
 // What a node's mark tells.
 const (
-	markStart  = "s" // it starts
-	markList   = "l" // a list is in force, of the version told
-	markFile   = "c" // its configuration was read anew
-	markHeld   = "h" // the lease of its name is held
-	markRenews = "r" // and was renewed; the asking took so many nanoseconds
-	markFailed = "f" // an asking for it came to nothing, or was refused
-	markLost   = "x" // it is lost
-	markParts  = "p" // its parts are told, under the revision of the budget's terms
+	eventStart              = "s" // it starts
+	eventListInForce        = "l" // a list is in force, of the version told
+	eventConfigInForce      = "c" // its configuration was read anew
+	eventLeaseAcquired      = "h" // the lease of its name is held
+	eventLeaseRenewed       = "r" // and was renewed; the asking took so many nanoseconds
+	eventLeaseRequestFailed = "f" // an asking for it came to nothing, or was refused
+	eventLeaseLost          = "x" // it is lost
+	eventQuotasReceived     = "p" // its parts are told, under the revision of the budget's terms
 )
 
 // Mark is one thing that happened at a node, by the machine's boot clock in nanoseconds.
-type Mark struct {
-	Node int    `json:"n"`
-	What string `json:"w"`
-	At   int64  `json:"a"`
-	N    int64  `json:"v,omitempty"`
+type NodeEvent struct {
+	Node       int    `json:"n"`
+	Kind       string `json:"w"`
+	BootTimeNs int64  `json:"a"`
+	Value      int64  `json:"v,omitempty"`
 }
 
 // Change is something that is to come into force at all nodes.
-type Change struct {
-	At int64
-	N  int64 // what a mark has to tell at the least
+type AppliedChange struct {
+	BootTimeNs int64
+	MinValue   int64 // what a mark has to tell at the least
 }
 
 // Times is how long changes took.
-type Times struct {
-	Each    *hdrhistogram.Histogram // microseconds, of each node and change
-	Last    *hdrhistogram.Histogram // of each change's last node
-	Missing int                     // at which one was not in force in time
+type Latencies struct {
+	PerNode  *hdrhistogram.Histogram // microseconds, of each node and change
+	LastNode *hdrhistogram.Histogram // of each change's last node
+	Missing  int                     // at which one was not in force in time
 }
 
-const timesMost = int64(5 * time.Minute / time.Microsecond)
+const maxLatencyMicros = int64(5 * time.Minute / time.Microsecond)
 
-func newTimes() Times {
-	return Times{hdrhistogram.New(1, timesMost, 3), hdrhistogram.New(1, timesMost, 3), 0}
+func newLatencies() Latencies {
+	return Latencies{hdrhistogram.New(1, maxLatencyMicros, 3), hdrhistogram.New(1, maxLatencyMicros, 3), 0}
 }
 
 // record takes a time in; whatever is out of the histogram's bounds counts as its ends.
-func record(h *hdrhistogram.Histogram, ns int64) {
-	_ = h.RecordValue(min(timesMost, max(1, ns/int64(time.Microsecond))))
+func recordLatency(h *hdrhistogram.Histogram, ns int64) {
+	_ = h.RecordValue(min(maxLatencyMicros, max(1, ns/int64(time.Microsecond))))
 }
 
 // byNode sorts marks.
-func byNode(marks []Mark) map[int][]Mark {
-	all := map[int][]Mark{}
-	for _, m := range marks {
-		all[m.Node] = append(all[m.Node], m)
+func groupByNode(events []NodeEvent) map[int][]NodeEvent {
+	grouped := map[int][]NodeEvent{}
+	for _, event := range events {
+		grouped[event.Node] = append(grouped[event.Node], event)
 	}
-	for _, ms := range all {
-		slices.SortStableFunc(ms, func(a, b Mark) int { return int(a.At - b.At) })
+	for _, nodeEvents := range grouped {
+		slices.SortStableFunc(nodeEvents, func(a, b NodeEvent) int { return int(a.BootTimeNs - b.BootTimeNs) })
 	}
-	return all
+	return grouped
 }
 
-const downBefore = int64(4 * time.Second) // before it starts a node may have been on its way out
+const maxShutdownNs = int64(4 * time.Second) // before it starts a node may have been on its way out
 
 // inForce measures from each change to the first mark of it at each of these nodes. A node that was down at that moment is left
 // out: the time of a start is measured by itself.
-func inForce(changes []Change, of map[int][]Mark, nodes []int, what string, within time.Duration) Times {
-	t := newTimes()
+func changeLatencies(changes []AppliedChange, eventsByNode map[int][]NodeEvent, nodes []int, kind string, timeout time.Duration) Latencies {
+	latencies := newLatencies()
 	for _, c := range changes {
-		last := int64(0)
+		lastNs := int64(0)
 		for _, n := range nodes {
-			if wasDown(of[n], c.At, what) {
+			if wasDown(eventsByNode[n], c.BootTimeNs, kind) {
 				continue
 			}
-			at := slices.IndexFunc(of[n], func(m Mark) bool { return m.What == what && m.At >= c.At && m.N >= c.N })
-			if at < 0 || of[n][at].At-c.At > int64(within) {
-				t.Missing++
+			index := slices.IndexFunc(eventsByNode[n], func(event NodeEvent) bool {
+				return event.Kind == kind && event.BootTimeNs >= c.BootTimeNs && event.Value >= c.MinValue
+			})
+			if index < 0 || eventsByNode[n][index].BootTimeNs-c.BootTimeNs > int64(timeout) {
+				latencies.Missing++
 				continue
 			}
-			took := of[n][at].At - c.At
-			record(t.Each, took)
-			last = max(last, took)
+			latencyNs := eventsByNode[n][index].BootTimeNs - c.BootTimeNs
+			recordLatency(latencies.PerNode, latencyNs)
+			lastNs = max(lastNs, latencyNs)
 		}
-		if last > 0 {
-			record(t.Last, last)
+		if lastNs > 0 {
+			recordLatency(latencies.LastNode, lastNs)
 		}
 	}
-	return t
+	return latencies
 }
 
 // wasDown says whether a node had not yet come, or was on its way out, at a time.
-func wasDown(marks []Mark, at int64, what string) bool {
-	for i, m := range marks {
-		if m.What != markStart {
+func wasDown(events []NodeEvent, timeNs int64, kind string) bool {
+	for i, started := range events {
+		if started.Kind != eventStart {
 			continue
 		}
-		up := slices.IndexFunc(marks[i:], func(u Mark) bool { return u.What == what })
-		if at >= m.At-downBefore && (up < 0 || at <= marks[i+up].At) {
+		upOffset := slices.IndexFunc(events[i:], func(event NodeEvent) bool { return event.Kind == kind })
+		if timeNs >= started.BootTimeNs-maxShutdownNs && (upOffset < 0 || timeNs <= events[i+upOffset].BootTimeNs) {
 			return true
 		}
 	}
@@ -106,39 +108,39 @@
 }
 
 // sinceStart measures from each start after a time to the node's first mark of something.
-func sinceStart(of map[int][]Mark, nodes []int, from int64, what string, within time.Duration) Times {
-	t := newTimes()
-	last := int64(0)
+func startLatencies(eventsByNode map[int][]NodeEvent, nodes []int, sinceNs int64, kind string, timeout time.Duration) Latencies {
+	latencies := newLatencies()
+	lastNs := int64(0)
 	for _, n := range nodes {
-		for i, m := range of[n] {
-			if m.What != markStart || m.At < from {
+		for i, started := range eventsByNode[n] {
+			if started.Kind != eventStart || started.BootTimeNs < sinceNs {
 				continue
 			}
-			at := slices.IndexFunc(of[n][i:], func(u Mark) bool { return u.What == what })
-			if at < 0 || of[n][i+at].At-m.At > int64(within) {
-				t.Missing++
+			offset := slices.IndexFunc(eventsByNode[n][i:], func(event NodeEvent) bool { return event.Kind == kind })
+			if offset < 0 || eventsByNode[n][i+offset].BootTimeNs-started.BootTimeNs > int64(timeout) {
+				latencies.Missing++
 				continue
 			}
-			took := of[n][i+at].At - m.At
-			record(t.Each, took)
-			last = max(last, took)
+			latencyNs := eventsByNode[n][i+offset].BootTimeNs - started.BootTimeNs
+			recordLatency(latencies.PerNode, latencyNs)
+			lastNs = max(lastNs, latencyNs)
 		}
 	}
-	if last > 0 {
-		record(t.Last, last)
+	if lastNs > 0 {
+		recordLatency(latencies.LastNode, lastNs)
 	}
-	return t
+	return latencies
 }
 
 // renewed measures to the first renewal, or grant, whose asking was sent after a time.
-func renewed(of map[int][]Mark, nodes []int, from int64, within time.Duration) Times {
-	var marks = map[int][]Mark{}
+func renewalLatencies(eventsByNode map[int][]NodeEvent, nodes []int, sinceNs int64, timeout time.Duration) Latencies {
+	var renewals = map[int][]NodeEvent{}
 	for _, n := range nodes {
-		for _, m := range of[n] {
-			if (m.What == markRenews || m.What == markHeld) && m.At-m.N >= from {
-				marks[n] = append(marks[n], Mark{n, markRenews, m.At, 0})
+		for _, event := range eventsByNode[n] {
+			if (event.Kind == eventLeaseRenewed || event.Kind == eventLeaseAcquired) && event.BootTimeNs-event.Value >= sinceNs {
+				renewals[n] = append(renewals[n], NodeEvent{n, eventLeaseRenewed, event.BootTimeNs, 0})
 			}
 		}
 	}
-	return inForce([]Change{{At: from}}, marks, nodes, markRenews, within)
+	return changeLatencies([]AppliedChange{{BootTimeNs: sinceNs}}, renewals, nodes, eventLeaseRenewed, timeout)
 }
