--- a/cmd/thistlerudder/scaletest_on.go
+++ b/cmd/thistlerudder/scaletest_on.go
@@ -17,29 +17,29 @@
 	"github.com/thistlerudder/thistlerudder/internal/scaletest"
 )
 
-// trialScale plays the control work of a large fleet.
+// trialScale returns the command that runs the scale test, or fits lines to its measurements.
 func trialScale() *cobra.Command {
-	command := &cobra.Command{Use: "scale", Args: cobra.NoArgs, Short: "Play the control work of a large fleet, and say what it costs: docs/scale.md"}
+	command := &cobra.Command{Use: "scale", Args: cobra.NoArgs, Short: "Run the control plane of a large cluster and measure its cost (docs/scale.md)"}
 	plan := scaletest.Plan{}
 	flags := command.Flags()
 	flags.IntVar(&plan.HollowNodes, "nodes", 100, "hollow nodes")
-	flags.IntVar(&plan.RealNodes, "real", 2, "real nodes beside them, which serve lookups")
+	flags.IntVar(&plan.RealNodes, "real", 2, "number of real nodes, which serve lookups")
 	flags.IntVar(&plan.CacheServers, "servers", 30, "cache servers on the list")
-	flags.DurationVar(&plan.PhaseDuration, "for", 30*time.Second, "of peace, and of churn")
-	flags.Uint64Var(&plan.Seed, "seed", 1, "of chance")
-	flags.Float64Var(&plan.ChurnFactor, "faster", 100, "how much faster than the operators' whole fleet's churn is")
-	flags.DurationVar(&plan.PartitionDuration, "cut", time.Minute, "for which a region is cut off")
+	flags.DurationVar(&plan.PhaseDuration, "for", 30*time.Second, "duration of the phase without churn, and of the phase with churn")
+	flags.Uint64Var(&plan.Seed, "seed", 1, "seed of the random number generators")
+	flags.Float64Var(&plan.ChurnFactor, "faster", 100, "rate of churn, as a multiple of the rate of the operators' whole fleet")
+	flags.DurationVar(&plan.PartitionDuration, "cut", time.Minute, "how long a region is cut off")
 	flags.IntVar(&plan.ConfigFileKB, "file", 4, "KB of each node's configuration")
-	flags.BoolVar(&plan.NoLoad, "quiet", false, "no lookups and no demand: hollow and real nodes then do the same")
-	scenarios := flags.String("what", "list,lease,budget,configuration", "some of "+strings.Join(scaletest.AllScenarios, ","))
-	outputPath := flags.String("out", "", "a file to add the points to, CSV")
-	measurementsPath := flags.String("fit", "", "play nothing: fit the points of this file by least squares")
-	fitVariable := flags.String("by", "nodes", "what the fit goes over: nodes or servers")
-	predictedSize := flags.Float64("at", 19_000, "the size that the fit is to tell of")
-	phase := flags.String("phase", "", "of the fit, only what was measured in this one")
+	flags.BoolVar(&plan.NoLoad, "quiet", false, "no lookups and no demand for the budget, so that hollow and real nodes do the same work")
+	scenarios := flags.String("what", "list,lease,budget,configuration", "comma-separated list of scenarios, some of "+strings.Join(scaletest.AllScenarios, ","))
+	outputPath := flags.String("out", "", "CSV file to append the measurements to")
+	measurementsPath := flags.String("fit", "", "instead of a run, fit lines to the measurements in this CSV file by least squares")
+	fitVariable := flags.String("by", "nodes", "size to fit over: nodes or servers")
+	predictionSize := flags.Float64("at", 19_000, "size for which the fitted lines predict values")
+	phase := flags.String("phase", "", "fit only the measurements of this phase")
 	command.RunE = func(cmd *cobra.Command, _ []string) (err error) {
 		if *measurementsPath != "" {
-			return printFit(cmd, *measurementsPath, *fitVariable, *phase, *predictedSize)
+			return printFit(cmd, *measurementsPath, *fitVariable, *phase, *predictionSize)
 		}
 		if plan.Scenarios, err = scaletest.ParseScenarios(*scenarios); err != nil {
 			return err
@@ -57,17 +57,17 @@
 			cmd.PrintErrln(bound)
 		}
 		if err == nil && report.VoidReason != "" {
-			return fmt.Errorf("void: %s, so the %d things that broke their bound show nothing", report.VoidReason, len(report.ExceededBounds))
+			return fmt.Errorf("void: %s; the %d exceeded bounds show nothing about the program", report.VoidReason, len(report.ExceededBounds))
 		}
 		if err == nil && len(report.ExceededBounds) > 0 {
-			return fmt.Errorf("%d things broke their bound", len(report.ExceededBounds))
+			return fmt.Errorf("%d bounds were exceeded", len(report.ExceededBounds))
 		}
 		return err
 	}
 	return command
 }
 
-// added writes points behind those of a file.
+// appendMeasurements appends measurements to a CSV file, and creates it if it does not exist.
 func appendMeasurements(path string, measurements []scaletest.Measurement) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -80,8 +80,8 @@
 	return errors.Join(err, f.Close())
 }
 
-// fitted prints a line through each figure of a file, and what it tells of a size.
-func printFit(cmd *cobra.Command, path, variable, phase string, predictedSize float64) error {
+// printFit prints a table of the lines fitted to the metrics of a file, and of the values that they predict for a size.
+func printFit(cmd *cobra.Command, path, variable, phase string, predictionSize float64) error {
 	if variable != "nodes" && variable != "servers" {
 		return fmt.Errorf("by: expected nodes or servers, not %q", variable)
 	}
@@ -94,7 +94,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "| phase | role | what | measured at %s | base | slope | R² | residuals | at %g |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", variable, predictedSize)
+	fmt.Fprintf(cmd.OutOrStdout(), "| phase | role | what | measured at %s | base | slope | R² | residuals | at %g |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", variable, predictionSize)
 	for _, line := range scaletest.FitLines(measurements, variable == "servers") {
 		if phase != "" && line.Phase != phase {
 			continue
@@ -105,17 +105,17 @@
 			residuals = append(residuals, fmt.Sprintf("%.2g", line.Residuals[i]))
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "| %s | %s | %s | %s | %.4g | %.4g | %.3f | %s | %.4g |\n", line.Phase, line.Role, line.Metric, strings.Join(values, ", "), line.Intercept,
-			line.Slope, line.R2, strings.Join(residuals, ", "), line.Predict(predictedSize))
+			line.Slope, line.R2, strings.Join(residuals, ", "), line.Predict(predictionSize))
 	}
 	return nil
 }
 
-// hollowNodes runs them for a run at scale.
+// hollowNodes returns the command of a child process that runs hollow nodes for the scale test.
 func hollowNodes() *cobra.Command {
-	command := &cobra.Command{Use: "hollow", Args: cobra.NoArgs, Hidden: true, Short: "Run hollow nodes by orders from standard input"}
+	command := &cobra.Command{Use: "hollow", Args: cobra.NoArgs, Hidden: true, Short: "Run hollow nodes as commands on standard input request"}
 	flags := command.Flags()
-	dir, name := flags.String("folder", "", "where their files are"), flags.String("name", "", "of this process")
-	noLoad, seed := flags.Bool("quiet", false, "without demand"), flags.Uint64("seed", 1, "of chance")
+	dir, name := flags.String("folder", "", "folder of the nodes' configuration files"), flags.String("name", "", "of this process")
+	noLoad, seed := flags.Bool("quiet", false, "no demand for the budget"), flags.Uint64("seed", 1, "seed of the random number generators")
 	command.RunE = func(*cobra.Command, []string) error {
 		return runChild(func(ctx context.Context) error {
 			return scaletest.RunHollowNodes(ctx, os.Stdin, os.Stdout, *dir, *name, *noLoad, *seed)
@@ -124,17 +124,17 @@
 	return command
 }
 
-// directory runs the stand-in of the discovery service for a run at scale.
+// directory returns the command of a child process that simulates the discovery service for the scale test.
 func directory() *cobra.Command {
-	command := &cobra.Command{Use: "directory", Args: cobra.NoArgs, Hidden: true, Short: "Stand in for discovery by orders from standard input"}
-	address := command.Flags().String("address", "", "where to listen")
+	command := &cobra.Command{Use: "directory", Args: cobra.NoArgs, Hidden: true, Short: "Simulate the discovery service as commands on standard input request"}
+	address := command.Flags().String("address", "", "address to listen on")
 	command.RunE = func(*cobra.Command, []string) error {
 		return runChild(func(ctx context.Context) error { return scaletest.RunDiscovery(ctx, os.Stdin, os.Stdout, *address) })
 	}
 	return command
 }
 
-// child runs a process of a run's own, which ends with the run.
+// runChild runs a child process of the scale test until it ends or gets SIGINT or SIGTERM.
 func runChild(run func(context.Context) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Entry is a machine on the list, in the discovery service's form, with its place beside.
+// Entry is a server of the endpoint list in the discovery service's JSON format, with its region and zone.
 type Entry struct {
 	ID        string  `json:"id"`
 	Address   string  `json:"addr"`
@@ -20,7 +20,7 @@
 	Zone      string  `json:"zone"`
 }
 
-// page is an answer.
+// listResponse is the body of a response: the full list, or the entries changed since the requested version.
 type listResponse struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
@@ -28,32 +28,33 @@
 }
 
 const (
-	maxKeptVersions = 1024 // who asks from before them is told all
+	maxKeptVersions = 1024 // a client with an older version gets the full list
 	maxHold         = 20 * time.Second
 )
 
-// Calls counts what was asked of the stand-in.
+// CallCounts counts the responses of a DiscoveryServer by type.
 type CallCounts struct {
 	FullLists int64 `json:"Whole"`
 	Changes   int64 `json:"Changes"`
 	Empty     int64 `json:"Empty"`
 }
 
-// Directory stands in for the discovery service: it gives the list whole, or holds a call until there are changes since a
-// version and gives these. An answer's text is made once for all who wait for the same.
+// DiscoveryServer simulates the discovery service. A request without a version gets the full list. A request with a version is
+// held until entries have changed since that version (long polling), and gets the changed entries. Each response body is encoded
+// once for all clients that request the same.
 type DiscoveryServer struct {
 	mu             sync.Mutex
 	version        int64
 	entries        map[string]Entry
 	ids            []string
-	changedIDs     [][]string // ids by version, the latest last
-	encodedList    []byte     // of this version, nil: not made yet
-	encodedChanges map[int64][]byte
-	nextChange     chan struct{} // closed with the next change
+	changedIDs     [][]string       // ids of the entries that each version changed, the latest version last
+	encodedList    []byte           // full list at this version, nil: not encoded yet
+	encodedChanges map[int64][]byte // by the version that the client has
+	nextChange     chan struct{}    // closed at the next change
 	callCounts     CallCounts
 }
 
-// NewDirectory makes one.
+// NewDiscoveryServer returns a server whose list has the given entries in this order.
 func NewDiscoveryServer(entries []Entry) *DiscoveryServer {
 	d := &DiscoveryServer{version: 1, entries: map[string]Entry{}, nextChange: make(chan struct{}), encodedChanges: map[int64][]byte{}}
 	for _, e := range entries {
@@ -63,7 +64,7 @@
 	return d
 }
 
-// Change changes entries that are known, as one version, and tells which.
+// ChangeEntries replaces entries by their ids, as one version, and returns that version. It ignores unknown ids.
 func (d *DiscoveryServer) ChangeEntries(entries []Entry) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,14 +85,14 @@
 	return d.version
 }
 
-// Calls tells what was asked so far.
+// CallCounts returns the number of responses so far.
 func (d *DiscoveryServer) CallCounts() CallCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.callCounts
 }
 
-// all gives the whole list's text. Called with the lock held.
+// fullList returns the encoded full list. The caller holds d.mu.
 func (d *DiscoveryServer) fullList() []byte {
 	d.callCounts.FullLists++
 	if d.encodedList == nil {
@@ -101,18 +102,18 @@
 				list.Servers = append(list.Servers, e)
 			}
 		}
-		d.encodedList = encode(list)
+		d.encodedList = encodeJSON(list)
 	}
 	return d.encodedList
 }
 
-// news gives the text of what has changed since a version; nil: nothing has. Called with the lock held.
+// changesSince returns the encoded changes since a version, or nil if there are none. The caller holds d.mu.
 func (d *DiscoveryServer) changesSince(version int64) []byte {
 	versionsBehind := int(d.version - version)
 	switch {
 	case versionsBehind == 0:
 		return nil
-	case versionsBehind < 0 || versionsBehind > len(d.changedIDs): // of another run of the service, or too old
+	case versionsBehind < 0 || versionsBehind > len(d.changedIDs): // the version is from another run of the service, or too old
 		return d.fullList()
 	}
 	d.callCounts.Changes++
@@ -126,17 +127,19 @@
 				}
 			}
 		}
-		d.encodedChanges[version] = encode(changes)
+		d.encodedChanges[version] = encodeJSON(changes)
 	}
 	return d.encodedChanges[version]
 }
 
-func encode(list listResponse) []byte {
+func encodeJSON(list listResponse) []byte {
 	var b bytes.Buffer
 	_ = json.NewEncoder(&b).Encode(list)
 	return b.Bytes()
 }
 
+// ServeHTTP returns the endpoint list, or its changes since the version in the query parameter from. It waits for a change for
+// at most hold_ms.
 func (d *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	version, err := strconv.ParseInt(q.Get("from"), 10, 64)
@@ -154,7 +157,7 @@
 			nextChange := d.nextChange
 			if body = d.changesSince(version); body == nil && holdExpired {
 				d.callCounts.Empty++
-				body = encode(listResponse{Version: d.version, Servers: []Entry{}})
+				body = encodeJSON(listResponse{Version: d.version, Servers: []Entry{}})
 			}
 			d.mu.Unlock()
 			if body != nil {
--- a/internal/scaletest/events.go
+++ b/internal/scaletest/events.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// The operators' rates, of their whole fleet.
+// The size of the operators' whole fleet, and the rates of changes in it.
 const (
 	fleetNodes           = 19_000
 	fleetServers         = 5_700
-	machineChangesPerDay = 26 + 2_100 // machines that fail, and those that are restarted or replaced
-	configChangesPerDay  = 12_000     // of configuration
+	machineChangesPerDay = 26 + 2_100 // machines that fail, plus machines that are restarted or replaced
+	configChangesPerDay  = 12_000
 	day                  = 24 * time.Hour
 )
 
-// In peace the same work is done at each size, so that sizes can be set beside one another.
+// Timing of the phases. Without churn, the rate of changes is the same for each fleet size, so that results of different sizes can
+// be compared.
 const (
-	entryChangeInterval  = time.Second               // an entry changes
-	configChangeInterval = day / configChangesPerDay // of configuration, as the operators have it, and of a budget's whole
-	settleDuration       = 4 * time.Second           // until a lease's length has passed since the last node came
-	maxPropagation       = 11 * time.Second          // in which what changed has to be in force at the last node; the operators' bound
-	maxRecovery          = 60 * time.Second          // after a loss
-	outageDuration       = 5 * time.Second           // until what was lost comes back
-	demandShiftInterval  = 6 * time.Second           // demand moves to other nodes
-	phaseEndMargin       = 1500 * time.Millisecond   // after the last change of a phase
+	entryChangeInterval  = time.Second               // in the phase without churn
+	configChangeInterval = day / configChangesPerDay // the operators' rate, also used for changes of the budget's limit
+	settleDuration       = 4 * time.Second           // longer than a lease, so that each node has renewed its lease since the start
+	maxPropagation       = 11 * time.Second          // the operators' bound on the time until a change is in force at the last node
+	maxRecovery          = 60 * time.Second          // until all nodes are back after a loss
+	outageDuration       = 5 * time.Second           // until lost machines, or the discovery service, come back
+	demandShiftInterval  = 6 * time.Second           // how often high demand moves to other nodes
+	phaseEndMargin       = 1500 * time.Millisecond   // no changes at the end of a phase, so that the last one can come into force
 )
 
-// What an event changes.
+// Kinds of scheduled changes.
 const (
 	changeEntry  = "entry"
 	restartNode  = "node"
@@ -35,19 +36,19 @@
 	changeBudget = "whole"
 )
 
-// Event is one change.
+// ScheduledChange is a change that a phase applies.
 type ScheduledChange struct {
-	Offset time.Duration // from the start of its phase
+	Offset time.Duration // from the start of the phase
 	Kind   string
-	Index  int // of the entry or node
+	Index  int // number of the entry or node
 }
 
-// Ratio gives how much faster than the operators' a rate of changes of list entries is.
+// EntryChangeFactor returns how many times more often list entries change at this interval than in the operators' whole fleet.
 func EntryChangeFactor(interval time.Duration) float64 {
 	return float64(day) / float64(interval) / (machineChangesPerDay * fleetServers / float64(fleetServers+fleetNodes))
 }
 
-// peace gives the events of a quiet time.
+// steadyChanges returns the changes of a phase without churn, by offset.
 func (p *Plan) steadyChanges() (changes []ScheduledChange) {
 	rnd := rand.New(rand.NewPCG(p.Seed, 1))
 	changes = p.periodicChanges()
@@ -57,11 +58,12 @@
 	return sortByOffset(changes)
 }
 
-// churn gives those of ordinary churn, made faster: of the whole fleet, whatever part of it is played.
+// churnChanges returns the changes of a phase with churn, by offset. Their rate is the operators' rate times ChurnFactor. It is the
+// rate of the whole fleet, even if the run has fewer nodes.
 func (p *Plan) churnChanges() (changes []ScheduledChange) {
 	rnd := rand.New(rand.NewPCG(p.Seed, 2))
 	changes = p.periodicChanges()
-	changesPerSecond := p.ChurnFactor * machineChangesPerDay / day.Seconds() // a second
+	changesPerSecond := p.ChurnFactor * machineChangesPerDay / day.Seconds() // the rate of the whole fleet
 	for seconds := 0.0; ; {
 		seconds += rnd.ExpFloat64() / changesPerSecond
 		change := ScheduledChange{Offset: time.Duration(seconds * float64(time.Second)), Kind: restartNode}
@@ -77,10 +79,11 @@
 	}
 }
 
-// changing gives how many entries change, the first ones: were all cache servers cold at once, lookups would be deferred.
+// changingEntries returns how many of the first entries may change. If all cache servers were cold at once, lookups would be
+// deferred.
 func (p *Plan) changingEntries() int { return max(1, p.CacheServers/4) }
 
-// regular gives the changes that come at the operators' own rate.
+// periodicChanges returns the changes of configuration and budget, at the operators' own rate.
 func (p *Plan) periodicChanges() (changes []ScheduledChange) {
 	for offset := time.Duration(0); offset < p.PhaseDuration-phaseEndMargin; offset += configChangeInterval {
 		if p.Includes(ScenarioConfiguration) {
@@ -98,9 +101,9 @@
 	return changes
 }
 
-// Longest bounds a whole run in time: each phase ends by itself, or with an error.
+// MaxDuration returns an upper bound on the duration of the whole run. Each phase is expected to end earlier.
 func (p *Plan) MaxDuration() time.Duration {
-	total := 2*time.Minute + settleDuration + p.PhaseDuration + maxPropagation // the start, and peace
+	total := 2*time.Minute + settleDuration + p.PhaseDuration + maxPropagation // the start, and the phase without churn
 	for _, scenario := range p.Scenarios {
 		switch scenario {
 		case ScenarioChurn:
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -9,17 +9,17 @@
 	"strconv"
 )
 
-// Point is one figure of a run.
+// Measurement is a value that a run measured.
 type Measurement struct {
 	HollowNodes, RealNodes, CacheServers int
 	Seed                                 uint64
-	Phase, Role, Metric                  string // what it tells, with its unit
+	Phase, Role, Metric                  string // Metric includes the unit
 	Value                                float64
 }
 
 var columns = []string{"nodes", "real", "servers", "seed", "phase", "role", "what", "value"}
 
-// Write adds points to a file, with a line of headings where it is new.
+// WriteMeasurements writes measurements as CSV, after a header row if withHeader is set.
 func WriteMeasurements(w io.Writer, measurements []Measurement, withHeader bool) error {
 	c := csv.NewWriter(w)
 	if withHeader {
@@ -33,7 +33,7 @@
 	return c.Error()
 }
 
-// ReadPoints reads what Write wrote.
+// ReadMeasurements reads the output of WriteMeasurements.
 func ReadMeasurements(r io.Reader) (measurements []Measurement, err error) {
 	c := csv.NewReader(r)
 	c.FieldsPerRecord = len(columns)
@@ -59,20 +59,21 @@
 	return measurements, err
 }
 
-// Line is a straight line through points, by least squares.
+// FittedLine is a line fitted to the values of a metric by least squares.
 type FittedLine struct {
 	Phase, Role, Metric string
-	Sizes               []float64 // sizes, and the figures there
+	Sizes               []float64 // the numbers of nodes or servers at which Values were measured
 	Values              []float64
 	Intercept, Slope    float64
-	Residuals           []float64 // what was measured less the line
-	R2                  float64   // share of the values' spread that the line explains; 1 where they have none
+	Residuals           []float64 // measured values minus predicted values
+	R2                  float64   // coefficient of determination; 1 if all values are equal
 }
 
-// Value gives the line's at a size.
+// Predict returns the line's value at a size.
 func (l *FittedLine) Predict(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// Worst gives the largest residual as a share of what was measured there, or of the largest value where that is 0.
+// WorstRelativeResidual returns the largest residual relative to the measured value, or relative to the largest value if the
+// measured value is 0.
 func (l *FittedLine) WorstRelativeResidual() (worst float64) {
 	for i, r := range l.Residuals {
 		reference := math.Abs(l.Values[i])
@@ -88,7 +89,7 @@
 	return worst
 }
 
-// leastSquares fits values at sizes.
+// leastSquares fits a line to the values measured at the sizes.
 func leastSquares(sizes, values []float64) (intercept, slope float64, residuals []float64, r2 float64) {
 	n, meanSize, meanValue := float64(len(sizes)), 0.0, 0.0
 	for i := range sizes {
@@ -117,8 +118,8 @@
 	return intercept, slope, residuals, r2
 }
 
-// Lines fits each figure over the nodes, or over the servers, whose points may be in any order. What has fewer than three sizes
-// has no line.
+// FitLines fits a line to each metric of each phase and role, over the number of hollow nodes or of cache servers. The measurements
+// may be in any order. Metrics measured at fewer than three sizes are left out.
 func FitLines(measurements []Measurement, byServers bool) (lines []FittedLine) {
 	measurements = slices.Clone(measurements)
 	slices.SortStableFunc(measurements, func(a, b Measurement) int {
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -37,7 +37,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// order is what a run tells a process of its own, one line each; reply is a line back.
+// command is a request of a run to one of its child processes, a line of JSON on the child's standard input.
 type command struct {
 	Name    string  `json:"Do"`
 	Nodes   []int   `json:"Nodes,omitempty"`
@@ -45,16 +45,17 @@
 	Ms      int64   `json:"Ms,omitempty"`
 }
 
+// response is the child's response to a command, a line of JSON on its standard output.
 type response struct {
 	Error      string        `json:"Err,omitempty"`
-	BootTimeNs int64         `json:"At,omitempty"` // by the boot clock
+	BootTimeNs int64         `json:"At,omitempty"`
 	Version    int64         `json:"Version,omitempty"`
 	NodeEvents []NodeEvent   `json:"Marks,omitempty"`
 	Usage      *faults.Usage `json:"Used,omitempty"`
 	CallCounts *CallCounts   `json:"Calls,omitempty"`
 }
 
-// obey answers orders until there are no more: a process whose run has ended ends too.
+// serveCommands handles commands until the end of the input. The input ends with the run, so that a child process ends with its run.
 func serveCommands(in io.Reader, out io.Writer, handle func(command) response) error {
 	lines := bufio.NewReader(in)
 	encoder := json.NewEncoder(out)
@@ -77,13 +78,13 @@
 }
 
 const (
-	gcPercent         = 300 // as a node sets it for itself
-	lowDemandRate     = 5.0 // acts a second that most nodes want of the budget,
-	highDemandRate    = 50.0
-	highDemandDivisor = 10 // and one in so many wants
+	gcPercent         = 300  // the value that a real node sets
+	lowDemandRate     = 5.0  // requests per second under the budget at most nodes
+	highDemandRate    = 50.0 // requests per second at the other nodes
+	highDemandDivisor = 10   // one node in so many has high demand
 )
 
-// host runs hollow nodes.
+// host runs the hollow nodes of one process.
 type host struct {
 	dir     string
 	noLoad  bool
@@ -95,15 +96,17 @@
 	nodeEvents []NodeEvent
 }
 
+// hollowNode is a running hollow node.
 type hollowNode struct {
 	signals chan os.Signal
 	stop    context.CancelFunc
-	done    chan struct{}
+	done    chan struct{} // closed when the node has ended
 }
 
-// Host runs hollow nodes by the orders that come in. Their files lie in the folder.
+// RunHollowNodes runs hollow nodes as the commands from in request, until in ends or ctx is done. dir has the nodes' configuration
+// files. name names the log file in dir.
 func RunHollowNodes(ctx context.Context, in io.Reader, out io.Writer, dir, name string, noLoad bool, seed uint64) error {
-	runtime.GOMAXPROCS(1) // as nodes of one core have it
+	runtime.GOMAXPROCS(1) // the nodes are configured with one core
 	debug.SetGCPercent(gcPercent)
 	file, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -146,7 +149,7 @@
 		for _, node := range h.nodes {
 			select {
 			case node.signals <- syscall.SIGHUP:
-			default: // one is enough
+			default: // a reload is pending already
 			}
 		}
 		h.mu.Unlock()
@@ -160,7 +163,7 @@
 		usage := faults.Used()
 		answer.Usage = &usage
 	default:
-		answer.Error = "unknown order " + c.Name
+		answer.Error = "unknown command " + c.Name
 	}
 	return answer
 }
@@ -174,7 +177,7 @@
 	return numbers
 }
 
-// start starts a node as a process of its own would.
+// start starts a node from its configuration file, as a separate process would.
 func (h *host) start(n int) error {
 	h.addEvent(NodeEvent{Node: n, Kind: eventStart})
 	nodeConfig, err := config.Read(filepath.Join(h.dir, hollowConfigFile(n)))
@@ -196,7 +199,7 @@
 	return nil
 }
 
-// leave ends nodes well.
+// shutDown shuts nodes down gracefully and waits until they have ended.
 func (h *host) shutDown(nodes []int) {
 	var done []chan struct{}
 	h.mu.Lock()
@@ -220,7 +223,7 @@
 	h.nodeEvents = append(h.nodeEvents, event)
 }
 
-// heard takes marks from what a node logs once it is done.
+// eventCore is a zap core that turns log messages of a node into events.
 type eventCore struct {
 	host *host
 	node int
@@ -236,7 +239,7 @@
 	return checked
 }
 
-// markOf gives the mark of a log line.
+// eventKindsByMessage maps log messages to kinds of events.
 var eventKindsByMessage = map[string]string{"endpoint list updated": eventListInForce, "configuration reloaded": eventConfigInForce, "a lease is lost": eventLeaseLost}
 
 func (c *eventCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
@@ -250,7 +253,7 @@
 	return nil
 }
 
-// asked is told of each asking for the lease of a node's name.
+// traceLeaseRequest observes a request for the lease of a node's name. The function that it returns records the outcome.
 func (h *host) traceLeaseRequest(request lease.Request) func(lease.Response, error) {
 	n, err := strconv.Atoi(strings.TrimPrefix(request.Holder.Name, hollowNodePrefix))
 	if err != nil || request.Operation != lease.OpAcquire && request.Operation != lease.OpRenew {
@@ -273,6 +276,7 @@
 	}
 }
 
+// traceQuotas records that a node received quotas.
 func (h *host) traceQuotas(name string, updates []budget.QuotaUpdate) {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, hollowNodePrefix))
 	for _, update := range updates {
@@ -282,7 +286,7 @@
 	}
 }
 
-// demanding stands in for the lookups that a hollow node doesn't take: it wants as much of the budget as lookups would.
+// loadedNode simulates the demand of lookups, which a hollow node does not accept, on its quota of the budget.
 type loadedNode struct {
 	cluster.LocalNode
 	host     *host
@@ -292,6 +296,7 @@
 	lastCall time.Time
 }
 
+// SetQuota applies a quota and adds the simulated demand since the last call to the usage that it returns.
 func (l *loadedNode) SetQuota(limit routing.Limit, partner string, quota allowance.Quota, duration, cutoffMargin time.Duration) allowance.Usage {
 	usage := l.LocalNode.SetQuota(limit, partner, quota, duration, cutoffMargin)
 	l.mu.Lock()
@@ -306,7 +311,8 @@
 	return usage.Max(allowance.Usage{Wanted: wanted, Done: min(wanted, quota.Rate*seconds)})
 }
 
-// demandOf is by chance, and moves.
+// demandRate returns the demand of a node in requests per second. Which nodes have high demand is pseudo-random, and changes every
+// demandShiftInterval.
 func demandRate(seed uint64, node int, at time.Time) float64 {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, seed, node, at.Unix()/int64(demandShiftInterval/time.Second))
@@ -316,7 +322,7 @@
 	return lowDemandRate
 }
 
-// Serve runs the stand-in of the discovery service by the orders that come in.
+// RunDiscovery runs the simulated discovery service on an address as the commands from in request, until in ends or ctx is done.
 func RunDiscovery(ctx context.Context, in io.Reader, out io.Writer, address string) error {
 	runtime.GOMAXPROCS(2)
 	var discovery *DiscoveryServer
@@ -350,7 +356,7 @@
 				usage, counts := faults.Used(), discovery.CallCounts()
 				answer.Usage, answer.CallCounts = &usage, &counts
 			default:
-				err = errors.New("unknown order " + c.Name)
+				err = errors.New("unknown command " + c.Name)
 			}
 			if err != nil {
 				answer.Error = err.Error()
@@ -366,9 +372,10 @@
 	}
 }
 
-// listener counts what goes over its connections.
+// countingListener counts the traffic of its connections.
 type countingListener struct{ net.Listener }
 
+// Accept waits for the next connection and counts its traffic as that of the endpoint list.
 func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -27,16 +27,16 @@
 const (
 	replyTimeout        = 30 * time.Second
 	startStopTimeout    = 10 * time.Second
-	firstRealNodeNumber = 1_000_000 // what real nodes' numbers begin with, beside those of hollow ones
+	firstRealNodeNumber = 1_000_000 // above all hollow nodes' numbers
 )
 
-// process is one that a run has started: a host of hollow nodes, the stand-in of discovery, or a node of its own.
+// process is a child process of a run: a host of hollow nodes, the simulated discovery service, a voter or a real node.
 type process struct {
 	name            string
 	dir             string
 	args            []string
-	acceptsCommands bool // it is told by lines; else by signals
-	nodes           []int
+	acceptsCommands bool  // over stdin; the other processes are controlled by signals
+	nodes           []int // hollow nodes that it hosts
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -45,7 +45,7 @@
 	ended  chan struct{}
 }
 
-// start starts it, or its next.
+// start starts the process. It may be called again after the process has ended.
 func (p *process) start(program string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,7 +57,7 @@
 	cmd := exec.Command(program, p.args...)
 	cmd.Env = append(os.Environ(), "TMPDIR="+p.dir, faults.UsageVariable+"="+p.usagePath())
 	cmd.Stderr = log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // it ends with us, but not by the terminal's own signal
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // the child dies with this process, but does not get the terminal's signals
 	if p.acceptsCommands {
 		stdin, err1 := cmd.StdinPipe()
 		stdout, err2 := cmd.StdoutPipe()
@@ -72,7 +72,7 @@
 	ended := make(chan struct{})
 	p.cmd, p.ended = cmd, ended
 	go func() {
-		if p.acceptsCommands { // the pipe is read to its end by who waits for a reply; Wait would close it under them
+		if p.acceptsCommands { // cmd.Wait would close the pipe while send still reads a response from it
 			_, _ = cmd.Process.Wait()
 		} else {
 			_ = cmd.Wait()
@@ -84,7 +84,7 @@
 
 func (p *process) usagePath() string { return filepath.Join(p.dir, p.name+".usage") }
 
-// tell gives an order, and waits for the reply.
+// send sends a command and waits for the response.
 func (p *process) send(c command) (received response, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +92,7 @@
 	if err != nil {
 		return received, err
 	}
-	killTimer := time.AfterFunc(replyTimeout, func() { _ = p.cmd.Process.Kill() }) // its end is then what ends the read below
+	killTimer := time.AfterFunc(replyTimeout, func() { _ = p.cmd.Process.Kill() }) // the end of the process then ends the read below
 	defer killTimer.Stop()
 	if _, err = p.stdin.Write(append(encoded, '\n')); err == nil {
 		var line []byte
@@ -109,7 +109,7 @@
 	return received, nil
 }
 
-// runs says whether its process does.
+// isRunning reports whether the process has started and not ended.
 func (p *process) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +130,7 @@
 	return p.cmd.Process.Pid
 }
 
-// end ends it by a signal, and if that isn't heard, by one that is.
+// stop sends the signal and waits for the process to end. After startStopTimeout it kills the process.
 func (p *process) stop(signal syscall.Signal) {
 	if !p.isRunning() {
 		return
@@ -150,7 +150,7 @@
 	}
 }
 
-// used gives what it has used, from itself and from the kernel.
+// usage returns the resources that the process has used, as reported by the process itself and by the kernel.
 func (p *process) usage() (usage processUsage, err error) {
 	usage.measuredNs = faulttest.Boot()
 	if p.acceptsCommands {
@@ -173,7 +173,7 @@
 				break
 			}
 			if time.Now().After(deadline) || !p.isRunning() {
-				return usage, fmt.Errorf("%s tells nothing of its use", p.name)
+				return usage, fmt.Errorf("%s did not report its resource usage", p.name)
 			}
 		}
 	}
@@ -183,15 +183,16 @@
 	return usage, nil
 }
 
-// used is what one process has used since its start.
+// processUsage is the resources that a process has used since its start.
 type processUsage struct {
 	faults.Usage
 	calls         CallCounts
-	measuredNs    int64
-	residentBytes int64 // bytes
+	measuredNs    int64 // by the boot clock
+	residentBytes int64
 	descriptors   int
 }
 
+// residentBytes returns the resident memory of a process, or 0 if it cannot be read.
 func residentBytes(pid int) int64 {
 	statm, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	fields := strings.Fields(string(statm))
@@ -202,7 +203,8 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// logged gives the marks of a real node, from its log.
+// loggedEvents reads the events of a real node from its log. The log has whole milliseconds, so an event counts as one millisecond
+// later.
 func (p *process) loggedEvents(node int) (events []NodeEvent) {
 	log, _ := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
 	bootOffsetNs := time.Now().UnixNano() - faulttest.Boot()
@@ -224,10 +226,11 @@
 
 const (
 	stallCheckInterval = 10 * time.Millisecond
-	maxStall           = 150 * time.Millisecond // half of the time in which voters and nodes answer each other
+	maxStall           = 150 * time.Millisecond // half of the time within which voters and nodes have to respond to each other
 )
 
-// late notes for how long a process did not run at the most, though it was to: then a bound that is broken tells of the machine.
+// stallMonitor records the longest time for which this process was runnable but not scheduled. If it is long, an exceeded bound may
+// be due to the machine and not to the program.
 type stallMonitor struct{ longestNs atomic.Int64 }
 
 func (m *stallMonitor) watch(ctx context.Context) {
@@ -240,7 +243,7 @@
 	}
 }
 
-// free tells what the machine has for a run.
+// availableResources returns the free memory of the machine and the descriptor limit of a process.
 func availableResources() (available Resources, err error) {
 	meminfo, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/scaletest/processes_test.go
+++ b/internal/scaletest/processes_test.go
@@ -14,11 +14,12 @@
 
 const trialEnvVariable = "THISTLERUDDER_TRIAL"
 
-// playedBy makes the program with the tag faults, and gives a command of it whose runs keep their files in a folder.
-func buildProgram(t *testing.T) (trial func(args ...string) *exec.Cmd, folder string) {
+// buildProgram builds the program with the tag faults. It returns a function that makes commands of the scale test, and the folder in
+// which their runs keep files.
+func buildProgram(t *testing.T) (scaleCommand func(args ...string) *exec.Cmd, folder string) {
 	t.Helper()
 	if os.Getenv(trialEnvVariable) == "" {
-		t.Skip("it starts some ten processes: set " + trialEnvVariable)
+		t.Skip("starts about ten processes; to run it, set " + trialEnvVariable)
 	}
 	path := filepath.Join(t.TempDir(), "thistlerudder")
 	if out, err := exec.Command("go", "build", "-tags", "faults", "-o", path, "../../cmd/thistlerudder").CombinedOutput(); err != nil {
@@ -32,7 +33,7 @@
 	}, folder
 }
 
-// leftOver gives the processes that were started for a folder, and the files in it.
+// findLeftovers returns the processes whose temporary directory is the folder, and the files of runs in it.
 func findLeftovers(folder string) (processes, files []string) {
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, path := range paths {
@@ -45,15 +46,15 @@
 	return processes, files
 }
 
-// A small fleet is played, with a zone restarted together and the leader killed; it ends by itself and leaves nothing behind.
+// A small run with a zone restart and a killed leader measures each metric, and leaves no processes or files behind.
 func TestProcessesAtScale(t *testing.T) {
-	trial, folder := buildProgram(t)
+	scaleCommand, folder := buildProgram(t)
 	measurementsPath := filepath.Join(folder, "points.csv")
 	var out []byte
 	var err error
-	for range 3 { // a run on a machine that stood still is void
+	for range 3 { // a run is void if the machine stalls it
 		_ = os.Remove(measurementsPath)
-		out, err = trial("--nodes", "24", "--real", "2", "--servers", "12", "--for", "4s", "--what", "list,lease,budget,configuration,restart,leader",
+		out, err = scaleCommand("--nodes", "24", "--real", "2", "--servers", "12", "--for", "4s", "--what", "list,lease,budget,configuration,restart,leader",
 			"--out", measurementsPath).CombinedOutput()
 		if err == nil || !strings.Contains(string(out), "Error: void") {
 			break
@@ -78,12 +79,12 @@
 	}
 }
 
-// A hollow node alone in its process costs what a real one does: bytes, live heap and processor time within a fifth.
-func TestProcessesAtScaleHollowAsReal(t *testing.T) {
-	trial, folder := buildProgram(t)
+// A hollow node that is alone in its process costs as much as a real node: traffic, memory and processor time are within a fifth.
+func TestProcessesAtScaleHollowNodeCostsMatchRealNode(t *testing.T) {
+	scaleCommand, folder := buildProgram(t)
 	measurementsPath := filepath.Join(folder, "points.csv")
-	out, err := trial("--nodes", "8", "--real", "8", "--servers", "30", "--for", "8s", "--quiet", "--out", measurementsPath).CombinedOutput()
-	if err != nil && !strings.Contains(string(out), "Error: void") { // what it costs is told all the same
+	out, err := scaleCommand("--nodes", "8", "--real", "8", "--servers", "30", "--for", "8s", "--quiet", "--out", measurementsPath).CombinedOutput()
+	if err != nil && !strings.Contains(string(out), "Error: void") { // a void run still reports the costs
 		t.Fatalf("%v:\n%s", err, out)
 	}
 	values := readMeasurements(t, measurementsPath)
@@ -96,7 +97,7 @@
 	}
 }
 
-// pointsOf reads a run's points, by phase, role and what they tell.
+// readMeasurements reads the measurements of a run, by phase, role and metric.
 func readMeasurements(t *testing.T, path string) map[string]float64 {
 	t.Helper()
 	f, err := os.Open(path)
@@ -115,11 +116,11 @@
 	return values
 }
 
-// A run that is interrupted ends at once and leaves nothing behind; one that is killed leaves no process.
-func TestProcessesAtScaleEndWithTheirRun(t *testing.T) {
-	trial, folder := buildProgram(t)
+// A run that is interrupted ends at once and leaves no processes or files behind. A run that is killed leaves no processes.
+func TestProcessesAtScaleEndWithRun(t *testing.T) {
+	scaleCommand, folder := buildProgram(t)
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
-		cmd := trial("--nodes", "16", "--real", "1", "--servers", "4", "--for", "1m")
+		cmd := scaleCommand("--nodes", "16", "--real", "1", "--servers", "4", "--for", "1m")
 		out, err := cmd.StdoutPipe()
 		if err == nil {
 			err = cmd.Start()
@@ -127,19 +128,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := bufio.NewReader(out).ReadString('\n'); err != nil { // all have started
+		if _, err := bufio.NewReader(out).ReadString('\n'); err != nil { // printed once all processes have started
 			t.Fatal(err)
 		}
 		if processes, _ := findLeftovers(folder); len(processes) < 10 {
-			t.Errorf("%v: only %d processes run", signal, len(processes))
+			t.Errorf("%v: only %d processes are running", signal, len(processes))
 		}
 		signalTime := time.Now()
 		_ = cmd.Process.Signal(signal)
 		if err := cmd.Wait(); err == nil {
-			t.Errorf("%v: it says that all was played", signal)
+			t.Errorf("%v: the run reports success", signal)
 		}
 		if took := time.Since(signalTime); took > 15*time.Second {
-			t.Errorf("%v: it took %v to end", signal, took)
+			t.Errorf("%v: the run took %v to end", signal, took)
 		}
 		var processes, files []string
 		for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
@@ -153,15 +154,15 @@
 	}
 }
 
-// What doesn't fit is refused before anything is started.
-func TestProcessesAtScaleAreRefusedInTime(t *testing.T) {
-	trial, folder := buildProgram(t)
+// A plan that does not fit is rejected before any process starts.
+func TestProcessesAtScaleRejectOversizedPlan(t *testing.T) {
+	scaleCommand, folder := buildProgram(t)
 	for args, reason := range map[string]string{
 		"--nodes 5000":                " would fit",
 		"--nodes 1000000 --what list": " would fit",
 		"--what list,purge":           "no mechanism carries purges today",
 	} {
-		out, err := trial(strings.Fields(args)...).CombinedOutput()
+		out, err := scaleCommand(strings.Fields(args)...).CombinedOutput()
 		if err == nil || !strings.Contains(string(out), reason) {
 			t.Errorf("%s: %v: %s", args, err, out)
 		}
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -32,11 +32,11 @@
 	cachePort          = 6700
 	hollowNodePrefix   = "h"
 	budgetName         = "fetches"
-	budgetRatePerNode  = 20.0 // a second, of the budget's whole
+	budgetRatePerNode  = 20.0 // per second, of the budget's limit
 	limitCheckInterval = 500 * time.Millisecond
 )
 
-// world is one run.
+// run is the state of a run.
 type run struct {
 	*Plan
 	resources     Resources
@@ -44,48 +44,51 @@
 	dir           string
 	logf          func(format string, args ...any)
 	entries       []Entry
-	baseHeapBytes uint64 // live heap of a host with no nodes
+	baseHeapBytes uint64 // live heap of a host without hollow nodes
 
 	discovery      *process
 	voters         []*process
 	hosts          []*process // by rack
 	realNodes      []*process
-	relays         []*faulttest.Relay // of the region that is cut off
+	relays         []*faulttest.Relay // between the partitioned region and the voters and the discovery service
 	cacheServers   []*http.Server
 	client         *cluster.Client
 	lookups        faulttest.Lookups
 	lookupClients  sync.WaitGroup
 	done           chan struct{}
-	configRevision int             // changes of configuration so far,
-	configPadding  json.RawMessage // and what is in each file besides
+	configRevision int             // number of times that the configuration files were written
+	configPadding  json.RawMessage // in each hollow node's, real node's and voter's file
 	budgetLimit    float64
 	nodeEvents     []NodeEvent
 	report         Report
 	stalls         stallMonitor
 }
 
-// Result is what became of a run.
+// Report is the result of a run.
 type Report struct {
 	Measurements   []Measurement
 	Lines          []string
 	ExceededBounds []string
-	VoidReason     string // why what is broken shows nothing of the program; empty: it does
+	VoidReason     string // why exceeded bounds show nothing about the program; empty if they do
 }
 
+// hollowConfigFile returns the name of a hollow node's configuration file.
 func hollowConfigFile(node int) string { return fmt.Sprintf("%s%d.json", hollowNodePrefix, node) }
 
-// ip gives an address of the loopback net.
+// loopbackIP returns an address of the loopback network. Addresses of runs at the same time differ by the process id.
 func loopbackIP(index int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, index/250, 1+index%250)
 }
 
+// Indexes of loopback addresses. The voters have the first ones, then the real nodes, then the hollow nodes.
 const (
-	discoveryAddrIndex  = 60_000 // numbers of addresses: voters first, then real nodes, then hollow ones
+	discoveryAddrIndex  = 60_000
 	firstRelayAddrIndex = 60_010
 	firstCacheAddrIndex = 60_100
 )
 
-// Play plays one run. It ends whatever it started and removes what it wrote, however it ends.
+// Run runs the plan. It writes progress by logf. When it returns, even with an error, the processes that it started have ended and
+// the files that it wrote are removed.
 func Run(ctx context.Context, plan Plan, logf func(format string, args ...any)) (report Report, err error) {
 	resources, err := availableResources()
 	if err == nil {
@@ -98,7 +101,8 @@
 	defer stop()
 	runCtx, fail := context.WithCancelCause(limitedCtx)
 	defer fail(nil)
-	r := &run{Plan: &plan, resources: resources, ctx: runCtx, logf: logf, done: make(chan struct{}), budgetLimit: budgetRatePerNode * float64(plan.HollowNodes+plan.RealNodes+voterCount)}
+	r := &run{Plan: &plan, resources: resources, ctx: runCtx, logf: logf, done: make(chan struct{}),
+		budgetLimit: budgetRatePerNode * float64(plan.HollowNodes+plan.RealNodes+voterCount)}
 	if r.dir, err = os.MkdirTemp("", "scale-"); err != nil {
 		return report, err
 	}
@@ -113,12 +117,12 @@
 		err = context.Cause(runCtx)
 	}
 	if longestStallNs := r.stalls.longestNs.Load(); len(r.report.ExceededBounds) > 0 && time.Duration(longestStallNs) > maxStall {
-		r.report.VoidReason = fmt.Sprintf("the machine let a process of the run stand still for %v", time.Duration(longestStallNs).Round(time.Millisecond))
+		r.report.VoidReason = fmt.Sprintf("the machine did not schedule the test process for %v", time.Duration(longestStallNs).Round(time.Millisecond))
 	}
 	return r.report, err
 }
 
-// guard ends the run when it goes beyond its memory or its number of processes.
+// enforceLimits cancels the run if it exceeds the limits on memory or processes. The estimate before the run may be wrong.
 func (r *run) enforceLimits(fail context.CancelCauseFunc) {
 	for ticker := time.NewTicker(limitCheckInterval); ; {
 		select {
@@ -140,7 +144,7 @@
 	}
 }
 
-// layOut names all processes, before any is started.
+// defineProcesses defines all processes and the endpoint list before any process starts.
 func (r *run) defineProcesses() {
 	discoveryAddress := fmt.Sprintf("%s:%d", loopbackIP(discoveryAddrIndex), discoveryPort)
 	r.discovery = &process{name: "discovery", dir: r.dir, acceptsCommands: true, args: []string{"trial", "directory", "--address", discoveryAddress}}
@@ -171,15 +175,17 @@
 		State: "Ready", Region: "region-0", Zone: "zone-0"})
 }
 
+// nodeProcess returns the process of a voter or a real node.
 func (r *run) nodeProcess(name string) *process {
 	return &process{name: name, dir: r.dir, args: []string{"serve", "--config", filepath.Join(r.dir, name+".json")}}
 }
 
+// processes returns all processes of the run.
 func (r *run) processes() []*process {
 	return slices.Concat([]*process{r.discovery}, r.voters, r.realNodes, r.hosts)
 }
 
-// tearDown ends all that was started, each process by its id.
+// tearDown stops all processes by their ids, and closes the client, the relays and the cache servers.
 func (r *run) tearDown() {
 	select {
 	case <-r.done:
@@ -192,7 +198,7 @@
 	}
 	var stopping sync.WaitGroup
 	for _, p := range r.processes() {
-		stopping.Go(func() { p.stop(syscall.SIGKILL) }) // nothing of a run is kept, so nothing has to end well
+		stopping.Go(func() { p.stop(syscall.SIGKILL) }) // no graceful shutdown is needed, as the run's files are removed
 	}
 	stopping.Wait()
 	for _, relay := range r.relays {
@@ -203,7 +209,8 @@
 	}
 }
 
-// papers writes a node's file.
+// writeNodeConfig writes the configuration file of a node. With viaRelays the node reaches the voters and the discovery service
+// over the relays. The file is replaced atomically.
 func (r *run) writeNodeConfig(name string, addrIndex int, isVoter, viaRelays bool) error {
 	discovery := fmt.Sprintf("%s:%d", loopbackIP(discoveryAddrIndex), discoveryPort)
 	routes := map[string]string{}
@@ -255,10 +262,10 @@
 	return os.Rename(path+".new", path)
 }
 
-// write writes all files.
+// writeConfigs writes the configuration files of all nodes.
 func (r *run) writeConfigs() (err error) {
 	r.configRevision++
-	padding := map[string]any{"revision": r.configRevision} // unknown keys are accepted: they stand for what else a file has
+	padding := map[string]any{"revision": r.configRevision} // nodes ignore unknown keys; these make the files as large as real ones
 	for i := range r.ConfigFileKB * 16 {
 		padding[fmt.Sprintf("note-%05d", i)] = fmt.Sprintf("%048d", i)
 	}
@@ -278,7 +285,7 @@
 	return err
 }
 
-// each does something for processes side by side.
+// inParallel calls do for all processes at once and joins the errors.
 func inParallel(processes []*process, do func(*process) error) error {
 	errs := make([]error, len(processes))
 	var running sync.WaitGroup
@@ -289,6 +296,7 @@
 	return errors.Join(errs...)
 }
 
+// sleep waits for the duration or until the run is canceled.
 func (r *run) sleep(duration time.Duration) {
 	select {
 	case <-r.ctx.Done():
@@ -296,7 +304,7 @@
 	}
 }
 
-// play does all in turn.
+// runPhases starts everything and runs the phases of the plan in order.
 func (r *run) runPhases() error {
 	if err := r.start(); err != nil {
 		return err
@@ -341,20 +349,23 @@
 	return r.ctx.Err()
 }
 
+// addLine adds a line to the report and logs it.
 func (r *run) addLine(format string, args ...any) {
 	r.report.Lines = append(r.report.Lines, fmt.Sprintf(format, args...))
 	r.logf(format, args...)
 }
 
+// addExceededBound adds an exceeded bound to the report.
 func (r *run) addExceededBound(format string, args ...any) {
 	r.report.ExceededBounds = append(r.report.ExceededBounds, fmt.Sprintf(format, args...))
 }
 
+// addMeasurement adds a measured value to the report.
 func (r *run) addMeasurement(phase, role, metric string, value float64) {
 	r.report.Measurements = append(r.report.Measurements, Measurement{r.HollowNodes, r.RealNodes, r.CacheServers, r.Seed, phase, role, metric, value})
 }
 
-// setUp starts all, the hollow nodes together.
+// start starts all processes, and then all hollow nodes at once. It returns once the nodes are ready.
 func (r *run) start() (err error) {
 	if err = r.writeConfigs(); err != nil {
 		return err
@@ -402,7 +413,7 @@
 				break
 			}
 			if time.Now().After(deadline) || r.ctx.Err() != nil {
-				return fmt.Errorf("the fleet was not founded: %w", err)
+				return fmt.Errorf("cluster was not founded: %w", err)
 			}
 		}
 	}
@@ -425,7 +436,7 @@
 		for i, p := range r.realNodes {
 			address := fmt.Sprintf("%s:%d", loopbackIP(voterCount+i), clientPort)
 			if !r.waitUntilServing(address) {
-				return fmt.Errorf("%s doesn't serve", p.name)
+				return fmt.Errorf("%s did not become ready", p.name)
 			}
 			r.lookupClients.Go(func() { r.lookups.Ask(address, r.done, func(int64) bool { return false }) })
 		}
@@ -433,7 +444,7 @@
 	return r.ctx.Err()
 }
 
-// up waits until a real node says that it serves.
+// waitUntilServing reports whether a real node becomes ready within startStopTimeout.
 func (r *run) waitUntilServing(address string) bool {
 	httpClient := &http.Client{Timeout: time.Second}
 	for deadline := time.Now().Add(startStopTimeout); time.Now().Before(deadline) && r.ctx.Err() == nil; r.sleep(20 * time.Millisecond) {
@@ -447,7 +458,7 @@
 	return false
 }
 
-// cache opens a stand-in of a cache or of the origin.
+// startCacheServer starts a simulated cache server or origin.
 func (r *run) startCacheServer(addrIndex int) error {
 	l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackIP(addrIndex), cachePort))
 	if err != nil {
@@ -459,7 +470,7 @@
 	return nil
 }
 
-// collect takes the marks over that have come since the last time.
+// fetchNodeEvents replaces nodeEvents by the events that the hosts have recorded since the last fetch.
 func (r *run) fetchNodeEvents() error {
 	var mu sync.Mutex
 	r.nodeEvents = nil
@@ -475,7 +486,7 @@
 	})
 }
 
-// add is collect, and keeps what was taken over before.
+// appendNodeEvents fetches the new events and keeps the earlier ones.
 func (r *run) appendNodeEvents() error {
 	earlier := r.nodeEvents
 	err := r.fetchNodeEvents()
@@ -483,7 +494,7 @@
 	return err
 }
 
-// nodes gives all hollow nodes' numbers but those of some racks.
+// nodesOutside returns the numbers of all hollow nodes outside the racks.
 func (r *run) nodesOutside(racks map[int]bool) (nodes []int) {
 	for n := range r.HollowNodes {
 		if !racks[r.PlaceOf(n).Rack] {
@@ -493,7 +504,7 @@
 	return nodes
 }
 
-// wanted gives what every node comes to have.
+// requiredEvents returns the kinds of events that each node has after a start.
 func (r *run) requiredEvents() (kinds []string) {
 	kinds = []string{eventListInForce}
 	if r.Includes(ScenarioLease) {
@@ -505,9 +516,10 @@
 	return kinds
 }
 
+// eventLabels maps kinds of events to their names in the report.
 var eventLabels = map[string]string{eventListInForce: "list", eventLeaseAcquired: "lease", eventQuotasReceived: "part", eventConfigInForce: "configuration"}
 
-// recovered waits until all nodes that started since have all that they need, and tells how long each took.
+// awaitRecovery waits until each node that has started since sinceNs has its required events, and reports how long they took.
 func (r *run) awaitRecovery(phase string, sinceNs int64, timeout time.Duration) error {
 	r.nodeEvents = nil
 	for deadline := time.Now().Add(timeout); ; r.sleep(200 * time.Millisecond) {
@@ -529,7 +541,7 @@
 	return r.ctx.Err()
 }
 
-// told keeps times as points, and as a line.
+// reportLatencies adds latencies to the report, as measurements and as a line. Missing events are an exceeded bound.
 func (r *run) reportLatencies(phase, label string, latencies Latencies) {
 	ms := func(micros int64) float64 { return float64(micros) / 1000 }
 	if latencies.PerNode.TotalCount() > 0 {
@@ -542,15 +554,17 @@
 			r.addMeasurement(phase, "last node", fmt.Sprintf("%s %s ms", label, name), ms(latencies.LastNode.ValueAtPercentile(percentile)))
 		}
 		r.addLine("%s: %s: p50 %.1f, p99 %.1f, worst %.1f ms of %d; at the last node p50 %.1f, p99 %.1f, worst %.1f of %d; missing %d", phase, label,
-			ms(latencies.PerNode.ValueAtPercentile(50)), ms(latencies.PerNode.ValueAtPercentile(99)), ms(latencies.PerNode.Max()), latencies.PerNode.TotalCount(),
-			ms(latencies.LastNode.ValueAtPercentile(50)), ms(latencies.LastNode.ValueAtPercentile(99)), ms(latencies.LastNode.Max()), latencies.LastNode.TotalCount(), latencies.Missing)
+			ms(latencies.PerNode.ValueAtPercentile(50)), ms(latencies.PerNode.ValueAtPercentile(99)), ms(latencies.PerNode.Max()),
+			latencies.PerNode.TotalCount(),
+			ms(latencies.LastNode.ValueAtPercentile(50)), ms(latencies.LastNode.ValueAtPercentile(99)), ms(latencies.LastNode.Max()),
+			latencies.LastNode.TotalCount(), latencies.Missing)
 	}
 	if r.addMeasurement(phase, "node", label+" missing", float64(latencies.Missing)); latencies.Missing > 0 {
 		r.addExceededBound("%s: %s: %d times not in time", phase, label, latencies.Missing)
 	}
 }
 
-// snapshot asks all processes for their use.
+// usageByProcess returns the usage of all processes.
 func (r *run) usageByProcess() (map[*process]processUsage, error) {
 	usages := map[*process]processUsage{}
 	var mu sync.Mutex
@@ -563,7 +577,7 @@
 	})
 }
 
-// afresh collects, forgets the marks of what came before, and gives what each process has used so far.
+// startMeasurement discards the events so far and returns what each process has used so far.
 func (r *run) startMeasurement() (map[*process]processUsage, error) {
 	if err := r.fetchNodeEvents(); err != nil {
 		return nil, err
@@ -572,7 +586,7 @@
 	return r.usageByProcess()
 }
 
-// leader gives the voter that leads, -1: none is known.
+// leaderIndex returns the index of the leader among the voters, or -1 if no leader is known.
 func (r *run) leaderIndex() int {
 	if r.client == nil {
 		return -1
@@ -584,13 +598,13 @@
 	return slices.IndexFunc(r.voters, func(p *process) bool { return p.name == s.Node })
 }
 
-// change lets entries change on the list.
+// changeEntries changes entries of the endpoint list.
 func (r *run) changeEntries(entries []Entry) (AppliedChange, error) {
 	response, err := r.discovery.send(command{Name: "change", Entries: entries})
 	return AppliedChange{response.BootTimeNs, response.Version}, err
 }
 
-// reload lets all nodes read their files anew.
+// reloadConfigs rewrites all configuration files and makes all nodes except the voters reload them.
 func (r *run) reloadConfigs() (AppliedChange, error) {
 	if err := r.writeConfigs(); err != nil {
 		return AppliedChange{}, err
@@ -603,14 +617,14 @@
 	return AppliedChange{BootTimeNs: startNs}, err
 }
 
-// phase plays events, and tells what they took.
-func (r *run) runPhase(name string, events []ScheduledChange) error {
+// runPhase applies the scheduled changes, and reports how long they took and what the processes used.
+func (r *run) runPhase(name string, schedule []ScheduledChange) error {
 	leader := r.leaderIndex()
 	before, err := r.usageByProcess()
 	if err != nil {
 		return err
 	}
-	if err := r.fetchNodeEvents(); err != nil { // what came before is told by others
+	if err := r.fetchNodeEvents(); err != nil { // events before this phase are reported elsewhere
 		return err
 	}
 	r.nodeEvents = nil
@@ -618,7 +632,7 @@
 	changes, failedLimitChanges := map[string][]AppliedChange{}, 0
 	var mu, reloadMu sync.Mutex
 	var errs []error
-	var slowChanges sync.WaitGroup // what takes long must not hold up the other events
+	var slowChanges sync.WaitGroup // slow changes must not delay the other changes
 	recordChange := func(kind string, c AppliedChange, err error) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -628,7 +642,7 @@
 		}
 		changes[kind] = append(changes[kind], c)
 	}
-	for _, scheduled := range events {
+	for _, scheduled := range schedule {
 		r.sleep(time.Until(startTime.Add(scheduled.Offset)))
 		if r.ctx.Err() != nil {
 			return r.ctx.Err()
@@ -654,7 +668,7 @@
 			slowChanges.Go(func() {
 				c := AppliedChange{BootTimeNs: faulttest.Boot()}
 				status, err := r.client.SetLimit(budgetName, limit)
-				if err != nil { // nobody led just now: the other changes go on
+				if err != nil { // for example during an election; the other changes go on
 					mu.Lock()
 					defer mu.Unlock()
 					r.addLine("%s: the budget's whole could not be set: %v", name, err)
@@ -678,7 +692,7 @@
 	if err != nil {
 		return err
 	}
-	r.sleep(maxPropagation / 5) // what is late comes yet
+	r.sleep(maxPropagation / 5) // wait for late events
 	if err := r.appendNodeEvents(); err != nil {
 		return err
 	}
@@ -713,7 +727,7 @@
 	return nil
 }
 
-// renewals tells how long askings for leases took, and how many came to nothing.
+// reportRenewals reports the durations of lease renewals, and the numbers of failed requests and lost leases.
 func (r *run) reportRenewals(phase string) {
 	latencies, failed, lost := newLatencies(), 0, 0
 	for _, event := range r.nodeEvents {
@@ -733,7 +747,7 @@
 	r.addLine("%s: askings for leases that came to nothing %d, leases lost %d", phase, failed, lost)
 }
 
-// costs tells what each role has used between two looks.
+// reportUsage reports what the processes of each role used between two measurements.
 func (r *run) reportUsage(phase string, before, after map[*process]processUsage, leader int) {
 	reportRole := func(role string, processes []*process, divisor float64, baseHeapBytes uint64) {
 		sums := map[string]float64{}
@@ -772,7 +786,7 @@
 		r.addLine("%s", text[:len(text)-1])
 	}
 	reportRole("node", r.hosts, float64(r.HollowNodes), r.baseHeapBytes)
-	reportRole("all nodes", r.hosts, 1, r.baseHeapBytes) // over sizes: what each comes to is the slope, and the processes' own part the base
+	reportRole("all nodes", r.hosts, 1, r.baseHeapBytes) // in a fit over the number of nodes, the slope is the cost of a node, and the intercept that of the processes
 	if r.RealNodes > 0 {
 		reportRole("real node", r.realNodes, float64(r.RealNodes), r.baseHeapBytes)
 	}
@@ -789,5 +803,6 @@
 	reportRole("discovery", []*process{r.discovery}, 1, 0)
 }
 
+// metricOrder lists the metrics of reportUsage in the order of the report.
 var metricOrder = []string{"share of a core %", "messages sent /s", "messages received /s", "bytes sent /s", "bytes received /s", "resident MB",
 	"live heap KB", "descriptors", "whole lists /s", "lists of changes /s"}
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// A plan that doesn't fit is refused, and the number told is the largest that does.
+// A plan that does not fit is rejected, and the error names the largest number of nodes that fits.
 func TestCheckFitsReportsLargestFittingNodeCount(t *testing.T) {
 	fittingNodes := regexp.MustCompile(`; (\d+) would fit$`)
 	rapid.Check(t, func(t *rapid.T) {
@@ -51,8 +51,8 @@
 		}
 		available := Resources{rapid.Int64Range(2<<30, 64<<30).Draw(t, "memory"), rapid.IntRange(1024, 50_000).Draw(t, "descriptors")}
 		err := p.CheckFits(available)
-		if (err == nil) != (p.exceeded(available) == "") {
-			t.Fatalf("%v, but %q", err, p.exceeded(available))
+		if (err == nil) != (p.exceededLimit(available) == "") {
+			t.Fatalf("%v, but %q", err, p.exceededLimit(available))
 		}
 		if err == nil {
 			return
@@ -65,27 +65,28 @@
 			return
 		}
 		requested := p.HollowNodes
-		if p.HollowNodes, _ = strconv.Atoi(match[1]); p.exceeded(available) != "" || p.HollowNodes >= requested {
-			t.Fatalf("%v: that doesn't fit either: %s", err, p.exceeded(available))
+		if p.HollowNodes, _ = strconv.Atoi(match[1]); p.exceededLimit(available) != "" || p.HollowNodes >= requested {
+			t.Fatalf("%v: the reported number of nodes does not fit: %s", err, p.exceededLimit(available))
 		}
-		if p.HollowNodes++; p.exceeded(available) == "" {
-			t.Fatalf("%v: one more would fit too", err)
+		if p.HollowNodes++; p.exceededLimit(available) == "" {
+			t.Fatalf("%v: one node more would also fit", err)
 		}
 	})
 	for _, p := range []Plan{{HollowNodes: 1, CacheServers: 1}, {HollowNodes: 100}, {HollowNodes: 100, CacheServers: 1, PhaseDuration: time.Hour}, {HollowNodes: 100, CacheServers: 1, PhaseDuration: time.Second},
 		{HollowNodes: 100, CacheServers: 1, PhaseDuration: time.Second, ChurnFactor: 1, ConfigFileKB: 1 << 20}} {
 		if p.CheckFits(Resources{64 << 30, 1 << 20}) == nil {
-			t.Errorf("%+v is taken", p)
+			t.Errorf("invalid plan %+v is accepted", p)
 		}
 	}
 }
 
-// The wall of the leases that are held at once is told by name, with the number of nodes that fits, and only where there are leases.
+// The limit on leases bounds the number of nodes only if the plan includes leases. The error names the limit and the number of nodes
+// that fits.
 func TestCheckFitsEnforcesLeaseLimit(t *testing.T) {
-	for _, c := range []struct{ realNodes, fittingNodes int }{{0, 4091}, {6, 4085}} { // three voters and two tasks hold one each, and real nodes
+	for _, c := range []struct{ realNodes, fittingNodes int }{{0, 4091}, {6, 4085}} { // three voters, two tasks and each real node hold a lease
 		p := Plan{HollowNodes: c.fittingNodes + 1, RealNodes: c.realNodes, CacheServers: 100, PhaseDuration: time.Second, ChurnFactor: 1, Scenarios: []string{ScenarioList, ScenarioLease}}
 		available := Resources{64 << 30, 20_000}
-		if err := p.CheckFits(available); err == nil || !strings.Contains(err.Error(), "namesMost") || !strings.Contains(err.Error(), fmt.Sprintf("; %d would fit", c.fittingNodes)) {
+		if err := p.CheckFits(available); err == nil || !strings.Contains(err.Error(), "maxLeases") || !strings.Contains(err.Error(), fmt.Sprintf("; %d would fit", c.fittingNodes)) {
 			t.Error(err)
 		}
 		p.HollowNodes = c.fittingNodes
@@ -110,11 +111,12 @@
 		}
 	}
 	if err := apply(lease.KindGrant, "node/more"); !errors.Is(err, lease.ErrLimitExceeded) {
-		t.Errorf("%d leases are held, and one more: %v", maxLeases, err)
+		t.Errorf("grant beyond %d leases: %v", maxLeases, err)
 	}
 }
 
-// The voters' descriptors bound a fleet where a process may have few: half of what is left is for the leader's connections.
+// The descriptor limit of a process bounds the number of nodes: half of the leader's descriptors without the reserve is for the
+// connections of the nodes.
 func TestCheckFitsEnforcesVoterDescriptorLimit(t *testing.T) {
 	p := Plan{HollowNodes: 1000, RealNodes: 2, CacheServers: 100, PhaseDuration: time.Second, ChurnFactor: 1, Scenarios: []string{ScenarioList, ScenarioLease}}
 	required := 2*(1000+2+36) + 64
@@ -125,7 +127,7 @@
 		t.Error(err)
 	}
 	if atMinimum, withSurplus := p.voterSocketLimit(required), p.voterSocketLimit(20_000); atMinimum != required || withSurplus != 2*(1000+2+36)+512 {
-		t.Errorf("a voter's file has %d and %d", atMinimum, withSurplus)
+		t.Errorf("voterSocketLimit returned %d and %d", atMinimum, withSurplus)
 	}
 	p.Scenarios = []string{ScenarioList}
 	if err := p.CheckFits(Resources{64 << 30, required - 1}); err != nil {
@@ -133,13 +135,13 @@
 	}
 }
 
-// What is estimated before a run may be wrong, so the run itself is held to the bounds as well.
+// The estimate before a run may be wrong, so a run is also checked against the limits on memory and processes while it goes on.
 func TestCheckRunLimitsRejectsExcessMemoryAndProcesses(t *testing.T) {
 	if err := errors.Join(checkRunLimits(12<<30, 200), checkRunLimits(0, 1)); err != nil {
 		t.Error(err)
 	}
 	if checkRunLimits(12<<30+1, 1) == nil || checkRunLimits(0, 201) == nil {
-		t.Error("it goes on")
+		t.Error("a run over the limits is accepted")
 	}
 }
 
@@ -154,7 +156,7 @@
 		for place, machines := range machinesByPlace {
 			regions[place.Region] = true
 			if minPerRack := n / (p.Zones() * racksPerZone); machines < minPerRack || machines > minPerRack+1 {
-				t.Errorf("%d nodes: %d stand in %v", n, machines, place)
+				t.Errorf("%d nodes: %d in %v", n, machines, place)
 			}
 		}
 		if len(machinesByPlace) != min(n, p.Zones()*racksPerZone) || len(regions) != p.Regions() {
@@ -163,7 +165,7 @@
 	}
 }
 
-// Events are the seed's, lie inside their phase in order, and come at the operators' rates times the factor.
+// Scheduled changes depend only on the seed, are in order within their phase, and have the operators' rates times the factor.
 func TestScheduledChangesFollowOperatorRates(t *testing.T) {
 	count := func(changes []ScheduledChange, kind string) (n int) {
 		for i, e := range changes {
@@ -179,7 +181,7 @@
 	p := Plan{HollowNodes: 100, CacheServers: 30, PhaseDuration: 10 * time.Minute, Seed: 7, ChurnFactor: 100, Scenarios: []string{ScenarioList, ScenarioLease, ScenarioBudget, ScenarioConfiguration, ScenarioChurn}}
 	steady, churn := p.steadyChanges(), p.churnChanges()
 	if !slices.Equal(steady, p.steadyChanges()) || !slices.Equal(churn, p.churnChanges()) {
-		t.Error("the same seed gives other events")
+		t.Error("the same seed gives different changes")
 	}
 	for _, changes := range [][]ScheduledChange{steady, churn} {
 		for _, e := range changes {
@@ -193,22 +195,22 @@
 		t.Errorf("%d changes of configuration", n)
 	}
 	if n := count(steady, restartNode); n != 0 {
-		t.Errorf("%d restarts in peace", n)
+		t.Errorf("%d restarts without churn", n)
 	}
 	entries, nodes := float64(count(churn, changeEntry)), float64(count(churn, restartNode))
 	if wantMachines := 2126.0 / 144 * 100; math.Abs(entries+nodes-wantMachines) > 5*math.Sqrt(wantMachines) {
-		t.Errorf("%g machines came and went, want %g", entries+nodes, wantMachines)
+		t.Errorf("%g machines changed, want %g", entries+nodes, wantMachines)
 	}
 	if share := entries / (entries + nodes); math.Abs(share-5700.0/24700) > 0.06 {
 		t.Errorf("%g of them are servers", share)
 	}
 	p.Seed++
 	if slices.Equal(churn, p.churnChanges()) {
-		t.Error("another seed gives the same events")
+		t.Error("a different seed gives the same changes")
 	}
 }
 
-// Least squares finds a line again, and its residuals are at right angles to it.
+// Least squares recovers an exact line. With noise, the residuals are orthogonal to the sizes and add up to 0.
 func TestLeastSquaresRecoversLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, slope := rapid.Float64Range(-1e3, 1e3).Draw(t, "base"), rapid.Float64Range(-10, 10).Draw(t, "slope")
@@ -230,7 +232,7 @@
 			scale += math.Abs(r*sizes[i]) + math.Abs(noisy[i]*sizes[i])
 		}
 		if math.Abs(sum) > 1e-6*(1+scale) || math.Abs(weightedSum) > 1e-6*(1+scale) {
-			t.Fatalf("residuals add up to %g, and %g with their sizes", sum, weightedSum)
+			t.Fatalf("sum of residuals %g, weighted by sizes %g", sum, weightedSum)
 		}
 	})
 }
@@ -268,17 +270,17 @@
 		t.Errorf("%+v", linesByServers)
 	}
 	if _, err := ReadMeasurements(strings.NewReader("1,2,3,4,a,b,c,x\n")); err == nil {
-		t.Error("a figure that is none is taken")
+		t.Error("an invalid number is accepted")
 	}
 }
 
-// The last node counts, what was down is left out, and what never came is missing.
+// LastNode has the last node of each change, nodes that were down are left out, and changes that never came into force are missing.
 func TestLatenciesCountLastNodeAndMissingEvents(t *testing.T) {
 	ms := int64(time.Millisecond)
 	s := 1000 * ms
 	events := []NodeEvent{{0, eventStart, 0, 0}, {0, eventListInForce, 1 * ms, 1}, {1, eventStart, 0, 0}, {1, eventListInForce, 2 * ms, 1}, {2, eventStart, 0, 0}, {2, eventListInForce, 2 * ms, 1},
 		{0, eventListInForce, 20*s + 3*ms, 2}, {1, eventListInForce, 20*s + 9*ms, 2}, {2, eventListInForce, 20*s + 4*ms, 2}, // a change at 20 s
-		{2, eventStart, 30*s + 50*ms, 0}, {0, eventListInForce, 30*s + 5*ms, 3}, {1, eventListInForce, 30*s + 40*ms, 4}, // one at 30 s, which 1 has only with the next
+		{2, eventStart, 30*s + 50*ms, 0}, {0, eventListInForce, 30*s + 5*ms, 3}, {1, eventListInForce, 30*s + 40*ms, 4}, // a change at 30 s, which node 1 only has with the next version
 		{2, eventListInForce, 30*s + 60*ms, 4}}
 	eventsByNode := groupByNode(events)
 	got := changeLatencies([]AppliedChange{{20 * s, 2}, {30 * s, 3}}, eventsByNode, []int{0, 1, 2}, eventListInForce, time.Second)
@@ -289,7 +291,7 @@
 		t.Errorf("%d and %d us", fastest, slowest)
 	}
 	if incomplete := changeLatencies([]AppliedChange{{20 * s, 5}}, eventsByNode, []int{0, 1, 2}, eventListInForce, time.Minute); incomplete.Missing != 3 {
-		t.Errorf("%d missing, of a version that none has", incomplete.Missing)
+		t.Errorf("%d missing of a version that no node has", incomplete.Missing)
 	}
 	if incomplete := changeLatencies([]AppliedChange{{20 * s, 2}}, eventsByNode, []int{0, 1, 2}, eventListInForce, 5*time.Millisecond); incomplete.Missing != 1 {
 		t.Errorf("%d late", incomplete.Missing)
@@ -301,7 +303,7 @@
 	if start := startLatencies(eventsByNode, []int{0, 1, 2}, 30*s, eventLeaseAcquired, time.Second); start.Missing != 1 {
 		t.Errorf("%d have no lease", start.Missing)
 	}
-	// A renewal whose asking was sent before the loss tells nothing.
+	// A renewal whose request was sent before the loss does not count.
 	leaseEvents := groupByNode([]NodeEvent{{0, eventLeaseRenewed, 10*s + 5*ms, 6 * ms}, {0, eventLeaseRenewed, 11 * s, 2 * ms}, {1, eventLeaseAcquired, 12 * s, ms}})
 	if got := renewalLatencies(leaseEvents, []int{0, 1}, 10*s, time.Minute); got.Missing != 0 || got.PerNode.Min() < 999_000 || got.LastNode.Max() < 1_999_000 {
 		t.Errorf("%d missing, %d to %d us", got.Missing, got.PerNode.Min(), got.LastNode.Max())
@@ -309,13 +311,14 @@
 }
 
 func TestEntryChangeFactorRefersToWholeFleet(t *testing.T) {
-	// 2,126 machines a day, 5,700 of 24,700 of them servers: one each 176 s.
+	// 2,126 machines change a day, 5,700 of 24,700 of them are servers: one server each 176 s.
 	if factor := EntryChangeFactor(time.Second); math.Abs(factor-176.1) > 0.1 {
 		t.Error(factor)
 	}
 }
 
-// The stand-in of discovery gives what the node's follower expects: all, what has changed since, nothing, all again.
+// The simulated discovery service returns the full list, the changes since a version, an empty response if nothing has changed in
+// time, and the full list again for a version that is unknown or too old.
 func TestDiscoveryServerReturnsChangesSinceVersion(t *testing.T) {
 	var entries []Entry
 	for i := range 5 {
@@ -340,7 +343,7 @@
 		t.Fatalf("%+v", p)
 	}
 	if p := get("/?from=1&hold_ms=1"); p.Full || p.Version != 1 || len(p.Servers) != 0 {
-		t.Fatalf("nothing has changed: %+v", p)
+		t.Fatalf("response without changes: %+v", p)
 	}
 	held := make(chan listResponse)
 	go func() { held <- get("/?from=1&hold_ms=10000") }()
@@ -354,28 +357,28 @@
 		t.Fatalf("%+v", p)
 	}
 	if p := get("/"); len(p.Servers) != 4 {
-		t.Fatalf("who has gone is on the list: %+v", p)
+		t.Fatalf("a removed entry is on the list: %+v", p)
 	}
 	discovery.ChangeEntries([]Entry{entries[2]})
 	discovery.ChangeEntries([]Entry{entries[3]})
 	if p := get("/?from=1&hold_ms=1"); p.Full || p.Version != 4 || len(p.Servers) != 2 || p.Servers[0] != entries[2] {
-		t.Fatalf("three versions at once, each entry as it is now: %+v", p)
+		t.Fatalf("changes of three versions, want each entry once in its current state: %+v", p)
 	}
 	if p := get("/?from=9&hold_ms=1"); !p.Full || p.Version != 4 {
-		t.Fatalf("a version that never was: %+v", p)
+		t.Fatalf("response for a version that never existed: %+v", p)
 	}
 	for range maxKeptVersions + 1 {
 		discovery.ChangeEntries(entries[:1])
 	}
 	if p := get("/?from=2&hold_ms=1"); !p.Full || len(p.Servers) != 5 {
-		t.Fatalf("too far behind: %+v", p)
+		t.Fatalf("response for a version that is too old: %+v", p)
 	}
 	if counts := discovery.CallCounts(); counts.FullLists != 4 || counts.Changes != 2 || counts.Empty != 1 {
 		t.Fatalf("%+v", counts)
 	}
 }
 
-// Whoever follows the changes, by whatever steps, comes to the list as it is.
+// A client that applies the changes arrives at the current list, whichever versions it skips.
 func TestDiscoveryServerChangesAddUpToFullList(t *testing.T) {
 	if err := quick.Check(func(steps []uint8) bool {
 		var entries []Entry
--- a/internal/scaletest/size.go
+++ b/internal/scaletest/size.go
@@ -1,5 +1,6 @@
-// Package scaletest plays the control work of a large fleet on one machine: hollow nodes, many to a process, which do it all by a
-// node's own code and carry no lookups, beside real nodes, real voters and stand-ins of the rest. docs/scale.md has the page.
+// Package scaletest runs the control plane of a large cluster on one machine and measures what it costs. Many hollow nodes share a
+// process. They run the code of a real node but accept no requests. Real nodes and voters run as processes of their own. The
+// discovery service, the cache servers and the origin are simulated. docs/scale.md describes the test.
 package scaletest
 
 import (
@@ -9,48 +10,49 @@
 	"time"
 )
 
-// What is played.
+// Scenarios of a run. The first four are work that all nodes do during the whole run, the others are phases of their own.
 const (
-	ScenarioList            = "list"          // each node follows the discovery service
-	ScenarioLease           = "lease"         // each holds the lease of its name at three voters
-	ScenarioBudget          = "budget"        // and a part of a budget
-	ScenarioConfiguration   = "configuration" // its file is read anew now and then
-	ScenarioChurn           = "churn"         // machines come and go at the operators' rates, made faster
-	ScenarioRestart         = "restart"       // all nodes of a zone are restarted together
-	ScenarioRackLoss        = "rack"          // all of a rack is lost at once, and comes back
+	ScenarioList            = "list"          // each node follows the discovery service's endpoint list
+	ScenarioLease           = "lease"         // each node holds the lease of its name, granted by three voters
+	ScenarioBudget          = "budget"        // each node gets a quota of a budget
+	ScenarioConfiguration   = "configuration" // each node reloads its configuration file repeatedly
+	ScenarioChurn           = "churn"         // machines restart and change at the operators' rates times ChurnFactor
+	ScenarioRestart         = "restart"       // all hollow nodes of a zone restart at once
+	ScenarioRackLoss        = "rack"          // all machines of a rack are lost at once, and come back
 	ScenarioZoneLoss        = "zone"
 	ScenarioRegionLoss      = "region"
-	ScenarioPartition       = "cut"       // a region's nodes reach nobody for a while
-	ScenarioDiscoveryOutage = "discovery" // the discovery service is back after an outage
-	ScenarioLeaderKill      = "leader"    // whoever leads the fleet is killed
-	ScenarioPurge           = "purge"
+	ScenarioPartition       = "cut"       // a region's nodes reach neither voters nor the discovery service for a time
+	ScenarioDiscoveryOutage = "discovery" // the discovery service stops for a time
+	ScenarioLeaderKill      = "leader"    // the leader is killed
+	ScenarioPurge           = "purge"     // rejected, as no mechanism carries purges
 )
 
-// All are those that can be asked for, in the order in which they are played.
-var AllScenarios = []string{ScenarioList, ScenarioLease, ScenarioBudget, ScenarioConfiguration, ScenarioChurn, ScenarioRestart, ScenarioRackLoss, ScenarioZoneLoss, ScenarioRegionLoss, ScenarioPartition, ScenarioDiscoveryOutage, ScenarioLeaderKill}
+// AllScenarios lists the scenarios that a plan may include, in the order in which they run.
+var AllScenarios = []string{ScenarioList, ScenarioLease, ScenarioBudget, ScenarioConfiguration, ScenarioChurn, ScenarioRestart, ScenarioRackLoss,
+	ScenarioZoneLoss, ScenarioRegionLoss, ScenarioPartition, ScenarioDiscoveryOutage, ScenarioLeaderKill}
 
-// Plan is what is played.
+// Plan describes a run.
 type Plan struct {
 	HollowNodes, RealNodes, CacheServers int
-	PhaseDuration                        time.Duration // of peace, and of ordinary churn
+	PhaseDuration                        time.Duration // of the phase without churn, and of the phase with churn
 	Seed                                 uint64
 	Scenarios                            []string
-	ChurnFactor                          float64       // ordinary churn is this much faster than the operators'
-	PartitionDuration                    time.Duration // a region is cut off for so long
-	ConfigFileKB                         int           // of each node's configuration
-	NoLoad                               bool          // real nodes get no lookups, and no node has demand for budgets
-	Program                              string        // of a build with the tag faults
+	ChurnFactor                          float64       // the rate of churn as a multiple of the operators' rate
+	PartitionDuration                    time.Duration // how long a region is cut off
+	ConfigFileKB                         int           // size of the padding in each node's configuration file
+	NoLoad                               bool          // real nodes get no lookups, and hollow nodes have no demand for the budget
+	Program                              string        // path of the program, built with the tag faults
 }
 
-// Has says whether something is played.
+// Includes reports whether the plan includes a scenario.
 func (p *Plan) Includes(scenario string) bool { return slices.Contains(p.Scenarios, scenario) }
 
-// Parse reads what is to be played from a list with commas.
+// ParseScenarios parses a comma-separated list of scenarios.
 func ParseScenarios(list string) (scenarios []string, err error) {
 	for name := range strings.SplitSeq(list, ",") {
 		switch name = strings.TrimSpace(name); {
 		case name == ScenarioPurge:
-			return nil, fmt.Errorf("what: no mechanism carries purges today, so none can be played")
+			return nil, fmt.Errorf("what: no mechanism carries purges today, so the scenario cannot run")
 		case !slices.Contains(AllScenarios, name):
 			return nil, fmt.Errorf("what: expected some of %s, not %q", strings.Join(AllScenarios, ","), name)
 		case !slices.Contains(scenarios, name):
@@ -60,84 +62,85 @@
 	includes := func(name string) bool { return slices.Contains(scenarios, name) }
 	switch {
 	case !includes(ScenarioList):
-		return nil, fmt.Errorf("what: expected list among them: a node without it is not up")
+		return nil, fmt.Errorf("what: expected list: a node without an endpoint list is not ready")
 	case (includes(ScenarioBudget) || includes(ScenarioLeaderKill)) && !includes(ScenarioLease):
-		return nil, fmt.Errorf("what: expected lease beside budget and leader, which go by it")
+		return nil, fmt.Errorf("what: expected lease: budget and leader depend on it")
 	}
 	return scenarios, nil
 }
 
-// What runs beside the hosts of hollow nodes.
+// The layout of the simulated fleet and the limits of a run.
 const (
 	voterCount        = 3
 	minZones          = 4
 	maxZones          = 20
-	nodesPerZone      = 232 // as the operators have it
-	zonesPerRegion    = 4   // as the operators' 82 in 23
-	racksPerZone      = 2   // a rack is a process of hollow nodes: what is lost at once is killed at once
-	maxCacheListeners = 256 // stand-ins of cache servers that listen; of more on the list several share one
+	nodesPerZone      = 232 // as in the operators' fleet
+	zonesPerRegion    = 4   // as in the operators' fleet, which has 82 zones in 23 regions
+	racksPerZone      = 2   // a rack is one process of hollow nodes, so that a rack is lost by killing its process
+	maxCacheListeners = 256 // with more cache servers on the list, several share an address
 	maxProcesses      = 200
 	maxMemoryBytes    = 12 << 30
 )
 
-// What a process takes, as measured at 800 nodes and 240 servers, rounded up.
+// Estimates of the resources that a process needs, from a run with 800 nodes and 240 servers, rounded up.
 const (
 	bytesPerProcess    = 40 << 20
-	bytesPerNode       = 600 << 10 // a hollow node without its list,
-	bytesPerEntry      = 1200      // and an entry of that
-	descriptorsPerNode = 8         // descriptors of a hollow node: its address, seat, the list, the leader, and those of a moment
-	baseDescriptors    = 96
+	bytesPerNode       = 600 << 10 // a hollow node without its endpoint list
+	bytesPerEntry      = 1200      // an entry of a node's endpoint list
+	descriptorsPerNode = 8         // listener, membership file, discovery service, leader, and short-lived ones
+	baseDescriptors    = 96        // descriptors of a process without hollow nodes
 )
 
-// What a voter's file says of descriptors: a voter that leads has a connection from each node.
+// The descriptors in a voter's configuration. The leader has a connection from each node. A node sets a reserve apart, and at most
+// half of the remaining descriptors is for the cluster (internal/net/node/limits.go, clusterShare).
 const (
-	voterClusterDescriptors = 36  // of a voter's part beside one for each node (node/limits.go, fleetOwn and fleetVoter),
-	clusterDivisor          = 2   // which is half at most of what is left when
-	maxReserve              = 64  // these are set apart;
-	voterRequestDescriptors = 448 // and so many more for clients and servers
+	voterClusterDescriptors = 36  // a voter's cluster descriptors without those for nodes: clusterReserve, and connsPerVoter for each voter
+	clusterDivisor          = 2   // clusterDivisor in limits.go
+	maxReserve              = 64  // maxDividedReserve in limits.go
+	voterRequestDescriptors = 448 // for connections of clients and servers
 )
 
-// namesMost is the most leases that are held at once (lease/state.go). Each node holds that of its name, each voter too, and
-// each of the fleet's tasks is one: probe and roll-up.
+// maxLeases is the limit on leases that are held at once (lease/state.go). Each node and each voter holds the lease of its name, and
+// each task of the cluster, probe and roll-up, has a lease.
 const (
 	maxLeases  = 4096
 	taskLeases = 2
 )
 
-// voterNeeds gives how many descriptors a voter's process has to have, so that it holds connections of all nodes as the leader.
+// voterDescriptors returns how many descriptors a voter needs to hold connections of all nodes when it is the leader.
 func (p *Plan) voterDescriptors() int {
 	return clusterDivisor*(p.HollowNodes+p.RealNodes+voterClusterDescriptors) + maxReserve
 }
 
-// voterSockets is what a voter's file has as limits.sockets, where a process may have so many descriptors.
+// voterSocketLimit returns limits.sockets of a voter's configuration, given the descriptor limit of a process.
 func (p *Plan) voterSocketLimit(descriptors int) int {
 	return min(p.voterDescriptors()+voterRequestDescriptors, descriptors)
 }
 
-// Zones gives how many zones there are.
+// Zones returns the number of zones.
 func (p *Plan) Zones() int { return min(maxZones, max(minZones, p.HollowNodes/nodesPerZone)) }
 
-// Regions gives how many regions there are.
+// Regions returns the number of regions.
 func (p *Plan) Regions() int { return max(2, p.Zones()/zonesPerRegion) }
 
-// Place is where a machine stands, by number.
+// Place is the region, zone and rack of a machine, by number.
 type Place struct{ Region, Zone, Rack int }
 
-// PlaceOf spreads machines of one sort evenly.
+// PlaceOf returns the place of a hollow node or a cache server. It spreads the machines evenly over the racks.
 func (p *Plan) PlaceOf(machine int) Place {
 	rack := machine % (p.Zones() * racksPerZone)
 	zone := rack / racksPerZone
 	return Place{zone % p.Regions(), zone, rack}
 }
 
-// Room is what the machine has for a run.
+// Resources is what the machine has available for a run.
 type Resources struct {
-	MemoryBytes int64 // bytes that are free
-	Descriptors int   // that a process may have
+	MemoryBytes int64 // free memory
+	Descriptors int   // descriptor limit of a process
 }
 
-// lacks says what of the room a plan goes beyond; empty: it fits.
-func (p *Plan) exceeded(available Resources) string {
+// exceededLimit describes the first resource or limit that the plan exceeds, or returns "" if the plan fits.
+func (p *Plan) exceededLimit(available Resources) string {
 	racks := p.Zones() * racksPerZone
 	processes := racks + p.RealNodes + 2
 	if p.Includes(ScenarioLease) {
@@ -160,30 +163,31 @@
 	case descriptors > available.Descriptors:
 		return fmt.Sprintf("%d descriptors in one process, over %d", descriptors, available.Descriptors)
 	case p.Includes(ScenarioLease) && leases > maxLeases:
-		return fmt.Sprintf("%d leases, over the %d that are held at once (lease/state.go, namesMost)", leases, maxLeases)
+		return fmt.Sprintf("%d leases, over the limit of %d (lease/state.go, maxLeases)", leases, maxLeases)
 	}
 	return ""
 }
 
-// beyond says whether a run that goes on takes more than a run may.
+// checkRunLimits returns an error if the processes of a run use more than a run may.
 func checkRunLimits(residentBytes int64, processes int) error {
 	if residentBytes > maxMemoryBytes || processes > maxProcesses {
-		return fmt.Errorf("ended: %d processes take %d MB, over %d or %d MB", processes, residentBytes>>20, maxProcesses, int64(maxMemoryBytes)>>20)
+		return fmt.Errorf("run canceled: %d processes use %d MB, the limits are %d processes and %d MB", processes, residentBytes>>20, maxProcesses, int64(maxMemoryBytes)>>20)
 	}
 	return nil
 }
 
-// Fits refuses a plan that the machine has no room for, and tells the most nodes that it has room for.
+// CheckFits returns an error if the plan is invalid or needs more than the available resources. The error says how many hollow
+// nodes would fit.
 func (p *Plan) CheckFits(available Resources) error {
 	switch {
 	case p.HollowNodes < 2*minZones || p.CacheServers < 1 || p.RealNodes < 0 || p.ConfigFileKB < 0 || p.ConfigFileKB > 1024:
 		return fmt.Errorf("nodes: expected %d or more, servers 1 or more, real 0 or more, a file of 0 to 1024 KB", 2*minZones)
 	case p.PhaseDuration < time.Second || p.PhaseDuration > 10*time.Minute || p.PartitionDuration > 2*time.Minute:
-		return fmt.Errorf("for: expected 1s to 10m, and to be cut off for 2m at most")
+		return fmt.Errorf("for: expected 1s to 10m, and cut 2m at most")
 	case !(p.ChurnFactor >= 1 && p.ChurnFactor <= 10_000):
 		return fmt.Errorf("faster: expected 1 to 10000")
 	}
-	reason := p.exceeded(available)
+	reason := p.exceededLimit(available)
 	if reason == "" {
 		return nil
 	}
@@ -191,7 +195,7 @@
 	for tooMany-fitting > 1 {
 		smaller := *p
 		smaller.HollowNodes = (fitting + tooMany) / 2
-		if smaller.exceeded(available) == "" {
+		if smaller.exceededLimit(available) == "" {
 			fitting = smaller.HollowNodes
 		} else {
 			tooMany = smaller.HollowNodes
--- a/internal/scaletest/strains.go
+++ b/internal/scaletest/strains.go
@@ -12,10 +12,11 @@
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
+// sortedKeys returns the keys of a map in order.
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
-// loss lets all of a place go at once, and come back: its nodes' processes are killed, or for a restart told to leave, and its
-// cache servers go from the list.
+// loseAndRestore loses a rack, zone or region and brings it back. It kills the processes of its hollow nodes and removes its cache
+// servers from the list. A restart shuts down the nodes of a zone gracefully instead and leaves the list as it is.
 func (r *run) loseAndRestore(scenario string) error {
 	lostRacks := map[int]bool{}
 	for _, p := range r.hosts {
@@ -92,7 +93,8 @@
 	return r.reportUsageOfSurvivors(scenario, before, leader, hosts)
 }
 
-// strain tells what the roles that went on have used in a strain.
+// reportUsageOfSurvivors reports what the leader and the discovery service have used during a scenario, unless they are among the
+// excluded processes.
 func (r *run) reportUsageOfSurvivors(scenario string, before map[*process]processUsage, leader int, excluded []*process) error {
 	after := map[*process]processUsage{}
 	for _, p := range r.processes() {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// cutOff lets a region reach nobody for a while: neither the voters nor discovery.
+// runPartition cuts a region off from the voters and the discovery service for PartitionDuration.
 func (r *run) runPartition() error {
 	before, err := r.startMeasurement()
 	if err != nil {
@@ -149,7 +151,7 @@
 	r.sleep(r.PartitionDuration / 2)
 	entry := r.entries[0]
 	entry.StartedMs = float64(time.Now().UnixMilli())
-	change, err := r.changeEntries([]Entry{entry}) // the others' side goes on
+	change, err := r.changeEntries([]Entry{entry}) // the nodes outside get it at once
 	if err != nil {
 		return err
 	}
@@ -179,6 +181,7 @@
 	return r.reportUsageOfSurvivors(ScenarioPartition, before, leader, nil)
 }
 
+// reportLostLeases reports how many leases were lost in a scenario.
 func (r *run) reportLostLeases(scenario string) {
 	lost := 0
 	for _, event := range r.nodeEvents {
@@ -190,7 +193,7 @@
 	r.addLine("%s: leases lost %d", scenario, lost)
 }
 
-// outage lets discovery be away for a while, and come back with everybody calling.
+// runDiscoveryOutage stops the discovery service for outageDuration. Afterwards all nodes call it at once.
 func (r *run) runDiscoveryOutage() error {
 	before, err := r.startMeasurement()
 	if err != nil {
@@ -226,11 +229,11 @@
 	return r.reportUsageOfSurvivors(ScenarioDiscoveryOutage, before, leader, nil)
 }
 
-// deposed kills whoever leads, and lets it come back once others have gone on.
+// killLeader kills the leader, and starts it again once the nodes have renewed their leases at its successor.
 func (r *run) killLeader() error {
 	leader := r.leaderIndex()
 	if leader < 0 {
-		return fmt.Errorf("nobody leads")
+		return fmt.Errorf("no leader is known")
 	}
 	before, err := r.startMeasurement()
 	if err != nil {
--- a/internal/scaletest/times.go
+++ b/internal/scaletest/times.go
@@ -7,19 +7,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// What a node's mark tells.
+// Kinds of node events.
 const (
-	eventStart              = "s" // it starts
-	eventListInForce        = "l" // a list is in force, of the version told
-	eventConfigInForce      = "c" // its configuration was read anew
-	eventLeaseAcquired      = "h" // the lease of its name is held
-	eventLeaseRenewed       = "r" // and was renewed; the asking took so many nanoseconds
-	eventLeaseRequestFailed = "f" // an asking for it came to nothing, or was refused
-	eventLeaseLost          = "x" // it is lost
-	eventQuotasReceived     = "p" // its parts are told, under the revision of the budget's terms
+	eventStart              = "s" // the node starts
+	eventListInForce        = "l" // an endpoint list is in force; Value is its version
+	eventConfigInForce      = "c" // the configuration was reloaded
+	eventLeaseAcquired      = "h" // the lease of the node's name was acquired; Value is the duration of the request in ns
+	eventLeaseRenewed       = "r" // the lease was renewed; Value is the duration of the request in ns
+	eventLeaseRequestFailed = "f" // a request for the lease failed or was rejected
+	eventLeaseLost          = "x" // the lease was lost
+	eventQuotasReceived     = "p" // quotas were received; Value is the revision of the budget's configuration
 )
 
-// Mark is one thing that happened at a node, by the machine's boot clock in nanoseconds.
+// NodeEvent is an event at a node, with its time by the machine's boot clock in nanoseconds.
 type NodeEvent struct {
 	Node       int    `json:"n"`
 	Kind       string `json:"w"`
@@ -27,17 +27,17 @@
 	Value      int64  `json:"v,omitempty"`
 }
 
-// Change is something that is to come into force at all nodes.
+// AppliedChange is a change that is expected to come into force at all nodes.
 type AppliedChange struct {
 	BootTimeNs int64
-	MinValue   int64 // what a mark has to tell at the least
+	MinValue   int64 // smallest Value of an event that shows the change in force
 }
 
-// Times is how long changes took.
+// Latencies holds how long changes took.
 type Latencies struct {
-	PerNode  *hdrhistogram.Histogram // microseconds, of each node and change
-	LastNode *hdrhistogram.Histogram // of each change's last node
-	Missing  int                     // at which one was not in force in time
+	PerNode  *hdrhistogram.Histogram // microseconds, for each node and change
+	LastNode *hdrhistogram.Histogram // microseconds, for each change at the last node
+	Missing  int                     // pairs of node and change without an event in time
 }
 
 const maxLatencyMicros = int64(5 * time.Minute / time.Microsecond)
@@ -46,12 +46,12 @@
 	return Latencies{hdrhistogram.New(1, maxLatencyMicros, 3), hdrhistogram.New(1, maxLatencyMicros, 3), 0}
 }
 
-// record takes a time in; whatever is out of the histogram's bounds counts as its ends.
+// recordLatency records a latency. A value outside the histogram's range counts as the nearest value in the range.
 func recordLatency(h *hdrhistogram.Histogram, ns int64) {
 	_ = h.RecordValue(min(maxLatencyMicros, max(1, ns/int64(time.Microsecond))))
 }
 
-// byNode sorts marks.
+// groupByNode returns the events of each node by time.
 func groupByNode(events []NodeEvent) map[int][]NodeEvent {
 	grouped := map[int][]NodeEvent{}
 	for _, event := range events {
@@ -63,10 +63,10 @@
 	return grouped
 }
 
-const maxShutdownNs = int64(4 * time.Second) // before it starts a node may have been on its way out
+const maxShutdownNs = int64(4 * time.Second) // a restarted node may have been shutting down for this long before its start
 
-// inForce measures from each change to the first mark of it at each of these nodes. A node that was down at that moment is left
-// out: the time of a start is measured by itself.
+// changeLatencies measures the time from each change to the first event at each of these nodes that shows the change in force. A
+// node that was down at the time of the change is left out, as startLatencies measures starts.
 func changeLatencies(changes []AppliedChange, eventsByNode map[int][]NodeEvent, nodes []int, kind string, timeout time.Duration) Latencies {
 	latencies := newLatencies()
 	for _, c := range changes {
@@ -93,7 +93,7 @@
 	return latencies
 }
 
-// wasDown says whether a node had not yet come, or was on its way out, at a time.
+// wasDown reports whether a node was starting or may have been shutting down at a time.
 func wasDown(events []NodeEvent, timeNs int64, kind string) bool {
 	for i, started := range events {
 		if started.Kind != eventStart {
@@ -107,7 +107,7 @@
 	return false
 }
 
-// sinceStart measures from each start after a time to the node's first mark of something.
+// startLatencies measures the time from each start since sinceNs to the node's first event of a kind.
 func startLatencies(eventsByNode map[int][]NodeEvent, nodes []int, sinceNs int64, kind string, timeout time.Duration) Latencies {
 	latencies := newLatencies()
 	lastNs := int64(0)
@@ -132,7 +132,7 @@
 	return latencies
 }
 
-// renewed measures to the first renewal, or grant, whose asking was sent after a time.
+// renewalLatencies measures the time from sinceNs to each node's first renewal or acquisition whose request was sent since then.
 func renewalLatencies(eventsByNode map[int][]NodeEvent, nodes []int, sinceNs int64, timeout time.Duration) Latencies {
 	var renewals = map[int][]NodeEvent{}
 	for _, n := range nodes {
