--- a/internal/scaletest/strains.go
+++ b/internal/scaletest/disruptions.go
@@ -4,17 +4,12 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"syscall"
 	"time"
 
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
-// sortedKeys returns the keys of a map in order.
-func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
-
 // loseAndRestore loses a rack, zone or region and brings it back. It kills the processes of its hollow nodes and removes its cache
 // servers from the list. A restart shuts down the nodes of a zone gracefully instead and leaves the list as it is.
 func (r *run) loseAndRestore(scenario string) error {
@@ -93,45 +88,6 @@
 	return r.reportUsageOfSurvivors(scenario, before, leader, hosts)
 }
 
-// reportUsageOfSurvivors reports what the leader and the discovery service have used during a scenario, unless they are among the
-// excluded processes.
-func (r *run) reportUsageOfSurvivors(scenario string, before map[*process]processUsage, leader int, excluded []*process) error {
-	after := map[*process]processUsage{}
-	for _, p := range r.processes() {
-		if _, measuredBefore := before[p]; !measuredBefore || slices.Contains(excluded, p) {
-			continue
-		}
-		usage, err := p.usage()
-		if err != nil {
-			return err
-		}
-		after[p] = usage
-	}
-	reportRole := func(name string, p *process) {
-		first, last := before[p], after[p]
-		if first.measuredNs == 0 || last.measuredNs == 0 {
-			return
-		}
-		seconds := float64(last.measuredNs-first.measuredNs) / float64(time.Second)
-		cpuPercent := 100 * float64(last.CPUBefore-first.CPUAfter) / float64(time.Second) / seconds
-		sentBytesPerSecond := 0.0
-		for purpose, traffic := range last.Traffic {
-			sentBytesPerSecond += float64(traffic.Sent-first.Traffic[purpose].Sent) / seconds
-		}
-		r.addMeasurement(scenario, name, "share of a core %", cpuPercent)
-		r.addMeasurement(scenario, name, "bytes sent /s", sentBytesPerSecond)
-		r.addLine("%s: %s: %.3g%% of a core and %.4g bytes sent a second over %.1f s", scenario, name, cpuPercent, sentBytesPerSecond, seconds)
-	}
-	if leader >= 0 {
-		reportRole("leader", r.voters[leader])
-	}
-	reportRole("discovery", r.discovery)
-	if first, last := before[r.discovery].calls, after[r.discovery].calls; first != last {
-		r.addLine("%s: discovery gave %d whole lists and %d of changes", scenario, last.FullLists-first.FullLists, last.Changes-first.Changes)
-	}
-	return nil
-}
-
 // runPartition cuts a region off from the voters and the discovery service for PartitionDuration.
 func (r *run) runPartition() error {
 	before, err := r.startMeasurement()
@@ -181,18 +137,6 @@
 	return r.reportUsageOfSurvivors(ScenarioPartition, before, leader, nil)
 }
 
-// reportLostLeases reports how many leases were lost in a scenario.
-func (r *run) reportLostLeases(scenario string) {
-	lost := 0
-	for _, event := range r.nodeEvents {
-		if event.Kind == eventLeaseLost {
-			lost++
-		}
-	}
-	r.addMeasurement(scenario, "node", "leases lost", float64(lost))
-	r.addLine("%s: leases lost %d", scenario, lost)
-}
-
 // runDiscoveryOutage stops the discovery service for outageDuration. Afterwards all nodes call it at once.
 func (r *run) runDiscoveryOutage() error {
 	before, err := r.startMeasurement()
--- /dev/null
+++ b/internal/scaletest/phase.go
@@ -0,0 +1,155 @@
+//go:build faults
+
+package scaletest
+
+import (
+	"errors"
+	"math"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/thistlerudder/thistlerudder/internal/faulttest"
+)
+
+// runPhase applies the scheduled changes, and reports how long they took and what the processes used.
+func (r *run) runPhase(name string, schedule []ScheduledChange) error {
+	leader := r.leaderIndex()
+	before, err := r.usageByProcess()
+	if err != nil {
+		return err
+	}
+	if err := r.fetchNodeEvents(); err != nil { // events before this phase are reported elsewhere
+		return err
+	}
+	r.nodeEvents = nil
+	startTime, startNs := time.Now(), faulttest.Boot()
+	changes, failedLimitChanges := map[string][]AppliedChange{}, 0
+	var mu, reloadMu sync.Mutex
+	var errs []error
+	var slowChanges sync.WaitGroup // slow changes must not delay the other changes
+	recordChange := func(kind string, c AppliedChange, err error) {
+		mu.Lock()
+		defer mu.Unlock()
+		if err != nil {
+			errs = append(errs, err)
+			return
+		}
+		changes[kind] = append(changes[kind], c)
+	}
+	for _, scheduled := range schedule {
+		r.sleep(time.Until(startTime.Add(scheduled.Offset)))
+		if r.ctx.Err() != nil {
+			return r.ctx.Err()
+		}
+		switch scheduled.Kind {
+		case changeEntry:
+			entry := r.entries[scheduled.Index]
+			entry.StartedMs = float64(time.Now().UnixMilli())
+			c, err := r.changeEntries([]Entry{entry})
+			recordChange(scheduled.Kind, c, err)
+		case changeConfig:
+			slowChanges.Go(func() {
+				reloadMu.Lock() // one at a time
+				defer reloadMu.Unlock()
+				c, err := r.reloadConfigs()
+				recordChange(scheduled.Kind, c, err)
+			})
+		case changeBudget:
+			if r.budgetLimit *= 1.1; r.budgetLimit > 1.2*budgetRatePerNode*float64(r.HollowNodes+r.RealNodes+voterCount) {
+				r.budgetLimit /= 1.21
+			}
+			limit := math.Round(r.budgetLimit)
+			slowChanges.Go(func() {
+				c := AppliedChange{BootTimeNs: faulttest.Boot()}
+				status, err := r.client.SetLimit(budgetName, limit)
+				if err != nil { // for example during an election; the other changes go on
+					mu.Lock()
+					defer mu.Unlock()
+					r.addLine("%s: the budget's whole could not be set: %v", name, err)
+					failedLimitChanges++
+					return
+				}
+				c.MinValue = int64(status.BudgetConfig.Revision)
+				recordChange(scheduled.Kind, c, nil)
+			})
+		case restartNode:
+			_, err := r.hosts[r.PlaceOf(scheduled.Index).Rack].send(command{Name: "restart", Nodes: []int{scheduled.Index}})
+			recordChange(scheduled.Kind, AppliedChange{}, err)
+		}
+	}
+	slowChanges.Wait()
+	if err := errors.Join(errs...); err != nil {
+		return err
+	}
+	r.sleep(time.Until(startTime.Add(r.PhaseDuration)))
+	after, err := r.usageByProcess()
+	if err != nil {
+		return err
+	}
+	r.sleep(maxPropagation / 5) // wait for late events
+	if err := r.appendNodeEvents(); err != nil {
+		return err
+	}
+	r.reportUsage(name, before, after, leader)
+	eventsByNode, nodes := groupByNode(r.nodeEvents), r.nodesOutside(nil)
+	for i, p := range r.realNodes {
+		eventsByNode[firstRealNodeNumber+i] = p.loggedEvents(firstRealNodeNumber + i)
+		nodes = append(nodes, firstRealNodeNumber+i)
+	}
+	r.reportLatencies(name, "list in force", changeLatencies(changes[changeEntry], eventsByNode, nodes, eventListInForce, maxPropagation))
+	if r.Includes(ScenarioConfiguration) {
+		r.reportLatencies(name, "configuration in force", changeLatencies(changes[changeConfig], eventsByNode, nodes, eventConfigInForce, maxPropagation))
+	}
+	if r.Includes(ScenarioBudget) {
+		if r.addMeasurement(name, "node", "wholes that could not be set", float64(failedLimitChanges)); failedLimitChanges > 0 {
+			r.addExceededBound("%s: a budget's whole could not be set %d times", name, failedLimitChanges)
+		}
+		r.reportLatencies(name, "budget's whole in force", changeLatencies(changes[changeBudget], eventsByNode, r.nodesOutside(nil), eventQuotasReceived, maxPropagation))
+	}
+	if n := len(changes[restartNode]); n > 0 {
+		r.addLine("%s: %d nodes restarted, %d entries changed: %g times the operators' whole fleet's", name, n, len(changes[changeEntry]), r.ChurnFactor)
+		for _, kind := range r.requiredEvents() {
+			r.reportLatencies(name, eventLabels[kind]+" after a start", startLatencies(eventsByNode, r.nodesOutside(nil), startNs, kind, maxPropagation))
+		}
+	}
+	if r.Includes(ScenarioLease) {
+		r.reportRenewals(name)
+	}
+	if leaderNow := r.leaderIndex(); leaderNow != leader {
+		r.addLine("%s: another voter came to lead meanwhile: what the leader used is not all told", name)
+	}
+	return nil
+}
+
+// changeEntries changes entries of the endpoint list.
+func (r *run) changeEntries(entries []Entry) (AppliedChange, error) {
+	response, err := r.discovery.send(command{Name: "change", Entries: entries})
+	return AppliedChange{response.BootTimeNs, response.Version}, err
+}
+
+// reloadConfigs rewrites all configuration files and makes all nodes except the voters reload them.
+func (r *run) reloadConfigs() (AppliedChange, error) {
+	if err := r.writeConfigs(); err != nil {
+		return AppliedChange{}, err
+	}
+	startNs := faulttest.Boot()
+	err := inParallel(r.hosts, func(p *process) error { _, err := p.send(command{Name: "reload"}); return err })
+	for _, p := range r.realNodes {
+		_ = p.cmd.Process.Signal(syscall.SIGHUP)
+	}
+	return AppliedChange{BootTimeNs: startNs}, err
+}
+
+// leaderIndex returns the index of the leader among the voters, or -1 if no leader is known.
+func (r *run) leaderIndex() int {
+	if r.client == nil {
+		return -1
+	}
+	s, err := r.client.Status()
+	if err != nil {
+		return -1
+	}
+	return slices.IndexFunc(r.voters, func(p *process) bool { return p.name == s.Node })
+}
