--- a/internal/scaletest/disruptions.go
+++ b/internal/scaletest/disruptions.go
@@ -13,18 +13,7 @@
 // loseAndRestore loses a rack, zone or region and brings it back. It kills the processes of its hollow nodes and removes its cache
 // servers from the list. A restart shuts down the nodes of a zone gracefully instead and leaves the list as it is.
 func (r *run) loseAndRestore(scenario string) error {
-	lostRacks := map[int]bool{}
-	for _, p := range r.hosts {
-		place := r.PlaceOf(p.nodes[0])
-		switch scenario {
-		case ScenarioRackLoss:
-			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Rack == 0
-		case ScenarioZoneLoss, ScenarioRestart:
-			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Zone == 0
-		case ScenarioRegionLoss:
-			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Region == 0
-		}
-	}
+	lostRacks := r.racksToLose(scenario)
 	var hosts []*process
 	for rack, isLost := range lostRacks {
 		if isLost {
@@ -57,7 +46,8 @@
 			return err
 		}
 		remainingNodes := r.nodesOutside(lostRacks)
-		r.reportLatencies(scenario, "list in force at who is left", changeLatencies([]AppliedChange{change}, groupByNode(r.nodeEvents), remainingNodes, eventListInForce, maxPropagation))
+		r.reportLatencies(scenario, "list in force at who is left",
+			changeLatencies([]AppliedChange{change}, groupByNode(r.nodeEvents), remainingNodes, eventListInForce, maxPropagation))
 		r.addLine("%s: %d nodes and %d cache servers lost at once", scenario, r.HollowNodes-len(remainingNodes), len(removedEntries))
 	}
 	restartNs := faulttest.Boot()
@@ -83,11 +73,29 @@
 		return err
 	}
 	if len(removedEntries) > 0 {
-		r.reportLatencies(scenario, "list in force at its return", changeLatencies([]AppliedChange{change}, groupByNode(r.nodeEvents), r.nodesOutside(lostRacks), eventListInForce, maxPropagation))
+		r.reportLatencies(scenario, "list in force at its return",
+			changeLatencies([]AppliedChange{change}, groupByNode(r.nodeEvents), r.nodesOutside(lostRacks), eventListInForce, maxPropagation))
 	}
 	return r.reportUsageOfSurvivors(scenario, before, leader, hosts)
 }
 
+// racksToLose maps the racks that are lost in a scenario to true.
+func (r *run) racksToLose(scenario string) map[int]bool {
+	lostRacks := map[int]bool{}
+	for _, p := range r.hosts {
+		place := r.PlaceOf(p.nodes[0])
+		switch scenario {
+		case ScenarioRackLoss:
+			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Rack == 0
+		case ScenarioZoneLoss, ScenarioRestart:
+			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Zone == 0
+		case ScenarioRegionLoss:
+			lostRacks[place.Rack] = lostRacks[place.Rack] || place.Region == 0
+		}
+	}
+	return lostRacks
+}
+
 // runPartition cuts a region off from the voters and the discovery service for PartitionDuration.
 func (r *run) runPartition() error {
 	before, err := r.startMeasurement()
@@ -124,7 +132,8 @@
 		eventsByNode := groupByNode(r.nodeEvents)
 		listLatencies = changeLatencies([]AppliedChange{{healedNs, change.MinValue}}, eventsByNode, partitionedNodes, eventListInForce, maxRecovery)
 		leaseLatencies = renewalLatencies(eventsByNode, partitionedNodes, healedNs, maxRecovery)
-		if listLatencies.Missing+leaseLatencies.Missing == 0 || !r.Includes(ScenarioLease) && listLatencies.Missing == 0 || time.Now().After(deadline) || r.ctx.Err() != nil {
+		if listLatencies.Missing+leaseLatencies.Missing == 0 || !r.Includes(ScenarioLease) && listLatencies.Missing == 0 ||
+			time.Now().After(deadline) || r.ctx.Err() != nil {
 			break
 		}
 	}
@@ -164,7 +173,8 @@
 		if err := r.appendNodeEvents(); err != nil {
 			return err
 		}
-		latencies = changeLatencies([]AppliedChange{{reopened.BootTimeNs, change.MinValue}}, groupByNode(r.nodeEvents), r.nodesOutside(nil), eventListInForce, maxRecovery)
+		latencies = changeLatencies([]AppliedChange{{reopened.BootTimeNs, change.MinValue}}, groupByNode(r.nodeEvents),
+			r.nodesOutside(nil), eventListInForce, maxRecovery)
 		if latencies.Missing == 0 || time.Now().After(deadline) || r.ctx.Err() != nil {
 			break
 		}
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -106,14 +106,14 @@
 		slope = covariation / sizeVariation
 	}
 	intercept = meanValue - slope*meanSize
-	residualSum := 0.0
+	squaredResidualSum := 0.0
 	for i := range sizes {
 		residual := values[i] - intercept - slope*sizes[i]
 		residuals = append(residuals, residual)
-		residualSum += residual * residual
+		squaredResidualSum += residual * residual
 	}
 	if r2 = 1; valueVariation > 0 {
-		r2 = 1 - residualSum/valueVariation
+		r2 = 1 - squaredResidualSum/valueVariation
 	}
 	return intercept, slope, residuals, r2
 }
--- a/internal/scaletest/host_trace.go
+++ b/internal/scaletest/host_trace.go
@@ -27,14 +27,18 @@
 func (c *eventCore) Sync() error { return nil }
 
 func (c *eventCore) Check(e zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if _, marksEvent := eventKindsByMessage[e.Message]; marksEvent {
+	if _, isEvent := eventKindsByMessage[e.Message]; isEvent {
 		return checked.AddCore(e, c)
 	}
 	return checked
 }
 
 // eventKindsByMessage maps log messages to kinds of events.
-var eventKindsByMessage = map[string]string{"endpoint list updated": eventListInForce, "configuration reloaded": eventConfigInForce, "a lease is lost": eventLeaseLost}
+var eventKindsByMessage = map[string]string{
+	"endpoint list updated":  eventListInForce,
+	"configuration reloaded": eventConfigInForce,
+	"a lease is lost":        eventLeaseLost,
+}
 
 func (c *eventCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	event := NodeEvent{Node: c.node, Kind: eventKindsByMessage[e.Message]}
--- a/internal/scaletest/layout.go
+++ b/internal/scaletest/layout.go
@@ -54,11 +54,12 @@
 	}
 	for i := range r.CacheServers {
 		place := r.PlaceOf(i)
-		r.entries = append(r.entries, Entry{ID: fmt.Sprintf("cache-%05d", i), Address: fmt.Sprintf("%s:%d", loopbackIP(firstCacheAddrIndex+i%maxCacheListeners), cachePort),
-			Kind: "box", State: "Ready", Region: fmt.Sprint("region-", place.Region), Zone: fmt.Sprint("zone-", place.Zone)})
+		r.entries = append(r.entries, Entry{ID: fmt.Sprintf("cache-%05d", i),
+			Address: fmt.Sprintf("%s:%d", loopbackIP(firstCacheAddrIndex+i%maxCacheListeners), cachePort),
+			Kind:    "box", State: "Ready", Region: fmt.Sprint("region-", place.Region), Zone: fmt.Sprint("zone-", place.Zone)})
 	}
-	r.entries = append(r.entries, Entry{ID: "origin", Address: fmt.Sprintf("%s:%d", loopbackIP(firstCacheAddrIndex+maxCacheListeners), cachePort), Kind: "origin",
-		State: "Ready", Region: "region-0", Zone: "zone-0"})
+	r.entries = append(r.entries, Entry{ID: "origin", Address: fmt.Sprintf("%s:%d", loopbackIP(firstCacheAddrIndex+maxCacheListeners), cachePort),
+		Kind: "origin", State: "Ready", Region: "region-0", Zone: "zone-0"})
 }
 
 // nodeProcess returns the process of a voter or a real node.
--- a/internal/scaletest/node_events.go
+++ b/internal/scaletest/node_events.go
@@ -54,7 +54,12 @@
 }
 
 // eventLabels maps kinds of events to their names in the report.
-var eventLabels = map[string]string{eventListInForce: "list", eventLeaseAcquired: "lease", eventQuotasReceived: "part", eventConfigInForce: "configuration"}
+var eventLabels = map[string]string{
+	eventListInForce:    "list",
+	eventLeaseAcquired:  "lease",
+	eventQuotasReceived: "part",
+	eventConfigInForce:  "configuration",
+}
 
 // awaitRecovery waits until each node that has started since sinceNs has its required events, and reports how long they took.
 func (r *run) awaitRecovery(phase string, sinceNs int64, timeout time.Duration) error {
--- a/internal/scaletest/phase.go
+++ b/internal/scaletest/phase.go
@@ -25,6 +25,30 @@
 	}
 	r.nodeEvents = nil
 	startTime, startNs := time.Now(), faulttest.Boot()
+	changes, failedLimitChanges, err := r.applyChanges(name, schedule, startTime)
+	if err != nil {
+		return err
+	}
+	r.sleep(time.Until(startTime.Add(r.PhaseDuration)))
+	after, err := r.usageByProcess()
+	if err != nil {
+		return err
+	}
+	r.sleep(maxPropagation / 5) // wait for late events
+	if err := r.appendNodeEvents(); err != nil {
+		return err
+	}
+	r.reportUsage(name, before, after, leader)
+	r.reportPhase(name, changes, failedLimitChanges, startNs)
+	if leaderNow := r.leaderIndex(); leaderNow != leader {
+		r.addLine("%s: another voter came to lead meanwhile: what the leader used is not all told", name)
+	}
+	return nil
+}
+
+// applyChanges applies the scheduled changes at their times. It returns them by kind, and the number of changes of the budget's limit
+// that failed.
+func (r *run) applyChanges(name string, schedule []ScheduledChange, startTime time.Time) (map[string][]AppliedChange, int, error) {
 	changes, failedLimitChanges := map[string][]AppliedChange{}, 0
 	var mu, reloadMu sync.Mutex
 	var errs []error
@@ -41,7 +65,7 @@
 	for _, scheduled := range schedule {
 		r.sleep(time.Until(startTime.Add(scheduled.Offset)))
 		if r.ctx.Err() != nil {
-			return r.ctx.Err()
+			return nil, 0, r.ctx.Err()
 		}
 		switch scheduled.Kind {
 		case changeEntry:
@@ -80,47 +104,39 @@
 		}
 	}
 	slowChanges.Wait()
-	if err := errors.Join(errs...); err != nil {
-		return err
-	}
-	r.sleep(time.Until(startTime.Add(r.PhaseDuration)))
-	after, err := r.usageByProcess()
-	if err != nil {
-		return err
-	}
-	r.sleep(maxPropagation / 5) // wait for late events
-	if err := r.appendNodeEvents(); err != nil {
-		return err
-	}
-	r.reportUsage(name, before, after, leader)
+	return changes, failedLimitChanges, errors.Join(errs...)
+}
+
+// reportPhase reports how long the changes of a phase took to come into force, the starts of restarted nodes, and lease renewals.
+func (r *run) reportPhase(name string, changes map[string][]AppliedChange, failedLimitChanges int, startNs int64) {
 	eventsByNode, nodes := groupByNode(r.nodeEvents), r.nodesOutside(nil)
 	for i, p := range r.realNodes {
 		eventsByNode[firstRealNodeNumber+i] = p.loggedEvents(firstRealNodeNumber + i)
 		nodes = append(nodes, firstRealNodeNumber+i)
 	}
-	r.reportLatencies(name, "list in force", changeLatencies(changes[changeEntry], eventsByNode, nodes, eventListInForce, maxPropagation))
+	r.reportLatencies(name, "list in force",
+		changeLatencies(changes[changeEntry], eventsByNode, nodes, eventListInForce, maxPropagation))
 	if r.Includes(ScenarioConfiguration) {
-		r.reportLatencies(name, "configuration in force", changeLatencies(changes[changeConfig], eventsByNode, nodes, eventConfigInForce, maxPropagation))
+		r.reportLatencies(name, "configuration in force",
+			changeLatencies(changes[changeConfig], eventsByNode, nodes, eventConfigInForce, maxPropagation))
 	}
 	if r.Includes(ScenarioBudget) {
 		if r.addMeasurement(name, "node", "wholes that could not be set", float64(failedLimitChanges)); failedLimitChanges > 0 {
 			r.addExceededBound("%s: a budget's whole could not be set %d times", name, failedLimitChanges)
 		}
-		r.reportLatencies(name, "budget's whole in force", changeLatencies(changes[changeBudget], eventsByNode, r.nodesOutside(nil), eventQuotasReceived, maxPropagation))
+		r.reportLatencies(name, "budget's whole in force",
+			changeLatencies(changes[changeBudget], eventsByNode, r.nodesOutside(nil), eventQuotasReceived, maxPropagation))
 	}
 	if n := len(changes[restartNode]); n > 0 {
 		r.addLine("%s: %d nodes restarted, %d entries changed: %g times the operators' whole fleet's", name, n, len(changes[changeEntry]), r.ChurnFactor)
 		for _, kind := range r.requiredEvents() {
-			r.reportLatencies(name, eventLabels[kind]+" after a start", startLatencies(eventsByNode, r.nodesOutside(nil), startNs, kind, maxPropagation))
+			r.reportLatencies(name, eventLabels[kind]+" after a start",
+				startLatencies(eventsByNode, r.nodesOutside(nil), startNs, kind, maxPropagation))
 		}
 	}
 	if r.Includes(ScenarioLease) {
 		r.reportRenewals(name)
 	}
-	if leaderNow := r.leaderIndex(); leaderNow != leader {
-		r.addLine("%s: another voter came to lead meanwhile: what the leader used is not all told", name)
-	}
-	return nil
 }
 
 // changeEntries changes entries of the endpoint list.
--- a/internal/scaletest/startup.go
+++ b/internal/scaletest/startup.go
@@ -29,45 +29,19 @@
 		return err
 	}
 	if r.RealNodes > 0 && !r.NoLoad {
-		for i := range min(r.CacheServers, maxCacheListeners) {
-			if err = r.startCacheServer(firstCacheAddrIndex + i); err != nil {
-				return err
-			}
-		}
-		if err = r.startCacheServer(firstCacheAddrIndex + maxCacheListeners); err != nil {
+		if err = r.startCacheServers(); err != nil {
 			return err
 		}
 	}
 	if r.Includes(ScenarioPartition) {
-		for i := range voterCount + 1 {
-			target := fmt.Sprintf("%s:%d", loopbackIP(i), clusterPort)
-			if i == voterCount {
-				target = fmt.Sprintf("%s:%d", loopbackIP(discoveryAddrIndex), discoveryPort)
-			}
-			relay, err := faulttest.NewRelay(fmt.Sprintf("%s:%d", loopbackIP(firstRelayAddrIndex), relayPort+i), target)
-			if err != nil {
-				return err
-			}
-			r.relays = append(r.relays, relay)
+		if err = r.startRelays(); err != nil {
+			return err
 		}
 	}
 	if r.Includes(ScenarioLease) {
-		if err = inParallel(r.voters, func(p *process) error { return p.start(r.Program) }); err != nil {
+		if err = r.startVoters(); err != nil {
 			return err
 		}
-		clusterConfig, err := config.ReadCluster(filepath.Join(r.dir, "v0.json"))
-		if err != nil {
-			return err
-		}
-		r.client = cluster.NewClient(clusterConfig, zap.NewNop())
-		for deadline := time.Now().Add(startStopTimeout); ; r.sleep(50 * time.Millisecond) {
-			if err = r.client.FoundCluster(0); err == nil {
-				break
-			}
-			if time.Now().After(deadline) || r.ctx.Err() != nil {
-				return fmt.Errorf("cluster was not founded: %w", err)
-			}
-		}
 	}
 	if err = inParallel(slices.Concat(r.hosts, r.realNodes), func(p *process) error { return p.start(r.Program) }); err != nil {
 		return err
@@ -110,13 +84,59 @@
 	return false
 }
 
+// startCacheServers starts the simulated cache servers and the origin.
+func (r *run) startCacheServers() error {
+	for i := range min(r.CacheServers, maxCacheListeners) {
+		if err := r.startCacheServer(firstCacheAddrIndex + i); err != nil {
+			return err
+		}
+	}
+	return r.startCacheServer(firstCacheAddrIndex + maxCacheListeners)
+}
+
+// startRelays starts a relay to each voter and one to the discovery service, in front of the region that is to be partitioned.
+func (r *run) startRelays() error {
+	for i := range voterCount + 1 {
+		target := fmt.Sprintf("%s:%d", loopbackIP(i), clusterPort)
+		if i == voterCount {
+			target = fmt.Sprintf("%s:%d", loopbackIP(discoveryAddrIndex), discoveryPort)
+		}
+		relay, err := faulttest.NewRelay(fmt.Sprintf("%s:%d", loopbackIP(firstRelayAddrIndex), relayPort+i), target)
+		if err != nil {
+			return err
+		}
+		r.relays = append(r.relays, relay)
+	}
+	return nil
+}
+
+// startVoters starts the voters and founds the cluster.
+func (r *run) startVoters() error {
+	if err := inParallel(r.voters, func(p *process) error { return p.start(r.Program) }); err != nil {
+		return err
+	}
+	clusterConfig, err := config.ReadCluster(filepath.Join(r.dir, "v0.json"))
+	if err != nil {
+		return err
+	}
+	r.client = cluster.NewClient(clusterConfig, zap.NewNop())
+	for deadline := time.Now().Add(startStopTimeout); ; r.sleep(50 * time.Millisecond) {
+		if err = r.client.FoundCluster(0); err == nil {
+			return nil
+		}
+		if time.Now().After(deadline) || r.ctx.Err() != nil {
+			return fmt.Errorf("cluster was not founded: %w", err)
+		}
+	}
+}
+
 // startCacheServer starts a simulated cache server or origin.
 func (r *run) startCacheServer(addrIndex int) error {
 	l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackIP(addrIndex), cachePort))
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(responseWriter http.ResponseWriter, _ *http.Request) { fmt.Fprint(responseWriter, "value") })}
+	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "value") })}
 	r.cacheServers = append(r.cacheServers, s)
 	go func() { _ = s.Serve(l) }()
 	return nil
--- a/internal/scaletest/usage.go
+++ b/internal/scaletest/usage.go
@@ -71,7 +71,8 @@
 		r.addLine("%s", text[:len(text)-1])
 	}
 	reportRole("node", r.hosts, float64(r.HollowNodes), r.baseHeapBytes)
-	reportRole("all nodes", r.hosts, 1, r.baseHeapBytes) // in a fit over the number of nodes, the slope is the cost of a node, and the intercept that of the processes
+	// In a fit over the number of nodes, the slope is the cost of a node, and the intercept that of the processes.
+	reportRole("all nodes", r.hosts, 1, r.baseHeapBytes)
 	if r.RealNodes > 0 {
 		reportRole("real node", r.realNodes, float64(r.RealNodes), r.baseHeapBytes)
 	}
