--- a/cmd/thistlerudder/scaletest_on.go
+++ b/cmd/thistlerudder/scaletest_on.go
@@ -112,7 +112,7 @@
 
 // hollowNodes returns the command of a child process that runs hollow nodes for the scale test.
 func hollowNodes() *cobra.Command {
-	command := &cobra.Command{Use: "hollow", Args: cobra.NoArgs, Hidden: true, Short: "Run hollow nodes as commands on standard input request"}
+	command := &cobra.Command{Use: "hollow", Args: cobra.NoArgs, Hidden: true, Short: "Run hollow nodes, controlled by commands on standard input"}
 	flags := command.Flags()
 	dir, name := flags.String("folder", "", "folder of the nodes' configuration files"), flags.String("name", "", "of this process")
 	noLoad, seed := flags.Bool("quiet", false, "no demand for the budget"), flags.Uint64("seed", 1, "seed of the random number generators")
@@ -126,7 +126,7 @@
 
 // directory returns the command of a child process that simulates the discovery service for the scale test.
 func directory() *cobra.Command {
-	command := &cobra.Command{Use: "directory", Args: cobra.NoArgs, Hidden: true, Short: "Simulate the discovery service as commands on standard input request"}
+	command := &cobra.Command{Use: "directory", Args: cobra.NoArgs, Hidden: true, Short: "Simulate the discovery service, controlled by commands on standard input"}
 	address := command.Flags().String("address", "", "address to listen on")
 	command.RunE = func(*cobra.Command, []string) error {
 		return runChild(func(ctx context.Context) error { return scaletest.RunDiscovery(ctx, os.Stdin, os.Stdout, *address) })
--- a/internal/scaletest/discovery_process.go
+++ b/internal/scaletest/discovery_process.go
@@ -14,7 +14,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
-// RunDiscovery runs the simulated discovery service on an address as the commands from in request, until in ends or ctx is done.
+// RunDiscovery runs the simulated discovery service on an address. It handles the commands from in and writes the responses to out,
+// until in ends or ctx is done.
 func RunDiscovery(ctx context.Context, in io.Reader, out io.Writer, address string) error {
 	runtime.GOMAXPROCS(2)
 	var discovery *DiscoveryServer
--- a/internal/scaletest/events.go
+++ b/internal/scaletest/events.go
@@ -96,6 +96,7 @@
 	return changes
 }
 
+// sortByOffset sorts the changes in place and returns them. Changes with the same offset keep their order.
 func sortByOffset(changes []ScheduledChange) []ScheduledChange {
 	slices.SortStableFunc(changes, func(a, b ScheduledChange) int { return int(a.Offset - b.Offset) })
 	return changes
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -45,8 +45,8 @@
 	done    chan struct{} // closed when the node has ended
 }
 
-// RunHollowNodes runs hollow nodes as the commands from in request, until in ends or ctx is done. dir has the nodes' configuration
-// files. name names the log file in dir.
+// RunHollowNodes runs hollow nodes. It handles the commands from in and writes the responses to out, until in ends or ctx is done.
+// The nodes' configuration files are in dir, and the log file there is called name.log.
 func RunHollowNodes(ctx context.Context, in io.Reader, out io.Writer, dir, name string, noLoad bool, seed uint64) error {
 	runtime.GOMAXPROCS(1) // the nodes are configured with one core
 	debug.SetGCPercent(gcPercent)
@@ -70,6 +70,7 @@
 	return err
 }
 
+// handle handles a command.
 func (h *host) handle(c command) (answer response) {
 	answer.BootTimeNs = faulttest.Boot()
 	switch c.Name {
@@ -110,6 +111,7 @@
 	return answer
 }
 
+// nodeNumbers returns the numbers of the running nodes.
 func (h *host) nodeNumbers() (numbers []int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -158,6 +160,7 @@
 	}
 }
 
+// addEvent records an event at the current time.
 func (h *host) addEvent(event NodeEvent) {
 	event.BootTimeNs = faulttest.Boot()
 	h.mu.Lock()
--- a/internal/scaletest/machine.go
+++ b/internal/scaletest/machine.go
@@ -35,6 +35,7 @@
 // be due to the machine and not to the program.
 type stallMonitor struct{ longestNs atomic.Int64 }
 
+// watch records stalls until ctx is done.
 func (m *stallMonitor) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		beforeNs := faulttest.Boot()
