--- a/cmd/thistlerudder/emulate_test.go
+++ b/cmd/thistlerudder/emulate_test.go
@@ -19,7 +19,7 @@
 	}
 	run := func(args ...string) (string, error) {
 		var b bytes.Buffer
-		c := root()
+		c := rootCommand()
 		c.SetOut(&b)
 		c.SetErr(&b)
 		c.SetArgs(append([]string{"emulate"}, args...))
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -79,7 +79,7 @@
 	for _, c := range []struct {
 		script string
 		want   int
-	}{{"test -n \"$THISTLERUDDER_TOKEN\" -a \"$THISTLERUDDER_LEASE\" = job", 0}, {"exit 7", 7}, {"kill -9 $$", exitSignal + 9}} {
+	}{{"test -n \"$THISTLERUDDER_TOKEN\" -a \"$THISTLERUDDER_LEASE\" = job", 0}, {"exit 7", 7}, {"kill -9 $$", exitSignalBase + 9}} {
 		x := job(ctx, "job", "--", "sh", "-c", c.script)
 		if _ = x.Run(); x.ProcessState.ExitCode() != c.want {
 			t.Errorf("%s: status %d, want %d", c.script, x.ProcessState.ExitCode(), c.want)
--- a/cmd/thistlerudder/lease.go
+++ b/cmd/thistlerudder/lease.go
@@ -14,52 +14,52 @@
 )
 
 // leaseCommand is for operators of leases.
-func leaseCommand(file *string) *cobra.Command {
+func leaseCommand(configFile *string) *cobra.Command {
 	c := &cobra.Command{Use: "lease", Short: "See and release leases, and run a job on one machine of the fleet at a time"}
-	c.AddCommand(leaseList(file), leaseShow(file), leaseRelease(file), leaseRun(file))
+	c.AddCommand(leaseListCommand(configFile), leaseShowCommand(configFile), leaseReleaseCommand(configFile), leaseRunCommand(configFile))
 	return c
 }
 
-func leaseList(file *string) *cobra.Command {
+func leaseListCommand(configFile *string) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Say who holds what", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return withStatus(cmd, *file, false, func(s cluster.Status) error {
-				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-				fmt.Fprintln(w, "lease\tholder\ttoken\tleft\twaiting")
-				for _, l := range s.Leases {
-					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%d\n", l.Name, l.Holder, l.Token, remaining(l), l.Waiting)
+			return withStatus(cmd, *configFile, false, func(status cluster.Status) error {
+				table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
+				fmt.Fprintln(table, "lease\tholder\ttoken\tleft\twaiting")
+				for _, l := range status.Leases {
+					fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%d\n", l.Name, l.Holder, l.Token, remainingTime(l), l.Waiting)
 				}
-				return w.Flush()
+				return table.Flush()
 			})
 		}}
 }
 
-func remaining(l cluster.LeaseStatus) time.Duration {
+func remainingTime(l cluster.LeaseStatus) time.Duration {
 	return time.Duration(l.RemainingMs) * time.Millisecond
 }
 
-func leaseShow(file *string) *cobra.Command {
+func leaseShowCommand(configFile *string) *cobra.Command {
 	c := &cobra.Command{Use: "show NAME", Short: "Say all that is known of one", Args: cobra.ExactArgs(1)}
 	watch := c.Flags().Bool("watch", false, "go on, and say it again whenever the holder has changed")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		name := args[0]
-		previous := ""
-		return withStatus(cmd, *file, *watch, func(s cluster.Status) error {
-			at := slices.IndexFunc(s.Leases, func(l cluster.LeaseStatus) bool { return l.Name == name })
+		previousLine := ""
+		return withStatus(cmd, *configFile, *watch, func(status cluster.Status) error {
+			index := slices.IndexFunc(status.Leases, func(l cluster.LeaseStatus) bool { return l.Name == name })
 			line := name + " is free"
-			if at >= 0 {
-				line = fmt.Sprintf("%s is held by %s with token %d", name, s.Leases[at].Holder, s.Leases[at].Token)
+			if index >= 0 {
+				line = fmt.Sprintf("%s is held by %s with token %d", name, status.Leases[index].Holder, status.Leases[index].Token)
 			}
-			if line == previous {
+			if line == previousLine {
 				return nil
 			}
-			previous = line
-			if at >= 0 && s.Leases[at].RemainingMs >= 0 {
-				cmd.Printf("%s, for %v yet; %d wait\n", line, remaining(s.Leases[at]), s.Leases[at].Waiting)
+			previousLine = line
+			if index >= 0 && status.Leases[index].RemainingMs >= 0 {
+				cmd.Printf("%s, for %v yet; %d wait\n", line, remainingTime(status.Leases[index]), status.Leases[index].Waiting)
 			} else {
 				cmd.Println(line)
 			}
-			printEffects(cmd, name, s)
+			printEffects(cmd, name, status)
 			return nil
 		})
 	}
@@ -67,16 +67,16 @@
 }
 
 // printEffects prints the effects that were made under a lease: of its own name and of names below it.
-func printEffects(cmd *cobra.Command, lease string, s cluster.Status) {
-	for _, name := range slices.Sorted(maps.Keys(s.Effects)) {
+func printEffects(cmd *cobra.Command, lease string, status cluster.Status) {
+	for _, name := range slices.Sorted(maps.Keys(status.Effects)) {
 		if name == lease || strings.HasPrefix(name, lease+"/") {
-			e := s.Effects[name]
+			e := status.Effects[name]
 			cmd.Printf("fact %s: number %d, by token %d, %d bytes\n", name, e.Number, e.Token, len(e.Value))
 		}
 	}
 }
 
-func leaseRelease(file *string) *cobra.Command {
+func leaseReleaseCommand(configFile *string) *cobra.Command {
 	c := &cobra.Command{Use: "release NAME", Args: cobra.ExactArgs(1),
 		Short: "Take a lease from its holder, who may not notice before it acts next",
 		Long: "Take a lease from its holder. Acts inside the fleet are refused from then on, and so is what carries its token to\n" +
@@ -85,7 +85,7 @@
 	token := c.Flags().Uint64("token", 0, "of the holding that is meant, as `lease show` tells it")
 	_ = c.MarkFlagRequired("token")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		client, _, err := clusterClient(*file)
+		client, _, err := clusterClient(*configFile)
 		if err != nil {
 			return err
 		}
--- a/cmd/thistlerudder/main.go
+++ b/cmd/thistlerudder/main.go
@@ -7,9 +7,9 @@
 )
 
 func main() {
-	err := root().Execute()
-	if status := exitStatus(0); errors.As(err, &status) {
-		os.Exit(int(status))
+	err := rootCommand().Execute()
+	if code := exitCode(0); errors.As(err, &code) {
+		os.Exit(int(code))
 	}
 	if err != nil {
 		os.Exit(1)
--- a/cmd/thistlerudder/root.go
+++ b/cmd/thistlerudder/root.go
@@ -15,41 +15,41 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
 )
 
-// fileVariable names the configuration file when no flag does.
-const fileVariable = "BALANCER_CONFIG"
+// configFileEnv names the configuration file when no flag does.
+const configFileEnv = "BALANCER_CONFIG"
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:          "thistlerudder",
 		Short:        "A router for fleets of cache servers",
 		SilenceUsage: true,
 	}
-	file := c.PersistentFlags().String(
+	configFile := c.PersistentFlags().String(
 		"config",
-		os.Getenv(fileVariable),
-		"the node's configuration file, JSON (default $"+fileVariable+")",
+		os.Getenv(configFileEnv),
+		"the node's configuration file, JSON (default $"+configFileEnv+")",
 	)
-	c.AddCommand(serve(file), check(file), emulate(), fleetCommand(file), leaseCommand(file), budgetCommand(file), version())
+	c.AddCommand(serveCommand(configFile), checkCommand(configFile), emulateCommand(), fleetCommand(configFile), leaseCommand(configFile), budgetCommand(configFile), versionCommand())
 	c.AddCommand(faultTests()...)
 	return c
 }
 
-func serve(file *string) *cobra.Command {
+func serveCommand(configFile *string) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "serve",
 		Short: "Run one node in the foreground; SIGTERM ends it well, SIGHUP reads its file anew",
 		Args:  cobra.NoArgs,
 	}
-	level := c.Flags().String("log-level", "info", "debug, info, warn or error")
+	logLevel := c.Flags().String("log-level", "info", "debug, info, warn or error")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		// Before anything else, and never undone: without a handler the signal ends the program.
-		signals := make(chan os.Signal, 1)
-		signal.Notify(signals, syscall.SIGHUP)
-		settings, err := config.Read(*file)
+		reloadSignals := make(chan os.Signal, 1)
+		signal.Notify(reloadSignals, syscall.SIGHUP)
+		settings, err := config.Read(*configFile)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		log, err := logger(*level)
+		log, err := newLogger(*logLevel)
 		if err != nil {
 			return fmt.Errorf("log-level: %w", err)
 		}
@@ -58,12 +58,12 @@
 		defer zap.RedirectStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))()
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
 		defer stop()
-		return node.Run(ctx, settings, signals, log)
+		return node.Run(ctx, settings, reloadSignals, log)
 	}
 	return c
 }
 
-func check(file *string) *cobra.Command {
+func checkCommand(configFile *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
 		Short: "Check a configuration and say what a node would start with",
@@ -72,46 +72,46 @@
 			"address comes before the variable's.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := config.Read(*file)
+			settings, err := config.Read(*configFile)
 			if err != nil {
 				return fmt.Errorf("configuration: %w", err)
 			}
 			cmd.Printf(
 				"%s listens on %s, asks %s, %d namespaces, %d partners, %g cores, %d MB, %d descriptors\n",
-				s.Name,
-				s.Listen,
-				s.Discovery,
-				len(s.Classes),
-				len(s.Tenants),
-				s.Cores,
-				s.MemoryMB,
-				s.Descriptors,
+				settings.Name,
+				settings.Listen,
+				settings.Discovery,
+				len(settings.Classes),
+				len(settings.Tenants),
+				settings.Cores,
+				settings.MemoryMB,
+				settings.Descriptors,
 			)
 			return nil
 		},
 	}
 }
 
-func version() *cobra.Command {
+func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Say which build this is",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			cmd.Println(build())
+			cmd.Println(buildVersion())
 		},
 	}
 }
 
-func build() string {
+func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "thistlerudder, unknown build"
 	}
 	revision := ""
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			revision = " " + s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			revision = " " + setting.Value
 		}
 	}
 	return "thistlerudder " + info.Main.Version + revision + " " + info.GoVersion
@@ -119,18 +119,18 @@
 
 // logger writes JSON lines to standard error; lines of one kind are sampled, so that a fault that hits
 // every request can't fill the log. At debug each line is written, since one request is followed there by its id.
-func logger(level string) (*zap.Logger, error) {
-	l, err := zapcore.ParseLevel(level)
+func newLogger(level string) (*zap.Logger, error) {
+	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	z := zap.NewProductionConfig()
-	z.Level = zap.NewAtomicLevelAt(l)
-	z.Sampling = nil
-	if l > zapcore.DebugLevel {
-		z.Sampling = &zap.SamplingConfig{Initial: 10, Thereafter: 100}
+	loggerConfig := zap.NewProductionConfig()
+	loggerConfig.Level = zap.NewAtomicLevelAt(parsed)
+	loggerConfig.Sampling = nil
+	if parsed > zapcore.DebugLevel {
+		loggerConfig.Sampling = &zap.SamplingConfig{Initial: 10, Thereafter: 100}
 	}
-	z.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
-	z.DisableStacktrace = true
-	return z.Build()
+	loggerConfig.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	loggerConfig.DisableStacktrace = true
+	return loggerConfig.Build()
 }
--- a/cmd/thistlerudder/root_test.go
+++ b/cmd/thistlerudder/root_test.go
@@ -18,7 +18,7 @@
 // run plays a command line.
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
-	c := root()
+	c := rootCommand()
 	c.SetArgs(args)
 	c.SetOut(&out)
 	c.SetErr(&out)
