--- a/cmd/thistlerudder/budget.go
+++ b/cmd/thistlerudder/budget.go
@@ -14,15 +14,15 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// budgetCommand is for operators of the cluster's budgets.
+// budgetCommand returns the commands for operators of the cluster's budgets.
 func budgetCommand(configFile *string) *cobra.Command {
-	c := &cobra.Command{Use: "budget", Short: "See what the fleet may do together and how it is divided, and change it: docs/budgets.md"}
+	c := &cobra.Command{Use: "budget", Short: "Show and change the fleet's budgets and how they are divided among nodes: docs/budgets.md"}
 	c.AddCommand(budgetListCommand(configFile), budgetShowCommand(configFile), budgetSetCommand(configFile))
 	return c
 }
 
 func budgetListCommand(configFile *string) *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "Say how each budget stands", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "list", Short: "List the budgets and how much of each is allocated", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return withStatus(cmd, *configFile, false, func(s cluster.Status) error {
 				table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
@@ -40,7 +40,7 @@
 }
 
 func budgetShowCommand(configFile *string) *cobra.Command {
-	return &cobra.Command{Use: "show NAME", Short: "Say who has which part of one, and until when", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "show NAME", Short: "Show the quotas of one budget, and when they end", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStatus(cmd, *configFile, false, func(s cluster.Status) error {
 				b, exists := s.Budgets[args[0]]
@@ -64,10 +64,10 @@
 }
 
 func budgetSetCommand(configFile *string) *cobra.Command {
-	c := &cobra.Command{Use: "set NAME WHOLE", Args: cobra.ExactArgs(2), Short: "Change how much the fleet may do together",
-		Long: "Change how much the fleet may do together. What is divided changes at once; where the whole is lowered, nothing more is given\n" +
-			"until enough has come back: from nodes in touch within a fraction of a second, from others once their leases have ended.\n" +
-			"What is apart for nodes that are cut off stays as it was declared. A rate's burst changes with it."}
+	c := &cobra.Command{Use: "set NAME WHOLE", Args: cobra.ExactArgs(2), Short: "Change the limit of a budget",
+		Long: "Change the limit of a budget. The new limit applies to allocations at once. If it is lower, no quota grows until nodes have\n" +
+			"returned enough units: connected nodes do so within a fraction of a second, the quotas of others end with their leases.\n" +
+			"The units that are reserved for disconnected nodes stay as configured. The burst of a rate changes with its limit."}
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		limit, err := strconv.ParseFloat(args[1], 64)
 		if err != nil || !(limit > 0) {
@@ -92,7 +92,7 @@
 	return c
 }
 
-// amount formats units of a budget: a number, or a rate per second.
+// formatAmount formats a number of units as the budget's limit is given: as a number of requests in flight, or as a rate per second.
 func formatAmount(config lease.BudgetConfig, units int) string {
 	if config.Kind == lease.ConcurrencyKind {
 		return strconv.Itoa(units)
--- a/cmd/thistlerudder/emulate.go
+++ b/cmd/thistlerudder/emulate.go
@@ -14,23 +14,23 @@
 	"github.com/thistlerudder/thistlerudder/internal/simulation"
 )
 
-// emulate plays described experiments in simulated time.
+// emulateCommand returns the command that runs experiments in simulated time.
 func emulateCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "emulate FILE...",
-		Short: "Play described experiments in simulated time, under the module and plain policies",
-		Long: "Play described experiments in simulated time. Each is played under each of its policies, with as many\n" +
-			"seeds as --seeds says, from its own on. The figures are emulated: docs/emulator.md says what is left out.\n" +
-			"The exit status is 1 if a run of the module breaks a rule.",
+		Short: "Run experiments in simulated time, under the router's policy (ranges) and baseline policies",
+		Long: "Run the experiments that the files describe, in simulated time. Each experiment runs under each of its policies, once\n" +
+			"for each of --seeds consecutive seeds that start at its own. The results are emulated: docs/emulator.md lists what is\n" +
+			"not simulated. The exit status is 1 if a run of the policy ranges breaks a rule.",
 		Args: cobra.MinimumNArgs(1),
 	}
-	seeds := c.Flags().Int("seeds", 1, "how many seeds to play, from the description's on")
-	policies := c.Flags().StringSlice("policy", nil, "these policies instead of the description's")
-	pointsFile := c.Flags().String("out", "", "a file for the points of each second, as comma-separated values")
-	budgetsFile := c.Flags().String("budgets", "", "a file for the use of fleets' budgets in each second, as comma-separated values")
-	checkOnly := c.Flags().Bool("check", false, "read the descriptions, and play nothing")
-	afterSeconds := c.Flags().Int("after", 0, "also say how far fetches rise after this second")
-	spanSeconds := c.Flags().Int("span", 10, "over how many seconds, with --after")
+	seeds := c.Flags().Int("seeds", 1, "number of consecutive seeds, starting at the experiment's own")
+	policies := c.Flags().StringSlice("policy", nil, "policies to run instead of the experiment's own")
+	pointsFile := c.Flags().String("out", "", "file to write the points of each second to, as comma-separated values")
+	budgetsFile := c.Flags().String("budgets", "", "file to write the use of the fleets' budgets in each second to, as comma-separated values")
+	checkOnly := c.Flags().Bool("check", false, "only check the descriptions, and run nothing")
+	afterSeconds := c.Flags().Int("after", 0, "also print the fetches of the busiest --span seconds after this second, relative to the mean before it")
+	spanSeconds := c.Flags().Int("span", 10, "length in seconds of the intervals that --after compares")
 	c.RunE = func(cmd *cobra.Command, files []string) error {
 		if *seeds < 1 {
 			return fmt.Errorf("seeds: expected 1 or more, not %d", *seeds)
@@ -62,7 +62,28 @@
 	return c
 }
 
-func runExperiments(cmd *cobra.Command, experiments []*simulation.Experiment, seeds int, pointsFile, budgetsFile string, afterSeconds, spanSeconds int) error {
+// runPoliciesAndSeeds runs an experiment under each of its policies with consecutive seeds, as many runs at a time as memory allows. The
+// results are in the order of the policies, then of the seeds.
+func runPoliciesAndSeeds(e *simulation.Experiment, seeds int) ([]*simulation.Series, []error) {
+	runs := make([]*simulation.Series, len(e.Policies)*seeds)
+	var wg sync.WaitGroup
+	errs, slots := make([]error, len(runs)), make(chan struct{}, e.AtOnce())
+	for i := range runs {
+		wg.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			runs[i], errs[i] = simulation.Run(e, e.Policies[i/seeds], e.Seed+uint64(i%seeds))
+		})
+	}
+	wg.Wait()
+	return runs, errs
+}
+
+// runExperiments runs each experiment under its policies and seeds, and prints one line for each run. It writes the points and the
+// use of budgets to the files whose paths are not empty. If runs of the policy ranges break rules, the error says which and how.
+func runExperiments(cmd *cobra.Command, experiments []*simulation.Experiment, seeds int, pointsFile, budgetsFile string,
+	afterSeconds, spanSeconds int,
+) error {
 	table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 	header := "experiment\tpolicy\tseed\trequests\tin time\tworst 10 s\tp50 ms\tp99 ms\tfetches/s\tbusiest\tbroken"
 	if afterSeconds > 0 {
@@ -72,23 +93,13 @@
 	var violations []string
 	var points strings.Builder
 	pointsWriter := csv.NewWriter(&points)
-	_ = pointsWriter.Write(simulation.Header) // into memory
+	_ = pointsWriter.Write(simulation.Header) // a write to memory doesn't fail
 	pointsWriter.Flush()
 	var budgetUse strings.Builder
 	budgetWriter := csv.NewWriter(&budgetUse)
-	_ = budgetWriter.Write(simulation.UseHeader) // into memory
+	_ = budgetWriter.Write(simulation.UseHeader) // a write to memory doesn't fail
 	for _, e := range experiments {
-		runs := make([]*simulation.Series, len(e.Policies)*seeds)
-		var wg sync.WaitGroup
-		errs, slots := make([]error, len(runs)), make(chan struct{}, e.AtOnce())
-		for i := range runs {
-			wg.Go(func() {
-				slots <- struct{}{}
-				defer func() { <-slots }()
-				runs[i], errs[i] = simulation.Run(e, e.Policies[i/seeds], e.Seed+uint64(i%seeds))
-			})
-		}
-		wg.Wait()
+		runs, errs := runPoliciesAndSeeds(e, seeds)
 		for i, s := range runs {
 			if errs[i] != nil {
 				return errs[i]
@@ -106,8 +117,9 @@
 				fmt.Fprintf(table, "\t%.2f", s.FetchRatio(afterSeconds, spanSeconds))
 			}
 			if s.Sick.Silent > 0 {
-				shots, trials, longest, mean := s.AtSilent()
-				fmt.Fprintf(table, "\tat a silent cache %.2f shots/s, %.2f trials/s, back with all after %.2f s, mean %.2f s", shots, trials, longest, mean)
+				attemptRate, probeRate, maxDelay, meanDelay := s.AtSilent()
+				fmt.Fprintf(table, "\tat a silent cache %.2f shots/s, %.2f trials/s, back with all after %.2f s, mean %.2f s",
+					attemptRate, probeRate, maxDelay, meanDelay)
 			}
 			if s.Use != nil {
 				fmt.Fprint(table, "\t"+s.Use.Line(e))
@@ -135,7 +147,7 @@
 		}
 	}
 	if len(violations) > 0 {
-		return fmt.Errorf("the module breaks rules:\n%s", strings.Join(violations, "\n"))
+		return fmt.Errorf("runs of the policy ranges break rules:\n%s", strings.Join(violations, "\n"))
 	}
 	return nil
 }
--- a/cmd/thistlerudder/fleet.go
+++ b/cmd/thistlerudder/fleet.go
@@ -10,7 +10,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
-// clusterClient gives a client of the cluster that a configuration file names.
+// clusterClient returns a client of the cluster in a configuration file, and the cluster's configuration. The caller closes the client.
 func clusterClient(configFile string) (*cluster.Client, *config.Cluster, error) {
 	settings, err := config.ReadCluster(configFile)
 	if err != nil {
@@ -19,7 +19,8 @@
 	return cluster.NewClient(settings, zap.NewNop()), settings, nil
 }
 
-// withStatus calls f with the cluster's status, and with watch again after each change.
+// withStatus calls handle with the cluster's status: once or, if watch is set, until the command's context ends or a call fails. It
+// then calls handle whenever the state has changed, and without a change each time that cluster.Client.Watch times out.
 func withStatus(cmd *cobra.Command, configFile string, watch bool, handle func(cluster.Status) error) error {
 	client, _, err := clusterClient(configFile)
 	if err != nil {
@@ -36,16 +37,16 @@
 	return err
 }
 
-// fleetCommand is for operators of a cluster: founding it, and who votes in it.
+// fleetCommand returns the commands for operators of a cluster: they bootstrap it and change its voters.
 func fleetCommand(configFile *string) *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "Found a fleet, see who votes in it, and change that: docs/leases.md"}
+	c := &cobra.Command{Use: "fleet", Short: "Found a fleet, show its status, and add or remove voters: docs/leases.md"}
 	c.AddCommand(fleetFoundCommand(configFile), fleetStatusCommand(configFile), fleetVoterCommand(configFile))
 	return c
 }
 
 func fleetFoundCommand(configFile *string) *cobra.Command {
-	c := &cobra.Command{Use: "found", Short: "Begin a fleet with the voters of the configuration, once", Args: cobra.NoArgs}
-	afterToken := c.Flags().Uint64("after-token", 0, "the first token is the next above this one; for a fleet that is founded anew")
+	c := &cobra.Command{Use: "found", Short: "Bootstrap a fleet with the voters of the configuration; done once in its life", Args: cobra.NoArgs}
+	afterToken := c.Flags().Uint64("after-token", 0, "fencing tokens begin above this one; for a fleet that is founded again")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		client, settings, err := clusterClient(*configFile)
 		if err != nil {
@@ -62,7 +63,7 @@
 }
 
 func fleetStatusCommand(configFile *string) *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Say who leads and who votes", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "status", Short: "Show the leader and the voters", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return withStatus(cmd, *configFile, false, func(status cluster.Status) error {
 				cmd.Printf("fleet %s, led by %s at %s, reign %d, last token %d, %d leases\n", status.Cluster, status.Leader, status.LeaderAddress, status.Term,
@@ -76,12 +77,12 @@
 }
 
 func fleetVoterCommand(configFile *string) *cobra.Command {
-	c := &cobra.Command{Use: "voter", Short: "Change who votes, one at a time"}
-	add := &cobra.Command{Use: "add NAME ADDRESS", Short: "Let a node vote that has a folder and doesn't yet", Args: cobra.ExactArgs(2),
+	c := &cobra.Command{Use: "voter", Short: "Add or remove voters, one at a time"}
+	add := &cobra.Command{Use: "add NAME ADDRESS", Short: "Add a node as a voter; it has a folder and is not a voter yet", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return changeMembership(cmd, *configFile, cluster.MembershipChange{Add: args[0], Address: args[1]}, "votes")
 		}}
-	remove := &cobra.Command{Use: "remove NAME", Short: "Let a node vote no more, by its name or by its voter's id", Args: cobra.ExactArgs(1),
+	remove := &cobra.Command{Use: "remove NAME", Short: "Remove a voter, by the name of its node or by its voter id", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return changeMembership(cmd, *configFile, cluster.MembershipChange{Remove: args[0]}, "votes no more")
 		}}
@@ -89,7 +90,7 @@
 	return c
 }
 
-// changeMembership makes one change of the voters, and says what became of the voter.
+// changeMembership makes one change to the voters, and prints the changed voter's id and the outcome.
 func changeMembership(cmd *cobra.Command, configFile string, change cluster.MembershipChange, outcome string) error {
 	client, _, err := clusterClient(configFile)
 	if err != nil {
--- a/cmd/thistlerudder/lease.go
+++ b/cmd/thistlerudder/lease.go
@@ -13,15 +13,15 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster"
 )
 
-// leaseCommand is for operators of leases.
+// leaseCommand returns the commands for operators of leases.
 func leaseCommand(configFile *string) *cobra.Command {
-	c := &cobra.Command{Use: "lease", Short: "See and release leases, and run a job on one machine of the fleet at a time"}
+	c := &cobra.Command{Use: "lease", Short: "Show and release leases, and run a job on one machine of the fleet at a time"}
 	c.AddCommand(leaseListCommand(configFile), leaseShowCommand(configFile), leaseReleaseCommand(configFile), leaseRunCommand(configFile))
 	return c
 }
 
 func leaseListCommand(configFile *string) *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "Say who holds what", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "list", Short: "List the leases and their holders", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return withStatus(cmd, *configFile, false, func(status cluster.Status) error {
 				table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
@@ -39,8 +39,8 @@
 }
 
 func leaseShowCommand(configFile *string) *cobra.Command {
-	c := &cobra.Command{Use: "show NAME", Short: "Say all that is known of one", Args: cobra.ExactArgs(1)}
-	watch := c.Flags().Bool("watch", false, "go on, and say it again whenever the holder has changed")
+	c := &cobra.Command{Use: "show NAME", Short: "Show one lease and the effects recorded under it", Args: cobra.ExactArgs(1)}
+	watch := c.Flags().Bool("watch", false, "keep watching, and print again at each change of the holder")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		name := args[0]
 		previousLine := ""
@@ -66,7 +66,7 @@
 	return c
 }
 
-// printEffects prints the effects that were made under a lease: of its own name and of names below it.
+// printEffects prints the effects recorded under a lease: those with the lease's name, or with that name and a slash as prefix.
 func printEffects(cmd *cobra.Command, lease string, status cluster.Status) {
 	for _, name := range slices.Sorted(maps.Keys(status.Effects)) {
 		if name == lease || strings.HasPrefix(name, lease+"/") {
@@ -78,11 +78,11 @@
 
 func leaseReleaseCommand(configFile *string) *cobra.Command {
 	c := &cobra.Command{Use: "release NAME", Args: cobra.ExactArgs(1),
-		Short: "Take a lease from its holder, who may not notice before it acts next",
-		Long: "Take a lease from its holder. Acts inside the fleet are refused from then on, and so is what carries its token to\n" +
-			"where tokens are looked at; anything else that the holder is doing goes on until it notices, a third of a lease at most\n" +
-			"and longer if it stands still."}
-	token := c.Flags().Uint64("token", 0, "of the holding that is meant, as `lease show` tells it")
+		Short: "Revoke a lease from its holder, which may not notice before its next act",
+		Long: "Revoke a lease from its holder. From then on the fleet refuses the holder's acts, and a resource that checks fencing tokens\n" +
+			"refuses the holder's token once it has seen a later one. Anything else that the holder does continues until it notices:\n" +
+			"for a third of the lease's duration at most, or longer if its process is suspended."}
+	token := c.Flags().Uint64("token", 0, "fencing token of the grant to revoke, as \"lease show\" prints it")
 	_ = c.MarkFlagRequired("token")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		client, _, err := clusterClient(*configFile)
--- a/cmd/thistlerudder/lease_run.go
+++ b/cmd/thistlerudder/lease_run.go
@@ -16,33 +16,34 @@
 	"github.com/thistlerudder/thistlerudder/internal/cluster"
 )
 
-// Exit statuses of `lease run` beside the command's own. They lie where sysexits.h has "try again" and its neighbour.
+// Exit statuses of "lease run" in addition to those of the command. 75 is EX_TEMPFAIL of sysexits.h, 76 is the next one.
 const (
-	exitNotAcquired = 75 // the lease was not had in time: nothing was run
-	exitLost        = 76 // the lease could not be kept: the command was ended
-	exitSignalBase  = 128
+	exitNotAcquired = 75  // the lease was not acquired in time, and the command was not started
+	exitLost        = 76  // the lease was lost, and the command was terminated
+	exitSignalBase  = 128 // plus the number of the signal that ended the command
 )
 
-// exitCode is an error that ends the program with a status of its own.
+// exitCode is an error that makes the program exit with this status.
 type exitCode int
 
 func (e exitCode) Error() string { return fmt.Sprintf("exit status %d", int(e)) }
 
 const (
-	terminateDivisor = 3  // SIGTERM with a third of the lease left: renewals have failed for a third
-	killDivisor      = 10 // SIGKILL with a tenth of it left
-	checksPerLease   = 50 // how often the lease is checked in its duration
+	terminateDivisor = 3  // SIGTERM when a third of the lease is left; renewals have failed for a third of its duration by then
+	killDivisor      = 10 // SIGKILL when a tenth of the lease is left
+	checksPerLease   = 50 // checks of the lease in one lease duration
 )
 
 func leaseRunCommand(configFile *string) *cobra.Command {
 	c := &cobra.Command{Use: "run NAME -- COMMAND [ARG...]", Args: cobra.MinimumNArgs(2),
-		Short: "Run a command while holding a lease, its token in $THISTLERUDDER_TOKEN",
-		Long: "Run a command while holding a lease. $THISTLERUDDER_LEASE and $THISTLERUDDER_TOKEN are in its environment; whatever it\n" +
-			"writes to should refuse a token below one that it has seen. When the lease can't be renewed, the command and all its\n" +
-			"children get SIGTERM with a third of the lease left, and SIGKILL with a tenth left.\n\n" +
-			"Exit status: the command's own; 128 and the signal's number if a signal ended it; 75 if the lease was not had in\n" +
-			"time, so that nothing was run; 76 if the lease could not be kept, so that the command was ended."}
-	maxWait := c.Flags().Duration("wait", 0, "how long to wait for the lease; 0: until it is had")
+		Short: "Run a command while holding a lease, with its fencing token in $THISTLERUDDER_TOKEN",
+		Long: "Run a command while holding a lease. Its environment has the lease's name in $THISTLERUDDER_LEASE and the fencing token in\n" +
+			"$THISTLERUDDER_TOKEN. Any resource that the command writes to should refuse a token lower than the highest it has seen.\n" +
+			"If the lease can't be renewed, the command and its children get SIGTERM when a third of the lease is left, and SIGKILL when\n" +
+			"a tenth is left.\n\n" +
+			"Exit status: that of the command; 128 plus the number of the signal, if a signal ended the command; 75 if the lease was not\n" +
+			"acquired in time, so that the command was not started; 76 if the lease was lost, so that the command was terminated."}
+	maxWait := c.Flags().Duration("wait", 0, "how long to wait for the lease; 0: no limit")
 	c.SilenceErrors = true
 	c.RunE = func(cmd *cobra.Command, args []string) (err error) {
 		defer func() {
@@ -73,9 +74,10 @@
 	return c
 }
 
-// runUnderLease runs the command, and ends it while the lease is still held for sure.
+// runUnderLease runs the command and renews the lease until the command ends. If renewals fail, it ends the command while the lease is
+// still certain to be held. If ctx ends, it sends SIGTERM to the command and keeps the lease until the command exits.
 func runUnderLease(ctx context.Context, cmd *cobra.Command, heldLease *cluster.HeldLease, leaseDuration time.Duration, leaseName string, args []string) error {
-	runtime.LockOSThread() // Pdeathsig is tied to the thread that starts the child
+	runtime.LockOSThread() // the kernel sends Pdeathsig when the thread that started the child ends
 	defer runtime.UnlockOSThread()
 	c := exec.Command(args[0], args[1:]...)
 	c.Stdin, c.Stdout, c.Stderr = cmd.InOrStdin(), cmd.OutOrStdout(), cmd.ErrOrStderr()
@@ -97,12 +99,12 @@
 	for {
 		select {
 		case err := <-exited:
-			signalGroup(syscall.SIGKILL) // children that it left behind
+			signalGroup(syscall.SIGKILL) // children that outlived the command
 			if leaseLost {
 				return exitCode(exitLost)
 			}
 			return commandExitCode(err)
-		case <-shutdown: // our own end is asked for: the command's too, and its lease is kept until then
+		case <-shutdown: // this program was told to end: it ends the command, and holds the lease until the command exits
 			shutdown = nil
 			signalGroup(syscall.SIGTERM)
 		case <-checkTicker.C:
@@ -118,7 +120,7 @@
 	}
 }
 
-// commandExitCode turns the end of a command into the exit status of this program.
+// commandExitCode converts the error of exec.Cmd.Wait to the exit status of this program. A nil error stays nil.
 func commandExitCode(err error) error {
 	exitErr := (*exec.ExitError)(nil)
 	if !errors.As(err, &exitErr) {
--- a/cmd/thistlerudder/main.go
+++ b/cmd/thistlerudder/main.go
@@ -1,4 +1,5 @@
-// Command thistlerudder is a real node: a router before a fleet of cache servers.
+// Command thistlerudder runs a node, which routes requests to a fleet of cache servers. Its other commands check a configuration,
+// simulate fleets, and administer a cluster of nodes.
 package main
 
 import (
--- a/cmd/thistlerudder/root.go
+++ b/cmd/thistlerudder/root.go
@@ -15,9 +15,10 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
 )
 
-// configFileEnv names the configuration file when no flag does.
+// configFileEnv is the environment variable that holds the path of the configuration file, unless --config is set.
 const configFileEnv = "BALANCER_CONFIG"
 
+// rootCommand returns the command line of the program.
 func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:          "thistlerudder",
@@ -27,9 +28,17 @@
 	configFile := c.PersistentFlags().String(
 		"config",
 		os.Getenv(configFileEnv),
-		"the node's configuration file, JSON (default $"+configFileEnv+")",
+		"path of the node's configuration file, JSON (default $"+configFileEnv+")",
+	)
+	c.AddCommand(
+		serveCommand(configFile),
+		checkCommand(configFile),
+		emulateCommand(),
+		fleetCommand(configFile),
+		leaseCommand(configFile),
+		budgetCommand(configFile),
+		versionCommand(),
 	)
-	c.AddCommand(serveCommand(configFile), checkCommand(configFile), emulateCommand(), fleetCommand(configFile), leaseCommand(configFile), budgetCommand(configFile), versionCommand())
 	c.AddCommand(faultTests()...)
 	return c
 }
@@ -37,12 +46,12 @@
 func serveCommand(configFile *string) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Run one node in the foreground; SIGTERM ends it well, SIGHUP reads its file anew",
+		Short: "Run one node in the foreground; SIGTERM shuts it down gracefully, SIGHUP reloads its configuration",
 		Args:  cobra.NoArgs,
 	}
-	logLevel := c.Flags().String("log-level", "info", "debug, info, warn or error")
+	logLevel := c.Flags().String("log-level", "info", "lowest level that is logged: debug, info, warn or error")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		// Before anything else, and never undone: without a handler the signal ends the program.
+		// This comes first and is never undone, because SIGHUP ends a process that has no handler for it.
 		reloadSignals := make(chan os.Signal, 1)
 		signal.Notify(reloadSignals, syscall.SIGHUP)
 		settings, err := config.Read(*configFile)
@@ -53,8 +62,9 @@
 		if err != nil {
 			return fmt.Errorf("log-level: %w", err)
 		}
-		defer func() { _ = log.Sync() }() // standard error may not support it
-		// The transport writes there what a server sent too much, customers' bytes among it.
+		defer func() { _ = log.Sync() }() // syncing standard error may be unsupported
+		// net/http's transport logs unsolicited bytes of a server to the standard logger. They may contain customers' data, so
+		// these lines are not written.
 		defer zap.RedirectStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))()
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
 		defer stop()
@@ -66,10 +76,9 @@
 func checkCommand(configFile *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
-		Short: "Check a configuration and say what a node would start with",
-		Long: "Check a configuration and say what a node would start with. At the start BALANCER_NAME,\n" +
-			"BALANCER_LISTEN and BALANCER_DISCOVERY come before the file; at SIGHUP the file's discovery\n" +
-			"address comes before the variable's.",
+		Short: "Check a configuration and print what a node would start with",
+		Long: "Check a configuration and print what a node would start with. At the start, BALANCER_NAME, BALANCER_LISTEN\n" +
+			"and BALANCER_DISCOVERY override the file; at SIGHUP, the discovery address of the file overrides the variable.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			settings, err := config.Read(*configFile)
@@ -95,7 +104,7 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Say which build this is",
+		Short: "Print the version of this build",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			cmd.Println(buildVersion())
@@ -103,6 +112,7 @@
 	}
 }
 
+// buildVersion returns the version and the commit of this build, and the Go version that compiled it.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -117,8 +127,9 @@
 	return "thistlerudder " + info.Main.Version + revision + " " + info.GoVersion
 }
 
-// logger writes JSON lines to standard error; lines of one kind are sampled, so that a fault that hits
-// every request can't fill the log. At debug each line is written, since one request is followed there by its id.
+// newLogger returns a logger that writes JSON lines to standard error. It samples lines with the same message, so that a fault
+// that affects every request can't flood the log. At the debug level it writes every line, because an operator follows single
+// requests by their ids there.
 func newLogger(level string) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
