--- a/cmd/thistlerudder/process_test.go
+++ b/cmd/thistlerudder/process_test.go
@@ -19,16 +19,16 @@
 	"time"
 )
 
-// addresses counts those that were given out.
-var addresses atomic.Uint32
+// usedAddresses counts those that were given out.
+var usedAddresses atomic.Uint32
 
 // freeAddress gives an address on loopback that nobody listens on, nor will before we do: its host is this test's own, and its
 // port lies below those that the system gives to connections and to whoever asks for any.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
-		n, pid := addresses.Add(1), uint32(os.Getpid())
-		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%64, pid/64%256, 1+n%250, 7000+n/250))
+		number, pid := usedAddresses.Add(1), uint32(os.Getpid())
+		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%64, pid/64%256, 1+number%250, 7000+number/250))
 		if err == nil {
 			defer l.Close()
 			return l.Addr().String()
@@ -51,57 +51,58 @@
 // process is the program, run under a configuration and limits of its own.
 type process struct {
 	*exec.Cmd
-	config, listen, admin string
-	env                   []string
-	passed                *os.File // the clients' socket; nil: it opens one
-	began                 time.Time
-	log                   *logText
+	configFile                  string
+	clientAddress, adminAddress string
+	env                         []string
+	passedSocket                *os.File // the clients' socket; nil: it opens one
+	startTime                   time.Time
+	log                         *logBuffer
 }
 
-// logText keeps what a process writes to standard error.
-type logText struct {
+// logBuffer keeps what a process writes to standard error.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
 // newProcess makes one that is not started yet, with addresses of its own. more goes over the configuration.
-func newProcess(t *testing.T, discovery string, more map[string]any, env ...string) *process {
+func newProcess(t *testing.T, discovery string, overrides map[string]any, env ...string) *process {
 	t.Helper()
-	p := &process{config: filepath.Join(t.TempDir(), "node.json"), listen: freeAddress(t), admin: freeAddress(t),
+	p := &process{configFile: filepath.Join(t.TempDir(), "node.json"), clientAddress: freeAddress(t), adminAddress: freeAddress(t),
 		env: append([]string{"TMPDIR=" + t.TempDir()}, env...)}
-	p.configure(t, discovery, more)
+	p.configure(t, discovery, overrides)
 	return p
 }
 
 // configure writes the configuration, in one step.
-func (p *process) configure(t *testing.T, discovery string, more map[string]any) {
+func (p *process) configure(t *testing.T, discovery string, overrides map[string]any) {
 	t.Helper()
-	all := map[string]any{"listen": p.listen, "discovery": discovery, "admin_addr": p.admin, "seed": fmt.Sprintf("%x", addresses.Load()),
+	config := map[string]any{"listen": p.clientAddress, "discovery": discovery, "admin_addr": p.adminAddress, "seed": fmt.Sprintf("%x", usedAddresses.Load()),
 		"limits": map[string]any{"cores": 1, "memory_mb": 64},
 		"settings": map[string]any{"models": []string{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1},
 			"permissions": map[string]any{"most-shots": 3}, "invariants": map[string]any{"stop-sending-within-ms": 400, "ask-within-ms": 8000},
 			"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 800, "time-limit-ms": 2000}}}}
-	for key, value := range more {
-		all[key] = value
+	for key, value := range overrides {
+		config[key] = value
 	}
-	text, err := json.Marshal(all)
+	text, err := json.Marshal(config)
 	if err == nil {
-		err = os.WriteFile(p.config+".new", text, 0o600)
+		err = os.WriteFile(p.configFile+".new", text, 0o600)
 	}
 	if err == nil {
-		err = os.Rename(p.config+".new", p.config)
+		err = os.Rename(p.configFile+".new", p.configFile)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -111,13 +112,13 @@
 // start runs it, once more if it has ended.
 func (p *process) start(t *testing.T) {
 	t.Helper()
-	p.log = &logText{}
-	p.Cmd = exec.Command(os.Args[0], "serve", "--config", p.config)
-	p.Env = append(append(os.Environ(), asProgram+"=1", "GORACE=atexit_sleep_ms=0"), p.env...)
-	if p.Stderr = p.log; p.passed != nil {
-		p.ExtraFiles = []*os.File{p.passed}
+	p.log = &logBuffer{}
+	p.Cmd = exec.Command(os.Args[0], "serve", "--config", p.configFile)
+	p.Env = append(append(os.Environ(), asProgramEnv+"=1", "GORACE=atexit_sleep_ms=0"), p.env...)
+	if p.Stderr = p.log; p.passedSocket != nil {
+		p.ExtraFiles = []*os.File{p.passedSocket}
 	}
-	p.began = time.Now()
+	p.startTime = time.Now()
 	if err := p.Cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -126,59 +127,62 @@
 }
 
 // lookup makes a call at the clients' address on a connection of its own, and gives its status; 0: no whole answer.
-func lookup(address, path, id string, within time.Duration) (int, string) {
-	c, err := net.DialTimeout("tcp", address, within)
+func sendGet(address, path, traceID string, timeout time.Duration) (status int, body string) {
+	c, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return 0, err.Error()
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(within))
-	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %s\r\nX-Expires-In: 2000m\r\n\r\n", path, id)
+	_ = c.SetDeadline(time.Now().Add(timeout))
+	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %s\r\nX-Expires-In: 2000m\r\n\r\n", path, traceID)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, err.Error()
 	}
-	body, err := io.ReadAll(r.Body)
+	content, err := io.ReadAll(r.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	return r.StatusCode, string(body)
+	return r.StatusCode, string(content)
 }
 
 // ready waits for the yes on GET /up, and gives how long after the start it came; false if it didn't.
-func (p *process) ready(within time.Duration) (time.Duration, bool) {
-	for time.Since(p.began) < within {
-		if status, _ := lookup(p.listen, "/up", "", time.Second); status == http.StatusOK {
-			return time.Since(p.began), true
+func (p *process) waitReady(timeout time.Duration) (time.Duration, bool) {
+	for time.Since(p.startTime) < timeout {
+		if status, _ := sendGet(p.clientAddress, "/up", "", time.Second); status == http.StatusOK {
+			return time.Since(p.startTime), true
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(p.began), false
+	return time.Since(p.startTime), false
 }
 
+// interceptor handles a request in place of a discoveryServer, or returns false to leave it to the server.
+type interceptor func(w http.ResponseWriter, r *http.Request) (handled bool)
+
 // service is a discovery service that goes down and comes back at one address. Down it refuses; what else it does, do says.
-type service struct {
+type discoveryServer struct {
 	t       *testing.T
 	address string
 
-	mu      sync.Mutex
-	server  *http.Server
-	version int
-	states  map[string]string // of servers by id
-	entries []map[string]any
-	changed chan struct{}
-	told    time.Time // when the present version was first written, whole or as a change
-	calls   int
-	do      func(w http.ResponseWriter, r *http.Request) bool // true: that was all
+	mu          sync.Mutex
+	server      *http.Server
+	version     int
+	states      map[string]string // of servers by id
+	entries     []map[string]any
+	changed     chan struct{}
+	versionSent time.Time // when the present version was first written, whole or as a change
+	requests    int
+	intercept   interceptor // nil: every request gets the list
 }
 
-func newService(t *testing.T, entries []map[string]any) *service {
-	s := &service{t: t, address: freeAddress(t), version: 1, entries: entries, states: map[string]string{}, changed: make(chan struct{})}
-	t.Cleanup(s.down)
+func newDiscoveryServer(t *testing.T, entries []map[string]any) *discoveryServer {
+	s := &discoveryServer{t: t, address: freeAddress(t), version: 1, entries: entries, states: map[string]string{}, changed: make(chan struct{})}
+	t.Cleanup(s.stop)
 	return s
 }
 
-func (s *service) up() {
+func (s *discoveryServer) start() {
 	s.t.Helper()
 	l := listenAt(s.t, s.address)
 	s.mu.Lock()
@@ -188,7 +192,7 @@
 }
 
 // down resets what is open, and refuses from then on.
-func (s *service) down() {
+func (s *discoveryServer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server != nil {
@@ -198,64 +202,64 @@
 }
 
 // change gives a server another state.
-func (s *service) change(id, state string) {
+func (s *discoveryServer) setState(id, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.states[id] = state
 	s.version++
-	s.told = time.Time{}
+	s.versionSent = time.Time{}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// toldAt says when the present version was written to somebody; zero: not yet.
-func (s *service) toldAt() time.Time {
+// versionSentAt says when the present version was written to somebody; zero: not yet.
+func (s *discoveryServer) versionSentAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.told
+	return s.versionSent
 }
 
-func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.calls++
-	do, changed := s.do, s.changed
-	same := r.URL.Query().Get("from") == fmt.Sprint(s.version)
+	s.requests++
+	intercept, changed := s.intercept, s.changed
+	upToDate := r.URL.Query().Get("from") == fmt.Sprint(s.version)
 	s.mu.Unlock()
-	if do != nil && do(w, r) {
+	if intercept != nil && intercept(w, r) {
 		return
 	}
-	if same {
+	if upToDate {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-changed:
 		}
 	}
-	page := s.page()
-	_, _ = w.Write(page)
+	list := s.fullList()
+	_, _ = w.Write(list)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.told.IsZero() {
-		s.told = time.Now()
+	if s.versionSent.IsZero() {
+		s.versionSent = time.Now()
 	}
 }
 
 // page is the whole list.
-func (s *service) page() []byte {
+func (s *discoveryServer) fullList() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]map[string]any, 0, len(s.entries))
+	servers := make([]map[string]any, 0, len(s.entries))
 	for _, e := range s.entries {
-		one := map[string]any{"state": "Ready"}
+		server := map[string]any{"state": "Ready"}
 		for key, value := range e {
-			one[key] = value
+			server[key] = value
 		}
-		if state, is := s.states[e["id"].(string)]; is {
-			one["state"] = state
+		if state, exists := s.states[e["id"].(string)]; exists {
+			server["state"] = state
 		}
-		list = append(list, one)
+		servers = append(servers, server)
 	}
-	text, err := json.Marshal(map[string]any{"version": s.version, "full": true, "servers": list})
+	text, err := json.Marshal(map[string]any{"version": s.version, "full": true, "servers": servers})
 	if err != nil {
 		s.t.Error(err)
 	}
@@ -263,36 +267,36 @@
 }
 
 // counter is a cache server that counts what comes, with when the latest request did.
-type counter struct {
-	mu     sync.Mutex
-	n      int
-	latest time.Time
+type cacheServer struct {
+	mu          sync.Mutex
+	requests    int
+	lastRequest time.Time
 }
 
-func (c *counter) seen() (int, time.Time) {
+func (c *cacheServer) stats() (requests int, lastRequest time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.n, c.latest
+	return c.requests, c.lastRequest
 }
 
-// newCounters starts cache servers by these ids and the origin z, each of which takes so long to answer.
-func newCounters(t *testing.T, takes time.Duration, ids ...string) ([]map[string]any, map[string]*counter) {
+// startCaches starts cache servers by these ids and the origin z, each of which takes so long to answer.
+func startCaches(t *testing.T, responseDelay time.Duration, ids ...string) ([]map[string]any, map[string]*cacheServer) {
 	t.Helper()
 	var entries []map[string]any
-	counters := map[string]*counter{}
+	caches := map[string]*cacheServer{}
 	for _, id := range append(ids, "z") {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &counter{}
-		counters[id] = c
+		c := &cacheServer{}
+		caches[id] = c
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			c.mu.Lock()
-			c.n++
-			c.latest = time.Now()
+			c.requests++
+			c.lastRequest = time.Now()
 			c.mu.Unlock()
-			time.Sleep(takes)
+			time.Sleep(responseDelay)
 			fmt.Fprint(w, "value of "+r.URL.Path)
 		})}
 		go func() { _ = server.Serve(l) }()
@@ -303,13 +307,13 @@
 		}
 		entries = append(entries, map[string]any{"id": id, "addr": l.Addr().String(), "kind": kind, "started_ms": 0})
 	}
-	return entries, counters
+	return entries, caches
 }
 
 // waitFor waits until it holds, and says whether it did in time.
-func waitFor(within time.Duration, holds func() bool) bool {
-	for end := time.Now().Add(within); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+func waitFor(timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			return false
 		}
 	}
@@ -321,12 +325,12 @@
 	t.Helper()
 	_ = p.Process.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
-		t.Errorf("the process ended with %v:\n%s", err, tail(p.log.String()))
+		t.Errorf("the process ended with %v:\n%s", err, lastLines(p.log.String()))
 	}
 }
 
 // tail gives the last lines of a log.
-func tail(text string) string {
+func lastLines(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	return strings.Join(lines[max(0, len(lines)-20):], "\n")
 }
--- a/cmd/thistlerudder/root_test.go
+++ b/cmd/thistlerudder/root_test.go
@@ -27,24 +27,24 @@
 }
 
 func TestCommands(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(file, []byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"namespaces":[
+	configFile := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(configFile, []byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"namespaces":[
 		{"name":"read","repeat":"safe","target-time-ms":200,"time-limit-ms":750}]}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args   []string
-		fails  bool
-		expect string
+		args       []string
+		wantErr    bool
+		wantOutput string
 	}{
 		{[]string{"version"}, false, "thistlerudder "},
-		{[]string{"check", "--config", file}, false, "listens on 127.0.0.1:1"},
-		{[]string{"check", "--config", file + "x"}, true, "configuration: "},
+		{[]string{"check", "--config", configFile}, false, "listens on 127.0.0.1:1"},
+		{[]string{"check", "--config", configFile + "x"}, true, "configuration: "},
 		{[]string{"serve", "--config", ""}, true, "discovery: expected"},
-		{[]string{"serve", "--config", file, "--log-level", "loud"}, true, "log-level: "},
+		{[]string{"serve", "--config", configFile, "--log-level", "loud"}, true, "log-level: "},
 		{[]string{"surprise"}, true, "unknown command"},
 	} {
-		if out, err := run(c.args...); (err != nil) != c.fails || !strings.Contains(out, c.expect) {
+		if out, err := run(c.args...); (err != nil) != c.wantErr || !strings.Contains(out, c.wantOutput) {
 			t.Errorf("%v: %v, said %q", c.args, err, out)
 		}
 	}
@@ -52,28 +52,28 @@
 
 // SIGHUP has a running node ask the discovery service that its file names by now; a faulty file changes nothing. The
 // node goes on, and SIGTERM ends it with exit status 0, well before SIGKILL may come.
-func TestSignals(t *testing.T) {
-	probe, err := net.Listen("tcp", "127.0.0.1:0")
+func TestServeReloadsOnSIGHUPExitsOnSIGTERM(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := probe.Addr().String()
-	probe.Close()
-	file := filepath.Join(t.TempDir(), "config.json")
-	replace := func(discovery string) {
-		if err := os.WriteFile(file, fmt.Appendf(nil, `{"listen":%q,"discovery":%q,"settings":{"namespaces":[
+	address := listener.Addr().String()
+	listener.Close()
+	configFile := filepath.Join(t.TempDir(), "config.json")
+	writeConfig := func(discovery string) {
+		if err := os.WriteFile(configFile, fmt.Appendf(nil, `{"listen":%q,"discovery":%q,"settings":{"namespaces":[
 			{"name":"read","repeat":"safe","target-time-ms":200,"time-limit-ms":750}]}}`, address, discovery), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	replace("127.0.0.1:2")
-	asked := make(chan string, 9)
-	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { asked <- r.URL.Path }))
+	writeConfig("127.0.0.1:2")
+	discoveryPaths := make(chan string, 9)
+	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { discoveryPaths <- r.URL.Path }))
 	defer discovery.Close()
-	ended := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
-		_, err := run("serve", "--config", file, "--log-level", "error")
-		ended <- err
+		_, err := run("serve", "--config", configFile, "--log-level", "error")
+		serveErr <- err
 	}()
 	for {
 		c, err := net.Dial("tcp", address)
@@ -82,7 +82,7 @@
 			break
 		}
 		select {
-		case err := <-ended:
+		case err := <-serveErr:
 			t.Fatal("ended by itself: ", err)
 		case <-time.After(10 * time.Millisecond):
 		}
@@ -91,8 +91,8 @@
 		t.Error("the libraries' own lines come on standard error as they are")
 	}
 	t.Setenv("BALANCER_DISCOVERY", "127.0.0.1:2") // of the start; it stands behind the file from then on
-	for _, to := range []string{"nowhere", discovery.Listener.Addr().String()} {
-		replace(to)
+	for _, discoveryAddress := range []string{"nowhere", discovery.Listener.Addr().String()} {
+		writeConfig(discoveryAddress)
 		for range 2 {
 			if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 				t.Fatal(err)
@@ -101,18 +101,18 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	select {
-	case path := <-asked:
+	case path := <-discoveryPaths:
 		if path != "/discovery/hosts" {
 			t.Error(path)
 		}
 	case <-time.After(3 * time.Second):
 		t.Error("the new discovery service was not asked")
 	}
-	began := time.Now()
+	signalTime := time.Now()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-ended; err != nil || time.Since(began) > 1400*time.Millisecond {
-		t.Errorf("ended after %v: %v", time.Since(began), err)
+	if err := <-serveErr; err != nil || time.Since(signalTime) > 1400*time.Millisecond {
+		t.Errorf("ended after %v: %v", time.Since(signalTime), err)
 	}
 }
--- a/cmd/thistlerudder/upgrade_test.go
+++ b/cmd/thistlerudder/upgrade_test.go
@@ -19,16 +19,16 @@
 	"time"
 )
 
-// asProgram makes the test's own binary run the program instead.
-const asProgram = "THISTLERUDDER_TEST_AS_PROGRAM"
+// asProgramEnv makes the test's own binary run the program instead.
+const asProgramEnv = "THISTLERUDDER_TEST_AS_PROGRAM"
 
-// descriptorLimit names the limit on descriptors that the program is to run under; unset: the test's own.
-const descriptorLimit = "THISTLERUDDER_TEST_DESCRIPTOR_LIMIT"
+// descriptorLimitEnv names the limit on descriptors that the program is to run under; unset: the test's own.
+const descriptorLimitEnv = "THISTLERUDDER_TEST_DESCRIPTOR_LIMIT"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		if most, err := strconv.ParseUint(os.Getenv(descriptorLimit), 10, 64); err == nil {
-			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+	if os.Getenv(asProgramEnv) != "" {
+		if maxDescriptors, err := strconv.ParseUint(os.Getenv(descriptorLimitEnv), 10, 64); err == nil {
+			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: maxDescriptors, Max: maxDescriptors}); err != nil {
 				panic(err)
 			}
 		}
@@ -39,12 +39,12 @@
 }
 
 const (
-	sockets = 128
-	limit   = 800 * time.Millisecond // the longest time limit
+	upgradeMaxDescriptors = 128
+	upgradeMaxDeadline    = 800 * time.Millisecond // the longest time limit
 )
 
 // start runs the program as a process of its own on the passed socket, and waits for its yes.
-func start(t *testing.T, config, folder string, passed *os.File) (*exec.Cmd, string) {
+func startOnSocket(t *testing.T, configFile, folder string, socket *os.File) (*exec.Cmd, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,23 +52,23 @@
 	}
 	admin := l.Addr().String()
 	l.Close()
-	c := exec.Command(os.Args[0], "serve", "--config", config, "--log-level", "error")
-	c.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+folder, "BALANCER_PASSED_SOCKET=3",
+	c := exec.Command(os.Args[0], "serve", "--config", configFile, "--log-level", "error")
+	c.Env = append(os.Environ(), asProgramEnv+"=1", "TMPDIR="+folder, "BALANCER_PASSED_SOCKET=3",
 		"BALANCER_ADMIN_ADDR="+admin, "GORACE=atexit_sleep_ms=0") // the detector's second after the end isn't ours
-	c.ExtraFiles, c.Stderr = []*os.File{passed}, os.Stderr
+	c.ExtraFiles, c.Stderr = []*os.File{socket}, os.Stderr
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Process.Kill() })
-	for end := time.Now().Add(5 * time.Second); call(admin, "GET", "/status") != http.StatusOK; {
-		if time.Sleep(2 * time.Millisecond); time.Now().After(end) {
+	for deadline := time.Now().Add(5 * time.Second); requestStatus(admin, "GET", "/status") != http.StatusOK; {
+		if time.Sleep(2 * time.Millisecond); time.Now().After(deadline) {
 			t.Fatal("no yes")
 		}
 	}
 	return c, admin
 }
 
-func call(address, method, path string) int {
+func requestStatus(address, method, path string) int {
 	r, _ := http.NewRequest(method, "http://"+address+path, nil)
 	r.Close = true
 	resp, err := http.DefaultClient.Do(r)
@@ -79,7 +79,7 @@
 	return resp.StatusCode
 }
 
-func descriptors(c *exec.Cmd) int {
+func countDescriptors(c *exec.Cmd) int {
 	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.Process.Pid))
 	return len(entries)
 }
@@ -87,14 +87,14 @@
 // A second process takes the place of the first under load, on the socket that both inherit: each lookup is answered
 // once, nothing runs twice, bans hold for both and afterwards, both stay inside the limit on descriptors together,
 // and the first is gone in time.
-func TestAnUpgradeUnderLoad(t *testing.T) {
+func TestUpgradeUnderLoadNoRequestLostOrRepeated(t *testing.T) {
 	var mu sync.Mutex
-	ran, banned := map[string]int{}, 0
+	attempts, ejectedAttempts := map[string]int{}, 0
 	server := func(id string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
-			if ran[r.Method+" "+r.Header.Get("X-Trace-Id")]++; id == "b" {
-				banned++
+			if attempts[r.Method+" "+r.Header.Get("X-Trace-Id")]++; id == "b" {
+				ejectedAttempts++
 			}
 			mu.Unlock()
 			time.Sleep(5 * time.Millisecond)
@@ -118,38 +118,38 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	passed, err := socket.(*net.TCPListener).File()
+	passedSocket, err := socket.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer passed.Close()
-	folder, config := t.TempDir(), filepath.Join(t.TempDir(), "node.json")
+	defer passedSocket.Close()
+	folder, configFile := t.TempDir(), filepath.Join(t.TempDir(), "node.json")
 	namespace := func(name, repeat string) map[string]any {
-		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 400, "time-limit-ms": limit.Milliseconds()}
+		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 400, "time-limit-ms": upgradeMaxDeadline.Milliseconds()}
 	}
 	text, err := json.Marshal(map[string]any{"listen": socket.Addr().String(), "discovery": discovery.Listener.Addr().String(),
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": upgradeMaxDescriptors},
 		"settings": map[string]any{"models": []string{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1},
 			"permissions": map[string]any{"most-shots": 3}, "invariants": map[string]any{"stop-sending-within-ms": 200},
 			"namespaces": []any{namespace("read", "safe"), namespace("once", "unsafe")}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(config, text, 0o600); err != nil {
+	if err := os.WriteFile(configFile, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 
-	first, admin := start(t, config, folder, passed)
-	if status := call(admin, "POST", "/maintenance/enter/b"); status != http.StatusOK {
+	first, admin := startOnSocket(t, configFile, folder, passedSocket)
+	if status := requestStatus(admin, "POST", "/maintenance/enter/b"); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	var number, resolved, deferred, again, turnedBack int
+	var requests, succeeded, rejected, retries, failed int
 	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 16 {
 		clients.Go(func() {
 			var c net.Conn
-			var in *bufio.Reader
+			var reader *bufio.Reader
 			for {
 				select {
 				case <-done:
@@ -157,55 +157,55 @@
 				default:
 				}
 				mu.Lock()
-				number++
-				id := fmt.Sprint("t", number)
+				requests++
+				traceID := fmt.Sprint("t", requests)
 				mu.Unlock()
-				what, method := "read", "GET"
+				class, method := "read", "GET"
 				if i%4 == 0 {
-					what, method = "once", "PUT"
+					class, method = "once", "PUT"
 				}
-				path := "/" + what + "/k" + id
+				path := "/" + class + "/k" + traceID
 				send := func() (*http.Response, string, error) {
 					fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: n\r\nX-Trace-Id: %s\r\nX-Expires-In: 700m\r\nContent-Length: 0\r\n\r\n",
-						method, path, id)
+						method, path, traceID)
 					_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
-					r, err := http.ReadResponse(in, nil)
+					r, err := http.ReadResponse(reader, nil)
 					if err != nil {
 						return nil, "", err
 					}
 					body, err := io.ReadAll(r.Body)
 					return r, string(body), err
 				}
-				kept := c != nil
-				if !kept {
+				reused := c != nil
+				if !reused {
 					var err error
 					if c, err = net.Dial("tcp", socket.Addr().String()); err != nil {
 						t.Error(err)
 						return
 					}
-					in = bufio.NewReader(c)
+					reader = bufio.NewReader(c)
 				}
 				r, body, err := send()
-				if err != nil && kept && body == "" { // it crossed the end of a kept connection: sent once more
+				if err != nil && reused && body == "" { // it crossed the end of a kept connection: sent once more
 					c.Close()
 					c, _ = net.Dial("tcp", socket.Addr().String())
-					in = bufio.NewReader(c)
+					reader = bufio.NewReader(c)
 					mu.Lock()
-					again++
+					retries++
 					mu.Unlock()
 					r, body, err = send()
 				}
 				mu.Lock()
 				switch {
 				case err != nil:
-					turnedBack++
-					t.Logf("%s: %v", id, err)
+					failed++
+					t.Logf("%s: %v", traceID, err)
 				case r.StatusCode == http.StatusOK && body == "value of "+path:
-					resolved++
+					succeeded++
 				case r.StatusCode == http.StatusServiceUnavailable:
-					deferred++
+					rejected++
 				default:
-					t.Errorf("%s: %d %q", id, r.StatusCode, body)
+					t.Errorf("%s: %d %q", traceID, r.StatusCode, body)
 				}
 				mu.Unlock()
 				if err != nil || r.Close || i%2 == 0 {
@@ -217,31 +217,31 @@
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	most := 0
+	peakDescriptors := 0
 	for range 3 {
-		second, next := start(t, config, folder, passed)
+		second, secondAdmin := startOnSocket(t, configFile, folder, passedSocket)
 		_ = first.Process.Signal(syscall.SIGTERM)
-		ended, began := make(chan error), time.Now()
-		go func() { ended <- first.Wait() }()
-		for waiting := true; waiting; {
-			most = max(most, descriptors(first)+descriptors(second))
+		exited, signalTime := make(chan error), time.Now()
+		go func() { exited <- first.Wait() }()
+		for running := true; running; {
+			peakDescriptors = max(peakDescriptors, countDescriptors(first)+countDescriptors(second))
 			select {
-			case err := <-ended:
-				if waiting = false; err != nil || time.Since(began) > limit+700*time.Millisecond {
-					t.Errorf("the first ended after %v: %v", time.Since(began), err)
+			case err := <-exited:
+				if running = false; err != nil || time.Since(signalTime) > upgradeMaxDeadline+700*time.Millisecond {
+					t.Errorf("the first ended after %v: %v", time.Since(signalTime), err)
 				}
 			case <-time.After(5 * time.Millisecond):
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
-		first, admin = second, next
+		first, admin = second, secondAdmin
 	}
 	mu.Lock()
-	if banned > 0 {
-		t.Errorf("%d shots to the banned cache", banned)
+	if ejectedAttempts > 0 {
+		t.Errorf("%d shots to the banned cache", ejectedAttempts)
 	}
 	mu.Unlock()
-	if status := call(admin, "POST", "/maintenance/exit/b"); status != http.StatusOK {
+	if status := requestStatus(admin, "POST", "/maintenance/exit/b"); status != http.StatusOK {
 		t.Error(status)
 	}
 	time.Sleep(time.Second)
@@ -251,35 +251,35 @@
 	if err := first.Wait(); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d lookups, %d resolved, %d deferred, %d sent again, at most %d descriptors", number, resolved, deferred, again, most)
-	if resolved < number*9/10 || turnedBack > 0 || again > number/100 {
-		t.Errorf("%d lookups: %d resolved, %d turned back, %d sent again", number, resolved, turnedBack, again)
+	t.Logf("%d lookups, %d succeeded, %d rejected, %d sent again, at most %d descriptors", requests, succeeded, rejected, retries, peakDescriptors)
+	if succeeded < requests*9/10 || failed > 0 || retries > requests/100 {
+		t.Errorf("%d lookups: %d succeeded, %d turned back, %d sent again", requests, succeeded, failed, retries)
 	}
-	if most > sockets || most < 20 {
-		t.Errorf("%d descriptors together, the limit is %d", most, sockets)
+	if peakDescriptors > upgradeMaxDescriptors || peakDescriptors < 20 {
+		t.Errorf("%d descriptors together, the limit is %d", peakDescriptors, upgradeMaxDescriptors)
 	}
-	if banned == 0 {
+	if ejectedAttempts == 0 {
 		t.Error("the cache is put back, and gets nothing")
 	}
-	for id, n := range ran {
-		if n > 1 && strings.HasPrefix(id, "PUT") {
-			t.Errorf("%s ran %d times", id, n)
+	for request, n := range attempts {
+		if n > 1 && strings.HasPrefix(request, "PUT") {
+			t.Errorf("%s ran %d times", request, n)
 		}
 	}
 }
 
 // A variable that names no listening socket is named with what was expected, and the program exits with 1.
-func TestAPassedSocketThatIsNone(t *testing.T) {
-	config := filepath.Join(t.TempDir(), "node.json")
+func TestServePassedSocketInvalidExitsWithError(t *testing.T) {
+	configFile := filepath.Join(t.TempDir(), "node.json")
 	text := `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {"namespaces":
 		[{"name": "read", "repeat": "safe", "target-time-ms": 200, "time-limit-ms": 750}]}}`
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(configFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for value, want := range map[string]string{"five": "$BALANCER_PASSED_SOCKET: expected the number of a descriptor",
 		"2": "expected a listening TCP socket, as $BALANCER_PASSED_SOCKET says"} {
-		c := exec.Command(os.Args[0], "serve", "--config", config)
-		c.Env = append(os.Environ(), asProgram+"=1", "BALANCER_PASSED_SOCKET="+value)
+		c := exec.Command(os.Args[0], "serve", "--config", configFile)
+		c.Env = append(os.Environ(), asProgramEnv+"=1", "BALANCER_PASSED_SOCKET="+value)
 		out, err := c.CombinedOutput()
 		if c.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), want) {
 			t.Errorf("%s: %v %s", value, err, out)
@@ -288,22 +288,22 @@
 }
 
 // An operators' address that can't be listened on is named, and the program exits with 1.
-func TestAnOperatorsAddressThatIsTaken(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+func TestServeAdminAddressUnusableExitsWithError(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	config := filepath.Join(t.TempDir(), "node.json")
+	defer listener.Close()
+	configFile := filepath.Join(t.TempDir(), "node.json")
 	text := `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {"namespaces":
 		[{"name": "read", "repeat": "safe", "target-time-ms": 200, "time-limit-ms": 750}]}}`
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(configFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for address, want := range map[string]string{taken.Addr().String(): "admin_addr: expected an address to listen on",
+	for address, want := range map[string]string{listener.Addr().String(): "admin_addr: expected an address to listen on",
 		"nowhere": "admin_addr: expected an address as 10.0.0.4:9600"} {
-		c := exec.Command(os.Args[0], "serve", "--config", config)
-		c.Env = append(os.Environ(), asProgram+"=1", "BALANCER_ADMIN_ADDR="+address)
+		c := exec.Command(os.Args[0], "serve", "--config", configFile)
+		c.Env = append(os.Environ(), asProgramEnv+"=1", "BALANCER_ADMIN_ADDR="+address)
 		out, err := c.CombinedOutput()
 		if c.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), want) {
 			t.Errorf("%s: %v %s", address, err, out)
