--- a/cmd/thistlerudder/cold_test.go
+++ b/cmd/thistlerudder/cold_test.go
@@ -19,33 +19,34 @@
 	"time"
 )
 
-// A cold cache as the settings of TestThirtyProcessesColdCacheNotOverloaded have it: N is 2.25 at its start, and 6.5 after the four
-// seconds for which each start is looked at.
+// Settings of TestThirtyProcessesColdCacheNotOverloaded. The overload threshold of the cold cache is 2.25 requests in a window at its
+// start, and 6.5 after the 4 s for which each start is observed.
 const (
 	coldProcesses         = 30
 	coldOverloadFactor    = 1.5
 	coldStartShare        = 0.05
-	coldCapacityPerSecond = 60.0 // a second
+	coldCapacityPerSecond = 60.0 // requests that a warm cache can serve
 	coldWindow            = 500 * time.Millisecond
 	coldWarmUp            = 40 * time.Second
 	coldObservation       = 4 * time.Second
 )
 
-// coldCacheMonitor counts what comes at the cache that starts cold, from processes that have been told of the start.
+// coldCacheMonitor is the discovery service of all nodes. It counts the attempts that reach the cache that starts cold, from nodes that have
+// received the list with the start.
 type coldCacheMonitor struct {
 	mu          sync.Mutex
 	version     int
 	startTime   time.Time
 	changed     chan struct{}
 	servers     []map[string]any
-	sentVersion [coldProcesses]int // the latest that was written to each node's process
+	sentVersion [coldProcesses]int // latest list version that was sent to each node's current process
 	sentTime    [coldProcesses]time.Time
 	arrivals    []time.Time
 	attempts    int
-	peakLoad    float64 // the fullest window, as a share of what it bears
+	peakLoad    float64 // attempts in the fullest window, relative to the allowed number
 }
 
-// list answers a node's call: at once, or as soon as there is a newer list than it has.
+// serveList handles a node's requests: at once, or when there is a newer version than the node has.
 func (c *coldCacheMonitor) serveList(node int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
@@ -65,7 +66,7 @@
 	}
 }
 
-// start lets the first cache start cold.
+// coldStart publishes a list in which the first cache has just started.
 func (c *coldCacheMonitor) coldStart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +77,7 @@
 	c.changed = make(chan struct{})
 }
 
-// arrived counts a shot of a node that was told a twentieth of a second ago or earlier.
+// recordAttempt counts an attempt of a node that received the current list at least 50 ms ago.
 func (c *coldCacheMonitor) recordAttempt(traceID string) {
 	var node int
 	c.mu.Lock()
@@ -92,13 +93,13 @@
 		c.arrivals = c.arrivals[1:]
 	}
 	capacityShare := coldStartShare + (1-coldStartShare)*now.Sub(c.startTime).Seconds()/coldWarmUp.Seconds()
-	capacity := coldOverloadFactor * capacityShare * coldCapacityPerSecond * coldWindow.Seconds()
-	c.peakLoad = max(c.peakLoad, float64(len(c.arrivals))/(capacity+2*math.Sqrt(capacity)+2))
+	overloadThreshold := coldOverloadFactor * capacityShare * coldCapacityPerSecond * coldWindow.Seconds()
+	c.peakLoad = max(c.peakLoad, float64(len(c.arrivals))/(overloadThreshold+2*math.Sqrt(overloadThreshold)+2))
 }
 
-// Thirty processes before a cache that starts cold, half of the traffic at three of them and twice as much of it in the
-// second half of each start, while one process after another is replaced: what comes at the cache in any window stays under
-// N and 2 roots of it and 2, and it gets something. So it does where the fleet has a budget of what a warm one bears.
+// Thirty processes don't overload a cache in slow start. Three of them get half of the traffic, the traffic doubles in the second half of each
+// observation, and one process after another is replaced. In any window the cache receives at most N + 2*sqrt(N) + 2 attempts, where N is its
+// overload threshold, and it receives some. The same holds if the fleet has a budget of the overload threshold of a warm cache.
 func TestThirtyProcessesColdCacheNotOverloaded(t *testing.T) {
 	t.Run("without a budget", func(t *testing.T) { testColdCache(t, 2, false) })
 	t.Run("with a budget", func(t *testing.T) { testColdCache(t, 1, true) })
@@ -120,7 +121,7 @@
 	var passedSockets [coldProcesses]*os.File
 	var configFiles, folders [coldProcesses]string
 	var running [coldProcesses]*exec.Cmd
-	peerAddress := func(i int) string { // its address in the fleet, on which no outgoing connection can be
+	peerAddress := func(i int) string { // the node's address in the fleet, which the kernel assigns to no outgoing connection
 		return fmt.Sprintf("127.%d.37.%d:7100", 1+os.Getpid()%250, i+1)
 	}
 	var voters []map[string]string
@@ -165,7 +166,7 @@
 		}
 	}
 	var startup sync.WaitGroup
-	for worker := range 6 { // so many at a time: each is to say yes within a while
+	for worker := range 6 { // few at a time, because startOnSocket bounds the time until a process serves
 		startup.Go(func() {
 			for i := worker; i < coldProcesses; i += 6 {
 				running[i], _ = startOnSocket(t, configFiles[i], folders[i], passedSockets[i])
@@ -198,7 +199,7 @@
 			default:
 			}
 			mu.Lock()
-			rate := 160.0 // 40 a second at each cache, two thirds of what one bears
+			rate := 160.0 // requests/s: 40 for each cache, two thirds of its capacity
 			if highLoad {
 				rate *= 2
 			}
@@ -224,7 +225,7 @@
 			})
 		}
 	})
-	time.Sleep(2500 * time.Millisecond) // each learns what a warm cache answers
+	time.Sleep(2500 * time.Millisecond) // the nodes measure the latency of warm caches
 	wg.Go(func() {
 		for i := range coldProcesses {
 			c.mu.Lock()
@@ -253,7 +254,7 @@
 		highLoad = false
 		mu.Unlock()
 		c.mu.Lock()
-		t.Logf("start %d: %d shots so far, the fullest window %.2f of what the cache bears", i, c.attempts, c.peakLoad)
+		t.Logf("start %d: %d attempts so far, the fullest window has %.2f of the allowed number", i, c.attempts, c.peakLoad)
 		c.mu.Unlock()
 	}
 	close(done)
@@ -264,11 +265,11 @@
 	for _, command := range running {
 		_ = command.Wait()
 	}
-	t.Logf("%d lookups, %d answered, %d processes replaced", requests, answers, replacements)
+	t.Logf("%d requests, %d answered, %d processes replaced", requests, answers, replacements)
 	if c.peakLoad > 1 {
-		t.Errorf("the cold cache falls: its fullest window is %.2f of what it bears", c.peakLoad)
+		t.Errorf("the cold cache is overloaded: its fullest window has %.2f of the allowed number", c.peakLoad)
 	}
 	if c.attempts == 0 || answers < requests*9/10 {
-		t.Errorf("%d shots at the cold cache; of %d lookups %d were answered", c.attempts, requests, answers)
+		t.Errorf("%d attempts at the cold cache; %d requests, of which %d were answered", c.attempts, requests, answers)
 	}
 }
--- a/cmd/thistlerudder/descriptors_test.go
+++ b/cmd/thistlerudder/descriptors_test.go
@@ -14,19 +14,21 @@
 	"time"
 )
 
-// crowd is clients that open connections and rest on them, some after a lookup; who is closed comes again a little later.
+// idleClients are clients that keep connections open without using them, some after one request. A client whose connection is closed
+// connects again after reconnectDelay.
 type idleClients struct {
 	stop         chan struct{}
 	clients      sync.WaitGroup
 	openConns    atomic.Int64
-	closedByNode atomic.Int64 // closed by the node
+	closedByNode atomic.Int64 // connections that the node closed
 }
 
 const (
-	reconnectDelay  = 200 * time.Millisecond // until one that was closed comes again
+	reconnectDelay  = 200 * time.Millisecond // from the end of a connection to the next attempt to connect
 	idleConnTimeout = 10 * time.Second       // longer than the test
 )
 
+// start starts clients, which connect to an address until c.stop is closed.
 func (c *idleClients) start(address string, clients int, sendsRequest func(i int) bool) {
 	for i := range clients {
 		c.clients.Go(func() {
@@ -47,7 +49,7 @@
 	}
 }
 
-// rest opens one connection, and holds it until the node or the test ends it.
+// holdConn opens one connection, and keeps it open until the node closes it or the test ends.
 func (c *idleClients) holdConn(address, traceID string, sendsRequest bool) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -73,18 +75,18 @@
 			_, _ = reader.Discard(int(r.ContentLength))
 		}
 	}
-	_, _ = reader.ReadByte() // until its end
+	_, _ = reader.ReadByte() // blocks until the connection is closed
 	c.closedByNode.Add(1)
 }
 
-// Idle clients take every place that they can get while discovery is down. The list is had again at its return, drains
-// told then are kept, operators are answered, a reload reads its file and moves the list, and who comes later is
-// answered: under the limit that the configuration names, under a lower one that the process was started with, and
-// with clients filling it before the outage, in it and at its end.
+// Idle clients must not exhaust the descriptors that a node reserves for its own work. They open as many connections as the node accepts,
+// before, during and at the end of an outage of the discovery service. The node must still get the list when the service returns, stop
+// sending to drained servers, serve the admin address, reload its configuration, switch to another discovery service, and respond to
+// requests of other clients. It does so under the descriptor limit of the configuration, and under a lower limit of the process.
 func TestIdleClientsFillConnectionsReserveStaysFree(t *testing.T) {
 	for name, c := range map[string]struct {
-		configuredLimit, processLimit int // maximum number of descriptors; 0: not set
-		effectiveLimit                int // maximum number of descriptors that the process may have open
+		configuredLimit, processLimit int // number of descriptors; 0: not set
+		effectiveLimit                int // number of descriptors that the process may have open
 	}{
 		"limit of the configuration":       {64, 0, 64},
 		"limits are equal":                 {64, 64, 64},
@@ -133,7 +135,7 @@
 	var mu sync.Mutex
 	var latencies []time.Duration
 	statusCounts := map[int]int{}
-	sendRequests := func(n int) { // lookups of those who come later
+	sendRequests := func(n int) { // as clients that connect after the idle ones
 		var wg sync.WaitGroup
 		for i := range n {
 			time.Sleep(20 * time.Millisecond)
@@ -142,7 +144,7 @@
 				traceID := fmt.Sprintf("late-%d-%d", start.UnixNano(), i)
 				status, body := sendGet(p.clientAddress, "/read/"+traceID, traceID, 6*time.Second)
 				if status == http.StatusOK && body != "value of /read/"+traceID {
-					t.Errorf("%s: another's value %q", traceID, body)
+					t.Errorf("%s: body of another request: %q", traceID, body)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -153,7 +155,7 @@
 		wg.Wait()
 	}
 	idle := &idleClients{stop: make(chan struct{})}
-	adminClients := &idleClients{stop: idle.stop} // callers at the operators' address that never bring a call
+	adminClients := &idleClients{stop: idle.stop} // clients of the admin address that send no request
 	defer func() {
 		close(idle.stop)
 		idle.clients.Wait()
@@ -163,7 +165,7 @@
 		t.Helper()
 		start := time.Now()
 		if status := requestStatus(p.adminAddress, "GET", "/status"); status != http.StatusOK || time.Since(start) > time.Second {
-			t.Errorf("%s: the operators' address answers %d after %v", phase, status, time.Since(start))
+			t.Errorf("%s: the admin address responds with status %d after %v", phase, status, time.Since(start))
 		}
 	}
 	reload := func(phase, message string) {
@@ -171,64 +173,66 @@
 		before := strings.Count(p.log.String(), message)
 		_ = p.Process.Signal(syscall.SIGHUP)
 		if !waitFor(4*time.Second, func() bool { return strings.Count(p.log.String(), message) > before }) {
-			t.Errorf("%s: a reload gives no line %q:\n%s", phase, message, lastLines(p.log.String()))
+			t.Errorf("%s: a reload doesn't log %q:\n%s", phase, message, lastLines(p.log.String()))
 		}
 	}
 	checkDrain := func(s *discoveryServer, id string, timeout time.Duration, phase string) {
 		t.Helper()
 		start := time.Now()
 		if !waitFor(timeout, func() bool { return !s.versionSentAt().IsZero() }) {
-			t.Errorf("%s: the list is not had within %v:\n%s", phase, timeout, lastLines(p.log.String()))
+			t.Errorf("%s: no list was sent within %v:\n%s", phase, timeout, lastLines(p.log.String()))
 			return
 		}
 		sentAt := s.versionSentAt()
 		sendRequests(20)
 		time.Sleep(time.Until(sentAt.Add(600 * time.Millisecond)))
 		if n, lastRequest := caches[id].stats(); n > 0 && lastRequest.Sub(sentAt) > 400*time.Millisecond {
-			t.Errorf("%s: %s is sent a lookup %v after its drain was told", phase, id, lastRequest.Sub(sentAt))
+			t.Errorf("%s: %s received a request %v after its drain was sent", phase, id, lastRequest.Sub(sentAt))
 		}
-		t.Logf("%s: the list is had after %v", phase, sentAt.Sub(start).Round(time.Millisecond))
+		t.Logf("%s: the list was sent after %v", phase, sentAt.Sub(start).Round(time.Millisecond))
 	}
 
 	adminClients.start(p.adminAddress, 2*maxDescriptors/3, func(int) bool { return false })
 	idle.start(p.clientAddress, maxDescriptors, func(i int) bool { return i%2 == 0 }) // before the outage
 	sendRequests(10)
 	current.stop()
-	idle.start(p.clientAddress, maxDescriptors/2, func(i int) bool { return i%3 == 0 }) // in it
+	idle.start(p.clientAddress, maxDescriptors/2, func(i int) bool { return i%3 == 0 }) // during the outage
 	current.setState("b", "Terminating")
-	checkAdmin("in the outage")
-	reload("in the outage", "configuration reloaded")
+	checkAdmin("during the outage")
+	reload("during the outage", "configuration reloaded")
 	sendRequests(30)
-	idle.start(p.clientAddress, maxDescriptors/2, func(int) bool { return false }) // at its end
+	idle.start(p.clientAddress, maxDescriptors/2, func(int) bool { return false }) // at the end of the outage
 	current.start()
-	checkDrain(current, "b", 6*time.Second, "at the return")
+	checkDrain(current, "b", 6*time.Second, "after the return")
 	checkAdmin("after the outage")
 	next.setState("b", "Terminating")
 	next.setState("c", "Terminating")
 	p.configure(t, next.address, overrides)
 	reload("after the outage", "switched to another discovery service")
-	checkDrain(next, "c", 4*time.Second, "at a reload")
+	checkDrain(next, "c", 4*time.Second, "after the switch")
 	openConns := idle.openConns.Load()
 	close(done)
 	watcher.Wait()
 
 	slices.Sort(latencies)
-	t.Logf("%d descriptors at the most, of %d; %d idle connections, %d turned away; late lookups %v, p90 %v, worst %v", peak, maxDescriptors,
-		openConns, idle.closedByNode.Load(), statusCounts, latencies[len(latencies)*9/10].Round(time.Millisecond), latencies[len(latencies)-1].Round(time.Millisecond))
+	t.Logf("at most %d descriptors of %d; %d idle connections, %d closed by the node; statuses of other clients %v, p90 %v, maximum %v",
+		peak, maxDescriptors, openConns, idle.closedByNode.Load(), statusCounts,
+		latencies[len(latencies)*9/10].Round(time.Millisecond), latencies[len(latencies)-1].Round(time.Millisecond))
 	if peak > maxDescriptors {
-		t.Errorf("%d descriptors, the limit is %d", peak, maxDescriptors)
+		t.Errorf("%d descriptors are open, the limit is %d", peak, maxDescriptors)
 	}
 	if strings.Contains(p.log.String(), "too many open files") {
-		t.Errorf("it ran out of descriptors:\n%s", p.log.String())
+		t.Errorf("the process ran out of descriptors:\n%s", p.log.String())
 	}
-	if unanswered := len(latencies) - statusCounts[http.StatusOK] - statusCounts[http.StatusServiceUnavailable]; unanswered > 0 || statusCounts[http.StatusOK] < len(latencies)*8/10 {
-		t.Errorf("late lookups: %v of %d", statusCounts, len(latencies))
+	succeeded, rejected := statusCounts[http.StatusOK], statusCounts[http.StatusServiceUnavailable]
+	if unanswered := len(latencies) - succeeded - rejected; unanswered > 0 || succeeded < len(latencies)*8/10 {
+		t.Errorf("requests of other clients: statuses %v of %d", statusCounts, len(latencies))
 	}
 	p.stop(t)
 }
 
-// Two processes of a node at an upgrade have the descriptors of one, also when idle clients had taken every place of the
-// first, and go on coming.
+// During an upgrade, the two processes of a node together stay within the descriptor limit of one, even if idle clients use all connections
+// of the first process and reconnect throughout.
 func TestUpgradeAmongIdleClientsDescriptorLimitKept(t *testing.T) {
 	t.Parallel()
 	for _, maxDescriptors := range []int{64, 128} {
@@ -275,7 +279,7 @@
 			for ready := false; !ready; ready = requestStatus(second.adminAddress, "GET", "/status") == http.StatusOK {
 				sample()
 				if time.Since(start) > 5*time.Second {
-					t.Fatalf("no yes:\n%s", lastLines(second.log.String()))
+					t.Fatalf("the second process doesn't serve the admin address:\n%s", lastLines(second.log.String()))
 				}
 			}
 			for time.Since(start) < time.Second {
@@ -289,9 +293,10 @@
 			if status, body := sendGet(second.clientAddress, "/read/k", "after", 5*time.Second); status != http.StatusOK {
 				t.Errorf("%d %q", status, body)
 			}
-			t.Logf("%d descriptors at the most, %v after the second's start, of %d; %d looks over that", peak, peakTime, maxDescriptors, overLimitSamples)
+			t.Logf("at most %d descriptors, %v after the start of the second process, of %d; %d samples over the limit",
+				peak, peakTime, maxDescriptors, overLimitSamples)
 			if peak > maxDescriptors {
-				t.Errorf("%d descriptors together, the limit is %d", peak, maxDescriptors)
+				t.Errorf("%d descriptors of both processes are open, the limit is %d", peak, maxDescriptors)
 			}
 			if err := first.Wait(); err != nil {
 				t.Error(err)
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -20,6 +20,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
+// fakeLocalNode is the node of a voter that serves no requests.
 type fakeLocalNode struct{}
 
 func (fakeLocalNode) Metrics() map[string]int64                       { return nil }
@@ -29,7 +30,7 @@
 	return u
 }
 
-// startCluster starts three voters in this process, and founds their fleet by the command.
+// startCluster starts three voters in this process, and founds their fleet with the command. It returns the configuration file of the last.
 func startCluster(t *testing.T) (configFile string, members []*cluster.Member) {
 	t.Helper()
 	var voters []map[string]string
@@ -64,8 +65,8 @@
 	}
 }
 
-// A job under a lease: its token is in its environment, its status is handed on, another has to wait, and it is ended when
-// the lease can't be kept.
+// "lease run" passes the lease and its token to the command in the environment, exits with the command's status, waits while another
+// process holds the lease, and terminates the command when the lease can't be renewed.
 func TestLeaseRunPassesTokenEndsCommandOnLoss(t *testing.T) {
 	configFile, members := startCluster(t)
 	leaseRun := func(ctx context.Context, args ...string) *exec.Cmd {
@@ -102,7 +103,7 @@
 	}
 	waiter := leaseRun(ctx, "job", "--wait", "300ms", "--", "true")
 	if _ = waiter.Run(); waiter.ProcessState.ExitCode() != exitNotAcquired {
-		t.Errorf("status %d while another has it, want %d", waiter.ProcessState.ExitCode(), exitNotAcquired)
+		t.Errorf("status %d while another process holds the lease, want %d", waiter.ProcessState.ExitCode(), exitNotAcquired)
 	}
 	if output, err := run("lease", "release", "job", "--token", "1", "--config", configFile); err == nil {
 		t.Errorf("released with an old token: %s", output)
@@ -115,7 +116,7 @@
 	}
 }
 
-// The example under deploy/ is sound.
+// The example configuration under deploy/ is valid.
 func TestCheckAcceptsFleetExample(t *testing.T) {
 	if out, err := run("check", "--config", "../../deploy/fleet-node.json"); err != nil || !strings.Contains(out, "n1 listens on") {
 		t.Errorf("%v: %s", err, out)
--- a/cmd/thistlerudder/lease_run.go
+++ b/cmd/thistlerudder/lease_run.go
@@ -74,9 +74,11 @@
 	return c
 }
 
-// runUnderLease runs the command and renews the lease until the command ends. If renewals fail, it ends the command while the lease is
-// still certain to be held. If ctx ends, it sends SIGTERM to the command and keeps the lease until the command exits.
-func runUnderLease(ctx context.Context, cmd *cobra.Command, heldLease *cluster.HeldLease, leaseDuration time.Duration, leaseName string, args []string) error {
+// runUnderLease runs the command while cluster.Client.Hold renews the lease. If renewals fail, it ends the command while the lease is still
+// certain to be held. If ctx ends, it sends SIGTERM to the command and returns, which releases the lease, only when the command has exited.
+func runUnderLease(ctx context.Context, cmd *cobra.Command, heldLease *cluster.HeldLease, leaseDuration time.Duration, leaseName string,
+	args []string,
+) error {
 	runtime.LockOSThread() // the kernel sends Pdeathsig when the thread that started the child ends
 	defer runtime.UnlockOSThread()
 	c := exec.Command(args[0], args[1:]...)
--- a/cmd/thistlerudder/process_test.go
+++ b/cmd/thistlerudder/process_test.go
@@ -19,11 +19,11 @@
 	"time"
 )
 
-// usedAddresses counts those that were given out.
+// usedAddresses is the number of addresses that freeAddress has tried.
 var usedAddresses atomic.Uint32
 
-// freeAddress gives an address on loopback that nobody listens on, nor will before we do: its host is this test's own, and its
-// port lies below those that the system gives to connections and to whoever asks for any.
+// freeAddress returns a loopback address that nobody listens on. Nobody else takes it before the test listens on it: the IP address
+// is derived from the id of this process, and the port lies below the range from which the kernel assigns ephemeral ports.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
@@ -38,7 +38,8 @@
 	return ""
 }
 
-// listenAt listens on such an address. A process that is just being started holds what we have closed until it is another program.
+// listenAt listens on an address. It retries while the address is in use: a process that another test starts inherits all descriptors,
+// and keeps a closed listener open between its fork and its exec.
 func listenAt(t *testing.T, address string) (l net.Listener) {
 	t.Helper()
 	var err error
@@ -48,18 +49,18 @@
 	return l
 }
 
-// process is the program, run under a configuration and limits of its own.
+// process is a node that runs as a separate process, with its own configuration and limits.
 type process struct {
 	*exec.Cmd
 	configFile                  string
 	clientAddress, adminAddress string
 	env                         []string
-	passedSocket                *os.File // the clients' socket; nil: it opens one
+	passedSocket                *os.File // the socket that the process accepts clients on; nil: it opens one
 	startTime                   time.Time
 	log                         *logBuffer
 }
 
-// logBuffer keeps what a process writes to standard error.
+// logBuffer stores what a process writes to standard error. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -77,7 +78,8 @@
 	return l.text.String()
 }
 
-// newProcess makes one that is not started yet, with addresses of its own. more goes over the configuration.
+// newProcess returns a process that is not started yet, with its own addresses and TMPDIR. overrides replaces keys of its
+// configuration.
 func newProcess(t *testing.T, discovery string, overrides map[string]any, env ...string) *process {
 	t.Helper()
 	p := &process{configFile: filepath.Join(t.TempDir(), "node.json"), clientAddress: freeAddress(t), adminAddress: freeAddress(t),
@@ -86,11 +88,11 @@
 	return p
 }
 
-// configure writes the configuration, in one step.
+// configure writes the configuration file atomically.
 func (p *process) configure(t *testing.T, discovery string, overrides map[string]any) {
 	t.Helper()
-	config := map[string]any{"listen": p.clientAddress, "discovery": discovery, "admin_addr": p.adminAddress, "seed": fmt.Sprintf("%x", usedAddresses.Load()),
-		"limits": map[string]any{"cores": 1, "memory_mb": 64},
+	config := map[string]any{"listen": p.clientAddress, "discovery": discovery, "admin_addr": p.adminAddress,
+		"seed": fmt.Sprintf("%x", usedAddresses.Load()), "limits": map[string]any{"cores": 1, "memory_mb": 64},
 		"settings": map[string]any{"models": []string{"box", "origin"}, "domain": map[string]any{"mode": "aside", "origin-kind": 1},
 			"permissions": map[string]any{"most-shots": 3}, "invariants": map[string]any{"stop-sending-within-ms": 400, "ask-within-ms": 8000},
 			"namespaces": []any{map[string]any{"name": "read", "repeat": "safe", "target-time-ms": 800, "time-limit-ms": 2000}}}}
@@ -109,7 +111,7 @@
 	}
 }
 
-// start runs it, once more if it has ended.
+// start starts the process. It may be called again after the process has ended.
 func (p *process) start(t *testing.T) {
 	t.Helper()
 	p.log = &logBuffer{}
@@ -126,7 +128,8 @@
 	t.Cleanup(func() { _ = started.Process.Kill() })
 }
 
-// lookup makes a call at the clients' address on a connection of its own, and gives its status; 0: no whole answer.
+// sendGet sends a GET request on a new connection, and returns the status and the body of the response. Without a complete response,
+// the status is 0 and the body is the error.
 func sendGet(address, path, traceID string, timeout time.Duration) (status int, body string) {
 	c, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -146,7 +149,8 @@
 	return r.StatusCode, string(content)
 }
 
-// ready waits for the yes on GET /up, and gives how long after the start it came; false if it didn't.
+// waitReady waits until GET /up returns 200. It returns the time since the start of the process, and whether the process became ready
+// before the timeout.
 func (p *process) waitReady(timeout time.Duration) (time.Duration, bool) {
 	for time.Since(p.startTime) < timeout {
 		if status, _ := sendGet(p.clientAddress, "/up", "", time.Second); status == http.StatusOK {
@@ -160,7 +164,8 @@
 // interceptor handles a request in place of a discoveryServer, or returns false to leave it to the server.
 type interceptor func(w http.ResponseWriter, r *http.Request) (handled bool)
 
-// service is a discovery service that goes down and comes back at one address. Down it refuses; what else it does, do says.
+// discoveryServer is a discovery service that can be stopped and started again on the same address. It refuses connections while it is
+// stopped.
 type discoveryServer struct {
 	t       *testing.T
 	address string
@@ -168,12 +173,12 @@
 	mu          sync.Mutex
 	server      *http.Server
 	version     int
-	states      map[string]string // of servers by id
+	states      map[string]string // states that differ from Ready, by server id
 	entries     []map[string]any
 	changed     chan struct{}
-	versionSent time.Time // when the present version was first written, whole or as a change
-	requests    int
-	intercept   interceptor // nil: every request gets the list
+	versionSent time.Time   // when the current version was first written to a client; zero: not yet
+	requests    int         // received
+	intercept   interceptor // nil: the server handles all requests itself
 }
 
 func newDiscoveryServer(t *testing.T, entries []map[string]any) *discoveryServer {
@@ -191,7 +196,7 @@
 	go func(server *http.Server) { _ = server.Serve(l) }(s.server)
 }
 
-// down resets what is open, and refuses from then on.
+// stop closes the listener and all connections.
 func (s *discoveryServer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,7 +206,7 @@
 	}
 }
 
-// change gives a server another state.
+// setState changes the state of a server, which makes a new version of the list.
 func (s *discoveryServer) setState(id, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,7 +217,7 @@
 	s.changed = make(chan struct{})
 }
 
-// versionSentAt says when the present version was written to somebody; zero: not yet.
+// versionSentAt returns the time at which the current version was first written to a client; zero: not yet.
 func (s *discoveryServer) versionSentAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,7 +249,7 @@
 	}
 }
 
-// page is the whole list.
+// fullList returns the response that contains the full list of servers.
 func (s *discoveryServer) fullList() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,7 +271,7 @@
 	return text
 }
 
-// counter is a cache server that counts what comes, with when the latest request did.
+// cacheServer counts the requests that a cache server or the origin receives.
 type cacheServer struct {
 	mu          sync.Mutex
 	requests    int
@@ -279,7 +284,8 @@
 	return c.requests, c.lastRequest
 }
 
-// startCaches starts cache servers by these ids and the origin z, each of which takes so long to answer.
+// startCaches starts cache servers with the given ids, and the origin z. Each sends its response after a delay. The results are their
+// entries for the list of the discovery service, and their counts by id.
 func startCaches(t *testing.T, responseDelay time.Duration, ids ...string) ([]map[string]any, map[string]*cacheServer) {
 	t.Helper()
 	var entries []map[string]any
@@ -310,7 +316,7 @@
 	return entries, caches
 }
 
-// waitFor waits until it holds, and says whether it did in time.
+// waitFor polls until the condition is true, and reports whether it was before the timeout.
 func waitFor(timeout time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -320,7 +326,7 @@
 	return true
 }
 
-// stop ends it as an operator does.
+// stop sends SIGTERM to the process, and checks that it exits with status 0.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	_ = p.Process.Signal(syscall.SIGTERM)
@@ -329,7 +335,7 @@
 	}
 }
 
-// tail gives the last lines of a log.
+// lastLines returns the last 20 lines of a log.
 func lastLines(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	return strings.Join(lines[max(0, len(lines)-20):], "\n")
--- a/cmd/thistlerudder/ready_test.go
+++ b/cmd/thistlerudder/ready_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	readyP90       = 10 * time.Second // nine in ten restarted processes are owed to be ready by then
-	readyMax       = 30 * time.Second // and each by then
-	outageDuration = 5 * time.Second  // of discovery, from the processes' start on
+	readyP90       = 10 * time.Second // 90 % of restarted processes must be ready within this time
+	readyMax       = 30 * time.Second // every process must be ready within this time
+	outageDuration = 5 * time.Second  // of the discovery service, from the start of the processes
 )
 
-// hold keeps a call unanswered until its caller gives up.
+// holdUntilCanceled sends no response until the client cancels the request.
 func holdUntilCanceled(_ http.ResponseWriter, r *http.Request) bool {
 	<-r.Context().Done()
 	return true
@@ -31,7 +31,8 @@
 	return true
 }
 
-// trickle writes the list in pieces, a pause before each; with whole it comes to its end.
+// sendListInPieces returns an interceptor that sends the full list in pieces, with a delay before each. Unless complete is set, it
+// withholds the last piece until the client cancels the request. Watches are left to the server.
 func sendListInPieces(s *discoveryServer, pieces int, delay time.Duration, complete bool) interceptor {
 	return func(w http.ResponseWriter, r *http.Request) bool {
 		if r.URL.RawQuery != "" {
@@ -56,7 +57,8 @@
 	}
 }
 
-// crowded answers so many calls at once, each of which takes a while; the next wait for a place, and are turned away after 2 s.
+// limitConcurrency returns an interceptor that lets maxConcurrent requests proceed at a time, each after responseDelay. A request that
+// waits for 2 s gets 503. Watches are left to the server.
 func limitConcurrency(maxConcurrent int, responseDelay time.Duration) interceptor {
 	slots := make(chan struct{}, maxConcurrent)
 	return func(w http.ResponseWriter, r *http.Request) bool {
@@ -76,13 +78,14 @@
 	}
 }
 
-// Processes are ready as soon as lookups can be decided: with the list as last had at once, whatever discovery does; without it
-// with the first list, and nine in ten within 10 s where discovery is back 5 s after their start.
+// A restarted process is ready as soon as it can route requests. With a valid cached list in its configuration that is at once, in
+// whatever way the discovery service fails. Without one it is after the first list: for 90 % of processes within 10 s if the discovery
+// service is back 5 s after their start.
 func TestRestartedProcessesReadyInTime(t *testing.T) {
 	t.Parallel()
 	entries, _ := startCaches(t, time.Millisecond, "a", "b", "c")
 	stale := []map[string]any{{"id": "old", "addr": "127.0.0.1:1", "kind": "box", "state": "Ready"}}
-	zoneSize := 24 // a zone
+	zoneSize := 24
 	if testing.Short() {
 		zoneSize = 10
 	}
@@ -91,27 +94,51 @@
 		cachedList   any                                  // endpoint list of the configuration; nil: none
 		duringOutage func(s *discoveryServer) interceptor // nil: the discovery service refuses connections
 		afterOutage  func(s *discoveryServer) interceptor // nil: the discovery service responds at once
-		readyAtOnce  bool                                 // processes become ready while the outage lasts; it doesn't end
+		readyAtOnce  bool                                 // processes get ready without a change of the discovery service, whose outage doesn't end
 	}{
-		"cached list, connections refused":          {processes: 4, cachedList: entries, readyAtOnce: true},
-		"cached list, no response":                  {processes: 4, cachedList: entries, duringOutage: func(*discoveryServer) interceptor { return holdUntilCanceled }, readyAtOnce: true},
-		"cached list, status 503":                   {processes: 4, cachedList: entries, duringOutage: func(*discoveryServer) interceptor { return respondUnavailable }, readyAtOnce: true},
+		"cached list, connections refused": {processes: 4, cachedList: entries, readyAtOnce: true},
+		"cached list, no response": {
+			processes: 4, cachedList: entries, readyAtOnce: true,
+			duringOutage: func(*discoveryServer) interceptor { return holdUntilCanceled },
+		},
+		"cached list, status 503": {
+			processes: 4, cachedList: entries, readyAtOnce: true,
+			duringOutage: func(*discoveryServer) interceptor { return respondUnavailable },
+		},
 		"cached list is stale, connections refused": {processes: 4, cachedList: stale, readyAtOnce: true},
 		"cached list, response stalls": {processes: 4, cachedList: entries, duringOutage: func(s *discoveryServer) interceptor {
 			return sendListInPieces(s, 9, 50*time.Millisecond, false)
 		}, readyAtOnce: true},
-		"cached list, service overloaded":          {processes: 8, cachedList: entries, duringOutage: func(*discoveryServer) interceptor { return limitConcurrency(1, time.Second) }, readyAtOnce: true},
-		"cached list, all processes of a zone":     {processes: zoneSize, cachedList: entries, readyAtOnce: true},
-		"invalid cached list, no outage":           {processes: 4, cachedList: "no list", duringOutage: func(*discoveryServer) interceptor { return nil }, readyAtOnce: true},
+		"cached list, service overloaded": {
+			processes: 8, cachedList: entries, readyAtOnce: true,
+			duringOutage: func(*discoveryServer) interceptor { return limitConcurrency(1, time.Second) },
+		},
+		"cached list, all processes of a zone": {processes: zoneSize, cachedList: entries, readyAtOnce: true},
+		"invalid cached list, no outage": {
+			processes: 4, cachedList: "no list", readyAtOnce: true,
+			duringOutage: func(*discoveryServer) interceptor { return nil },
+		},
 		"invalid cached list, connections refused": {processes: 10, cachedList: map[string]any{"servers": 7}},
 		"no cached list, connections refused":      {processes: 10},
-		"no cached list, no response":              {processes: 10, duringOutage: func(*discoveryServer) interceptor { return holdUntilCanceled }},
-		"no cached list, status 503":               {processes: 10, duringOutage: func(*discoveryServer) interceptor { return respondUnavailable }},
+		"no cached list, no response": {
+			processes:    10,
+			duringOutage: func(*discoveryServer) interceptor { return holdUntilCanceled },
+		},
+		"no cached list, status 503": {
+			processes:    10,
+			duringOutage: func(*discoveryServer) interceptor { return respondUnavailable },
+		},
 		"no cached list, slow response after outage": {processes: 10, afterOutage: func(s *discoveryServer) interceptor {
 			return sendListInPieces(s, 10, 50*time.Millisecond, true)
 		}},
-		"no cached list, all processes of a zone, no outage":   {processes: zoneSize, duringOutage: func(*discoveryServer) interceptor { return limitConcurrency(2, 100*time.Millisecond) }, readyAtOnce: true},
-		"no cached list, all processes of a zone after outage": {processes: zoneSize, afterOutage: func(*discoveryServer) interceptor { return limitConcurrency(4, 100*time.Millisecond) }},
+		"no cached list, all processes of a zone, no outage": {
+			processes: zoneSize, readyAtOnce: true,
+			duringOutage: func(*discoveryServer) interceptor { return limitConcurrency(2, 100*time.Millisecond) },
+		},
+		"no cached list, all processes of a zone after outage": {
+			processes:   zoneSize,
+			afterOutage: func(*discoveryServer) interceptor { return limitConcurrency(4, 100*time.Millisecond) },
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -149,7 +176,7 @@
 					}
 					if status, body := sendGet(p.clientAddress, "/read/k", fmt.Sprint(p.Process.Pid), 3*time.Second); status != http.StatusOK &&
 						status != http.StatusServiceUnavailable {
-						t.Errorf("once ready: %d %q", status, body)
+						t.Errorf("status of a ready process: %d %q", status, body)
 					}
 					mu.Lock()
 					readyTimes = append(readyTimes, elapsed)
@@ -164,7 +191,7 @@
 			if !c.readyAtOnce {
 				time.Sleep(time.Until(start.Add(outageDuration)))
 				if readyCount() > 0 {
-					t.Errorf("%d ready without a list", readyCount())
+					t.Errorf("%d processes are ready without a list", readyCount())
 				}
 				s.mu.Lock()
 				if s.intercept = nil; c.afterOutage != nil {
@@ -179,7 +206,7 @@
 			wg.Wait()
 			slices.Sort(readyTimes)
 			p90, longest := readyTimes[(len(readyTimes)*9+9)/10-1], readyTimes[len(readyTimes)-1]
-			t.Logf("%s: %d processes ready after %v (p90), %v at worst", name, c.processes, p90.Round(time.Millisecond), longest.Round(time.Millisecond))
+			t.Logf("%s: %d processes ready after %v (p90), %v (maximum)", name, c.processes, p90.Round(time.Millisecond), longest.Round(time.Millisecond))
 			if p90 > readyP90 {
 				t.Errorf("ready after %v (p90)", p90)
 			}
@@ -187,14 +214,14 @@
 	}
 }
 
-// A process that takes the place of another is ready in time however that one ended, and whatever it left behind: killed with
-// connections open, still leaving under the same addresses, a folder that is full of its files or can't be used.
+// A process that succeeds another on the same addresses is ready in time, however the predecessor ends and whatever it leaves behind: it is
+// killed with open connections, still shuts down and uses the addresses, or the folder of the node's files can't be used.
 func TestSuccessorProcessReadyInTime(t *testing.T) {
 	t.Parallel()
 	entries, _ := startCaches(t, 600*time.Millisecond, "a", "b")
 	s := newDiscoveryServer(t, entries)
 	s.start()
-	startSlowRequest := func(_ *testing.T, p *process) { // a lookup that is out
+	startSlowRequest := func(_ *testing.T, p *process) { // leaves a request in flight
 		go sendGet(p.clientAddress, "/read/slow", fmt.Sprintf("slow-%d", time.Now().UnixNano()), 3*time.Second)
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -213,14 +240,14 @@
 		exited := make(chan error, 1)
 		go func() { exited <- predecessor.Wait() }()
 		if !waitFor(timeout, func() bool { return requestStatus(p.adminAddress, "GET", "/status") == http.StatusOK }) {
-			t.Fatalf("no yes within %v:\n%s", timeout, lastLines(p.log.String()))
+			t.Fatalf("the admin address doesn't respond within %v:\n%s", timeout, lastLines(p.log.String()))
 		}
-		<-exited // the yes may be the old one's as long as it lives
+		<-exited // until it has exited, the predecessor may have sent the responses
 		elapsed := requireReady(t, p)
 		if status, body := sendGet(p.clientAddress, "/read/k", "after", 3*time.Second); status != http.StatusOK {
 			t.Errorf("%d %q", status, body)
 		}
-		t.Logf("ready %v after its start", elapsed.Round(time.Millisecond))
+		t.Logf("ready %v after the start", elapsed.Round(time.Millisecond))
 		p.stop(t)
 	}
 	t.Run("predecessor killed with open connections", func(t *testing.T) {
@@ -232,7 +259,7 @@
 		_ = p.Process.Kill()
 		testSuccessor(t, p, readyP90)
 	})
-	t.Run("predecessor killed with idle clients", func(t *testing.T) { // who come again at once, and take every place
+	t.Run("predecessor killed with idle clients", func(t *testing.T) { // which reconnect at once, and use all connections that the node accepts
 		t.Parallel()
 		p := newProcess(t, s.address, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 64}})
 		p.start(t)
@@ -256,7 +283,7 @@
 		_ = p.Process.Signal(syscall.SIGTERM)
 		testSuccessor(t, p, readyP90)
 	})
-	t.Run("predecessor suspended, killed later", func(t *testing.T) { // stopped, so that it keeps its addresses until it is killed
+	t.Run("predecessor suspended, killed later", func(t *testing.T) { // it keeps its addresses until it is killed
 		t.Parallel()
 		p := newProcess(t, s.address, nil)
 		p.start(t)
@@ -273,7 +300,7 @@
 		defer listener.Close()
 		p.start(t)
 		if !waitFor(readyP90, func() bool { return strings.Contains(p.log.String(), "address is in use, waiting for it") }) {
-			t.Errorf("no line of its waiting:\n%s", lastLines(p.log.String()))
+			t.Errorf("the process doesn't log that it waits for the address:\n%s", lastLines(p.log.String()))
 		}
 		p.stop(t)
 	})
--- a/cmd/thistlerudder/root_test.go
+++ b/cmd/thistlerudder/root_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// run plays a command line.
+// run executes the program with arguments, and returns what it printed.
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
 	c := rootCommand()
@@ -45,13 +45,13 @@
 		{[]string{"surprise"}, true, "unknown command"},
 	} {
 		if out, err := run(c.args...); (err != nil) != c.wantErr || !strings.Contains(out, c.wantOutput) {
-			t.Errorf("%v: %v, said %q", c.args, err, out)
+			t.Errorf("%v: %v, output %q", c.args, err, out)
 		}
 	}
 }
 
-// SIGHUP has a running node ask the discovery service that its file names by now; a faulty file changes nothing. The
-// node goes on, and SIGTERM ends it with exit status 0, well before SIGKILL may come.
+// At SIGHUP, a running node reloads its configuration and switches to the discovery service in it; an invalid file changes nothing.
+// SIGTERM shuts the node down without an error, well before the platform sends SIGKILL.
 func TestServeReloadsOnSIGHUPExitsOnSIGTERM(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,9 +88,9 @@
 		}
 	}
 	if stdlog.Writer() == os.Stderr {
-		t.Error("the libraries' own lines come on standard error as they are")
+		t.Error("the standard logger writes to standard error, and not through the program's logger")
 	}
-	t.Setenv("BALANCER_DISCOVERY", "127.0.0.1:2") // of the start; it stands behind the file from then on
+	t.Setenv("BALANCER_DISCOVERY", "127.0.0.1:2") // a node that runs reloads the address from the file, which overrides the variable
 	for _, discoveryAddress := range []string{"nowhere", discovery.Listener.Addr().String()} {
 		writeConfig(discoveryAddress)
 		for range 2 {
--- a/cmd/thistlerudder/upgrade_test.go
+++ b/cmd/thistlerudder/upgrade_test.go
@@ -19,10 +19,11 @@
 	"time"
 )
 
-// asProgramEnv makes the test's own binary run the program instead.
+// asProgramEnv is an environment variable. If it is set, the test binary runs the program instead of the tests.
 const asProgramEnv = "THISTLERUDDER_TEST_AS_PROGRAM"
 
-// descriptorLimitEnv names the limit on descriptors that the program is to run under; unset: the test's own.
+// descriptorLimitEnv is an environment variable with the descriptor limit (RLIMIT_NOFILE) of the program. If it is unset, the limit of
+// the test applies.
 const descriptorLimitEnv = "THISTLERUDDER_TEST_DESCRIPTOR_LIMIT"
 
 func TestMain(m *testing.M) {
@@ -40,10 +41,10 @@
 
 const (
 	upgradeMaxDescriptors = 128
-	upgradeMaxDeadline    = 800 * time.Millisecond // the longest time limit
+	upgradeMaxDeadline    = 800 * time.Millisecond // of any request
 )
 
-// start runs the program as a process of its own on the passed socket, and waits for its yes.
+// startOnSocket starts the program on an inherited socket and waits until it serves its admin address, which is the second result.
 func startOnSocket(t *testing.T, configFile, folder string, socket *os.File) (*exec.Cmd, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +55,7 @@
 	l.Close()
 	c := exec.Command(os.Args[0], "serve", "--config", configFile, "--log-level", "error")
 	c.Env = append(os.Environ(), asProgramEnv+"=1", "TMPDIR="+folder, "BALANCER_PASSED_SOCKET=3",
-		"BALANCER_ADMIN_ADDR="+admin, "GORACE=atexit_sleep_ms=0") // the detector's second after the end isn't ours
+		"BALANCER_ADMIN_ADDR="+admin, "GORACE=atexit_sleep_ms=0") // without it, the race detector delays the exit by 1 s
 	c.ExtraFiles, c.Stderr = []*os.File{socket}, os.Stderr
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -62,12 +63,13 @@
 	t.Cleanup(func() { _ = c.Process.Kill() })
 	for deadline := time.Now().Add(5 * time.Second); requestStatus(admin, "GET", "/status") != http.StatusOK; {
 		if time.Sleep(2 * time.Millisecond); time.Now().After(deadline) {
-			t.Fatal("no yes")
+			t.Fatal("the process doesn't serve the admin address")
 		}
 	}
 	return c, admin
 }
 
+// requestStatus sends a request and returns the status of the response; 0: no response.
 func requestStatus(address, method, path string) int {
 	r, _ := http.NewRequest(method, "http://"+address+path, nil)
 	r.Close = true
@@ -84,9 +86,9 @@
 	return len(entries)
 }
 
-// A second process takes the place of the first under load, on the socket that both inherit: each lookup is answered
-// once, nothing runs twice, bans hold for both and afterwards, both stay inside the limit on descriptors together,
-// and the first is gone in time.
+// A second process succeeds the first under load, on the socket that both inherit. Each request gets one response, no unsafe request runs
+// twice, ejections apply to both processes and to their successors, both processes together stay within the descriptor limit, and the
+// first exits in time.
 func TestUpgradeUnderLoadNoRequestLostOrRepeated(t *testing.T) {
 	var mu sync.Mutex
 	attempts, ejectedAttempts := map[string]int{}, 0
@@ -186,7 +188,7 @@
 					reader = bufio.NewReader(c)
 				}
 				r, body, err := send()
-				if err != nil && reused && body == "" { // it crossed the end of a kept connection: sent once more
+				if err != nil && reused && body == "" { // the node closed the idle connection while the request was sent: retry it once
 					c.Close()
 					c, _ = net.Dial("tcp", socket.Addr().String())
 					reader = bufio.NewReader(c)
@@ -228,7 +230,7 @@
 			select {
 			case err := <-exited:
 				if running = false; err != nil || time.Since(signalTime) > upgradeMaxDeadline+700*time.Millisecond {
-					t.Errorf("the first ended after %v: %v", time.Since(signalTime), err)
+					t.Errorf("the first process ended after %v: %v", time.Since(signalTime), err)
 				}
 			case <-time.After(5 * time.Millisecond):
 			}
@@ -238,7 +240,7 @@
 	}
 	mu.Lock()
 	if ejectedAttempts > 0 {
-		t.Errorf("%d shots to the banned cache", ejectedAttempts)
+		t.Errorf("%d attempts were sent to the ejected cache", ejectedAttempts)
 	}
 	mu.Unlock()
 	if status := requestStatus(admin, "POST", "/maintenance/exit/b"); status != http.StatusOK {
@@ -251,15 +253,15 @@
 	if err := first.Wait(); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d lookups, %d succeeded, %d rejected, %d sent again, at most %d descriptors", requests, succeeded, rejected, retries, peakDescriptors)
+	t.Logf("%d requests, %d succeeded, %d rejected, %d retried, at most %d descriptors", requests, succeeded, rejected, retries, peakDescriptors)
 	if succeeded < requests*9/10 || failed > 0 || retries > requests/100 {
-		t.Errorf("%d lookups: %d succeeded, %d turned back, %d sent again", requests, succeeded, failed, retries)
+		t.Errorf("%d requests: %d succeeded, %d failed, %d retried", requests, succeeded, failed, retries)
 	}
 	if peakDescriptors > upgradeMaxDescriptors || peakDescriptors < 20 {
-		t.Errorf("%d descriptors together, the limit is %d", peakDescriptors, upgradeMaxDescriptors)
+		t.Errorf("%d descriptors of both processes are open, the limit is %d", peakDescriptors, upgradeMaxDescriptors)
 	}
 	if ejectedAttempts == 0 {
-		t.Error("the cache is put back, and gets nothing")
+		t.Error("the restored cache received no attempt")
 	}
 	for request, n := range attempts {
 		if n > 1 && strings.HasPrefix(request, "PUT") {
@@ -268,7 +270,8 @@
 	}
 }
 
-// A variable that names no listening socket is named with what was expected, and the program exits with 1.
+// If BALANCER_PASSED_SOCKET is not the descriptor of a listening socket, the error names the variable and what was expected, and the program
+// exits with status 1.
 func TestServePassedSocketInvalidExitsWithError(t *testing.T) {
 	configFile := filepath.Join(t.TempDir(), "node.json")
 	text := `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {"namespaces":
@@ -287,7 +290,7 @@
 	}
 }
 
-// An operators' address that can't be listened on is named, and the program exits with 1.
+// If the program can't listen on the admin address, the error names the key, and the program exits with status 1.
 func TestServeAdminAddressUnusableExitsWithError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
