--- a/cmd/thistlerudder/root.go
+++ b/cmd/thistlerudder/root.go
@@ -49,7 +49,7 @@
 		Short: "Run one node in the foreground; SIGTERM shuts it down gracefully, SIGHUP reloads its configuration",
 		Args:  cobra.NoArgs,
 	}
-	logLevel := c.Flags().String("log-level", "info", "lowest level that is logged: debug, info, warn or error")
+	logLevel := c.Flags().String("log-level", "info", "debug, info, warn or error")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		// This comes first and is never undone, because SIGHUP ends a process that has no handler for it.
 		reloadSignals := make(chan os.Signal, 1)
