--- a/cmd/thistlerudder/main.go
+++ b/cmd/thistlerudder/main.go
@@ -1,4 +1,5 @@
-// Command thistlerudder is a real node: a router before a fleet of cache servers.
+// Command thistlerudder runs a node, which routes requests to a fleet of cache servers. Its other commands check a configuration,
+// simulate fleets, and administer a cluster of nodes.
 package main
 
 import (
@@ -7,9 +8,9 @@
 )
 
 func main() {
-	err := root().Execute()
-	if status := exitStatus(0); errors.As(err, &status) {
-		os.Exit(int(status))
+	err := rootCommand().Execute()
+	if code := exitCode(0); errors.As(err, &code) {
+		os.Exit(int(code))
 	}
 	if err != nil {
 		os.Exit(1)
--- a/cmd/thistlerudder/root.go
+++ b/cmd/thistlerudder/root.go
@@ -15,122 +15,133 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
 )
 
-// fileVariable names the configuration file when no flag does.
-const fileVariable = "BALANCER_CONFIG"
+// configFileEnv is the environment variable that holds the path of the configuration file, unless --config is set.
+const configFileEnv = "BALANCER_CONFIG"
 
-func root() *cobra.Command {
+// rootCommand returns the command line of the program.
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:          "thistlerudder",
 		Short:        "A router for fleets of cache servers",
 		SilenceUsage: true,
 	}
-	file := c.PersistentFlags().String(
+	configFile := c.PersistentFlags().String(
 		"config",
-		os.Getenv(fileVariable),
-		"the node's configuration file, JSON (default $"+fileVariable+")",
+		os.Getenv(configFileEnv),
+		"path of the node's configuration file, JSON (default $"+configFileEnv+")",
+	)
+	c.AddCommand(
+		serveCommand(configFile),
+		checkCommand(configFile),
+		emulateCommand(),
+		fleetCommand(configFile),
+		leaseCommand(configFile),
+		budgetCommand(configFile),
+		versionCommand(),
 	)
-	c.AddCommand(serve(file), check(file), emulate(), fleetCommand(file), leaseCommand(file), budgetCommand(file), version())
 	c.AddCommand(faultTests()...)
 	return c
 }
 
-func serve(file *string) *cobra.Command {
+func serveCommand(configFile *string) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Run one node in the foreground; SIGTERM ends it well, SIGHUP reads its file anew",
+		Short: "Run one node in the foreground; SIGTERM shuts it down gracefully, SIGHUP reloads its configuration",
 		Args:  cobra.NoArgs,
 	}
-	level := c.Flags().String("log-level", "info", "debug, info, warn or error")
+	logLevel := c.Flags().String("log-level", "info", "debug, info, warn or error")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		// Before anything else, and never undone: without a handler the signal ends the program.
-		signals := make(chan os.Signal, 1)
-		signal.Notify(signals, syscall.SIGHUP)
-		settings, err := config.Read(*file)
+		// This comes first and is never undone, because SIGHUP ends a process that has no handler for it.
+		reloadSignals := make(chan os.Signal, 1)
+		signal.Notify(reloadSignals, syscall.SIGHUP)
+		settings, err := config.Read(*configFile)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		log, err := logger(*level)
+		log, err := newLogger(*logLevel)
 		if err != nil {
 			return fmt.Errorf("log-level: %w", err)
 		}
-		defer func() { _ = log.Sync() }() // standard error may not support it
-		// The transport writes there what a server sent too much, customers' bytes among it.
+		defer func() { _ = log.Sync() }() // syncing standard error may be unsupported
+		// net/http's transport logs unsolicited bytes of a server to the standard logger. They may contain customers' data, so
+		// these lines are not written.
 		defer zap.RedirectStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))()
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
 		defer stop()
-		return node.Run(ctx, settings, signals, log)
+		return node.Run(ctx, settings, reloadSignals, log)
 	}
 	return c
 }
 
-func check(file *string) *cobra.Command {
+func checkCommand(configFile *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
-		Short: "Check a configuration and say what a node would start with",
-		Long: "Check a configuration and say what a node would start with. At the start BALANCER_NAME,\n" +
-			"BALANCER_LISTEN and BALANCER_DISCOVERY come before the file; at SIGHUP the file's discovery\n" +
-			"address comes before the variable's.",
+		Short: "Check a configuration and print what a node would start with",
+		Long: "Check a configuration and print what a node would start with. At the start, BALANCER_NAME, BALANCER_LISTEN\n" +
+			"and BALANCER_DISCOVERY override the file; at SIGHUP, the discovery address of the file overrides the variable.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := config.Read(*file)
+			settings, err := config.Read(*configFile)
 			if err != nil {
 				return fmt.Errorf("configuration: %w", err)
 			}
 			cmd.Printf(
 				"%s listens on %s, asks %s, %d namespaces, %d partners, %g cores, %d MB, %d descriptors\n",
-				s.Name,
-				s.Listen,
-				s.Discovery,
-				len(s.Classes),
-				len(s.Tenants),
-				s.Cores,
-				s.MemoryMB,
-				s.Descriptors,
+				settings.Name,
+				settings.Listen,
+				settings.Discovery,
+				len(settings.Classes),
+				len(settings.Tenants),
+				settings.Cores,
+				settings.MemoryMB,
+				settings.Descriptors,
 			)
 			return nil
 		},
 	}
 }
 
-func version() *cobra.Command {
+func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Say which build this is",
+		Short: "Print the version of this build",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			cmd.Println(build())
+			cmd.Println(buildVersion())
 		},
 	}
 }
 
-func build() string {
+// buildVersion returns the version and the commit of this build, and the Go version that compiled it.
+func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "thistlerudder, unknown build"
 	}
 	revision := ""
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			revision = " " + s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			revision = " " + setting.Value
 		}
 	}
 	return "thistlerudder " + info.Main.Version + revision + " " + info.GoVersion
 }
 
-// logger writes JSON lines to standard error; lines of one kind are sampled, so that a fault that hits
-// every request can't fill the log. At debug each line is written, since one request is followed there by its id.
-func logger(level string) (*zap.Logger, error) {
-	l, err := zapcore.ParseLevel(level)
+// newLogger returns a logger that writes JSON lines to standard error. It samples lines with the same message, so that a fault
+// that affects every request can't flood the log. At the debug level it writes every line, because an operator follows single
+// requests by their ids there.
+func newLogger(level string) (*zap.Logger, error) {
+	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	z := zap.NewProductionConfig()
-	z.Level = zap.NewAtomicLevelAt(l)
-	z.Sampling = nil
-	if l > zapcore.DebugLevel {
-		z.Sampling = &zap.SamplingConfig{Initial: 10, Thereafter: 100}
+	loggerConfig := zap.NewProductionConfig()
+	loggerConfig.Level = zap.NewAtomicLevelAt(parsed)
+	loggerConfig.Sampling = nil
+	if parsed > zapcore.DebugLevel {
+		loggerConfig.Sampling = &zap.SamplingConfig{Initial: 10, Thereafter: 100}
 	}
-	z.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
-	z.DisableStacktrace = true
-	return z.Build()
+	loggerConfig.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	loggerConfig.DisableStacktrace = true
+	return loggerConfig.Build()
 }
