--- a/internal/soaktest/soak.go
+++ b/internal/soaktest/soak.go
@@ -56,8 +56,8 @@
 	defaultCaches        = 8
 	clientsPerNode       = 2
 	maxLogLines          = 40
-	noRequestOutstanding = `"out":0` // log lines with this field are ignored: no request was in flight, the connections still open carried none
-	maxViolationsShown   = 3         // violations per rule, and requests whose log lines are shown
+	noRequestOutstanding = `"in flight":0` // log lines with this field are ignored: no request was in flight, the connections still open carried none
+	maxViolationsShown   = 3               // violations per rule, and requests whose log lines are shown
 )
 
 // counters counts events by name.
