--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -22,7 +22,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	l := sourceOf(b, 7, ring*size(event(1, hashed(0))))
+	l := sourceOf(b, 7, ring*changeBytes(event(1, hashed(0))))
 	var at Position
 	for i := range ring {
 		if i == ring-behind {
@@ -50,7 +50,7 @@
 func BenchmarkFollow(b *testing.B) {
 	const each = 30
 	d := &recordingHost{}
-	f := NewFollower(d, 0, defaultConfig, nil, Unsafe{})
+	f := NewFollower(d, 0, defaultConfig, nil, DisabledSafeguards{})
 	l := sourceOf(b, 7, 1<<20)
 	d.followUntilCurrent(b, f, l)
 	b.ReportAllocs()
--- a/changelog/change.go
+++ b/changelog/change.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxNameBytes   = 256     // of a topic or a key
-	maxValueBytes  = 4 << 10 // the log is no store for data
-	changeOverhead = 16      // bytes that a change counts for beside its names and value
+	maxNameBytes        = 256     // of a topic or a key
+	maxValueBytes       = 4 << 10 // the log is no store for data
+	changeOverheadBytes = 16      // bytes that a change counts for beside its names and value
 
 	// bucketCount is the number of parts into which the state is divided by key. A child fetches only those that differ.
 	bucketCount = 16
@@ -27,8 +27,8 @@
 	Deleted    bool // the key is removed
 }
 
-// Check returns an error that wraps ErrMalformed if the change exceeds the limits or contradicts itself.
-func (c Change) Check() error {
+// Validate returns an error that wraps ErrMalformed if the change exceeds the limits or contradicts itself.
+func (c Change) Validate() error {
 	if c.Topic == "" || len(c.Topic) > maxNameBytes || len(c.Key) > maxNameBytes {
 		return fmt.Errorf("%w: topic %.50q, key %.50q", ErrMalformed, c.Topic, c.Key)
 	}
@@ -42,7 +42,7 @@
 }
 
 // size returns the bytes that a change counts for.
-func size(c Change) int { return len(c.Topic) + len(c.Key) + len(c.Value) + changeOverhead }
+func changeBytes(c Change) int { return len(c.Topic) + len(c.Key) + len(c.Value) + changeOverheadBytes }
 
 // stateKey returns the key of a change in a state.
 func stateKey(c Change) string { return c.Topic + "\x00" + c.Key }
@@ -51,10 +51,10 @@
 
 // hashChange adds a change to a hash.
 func hashChange(h *xxhash.Digest, c Change) {
-	var n [8]byte
-	for _, x := range []uint64{c.Revision, uint64(len(c.Topic)), uint64(len(c.Key)), uint64(len(c.Value))} {
-		binary.LittleEndian.PutUint64(n[:], x)
-		_, _ = h.Write(n[:])
+	var buf [8]byte
+	for _, number := range []uint64{c.Revision, uint64(len(c.Topic)), uint64(len(c.Key)), uint64(len(c.Value))} {
+		binary.LittleEndian.PutUint64(buf[:], number)
+		_, _ = h.Write(buf[:])
 	}
 	_, _ = h.WriteString(c.Topic + c.Key)
 	_, _ = h.Write(c.Value)
@@ -88,20 +88,20 @@
 // tells apart two logs that disagree on an earlier change.
 type Position struct{ Epoch, Revision, Chain uint64 }
 
-// after returns the position after one more change.
-func (p Position) after(c Change) Position {
+// advance returns the position after one more change.
+func (p Position) advance(c Change) Position {
 	h := xxhash.NewWithSeed(p.Chain)
 	hashChange(h, c)
 	return Position{Epoch: p.Epoch, Revision: c.Revision, Chain: h.Sum64()}
 }
 
-// next checks that a change is well-formed and follows the position, and returns the position after it.
-func (p Position) next(c Change) (Position, error) {
-	if err := c.Check(); err != nil {
+// checkedAdvance checks that a change is well-formed and follows the position, and returns the position after it.
+func (p Position) checkedAdvance(c Change) (Position, error) {
+	if err := c.Validate(); err != nil {
 		return p, err
 	}
 	if c.Revision != p.Revision+1 {
 		return p, fmt.Errorf("%w: revision %d after %d", ErrMalformed, c.Revision, p.Revision)
 	}
-	return p.after(c), nil
+	return p.advance(c), nil
 }
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -40,7 +40,7 @@
 	return Change{Revision: revision, Topic: "configuration", Key: key, Value: []byte(v)}
 }
 
-var defaultConfig = Config{Parents: 5, HomeParents: 2, MinInterval: 250 * lease.Millisecond, RetryBackoff: 100 * lease.Millisecond, MaxAge: 4700 * lease.Millisecond, MaxResponseBytes: 7700}
+var defaultConfig = Config{ParentCount: 5, HomeParentCount: 2, MinRequestInterval: 250 * lease.Millisecond, RetryBackoff: 100 * lease.Millisecond, MaxParentAge: 4700 * lease.Millisecond, MaxResponseBytes: 7700}
 
 // sourceOf returns the log of an epoch's source with these changes.
 func sourceOf(t testing.TB, epoch uint64, ring int, all ...Change) *Log {
@@ -62,10 +62,10 @@
 	for {
 		now := d.next(f)
 		asked++
-		was, staged := f.Position(), f.staged != nil
+		was, staged := f.Position(), f.stagedState != nil
 		x, taken := l.Respond(d.request, 0), 0
 		for _, c := range x.Changes {
-			taken += size(c)
+			taken += changeBytes(c)
 		}
 		if len(x.Changes) > 1 && taken > d.request.MaxBytes {
 			t.Fatalf("%d bytes of changes at once, want at most %d", taken, d.request.MaxBytes)
@@ -73,7 +73,7 @@
 		if err := f.HandleResponse(now, d.request.ID, x); err != nil {
 			t.Fatal(err)
 		}
-		if f.Position() == was && !staged && f.staged == nil || asked > 1000 {
+		if f.Position() == was && !staged && f.stagedState == nil || asked > 1000 {
 			return asked
 		}
 	}
@@ -82,10 +82,10 @@
 // Two logs that differ at one revision, as after a cluster was founded twice from one token: a child of the one that switches to
 // the other detects it, takes over the other's state, and reports that any event may be missed. Without the chain it never does.
 func TestLogsThatDifferAtOneRevision(t *testing.T) {
-	for _, u := range []Unsafe{{}, {IgnoreChain: true}} {
+	for _, u := range []DisabledSafeguards{{}, {IgnoreChain: true}} {
 		one := sourceOf(t, 7, 1<<10, value(0, "a", "1"), value(0, "b", "2"), event(0, "x"))
 		other := sourceOf(t, 7, 1<<10, value(0, "a", "1"), value(0, "b", "9"), event(0, "y"), event(0, "z"))
-		one.unsafe, other.unsafe = u, u
+		one.disabled, other.disabled = u, u
 		d := &recordingHost{}
 		f := NewFollower(d, 0, defaultConfig, nil, u)
 		d.followUntilCurrent(t, f, one)
@@ -128,7 +128,7 @@
 		"below the floor, and yet changes": func(x *Response) { x.BelowFloor = true },
 	} {
 		d := &recordingHost{}
-		f := NewFollower(d, 0, defaultConfig, nil, Unsafe{})
+		f := NewFollower(d, 0, defaultConfig, nil, DisabledSafeguards{})
 		d.followUntilCurrent(t, f, l)
 		more := l.clone()
 		for i, c := range []Change{event(0, "y"), value(0, "a", "3")} {
@@ -150,7 +150,7 @@
 			t.Errorf("%s: %v", what, err)
 		}
 		after, _ := f.Age(now)
-		if f.Position() != place || !reflect.DeepEqual(f.State(), state) || len(d.applied) != told || age != after || f.staged != nil {
+		if f.Position() != place || !reflect.DeepEqual(f.State(), state) || len(d.applied) != told || age != after || f.stagedState != nil {
 			t.Errorf("%s: from %+v to %+v, state %v, %d applied, age %d to %d", what, place, f.Position(), f.State(), len(d.applied)-told, age, after)
 		}
 		if d.next(f); d.last() == parent {
@@ -169,11 +169,11 @@
 	slow, quick := &recordingHost{}, &recordingHost{}
 	terms := defaultConfig
 	terms.MaxResponseBytes = 1000
-	s, q := NewFollower(slow, 0, terms, nil, Unsafe{}), NewFollower(quick, 0, defaultConfig, nil, Unsafe{})
+	s, q := NewFollower(slow, 0, terms, nil, DisabledSafeguards{}), NewFollower(quick, 0, defaultConfig, nil, DisabledSafeguards{})
 	slow.followUntilCurrent(t, s, l)
 	quick.followUntilCurrent(t, q, l)
 	const many = 2000
-	each := size(event(1, fmt.Sprintf("%016d", 0)))
+	each := changeBytes(event(1, fmt.Sprintf("%016d", 0)))
 	for i := range many {
 		if err := l.Add(event(uint64(i+1), fmt.Sprintf("%016d", i))); err != nil {
 			t.Fatal(err)
@@ -215,7 +215,7 @@
 	add(value(0, "key-7", "other"))
 	add(Change{Topic: "configuration", Key: "key-8", Deleted: true})
 	d := &recordingHost{}
-	f := NewFollower(d, 0, defaultConfig, &saved, Unsafe{})
+	f := NewFollower(d, 0, defaultConfig, &saved, DisabledSafeguards{})
 	now := d.next(f)
 	x := l.Respond(d.request, 0)
 	if !x.BelowFloor {
@@ -239,7 +239,7 @@
 func TestParentOrder(t *testing.T) {
 	l := sourceOf(t, 7, 200, event(0, "x"))
 	d := &recordingHost{}
-	f := NewFollower(d, 0, defaultConfig, nil, Unsafe{})
+	f := NewFollower(d, 0, defaultConfig, nil, DisabledSafeguards{})
 	alive := map[int]bool{3: true}
 	var began Time
 	for now := d.next(f); now < 30_000*lease.Millisecond; now = d.next(f) {
--- a/changelog/cluster_test.go
+++ b/changelog/cluster_test.go
@@ -56,7 +56,7 @@
 type bounds struct{ steps, agrees, lost, late, deposed, founded, restarts, garbled int }
 
 type testCluster struct {
-	unsafe        Unsafe
+	unsafe        DisabledSafeguards
 	ring          int // bytes of the sources' and the relays'
 	now           Time
 	leader        int
@@ -72,11 +72,11 @@
 
 const relays = 2
 
-func newTestCluster(u Unsafe, ring, nodes int, left bounds) *testCluster {
+func newTestCluster(u DisabledSafeguards, ring, nodes int, left bounds) *testCluster {
 	w := &testCluster{unsafe: u, ring: ring, agreedByEpoch: map[uint64][]agreed{1: nil}, left: left}
 	for i := range w.sources {
 		w.sources[i].Log = NewLog(ring)
-		w.sources[i].unsafe = u
+		w.sources[i].disabled = u
 	}
 	w.sources[0].StartEpoch(1)
 	for n := range relays + nodes {
@@ -96,7 +96,7 @@
 }
 
 func (c *child) start(file *Follower) {
-	t := Config{Parents: 2, HomeParents: 2, MinInterval: minInterval, RetryBackoff: minInterval, MaxAge: 4 * step, MaxResponseBytes: oneChangeBytes, MaxDrift: drift, Seed: uint64(c.n)}
+	t := Config{ParentCount: 2, HomeParentCount: 2, MinRequestInterval: minInterval, RetryBackoff: minInterval, MaxParentAge: 4 * step, MaxResponseBytes: oneChangeBytes, MaxDriftFraction: drift, JitterSeed: uint64(c.n)}
 	if c.n < relays {
 		t.RingBytes = c.cluster.ring
 	}
@@ -210,14 +210,14 @@
 		if w.left.lost > 0 {
 			add("lose", i)
 		}
-		if w.left.late > 0 && c.follower.inFlight && c.follower.requestID == m.request.ID {
+		if w.left.late > 0 && c.follower.requestInFlight && c.follower.requestID == m.request.ID {
 			add("late", i)
 		}
 	}
 	if w.left.restarts > 0 {
 		for n := range w.children {
 			add("restart", n)
-			if n >= relays || w.unsafe.RelayWithoutRing {
+			if n >= relays || w.unsafe.StartRelayWithoutRing {
 				add("resume", n)
 			}
 		}
@@ -354,7 +354,7 @@
 			}
 		}
 	}
-	if most := max(c.follower.config.RingBytes, 0); c.follower.ringBytes > most || len(c.follower.ring)*changeOverhead > most {
+	if most := max(c.follower.config.RingBytes, 0); c.follower.ringBytes > most || len(c.follower.ring)*changeOverheadBytes > most {
 		c.fail("%d bytes of a ring, want at most %d", c.follower.ringBytes, most)
 	}
 }
@@ -380,7 +380,7 @@
 		x := *c
 		x.cluster, x.events, x.missed = &o, slices.Clone(c.events), slices.Clone(c.missed)
 		f := *c.follower
-		f.Log, f.host, f.staged = c.follower.clone(), &x, maps.Clone(c.follower.staged)
+		f.Log, f.host, f.stagedState = c.follower.clone(), &x, maps.Clone(c.follower.stagedState)
 		x.follower = &f
 		o.children = append(o.children, &x)
 	}
@@ -402,11 +402,11 @@
 	}
 	for _, c := range w.children {
 		f, staged := c.follower, []string(nil) // the state follows from the position: that was checked
-		for _, key := range slices.Sorted(maps.Keys(f.staged)) {
-			staged = append(staged, fmt.Sprint(key, f.staged[key].Revision))
+		for _, key := range slices.Sorted(maps.Keys(f.stagedState)) {
+			staged = append(staged, fmt.Sprint(key, f.stagedState[key].Revision))
 		}
-		p(f.staged == nil, c.wakeAt, c.events, c.missed, c.epoch, f.position, f.floor, staged, f.ready, f.parent, f.awaySince, f.inFlight, f.sentAt, f.nextRequest, f.failures, f.draws,
-			f.ageKnown, f.ageAt, f.parentAge)
+		p(f.stagedState == nil, c.wakeAt, c.events, c.missed, c.epoch, f.position, f.floor, staged, f.ready, f.parentIndex, f.leftHomeRegionAt, f.requestInFlight, f.sentAt, f.nextRequestAt, f.consecutiveFailures, f.randomDraws,
+			f.ageKnown, f.ageMeasuredAt, f.parentAge)
 	}
 	for _, m := range w.messages {
 		p(m.from, m.parent, w.children[m.from].follower.requestID-m.request.ID, m.request.Position, m.request.Digests)
--- a/changelog/encoding.go
+++ b/changelog/encoding.go
@@ -26,27 +26,27 @@
 // Encode encodes changes for one field of a message.
 func Encode(changes []Change) []byte {
 	b := []byte{encodingVersion}
-	var before Change
+	var previous Change
 	for _, c := range changes {
-		flags := flagsOf(c, before)
+		flags := changeFlags(c, previous)
 		b = append(b, flags)
 		if flags&flagRevision != 0 {
 			b = binary.AppendUvarint(b, c.Revision)
 		}
 		if flags&flagTopic != 0 {
-			b = appendText(b, c.Topic)
+			b = appendString(b, c.Topic)
 		}
-		b = appendText(b, c.Key)
+		b = appendString(b, c.Key)
 		if flags&flagValue != 0 {
-			b = appendText(b, string(c.Value))
+			b = appendString(b, string(c.Value))
 		}
-		before = c
+		previous = c
 	}
 	return b
 }
 
-// flagsOf returns the flags of a change that follows another one.
-func flagsOf(c, before Change) (flags byte) {
+// changeFlags returns the flags of a change that follows another one.
+func changeFlags(c, previous Change) (flags byte) {
 	set := func(flag byte, condition bool) {
 		if condition {
 			flags |= flag
@@ -54,13 +54,13 @@
 	}
 	set(flagEvent, c.Event)
 	set(flagDeleted, c.Deleted)
-	set(flagTopic, c.Topic != before.Topic)
+	set(flagTopic, c.Topic != previous.Topic)
 	set(flagValue, len(c.Value) > 0)
-	set(flagRevision, c.Revision != before.Revision+1)
+	set(flagRevision, c.Revision != previous.Revision+1)
 	return flags
 }
 
-func appendText(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
@@ -69,9 +69,9 @@
 	if len(b) == 0 || b[0] != encodingVersion || len(b) > maxEncodedBytes {
 		return nil, fmt.Errorf("%w: %d encoded bytes, expected version %d and at most %d", ErrMalformed, len(b), encodingVersion, maxEncodedBytes)
 	}
-	d := decoder{rest: b[1:], length: len(b)}
-	for len(d.rest) > 0 {
-		if err := d.change(); err != nil {
+	d := decoder{remaining: b[1:], inputBytes: len(b)}
+	for len(d.remaining) > 0 {
+		if err := d.readChange(); err != nil {
 			return nil, err
 		}
 	}
@@ -80,74 +80,74 @@
 
 // decoder reads changes one after the other.
 type decoder struct {
-	rest    []byte
-	length  int // of the whole input
-	changes []Change
-	before  Change // the latest of changes
+	remaining  []byte
+	inputBytes int // of the whole input
+	changes    []Change
+	previous   Change // the latest of changes
 }
 
-// change decodes the next change.
-func (d *decoder) change() error {
-	flags := d.rest[0]
-	d.rest = d.rest[1:]
+// readChange decodes the next change.
+func (d *decoder) readChange() error {
+	flags := d.remaining[0]
+	d.remaining = d.remaining[1:]
 	if flags >= flagEnd {
-		return d.fail("flags")
+		return d.fieldError("flags")
 	}
 	c := Change{
-		Revision: d.before.Revision + 1,
-		Topic:    d.before.Topic,
+		Revision: d.previous.Revision + 1,
+		Topic:    d.previous.Topic,
 		Event:    flags&flagEvent != 0,
 		Deleted:  flags&flagDeleted != 0,
 	}
 	ok := true
 	if flags&flagRevision != 0 {
-		if c.Revision, ok = d.number(); !ok {
-			return d.fail("revision")
+		if c.Revision, ok = d.readUvarint(); !ok {
+			return d.fieldError("revision")
 		}
 	}
 	if flags&flagTopic != 0 {
-		if c.Topic, ok = d.text(maxNameBytes); !ok {
-			return d.fail("topic")
+		if c.Topic, ok = d.readString(maxNameBytes); !ok {
+			return d.fieldError("topic")
 		}
 	}
-	if c.Key, ok = d.text(maxNameBytes); !ok {
-		return d.fail("key")
+	if c.Key, ok = d.readString(maxNameBytes); !ok {
+		return d.fieldError("key")
 	}
 	if flags&flagValue != 0 {
-		value, ok := d.text(maxValueBytes)
+		value, ok := d.readString(maxValueBytes)
 		if !ok {
-			return d.fail("value")
+			return d.fieldError("value")
 		}
 		c.Value = []byte(value)
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return err
 	}
 	d.changes = append(d.changes, c)
-	d.before = c
+	d.previous = c
 	return nil
 }
 
-// fail returns the error of a field that can't be decoded.
-func (d *decoder) fail(field string) error {
-	return fmt.Errorf("%w: %s of change %d, before byte %d", ErrMalformed, field, len(d.changes), d.length-len(d.rest))
+// fieldError returns the error of a field that can't be decoded.
+func (d *decoder) fieldError(field string) error {
+	return fmt.Errorf("%w: %s of change %d, before byte %d", ErrMalformed, field, len(d.changes), d.inputBytes-len(d.remaining))
 }
 
-func (d *decoder) number() (uint64, bool) {
-	n, size := binary.Uvarint(d.rest)
+func (d *decoder) readUvarint() (uint64, bool) {
+	n, size := binary.Uvarint(d.remaining)
 	if size <= 0 {
 		return 0, false
 	}
-	d.rest = d.rest[size:]
+	d.remaining = d.remaining[size:]
 	return n, true
 }
 
-func (d *decoder) text(maxBytes uint64) (string, bool) {
-	n, ok := d.number()
-	if !ok || n > maxBytes || n > uint64(len(d.rest)) {
+func (d *decoder) readString(maxBytes uint64) (string, bool) {
+	n, ok := d.readUvarint()
+	if !ok || n > maxBytes || n > uint64(len(d.remaining)) {
 		return "", false
 	}
-	s := string(d.rest[:n])
-	d.rest = d.rest[n:]
+	s := string(d.remaining[:n])
+	d.remaining = d.remaining[n:]
 	return s, true
 }
--- a/changelog/fleet_test.go
+++ b/changelog/fleet_test.go
@@ -207,13 +207,13 @@
 }
 
 func (m *machine) start() {
-	t := Config{Parents: len(m.parents), HomeParents: min(2, len(m.parents)), MinInterval: 250 * ms, RetryBackoff: 100 * ms, MaxAge: 2350 * ms, MaxResponseBytes: defaultConfig.MaxResponseBytes, MaxDrift: 0.01,
-		Seed: hashOf(m.name)}
+	t := Config{ParentCount: len(m.parents), HomeParentCount: min(2, len(m.parents)), MinRequestInterval: 250 * ms, RetryBackoff: 100 * ms, MaxParentAge: 2350 * ms, MaxResponseBytes: defaultConfig.MaxResponseBytes, MaxDriftFraction: 0.01,
+		JitterSeed: hashOf(m.name)}
 	if m.log == nil && m.parents[0] == m.sim.leader {
-		t.MinInterval, t.RetryBackoff, t.RingBytes, t.MaxResponseBytes = 50*ms, 25*ms, 10<<20, 1<<20
+		t.MinRequestInterval, t.RetryBackoff, t.RingBytes, t.MaxResponseBytes = 50*ms, 25*ms, 10<<20, 1<<20
 	}
 	m.from = uint64(len(m.sim.agreed))
-	m.follower = NewFollower(m, m.sim.now, t, nil, Unsafe{})
+	m.follower = NewFollower(m, m.sim.now, t, nil, DisabledSafeguards{})
 }
 
 func newSimulation(regions, each int) *simulation {
--- a/changelog/history_test.go
+++ b/changelog/history_test.go
@@ -13,7 +13,7 @@
 const maxStates = 400_000 // far beyond what the bounds below reach; an exploration that stops there is incomplete
 
 // explore plays all histories within the bounds, and returns the first one that violates an invariant.
-func explore(u Unsafe, before []move, b bounds) (states int, history []move, fault string) {
+func explore(u DisabledSafeguards, before []move, b bounds) (states int, history []move, fault string) {
 	type node struct {
 		w    *testCluster
 		from int
@@ -51,7 +51,7 @@
 var usual = []string{"tick", "agree", "hear", "tell"}
 
 // playRandom plays a random history, with larger bounds than can be explored.
-func playRandom(u Unsafe, seed uint64, moves int) (w *testCluster, history []move) {
+func playRandom(u DisabledSafeguards, seed uint64, moves int) (w *testCluster, history []move) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	w = newTestCluster(u, []int{0, smallRing, 90, 1000}[rnd.IntN(4)], 1+rnd.IntN(2),
 		bounds{steps: 1 << 20, agrees: 60, lost: 20, late: 20, deposed: 4, founded: 2, restarts: 6, garbled: 6})
@@ -77,7 +77,7 @@
 
 func TestHistoriesOfChance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if w, history := playRandom(Unsafe{}, rapid.Uint64().Draw(t, "seed"), 400); w.fault != "" {
+		if w, history := playRandom(DisabledSafeguards{}, rapid.Uint64().Draw(t, "seed"), 400); w.fault != "" {
 			t.Fatalf("%s after %v", w.fault, history)
 		}
 	})
@@ -87,7 +87,7 @@
 func TestHistoriesShowSomething(t *testing.T) {
 	told, missed := 0, 0
 	for seed := range uint64(100) {
-		w, history := playRandom(Unsafe{}, seed, 400)
+		w, history := playRandom(DisabledSafeguards{}, seed, 400)
 		if w.fault != "" {
 			t.Fatalf("seed %d: %s after %v", seed, w.fault, history)
 		}
@@ -99,8 +99,8 @@
 	}
 }
 
-var safeguards = map[string]Unsafe{"garbled": {AcceptGarbled: true}, "epoch": {AcceptOldEpoch: true}, "missed": {HideMissed: true}, "count-from-answer": {AgeFromResponse: true},
-	"parent's age": {IgnoreParentAge: true}, "partial": {AgeFromPartial: true}, "late": {AcceptLate: true}, "torn": {ApplyTorn: true}, "ring": {RelayWithoutRing: true}, "drift": {IgnoreDrift: true}}
+var safeguards = map[string]DisabledSafeguards{"garbled": {AcceptMalformed: true}, "epoch": {AcceptOldEpoch: true}, "missed": {HideMissedEvents: true}, "count-from-answer": {AgeFromResponseTime: true},
+	"parent's age": {IgnoreParentAge: true}, "partial": {AgeFromPartialResponse: true}, "late": {AcceptStaleResponse: true}, "torn": {ApplyPartialState: true}, "ring": {StartRelayWithoutRing: true}, "drift": {IgnoreClockDrift: true}}
 
 // With any one safeguard disabled some history violates an invariant: otherwise the histories above prove nothing.
 func TestEachSafeguardIsNeeded(t *testing.T) {
@@ -160,7 +160,7 @@
 				t.Skip("too many for the race detector")
 			}
 			t.Parallel()
-			states, history, fault := explore(Unsafe{}, followed(3), b)
+			states, history, fault := explore(DisabledSafeguards{}, followed(3), b)
 			t.Log(states, "states")
 			if fault != "" || states >= maxStates {
 				t.Errorf("%d states; %s after %v", states, fault, history)
--- a/changelog/log.go
+++ b/changelog/log.go
@@ -27,22 +27,22 @@
 	stateBytes   int
 	ready        bool // the ring reaches back as far as the parent's, or this is the source
 
-	unsafe Unsafe
+	disabled DisabledSafeguards
 }
 
-// Unsafe disables safeguards, so that tests can show that their checks detect each one's absence.
-type Unsafe struct {
-	IgnoreChain      bool // logs that differ in an earlier change count as the same
-	AcceptGarbled    bool // a response counts although it doesn't verify
-	AcceptOldEpoch   bool // an earlier epoch counts like any other
-	HideMissed       bool // the host isn't notified of events between two positions
-	AgeFromResponse  bool // an age counts from when the response arrives
-	IgnoreParentAge  bool // a parent counts as current
-	AgeFromPartial   bool // a partial response updates the age
-	AcceptLate       bool // a response to an earlier request counts
-	ApplyTorn        bool // buckets are applied one by one
-	RelayWithoutRing bool // a relay starts from a snapshot, and serves without a ring
-	IgnoreDrift      bool // all clocks count as exact
+// DisabledSafeguards disables safeguards, so that tests can show that their checks detect each one's absence.
+type DisabledSafeguards struct {
+	IgnoreChain            bool // logs that differ in an earlier change count as the same
+	AcceptMalformed        bool // a response counts although it doesn't verify
+	AcceptOldEpoch         bool // an earlier epoch counts like any other
+	HideMissedEvents       bool // the host isn't notified of events between two positions
+	AgeFromResponseTime    bool // an age counts from when the response arrives
+	IgnoreParentAge        bool // a parent counts as current
+	AgeFromPartialResponse bool // a partial response updates the age
+	AcceptStaleResponse    bool // a response to an earlier request counts
+	ApplyPartialState      bool // buckets are applied one by one
+	StartRelayWithoutRing  bool // a relay starts from a snapshot, and serves without a ring
+	IgnoreClockDrift       bool // all clocks count as exact
 }
 
 // NewLog returns an empty log of no epoch, with a ring of at most so many bytes.
@@ -58,7 +58,7 @@
 		maxRingBytes: l.maxRingBytes,
 		state:        map[string]Change{},
 		ready:        true,
-		unsafe:       l.unsafe,
+		disabled:     l.disabled,
 	}
 }
 
@@ -70,11 +70,11 @@
 
 // Add appends the next change. On an error, which wraps ErrMalformed, the log stays as it was.
 func (l *Log) Add(c Change) error {
-	next, err := l.position.next(c)
+	next, err := l.position.checkedAdvance(c)
 	if err != nil {
 		return err
 	}
-	if !c.Event && l.stateBytes+size(c) > maxStateBytes {
+	if !c.Event && l.stateBytes+changeBytes(c) > maxStateBytes {
 		return fmt.Errorf("%w: over %d bytes of state", ErrMalformed, maxStateBytes)
 	}
 	l.position = next
@@ -88,13 +88,13 @@
 
 func (l *Log) setState(c Change) {
 	key := stateKey(c)
-	if before, found := l.state[key]; found {
-		l.stateBytes -= size(before)
+	if previous, found := l.state[key]; found {
+		l.stateBytes -= changeBytes(previous)
 		delete(l.state, key)
 	}
 	if !c.Deleted {
 		l.state[key] = c
-		l.stateBytes += size(c)
+		l.stateBytes += changeBytes(c)
 	}
 }
 
@@ -102,14 +102,14 @@
 func (l *Log) appendToRing(c Change) {
 	l.ring = append(l.ring, c)
 	l.chains = append(l.chains, l.position.Chain)
-	l.ringBytes += size(c)
+	l.ringBytes += changeBytes(c)
 }
 
 // trimRing drops the oldest changes until the ring is within its limit.
 func (l *Log) trimRing() {
 	for l.ringBytes > l.maxRingBytes && len(l.ring) > 0 {
 		l.floor = Position{Epoch: l.floor.Epoch, Revision: l.ring[0].Revision, Chain: l.chains[0]}
-		l.ringBytes -= size(l.ring[0])
+		l.ringBytes -= changeBytes(l.ring[0])
 		l.ring[0] = Change{} // the array below the slice must not keep the value alive
 		l.ring = l.ring[1:]
 		l.chains = l.chains[1:]
@@ -131,11 +131,11 @@
 	switch {
 	case !l.ready || l.position.Epoch == 0:
 		resp.Err = ErrNotReady
-	case r.Epoch > l.position.Epoch && !l.unsafe.AcceptOldEpoch:
+	case r.Epoch > l.position.Epoch && !l.disabled.AcceptOldEpoch:
 		resp.Err = ErrEpoch
 	case sameEpoch && r.Revision > l.position.Revision:
 		resp.Err = ErrBehind // state would lead the child back
-	case sameEpoch && r.Revision >= l.floor.Revision && (l.chainAt(r.Revision) == r.Chain || l.unsafe.IgnoreChain):
+	case sameEpoch && r.Revision >= l.floor.Revision && (l.chainAt(r.Revision) == r.Chain || l.disabled.IgnoreChain):
 		l.addChanges(r, &resp)
 	case r.Digests == nil:
 		resp.BelowFloor = true
@@ -149,10 +149,10 @@
 
 // addChanges adds the changes after a position within the ring: as many as the child takes, and at least one.
 func (l *Log) addChanges(r Request, resp *Response) {
-	left := r.MaxBytes
+	remainingBytes := r.MaxBytes
 	for _, c := range l.ring[r.Revision-l.floor.Revision:] {
-		left -= size(c)
-		if left < 0 && len(resp.Changes) > 0 {
+		remainingBytes -= changeBytes(c)
+		if remainingBytes < 0 && len(resp.Changes) > 0 {
 			resp.More = true
 			break
 		}
@@ -172,15 +172,15 @@
 	}
 	digests := bucketDigests(l.state)
 	buckets := l.stateByBucket()
-	left := r.MaxBytes
+	remainingBytes := r.MaxBytes
 	for b := range bucketCount {
 		if digests[b] == r.Digests[b] {
 			continue
 		}
 		for _, c := range buckets[b] {
-			left -= size(c)
+			remainingBytes -= changeBytes(c)
 		}
-		if left < 0 && len(resp.Buckets) > 0 {
+		if remainingBytes < 0 && len(resp.Buckets) > 0 {
 			resp.Complete = false
 			resp.More = true
 			break
@@ -194,12 +194,12 @@
 }
 
 func (l *Log) stateByBucket() [][]Change {
-	all := make([][]Change, bucketCount)
+	buckets := make([][]Change, bucketCount)
 	for _, key := range slices.Sorted(maps.Keys(l.state)) {
 		b := bucketOf(key)
-		all[b] = append(all[b], l.state[key])
+		buckets[b] = append(buckets[b], l.state[key])
 	}
-	return all
+	return buckets
 }
 
 // install replaces the log's contents by a state, and by the position and the ring of the response that completed it.
@@ -207,7 +207,7 @@
 	l.state = state
 	l.stateBytes = 0
 	for _, c := range state {
-		l.stateBytes += size(c)
+		l.stateBytes += changeBytes(c)
 	}
 	l.position = resp.Position
 	l.floor = resp.Position
@@ -224,7 +224,7 @@
 	l.position = resp.Floor
 	l.floor = resp.Floor
 	for _, c := range resp.Ring {
-		l.position = l.position.after(c)
+		l.position = l.position.advance(c)
 		l.appendToRing(c)
 	}
 	l.trimRing()
--- a/changelog/messages.go
+++ b/changelog/messages.go
@@ -46,36 +46,36 @@
 
 // verify checks that the parts of a response belong together, and that they follow the child's position. A response that fails
 // must not be used in part either.
-func (r Response) verify(at Position, u Unsafe) error {
+func (r Response) verify(childPosition Position, disabled DisabledSafeguards) error {
 	switch {
 	case r.Age < 0:
 		return fmt.Errorf("%w: negative age %d", ErrMalformed, r.Age)
 	case r.BelowFloor && (len(r.Changes) > 0 || r.Buckets != nil):
 		return fmt.Errorf("%w: changes or state although the ring doesn't reach back", ErrMalformed)
 	case r.Buckets != nil:
-		return r.verifyState(at, u)
+		return r.verifyState(childPosition, disabled)
 	}
-	end, err := follow(at, r.Changes)
+	end, err := advanceAll(childPosition, r.Changes)
 	if err != nil {
 		return err
 	}
-	if u.IgnoreChain {
+	if disabled.IgnoreChain {
 		end.Chain = r.Chain
 	}
-	if !r.BelowFloor && (r.From != at.Revision || end != r.Position) {
-		return fmt.Errorf("%w: from %d to %+v, expected from %d to %+v", ErrMalformed, r.From, r.Position, at.Revision, end)
+	if !r.BelowFloor && (r.From != childPosition.Revision || end != r.Position) {
+		return fmt.Errorf("%w: from %d to %+v, expected from %d to %+v", ErrMalformed, r.From, r.Position, childPosition.Revision, end)
 	}
 	return nil
 }
 
-func (r Response) verifyState(at Position, u Unsafe) error {
-	if r.Epoch < at.Epoch && !u.AcceptOldEpoch || r.Epoch == at.Epoch && r.Revision < at.Revision {
-		return fmt.Errorf("%w: state at %+v, which is before %+v", ErrEpoch, r.Position, at)
+func (r Response) verifyState(childPosition Position, disabled DisabledSafeguards) error {
+	if r.Epoch < childPosition.Epoch && !disabled.AcceptOldEpoch || r.Epoch == childPosition.Epoch && r.Revision < childPosition.Revision {
+		return fmt.Errorf("%w: state at %+v, which is before %+v", ErrEpoch, r.Position, childPosition)
 	}
 	if err := r.verifyBuckets(); err != nil {
 		return err
 	}
-	end, err := follow(r.Floor, r.Ring)
+	end, err := advanceAll(r.Floor, r.Ring)
 	if err != nil {
 		return err
 	}
@@ -89,10 +89,10 @@
 	stateBytes := 0
 	for bucket, changes := range r.Buckets {
 		for _, c := range changes {
-			if err := c.Check(); err != nil {
+			if err := c.Validate(); err != nil {
 				return err
 			}
-			stateBytes += size(c)
+			stateBytes += changeBytes(c)
 			belongs := bucket == bucketOf(stateKey(c)) && c.Revision <= r.Revision && !c.Event && !c.Deleted
 			if !belongs || stateBytes > maxStateBytes {
 				return fmt.Errorf("%w: %.50q in bucket %d of the state at %d", ErrMalformed, c.Key, bucket, r.Revision)
@@ -102,11 +102,11 @@
 	return nil
 }
 
-// follow returns the position after consecutive changes.
-func follow(p Position, changes []Change) (Position, error) {
+// advanceAll returns the position after consecutive changes.
+func advanceAll(p Position, changes []Change) (Position, error) {
 	for _, c := range changes {
 		var err error
-		if p, err = p.next(c); err != nil {
+		if p, err = p.checkedAdvance(c); err != nil {
 			return p, err
 		}
 	}
