--- a/changelog/doc.go
+++ b/changelog/doc.go
@@ -1,9 +1,11 @@
-// Package changelog replicates a log of changes from a leader through relays to every node of a fleet. Log is what the leader or
-// a relay keeps and serves from; Follower is the side of a relay or node that polls a parent.
+// Package changelog replicates a log of changes from a leader through relays to every node of a fleet. The leader and each relay
+// serve requests of their children from a Log. Each relay and node runs a Follower, which polls one of several parents.
 //
-// A Log holds a state, the latest value of each key, and a ring of the latest changes up to its position. A child whose
-// position is within its parent's ring gets the changes after it; one further behind gets the state, as far as it differs.
+// A Log holds a state, which is the latest value of each key, and a ring, which is a bounded buffer of the latest changes up to
+// the log's position. The floor is the position before the oldest change in the ring. A child whose position is at or above the
+// floor receives the changes after its position. A child below the floor receives the buckets of the state that differ from its
+// own.
 //
-// The package does no I/O and reads no clock; callers pass the time in. No program uses it yet: it is the model that
-// docs/design-changes.md describes.
+// The package does no I/O and reads no clock; callers pass the time in. No program uses it yet. docs/design-changes.md describes
+// the protocol.
 package changelog
--- a/changelog/encoding.go
+++ b/changelog/encoding.go
@@ -5,25 +5,26 @@
 	"fmt"
 )
 
-// Changes are encoded as a version byte, and for each change a byte of flags and the fields that they announce. What is the same as
-// in the change before is left out: a purge by six bytes of its key takes 8 bytes, a tenth of its form with named fields.
+// Changes are encoded as a version byte followed by the changes. Each change is a byte of flags, the key, and the optional fields
+// that the flags announce. A topic that equals the one of the previous change, and a revision that is one above it, are omitted. A
+// purge whose key has six bytes takes 8 bytes, a tenth of an encoding with named fields.
 
 const (
 	encodingVersion = 1
-	maxEncodedBytes = 512 << 10
+	maxEncodedBytes = 512 << 10 // limit on the input of Decode
 )
 
-// The flags of a change. The last three say which fields follow beside the key.
+// Flags of an encoded change. flagTopic, flagValue and flagRevision announce optional fields.
 const (
 	flagEvent = 1 << iota
 	flagDeleted
 	flagTopic
 	flagValue
 	flagRevision
-	flagEnd // above all flags
+	flagEnd // first value above all combinations of flags
 )
 
-// Encode encodes changes for one field of a message.
+// Encode encodes consecutive changes for a field of a message.
 func Encode(changes []Change) []byte {
 	b := []byte{encodingVersion}
 	var previous Change
@@ -45,7 +46,7 @@
 	return b
 }
 
-// changeFlags returns the flags of a change that follows another one.
+// changeFlags returns the flags of change c, given the change encoded before it.
 func changeFlags(c, previous Change) (flags byte) {
 	set := func(flag byte, condition bool) {
 		if condition {
@@ -60,14 +61,16 @@
 	return flags
 }
 
+// appendString appends the length of s as a varint, and s.
 func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Decode decodes changes. What can't be decoded is refused as a whole, with an error that wraps ErrMalformed.
+// Decode decodes the output of Encode. If any part of the input is invalid, it returns no changes and an error that wraps
+// ErrMalformed.
 func Decode(b []byte) ([]Change, error) {
 	if len(b) == 0 || b[0] != encodingVersion || len(b) > maxEncodedBytes {
-		return nil, fmt.Errorf("%w: %d encoded bytes, expected version %d and at most %d", ErrMalformed, len(b), encodingVersion, maxEncodedBytes)
+		return nil, fmt.Errorf("%w: input has %d bytes; expected encoding version %d and at most %d bytes", ErrMalformed, len(b), encodingVersion, maxEncodedBytes)
 	}
 	d := decoder{remaining: b[1:], inputBytes: len(b)}
 	for len(d.remaining) > 0 {
@@ -78,15 +81,15 @@
 	return d.changes, nil
 }
 
-// decoder reads changes one after the other.
+// decoder holds the progress of decoding a sequence of changes.
 type decoder struct {
 	remaining  []byte
-	inputBytes int // of the whole input
+	inputBytes int // size of the whole input
 	changes    []Change
-	previous   Change // the latest of changes
+	previous   Change // last element of changes, or the zero Change
 }
 
-// readChange decodes the next change.
+// readChange decodes one change and appends it to d.changes.
 func (d *decoder) readChange() error {
 	flags := d.remaining[0]
 	d.remaining = d.remaining[1:]
@@ -128,11 +131,12 @@
 	return nil
 }
 
-// fieldError returns the error of a field that can't be decoded.
+// fieldError returns an error about a field that can't be decoded.
 func (d *decoder) fieldError(field string) error {
-	return fmt.Errorf("%w: %s of change %d, before byte %d", ErrMalformed, field, len(d.changes), d.inputBytes-len(d.remaining))
+	return fmt.Errorf("%w: invalid %s of change %d, before byte %d", ErrMalformed, field, len(d.changes), d.inputBytes-len(d.remaining))
 }
 
+// readUvarint consumes a varint. It returns false if there is no valid one.
 func (d *decoder) readUvarint() (uint64, bool) {
 	n, size := binary.Uvarint(d.remaining)
 	if size <= 0 {
@@ -142,6 +146,7 @@
 	return n, true
 }
 
+// readString consumes a length and a string of at most maxBytes. It returns false if the length exceeds maxBytes or the input.
 func (d *decoder) readString(maxBytes uint64) (string, bool) {
 	n, ok := d.readUvarint()
 	if !ok || n > maxBytes || n > uint64(len(d.remaining)) {
--- a/changelog/follower.go
+++ b/changelog/follower.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// maxBackoffFactor limits the backoff to so many times Config.RetryBackoff.
+	// maxBackoffFactor is the maximum of the backoff as a multiple of Config.RetryBackoff.
 	maxBackoffFactor = 16
-	// homeRetryInterval is how long a follower stays with a parent of another region before it tries its own region's again.
+	// homeRetryInterval is how long a follower polls parents of other regions before it tries its own region's parents again.
 	homeRetryInterval = 10_000 * lease.Millisecond
 )
 
-// Host performs the actions of a Follower. Its methods must neither block nor call back.
+// Host sends requests and sets alarms for a Follower and receives its notifications. Its methods must not block and must not call
+// the Follower.
 type Host interface {
-	// Send sends a request to a parent, by its index. HandleResponse or HandleTimeout reports the outcome.
+	// Send sends a request to the parent with an index. The caller of the Follower then reports the outcome with HandleResponse or
+	// HandleTimeout.
 	Send(parent int, r Request)
-	// Apply passes on the next change.
+	// Apply notifies of the next change, which the follower has added to its log.
 	Apply(c Change)
-	// StateReplaced notifies that the state as a whole is another one, which Follower.State returns.
+	// StateReplaced notifies that the whole state was replaced. Follower.State returns the new one.
 	StateReplaced()
-	// EventsMissed notifies that events of an epoch, after one revision and up to another, may never be passed to Apply.
+	// EventsMissed notifies that events of an epoch with revisions above after and up to upTo may have been skipped: Apply isn't
+	// called for those that were.
 	EventsMissed(epoch, after, upTo uint64)
-	// SetAlarm schedules a call of Follower.Alarm at that time or soon after; it replaces an earlier alarm.
+	// SetAlarm schedules a call of Follower.Alarm at or soon after time t. It replaces an earlier alarm.
 	SetAlarm(t Time)
 }
 
 // Config configures a Follower.
 type Config struct {
-	ParentCount        int     // number of parents
-	HomeParentCount    int     // how many of them, the first ones, are in the follower's own region
-	MinRequestInterval Time    // between two requests
-	RetryBackoff       Time    // after a parent that failed, plus as much jitter; it doubles once all have failed
-	MaxParentAge       Time    // of a parent's contents, beyond which the follower switches to another parent
-	MaxResponseBytes   int     // see Request.MaxBytes
-	RingBytes          int     // size of the ring kept for children, 0: the follower has none
-	MaxDriftFraction   float64 // how far the rate of the follower's clock may be off, as a fraction
-	JitterSeed         uint64  // of the jitter
+	ParentCount        int     // number of parents; Host.Send names them by index
+	HomeParentCount    int     // number of parents in the follower's own region; they have the lowest indexes
+	MinRequestInterval Time    // minimum time from one request to the next
+	RetryBackoff       Time    // delay after a parent fails, before doubling; random jitter of up to the delay is added
+	MaxParentAge       Time    // the follower switches parents if both its own and the parent's contents are older than this
+	MaxResponseBytes   int     // passed to parents as Request.MaxBytes
+	RingBytes          int     // size limit of the ring that serves children; 0 if the follower has no children
+	MaxDriftFraction   float64 // maximum relative error of the rate of the follower's clock
+	JitterSeed         uint64  // seed of the random jitter
 }
 
-// Follower keeps a Log up to date from one of several parents. It has one request in flight at a time. It is not safe for
+// Follower keeps a Log up to date by polling one of several parents. It has at most one request in flight. It is not safe for
 // concurrent use.
 type Follower struct {
 	*Log
@@ -50,29 +53,30 @@
 	config Config
 
 	parentIndex      int
-	leftHomeRegionAt Time // when the follower switched to a parent of another region
+	leftHomeRegionAt Time // when the follower last switched to the first parent of another region, or last tried its own region again
 	requestID        uint64
 	requestInFlight  bool
-	sentAt           Time // of the latest request
-	// nextRequestAt is the earliest time of the next request.
+	sentAt           Time // when the latest request was sent
+	// nextRequestAt is the earliest time at which the next request may be sent.
 	nextRequestAt       Time
-	consecutiveFailures int // in a row
-	randomDraws         uint64
+	consecutiveFailures int
+	randomDraws         uint64 // number of calls of random
 
-	stagedState map[string]Change // a state that is being fetched, nil if none is
+	stagedState map[string]Change // a state that is being fetched bucket by bucket; nil if none is
 
 	ageKnown      bool
-	ageMeasuredAt Time // by the follower's clock, when the request was sent whose response had parentAge
+	ageMeasuredAt Time // when, by the follower's clock, the request was sent whose response had parentAge
 	parentAge     Time
 }
 
-// Snapshot is a stored state and its position. It has no ring, so a follower with children can't start from it.
+// Snapshot is a stored state and its position. It has no ring, so a follower with children doesn't start from it.
 type Snapshot struct {
 	Position
 	State map[string]Change
 }
 
-// NewFollower returns a follower that starts from a snapshot, or from nothing, and sends its first request at the first alarm.
+// NewFollower returns a follower that starts from a snapshot, or empty if snapshot is nil or the follower has children. It sets an
+// alarm for its first request.
 func NewFollower(host Host, now Time, config Config, snapshot *Snapshot, disabled DisabledSafeguards) *Follower {
 	f := &Follower{Log: NewLog(config.RingBytes), host: host, config: config, nextRequestAt: now}
 	f.disabled = disabled
@@ -83,8 +87,8 @@
 	return f
 }
 
-// Age returns an upper bound, in true time, on how long ago anything may have been agreed that the follower doesn't have; false
-// if there is none.
+// Age returns a duration, in true time: the follower has every change that was committed longer ago than that. It returns false
+// if no such duration is known.
 func (f *Follower) Age(now Time) (Time, bool) {
 	if !f.ageKnown {
 		return 0, false
@@ -92,7 +96,7 @@
 	return f.parentAge + f.maxTrueDuration(now-f.ageMeasuredAt), true
 }
 
-// maxTrueDuration returns the longest true time that may have passed while the follower's clock advanced by d.
+// maxTrueDuration returns the longest true time that may pass while the follower's clock advances by d.
 func (f *Follower) maxTrueDuration(d Time) Time {
 	if f.disabled.IgnoreClockDrift {
 		return d
@@ -100,7 +104,7 @@
 	return Time(float64(d)/(1-f.config.MaxDriftFraction)) + 1
 }
 
-// random returns the follower's next random number in [0, 1).
+// random returns the next pseudorandom number in [0, 1).
 func (f *Follower) random() float64 {
 	f.randomDraws++
 	var b [16]byte
@@ -111,6 +115,7 @@
 	return float64(h.Sum64()%(1<<20)) / (1 << 20)
 }
 
+// send sends a request for the changes after the follower's position, or for state if a state is being fetched.
 func (f *Follower) send(now Time) {
 	if f.parentIndex >= f.config.HomeParentCount && now-f.leftHomeRegionAt >= homeRetryInterval {
 		f.parentIndex = 0
@@ -130,7 +135,7 @@
 	f.host.Send(f.parentIndex, req)
 }
 
-// switchParent goes on with the next parent, after a backoff.
+// switchParent switches to the next parent after a failure and schedules the next request after a backoff with jitter.
 func (f *Follower) switchParent(now Time) {
 	f.parentIndex = (f.parentIndex + 1) % f.config.ParentCount
 	if f.parentIndex == f.config.HomeParentCount {
@@ -143,16 +148,17 @@
 	f.scheduleAlarm()
 }
 
-// backoff returns the time to wait after a failure, without jitter.
+// backoff returns the delay after a failure, without jitter. It doubles with every ParentCount+1 consecutive failures, up to
+// maxBackoffFactor times Config.RetryBackoff.
 func (f *Follower) backoff() Time {
-	failedRounds := f.consecutiveFailures / (f.config.ParentCount + 1) // in which all parents have failed
+	failedRounds := f.consecutiveFailures / (f.config.ParentCount + 1)
 	factor := min(1<<min(failedRounds, 8), maxBackoffFactor)
 	return f.config.RetryBackoff * Time(factor)
 }
 
 func (f *Follower) scheduleAlarm() { f.host.SetAlarm(f.nextRequestAt) }
 
-// Alarm must be called at or soon after the time that Host.SetAlarm named.
+// Alarm sends the next request if it is due. It must be called at or soon after the time passed to Host.SetAlarm.
 func (f *Follower) Alarm(now Time) {
 	switch {
 	case f.requestInFlight:
@@ -164,7 +170,7 @@
 	}
 }
 
-// HandleTimeout reports that a request failed, or that its parent was silent for too long.
+// HandleTimeout handles the failure of a request or the lack of a response in time. It ignores requests before the latest one.
 func (f *Follower) HandleTimeout(now Time, id uint64) {
 	if !f.requestInFlight || id != f.requestID {
 		return
@@ -173,12 +179,13 @@
 	f.switchParent(now)
 }
 
-// HandleResponse takes the response to a request. It returns an error if the response doesn't verify; the follower is then
-// unchanged but for its parent, and the caller should close the connection. Responses to earlier requests are ignored.
+// HandleResponse handles the response to the request with an ID. It ignores responses to requests before the latest one. On an
+// error the follower switches parents, and the caller should close the connection. A response that fails verification is not
+// applied. If a change would exceed the size limit of the state, only the changes before it are applied.
 func (f *Follower) HandleResponse(now Time, id uint64, resp Response) error {
 	isCurrent := f.requestInFlight && id == f.requestID
 	if !isCurrent && !f.disabled.AcceptStaleResponse {
-		return nil // it doesn't have what was agreed before the current request was sent
+		return nil // the response may lack changes that were committed before the current request was sent
 	}
 	f.requestInFlight = false
 	if resp.Err != nil {
@@ -205,7 +212,7 @@
 	return nil
 }
 
-// apply takes in the contents of a response.
+// apply applies the contents of a response that was verified.
 func (f *Follower) apply(resp Response) error {
 	switch {
 	case resp.BelowFloor:
@@ -220,8 +227,9 @@
 	return f.applyChanges(resp)
 }
 
+// applyChanges adds the changes of a response to the log and passes them to the host.
 func (f *Follower) applyChanges(resp Response) error {
-	f.stagedState = nil // this parent's ring reaches back far enough
+	f.stagedState = nil // this parent's ring includes the follower's position, so no state is needed
 	for _, c := range resp.Changes {
 		if err := f.Add(c); err != nil && !f.disabled.AcceptMalformed {
 			return err
@@ -234,12 +242,12 @@
 	return nil
 }
 
-// updateAge takes over the parent's age if that gives a lower bound than the present one.
+// updateAge adopts the age of a parent's contents if it gives a lower bound than the current one.
 func (f *Follower) updateAge(now, age Time) {
 	if f.disabled.IgnoreParentAge {
 		age = 0
 	}
-	measuredAt := f.sentAt // the response has everything that the parent had at that time
+	measuredAt := f.sentAt // the response has everything that the parent had when the request was sent
 	if f.disabled.AgeFromResponseTime {
 		measuredAt = now
 	}
@@ -250,7 +258,8 @@
 	}
 }
 
-// stageBuckets takes in buckets of a state. Once all are there it replaces the present state in one step.
+// stageBuckets stores the buckets of a response in the staged state. After the last bucket, the staged state replaces the current
+// one in one step.
 func (f *Follower) stageBuckets(resp Response) {
 	if f.stagedState == nil || f.disabled.ApplyPartialState {
 		f.stagedState = maps.Clone(f.state)
@@ -270,6 +279,7 @@
 	}
 }
 
+// installStaged replaces the log with the staged state and notifies the host of events that it may have missed.
 func (f *Follower) installStaged(resp Response) {
 	if f.position.Epoch != resp.Epoch {
 		f.ageKnown = false
@@ -283,7 +293,8 @@
 	}
 }
 
-// Serve answers a child of the follower, with what the follower has and how old that is.
+// Serve returns the response to a child's request from the follower's log, with the age of its contents. It returns ErrNotReady
+// until that age is known.
 func (f *Follower) Serve(now Time, r Request) Response {
 	age, known := f.Age(now)
 	if !known {
--- a/changelog/log.go
+++ b/changelog/log.go
@@ -8,49 +8,50 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// Time is the clock of leases, in ticks of a tenth of a millisecond.
+// Time is a point in time or a duration, in tenths of a millisecond, as package lease counts it.
 type Time = lease.Time
 
-// maxStateBytes is far beyond the size of any configuration and endpoint list.
+// maxStateBytes limits the size of a state. It is far above the size of any configuration and endpoint list.
 const maxStateBytes = 16 << 20
 
-// Log holds the state at a position, and a ring of the latest changes up to it. It is not safe for concurrent use.
+// Log holds the state at a position and a ring of the latest changes up to that position. It is not safe for concurrent use.
 type Log struct {
 	position Position
-	state    map[string]Change // by stateKey
+	state    map[string]Change // keyed by stateKey
 
-	floor        Position // before the first change of the ring
+	floor        Position // position before the first change of the ring
 	ring         []Change
 	chains       []uint64 // Position.Chain after each change of the ring
 	ringBytes    int
 	maxRingBytes int
 	stateBytes   int
-	ready        bool // the ring reaches back as far as the parent's, or this is the source
+	ready        bool // set on the source of an epoch, and once a complete state, with the parent's ring if requested, is installed
 
 	disabled DisabledSafeguards
 }
 
-// DisabledSafeguards disables safeguards, so that tests can show that their checks detect each one's absence.
+// DisabledSafeguards lists the safeguards that are disabled. Tests disable one at a time to show that the checks of the tests
+// detect its absence. All are false outside tests.
 type DisabledSafeguards struct {
-	IgnoreChain            bool // logs that differ in an earlier change count as the same
-	AcceptMalformed        bool // a response counts although it doesn't verify
-	AcceptOldEpoch         bool // an earlier epoch counts like any other
-	HideMissedEvents       bool // the host isn't notified of events between two positions
-	AgeFromResponseTime    bool // an age counts from when the response arrives
-	IgnoreParentAge        bool // a parent counts as current
-	AgeFromPartialResponse bool // a partial response updates the age
-	AcceptStaleResponse    bool // a response to an earlier request counts
-	ApplyPartialState      bool // buckets are applied one by one
-	StartRelayWithoutRing  bool // a relay starts from a snapshot, and serves without a ring
-	IgnoreClockDrift       bool // all clocks count as exact
+	IgnoreChain            bool // don't compare chains, which treats logs that differ in an earlier change as equal
+	AcceptMalformed        bool // apply responses that fail verification
+	AcceptOldEpoch         bool // accept state of an epoch before the child's
+	HideMissedEvents       bool // don't notify the host of events that it may have missed
+	AgeFromResponseTime    bool // measure the age of the contents from the arrival of the response instead of the sending of the request
+	IgnoreParentAge        bool // treat a parent's contents as current
+	AgeFromPartialResponse bool // update the age on a partial response
+	AcceptStaleResponse    bool // accept a response to an earlier request
+	ApplyPartialState      bool // apply buckets as they arrive, before the state is complete
+	StartRelayWithoutRing  bool // let a relay start from a snapshot, which has no ring
+	IgnoreClockDrift       bool // treat the follower's clock as exact
 }
 
-// NewLog returns an empty log of no epoch, with a ring of at most so many bytes.
+// NewLog returns an empty log without an epoch, whose ring is limited to maxRingBytes.
 func NewLog(maxRingBytes int) *Log {
 	return &Log{maxRingBytes: maxRingBytes, state: map[string]Change{}}
 }
 
-// StartEpoch empties the log and makes it the source of an epoch.
+// StartEpoch empties the log and makes it the source of a new epoch.
 func (l *Log) StartEpoch(epoch uint64) {
 	*l = Log{
 		position:     Position{Epoch: epoch},
@@ -62,20 +63,20 @@
 	}
 }
 
-// Position returns how far the log has got.
+// Position returns the position of the log's latest change.
 func (l *Log) Position() Position { return l.position }
 
-// State returns the latest change of each key that has a value. The caller must not modify it.
+// State returns the latest change of each key that isn't deleted, keyed by topic and key. The caller must not modify it.
 func (l *Log) State() map[string]Change { return l.state }
 
-// Add appends the next change. On an error, which wraps ErrMalformed, the log stays as it was.
+// Add appends the next change. If the change is invalid, it returns an error that wraps ErrMalformed and leaves the log unchanged.
 func (l *Log) Add(c Change) error {
 	next, err := l.position.checkedAdvance(c)
 	if err != nil {
 		return err
 	}
 	if !c.Event && l.stateBytes+changeBytes(c) > maxStateBytes {
-		return fmt.Errorf("%w: over %d bytes of state", ErrMalformed, maxStateBytes)
+		return fmt.Errorf("%w: state would exceed %d bytes", ErrMalformed, maxStateBytes)
 	}
 	l.position = next
 	l.appendToRing(c)
@@ -86,6 +87,7 @@
 	return nil
 }
 
+// setState applies a change to the state.
 func (l *Log) setState(c Change) {
 	key := stateKey(c)
 	if previous, found := l.state[key]; found {
@@ -98,25 +100,25 @@
 	}
 }
 
-// appendToRing appends the change that led to the present position.
+// appendToRing appends change c. l.position must be the position after c.
 func (l *Log) appendToRing(c Change) {
 	l.ring = append(l.ring, c)
 	l.chains = append(l.chains, l.position.Chain)
 	l.ringBytes += changeBytes(c)
 }
 
-// trimRing drops the oldest changes until the ring is within its limit.
+// trimRing removes the oldest changes until the ring is within its limit.
 func (l *Log) trimRing() {
 	for l.ringBytes > l.maxRingBytes && len(l.ring) > 0 {
 		l.floor = Position{Epoch: l.floor.Epoch, Revision: l.ring[0].Revision, Chain: l.chains[0]}
 		l.ringBytes -= changeBytes(l.ring[0])
-		l.ring[0] = Change{} // the array below the slice must not keep the value alive
+		l.ring[0] = Change{} // releases the value; the backing array would keep it reachable
 		l.ring = l.ring[1:]
 		l.chains = l.chains[1:]
 	}
 }
 
-// chainAt returns the chain at a revision from the floor to the present one.
+// chainAt returns Position.Chain at a revision, which must be from the floor's to the latest one.
 func (l *Log) chainAt(revision uint64) uint64 {
 	if revision == l.floor.Revision {
 		return l.floor.Chain
@@ -124,7 +126,7 @@
 	return l.chains[revision-l.floor.Revision-1]
 }
 
-// Respond answers a child's request. age bounds how long ago anything may have been agreed that the log doesn't have.
+// Respond returns the response to a child's request. The log must have every change that was committed longer ago than age.
 func (l *Log) Respond(r Request, age Time) Response {
 	resp := Response{Position: r.Position, From: r.Revision, Age: age}
 	sameEpoch := r.Epoch == l.position.Epoch
@@ -134,7 +136,7 @@
 	case r.Epoch > l.position.Epoch && !l.disabled.AcceptOldEpoch:
 		resp.Err = ErrEpoch
 	case sameEpoch && r.Revision > l.position.Revision:
-		resp.Err = ErrBehind // state would lead the child back
+		resp.Err = ErrBehind // sending state would move the child back to an earlier revision
 	case sameEpoch && r.Revision >= l.floor.Revision && (l.chainAt(r.Revision) == r.Chain || l.disabled.IgnoreChain):
 		l.addChanges(r, &resp)
 	case r.Digests == nil:
@@ -147,7 +149,8 @@
 	return resp
 }
 
-// addChanges adds the changes after a position within the ring: as many as the child takes, and at least one.
+// addChanges adds the changes after the child's position, which must be in the ring, up to r.MaxBytes but at least one if there is
+// one.
 func (l *Log) addChanges(r Request, resp *Response) {
 	remainingBytes := r.MaxBytes
 	for _, c := range l.ring[r.Revision-l.floor.Revision:] {
@@ -162,13 +165,14 @@
 	resp.Chain = l.chainAt(resp.Revision)
 }
 
-// addState adds the buckets of the state that differ: as many as the child takes, and at least one.
+// addState adds the buckets that differ from the child's, up to r.MaxBytes but at least one if there is one. It adds the ring if
+// the child requests it and no further bucket differs.
 func (l *Log) addState(r Request, resp *Response) {
 	resp.Position = l.position
 	resp.Buckets = map[int][]Change{}
 	resp.Complete = true
 	if r.Epoch != l.position.Epoch || r.Revision >= l.floor.Revision {
-		resp.From = 0 // the child's log differs from this one, from an unknown revision on
+		resp.From = 0 // the child's log may differ from this one at any revision
 	}
 	digests := bucketDigests(l.state)
 	buckets := l.stateByBucket()
@@ -193,6 +197,7 @@
 	}
 }
 
+// stateByBucket returns the changes of the state by bucket, sorted by key.
 func (l *Log) stateByBucket() [][]Change {
 	buckets := make([][]Change, bucketCount)
 	for _, key := range slices.Sorted(maps.Keys(l.state)) {
@@ -202,7 +207,7 @@
 	return buckets
 }
 
-// install replaces the log's contents by a state, and by the position and the ring of the response that completed it.
+// install replaces the log's contents with a state and with the position and ring of resp, the response that completed the state.
 func (l *Log) install(state map[string]Change, resp Response) {
 	l.state = state
 	l.stateBytes = 0
@@ -220,6 +225,7 @@
 	l.ready = true
 }
 
+// installRing fills the empty ring from a response and sets the floor accordingly.
 func (l *Log) installRing(resp Response) {
 	l.position = resp.Floor
 	l.floor = resp.Floor
