--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -10,66 +10,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hashed returns a purged key as it is sent: six bytes of its hash.
-func hashed(i int) string {
+// hashedKey returns a purged key as it is sent: six bytes of its hash.
+func hashedKey(i int) string {
 	return string(binary.LittleEndian.AppendUint64(nil, xxhash.Sum64String(fmt.Sprint(i)))[:6])
 }
 
 // BenchmarkRespond measures a relay with a ring of ten minutes of purges, and one child that is a quarter of a second behind at
 // 120 a second, and the bytes that the changes take in a message.
 func BenchmarkRespond(b *testing.B) {
-	const ring, behind = 72_000, 30
-	var before, after runtime.MemStats
+	const ringChanges, changesBehind = 72_000, 30
+	var memBefore, memAfter runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&before)
-	l := sourceOf(b, 7, ring*changeBytes(event(1, hashed(0))))
-	var at Position
-	for i := range ring {
-		if i == ring-behind {
-			at = l.Position()
+	runtime.ReadMemStats(&memBefore)
+	l := newSourceLog(b, 7, ringChanges*changeBytes(purgeEvent(1, hashedKey(0))))
+	var childPosition Position
+	for i := range ringChanges {
+		if i == ringChanges-changesBehind {
+			childPosition = l.Position()
 		}
-		if err := l.Add(event(uint64(i+1), hashed(i))); err != nil {
+		if err := l.Add(purgeEvent(uint64(i+1), hashedKey(i))); err != nil {
 			b.Fatal(err)
 		}
 	}
 	runtime.GC()
-	runtime.ReadMemStats(&after)
-	a := Request{Position: at, MaxBytes: 64 << 10}
+	runtime.ReadMemStats(&memAfter)
+	request := Request{Position: childPosition, MaxBytes: 64 << 10}
 	b.ReportAllocs()
 	for b.Loop() {
-		if x := l.Respond(a, 0); len(x.Changes) != behind {
-			b.Fatal(len(x.Changes))
+		if resp := l.Respond(request, 0); len(resp.Changes) != changesBehind {
+			b.Fatal(len(resp.Changes))
 		}
 	}
-	text, _ := json.Marshal(Encode(l.Respond(a, 0).Changes))
-	b.ReportMetric(float64(len(text))/behind, "wire-B/change")
-	b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/ring, "heap-B/change")
+	encoded, _ := json.Marshal(Encode(l.Respond(request, 0).Changes))
+	b.ReportMetric(float64(len(encoded))/changesBehind, "wire-B/change")
+	b.ReportMetric(float64(int64(memAfter.HeapAlloc)-int64(memBefore.HeapAlloc))/ringChanges, "heap-B/change")
 }
 
 // BenchmarkFollow measures a child that decodes, verifies and applies such a response.
 func BenchmarkFollow(b *testing.B) {
-	const each = 30
-	d := &recordingHost{}
-	f := NewFollower(d, 0, defaultConfig, nil, DisabledSafeguards{})
-	l := sourceOf(b, 7, 1<<20)
-	d.followUntilCurrent(b, f, l)
+	const changesPerResponse = 30
+	h := &recordingHost{}
+	f := NewFollower(h, 0, defaultConfig, nil, DisabledSafeguards{})
+	l := newSourceLog(b, 7, 1<<20)
+	h.followUntilCurrent(b, f, l)
 	b.ReportAllocs()
 	for b.Loop() {
-		for range each {
-			if err := l.Add(event(l.Position().Revision+1, "01234567")); err != nil {
+		for range changesPerResponse {
+			if err := l.Add(purgeEvent(l.Position().Revision+1, "01234567")); err != nil {
 				b.Fatal(err)
 			}
 		}
-		now := d.next(f)
-		x := l.Respond(d.request, 0)
+		now := h.fireAlarm(f)
+		resp := l.Respond(h.lastRequest, 0)
 		var err error
-		if x.Changes, err = Decode(Encode(x.Changes)); err != nil {
+		if resp.Changes, err = Decode(Encode(resp.Changes)); err != nil {
 			b.Fatal(err)
 		}
-		if err := f.HandleResponse(now, d.request.ID, x); err != nil {
+		if err := f.HandleResponse(now, h.lastRequest.ID, resp); err != nil {
 			b.Fatal(err)
 		}
-		d.applied = d.applied[:0]
+		h.appliedChanges = h.appliedChanges[:0]
 	}
 }
 
@@ -81,17 +81,17 @@
 			for b.Loop() {
 				s := newSimulation(regions, 826)
 				s.run(5000 * ms)
-				before, asked := len(s.agreed), s.requests
+				changesBefore, requestsBefore := len(s.agreed), s.requests
 				s.latencies.Reset()
 				s.run(15_000 * ms)
-				worst := Time(0)
-				for _, l := range s.lastNodeLatency[before : len(s.lastNodeLatency)-2*purgeRate] {
-					worst = max(worst, l)
+				maxLastNodeLatency := Time(0)
+				for _, latency := range s.lastNodeLatency[changesBefore : len(s.lastNodeLatency)-2*purgeRate] {
+					maxLastNodeLatency = max(maxLastNodeLatency, latency)
 				}
 				b.ReportMetric(float64(s.latencies.ValueAtQuantile(50))/float64(ms), "p50-ms")
 				b.ReportMetric(float64(s.latencies.ValueAtQuantile(99))/float64(ms), "p99-ms")
-				b.ReportMetric(float64(worst)/float64(ms), "last-ms")
-				b.ReportMetric(float64(s.requests-asked)/10/float64(len(s.nodes)), "asks/s/node")
+				b.ReportMetric(float64(maxLastNodeLatency)/float64(ms), "last-ms")
+				b.ReportMetric(float64(s.requests-requestsBefore)/10/float64(len(s.nodes)), "asks/s/node")
 				b.ReportMetric(float64(s.oldest)/float64(ms), "age-ms")
 			}
 		})
--- a/changelog/fleet_test.go
+++ b/changelog/fleet_test.go
@@ -259,7 +259,7 @@
 		s.agreed, s.lastNodeLatency = append(s.agreed, s.now), append(s.lastNodeLatency, 0)
 	}
 	for range purgeRate * int(commitInterval) / int(1000*ms) {
-		add(Change{Topic: "purge", Key: hashed(len(s.agreed)), Event: true})
+		add(Change{Topic: "purge", Key: hashedKey(len(s.agreed)), Event: true})
 	}
 	if s.changes++; s.changes%int(changeGap/commitInterval) == 0 {
 		add(Change{Topic: "configuration", Key: fmt.Sprint("part-", s.changes%25), Value: make([]byte, 2000)})
