--- a/changelog/history_test.go
+++ b/changelog/history_test.go
@@ -10,160 +10,170 @@
 	"pgregory.net/rapid"
 )
 
-const maxStates = 400_000 // far beyond what the bounds below reach; an exploration that stops there is incomplete
+// maxStates limits the states that explore visits. It is far above what the limits in the tests reach; an exploration that stops
+// there is incomplete.
+const maxStates = 400_000
 
-// explore plays all histories within the bounds, and returns the first one that violates an invariant.
-func explore(u DisabledSafeguards, before []move, b bounds) (states int, history []move, fault string) {
-	type node struct {
-		w    *testCluster
-		from int
-		by   move
+// explore makes all moves within the limits in every order, starting after the moves in setup. It returns the number of states
+// reached and, if an invariant is violated, the shortest history that violates one.
+func explore(disabled DisabledSafeguards, setup []move, limits moveLimits) (states int, history []move, violation string) {
+	type visitedState struct {
+		cluster     *testCluster
+		predecessor int // index in visited, or -1
+		lastMove    move
 	}
-	w := newTestCluster(u, smallRing, 1, bounds{steps: 99, agrees: 99, deposed: 9})
-	for _, m := range before {
-		w.play(m)
+	initial := newTestCluster(disabled, smallRingBytes, 1, moveLimits{ticks: 99, commits: 99, leaderChanges: 9})
+	for _, m := range setup {
+		initial.apply(m)
 	}
-	w.left = b
-	all, seen, h := []node{{w: w, from: -1}}, map[uint64]bool{}, xxhash.New()
-	for at := 0; at < len(all) && at < maxStates; at++ {
-		now := all[at].w
-		for _, m := range now.moves() {
-			next := now.clone()
-			next.play(m)
-			if next.fault != "" {
-				for history = []move{m}; all[at].from >= 0; at = all[at].from {
-					history = append([]move{all[at].by}, history...)
+	initial.limits = limits
+	visited, seen, h := []visitedState{{cluster: initial, predecessor: -1}}, map[uint64]bool{}, xxhash.New()
+	for i := 0; i < len(visited) && i < maxStates; i++ {
+		current := visited[i].cluster
+		for _, m := range current.possibleMoves() {
+			next := current.clone()
+			next.apply(m)
+			if next.violation != "" {
+				for history = []move{m}; visited[i].predecessor >= 0; i = visited[i].predecessor {
+					history = append([]move{visited[i].lastMove}, history...)
 				}
-				return len(seen), history, next.fault
+				return len(seen), history, next.violation
 			}
 			if p := next.fingerprint(h); !seen[p] {
 				seen[p] = true
-				all = append(all, node{next, at, m})
+				visited = append(visited, visitedState{next, i, m})
 			}
 		}
-		all[at].w = nil // all its successors are made
+		visited[i].cluster = nil // releases the memory; all successors have been visited
 	}
 	return len(seen), nil, ""
 }
 
-const smallRing = 45 // bytes: two changes
+const smallRingBytes = 45 // room for two changes
 
-var usual = []string{"tick", "agree", "hear", "tell"}
+// faultFreeMoves are the kinds of moves that aren't faults.
+var faultFreeMoves = []moveKind{moveTick, moveCommit, moveServeRequest, moveDeliverResponse}
 
-// playRandom plays a random history, with larger bounds than can be explored.
-func playRandom(u DisabledSafeguards, seed uint64, moves int) (w *testCluster, history []move) {
-	rnd := rand.New(rand.NewPCG(seed, 1))
-	w = newTestCluster(u, []int{0, smallRing, 90, 1000}[rnd.IntN(4)], 1+rnd.IntN(2),
-		bounds{steps: 1 << 20, agrees: 60, lost: 20, late: 20, deposed: 4, founded: 2, restarts: 6, garbled: 6})
-	switch rnd.IntN(4) {
+// runRandomHistory makes random moves, within larger limits than explore can cover, until an invariant is violated.
+func runRandomHistory(disabled DisabledSafeguards, seed uint64, moveCount int) (tc *testCluster, history []move) {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	tc = newTestCluster(disabled, []int{0, smallRingBytes, 90, 1000}[rng.IntN(4)], 1+rng.IntN(2),
+		moveLimits{ticks: 1 << 20, commits: 60, losses: 20, timeouts: 20, leaderChanges: 4, newEpochs: 2, restarts: 6, corruptions: 6})
+	switch rng.IntN(4) {
 	case 0: // no faults
-		w.left = bounds{steps: 1 << 20, agrees: 60}
+		tc.limits = moveLimits{ticks: 1 << 20, commits: 60}
 	case 1: // many restarts of relays and nodes
-		w.left = bounds{steps: 1 << 20, agrees: 60, restarts: 40}
+		tc.limits = moveLimits{ticks: 1 << 20, commits: 60, restarts: 40}
 	}
-	for range moves {
-		all := w.moves()
-		m := all[rnd.IntN(len(all))]
-		for faults, agrees := rnd.IntN(12) == 0, rnd.IntN(4) == 0; !faults && !slices.Contains(usual, m.what) || !agrees && m.what == "agree"; {
-			m = all[rnd.IntN(len(all))] // faults and changes are spread over the whole history
+	for range moveCount {
+		possible := tc.possibleMoves()
+		m := possible[rng.IntN(len(possible))]
+		// Faults and commits are drawn less often, so that their limits aren't used up early in the history.
+		for faultAllowed, commitAllowed := rng.IntN(12) == 0, rng.IntN(4) == 0; !faultAllowed && !slices.Contains(faultFreeMoves, m.kind) || !commitAllowed && m.kind == moveCommit; {
+			m = possible[rng.IntN(len(possible))]
 		}
-		w.play(m)
-		if history = append(history, m); w.fault != "" {
+		tc.apply(m)
+		if history = append(history, m); tc.violation != "" {
 			break
 		}
 	}
-	return w, history
+	return tc, history
 }
 
-func TestHistoriesOfChance(t *testing.T) {
+// Random histories that are longer than explore can cover keep the invariants.
+func TestClusterRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if w, history := playRandom(DisabledSafeguards{}, rapid.Uint64().Draw(t, "seed"), 400); w.fault != "" {
-			t.Fatalf("%s after %v", w.fault, history)
+		if tc, history := runRandomHistory(DisabledSafeguards{}, rapid.Uint64().Draw(t, "seed"), 400); tc.violation != "" {
+			t.Fatalf("%s after %v", tc.violation, history)
 		}
 	})
 }
 
-// The random histories have enough in them: events are applied at nodes, and reported as missed. The seeds are fixed, so the sums are too.
-func TestHistoriesShowSomething(t *testing.T) {
-	told, missed := 0, 0
+// Random histories in which nodes hardly apply or miss any events would keep the invariants without testing them. The seeds are fixed,
+// so the counts are deterministic.
+func TestClusterRandomHistoriesApplyAndMissEvents(t *testing.T) {
+	eventsApplied, rangesMissed := 0, 0
 	for seed := range uint64(100) {
-		w, history := playRandom(DisabledSafeguards{}, seed, 400)
-		if w.fault != "" {
-			t.Fatalf("seed %d: %s after %v", seed, w.fault, history)
+		tc, history := runRandomHistory(DisabledSafeguards{}, seed, 400)
+		if tc.violation != "" {
+			t.Fatalf("seed %d: %s after %v", seed, tc.violation, history)
 		}
-		told, missed = told+w.eventsApplied, missed+w.eventsMissed
+		eventsApplied, rangesMissed = eventsApplied+tc.eventsApplied, rangesMissed+tc.rangesMissed
 	}
-	t.Logf("%d events applied, %d gaps reported", told, missed)
-	if told < 300 || missed < 300 {
-		t.Errorf("%d events applied, %d gaps reported in 100 histories: they prove nothing", told, missed)
+	t.Logf("%d events applied, %d ranges reported as missed", eventsApplied, rangesMissed)
+	if eventsApplied < 300 || rangesMissed < 300 {
+		t.Errorf("%d events applied, %d ranges reported as missed in 100 histories, want at least 300 of each", eventsApplied, rangesMissed)
 	}
 }
 
+// safeguards maps the name of each safeguard to the setting that disables it.
 var safeguards = map[string]DisabledSafeguards{"garbled": {AcceptMalformed: true}, "epoch": {AcceptOldEpoch: true}, "missed": {HideMissedEvents: true}, "count-from-answer": {AgeFromResponseTime: true},
 	"parent's age": {IgnoreParentAge: true}, "partial": {AgeFromPartialResponse: true}, "late": {AcceptStaleResponse: true}, "torn": {ApplyPartialState: true}, "ring": {StartRelayWithoutRing: true}, "drift": {IgnoreClockDrift: true}}
 
-// With any one safeguard disabled some history violates an invariant: otherwise the histories above prove nothing.
-func TestEachSafeguardIsNeeded(t *testing.T) {
-	for without, u := range safeguards {
-		t.Run(without, func(t *testing.T) {
+// A safeguard whose absence no random history detects could break unnoticed.
+func TestClusterSafeguardDisabledViolatesInvariant(t *testing.T) {
+	for name, disabled := range safeguards {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(5_000) {
-				if w, history := playRandom(u, seed, 400); w.fault != "" {
-					t.Logf("seed %d, %d moves: %s", seed, len(history), w.fault)
+				if tc, history := runRandomHistory(disabled, seed, 400); tc.violation != "" {
+					t.Logf("seed %d, %d moves: %s", seed, len(history), tc.violation)
 					return
 				}
 			}
-			t.Error("no history violates an invariant without it")
+			t.Error("no history violates an invariant with the safeguard disabled")
 		})
 	}
 }
 
-// With a safeguard disabled, the same exploration finds a violation, where such short histories can have one.
-func TestSmallHistoriesShowWhatIsMissing(t *testing.T) {
-	for without, b := range map[string]bounds{"garbled": {steps: 1, agrees: 2, garbled: 1}, "count-from-answer": {steps: 2, agrees: 1},
-		"parent's age": {steps: 3, agrees: 1, deposed: 1}, "partial": {steps: 2, agrees: 2}, "late": {steps: 3, agrees: 1, late: 1},
-		"missed": {steps: 3, agrees: 1, restarts: 1}, "torn": {steps: 3, agrees: 1, restarts: 1}, "drift": {steps: 3, agrees: 1}} {
-		t.Run(without, func(t *testing.T) {
+// The exploration of TestClusterAllSmallHistoriesKeepInvariants could miss violations. With a safeguard disabled it must find one; the
+// test omits safeguards whose absence takes longer histories to show.
+func TestClusterSmallHistoriesSafeguardDisabledViolateInvariant(t *testing.T) {
+	for name, limits := range map[string]moveLimits{"garbled": {ticks: 1, commits: 2, corruptions: 1}, "count-from-answer": {ticks: 2, commits: 1},
+		"parent's age": {ticks: 3, commits: 1, leaderChanges: 1}, "partial": {ticks: 2, commits: 2}, "late": {ticks: 3, commits: 1, timeouts: 1},
+		"missed": {ticks: 3, commits: 1, restarts: 1}, "torn": {ticks: 3, commits: 1, restarts: 1}, "drift": {ticks: 3, commits: 1}} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, history, fault := explore(safeguards[without], followed(3), b)
-			if t.Logf("%d states; %s after %v", states, fault, history); fault == "" {
-				t.Error("none of them shows it")
+			states, history, violation := explore(safeguards[name], upToDateMoves(3), limits)
+			if t.Logf("%d states; %s after %v", states, violation, history); violation == "" {
+				t.Error("no history violates an invariant with the safeguard disabled")
 			}
 		})
 	}
 }
 
-// followed brings the children up to date with a few changes.
-func followed(agrees int) (all []move) {
-	pass := func() {
-		all = append(all, move{what: "tick"})
-		for range 1 + relays { // messages arrive in the order of the requests
-			all = append(all, move{what: "hear"}, move{what: "tell"})
+// upToDateMoves returns moves that commit some changes and bring all children up to date.
+func upToDateMoves(commits int) (moves []move) {
+	pollAll := func() {
+		moves = append(moves, move{kind: moveTick})
+		for range 1 + relayCount { // messages arrive in the order of the requests
+			moves = append(moves, move{kind: moveServeRequest}, move{kind: moveDeliverResponse})
 		}
 	}
-	pass()
-	pass()
-	for range agrees {
-		all = append(all, move{what: "agree"})
-		pass()
-		pass()
+	pollAll()
+	pollAll()
+	for range commits {
+		moves = append(moves, move{kind: moveCommit})
+		pollAll()
+		pollAll()
 	}
-	return all
+	return moves
 }
 
-// All histories within bounds of a cluster that is up to date: two relays, a node, a ring of two changes.
-func TestAllSmallHistories(t *testing.T) {
-	for _, b := range []bounds{{steps: 3, agrees: 1}, {steps: 2, agrees: 2, late: 1}, {steps: 2, agrees: 1, deposed: 1}, {steps: 2, agrees: 1, founded: 1},
-		{steps: 2, agrees: 2, restarts: 1}, {steps: 2, agrees: 2, lost: 1, garbled: 1}} {
-		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
+// All histories within some limits keep the invariants. They start from a cluster of two relays and a node, which are up to date, with
+// rings of two changes.
+func TestClusterAllSmallHistoriesKeepInvariants(t *testing.T) {
+	for _, limits := range []moveLimits{{ticks: 3, commits: 1}, {ticks: 2, commits: 2, timeouts: 1}, {ticks: 2, commits: 1, leaderChanges: 1}, {ticks: 2, commits: 1, newEpochs: 1},
+		{ticks: 2, commits: 2, restarts: 1}, {ticks: 2, commits: 2, losses: 1, corruptions: 1}} {
+		t.Run(fmt.Sprintf("%+v", limits), func(t *testing.T) {
 			if testing.Short() {
-				t.Skip("too many for the race detector")
+				t.Skip("too many histories for the race detector")
 			}
 			t.Parallel()
-			states, history, fault := explore(DisabledSafeguards{}, followed(3), b)
+			states, history, violation := explore(DisabledSafeguards{}, upToDateMoves(3), limits)
 			t.Log(states, "states")
-			if fault != "" || states >= maxStates {
-				t.Errorf("%d states; %s after %v", states, fault, history)
+			if violation != "" || states >= maxStates {
+				t.Errorf("%d states; %s after %v", states, violation, history)
 			}
 		})
 	}
