--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -10,13 +10,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hashedKey returns a purged key as it is sent: six bytes of its hash.
+// hashedKey returns the key of a purge: six bytes of a hash.
 func hashedKey(i int) string {
 	return string(binary.LittleEndian.AppendUint64(nil, xxhash.Sum64String(fmt.Sprint(i)))[:6])
 }
 
-// BenchmarkRespond measures a relay with a ring of ten minutes of purges, and one child that is a quarter of a second behind at
-// 120 a second, and the bytes that the changes take in a message.
+// BenchmarkRespond measures how a log with a ring of ten minutes of purges, at 120 a second, responds to a child that is a quarter of a
+// second behind. It reports the heap and the size of the encoded response per change.
 func BenchmarkRespond(b *testing.B) {
 	const ringChanges, changesBehind = 72_000, 30
 	var memBefore, memAfter runtime.MemStats
@@ -46,7 +46,7 @@
 	b.ReportMetric(float64(int64(memAfter.HeapAlloc)-int64(memBefore.HeapAlloc))/ringChanges, "heap-B/change")
 }
 
-// BenchmarkFollow measures a child that decodes, verifies and applies such a response.
+// BenchmarkFollow measures a follower that decodes, verifies and applies a response of 30 changes.
 func BenchmarkFollow(b *testing.B) {
 	const changesPerResponse = 30
 	h := &recordingHost{}
@@ -73,8 +73,9 @@
 	}
 }
 
-// BenchmarkFleet simulates ten seconds without faults, up to the operators' size of 23 regions with 826 nodes each, and reports the
-// latencies of a change to all nodes, and to the last. Run it with -benchtime 1x.
+// BenchmarkFleet simulates ten seconds without faults. The largest fleet has the size of the operators': 23 regions with 826 nodes
+// each. It reports the latencies of changes to each node and to the last node, the rate of requests and the largest age. Run it with
+// -benchtime 1x.
 func BenchmarkFleet(b *testing.B) {
 	for _, regionCount := range []int{3, 10, 23} {
 		b.Run(fmt.Sprint("nodes=", regionCount*826), func(b *testing.B) {
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -13,7 +13,7 @@
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
-// recordingHost is a follower's Host that records what it is called with.
+// recordingHost is a follower's Host that records the calls of its methods.
 type recordingHost struct {
 	requestedParents []int
 	lastRequest      Request
@@ -22,6 +22,7 @@
 	alarmAt          Time
 }
 
+// missedRange is the arguments of a call of EventsMissed.
 type missedRange struct{ epoch, after, upTo uint64 }
 
 func (h *recordingHost) Send(parent int, r Request) {
@@ -34,6 +35,8 @@
 }
 func (h *recordingHost) SetAlarm(t Time) { h.alarmAt = t }
 
+// fireAlarm calls the follower's Alarm at the time of the alarm. It returns the time of the alarm that is set afterwards, which is the
+// same unless the call set another.
 func (h *recordingHost) fireAlarm(f *Follower) (now Time) { f.Alarm(h.alarmAt); return h.alarmAt }
 func (h *recordingHost) lastParent() int                  { return h.requestedParents[len(h.requestedParents)-1] }
 
@@ -46,7 +49,7 @@
 
 var defaultConfig = Config{ParentCount: 5, HomeParentCount: 2, MinRequestInterval: 250 * lease.Millisecond, RetryBackoff: 100 * lease.Millisecond, MaxParentAge: 4700 * lease.Millisecond, MaxResponseBytes: 7700}
 
-// newSourceLog returns the log of an epoch's source with these changes.
+// newSourceLog returns the log of an epoch's source. It contains the changes, with revisions from 1.
 func newSourceLog(t testing.TB, epoch uint64, maxRingBytes int, changes ...Change) *Log {
 	t.Helper()
 	l := NewLog(maxRingBytes)
@@ -60,7 +63,7 @@
 	return l
 }
 
-// followUntilCurrent lets a follower poll a log until there is nothing new, and returns the number of requests.
+// followUntilCurrent lets a follower poll a log until a response brings no changes, and returns the number of requests.
 func (h *recordingHost) followUntilCurrent(t testing.TB, f *Follower, l *Log) (requests int) {
 	t.Helper()
 	for {
@@ -72,7 +75,7 @@
 			respBytes += changeBytes(c)
 		}
 		if len(resp.Changes) > 1 && respBytes > h.lastRequest.MaxBytes {
-			t.Fatalf("%d bytes of changes at once, want at most %d", respBytes, h.lastRequest.MaxBytes)
+			t.Fatalf("response has %d bytes of changes, want at most %d", respBytes, h.lastRequest.MaxBytes)
 		}
 		if err := f.HandleResponse(now, h.lastRequest.ID, resp); err != nil {
 			t.Fatal(err)
@@ -83,8 +86,9 @@
 	}
 }
 
-// Two logs that differ at one revision, as after a cluster was founded twice from one token: a child of the one that switches to
-// the other detects it, takes over the other's state, and reports that any event may be missed. Without the chain it never does.
+// Two logs of the same epoch can differ in one change, for example if a cluster is founded twice with the same token. A child that
+// switches from one to the other must detect this by the chain, replace its state and report all events as missed. Without the
+// chain it keeps a wrong state.
 func TestFollowerNewParentLogDivergesReplacesState(t *testing.T) {
 	for _, disabled := range []DisabledSafeguards{{}, {IgnoreChain: true}} {
 		first := newSourceLog(t, 7, 1<<10, configValue(0, "a", "1"), configValue(0, "b", "2"), purgeEvent(0, "x"))
@@ -103,35 +107,36 @@
 			t.Errorf("at %+v with %v, missed %v; want %+v with %v, missed %v", f.Position(), f.State(), h.missedRanges, second.Position(), second.State(), want)
 		}
 		if disabled.IgnoreChain && isReplaced {
-			t.Error("want a wrong state without the chain")
+			t.Error("state is right without comparing chains, want it wrong")
 		}
 	}
 }
 
-// A malformed response is refused with its fault; position, state and age stay as they were, and the next parent is polled.
+// A follower returns an error for a malformed response, keeps its position, state and age, and polls the next parent. It can follow a
+// valid parent afterwards.
 func TestFollowerMalformedResponseKeepsStateAndSwitchesParent(t *testing.T) {
 	l := newSourceLog(t, 7, 1<<10, configValue(0, "a", "1"), configValue(0, "b", "2"), purgeEvent(0, "x"))
 	for name, corrupt := range map[string]func(resp *Response){
-		"the first change is missing":  func(resp *Response) { resp.Changes = resp.Changes[1:] },
-		"the last change is missing":   func(resp *Response) { resp.Changes = resp.Changes[:1] },
-		"a change differs":             func(resp *Response) { resp.Changes[1].Key = "other" },
-		"a change comes twice":         func(resp *Response) { resp.Changes = append(resp.Changes, resp.Changes[1]) },
-		"of another place":             func(resp *Response) { resp.From-- },
-		"of another epoch":             func(resp *Response) { resp.Epoch++ },
-		"another chain":                func(resp *Response) { resp.Chain++ },
+		"first change missing":         func(resp *Response) { resp.Changes = resp.Changes[1:] },
+		"last change missing":          func(resp *Response) { resp.Changes = resp.Changes[:1] },
+		"change altered":               func(resp *Response) { resp.Changes[1].Key = "other" },
+		"change duplicated":            func(resp *Response) { resp.Changes = append(resp.Changes, resp.Changes[1]) },
+		"other starting revision":      func(resp *Response) { resp.From-- },
+		"other epoch":                  func(resp *Response) { resp.Epoch++ },
+		"other chain":                  func(resp *Response) { resp.Chain++ },
 		"no topic":                     func(resp *Response) { resp.Changes[0].Topic = "" },
-		"a value over its bound":       func(resp *Response) { resp.Changes[0].Value = make([]byte, maxValueBytes+1) },
-		"an age below nothing":         func(resp *Response) { resp.Age = -1 },
+		"value too long":               func(resp *Response) { resp.Changes[0].Value = make([]byte, maxValueBytes+1) },
+		"negative age":                 func(resp *Response) { resp.Age = -1 },
 		"state of an earlier epoch":    func(resp *Response) { resp.Buckets, resp.Epoch, resp.Complete = map[int][]Change{}, 6, true },
 		"state of an earlier revision": func(resp *Response) { resp.Buckets, resp.Revision, resp.Complete = map[int][]Change{}, 2, true },
-		"a key in another's bucket": func(resp *Response) {
+		"key in the wrong bucket": func(resp *Response) {
 			resp.Buckets = map[int][]Change{bucketOf(stateKey(configValue(0, "a", ""))) ^ 1: {configValue(1, "a", "1")}}
 		},
-		"an event as state": func(resp *Response) {
+		"event in the state": func(resp *Response) {
 			resp.Buckets = map[int][]Change{bucketOf(stateKey(purgeEvent(0, "x"))): {purgeEvent(1, "x")}}
 		},
-		"a ring that doesn't lead there":   func(resp *Response) { resp.Buckets, resp.Ring = map[int][]Change{}, []Change{purgeEvent(1, "x")} },
-		"below the floor, and yet changes": func(resp *Response) { resp.BelowFloor = true },
+		"ring that ends at another position": func(resp *Response) { resp.Buckets, resp.Ring = map[int][]Change{}, []Change{purgeEvent(1, "x")} },
+		"changes with BelowFloor set":        func(resp *Response) { resp.BelowFloor = true },
 	} {
 		h := &recordingHost{}
 		f := NewFollower(h, 0, defaultConfig, nil, DisabledSafeguards{})
@@ -153,23 +158,24 @@
 		ageBefore, _ := f.Age(now)
 		err := f.HandleResponse(now, h.lastRequest.ID, resp)
 		if !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrEpoch) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrMalformed or ErrEpoch", name, err)
 		}
 		ageAfter, _ := f.Age(now)
 		if f.Position() != position || !reflect.DeepEqual(f.State(), state) || len(h.appliedChanges) != appliedBefore || ageBefore != ageAfter || f.stagedState != nil {
-			t.Errorf("%s: from %+v to %+v, state %v, %d applied, age %d to %d", name, position, f.Position(), f.State(), len(h.appliedChanges)-appliedBefore, ageBefore, ageAfter)
+			t.Errorf("%s: position changed from %+v to %+v, state is %v, %d changes applied, age changed from %d to %d", name, position, f.Position(), f.State(), len(h.appliedChanges)-appliedBefore, ageBefore, ageAfter)
 		}
 		if h.fireAlarm(f); h.lastParent() == parent {
-			t.Errorf("%s: the same parent is polled again", name)
+			t.Errorf("%s: the same parent is polled again, want the next", name)
 		}
 		h.followUntilCurrent(t, f, extended)
 		if f.Position() != extended.Position() {
-			t.Errorf("%s: at %+v afterwards, want %+v", name, f.Position(), extended.Position())
+			t.Errorf("%s: position %+v after polling a valid parent, want %+v", name, f.Position(), extended.Position())
 		}
 	}
 }
 
-// A child far behind takes as much at a time as it requests, from its own position; that delays no sibling and loses nothing.
+// A child that is far behind receives all changes from its position on, in responses of at most its own MaxBytes. It doesn't delay
+// another child of the same parent.
 func TestFollowerFarBehindReceivesAllChanges(t *testing.T) {
 	l := newSourceLog(t, 7, 1<<20)
 	slowHost, quickHost := &recordingHost{}, &recordingHost{}
@@ -186,23 +192,24 @@
 		}
 		if i%500 == 499 {
 			if requests, want := quickHost.followUntilCurrent(t, quick, l), 500/(defaultConfig.MaxResponseBytes/eventBytes)+2; requests > want {
-				t.Errorf("the quick one asked %d times for 500, want %d", requests, want)
+				t.Errorf("quick child sent %d requests for 500 changes, want at most %d", requests, want)
 			}
 		}
 	}
 	if requests, want := slowHost.followUntilCurrent(t, slow, l), eventCount/(slowConfig.MaxResponseBytes/eventBytes)+2; requests > want {
-		t.Errorf("the slow one asked %d times, want %d", requests, want)
+		t.Errorf("slow child sent %d requests, want at most %d", requests, want)
 	}
 	for _, h := range []*recordingHost{slowHost, quickHost} {
 		for i, c := range h.appliedChanges {
 			if c.Revision != uint64(i+1) || len(h.appliedChanges) != eventCount {
-				t.Fatalf("change %d of %d is %d", i, len(h.appliedChanges), c.Revision)
+				t.Fatalf("change %d of %d has revision %d", i, len(h.appliedChanges), c.Revision)
 			}
 		}
 	}
 }
 
-// A child from before the ring fetches the buckets of state that differ, installs them in one step, and reports what it missed.
+// A child whose position is below the floor of the parent's ring fetches the buckets of the state that differ, installs them in one
+// step, and reports the events that it missed.
 func TestFollowerBelowRingFloorFetchesDifferingBuckets(t *testing.T) {
 	l := newSourceLog(t, 7, 200)
 	add := func(c Change) {
@@ -237,11 +244,12 @@
 		t.Errorf("at %+v, missed %v; want %+v, %v", f.Position(), h.missedRanges, l.Position(), want)
 	}
 	if _, known := f.Age(now); !known {
-		t.Error("no age")
+		t.Error("age is unknown after a complete response")
 	}
 }
 
-// A follower tries its own region's relays first, then others; after ten seconds there it tries its own again.
+// A follower polls the parents of its own region first, then others. After ten seconds with a parent of another region it tries its
+// own region again. Without any response, its backoff limits the rate of requests.
 func TestFollowerParentsFailTriesHomeRegionFirst(t *testing.T) {
 	l := newSourceLog(t, 7, 200, purgeEvent(0, "x"))
 	h := &recordingHost{}
@@ -259,7 +267,7 @@
 		}
 	}
 	if fmt.Sprint(h.requestedParents[:4]) != "[0 1 2 3]" || firstResponseAt > 2000*lease.Millisecond {
-		t.Errorf("%v, the first response after %d ms", h.requestedParents[:4], firstResponseAt/lease.Millisecond)
+		t.Errorf("first parents polled are %v, first response after %d ms; want [0 1 2 3], within 2000 ms", h.requestedParents[:4], firstResponseAt/lease.Millisecond)
 	}
 	homeRequests := 0
 	for _, parent := range h.requestedParents[4:] {
@@ -268,17 +276,18 @@
 		}
 	}
 	if homeRequests != 2 {
-		t.Errorf("it tried its own region %d times in 30 s, want 2: %v", homeRequests, h.requestedParents)
+		t.Errorf("own region polled %d times in 30 s, want 2; parents polled: %v", homeRequests, h.requestedParents)
 	}
 	requestsBefore := len(h.requestedParents)
 	for now := h.fireAlarm(f); now < 60_000*lease.Millisecond; now = h.fireAlarm(f) {
 		f.HandleTimeout(now, h.lastRequest.ID)
 	}
 	if requests := len(h.requestedParents) - requestsBefore; requests > 40 {
-		t.Errorf("%d requests in 30 s without any response", requests)
+		t.Errorf("%d requests in 30 s without any response, want at most 40", requests)
 	}
 }
 
+// drawChanges draws up to 20 changes, some of which aren't consecutive.
 func drawChanges(t *rapid.T) (changes []Change) {
 	for i := range rapid.IntRange(0, 20).Draw(t, "count") {
 		c := Change{Revision: uint64(i + rapid.SampledFrom([]int{1, 1, 1, 7}).Draw(t, "revision")), Topic: rapid.StringMatching(`[a-c]{1,3}`).Draw(t, "topic"),
@@ -294,22 +303,22 @@
 	return changes
 }
 
-// Encoded changes are decoded as they were; input that is cut short or has a byte changed is decoded otherwise or refused with
-// ErrMalformed.
+// Decode returns the changes that were encoded. For input that is truncated or has a byte altered, it returns other changes or
+// ErrMalformed, but doesn't panic.
 func TestDecodeEncodedChangesReturnsSameChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		changes := drawChanges(t)
 		b := Encode(changes)
 		decoded, err := Decode(b)
 		if err != nil || !reflect.DeepEqual(decoded, changes) {
-			t.Fatalf("%v %v, want %v", decoded, err, changes)
+			t.Fatalf("decoded %v, error %v; want %v", decoded, err, changes)
 		}
 		if reencoded := Encode(decoded); !bytes.Equal(reencoded, b) {
-			t.Fatalf("%x, want %x", reencoded, b)
+			t.Fatalf("encoding of the decoded changes is %x, want %x", reencoded, b)
 		}
 		prefixBytes := rapid.IntRange(0, len(b)).Draw(t, "prefix bytes")
 		if decoded, err := Decode(b[:prefixBytes]); err == nil && len(decoded) > len(changes) || err != nil && !errors.Is(err, ErrMalformed) {
-			t.Fatalf("cut at %d: %d changes, %v", prefixBytes, len(decoded), err)
+			t.Fatalf("input truncated to %d bytes: %d changes, error %v", prefixBytes, len(decoded), err)
 		}
 		index := rapid.IntRange(0, len(b)-1).Draw(t, "index")
 		b[index] ^= byte(rapid.IntRange(1, 255).Draw(t, "mask"))
