--- a/changelog/encoding.go
+++ b/changelog/encoding.go
@@ -5,48 +5,49 @@
 	"fmt"
 )
 
-// Changes are encoded as a version byte, and for each change a byte of flags and the fields that they announce. What is the same as
-// in the change before is left out: a purge by six bytes of its key takes 8 bytes, a tenth of its form with named fields.
+// Changes are encoded as a version byte followed by the changes. Each change is a byte of flags, the key, and the optional fields
+// that the flags announce. A topic that equals the one of the previous change, and a revision that is one above it, are omitted. A
+// purge whose key has six bytes takes 8 bytes, a tenth of an encoding with named fields.
 
 const (
 	encodingVersion = 1
-	maxEncodedBytes = 512 << 10
+	maxEncodedBytes = 512 << 10 // limit on the input of Decode
 )
 
-// The flags of a change. The last three say which fields follow beside the key.
+// Flags of an encoded change. flagTopic, flagValue and flagRevision announce optional fields.
 const (
 	flagEvent = 1 << iota
 	flagDeleted
 	flagTopic
 	flagValue
 	flagRevision
-	flagEnd // above all flags
+	flagEnd // first value above all combinations of flags
 )
 
-// Encode encodes changes for one field of a message.
+// Encode encodes consecutive changes for a field of a message.
 func Encode(changes []Change) []byte {
 	b := []byte{encodingVersion}
-	var before Change
+	var previous Change
 	for _, c := range changes {
-		flags := flagsOf(c, before)
+		flags := changeFlags(c, previous)
 		b = append(b, flags)
 		if flags&flagRevision != 0 {
 			b = binary.AppendUvarint(b, c.Revision)
 		}
 		if flags&flagTopic != 0 {
-			b = appendText(b, c.Topic)
+			b = appendString(b, c.Topic)
 		}
-		b = appendText(b, c.Key)
+		b = appendString(b, c.Key)
 		if flags&flagValue != 0 {
-			b = appendText(b, string(c.Value))
+			b = appendString(b, string(c.Value))
 		}
-		before = c
+		previous = c
 	}
 	return b
 }
 
-// flagsOf returns the flags of a change that follows another one.
-func flagsOf(c, before Change) (flags byte) {
+// changeFlags returns the flags of change c, given the change encoded before it.
+func changeFlags(c, previous Change) (flags byte) {
 	set := func(flag byte, condition bool) {
 		if condition {
 			flags |= flag
@@ -54,100 +55,104 @@
 	}
 	set(flagEvent, c.Event)
 	set(flagDeleted, c.Deleted)
-	set(flagTopic, c.Topic != before.Topic)
+	set(flagTopic, c.Topic != previous.Topic)
 	set(flagValue, len(c.Value) > 0)
-	set(flagRevision, c.Revision != before.Revision+1)
+	set(flagRevision, c.Revision != previous.Revision+1)
 	return flags
 }
 
-func appendText(b []byte, s string) []byte {
+// appendString appends the length of s as a varint, and s.
+func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Decode decodes changes. What can't be decoded is refused as a whole, with an error that wraps ErrMalformed.
+// Decode decodes the output of Encode. If any part of the input is invalid, it returns no changes and an error that wraps
+// ErrMalformed.
 func Decode(b []byte) ([]Change, error) {
 	if len(b) == 0 || b[0] != encodingVersion || len(b) > maxEncodedBytes {
-		return nil, fmt.Errorf("%w: %d encoded bytes, expected version %d and at most %d", ErrMalformed, len(b), encodingVersion, maxEncodedBytes)
+		return nil, fmt.Errorf("%w: input has %d bytes; expected encoding version %d and at most %d bytes", ErrMalformed, len(b), encodingVersion, maxEncodedBytes)
 	}
-	d := decoder{rest: b[1:], length: len(b)}
-	for len(d.rest) > 0 {
-		if err := d.change(); err != nil {
+	d := decoder{remaining: b[1:], inputBytes: len(b)}
+	for len(d.remaining) > 0 {
+		if err := d.readChange(); err != nil {
 			return nil, err
 		}
 	}
 	return d.changes, nil
 }
 
-// decoder reads changes one after the other.
+// decoder holds the progress of decoding a sequence of changes.
 type decoder struct {
-	rest    []byte
-	length  int // of the whole input
-	changes []Change
-	before  Change // the latest of changes
+	remaining  []byte
+	inputBytes int // size of the whole input
+	changes    []Change
+	previous   Change // last element of changes, or the zero Change
 }
 
-// change decodes the next change.
-func (d *decoder) change() error {
-	flags := d.rest[0]
-	d.rest = d.rest[1:]
+// readChange decodes one change and appends it to d.changes.
+func (d *decoder) readChange() error {
+	flags := d.remaining[0]
+	d.remaining = d.remaining[1:]
 	if flags >= flagEnd {
-		return d.fail("flags")
+		return d.fieldError("flags")
 	}
 	c := Change{
-		Revision: d.before.Revision + 1,
-		Topic:    d.before.Topic,
+		Revision: d.previous.Revision + 1,
+		Topic:    d.previous.Topic,
 		Event:    flags&flagEvent != 0,
 		Deleted:  flags&flagDeleted != 0,
 	}
 	ok := true
 	if flags&flagRevision != 0 {
-		if c.Revision, ok = d.number(); !ok {
-			return d.fail("revision")
+		if c.Revision, ok = d.readUvarint(); !ok {
+			return d.fieldError("revision")
 		}
 	}
 	if flags&flagTopic != 0 {
-		if c.Topic, ok = d.text(maxNameBytes); !ok {
-			return d.fail("topic")
+		if c.Topic, ok = d.readString(maxNameBytes); !ok {
+			return d.fieldError("topic")
 		}
 	}
-	if c.Key, ok = d.text(maxNameBytes); !ok {
-		return d.fail("key")
+	if c.Key, ok = d.readString(maxNameBytes); !ok {
+		return d.fieldError("key")
 	}
 	if flags&flagValue != 0 {
-		value, ok := d.text(maxValueBytes)
+		value, ok := d.readString(maxValueBytes)
 		if !ok {
-			return d.fail("value")
+			return d.fieldError("value")
 		}
 		c.Value = []byte(value)
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return err
 	}
 	d.changes = append(d.changes, c)
-	d.before = c
+	d.previous = c
 	return nil
 }
 
-// fail returns the error of a field that can't be decoded.
-func (d *decoder) fail(field string) error {
-	return fmt.Errorf("%w: %s of change %d, before byte %d", ErrMalformed, field, len(d.changes), d.length-len(d.rest))
+// fieldError returns an error about a field that can't be decoded.
+func (d *decoder) fieldError(field string) error {
+	return fmt.Errorf("%w: invalid %s of change %d, before byte %d", ErrMalformed, field, len(d.changes), d.inputBytes-len(d.remaining))
 }
 
-func (d *decoder) number() (uint64, bool) {
-	n, size := binary.Uvarint(d.rest)
+// readUvarint consumes a varint. It returns false if there is no valid one.
+func (d *decoder) readUvarint() (uint64, bool) {
+	n, size := binary.Uvarint(d.remaining)
 	if size <= 0 {
 		return 0, false
 	}
-	d.rest = d.rest[size:]
+	d.remaining = d.remaining[size:]
 	return n, true
 }
 
-func (d *decoder) text(maxBytes uint64) (string, bool) {
-	n, ok := d.number()
-	if !ok || n > maxBytes || n > uint64(len(d.rest)) {
+// readString consumes a length and a string of at most maxBytes. It returns false if the length exceeds maxBytes or the input.
+func (d *decoder) readString(maxBytes uint64) (string, bool) {
+	n, ok := d.readUvarint()
+	if !ok || n > maxBytes || n > uint64(len(d.remaining)) {
 		return "", false
 	}
-	s := string(d.rest[:n])
-	d.rest = d.rest[n:]
+	s := string(d.remaining[:n])
+	d.remaining = d.remaining[n:]
 	return s, true
 }
