--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -35,9 +35,9 @@
 )
 
 // Adds up the constants for each case, plus busyAllowance for a busy machine. The test fails if a constant of this package or of the balancer is
-// raised too far. TestPollIntervalBoundedWithoutSubscription checks that the waits between polls stay within PollSpread and MaxPollWait.
+// raised too far. TestPollIntervalBoundedWithoutSubscription checks that the waits between polls stay within PollSpread and MaxPollGap.
 func TestListDelayConstantsWithinLimits(t *testing.T) {
-	spread, maxWait := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollWait)
+	spread, maxWait := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollGap)
 	for _, c := range []struct {
 		name  string
 		sum   time.Duration
--- a/internal/net/dispatch/alarms.go
+++ b/internal/net/dispatch/alarms.go
@@ -56,7 +56,7 @@
 		defer d.alarms.resetTimer(d.clock)
 		for len(d.alarms.pending) > 0 && d.alarms.pending[0].fireAt <= now {
 			due := heap.Pop(&d.alarms.pending).(alarm)
-			d.balancer.Alarm(now, due.handle)
+			d.balancer.HandleAlarm(now, due.handle)
 		}
 	})
 }
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -61,7 +61,7 @@
 	case NoResources, NotConnected:
 		return routing.NotSent
 	case Withheld:
-		return routing.Withheld
+		return routing.EndedBeforeWrite
 	case Bypassed, Canceled:
 		return routing.Canceled
 	default:
@@ -72,7 +72,7 @@
 // MayHaveRun reports whether the server may have executed the request, as the result does not prove that it did not.
 func (r AttemptResult) MayHaveRun() bool {
 	switch r.Code() {
-	case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.Withheld:
+	case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.EndedBeforeWrite:
 		return false
 	default:
 		return true
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -162,7 +162,7 @@
 		}
 		d.requests.add(r)
 		d.stats.Requests++
-		d.balancer.Request(now, r.index, routing.Request{
+		d.balancer.StartRequest(now, r.index, routing.Request{
 			Class:     class,
 			Tenant:    tenant,
 			Key:       request.Key,
--- a/internal/net/dispatch/endpoints_test.go
+++ b/internal/net/dispatch/endpoints_test.go
@@ -25,7 +25,7 @@
 func TestCloseIdleUsesIncarnation(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
-	d.withLock("test", nil, func(routing.Time) { host{d}.CloseIdle(1, 0) })
+	d.withLock("test", nil, func(routing.Time) { host{d}.CloseIdleConnections(1, 0) })
 	if len(transport.closedIdle) != 1 || transport.closedIdle[0] != d.endpoints.entries[1].incarnation || d.Stats().Panics != 0 {
 		t.Errorf("closed idle connections of %v", transport.closedIdle)
 	}
--- a/internal/net/dispatch/host.go
+++ b/internal/net/dispatch/host.go
@@ -53,8 +53,8 @@
 // Subscribe starts to fetch and watch the endpoint list.
 func (h host) Subscribe() { h.endpointSource.Subscribe() }
 
-// CloseIdle closes an endpoint's idle connections, except for keep of them.
-func (h host) CloseIdle(endpointIndex, keep int) {
+// CloseIdleConnections closes an endpoint's idle connections, except for keep of them.
+func (h host) CloseIdleConnections(endpointIndex, keep int) {
 	h.transport.CloseIdle(h.endpoints.entries[endpointIndex].incarnation, keep)
 }
 
--- a/internal/net/dispatch/random_test.go
+++ b/internal/net/dispatch/random_test.go
@@ -60,7 +60,7 @@
 			}
 			result := AttemptResult(random.Intn(int(attemptResultCount)))
 			switch result.Code() {
-			case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.Withheld:
+			case routing.Rejected, routing.ConnectFailed, routing.NotSent, routing.NotFound, routing.ConnectionLimit, routing.ConnectTimeout, routing.EndedBeforeWrite:
 			default:
 				byPending[attempt.pending].mayHaveRun = true
 			}
--- a/internal/simulation/ejections.go
+++ b/internal/simulation/ejections.go
@@ -27,7 +27,7 @@
 // ejector is a policy that ejects servers, and hears of others' probes.
 type ejector interface {
 	IsEjected(server int) bool
-	ProbeResult(now routing.Time, server int, healthy bool, next routing.Time)
+	ReportProbeResult(now routing.Time, server int, healthy bool, next routing.Time)
 }
 
 // The nodes find out at run time whether their policy is one.
@@ -93,7 +93,9 @@
 						continue
 					}
 					if news, known := board.ReportEjected(lease.Time(w.clock.now), n.known[server].ID, ""); known {
-						w.clock.in(2*way, func() { r.ProbeResult(w.clock.now, server, news.Healthy, w.clock.now+routing.Time(news.NextProbe)) })
+						w.clock.in(2*way, func() {
+							r.ReportProbeResult(w.clock.now, server, news.Healthy, w.clock.now+routing.Time(news.NextProbe))
+						})
 					}
 				}
 			}
--- a/internal/simulation/emulator_test.go
+++ b/internal/simulation/emulator_test.go
@@ -186,7 +186,7 @@
 	h.plain.UpdateEndpoints(now, how, boxes)
 }
 
-func (h *heedless) Request(now routing.Time, lkp int, in routing.Request) {
+func (h *heedless) StartRequest(now routing.Time, lkp int, in routing.Request) {
 	h.lkps[lkp] = &plainLookup{Request: in, tried: []int{h.newest}}
 	h.host.Send(lkp, h.newest, in.Deadline-now)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -81,7 +81,7 @@
 	if r.write {
 		in.Class = 1
 	}
-	n.policy.Request(n.w.clock.now, l.index, in)
+	n.policy.StartRequest(n.w.clock.now, l.index, in)
 }
 
 // Send is for routing.Host, as all below.
@@ -136,12 +136,12 @@
 	n.w.clock.in(n.w.delay(), func() { n.list(routing.Full, n.w.boxes()) })
 }
 
-// CloseIdle does nothing: connections cost nothing here.
-func (n *node) CloseIdle(int, int) {}
+// CloseIdleConnections does nothing: connections cost nothing here.
+func (n *node) CloseIdleConnections(int, int) {}
 
 // SetAlarm books an alarm.
 func (n *node) SetAlarm(at routing.Time, handle int) {
-	n.w.clock.in(at-n.w.clock.now, func() { n.policy.Alarm(n.w.clock.now, handle) })
+	n.w.clock.in(at-n.w.clock.now, func() { n.policy.HandleAlarm(n.w.clock.now, handle) })
 }
 
 func (n *node) end(l *pendingRequest, how outcome, retryAfter routing.Time) {
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -13,11 +13,11 @@
 
 // Policy is what a node decides by; routing.Balancer is one.
 type Policy interface {
-	Request(now routing.Time, lkp int, in routing.Request)
+	StartRequest(now routing.Time, lkp int, in routing.Request)
 	AttemptDone(now routing.Time, lkp, number int, code routing.Result, ended bool)
 	ClientGone(now routing.Time, lkp int)
 	UpdateEndpoints(now routing.Time, how routing.UpdateKind, boxes []routing.Endpoint)
-	Alarm(now routing.Time, handle int)
+	HandleAlarm(now routing.Time, handle int)
 }
 
 // maker starts a policy for one node.
@@ -106,7 +106,7 @@
 	}
 }
 
-func (p *plain) Alarm(routing.Time, int) { p.host.Subscribe() }
+func (p *plain) HandleAlarm(routing.Time, int) { p.host.Subscribe() }
 
 func (p *plain) ClientGone(_ routing.Time, lkp int) { delete(p.lkps, lkp) }
 
@@ -130,7 +130,7 @@
 	slices.Sort(p.ready)
 }
 
-func (p *plain) Request(now routing.Time, lkp int, in routing.Request) {
+func (p *plain) StartRequest(now routing.Time, lkp int, in routing.Request) {
 	key, _ := strconv.ParseUint(in.Key, 10, 64)
 	p.lkps[lkp] = &plainLookup{Request: in, key: key}
 	p.next(now, lkp)
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -153,7 +153,7 @@
 	case "started", "client-left": // the simulator forwards a started answer without the balancer
 		n.clientGone(m.requestID, now)
 	case "alarm":
-		n.balancer.Alarm(now, m.alarm)
+		n.balancer.HandleAlarm(now, m.alarm)
 	case "peers-known":
 		return n.updateEndpoints(m, now)
 	case "power-off":
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -46,9 +46,9 @@
 	n.orders.end()
 }
 
-// CloseIdle implements routing.Host. The wire can only close all idle
+// CloseIdleConnections implements routing.Host. The wire can only close all idle
 // connections to a server, so nothing is closed if some are to be kept.
-func (n *instance) CloseIdle(server, keep int) {
+func (n *instance) CloseIdleConnections(server, keep int) {
 	if keep > 0 {
 		return
 	}
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -72,7 +72,7 @@
 		tenant = noTenant
 	}
 	index := n.newRequest(strings.Clone(m.requestID))
-	n.balancer.Request(now, index, routing.Request{
+	n.balancer.StartRequest(now, index, routing.Request{
 		Class:    class,
 		Tenant:   tenant,
 		Key:      m.key,
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -79,13 +79,13 @@
 	}
 }
 
-// The other tests have no idle connections to close, so this one calls CloseIdle
+// The other tests have no idle connections to close, so this one calls CloseIdleConnections
 // and checks the order that it writes.
 func TestCloseIdleWritesHangUpOrder(t *testing.T) {
 	s := &session{}
 	n := &instance{serverIDs: []string{"10.0.0.1:1", "10.0.0.2:1"}, orders: &orderWriter{w: &s.reply, instance: "node_0"}}
-	n.CloseIdle(1, 0)
-	n.CloseIdle(0, 1) // the wire has no order for this
+	n.CloseIdleConnections(1, 0)
+	n.CloseIdleConnections(0, 1) // the wire has no order for this
 	n.orders.close()
 	if text, _ := s.reply.BuildBytes(); string(text) != `{"node":"node_0","orders":[{"what":"hang-up","server":"10.0.0.2:1"}]}` {
 		t.Errorf("wrote %s", text)
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -78,11 +78,11 @@
 	return b
 }
 
-// Request starts a client's request. The request gets exactly one final answer:
+// StartRequest starts a client's request. The request gets exactly one final answer:
 // an attempt that ends it, Host.Reject or Host.Fail.
-func (b *Balancer) Request(now Time, id int, request Request) {
+func (b *Balancer) StartRequest(now Time, id int, request Request) {
 	b.advanceClock(now)
-	r := b.startRequest(id, request)
+	r := b.initRequest(id, request)
 	if !b.admit(r) {
 		b.rejectOrFail(id)
 		return
@@ -110,9 +110,9 @@
 	}
 }
 
-// Alarm reports that a time passed to Host.SetAlarm has been reached. A stale
+// HandleAlarm reports that a time passed to Host.SetAlarm has been reached. A stale
 // alarm has no effect.
-func (b *Balancer) Alarm(now Time, handle int) {
+func (b *Balancer) HandleAlarm(now Time, handle int) {
 	b.advanceClock(now)
 	if handle == pollAlarmHandle {
 		b.pollIfDue()
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -36,12 +36,12 @@
 	nextID   int
 }
 
-func (h *benchHost) Send(id, _ int, _ Time) { h.inFlight = append(h.inFlight, id) }
-func (h *benchHost) Reject(id int, _ Time)  { h.freeIDs = append(h.freeIDs, id) }
-func (h *benchHost) Fail(id int)            { h.freeIDs = append(h.freeIDs, id) }
-func (h *benchHost) Subscribe()             {}
-func (h *benchHost) CloseIdle(int, int)     {}
-func (h *benchHost) SetAlarm(Time, int)     {}
+func (h *benchHost) Send(id, _ int, _ Time)        { h.inFlight = append(h.inFlight, id) }
+func (h *benchHost) Reject(id int, _ Time)         { h.freeIDs = append(h.freeIDs, id) }
+func (h *benchHost) Fail(id int)                   { h.freeIDs = append(h.freeIDs, id) }
+func (h *benchHost) Subscribe()                    {}
+func (h *benchHost) CloseIdleConnections(int, int) {}
+func (h *benchHost) SetAlarm(Time, int)            {}
 
 // key returns a random key.
 func (h *benchHost) key() string { return fmt.Sprint("object/", h.zipf.Uint64()) }
@@ -57,7 +57,7 @@
 	} else {
 		h.nextID++
 	}
-	h.b.Request(h.now, id, Request{Tenant: -1, Key: key, Deadline: h.now + 750*Millisecond})
+	h.b.StartRequest(h.now, id, Request{Tenant: -1, Key: key, Deadline: h.now + 750*Millisecond})
 	if len(h.inFlight) > benchInFlight {
 		h.answer()
 	}
--- a/routing/config.go
+++ b/routing/config.go
@@ -76,8 +76,8 @@
 		SlowStartWindow: 30000 * Millisecond,
 		OverloadFactor:  2.0,
 		OverloadWindow:  1000 * Millisecond,
-		MaxPollInterval: 2 * MaxPollWait,
-		PushedGrace:     pushedGraceDivisor * MaxPollWait,
+		MaxPollInterval: 2 * MaxPollGap,
+		PushedGrace:     pushedGraceDivisor * MaxPollGap,
 	}
 }
 
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -15,7 +15,7 @@
 //
 // The usual path of a request:
 //
-//	Request        startRequest, admit     shedding.go
+//	StartRequest   initRequest, admit      shedding.go
 //	               advance                 request.go: wait, send or end
 //	                 mayAttempt            retry.go: whether one more attempt is allowed
 //	                 pickServer            selection.go
--- a/routing/fake_test.go
+++ b/routing/fake_test.go
@@ -17,8 +17,8 @@
 	endpoints     []Endpoint
 	alarms        map[int][]Time
 	polls         int
-	closeAllCalls int      // calls of CloseIdle that keep no connection
-	lastKeep      int      // keep of the latest call of CloseIdle
+	closeAllCalls int      // calls of CloseIdleConnections that keep no connection
+	lastKeep      int      // keep of the latest call of CloseIdleConnections
 	violations    []string // broken rules
 	streamReads   bool     // whether reads may be streamed, too
 }
@@ -94,7 +94,7 @@
 
 func (f *fakeHost) Subscribe() { f.polls++ }
 
-func (f *fakeHost) CloseIdle(_, keep int) {
+func (f *fakeHost) CloseIdleConnections(_, keep int) {
 	if f.lastKeep = keep; keep == 0 {
 		f.closeAllCalls++
 	}
@@ -155,7 +155,7 @@
 	request := &fakeRequest{idempotence: idempotences[class], deadline: deadline}
 	f.requests[id] = request
 	request.streaming = (write || f.streamReads) && f.rnd.Intn(4) == 0
-	f.b.Request(f.now, id, Request{Class: class, Tenant: class % 2, Key: key, Write: write, Deadline: deadline,
+	f.b.StartRequest(f.now, id, Request{Class: class, Tenant: class % 2, Key: key, Write: write, Deadline: deadline,
 		Streaming: request.streaming})
 	return id, request
 }
@@ -174,7 +174,7 @@
 	f.bodySent(id, attempt)
 	request.attempts[attempt].done, request.attempts[attempt].result = true, result
 	request.inFlight--
-	if result == Withheld && !request.ended { // this result is possible only after the request has ended
+	if result == EndedBeforeWrite && !request.ended { // this result is possible only after the request has ended
 		request.ended = true
 		f.b.ClientGone(f.now, id)
 	}
@@ -198,7 +198,7 @@
 		f.alarms[handle] = slices.DeleteFunc(slices.Clone(due), func(alarmTime Time) bool { return alarmTime <= f.now })
 		for _, alarmTime := range due {
 			if alarmTime <= f.now {
-				f.b.Alarm(f.now, handle)
+				f.b.HandleAlarm(f.now, handle)
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 		class := f.rnd.Intn(3)
 		f.request(class, key, class > 0 && f.rnd.Intn(2) == 0, deadline)
 	case r < 80:
-		f.finishRandomAttempt(Result(f.rnd.Intn(int(Withheld) + 1)))
+		f.finishRandomAttempt(Result(f.rnd.Intn(int(EndedBeforeWrite) + 1)))
 	case r < 82 && len(f.requests) > 0:
 		if id := f.rnd.Intn(len(f.requests)); !f.requests[id].ended {
 			f.requests[id].ended = true
@@ -233,7 +233,7 @@
 			}
 		}
 	case r < 84:
-		f.b.Alarm(f.now, f.rnd.Intn(50)) // a stale alarm
+		f.b.HandleAlarm(f.now, f.rnd.Intn(50)) // a stale alarm
 	case r < 88:
 		endpoint := &f.endpoints[f.rnd.Intn(len(f.endpoints))]
 		endpoint.State = State(f.rnd.Intn(3))
--- a/routing/host.go
+++ b/routing/host.go
@@ -39,11 +39,11 @@
 	// may never be answered.
 	Subscribe()
 
-	// CloseIdle closes the idle connections to a server, except for keep of
+	// CloseIdleConnections closes the idle connections to a server, except for keep of
 	// them. A later attempt opens a new connection if none is idle.
-	CloseIdle(server, keep int)
+	CloseIdleConnections(server, keep int)
 
-	// SetAlarm requests a call of Balancer.Alarm with this handle at alarmTime
+	// SetAlarm requests a call of Balancer.HandleAlarm with this handle at alarmTime
 	// or soon after.
 	SetAlarm(alarmTime Time, handle int)
 }
--- a/routing/idle.go
+++ b/routing/idle.go
@@ -27,12 +27,12 @@
 	s.lastDoneAt = b.now
 	switch {
 	case s.isOrigin:
-		b.host.CloseIdle(server, b.originConnections(s))
+		b.host.CloseIdleConnections(server, b.originConnections(s))
 	case refused: // not after ConnectTimeout: a dead server is not at its connection limit
 		b.shrinkIdleTimeout()
 	case s.inFlight == 0 && b.idleTimeout < minIdleTimeout:
 		s.hasIdleConnection = false
-		b.host.CloseIdle(server, 0)
+		b.host.CloseIdleConnections(server, 0)
 	}
 }
 
@@ -52,7 +52,7 @@
 	for server, s := range b.servers {
 		if s != nil && s.inFlight == 0 && s.hasIdleConnection && b.now >= s.lastDoneAt+b.idleTimeout {
 			s.hasIdleConnection = false
-			b.host.CloseIdle(server, 0)
+			b.host.CloseIdleConnections(server, 0)
 		}
 	}
 }
--- a/routing/inflight_test.go
+++ b/routing/inflight_test.go
@@ -166,7 +166,7 @@
 			h.b.servers = reachable
 			id := h.nextID + n
 			inFlight := len(h.inFlight)
-			h.b.Request(h.now, id, Request{Tenant: -1, Key: key, Deadline: h.now + 750*Millisecond})
+			h.b.StartRequest(h.now, id, Request{Tenant: -1, Key: key, Deadline: h.now + 750*Millisecond})
 			if h.b.servers = all; len(h.inFlight) > inFlight {
 				h.b.AttemptDone(h.now, id, 0, Served, true)
 				h.inFlight = h.inFlight[:inFlight]
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -24,11 +24,11 @@
 	return b.now >= s.ejectedUntil && !s.probing && b.classes[r.Class].Idempotence == Safe
 }
 
-// ProbeResult reports the outcome of another node's probe of a server, and the
+// ReportProbeResult reports the outcome of another node's probe of a server, and the
 // time of that node's next probe. After a healthy outcome this node may probe
 // immediately. After an unhealthy one it does not probe before next, but waits for
 // maxEjectionTime at most.
-func (b *Balancer) ProbeResult(now Time, server int, healthy bool, next Time) {
+func (b *Balancer) ReportProbeResult(now Time, server int, healthy bool, next Time) {
 	s := b.servers[server]
 	if healthy {
 		s.ejectedUntil = min(s.ejectedUntil, now)
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -48,7 +48,7 @@
 			f.attemptDone(id, 0, ConnectionBroken)
 		}
 		if tc.next >= 0 {
-			f.b.ProbeResult(f.now, 0, tc.next == healthy, f.now+tc.next)
+			f.b.ReportProbeResult(f.now, 0, tc.next == healthy, f.now+tc.next)
 		}
 		f.now += tc.elapsed
 		f.b.servers[1].inFlight = 0
--- a/routing/polling.go
+++ b/routing/polling.go
@@ -10,9 +10,9 @@
 	// many nodes may start or lose their subscriptions at the same time.
 	PollSpread = 300 * Millisecond
 
-	// MaxPollWait is the longest time between two polls. It is such that two
+	// MaxPollGap is the longest time between two polls. It is such that two
 	// waits and a slow transfer of the list together take less than 5 s.
-	MaxPollWait = 1800 * Millisecond
+	MaxPollGap = 1800 * Millisecond
 
 	// pushedGraceDivisor limits the time between two polls to a third of
 	// Config.PushedGrace. The other two thirds are for the call to the discovery
@@ -22,7 +22,7 @@
 
 // maxPollWait returns the longest time between two polls for a configuration.
 func maxPollWait(config Config) Time {
-	return max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/pushedGraceDivisor))
+	return max(PollSpread, min(MaxPollGap, config.MaxPollInterval/2, config.PushedGrace/pushedGraceDivisor))
 }
 
 // scheduleFirstPoll sets the alarm for the first poll after the node's start. It
--- a/routing/polling_test.go
+++ b/routing/polling_test.go
@@ -38,7 +38,7 @@
 		h.alarms[pollAlarmHandle] = slices.DeleteFunc(slices.Clone(due), func(alarmTime Time) bool { return alarmTime <= h.now })
 		for _, alarmTime := range due {
 			if alarmTime <= h.now {
-				h.b.Alarm(h.now, pollAlarmHandle)
+				h.b.HandleAlarm(h.now, pollAlarmHandle)
 			}
 		}
 		onStep()
@@ -58,7 +58,7 @@
 }
 
 // Guards against a node that stops polling, or polls too often. Calls are never answered or fail immediately or later,
-// and subscriptions are lost. Without a subscription the next poll must follow within MaxPollWait, and also within half
+// and subscriptions are lost. Without a subscription the next poll must follow within MaxPollGap, and also within half
 // of MaxPollInterval and a third of PushedGrace unless these are shorter than PollSpread. After the loss of the
 // subscription it must follow within PollSpread. Two polls must be at least half of this longest wait apart, and there
 // must be no poll during a subscription.
@@ -66,7 +66,7 @@
 	run := func(seed uint64) bool {
 		rnd := rand.New(rand.NewSource(int64(seed)))
 		config := randomConfig(rnd)
-		wait := max(PollSpread, min(MaxPollWait, config.MaxPollInterval/2, config.PushedGrace/3))
+		wait := max(PollSpread, min(MaxPollGap, config.MaxPollInterval/2, config.PushedGrace/3))
 		h := newPollingHost(seed, config)
 		lastPollAt, maxGap, subscribed, polls := h.now, PollSpread, false, 0 // maxGap is the longest time allowed until the next poll
 		h.runUntil(h.now+60000*Millisecond, func() {
@@ -90,7 +90,7 @@
 			case !subscribed && r < 40:
 				h.b.UpdateEndpoints(h.now, Failed, nil) // a call in flight fails
 			case r < 50:
-				h.b.Alarm(h.now, pollAlarmHandle) // a stale alarm
+				h.b.HandleAlarm(h.now, pollAlarmHandle) // a stale alarm
 			}
 		})
 		if len(h.violations) > 0 {
@@ -108,14 +108,14 @@
 	f := newFakeHost(1, 1)
 	for n := range 4 {
 		previousPolls := f.polls
-		if f.advance(MaxPollWait); f.polls == previousPolls {
-			t.Fatalf("no poll within %v after %d failed polls", MaxPollWait, n)
+		if f.advance(MaxPollGap); f.polls == previousPolls {
+			t.Fatalf("no poll within %v after %d failed polls", MaxPollGap, n)
 		}
 		f.b.UpdateEndpoints(f.now, Failed, nil)
 	}
 	f.b.UpdateEndpoints(f.now, Incremental, nil)
 	previousPolls := f.polls
-	if f.advance(10 * MaxPollWait); f.polls != previousPolls {
+	if f.advance(10 * MaxPollGap); f.polls != previousPolls {
 		t.Errorf("%d more polls after one succeeded, want none", f.polls-previousPolls)
 	}
 }
@@ -131,8 +131,8 @@
 	}
 	grantedAt := h.now
 	h.b.SetQuota(h.now, DiscoveryRate, 0, allowance.Quota{Rate: 1000, Burst: 1000, Until: int64(h.now + 90000*Millisecond)})
-	h.runUntil(grantedAt+10*MaxPollWait, func() {})
-	if len(h.polledAt) < 10 || h.polledAt[0]-grantedAt > MaxPollWait+alarmStep {
+	h.runUntil(grantedAt+10*MaxPollGap, func() {})
+	if len(h.polledAt) < 10 || h.polledAt[0]-grantedAt > MaxPollGap+alarmStep {
 		t.Errorf("%d polls, the first %d after the quota was granted", len(h.polledAt), h.polledAt[0]-grantedAt)
 	}
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// startRequest sets up the state of a new request.
-func (b *Balancer) startRequest(id int, request Request) *requestState {
+// initRequest sets up the state of a new request.
+func (b *Balancer) initRequest(id int, request Request) *requestState {
 	for id >= len(b.requests) {
 		b.requests = append(b.requests, requestState{})
 	}
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -29,7 +29,7 @@
 			s = f.b.servers[client.attempts[1].server]
 			retryBudget, tokens = s.retryBudget-1, s.slowStartTokens-1
 		}
-		f.attemptDone(id, 1, Withheld)
+		f.attemptDone(id, 1, EndedBeforeWrite)
 		if s.inFlight != 0 || s.retryBudget != retryBudget+1 || s.slowStartTokens != tokens+1 || s.concurrencyLimit != limit || s.meanLatency != latency && !restarted ||
 			s.consecutiveFailures != 0 || s.ejectionTime != 0 || len(f.violations) > 0 {
 			t.Errorf("restarted %v: in flight %d, retry budget %g of %g, tokens %g of %g, limit %g of %g, latency %d of %d, failures %d, %v", restarted,
@@ -44,7 +44,7 @@
 	f := newFakeHost(1, 3)
 	origin := f.b.servers[3]
 	f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true})
-	f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
+	f.b.StartRequest(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
 	f.requests[0].deadline = f.now + 90000
 	if len(f.requests[0].attempts) != 1 || origin.inFlight != 0 {
 		t.Fatalf("%d attempts, %d in flight before the last byte, want 1 and 0", len(f.requests[0].attempts), origin.inFlight)
@@ -73,7 +73,7 @@
 	}{{dedupWindow / 4, 2}, {dedupWindow/2 + 10, 1}, {dedupWindow + 10, 1}} {
 		f := newFakeHost(1, 3)
 		f.requests = append(f.requests, &fakeRequest{idempotence: IdempotentByKey, streaming: true, deadline: f.now + 90000})
-		f.b.Request(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
+		f.b.StartRequest(f.now, 0, Request{Class: 1, Tenant: 1, Write: true, Streaming: true, Deadline: f.now + 90000})
 		f.now += tc.bodyTime
 		f.bodySent(0, 0)
 		f.now += 10
@@ -91,14 +91,14 @@
 	restart()
 	f.now += 1500 * Millisecond
 	f.requests = append(f.requests, &fakeRequest{idempotence: Safe, streaming: true, deadline: f.now + 90000})
-	f.b.Request(f.now, 0, Request{Tenant: -1, Key: "k", Streaming: true, Deadline: f.now + 90000})
+	f.b.StartRequest(f.now, 0, Request{Tenant: -1, Key: "k", Streaming: true, Deadline: f.now + 90000})
 	if len(f.requests[0].attempts) != 1 || f.requests[0].attempts[0].server != 0 {
 		t.Fatalf("attempts %v, want one at the cache in slow start", f.requests[0].attempts)
 	}
 	f.now += 10
 	restart()
 	f.now += 10
-	if f.attemptDone(0, 0, Withheld); f.b.servers[0].slowStartTokens != 0 {
+	if f.attemptDone(0, 0, EndedBeforeWrite); f.b.servers[0].slowStartTokens != 0 {
 		t.Errorf("restarted server has %g tokens, want no refund", f.b.servers[0].slowStartTokens)
 	}
 }
--- a/routing/result.go
+++ b/routing/result.go
@@ -28,7 +28,7 @@
 	s := b.servers[a.server]
 	latency := b.now - a.sentAt
 	slow := false
-	if result != Withheld {
+	if result != EndedBeforeWrite {
 		s.recordLatency(latency)
 		slow = b.classes[r.Class].isSlow(latency)
 	}
@@ -44,7 +44,7 @@
 		s.countAnswer(attemptNumber == 0)
 	}
 	b.closeIdleConnections(a.server, result)
-	if result == Withheld {
+	if result == EndedBeforeWrite {
 		b.refundAttempt(r, attemptNumber, s)
 	} else {
 		s.adjustConcurrencyLimit(result, slow)
@@ -71,7 +71,7 @@
 // neverRan reports whether the result proves that the attempt had no effect.
 func (r Result) neverRan() bool {
 	switch r {
-	case Rejected, ConnectFailed, NotSent, NotFound, ConnectionLimit, ConnectTimeout, Withheld:
+	case Rejected, ConnectFailed, NotSent, NotFound, ConnectionLimit, ConnectTimeout, EndedBeforeWrite:
 		return true
 	}
 	return false
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -46,12 +46,12 @@
 	sent     []int
 }
 
-func (n *slowStartNode) Send(_, server int, _ Time) { n.sent = append(n.sent, server) }
-func (n *slowStartNode) Reject(int, Time)           {}
-func (n *slowStartNode) Fail(int)                   {}
-func (n *slowStartNode) Subscribe()                 {}
-func (n *slowStartNode) CloseIdle(int, int)         {}
-func (n *slowStartNode) SetAlarm(Time, int)         {}
+func (n *slowStartNode) Send(_, server int, _ Time)    { n.sent = append(n.sent, server) }
+func (n *slowStartNode) Reject(int, Time)              {}
+func (n *slowStartNode) Fail(int)                      {}
+func (n *slowStartNode) Subscribe()                    {}
+func (n *slowStartNode) CloseIdleConnections(int, int) {}
+func (n *slowStartNode) SetAlarm(Time, int)            {}
 
 // slowStartOutcome is the result of a slowStartCase.
 type slowStartOutcome struct {
@@ -118,7 +118,7 @@
 			if c.variedWork {
 				work = rnd.ExpFloat64()
 			}
-			n.b.Request(now, 0, Request{Tenant: -1, Key: key, Deadline: now + 8000, Work: 20 * work})
+			n.b.StartRequest(now, 0, Request{Tenant: -1, Key: key, Deadline: now + 8000, Work: 20 * work})
 			for number, server := range n.sent {
 				onAttempt(server, n.informed, work)
 				n.b.AttemptDone(now, 0, number, Served, true)
@@ -264,7 +264,7 @@
 			s.StartedAt, f.b.warmCacheRate, f.b.decayedAt = f.now-1000*Millisecond, warmCacheRate, f.now
 			work := []float64{10, 100}[i%10/9]
 			f.requests = append(f.requests[:0], &fakeRequest{idempotence: idempotences[0], deadline: f.now + 8000})
-			f.b.Request(f.now, 0, Request{Tenant: -1, Key: key(f.b, 0), Work: work, Deadline: f.now + 8000})
+			f.b.StartRequest(f.now, 0, Request{Tenant: -1, Key: key(f.b, 0), Work: work, Deadline: f.now + 8000})
 			for n, attempt := range f.requests[0].attempts {
 				if attempt.server == 0 {
 					sent[work]++
