--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -97,10 +97,10 @@
 
 // freeAllQuotas proposes to remove the quotas of all nodes, which may still use them. Only Unsafe.ForgetQuotas needs it.
 func (a *Allocator) freeAllQuotas() {
-	var moves []lease.QuotaMove
+	var moves []lease.QuotaChange
 	for name, b := range a.state.Budgets {
 		for leaseName, quota := range b.Quotas {
-			moves = append(moves, lease.QuotaMove{Budget: name, Lease: leaseName, Token: a.state.Leases[leaseName].Token, FromToken: quota.Token})
+			moves = append(moves, lease.QuotaChange{Budget: name, Lease: leaseName, Token: a.state.Leases[leaseName].Token, FromToken: quota.Token})
 		}
 	}
 	a.propose(lease.Entry{Kind: lease.KindMoveQuotas, Moves: moves})
--- a/budget/allocator_test.go
+++ b/budget/allocator_test.go
@@ -128,7 +128,7 @@
 // With 20 units and 60 nodes that all have demand, the nodes take turns. No node waits for longer than the turns of the other
 // nodes take.
 func TestScarceUnitsRotateAmongNodes(t *testing.T) {
-	c := newFaultFreeCluster(t, lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 20, MaxNodes: 60}, 60)
+	c := newFaultFreeCluster(t, lease.BudgetConfig{Kind: lease.BudgetKindConcurrency, Units: 20, MaxNodes: 60}, 60)
 	for _, n := range c.nodes {
 		n.rate = 20
 	}
@@ -150,7 +150,7 @@
 // A shift of demand between nodes moves the quotas within a second. A new node gets units within 0.4 s. The nodes shrink to a
 // lowered budget within a second. Steady demand takes few log entries.
 func TestQuotasFollowDemand(t *testing.T) {
-	config := lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, MaxNodes: 20}
+	config := lease.BudgetConfig{Kind: lease.BudgetKindRate, Units: 100, RatePerUnit: 1, MaxNodes: 20}
 	c := newFaultFreeCluster(t, config, 10)
 	for _, n := range c.nodes {
 		n.rate = 4
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -77,7 +77,7 @@
 	var holdings []Holding
 	for i := range budgets {
 		name := fmt.Sprint("budget-", i)
-		declared[name] = lease.BudgetConfig{Kind: lease.RateKind, Units: 2 * nodes, RatePerUnit: 1, MaxNodes: nodes}
+		declared[name] = lease.BudgetConfig{Kind: lease.BudgetKindRate, Units: 2 * nodes, RatePerUnit: 1, MaxNodes: nodes}
 		holdings = append(holdings, Holding{Budget: name, Demand: 1, ShrinkTo: -1})
 	}
 	for n := range nodes {
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -307,7 +307,7 @@
 		if c.renewals > 0 && !p.renewalInFlight && c.committed.Leases[leaseNameOf(p.node)].Token == p.token {
 			events = append(events, event{kind: sendRenewal, index: i})
 		}
-		if c.config.Kind == lease.ConcurrencyKind {
+		if c.config.Kind == lease.BudgetKindConcurrency {
 			if p.inFlight < p.usableUnits() && c.requests > 0 {
 				events = append(events, event{kind: beginRequest, index: i})
 			}
@@ -458,7 +458,7 @@
 		savedTokens += p.tokens
 		descriptions = append(descriptions, fmt.Sprintf("process %d of n%d: %d units, %d requests in flight, %d tokens", p.index, p.node, units, p.inFlight, p.tokens))
 	}
-	if c.violation == "" && (usedUnits > c.config.Units || c.config.Kind == lease.RateKind && savedTokens > c.config.Units) {
+	if c.violation == "" && (usedUnits > c.config.Units || c.config.Kind == lease.BudgetKindRate && savedTokens > c.config.Units) {
 		c.violation = fmt.Sprintf("budget of %d units exceeded: %v", c.config.Units, descriptions)
 	}
 }
--- a/budget/demand.go
+++ b/budget/demand.go
@@ -93,7 +93,7 @@
 // need returns how many units the node could use, including headroom and before rounding down.
 func (e *demandEstimate) need(config lease.BudgetConfig) float64 {
 	mean := 0.0
-	if config.Kind == lease.RateKind {
+	if config.Kind == lease.BudgetKindRate {
 		mean = e.meanRate / config.RatePerUnit
 	} else {
 		mean = e.meanRate * e.meanRequestSeconds // Little's law
--- a/budget/division.go
+++ b/budget/division.go
@@ -32,7 +32,7 @@
 	demandingNodes int      // number of claims with demand
 	targets        []int    // units that each node should have, by index in leaseNames
 
-	moves    []lease.QuotaMove
+	moves    []lease.QuotaChange
 	shrinkTo map[string]int // units that nodes have to shrink their usage to, by lease name
 }
 
@@ -49,7 +49,7 @@
 		size = max(size, divisions[i].moveSize())
 	}
 	allowed := a.mayMove(now, size)
-	var moves []lease.QuotaMove
+	var moves []lease.QuotaChange
 	for _, d := range divisions {
 		if allowed {
 			moves = append(moves, d.moves...)
@@ -167,7 +167,7 @@
 
 // addMove adds a move that sets the quota of a node. The node must have sent a request in this term.
 func (d *division) addMove(leaseName string, units int) {
-	d.moves = append(d.moves, lease.QuotaMove{
+	d.moves = append(d.moves, lease.QuotaChange{
 		Budget:    d.name,
 		Lease:     leaseName,
 		Token:     d.allocator.nodes[leaseName].token,
@@ -230,7 +230,7 @@
 }
 
 func (d *division) hasMove(leaseName string) bool {
-	return slices.ContainsFunc(d.moves, func(m lease.QuotaMove) bool { return m.Lease == leaseName })
+	return slices.ContainsFunc(d.moves, func(m lease.QuotaChange) bool { return m.Lease == leaseName })
 }
 
 // moveSize classifies the difference between the nodes' units and their targets.
--- a/budget/history_test.go
+++ b/budget/history_test.go
@@ -12,10 +12,10 @@
 )
 
 var (
-	rateBudget         = lease.BudgetConfig{Kind: lease.RateKind, Units: 4, RatePerUnit: 10, MaxNodes: 3}
-	concurrencyBudget  = lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 4, MaxNodes: 3}
-	oneUnitBudget      = lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 1, MaxNodes: 3}
-	reservedRateBudget = lease.BudgetConfig{Kind: lease.RateKind, Units: 7, RatePerUnit: 10, ReservedPerNode: 1, MaxNodes: 3}
+	rateBudget         = lease.BudgetConfig{Kind: lease.BudgetKindRate, Units: 4, RatePerUnit: 10, MaxNodes: 3}
+	concurrencyBudget  = lease.BudgetConfig{Kind: lease.BudgetKindConcurrency, Units: 4, MaxNodes: 3}
+	oneUnitBudget      = lease.BudgetConfig{Kind: lease.BudgetKindConcurrency, Units: 1, MaxNodes: 3}
+	reservedRateBudget = lease.BudgetConfig{Kind: lease.BudgetKindRate, Units: 7, RatePerUnit: 10, ReservedPerNode: 1, MaxNodes: 3}
 )
 
 // bounds limits the number of steps and events in a history.
--- a/budget/loan.go
+++ b/budget/loan.go
@@ -41,7 +41,7 @@
 // loan, because the borrower may be using it.
 func (b *clientBudget) lendHalf() {
 	idle := b.units + b.config.ReservedPerNode
-	if b.config.Kind == lease.ConcurrencyKind {
+	if b.config.Kind == lease.BudgetKindConcurrency {
 		idle -= min(idle, b.requestsInFlight)
 	}
 	b.loan.reserved = max(b.loan.reserved, min(b.config.ReservedPerNode/2, idle))
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -131,7 +131,7 @@
 // quotaEnd returns the time until which the units of a budget may be used. Under a rate budget this is the end of the lease.
 // Under a concurrency budget it is earlier by cutoffMargin, because requests in flight are aborted at the end of the lease.
 func (c *QuotaClient) quotaEnd(b *clientBudget) Time {
-	if b.config.Kind == lease.ConcurrencyKind {
+	if b.config.Kind == lease.BudgetKindConcurrency {
 		return c.leaseEnd - c.cutoffMargin
 	}
 	return c.leaseEnd
@@ -141,7 +141,7 @@
 // units reserved for this node and not lent.
 func (b *clientBudget) maxUnitsInUse(units, reserved int) int {
 	bound := max(units, b.loan.units)
-	if b.config.Kind == lease.ConcurrencyKind { // units in use become free only when requests end
+	if b.config.Kind == lease.BudgetKindConcurrency { // units in use become free only when requests end
 		occupied := b.loan.units + max(0, b.requestsInFlight-reserved)
 		bound = max(bound, min(b.unitsInUse, occupied))
 	}
--- a/cmd/thistlerudder/budget.go
+++ b/cmd/thistlerudder/budget.go
@@ -94,7 +94,7 @@
 
 // amount formats units of a budget: a number, or a rate per second.
 func amount(t lease.BudgetConfig, units int) string {
-	if t.Kind == lease.ConcurrencyKind {
+	if t.Kind == lease.BudgetKindConcurrency {
 		return strconv.Itoa(units)
 	}
 	return fmt.Sprintf("%.4g/s", t.RatePerUnit*float64(units))
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -154,7 +154,7 @@
 				request := budget.Request{Lease: renewal.Name, Token: renewal.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), Declared: map[string]lease.BudgetConfig{}}
 				for i := range budgets {
 					name := fmt.Sprint("origin-rate-", i)
-					request.Declared[name] = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
+					request.Declared[name] = lease.BudgetConfig{Kind: lease.BudgetKindRate, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
 					request.Holdings = append(request.Holdings, budget.Holding{Budget: name, Demand: 3, ShrinkTo: -1})
 				}
 				var response QuotaResponse
--- a/internal/cluster/borrow.go
+++ b/internal/cluster/borrow.go
@@ -63,7 +63,7 @@
 // applyLent applies a lent quota until a boot time.
 func (m *Member) applyLent(b budget.LentQuota, until time.Duration) {
 	remaining, cutoffMargin := until-bootTime(), time.Duration(0)
-	if b.Config.Kind == lease.ConcurrencyKind {
+	if b.Config.Kind == lease.BudgetKindConcurrency {
 		cutoffMargin = min(m.cutoffMargin(), lendInterval)
 	}
 	m.applyQuota(b.Name, b.Config, b.Units, 0, remaining-cutoffMargin, cutoffMargin)
--- a/internal/cluster/client_lease.go
+++ b/internal/cluster/client_lease.go
@@ -41,7 +41,7 @@
 			return lease.Response{}, err
 		}
 		var reply LeaseResponse
-		err = call(conn, methodLease, args, &reply, toDuration(r.Wait)+c.callTimeout())
+		err = call(conn, methodLease, args, &reply, toDuration(r.MaxWait)+c.callTimeout())
 		c.finishCall(conn)
 		if err != nil {
 			c.dropConn(conn, "")
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -80,7 +80,7 @@
 
 var (
 	goldenHolder       = lease.Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
-	goldenBudgetConfig = lease.BudgetConfig{Kind: lease.RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
+	goldenBudgetConfig = lease.BudgetConfig{Kind: lease.BudgetKindRate, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
 	goldenBudget       = lease.Budget{BudgetConfig: goldenBudgetConfig, Quotas: map[string]lease.Quota{"node/n1": {Token: 19, Units: 7}}}
 )
 
@@ -100,7 +100,7 @@
 		"Found":     {BootstrapRequest{LastToken: 17}, struct{}{}},
 		"Change":    {MembershipChange{Add: "n4", Remove: "n3", Address: "10.0.0.4:7100"}, "n4.0badcafe"},
 		"Term":      {struct{}{}, TermVote{ID: "n1.0badcafe", Term: 3}},
-		"Rest":      {EjectionReport{Servers: map[string]string{"c-1": "10.0.1.1:80"}}, []lease.ProbeStatus{{ID: "c-1", Healthy: true, NextProbe: 12500}}},
+		"Rest":      {EjectionReport{Servers: map[string]string{"c-1": "10.0.1.1:80"}}, []lease.ProbeStatus{{ID: "c-1", Healthy: true, UntilNextResult: 12500}}},
 		"Due":       {uint64(19), []lease.Probe{{ID: "c-1", Address: "10.0.1.1:80"}}},
 		"Result":    {ProbeReport{Token: 19, ID: "c-1", Healthy: true}, struct{}{}},
 		"Part": {budget.Request{Lease: "node/n1", Token: 18, Weight: 2, Wait: 7500,
--- a/internal/cluster/lease_service.go
+++ b/internal/cluster/lease_service.go
@@ -28,7 +28,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.leaseRequests, id)
-	v.leases.CallerGone(now(), id)
+	v.leases.CancelRequest(now(), id)
 	return lease.Response{Err: lease.ErrNotLeader}
 }
 
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -28,7 +28,7 @@
 		Holder: r.Holder,
 		Token:  r.Token,
 		Number: r.Number,
-		Wait:   uint64(r.Wait),
+		Wait:   uint64(r.MaxWait),
 		Value:  r.Value,
 	}
 }
@@ -39,7 +39,7 @@
 		Name:      r.Name,
 		Holder:    r.Holder,
 		Token:     r.Token,
-		Wait:      lease.Time(r.Wait),
+		MaxWait:   lease.Time(r.Wait),
 		Effect:    r.Effect,
 		Number:    r.Number,
 		Value:     r.Value,
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -181,11 +181,11 @@
 		return allowance.Usage{}
 	}
 	rate := 0.0
-	if c.Kind == lease.RateKind {
+	if c.Kind == lease.BudgetKindRate {
 		rate = c.RatePerUnit * (1 - m.config.MaxDrift) // this node's clock may run too fast by MaxDrift
 	}
 	quota := allowance.Quota{
-		Concurrency: c.Kind == lease.ConcurrencyKind,
+		Concurrency: c.Kind == lease.BudgetKindConcurrency,
 		Rate:        rate * float64(units),
 		Burst:       float64(units),
 		ThenRate:    rate * float64(reserved),
@@ -219,7 +219,7 @@
 	defer q.mu.Unlock()
 	for _, s := range q.client.Status() {
 		limitOf := func(units int) float64 {
-			if s.Config.Kind == lease.ConcurrencyKind {
+			if s.Config.Kind == lease.BudgetKindConcurrency {
 				return float64(units)
 			}
 			return s.Config.RatePerUnit * float64(units)
--- a/internal/cluster/quota_service.go
+++ b/internal/cluster/quota_service.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	limitPerUnit := config.RatePerUnit
-	if config.Kind == lease.ConcurrencyKind {
+	if config.Kind == lease.BudgetKindConcurrency {
 		limitPerUnit = 1
 	}
 	config.Units = int(change.Limit/limitPerUnit + unitRounding)
--- a/internal/cluster/quotas_test.go
+++ b/internal/cluster/quotas_test.go
@@ -47,7 +47,7 @@
 	var nodes []*Member
 	for i, c := range configs {
 		c.Weight = 1
-		c.Budgets = []config.Budget{{Name: "x", Limit: routing.OriginRate, BudgetConfig: lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, ReservedPerNode: 2, MaxNodes: 5}}}
+		c.Budgets = []config.Budget{{Name: "x", Limit: routing.OriginRate, BudgetConfig: lease.BudgetConfig{Kind: lease.BudgetKindRate, Units: 100, RatePerUnit: 1, ReservedPerNode: 2, MaxNodes: 5}}}
 		node := &budgetedNode{demand: []float64{400, 0, 0, 40}[i]}
 		localNodes, nodes = append(localNodes, node), append(nodes, Start(c, node, time.Second, 256, zap.NewNop()))
 	}
--- a/internal/cluster/state_machine.go
+++ b/internal/cluster/state_machine.go
@@ -16,7 +16,7 @@
 
 // Apply applies an entry and returns its lease.Result.
 func (m stateMachine) Apply(l *raft.Log) any {
-	e, err := lease.Decode(l.Data)
+	e, err := lease.DecodeEntry(l.Data)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if faults.Without(faults.Door) && e.Kind == lease.KindEffect {
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -79,7 +79,7 @@
 	l := v.state.Leases[name]
 	s := LeaseStatus{Name: name, Holder: l.Holder, Token: l.Token, RemainingMs: -1}
 	if v.leases.IsLeader() {
-		expiry, waiting := v.leases.Expiry(name)
+		expiry, waiting := v.leases.LeaseStatus(name)
 		s.RemainingMs = max(0, toDuration(expiry-now()).Milliseconds())
 		s.Waiting = waiting
 	}
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -42,11 +42,11 @@
 
 // limitsByResource maps a resource and a kind of budget to the routing limit.
 var limitsByResource = map[string]map[string]routing.Limit{
-	boundsOrigin:    {lease.RateKind: routing.OriginRate, lease.ConcurrencyKind: routing.OriginConcurrency},
-	boundsTenant:    {lease.RateKind: routing.TenantRate},
-	boundsDiscovery: {lease.RateKind: routing.DiscoveryRate},
-	boundsSlowStart: {lease.RateKind: routing.SlowStartRate},
-	boundsCache:     {lease.ConcurrencyKind: routing.CacheConcurrency},
+	boundsOrigin:    {lease.BudgetKindRate: routing.OriginRate, lease.BudgetKindConcurrency: routing.OriginConcurrency},
+	boundsTenant:    {lease.BudgetKindRate: routing.TenantRate},
+	boundsDiscovery: {lease.BudgetKindRate: routing.DiscoveryRate},
+	boundsSlowStart: {lease.BudgetKindRate: routing.SlowStartRate},
+	boundsCache:     {lease.BudgetKindConcurrency: routing.CacheConcurrency},
 }
 
 var reservedFractionParser = newNumberParser("a share from 0 to 1", func(x float64) bool { return x >= 0 && x <= 1 })
@@ -105,7 +105,7 @@
 	total := o.numberValue("whole")
 	units := total
 	b.RatePerUnit = 1
-	if b.Kind == lease.RateKind {
+	if b.Kind == lease.BudgetKindRate {
 		units = o.numberValue("burst")
 		if units < 1 || units != math.Trunc(units) || units > maxUnits {
 			o.addError("burst", "a whole number, 1 or more: how much of the rate may be saved up, and in how many units it is divided")
@@ -114,7 +114,7 @@
 		b.RatePerUnit = total / units
 	}
 	expected, valid := "a number above 0", total > 0 && total <= maxUnits
-	if b.Kind == lease.ConcurrencyKind {
+	if b.Kind == lease.BudgetKindConcurrency {
 		expected, valid = "a whole number above 0", valid && total == math.Trunc(total)
 	}
 	if !valid {
--- a/internal/simulation/divided.go
+++ b/internal/simulation/divided.go
@@ -28,9 +28,9 @@
 }
 
 func (b *Budget) check(want func(ok bool, key, expected string, got any)) {
-	want(b.Kind == lease.RateKind || b.Kind == lease.ConcurrencyKind, "fleet.budget.kind", "rate or number", b.Kind)
+	want(b.Kind == lease.BudgetKindRate || b.Kind == lease.BudgetKindConcurrency, "fleet.budget.kind", "rate or number", b.Kind)
 	want(b.Whole > 0, "fleet.budget.whole", "a number above 0", b.Whole)
-	want(b.Kind != lease.RateKind || b.Burst >= 1, "fleet.budget.burst", "1 or more", b.Burst)
+	want(b.Kind != lease.BudgetKindRate || b.Burst >= 1, "fleet.budget.burst", "1 or more", b.Burst)
 	want(b.Apart >= 0 && b.Apart <= 1, "fleet.budget.apart", "a share from 0 to 1", b.Apart)
 	want(b.Drift >= 0 && b.Drift <= 0.2, "fleet.budget.drift", "a share from 0 to 0.2", b.Drift)
 	want(b.Way == "" || b.Way == "divided" || b.Way == "even", "fleet.budget.way", "divided or even", b.Way)
@@ -44,7 +44,7 @@
 
 func (b *Budget) terms(nodes int) lease.BudgetConfig {
 	t := lease.BudgetConfig{Kind: b.Kind, Resource: "origin", Units: int(b.Whole), RatePerUnit: 1, MaxNodes: nodes}
-	if b.Kind == lease.RateKind {
+	if b.Kind == lease.BudgetKindRate {
 		t.Units, t.RatePerUnit = b.Burst, b.Whole/float64(b.Burst)
 	}
 	t.ReservedPerNode = int(b.Apart*float64(t.Units)/float64(nodes) + 1e-9)
@@ -132,7 +132,7 @@
 	d.lead()
 	for i := range w.nodes {
 		h := &quotaHolder{w: d, n: i, bound: routing.OriginRate}
-		if b.Kind == lease.ConcurrencyKind {
+		if b.Kind == lease.BudgetKindConcurrency {
 			h.bound = routing.OriginConcurrency
 		}
 		d.holds = append(d.holds, h)
@@ -347,10 +347,10 @@
 	}
 	if h.w.e.Fleet.Budget.Way == "even" {
 		units, apart = 0, 0
-		return n.SetQuota(h.w.clock.now, h.bound, 0, allowance.Quota{Concurrency: t.Kind == lease.ConcurrencyKind, Rate: h.w.terms.RatePerUnit * float64(h.w.terms.Units) / float64(len(h.w.nodes)),
+		return n.SetQuota(h.w.clock.now, h.bound, 0, allowance.Quota{Concurrency: t.Kind == lease.BudgetKindConcurrency, Rate: h.w.terms.RatePerUnit * float64(h.w.terms.Units) / float64(len(h.w.nodes)),
 			Burst: h.w.evenPart, Until: math.MaxInt64})
 	}
-	p := allowance.Quota{Concurrency: t.Kind == lease.ConcurrencyKind, Burst: float64(units), ThenBurst: float64(apart), Until: int64(h.w.clock.now + left)}
+	p := allowance.Quota{Concurrency: t.Kind == lease.BudgetKindConcurrency, Burst: float64(units), ThenBurst: float64(apart), Until: int64(h.w.clock.now + left)}
 	if !p.Concurrency {
 		p.Rate, p.ThenRate = t.RatePerUnit*drift*float64(units), t.RatePerUnit*drift*float64(apart)
 	}
@@ -416,7 +416,7 @@
 	}
 	d.use.Demand[at]++
 	d.use.wanted[n]++
-	if d.terms.Kind != lease.RateKind {
+	if d.terms.Kind != lease.BudgetKindRate {
 		return
 	}
 	rate := d.terms.Limit() / float64(second)
@@ -441,7 +441,7 @@
 		d.use.got[n]++
 	}
 	d.out++
-	if d.terms.Kind == lease.RateKind {
+	if d.terms.Kind == lease.BudgetKindRate {
 		now := d.clock.now
 		d.excess = max(1, d.excess+1-d.terms.Limit()*float64(now-d.excessAt)/float64(second))
 		d.excessAt = now
@@ -514,7 +514,7 @@
 	n, span := float64(e.Fleet.Nodes), e.Length.Seconds()
 	used, exact, even := u.Ratios(e.Fleet.Budget.Whole, 10, int(span))
 	line := fmt.Sprintf("fullest %.2f; fairness %.3f", u.Above, u.Jain())
-	if e.Fleet.Budget.Kind == lease.RateKind {
+	if e.Fleet.Budget.Kind == lease.BudgetKindRate {
 		line = fmt.Sprintf("of the whole used %.3f, by one exact limiter %.3f, by even parts %.3f (%.3f of the limiter); ", used, exact, even,
 			used/max(1e-9, exact)) + line
 	}
--- a/internal/simulation/ejections.go
+++ b/internal/simulation/ejections.go
@@ -94,7 +94,7 @@
 					}
 					if news, known := board.ReportEjected(lease.Time(w.clock.now), n.known[server].ID, ""); known {
 						w.clock.in(2*way, func() {
-							r.ReportProbeResult(w.clock.now, server, news.Healthy, w.clock.now+routing.Time(news.NextProbe))
+							r.ReportProbeResult(w.clock.now, server, news.Healthy, w.clock.now+routing.Time(news.UntilNextResult))
 						})
 					}
 				}
--- a/lease/budget.go
+++ b/lease/budget.go
@@ -16,7 +16,7 @@
 // unit of a concurrency limit is one request in flight. A unit of a rate limit is one request of its burst, together with an
 // equal share of its rate.
 type BudgetConfig struct {
-	Kind            string  `json:"kind"` // RateKind or ConcurrencyKind
+	Kind            string  `json:"kind"` // BudgetKindRate or BudgetKindConcurrency
 	Resource        string  `json:"of"`   // the limited resource
 	Units           int     `json:"units"`
 	RatePerUnit     float64 `json:"each"`  // requests/s of one unit of a rate limit; it never changes, so that a unit is worth the same on all nodes
@@ -27,8 +27,8 @@
 
 // Kinds of budget.
 const (
-	RateKind        = "rate"
-	ConcurrencyKind = "number"
+	BudgetKindRate        = "rate"
+	BudgetKindConcurrency = "number"
 )
 
 // Budget is a budget and the quotas allocated from it. A quota belongs to the lease of a node's name and ends with that lease.
@@ -44,8 +44,8 @@
 	Units int    `json:"units"`
 }
 
-// QuotaMove sets a quota to Units if the lease is held with Token and the quota's token is still FromToken.
-type QuotaMove struct {
+// QuotaChange sets a quota to Units if the lease is held with Token and the quota's token is still FromToken.
+type QuotaChange struct {
 	Budget    string `json:"b"`
 	Lease     string `json:"l"`
 	Token     uint64 `json:"t"`           // fencing token of the lease
@@ -56,9 +56,9 @@
 // Validate returns an error that wraps ErrInvalidBudget if a field is out of range.
 func (c BudgetConfig) Validate() error {
 	switch {
-	case c.Kind != RateKind && c.Kind != ConcurrencyKind:
-		return fmt.Errorf("%w: kind %.50q, expected %s or %s", ErrInvalidBudget, c.Kind, RateKind, ConcurrencyKind)
-	case c.Kind == RateKind && !(c.RatePerUnit > 0 && c.RatePerUnit <= maxRatePerUnit):
+	case c.Kind != BudgetKindRate && c.Kind != BudgetKindConcurrency:
+		return fmt.Errorf("%w: kind %.50q, expected %s or %s", ErrInvalidBudget, c.Kind, BudgetKindRate, BudgetKindConcurrency)
+	case c.Kind == BudgetKindRate && !(c.RatePerUnit > 0 && c.RatePerUnit <= maxRatePerUnit):
 		return fmt.Errorf("%w: %g a second for each unit, expected a number above 0, at most %g", ErrInvalidBudget, c.RatePerUnit, maxRatePerUnit)
 	case c.Units < 1 || c.Units > maxUnits:
 		return fmt.Errorf("%w: %d units, expected 1 to %d", ErrInvalidBudget, c.Units, maxUnits)
@@ -74,7 +74,7 @@
 
 // Limit returns the limit of the whole budget, in requests/s for a rate and in requests in flight for a concurrency limit.
 func (c BudgetConfig) Limit() float64 {
-	if c.Kind == ConcurrencyKind {
+	if c.Kind == BudgetKindConcurrency {
 		return float64(c.Units)
 	}
 	return c.RatePerUnit * float64(c.Units)
@@ -130,7 +130,7 @@
 }
 
 // moveQuotas applies the moves that are still valid. It skips a move that would exceed the allocatable units.
-func (s *State) moveQuotas(moves []QuotaMove) Result {
+func (s *State) moveQuotas(moves []QuotaChange) Result {
 	if len(moves) > maxMovesPerEntry {
 		return Result{Err: fmt.Errorf("%w: %d moves, %d at most", ErrMalformed, len(moves), maxMovesPerEntry)}
 	}
--- a/lease/budget_test.go
+++ b/lease/budget_test.go
@@ -17,7 +17,7 @@
 		t.Errorf("snapshot without budgets: %s", snapshot)
 	}
 	setBudget := func(revision uint64, units int) Result {
-		return s.Apply(Entry{Version: budgetFormatVersion, Kind: KindSetBudget, Name: "x", Budget: &BudgetConfig{Kind: RateKind, Units: units, RatePerUnit: 2, ReservedPerNode: 1, MaxNodes: 2, Revision: revision}})
+		return s.Apply(Entry{Version: budgetFormatVersion, Kind: KindSetBudget, Name: "x", Budget: &BudgetConfig{Kind: BudgetKindRate, Units: units, RatePerUnit: 2, ReservedPerNode: 1, MaxNodes: 2, Revision: revision}})
 	}
 	if r := setBudget(0, 10); r.Err != nil || r.Token != 1 {
 		t.Fatal(r)
@@ -39,7 +39,7 @@
 		{"node/b", tokenB, 4, 7, 7},
 		{"node/c", 9, 0, 1, 0}, // skipped: the lease is not held
 	} {
-		s.Apply(Entry{Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaMove{{"x", c.lease, c.token, c.fromToken, c.units}}})
+		s.Apply(Entry{Version: budgetFormatVersion, Kind: KindMoveQuotas, Name: "parts", Moves: []QuotaChange{{"x", c.lease, c.token, c.fromToken, c.units}}})
 		if got := s.Budgets["x"].Quotas[c.lease].Units; got != c.wantUnits {
 			t.Errorf("%+v: got %d units", c, got)
 		}
--- a/lease/claimant.go
+++ b/lease/claimant.go
@@ -75,7 +75,7 @@
 
 // sendRequest sends an acquire or a renewal; once released, a release or a withdrawal.
 func (c *Claimant) sendRequest() {
-	r := Request{Operation: OpAcquire, Name: c.name, Holder: c.holder, Wait: c.leaseDuration / waitDivisor}
+	r := Request{Operation: OpAcquire, Name: c.name, Holder: c.holder, MaxWait: c.leaseDuration / waitDivisor}
 	switch {
 	case c.released && c.token != 0:
 		r.Operation = OpRelease
--- a/lease/cluster_test.go
+++ b/lease/cluster_test.go
@@ -300,7 +300,7 @@
 		tc.messages = slices.Delete(tc.messages, e.index, e.index+1)
 		tc.claimants[msg.claimant].claimant.HandleTimeout(tc.claimants[msg.claimant].now())
 		for _, v := range tc.voters {
-			v.manager.CallerGone(v.now(), msg.id)
+			v.manager.CancelRequest(v.now(), msg.id)
 		}
 	case "confirm":
 		v := tc.voters[e.index]
--- a/lease/entry.go
+++ b/lease/entry.go
@@ -36,7 +36,7 @@
 	Number  uint64        `json:"number,omitempty"`
 	Value   []byte        `json:"value,omitempty"`
 	Budget  *BudgetConfig `json:"budget,omitempty"`
-	Moves   []QuotaMove   `json:"moves,omitempty"`
+	Moves   []QuotaChange `json:"moves,omitempty"`
 }
 
 // Encode returns the stored form of the entry, with the format version of its kind.
@@ -45,8 +45,8 @@
 	return json.Marshal(e)
 }
 
-// Decode parses the stored form of an entry. It does not validate the entry: State.Apply checks its version and contents.
-func Decode(data []byte) (e Entry, err error) {
+// DecodeEntry parses the stored form of an entry. It does not validate the entry: State.Apply checks its version and contents.
+func DecodeEntry(data []byte) (e Entry, err error) {
 	if err := json.Unmarshal(data, &e); err != nil {
 		return e, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
--- a/lease/golden_test.go
+++ b/lease/golden_test.go
@@ -39,7 +39,7 @@
 // goldenEntries returns an entry of each kind.
 func goldenEntries() map[string]Entry {
 	holder := Holder{Name: "n1", Process: 4711, Start: 1764750000000001}
-	budget := &BudgetConfig{Kind: RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
+	budget := &BudgetConfig{Kind: BudgetKindRate, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4, Revision: 3}
 	return map[string]Entry{
 		KindFoundCluster: {Version: 1, Kind: KindFoundCluster, Name: "f", Number: 17},
 		KindNewTerm:      {Version: 1, Kind: KindNewTerm, Name: "n1"},
@@ -47,7 +47,7 @@
 		KindRevoke:       {Version: 1, Kind: KindRevoke, Term: 3, Name: "roll-up", Token: 19},
 		KindEffect:       {Version: 1, Kind: KindEffect, Name: "roll-up", Token: 19, Effect: "roll-up/x", Number: 5, Value: []byte("<v&\x00")},
 		KindSetBudget:    {Version: 2, Kind: KindSetBudget, Term: 3, Name: "origin-rate", Budget: budget},
-		KindMoveQuotas: {Version: 2, Kind: KindMoveQuotas, Term: 3, Name: "n1", Moves: []QuotaMove{
+		KindMoveQuotas: {Version: 2, Kind: KindMoveQuotas, Term: 3, Name: "n1", Moves: []QuotaChange{
 			{Budget: "origin-rate", Lease: "node/n1", Token: 19, FromToken: 20, Units: 7},
 			{Budget: "origin-rate", Lease: "node/n2", Token: 21}}},
 	}
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		stored := checkGolden(t, "entry-"+kind+".json", encoded)
-		decoded, err := Decode(stored)
+		decoded, err := DecodeEntry(stored)
 		if err != nil || !reflect.DeepEqual(decoded, e) {
 			t.Errorf("%s: decoded %+v, %v, want %+v", kind, decoded, err, e)
 		}
@@ -83,15 +83,15 @@
 	if withBudget {
 		entries = append(entries,
 			Entry{Kind: KindSetBudget, Term: 2, Name: "origin-rate",
-				Budget: &BudgetConfig{Kind: RateKind, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4}},
-			Entry{Kind: KindMoveQuotas, Term: 2, Name: "n1", Moves: []QuotaMove{{Budget: "origin-rate", Lease: "node/n1", Token: 18, Units: 7}}})
+				Budget: &BudgetConfig{Kind: BudgetKindRate, Resource: "origin", Units: 40, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 4}},
+			Entry{Kind: KindMoveQuotas, Term: 2, Name: "n1", Moves: []QuotaChange{{Budget: "origin-rate", Lease: "node/n1", Token: 18, Units: 7}}})
 	}
 	for _, e := range entries {
 		stored, err := e.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		decoded, err := Decode(stored)
+		decoded, err := DecodeEntry(stored)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -88,8 +88,8 @@
 // IsLeader reports whether this process believes that it is the leader.
 func (m *Manager) IsLeader() bool { return m.leading }
 
-// Expiry returns the time at which a lease expires by the leader's clock, and the number of claimants in its queue.
-func (m *Manager) Expiry(name string) (expiry Time, waiting int) {
+// LeaseStatus returns the time at which a lease expires by the leader's clock, and the number of claimants in its queue.
+func (m *Manager) LeaseStatus(name string) (expiry Time, waiting int) {
 	return m.expiries[name], len(m.queues[name])
 }
 
@@ -154,9 +154,9 @@
 	return m.senderHoldsLease(r) && m.state.Leases[r.Name].Token == r.Token
 }
 
-// CallerGone drops a request whose caller can no longer be answered. A waiter keeps its place in the queue for a third of a
+// CancelRequest drops a request whose caller can no longer be answered. A waiter keeps its place in the queue for a third of a
 // lease duration, because it may retry on another connection.
-func (m *Manager) CallerGone(now Time, id uint64) {
+func (m *Manager) CancelRequest(now Time, id uint64) {
 	r, pending := m.requests[id]
 	if !pending {
 		return
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -52,7 +52,7 @@
 
 // acquireRequest returns a request of holder n for the lease "task".
 func acquireRequest(n int, wait Time) Request {
-	return Request{Operation: OpAcquire, Name: "task", Holder: holder(n), Wait: wait}
+	return Request{Operation: OpAcquire, Name: "task", Holder: holder(n), MaxWait: wait}
 }
 
 // tokenRequest returns a request of holder n that refers to the lease "task" by a token.
@@ -164,7 +164,7 @@
 			ref := h.proposed[0]
 			h.proposed = nil
 			h.manager.Applied(h.now, ref, h.state.Apply(h.entries[ref]), false)
-			h.manager.CallerGone(h.now, goneRequest)
+			h.manager.CancelRequest(h.now, goneRequest)
 			h.apply()
 			return nextRequest
 		}, Response{Token: 3, Holder: holder(2), Duration: testLeaseDuration}},
--- a/lease/probe_scheduler.go
+++ b/lease/probe_scheduler.go
@@ -42,9 +42,9 @@
 
 // ProbeStatus is the result of a server's last probe.
 type ProbeStatus struct {
-	ID        string `json:"ID"`
-	Healthy   bool   `json:"Well"`
-	NextProbe Time   `json:"Next"` // time from now by which nodes will have fetched the next result
+	ID              string `json:"ID"`
+	Healthy         bool   `json:"Well"`
+	UntilNextResult Time   `json:"Next"` // time from now by which nodes will have fetched the next result
 }
 
 // NewProbeScheduler returns a ProbeScheduler without targets.
@@ -71,7 +71,7 @@
 		return ProbeStatus{}, false
 	}
 	untilNext := max(0, target.nextEvent-now) + probeResultTimeout + 2*ejectionReportInterval
-	return ProbeStatus{ID: id, Healthy: target.healthy, NextProbe: untilNext}, true
+	return ProbeStatus{ID: id, Healthy: target.healthy, UntilNextResult: untilNext}, true
 }
 
 // DueProbes returns the probes that the holder of the probe task's lease has to make now, and drops servers that are no
--- a/lease/probe_scheduler_test.go
+++ b/lease/probe_scheduler_test.go
@@ -8,7 +8,7 @@
 	s, now, probes := NewProbeScheduler(), Time(0), 0
 	for ; now < 10_000*Millisecond; now += 50 * Millisecond {
 		for range 300 {
-			if status, known := s.ReportEjected(now, "c", "a:1"); known && (status.Healthy || status.NextProbe <= 0 || status.NextProbe > maxProbeInterval+probeResultTimeout+2*ejectionReportInterval) {
+			if status, known := s.ReportEjected(now, "c", "a:1"); known && (status.Healthy || status.UntilNextResult <= 0 || status.UntilNextResult > maxProbeInterval+probeResultTimeout+2*ejectionReportInterval) {
 				t.Fatalf("at %d: %+v", now, status)
 			}
 		}
--- a/lease/queue.go
+++ b/lease/queue.go
@@ -28,7 +28,7 @@
 	index := slices.IndexFunc(queue, func(w waiter) bool { return w.holder == r.Holder })
 	free := lease.Token == 0 && !m.changePending[r.Name] && len(queue) == 0
 	switch {
-	case index < 0 && !free && r.Wait <= 0:
+	case index < 0 && !free && r.MaxWait <= 0:
 		m.host.Respond(id, Response{Token: lease.Token, Holder: lease.Holder, Err: ErrHeld})
 		return
 	case index < 0 && len(queue) >= maxWaitersPerLease:
@@ -40,7 +40,7 @@
 	case queue[index].requestID != 0:
 		m.reply(queue[index].requestID, Response{Err: ErrWithdrawn}) // the new request replaces it
 	}
-	deadline := now + min(max(r.Wait, 0), m.leaseDuration/graceDivisor)
+	deadline := now + min(max(r.MaxWait, 0), m.leaseDuration/graceDivisor)
 	m.requests[id] = pendingRequest{Request: r, deadline: deadline}
 	queue[index].requestID = id
 	queue[index].deadline = deadline
--- a/lease/request.go
+++ b/lease/request.go
@@ -15,7 +15,7 @@
 	Name      string // lease
 	Holder    Holder
 	Token     uint64 // fencing token of the lease, except for OpAcquire and OpWithdraw
-	Wait      Time   // maximum wait for a held lease, capped at a third of the lease duration; 0: don't wait
+	MaxWait   Time   // maximum wait for a held lease, capped at a third of the lease duration; 0: don't wait
 	Effect    string // Effect, Number and Value are for OpEffect only
 	Number    uint64
 	Value     []byte
