--- a/budget/allocator_test.go
+++ b/budget/allocator_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -82,12 +82,12 @@
 }
 func (n *testNode) Send(r Request)  { n.request = &r }
 func (n *testNode) SetAlarm(t Time) { n.alarmTime = t }
-func (n *testNode) SetQuota(_ string, _ lease.BudgetConfig, units, _ int, _ Time) allowance.Usage {
+func (n *testNode) SetQuota(_ string, _ lease.BudgetConfig, units, _ int, _ Time) quotalimit.Usage {
 	if n.units > 0 {
 		n.lastHadUnits = n.cluster.now
 	}
 	n.longestWait = max(n.longestWait, n.cluster.now-n.lastHadUnits)
-	usage := allowance.Usage{Wanted: n.rate * seconds(n.cluster.now-n.lastSample), MeanSeconds: 0.1}
+	usage := quotalimit.Usage{Requested: n.rate * seconds(n.cluster.now-n.lastSample), MeanSeconds: 0.1}
 	n.units, n.lastSample = units, n.cluster.now
 	return usage
 }
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -212,17 +212,17 @@
 	p.cluster.messages = append(p.cluster.messages, message{process: p.index, id: p.latestRequestID, request: &r, sentAt: p.now()})
 }
 
-func (p *process) SetQuota(_ string, _ lease.BudgetConfig, units, reserved int, quotaEnd Time) allowance.Usage {
+func (p *process) SetQuota(_ string, _ lease.BudgetConfig, units, reserved int, quotaEnd Time) quotalimit.Usage {
 	p.units, p.reserved, p.quotaEnd = units, reserved, quotaEnd
 	if p.abortAtLeaseEnd(); p.cluster.disabledSafeguard != keepBurst {
 		p.tokens = min(p.tokens, p.usableUnits())
 	}
-	usage := allowance.Usage{InFlight: p.inFlight, MeanSeconds: 0.1}
+	usage := quotalimit.Usage{InFlight: p.inFlight, MeanSeconds: 0.1}
 	if p.cluster.disabledSafeguard == forgetInFlight {
 		usage.InFlight = 0
 	}
 	if p.hasDemand {
-		usage.Wanted = 100
+		usage.Requested = 100
 	}
 	return usage
 }
--- a/budget/demand.go
+++ b/budget/demand.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -55,17 +55,17 @@
 
 // record adds the usage since the previous call. It reports whether the rates have been updated. If no time has passed since
 // the last update, the rates stay and the requests count towards the next update.
-func (e *demandEstimate) record(now Time, u allowance.Usage) bool {
+func (e *demandEstimate) record(now Time, u quotalimit.Usage) bool {
 	if u.MeanSeconds > 0 {
 		e.meanRequestSeconds = u.MeanSeconds
 	}
 	elapsed := seconds(now - e.countedUntil)
 	if elapsed <= 0 {
-		e.uncounted += u.Wanted
+		e.uncounted += u.Requested
 		return false
 	}
 	e.countedUntil = now
-	e.updateAverages((u.Wanted+e.uncounted)/elapsed, elapsed)
+	e.updateAverages((u.Requested+e.uncounted)/elapsed, elapsed)
 	e.uncounted = 0
 	return true
 }
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -20,7 +20,7 @@
 type ClientHost interface {
 	// SetQuota sets a budget's limit on this node: units until the given time, and reserved units after it. It returns the
 	// usage since the previous call. Under a concurrency budget a request counts until it ends.
-	SetQuota(name string, config lease.BudgetConfig, units, reserved int, until Time) allowance.Usage
+	SetQuota(name string, config lease.BudgetConfig, units, reserved int, until Time) quotalimit.Usage
 	// Send sends a request to the leader. Its outcome must be reported to QuotaClient.HandleResponse or
 	// QuotaClient.HandleTimeout, unless a later request has been sent in the meantime.
 	Send(r Request)
@@ -121,7 +121,7 @@
 	reserved = max(0, reserved-b.loan.reserved)
 	usage := c.host.SetQuota(b.name, b.config, ownUnits+reserved, reserved, c.quotaEnd(b))
 	b.requestsInFlight = usage.InFlight
-	b.requestsDone = usage.Done
+	b.requestsDone = usage.Started
 	b.unitsInUse = b.maxUnitsInUse(units, reserved)
 	if b.demand.record(now, usage) {
 		c.reportNeeded = b.demand.update(now, b.config) || c.reportNeeded
--- a/budget/allowance/limiter.go
+++ b/budget/quotalimit/limiter.go
@@ -1,8 +1,8 @@
-// Package allowance limits the requests of a node to its quota of a budget. A quota limits either the request rate, with a
+// Package quotalimit limits the requests of a node to its quota of a budget. A quota limits either the request rate, with a
 // token bucket, or the number of requests in flight. After the end of the quota a lower limit applies. The package does no
 // I/O and reads no clock: callers pass times in ticks of a tenth of a millisecond. The caller decides what happens to a
 // request that the limit denies.
-package allowance
+package quotalimit
 
 import "math"
 
@@ -10,24 +10,24 @@
 
 // Quota is a limit with an end, and the lower limit that applies after the end.
 type Quota struct {
-	Concurrency         bool    // if true, Burst limits the requests in flight; otherwise Rate and Burst limit the request rate
-	Rate, Burst         float64 // tokens per second, and size of the token bucket
-	Until               int64   // end of the quota, in ticks
-	ThenRate, ThenBurst float64 // Rate and Burst after the end, never above those before
+	Concurrency             bool    // if true, Burst limits the requests in flight; otherwise Rate and Burst limit the request rate
+	Rate, Burst             float64 // tokens per second, and size of the token bucket
+	End                     int64   // end of the quota, in ticks
+	RateAfterEnd, ThenBurst float64 // Rate and Burst after the end, never above those before
 }
 
-// Usage counts the requests at a limiter since the last call of Set.
+// Usage counts the requests at a limiter since the last call of SetQuota.
 type Usage struct {
-	Wanted, Done float64 // requests that asked to begin, and those that began
-	InFlight     int     // requests in flight now, under a concurrency limit
-	MeanSeconds  float64 // mean duration of a request, 0: unknown
+	Requested, Started float64 // requests that asked to begin, and those that began
+	InFlight           int     // requests in flight now, under a concurrency limit
+	MeanSeconds        float64 // mean duration of a request, 0: unknown
 }
 
 // Max returns the maximum of u and other, field by field.
 func (u Usage) Max(other Usage) Usage {
 	return Usage{
-		Wanted:      max(u.Wanted, other.Wanted),
-		Done:        max(u.Done, other.Done),
+		Requested:   max(u.Requested, other.Requested),
+		Started:     max(u.Started, other.Started),
 		InFlight:    max(u.InFlight, other.InFlight),
 		MeanSeconds: max(u.MeanSeconds, other.MeanSeconds),
 	}
@@ -41,10 +41,10 @@
 	usage      Usage
 }
 
-// Set replaces the quota of *l and returns the usage since the previous call. If *l is nil, Set creates a limiter without
+// SetQuota replaces the quota of *l and returns the usage since the previous call. If *l is nil, SetQuota creates a limiter without
 // tokens. An existing limiter keeps the tokens that it accumulated at the old rate, up to the size of the new bucket. A quota
 // that shrinks because its units move to another node must not leave their burst behind.
-func Set(l **Limiter, now int64, q Quota) Usage {
+func SetQuota(l **Limiter, now int64, q Quota) Usage {
 	if *l == nil {
 		*l = &Limiter{quota: q, refilledAt: now}
 	}
@@ -72,8 +72,8 @@
 	if l == nil {
 		return math.Inf(1)
 	}
-	if now >= l.quota.Until {
-		l.quota.Rate = l.quota.ThenRate
+	if now >= l.quota.End {
+		l.quota.Rate = l.quota.RateAfterEnd
 		l.quota.Burst = l.quota.ThenBurst
 	}
 	if l.quota.Concurrency {
@@ -84,13 +84,13 @@
 	return l.tokens
 }
 
-// Spend records the start of a request.
-func (l *Limiter) Spend() {
+// RequestStarted records the start of a request.
+func (l *Limiter) RequestStarted() {
 	if l == nil {
 		return
 	}
-	l.usage.Wanted++
-	l.usage.Done++
+	l.usage.Requested++
+	l.usage.Started++
 	if l.quota.Concurrency {
 		l.usage.InFlight++
 	} else {
@@ -98,8 +98,8 @@
 	}
 }
 
-// Ended records the end of a request in flight. meanDuration is the mean duration of recent requests, in ticks.
-func (l *Limiter) Ended(meanDuration int64) {
+// RequestEnded records the end of a request in flight. meanDuration is the mean duration of recent requests, in ticks.
+func (l *Limiter) RequestEnded(meanDuration int64) {
 	if l == nil {
 		return
 	}
@@ -107,9 +107,9 @@
 	l.usage.MeanSeconds = float64(meanDuration) / ticksPerSecond
 }
 
-// Denied records a request that the limit denied.
-func (l *Limiter) Denied() {
+// RequestDenied records a request that the limit denied.
+func (l *Limiter) RequestDenied() {
 	if l != nil {
-		l.usage.Wanted++
+		l.usage.Requested++
 	}
 }
--- a/budget/allowance/limiter_test.go
+++ b/budget/quotalimit/limiter_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quotalimit
 
 import (
 	"testing"
@@ -23,7 +23,7 @@
 				if keepTokens {
 					burst = units // a shrinking quota doesn't reduce the tokens
 				}
-				Set(&limiters[i], now, Quota{Rate: nodeUnits[i], Burst: burst, Until: 1 << 60})
+				SetQuota(&limiters[i], now, Quota{Rate: nodeUnits[i], Burst: burst, End: 1 << 60})
 			}
 			for i := range limiters {
 				setQuota(i)
@@ -42,7 +42,7 @@
 				}
 				for _, l := range limiters {
 					for l.Available(now) >= 1 {
-						l.Spend()
+						l.RequestStarted()
 						tokensAboveRate = max(0, tokensAboveRate-units*float64(now-lastSpend)/ticksPerSecond) + 1
 						if lastSpend = now; tokensAboveRate > units+1e-6 {
 							if budgetExceeded = true; !keepTokens {
@@ -60,35 +60,35 @@
 	}
 }
 
-// Covers the lower limit after the end of a quota, the concurrency limit, and the usage that Set returns.
+// Covers the lower limit after the end of a quota, the concurrency limit, and the usage that SetQuota returns.
 func TestLimiterQuotaEndAndUsage(t *testing.T) {
 	var concurrencyLimiter *Limiter
 	if concurrencyLimiter.Available(5) < 1e300 || concurrencyLimiter.Clone(5) != nil {
 		t.Error("nil limiter limits requests or has a non-nil clone")
 	}
-	concurrencyLimiter.Spend()
-	Set(&concurrencyLimiter, 0, Quota{Concurrency: true, Burst: 3, Until: 100, ThenBurst: 1})
-	concurrencyLimiter.Spend()
-	concurrencyLimiter.Spend()
-	concurrencyLimiter.Denied()
+	concurrencyLimiter.RequestStarted()
+	SetQuota(&concurrencyLimiter, 0, Quota{Concurrency: true, Burst: 3, End: 100, ThenBurst: 1})
+	concurrencyLimiter.RequestStarted()
+	concurrencyLimiter.RequestStarted()
+	concurrencyLimiter.RequestDenied()
 	for now, want := range map[int64]float64{99: 1, 100: -1} {
 		limiterCopy := *concurrencyLimiter
 		if got := limiterCopy.Available(now); got != want {
 			t.Errorf("at tick %d: Available = %g, want %g", now, got, want)
 		}
 	}
-	concurrencyLimiter.Ended(2500)
-	if usage := Set(&concurrencyLimiter, 50, Quota{Concurrency: true, Burst: 3, Until: 100}); usage != (Usage{Wanted: 3, Done: 2, InFlight: 1, MeanSeconds: 0.25}) {
-		t.Errorf("Set returned %+v, want 3 requests wanted, 2 done, 1 in flight, a mean of 0.25 s", usage)
+	concurrencyLimiter.RequestEnded(2500)
+	if usage := SetQuota(&concurrencyLimiter, 50, Quota{Concurrency: true, Burst: 3, End: 100}); usage != (Usage{Requested: 3, Started: 2, InFlight: 1, MeanSeconds: 0.25}) {
+		t.Errorf("SetQuota returned %+v, want 3 requested, 2 started, 1 in flight, a mean of 0.25 s", usage)
 	}
-	if usage := Set(&concurrencyLimiter, 60, Quota{Concurrency: true}); usage.InFlight != 1 || usage.Wanted != 0 {
+	if usage := SetQuota(&concurrencyLimiter, 60, Quota{Concurrency: true}); usage.InFlight != 1 || usage.Requested != 0 {
 		t.Errorf("Set returned %+v, want 1 request in flight and the other counts reset", usage)
 	}
 	if clone := concurrencyLimiter.Clone(70); clone.Available(70) != 0 {
 		t.Errorf("clone under an empty quota: Available = %g, want 0", clone.Available(70))
 	}
 	var rateLimiter *Limiter
-	Set(&rateLimiter, 0, Quota{Rate: 2, Burst: 4, Until: 10000, ThenRate: 1, ThenBurst: 1})
+	SetQuota(&rateLimiter, 0, Quota{Rate: 2, Burst: 4, End: 10000, RateAfterEnd: 1, ThenBurst: 1})
 	if rateLimiter.Available(5000) != 1 || rateLimiter.Available(20000) != 1 {
 		t.Error("tokens don't accumulate with time, or the bucket doesn't shrink when the quota ends")
 	}
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
@@ -25,7 +25,7 @@
 func (noFigures) Metrics() map[string]int64                       { return nil }
 func (noFigures) EjectedEndpoints() map[string]string             { return nil }
 func (noFigures) ProbeResult(string, string, bool, time.Duration) {}
-func (noFigures) SetQuota(routing.Limit, string, allowance.Quota, time.Duration, time.Duration) (u allowance.Usage) {
+func (noFigures) SetQuota(routing.Limit, string, quotalimit.Quota, time.Duration, time.Duration) (u quotalimit.Usage) {
 	return u
 }
 
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -21,7 +21,7 @@
 func (f stubNode) Metrics() map[string]int64                     { return f }
 func (stubNode) EjectedEndpoints() map[string]string             { return nil }
 func (stubNode) ProbeResult(string, string, bool, time.Duration) {}
-func (stubNode) SetQuota(routing.Limit, string, allowance.Quota, time.Duration, time.Duration) (u allowance.Usage) {
+func (stubNode) SetQuota(routing.Limit, string, quotalimit.Quota, time.Duration, time.Duration) (u quotalimit.Usage) {
 	return u
 }
 
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/cluster/transport"
 	"github.com/thistlerudder/thistlerudder/internal/cluster/voterstore"
 	"github.com/thistlerudder/thistlerudder/internal/config"
@@ -35,9 +35,9 @@
 	// ProbeResult reports the result of the cluster's last probe of a server, and the maximum time until its next probe.
 	ProbeResult(id, address string, healthy bool, next time.Duration)
 	// SetQuota sets this node's quota of a budget. Requests may begin under quota's Rate and Burst for the duration, and under
-	// its ThenRate and ThenBurst afterwards. Requests under a concurrency limit are cut off cutoffMargin after the duration.
+	// its RateAfterEnd and ThenBurst afterwards. Requests under a concurrency limit are cut off cutoffMargin after the duration.
 	// It returns the usage since the last call.
-	SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, duration, cutoffMargin time.Duration) allowance.Usage
+	SetQuota(limit routing.Limit, tenant string, quota quotalimit.Quota, duration, cutoffMargin time.Duration) quotalimit.Usage
 }
 
 // Member is this process's membership in its cluster. It is safe for concurrent use.
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget"
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/lease"
@@ -98,7 +98,7 @@
 func (q *nodeQuotas) SetAlarm(alarmTime lease.Time) { q.alarm.set(alarmTime) }
 
 // SetQuota applies a quota to this node until a time.
-func (q *nodeQuotas) SetQuota(name string, c lease.BudgetConfig, units, reserved int, until lease.Time) allowance.Usage {
+func (q *nodeQuotas) SetQuota(name string, c lease.BudgetConfig, units, reserved int, until lease.Time) quotalimit.Usage {
 	return q.member.applyQuota(name, c, units, reserved, toDuration(until-now()), q.member.cutoffMargin())
 }
 
@@ -175,21 +175,21 @@
 }
 
 // applyQuota sets the node's quota of one budget: units for the duration, and the reserved units afterwards.
-func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, cutoffMargin time.Duration) allowance.Usage {
+func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, cutoffMargin time.Duration) quotalimit.Usage {
 	index := slices.IndexFunc(m.config.Budgets, func(b config.Budget) bool { return b.Name == name })
 	if index < 0 {
-		return allowance.Usage{}
+		return quotalimit.Usage{}
 	}
 	rate := 0.0
 	if c.Kind == lease.BudgetKindRate {
 		rate = c.RatePerUnit * (1 - m.config.MaxDrift) // this node's clock may run too fast by MaxDrift
 	}
-	quota := allowance.Quota{
-		Concurrency: c.Kind == lease.BudgetKindConcurrency,
-		Rate:        rate * float64(units),
-		Burst:       float64(units),
-		ThenRate:    rate * float64(reserved),
-		ThenBurst:   float64(reserved),
+	quota := quotalimit.Quota{
+		Concurrency:  c.Kind == lease.BudgetKindConcurrency,
+		Rate:         rate * float64(units),
+		Burst:        float64(units),
+		RateAfterEnd: rate * float64(reserved),
+		ThenBurst:    float64(reserved),
 	}
 	if faults.Without(faults.BurstKept) && !quota.Concurrency {
 		m.mu.Lock()
--- a/internal/cluster/quotas_test.go
+++ b/internal/cluster/quotas_test.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
@@ -19,15 +19,15 @@
 	stubNode
 	mu     sync.Mutex
 	demand float64
-	quota  allowance.Quota
+	quota  quotalimit.Quota
 	until  time.Time
 }
 
-func (n *budgetedNode) SetQuota(_ routing.Limit, _ string, quota allowance.Quota, duration, _ time.Duration) allowance.Usage {
+func (n *budgetedNode) SetQuota(_ routing.Limit, _ string, quota quotalimit.Quota, duration, _ time.Duration) quotalimit.Usage {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.quota, n.until = quota, time.Now().Add(duration)
-	return allowance.Usage{Wanted: n.demand / 20}
+	return quotalimit.Usage{Requested: n.demand / 20}
 }
 
 func (n *budgetedNode) allowed() float64 {
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -19,17 +19,17 @@
 }
 
 // SetQuota sets this node's quota of a limit. tenant is used for routing.TenantRate only. Rate and Burst of the quota
-// apply for validFor, then ThenRate and ThenBurst. Attempts that start under a concurrency quota must have ended
+// apply for validFor, then RateAfterEnd and ThenBurst. Attempts that start under a concurrency quota must have ended
 // cutoffMargin after that time. SetQuota returns the usage of the limit since the last call, or a zero value for an
 // unknown tenant.
-func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota allowance.Quota, validFor, cutoffMargin time.Duration) (
-	usage allowance.Usage) {
+func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota quotalimit.Quota, validFor, cutoffMargin time.Duration) (
+	usage quotalimit.Usage) {
 	tenantIndex, known := d.settings.Tenants[tenant]
 	if limit == routing.TenantRate && !known {
 		return usage
 	}
 	d.withLock("quota", nil, func(now routing.Time) {
-		quota.Until = int64(now + config.Ticks(float64(validFor)/float64(time.Millisecond)))
+		quota.End = int64(now + config.Ticks(float64(validFor)/float64(time.Millisecond)))
 		usage = d.balancer.SetQuota(now, limit, tenantIndex, quota)
 		d.quotas.active = true
 		if quota.Concurrency {
--- a/internal/net/dispatch/quotas_test.go
+++ b/internal/net/dispatch/quotas_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
@@ -20,7 +20,7 @@
 	if _, attempt := submitWrite(); attempt == nil || !attempt.SendBy.IsZero() || attempt.Timeout < 600*time.Millisecond {
 		t.Fatalf("without a quota: %+v", attempt)
 	}
-	quota := allowance.Quota{Concurrency: true, Burst: 2, ThenBurst: 1}
+	quota := quotalimit.Quota{Concurrency: true, Burst: 2, ThenBurst: 1}
 	d.SetQuota(routing.OriginConcurrency, "", quota, 200*time.Millisecond, 100*time.Millisecond)
 	_, first := submitWrite()
 	_, second := submitWrite()
@@ -37,14 +37,14 @@
 	}
 	first.Finish(Complete, Answer{})
 	second.Finish(Complete, Answer{})
-	if usage := d.SetQuota(routing.OriginConcurrency, "", quota, 0, 0); usage.Wanted != 3 || usage.Done != 2 || usage.InFlight != 0 {
+	if usage := d.SetQuota(routing.OriginConcurrency, "", quota, 0, 0); usage.Requested != 3 || usage.Started != 2 || usage.InFlight != 0 {
 		t.Errorf("usage %+v", usage)
 	}
 	_, first = submitWrite()
 	if _, second = submitWrite(); first == nil || second != nil || first.Timeout < 600*time.Millisecond {
 		t.Errorf("after the end of the quota: %+v, %+v; want one attempt, without its time limits", first, second)
 	}
-	if usage := d.SetQuota(routing.TenantRate, "nobody", quota, 0, 0); usage != (allowance.Usage{}) {
+	if usage := d.SetQuota(routing.TenantRate, "nobody", quota, 0, 0); usage != (quotalimit.Usage{}) {
 		t.Error("usage returned for an unknown tenant")
 	}
 }
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -27,7 +27,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"github.com/thistlerudder/thistlerudder/budget"
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
@@ -292,7 +292,7 @@
 	at  time.Time
 }
 
-func (d *demanding) SetQuota(of routing.Limit, partner string, p allowance.Quota, left, takes time.Duration) allowance.Usage {
+func (d *demanding) SetQuota(of routing.Limit, partner string, p quotalimit.Quota, left, takes time.Duration) quotalimit.Usage {
 	u := d.LocalNode.SetQuota(of, partner, p, left, takes)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -303,7 +303,7 @@
 	}
 	mean := demandOf(d.h.seed, d.n, d.at) * span
 	asked := max(0, mean+d.rnd.NormFloat64()*mean/2)
-	return u.Max(allowance.Usage{Wanted: asked, Done: min(asked, p.Rate*span)})
+	return u.Max(quotalimit.Usage{Requested: asked, Started: min(asked, p.Rate*span)})
 }
 
 // demandOf is by chance, and moves.
--- a/internal/simulation/divided.go
+++ b/internal/simulation/divided.go
@@ -8,7 +8,7 @@
 	"strconv"
 
 	"github.com/thistlerudder/thistlerudder/budget"
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/lease"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -339,20 +339,20 @@
 	h.down, h.purse = true, nil
 }
 
-func (h *quotaHolder) part(t lease.BudgetConfig, units, apart int, left routing.Time) allowance.Usage {
+func (h *quotaHolder) part(t lease.BudgetConfig, units, apart int, left routing.Time) quotalimit.Usage {
 	drift := 1 - h.w.e.Fleet.Budget.Drift
 	n, is := h.w.nodes[h.n].policy.(*routing.Balancer)
 	if !is {
-		return allowance.Usage{}
+		return quotalimit.Usage{}
 	}
 	if h.w.e.Fleet.Budget.Way == "even" {
 		units, apart = 0, 0
-		return n.SetQuota(h.w.clock.now, h.bound, 0, allowance.Quota{Concurrency: t.Kind == lease.BudgetKindConcurrency, Rate: h.w.terms.RatePerUnit * float64(h.w.terms.Units) / float64(len(h.w.nodes)),
-			Burst: h.w.evenPart, Until: math.MaxInt64})
+		return n.SetQuota(h.w.clock.now, h.bound, 0, quotalimit.Quota{Concurrency: t.Kind == lease.BudgetKindConcurrency, Rate: h.w.terms.RatePerUnit * float64(h.w.terms.Units) / float64(len(h.w.nodes)),
+			Burst: h.w.evenPart, End: math.MaxInt64})
 	}
-	p := allowance.Quota{Concurrency: t.Kind == lease.BudgetKindConcurrency, Burst: float64(units), ThenBurst: float64(apart), Until: int64(h.w.clock.now + left)}
+	p := quotalimit.Quota{Concurrency: t.Kind == lease.BudgetKindConcurrency, Burst: float64(units), ThenBurst: float64(apart), End: int64(h.w.clock.now + left)}
 	if !p.Concurrency {
-		p.Rate, p.ThenRate = t.RatePerUnit*drift*float64(units), t.RatePerUnit*drift*float64(apart)
+		p.Rate, p.RateAfterEnd = t.RatePerUnit*drift*float64(units), t.RatePerUnit*drift*float64(apart)
 	}
 	return n.SetQuota(h.w.clock.now, h.bound, 0, p)
 }
@@ -360,7 +360,7 @@
 // quotaHolder is the host of its quota client.
 
 // SetQuota is for budget.Acts, as all below.
-func (h *quotaHolder) SetQuota(_ string, t lease.BudgetConfig, units, apart int, until lease.Time) allowance.Usage {
+func (h *quotaHolder) SetQuota(_ string, t lease.BudgetConfig, units, apart int, until lease.Time) quotalimit.Usage {
 	return h.part(t, units, apart, routing.Time(until)-h.w.clock.now)
 }
 
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 )
 
 // Balancer makes the routing decisions of one node. It is not safe for
@@ -27,8 +27,8 @@
 	origins  []int // servers that are ready origins, in ascending order of their index
 	inFlight int   // total attempts in flight at ready caches
 
-	fetchWaiters map[uint64][]int               // requests that wait for a fetch in flight, by key hash
-	quotas       [limitCount]*allowance.Limiter // this node's quotas; nil: the cluster has no such limit
+	fetchWaiters map[uint64][]int                // requests that wait for a fetch in flight, by key hash
+	quotas       [limitCount]*quotalimit.Limiter // this node's quotas; nil: the cluster has no such limit
 
 	// Histogram of the keys and ranges of the caches, see partition.go.
 	binWeights         []float64 // weight of each bin, before multiplication by weightScale
--- a/routing/polling.go
+++ b/routing/polling.go
@@ -53,10 +53,10 @@
 	}
 	quota := b.quotas[DiscoveryRate]
 	if quota.Available(int64(b.now)) >= 1 {
-		quota.Spend()
+		quota.RequestStarted()
 		b.host.Subscribe()
 	} else {
-		quota.Denied()
+		quota.RequestDenied()
 	}
 	b.pollDue = b.now + b.maxPollWait/2 + Time(b.draw()*float64(b.maxPollWait/2))
 	b.host.SetAlarm(b.pollDue, pollAlarmHandle)
--- a/routing/polling_test.go
+++ b/routing/polling_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"testing/quick"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 )
 
 // pollingHost is a Host that records the times of polls and fires alarms in steps of alarmStep.
@@ -124,13 +124,13 @@
 // even while an earlier one is unanswered.
 func TestPollsWaitForQuota(t *testing.T) {
 	h := newPollingHost(3, DefaultConfig())
-	h.b.SetQuota(h.now, DiscoveryRate, 0, allowance.Quota{Rate: 0.0001, Burst: 1, Until: int64(h.now + 90000*Millisecond)})
+	h.b.SetQuota(h.now, DiscoveryRate, 0, quotalimit.Quota{Rate: 0.0001, Burst: 1, End: int64(h.now + 90000*Millisecond)})
 	h.runUntil(h.now+20000*Millisecond, func() {})
 	if len(h.polledAt) > 0 {
 		t.Fatalf("%d polls with an exhausted quota, want none", len(h.polledAt))
 	}
 	grantedAt := h.now
-	h.b.SetQuota(h.now, DiscoveryRate, 0, allowance.Quota{Rate: 1000, Burst: 1000, Until: int64(h.now + 90000*Millisecond)})
+	h.b.SetQuota(h.now, DiscoveryRate, 0, quotalimit.Quota{Rate: 1000, Burst: 1000, End: int64(h.now + 90000*Millisecond)})
 	h.runUntil(grantedAt+10*MaxPollGap, func() {})
 	if len(h.polledAt) < 10 || h.polledAt[0]-grantedAt > MaxPollGap+alarmStep {
 		t.Errorf("%d polls, the first %d after the quota was granted", len(h.polledAt), h.polledAt[0]-grantedAt)
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"testing/quick"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 )
 
 // Guards against attempts and polls beyond a quota. Random runs as in TestRandomEventsBreakNoRules continue while quotas
@@ -20,8 +20,8 @@
 		excess, lastStep, lastPolls := 0.0, f.now, 0
 		changeQuota := func() {
 			n := float64(rnd.Intn(int(maxUnits) + 1))
-			f.b.SetQuota(f.now, quotaLimit, 0, allowance.Quota{Concurrency: quotaLimit == OriginConcurrency || quotaLimit == CacheConcurrency, Rate: rate * n / maxUnits, Burst: n,
-				Until: int64(f.now + Time(rnd.Intn(3000))*Millisecond), ThenRate: rate * min(1, n) / maxUnits, ThenBurst: min(1, n)})
+			f.b.SetQuota(f.now, quotaLimit, 0, quotalimit.Quota{Concurrency: quotaLimit == OriginConcurrency || quotaLimit == CacheConcurrency, Rate: rate * n / maxUnits, Burst: n,
+				End: int64(f.now + Time(rnd.Intn(3000))*Millisecond), RateAfterEnd: rate * min(1, n) / maxUnits, ThenBurst: min(1, n)})
 		}
 		changeQuota()
 		for n := 0; n < 800 && len(f.violations) == 0; n++ {
@@ -63,7 +63,7 @@
 func TestExhaustedQuotaRejects(t *testing.T) {
 	f := newFakeHost(3, 2)
 	f.advance(2000 * Millisecond)
-	f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{Rate: 100, Burst: 2, Until: int64(f.now + 500*Millisecond), ThenRate: 1, ThenBurst: 1})
+	f.b.SetQuota(f.now, OriginRate, 0, quotalimit.Quota{Rate: 100, Burst: 2, End: int64(f.now + 500*Millisecond), RateAfterEnd: 1, ThenBurst: 1})
 	write := func() (sent bool, retryAfter Time) {
 		_, client := f.request(2, "k", true, f.now+700*Millisecond)
 		return len(client.attempts) > 0, client.retryAfter
@@ -87,7 +87,7 @@
 	if second, _ = write(); !first || second {
 		t.Errorf("attempts %v %v after the quota has expired, want one", first, second)
 	}
-	if usage := f.b.SetQuota(f.now, OriginRate, 0, allowance.Quota{}); usage.Wanted != 7 || usage.Done != 3 {
-		t.Errorf("usage: %v wanted, %v done, want 7 and 3", usage.Wanted, usage.Done)
+	if usage := f.b.SetQuota(f.now, OriginRate, 0, quotalimit.Quota{}); usage.Requested != 7 || usage.Started != 3 {
+		t.Errorf("usage: %v requested, %v started, want 7 and 3", usage.Requested, usage.Started)
 	}
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -5,7 +5,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 )
 
 // requestState is the state of a request.
@@ -23,7 +23,7 @@
 	isFetch     bool // its attempt at the origin is a fetch that other requests for the key wait for
 	awaitsFetch bool // waits for another request's fetch
 
-	deniedBy *allowance.Limiter // the quota that last denied its next step
+	deniedBy *quotalimit.Limiter // the quota that last denied its next step
 	attempts []attempt
 }
 
@@ -168,13 +168,13 @@
 // bound it.
 func (b *Balancer) chargeAttempt(r *requestState, s *serverState) {
 	if b.inSlowStart(s) || s.isEjected() {
-		s.slowStartQuota.Spend()
+		s.slowStartQuota.RequestStarted()
 		s.slowStartTokens -= r.work
 	}
-	s.concurrencyQuota.Spend()
+	s.concurrencyQuota.RequestStarted()
 	if s.isOrigin {
-		b.quotas[OriginRate].Spend()
-		b.quotas[OriginConcurrency].Spend()
+		b.quotas[OriginRate].RequestStarted()
+		b.quotas[OriginConcurrency].RequestStarted()
 	} else if r.isRetry() {
 		s.retryBudget--
 	}
--- a/routing/result.go
+++ b/routing/result.go
@@ -62,9 +62,9 @@
 // returnConcurrencyQuota returns what an attempt took from the quotas that bound
 // attempts in flight.
 func (b *Balancer) returnConcurrencyQuota(s *serverState) {
-	s.concurrencyQuota.Ended(int64(s.meanLatency))
+	s.concurrencyQuota.RequestEnded(int64(s.meanLatency))
 	if s.isOrigin {
-		b.quotas[OriginConcurrency].Ended(int64(s.meanLatency))
+		b.quotas[OriginConcurrency].RequestEnded(int64(s.meanLatency))
 	}
 }
 
--- a/routing/server.go
+++ b/routing/server.go
@@ -1,6 +1,6 @@
 package routing
 
-import "github.com/thistlerudder/thistlerudder/budget/allowance"
+import "github.com/thistlerudder/thistlerudder/budget/quotalimit"
 
 // serverState is the node's state of a server. It is reset when the server
 // restarts.
@@ -28,8 +28,8 @@
 	lastDoneAt        Time // end of the latest attempt
 
 	// The node's quotas of the cluster's limits for this server; nil: no limit.
-	slowStartQuota   *allowance.Limiter
-	concurrencyQuota *allowance.Limiter
+	slowStartQuota   *quotalimit.Limiter
+	concurrencyQuota *quotalimit.Limiter
 }
 
 // newServer returns the initial state of a server that was added to the list or
--- a/routing/shedding.go
+++ b/routing/shedding.go
@@ -1,13 +1,13 @@
 package routing
 
-import "github.com/thistlerudder/thistlerudder/budget/allowance"
+import "github.com/thistlerudder/thistlerudder/budget/quotalimit"
 
 // tenantState holds a tenant's share of this node. Without a cluster quota, a
 // tenant's rate is divided evenly between the nodes. Clients are spread unevenly,
 // and a node receives more than its even share of the traffic when other nodes
 // fail. So a node also estimates the share that it actually carries.
 type tenantState struct {
-	quota *allowance.Limiter // quota of the cluster's limit for the tenant; nil: the even share applies
+	quota *quotalimit.Limiter // quota of the cluster's limit for the tenant; nil: the even share applies
 
 	evenRate      float64 // even share, in requests per second
 	evenTokens    float64 // requests left in the even share
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 )
 
 // slowStartCase is a cluster of nodes that send requests to a cache, which restarts repeatedly.
@@ -77,8 +77,8 @@
 		if (i-firstHolder+c.nodes)%c.nodes < units%c.nodes {
 			nodeUnits++
 		}
-		nodes[i].b.SetQuota(now, SlowStartRate, 0, allowance.Quota{Rate: nodeUnits * c.quotaFactor * c.overloadLimit / seconds(overloadWindow) / float64(units), Burst: nodeUnits,
-			Until: math.MaxInt64})
+		nodes[i].b.SetQuota(now, SlowStartRate, 0, quotalimit.Quota{Rate: nodeUnits * c.quotaFactor * c.overloadLimit / seconds(overloadWindow) / float64(units), Burst: nodeUnits,
+			End: math.MaxInt64})
 	}
 	startNode := func(i int) {
 		n := &slowStartNode{informed: true}
