--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -27,7 +27,7 @@
 
 // Host performs the actions of an Allocator. Its methods must neither block nor call methods of the Allocator.
 type Host interface {
-	// Propose appends an entry to the replicated log. Its outcome must be reported to Allocator.Applied with the same
+	// Propose appends an entry to the replicated log. Its outcome must be reported to Allocator.HandleProposalResult with the same
 	// ref.
 	Propose(ref uint64, e lease.Entry)
 	// Respond sends the response to the request that was passed to Allocator.Handle with this id.
@@ -47,10 +47,10 @@
 type nodeRecord struct {
 	token     uint64 // token of the node's lease
 	weight    float64
-	holdings  map[string]Holding // latest report of the node, by budget
-	shrinkTo  map[string]int     // units that the node has to shrink its usage to, by budget
-	requestID uint64             // ID of the request that waits for a response, 0: none
-	deadline  Time               // time by which that request must be answered
+	holdings  map[string]Report // latest report of the node, by budget
+	shrinkTo  map[string]int    // units that the node has to shrink its usage to, by budget
+	requestID uint64            // ID of the request that waits for a response, 0: none
+	deadline  Time              // time by which that request must be answered
 }
 
 // Allocator runs on the leader and divides all budgets of the cluster. It keeps only demand in memory; the quotas are part
@@ -146,7 +146,7 @@
 	n.deadline = now + min(max(r.Wait, 0), maxWait)
 	n.weight = cmp.Or(r.Weight, 1)
 	a.recordHoldings(n, r)
-	a.proposeDeclared(r.Declared)
+	a.proposeDeclared(r.DeclaredConfigs)
 	a.notifyNode(r.Lease)
 	a.scheduleAlarm(now)
 }
@@ -162,7 +162,7 @@
 	if len(a.nodes) >= maxNodes && a.nodes[r.Lease] == nil {
 		return lease.ErrLimitExceeded
 	}
-	if r.Weight < 0 || r.Weight > maxWeight || len(r.Holdings) > maxHoldings || len(r.Declared) > maxHoldings {
+	if r.Weight < 0 || r.Weight > maxWeight || len(r.Holdings) > maxHoldings || len(r.DeclaredConfigs) > maxHoldings {
 		return lease.ErrMalformed
 	}
 	return nil
@@ -178,7 +178,7 @@
 	if n != nil {
 		a.reply(n, Response{Err: lease.ErrWithdrawn})
 	}
-	n = &nodeRecord{token: r.Token, holdings: map[string]Holding{}, shrinkTo: map[string]int{}}
+	n = &nodeRecord{token: r.Token, holdings: map[string]Report{}, shrinkTo: map[string]int{}}
 	a.nodes[r.Lease] = n
 	a.stale = true
 	return n
@@ -220,8 +220,8 @@
 	return false
 }
 
-// CallerGone drops a waiting request whose caller has disconnected. The record of the node stays.
-func (a *Allocator) CallerGone(id uint64) {
+// CancelRequest drops a waiting request whose caller has disconnected. The record of the node stays.
+func (a *Allocator) CancelRequest(id uint64) {
 	for _, n := range a.nodes {
 		if n.requestID == id {
 			n.requestID = 0
@@ -237,8 +237,9 @@
 	}
 }
 
-// Applied must be called with the outcome of a proposal. lost means that the entry may or may not be applied, now or later.
-func (a *Allocator) Applied(now Time, ref uint64, lost bool) {
+// HandleProposalResult must be called with the outcome of a proposal. lost means that the entry may or may not be applied, now or
+// later.
+func (a *Allocator) HandleProposalResult(now Time, ref uint64, lost bool) {
 	e, ok := a.proposals[ref]
 	if !ok {
 		return
@@ -316,7 +317,7 @@
 }
 
 // differs reports whether the update contains anything that the node didn't know when it sent the report.
-func (u QuotaUpdate) differs(h Holding) bool {
+func (u QuotaUpdate) differs(h Report) bool {
 	if u.Quota.Token > h.Token || u.Config.Revision != h.Revision {
 		return true
 	}
--- a/budget/allocator_test.go
+++ b/budget/allocator_test.go
@@ -99,7 +99,7 @@
 			e := c.allocator.proposals[ref]
 			c.state.Apply(e)
 			c.appliedEntries++
-			c.allocator.Applied(c.now, ref, false)
+			c.allocator.HandleProposalResult(c.now, ref, false)
 		}
 		c.proposals = nil
 		if c.now >= c.alarmTime {
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -33,7 +33,7 @@
 		ref := c.proposalRefs[0]
 		c.proposalRefs = c.proposalRefs[1:]
 		c.state.Apply(c.allocator.proposals[ref])
-		c.allocator.Applied(c.now, ref, false)
+		c.allocator.HandleProposalResult(c.now, ref, false)
 	}
 	return entries
 }
@@ -74,16 +74,16 @@
 	c.allocator = NewAllocator(c, c.state, Unsafe{})
 	c.allocator.Promote(c.now, c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"}).Term)
 	declared := map[string]lease.BudgetConfig{}
-	var holdings []Holding
+	var holdings []Report
 	for i := range budgets {
 		name := fmt.Sprint("budget-", i)
 		declared[name] = lease.BudgetConfig{Kind: lease.BudgetKindRate, Units: 2 * nodes, RatePerUnit: 1, MaxNodes: nodes}
-		holdings = append(holdings, Holding{Budget: name, Demand: 1, ShrinkTo: -1})
+		holdings = append(holdings, Report{Budget: name, Demand: 1, ShrinkTo: -1})
 	}
 	for n := range nodes {
 		name := fmt.Sprintf("node/%05d", n)
 		r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: name, Holder: lease.Holder{Name: name, Process: n}})
-		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: requestWait, Declared: declared, Holdings: append([]Holding(nil), holdings...)}
+		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: requestWait, DeclaredConfigs: declared, Holdings: append([]Report(nil), holdings...)}
 		c.sendRequest(n)
 	}
 	for range 8 {
@@ -92,7 +92,7 @@
 		c.allocator.Alarm(c.now)
 		c.applyProposals()
 		for n := range nodes {
-			c.requests[n].Declared = nil
+			c.requests[n].DeclaredConfigs = nil
 			c.handleResponse(n)
 		}
 	}
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -393,7 +393,7 @@
 			p.renewalInFlight = false
 		} else {
 			for _, l := range c.leaders {
-				l.allocator.CallerGone(m.id)
+				l.allocator.CancelRequest(m.id)
 			}
 			if m.id == p.latestRequestID {
 				p.client.HandleTimeout(p.now())
@@ -407,7 +407,7 @@
 			l.applyLog()
 			c.append(l.allocator.proposals[ref])
 			l.applyLog()
-			l.allocator.Applied(l.now(), ref, false)
+			l.allocator.HandleProposalResult(l.now(), ref, false)
 		}
 	case electLeader:
 		c.elections--
--- a/budget/division.go
+++ b/budget/division.go
@@ -159,9 +159,9 @@
 	}
 }
 
-// isCurrent reports whether a holding refers to the current quota of the node. An older report doesn't cover units that were
+// isCurrent reports whether a report refers to the current quota of the node. An older report doesn't cover units that were
 // added to the quota later.
-func (d *division) isCurrent(h Holding, quota lease.Quota) bool {
+func (d *division) isCurrent(h Report, quota lease.Quota) bool {
 	return quota.Token != 0 && (h.Token == quota.Token || d.allocator.unsafe.AcceptStaleReports)
 }
 
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -8,8 +8,8 @@
 // noShrink is the shrink target of a node that may keep all its units.
 const noShrink = -1
 
-// Holding is a node's report on one budget.
-type Holding struct {
+// Report is a node's report on one budget.
+type Report struct {
 	Budget   string `json:"Budget"`
 	Token    uint64 `json:"Token"`    // token of the latest quota that the node knows, 0: none
 	Units    int    `json:"Units"`    // upper bound on the units in use, valid from just before the report is sent
@@ -21,12 +21,12 @@
 // Request is a node's report on all its budgets. The node sends it under the lease of its own name. The leader answers it
 // as soon as it has an update for the node. Without an update, it answers with lease.ErrStillHeld after Wait.
 type Request struct {
-	Lease    string                        `json:"Lease"`
-	Token    uint64                        `json:"Token"`
-	Weight   float64                       `json:"Weight"` // weight of the node relative to other nodes, 0: 1
-	Wait     Time                          `json:"Wait"`
-	Holdings []Holding                     `json:"Holds"`
-	Declared map[string]lease.BudgetConfig `json:"Declares"` // budgets of the node's configuration that the node hasn't seen in the cluster
+	Lease           string                        `json:"Lease"`
+	Token           uint64                        `json:"Token"`
+	Weight          float64                       `json:"Weight"` // weight of the node relative to other nodes, 0: 1
+	Wait            Time                          `json:"Wait"`
+	Holdings        []Report                      `json:"Holds"`
+	DeclaredConfigs map[string]lease.BudgetConfig `json:"Declares"` // budgets of the node's configuration that the node hasn't seen in the cluster
 }
 
 // QuotaUpdate is the state of one budget that the leader sends to a node.
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -149,9 +149,9 @@
 }
 
 // holdings returns the node's report on each budget.
-func (c *QuotaClient) holdings() (reports []Holding) {
+func (c *QuotaClient) holdings() (reports []Report) {
 	for _, b := range c.budgets {
-		reports = append(reports, Holding{
+		reports = append(reports, Report{
 			Budget:   b.name,
 			Token:    b.token,
 			Units:    b.unitsInUse,
@@ -182,20 +182,20 @@
 	c.reportNeeded = false
 	c.nextRequest = now + minRequestInterval
 	c.host.Send(Request{
-		Lease:    c.lease,
-		Token:    c.token,
-		Weight:   c.weight,
-		Wait:     requestWait,
-		Holdings: c.holdings(),
-		Declared: declared,
+		Lease:           c.lease,
+		Token:           c.token,
+		Weight:          c.weight,
+		Wait:            requestWait,
+		Holdings:        c.holdings(),
+		DeclaredConfigs: declared,
 	})
 	c.host.SetAlarm(c.lastSample + sampleInterval)
 }
 
-// ConfigMismatch describes a budget whose configuration on this node (Local) differs from the cluster's (Agreed).
+// ConfigMismatch describes a budget whose configuration on this node (Local) differs from the cluster's (ClusterConfig).
 type ConfigMismatch struct {
-	Name          string
-	Local, Agreed lease.BudgetConfig
+	Name                 string
+	Local, ClusterConfig lease.BudgetConfig
 }
 
 // HandleResponse processes the response to the latest request. It returns the budgets whose local configuration differs from
@@ -212,7 +212,7 @@
 		}
 		b := c.budgets[i]
 		if !b.confirmed && !sameBudget(b.config, u.Config) {
-			mismatches = append(mismatches, ConfigMismatch{Name: u.Budget, Local: b.config, Agreed: u.Config})
+			mismatches = append(mismatches, ConfigMismatch{Name: u.Budget, Local: b.config, ClusterConfig: u.Config})
 		}
 		b.apply(u)
 	}
@@ -279,7 +279,7 @@
 	Confirmed          bool    // Config comes from the cluster; otherwise it comes from the node's own configuration
 	Units, Demand      int     // units of the node's quota, and units that the node could use
 	InFlight           int     // requests in flight, under a concurrency budget
-	Used               float64 // requests that began between the last two samples, which are a tenth of a second apart
+	RequestsStarted    float64 // requests that began between the last two samples, which are a tenth of a second apart
 	Allocated, Reserve int     // units allocated to all nodes, and held back for nodes without units, as last reported by the leader
 	End                Time    // end of the node's lease
 }
@@ -288,16 +288,16 @@
 func (c *QuotaClient) Status() (statuses []QuotaStatus) {
 	for _, b := range c.budgets {
 		statuses = append(statuses, QuotaStatus{
-			Name:      b.name,
-			Config:    b.config,
-			Confirmed: b.confirmed,
-			Units:     b.units,
-			Demand:    b.demand.units,
-			InFlight:  b.requestsInFlight,
-			Used:      b.requestsDone,
-			Allocated: b.allocated,
-			Reserve:   b.reserve,
-			End:       c.leaseEnd,
+			Name:            b.name,
+			Config:          b.config,
+			Confirmed:       b.confirmed,
+			Units:           b.units,
+			Demand:          b.demand.units,
+			InFlight:        b.requestsInFlight,
+			RequestsStarted: b.requestsDone,
+			Allocated:       b.allocated,
+			Reserve:         b.reserve,
+			End:             c.leaseEnd,
 		})
 	}
 	return statuses
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -151,11 +151,11 @@
 		for _, budgets := range []int{1, 2, 4, 8} {
 			b.Run(fmt.Sprintf("news=%v/budgets=%d", updates, budgets), func(b *testing.B) {
 				c, conn, renewal := leaderClient(b)
-				request := budget.Request{Lease: renewal.Name, Token: renewal.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), Declared: map[string]lease.BudgetConfig{}}
+				request := budget.Request{Lease: renewal.Name, Token: renewal.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), DeclaredConfigs: map[string]lease.BudgetConfig{}}
 				for i := range budgets {
 					name := fmt.Sprint("origin-rate-", i)
-					request.Declared[name] = lease.BudgetConfig{Kind: lease.BudgetKindRate, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
-					request.Holdings = append(request.Holdings, budget.Holding{Budget: name, Demand: 3, ShrinkTo: -1})
+					request.DeclaredConfigs[name] = lease.BudgetConfig{Kind: lease.BudgetKindRate, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
+					request.Holdings = append(request.Holdings, budget.Report{Budget: name, Demand: 3, ShrinkTo: -1})
 				}
 				var response QuotaResponse
 				eventually(b, "no quotas granted", func() bool {
@@ -176,7 +176,7 @@
 					}
 					return allGranted
 				})
-				if request.Declared, request.Wait = nil, 0; updates {
+				if request.DeclaredConfigs, request.Wait = nil, 0; updates {
 					for i := range request.Holdings {
 						request.Holdings[i].Token = 1 // outdated, so that the response has an update
 					}
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -131,8 +131,8 @@
 	}
 	for _, difference := range q.client.HandleResponse(now(), budget.Response{Updates: reply.Updates, Err: reply.Error.toError()}) {
 		q.member.log.Warn("budget differs from the configuration, the cluster's is used", zap.String("budget", difference.Name),
-			zap.Float64("configured_limit", difference.Local.Limit()), zap.Float64("cluster_limit", difference.Agreed.Limit()),
-			zap.Any("configured", difference.Local), zap.Any("cluster", difference.Agreed))
+			zap.Float64("configured_limit", difference.Local.Limit()), zap.Float64("cluster_limit", difference.ClusterConfig.Limit()),
+			zap.Any("configured", difference.Local), zap.Any("cluster", difference.ClusterConfig))
 	}
 	q.member.recordAgreedConfigs(reply.Updates)
 }
@@ -234,7 +234,7 @@
 			"part":     limitOf(s.Units),                                    // this node's quota
 			"wanted":   limitOf(s.Demand),                                   // this node's demand
 			"out":      s.InFlight,                                          // requests in flight
-			"used":     s.Used,                                              // requests of the latest sample of about 0.1 s
+			"used":     s.RequestsStarted,                                   // requests of the latest sample of about 0.1 s
 			"end_ms":   max(0, toDuration(s.End-now()).Milliseconds()),      // time until the quota ends
 			"revision": s.Config.Revision,
 		} {
--- a/internal/cluster/quota_service.go
+++ b/internal/cluster/quota_service.go
@@ -112,7 +112,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.quotaRequests, id)
-	v.allocator.CallerGone(id)
+	v.allocator.CancelRequest(id)
 	return budget.Response{Err: lease.ErrNotLeader}
 }
 
@@ -135,7 +135,7 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.leaderChanges == leaderChange {
-			h.allocator.Applied(now(), ref, err != nil)
+			h.allocator.HandleProposalResult(now(), ref, err != nil)
 		}
 	}()
 }
--- a/internal/simulation/divided.go
+++ b/internal/simulation/divided.go
@@ -239,7 +239,7 @@
 	d.clock.in(d.e.Fleet.Budget.Log.ticks(), func() {
 		if reign == d.reigns {
 			d.apply(e)
-			d.d.Applied(d.now(), ref, false)
+			d.d.HandleProposalResult(d.now(), ref, false)
 		}
 	})
 }
