--- a/internal/net/dispatch/answer.go
+++ b/internal/net/dispatch/answer.go
@@ -23,8 +23,8 @@
 // Answer is the final answer to a request.
 type Answer struct {
 	Outcome     Outcome
-	Body        []byte        // the whole body, or the part before Rest
-	Rest        io.ReadCloser // of a streamed body, closed by the receiver of the answer; nil: none
+	Body        []byte        // the whole body, or the part before BodyStream
+	BodyStream  io.ReadCloser // of a streamed body, closed by the receiver of the answer; nil: none
 	Length      int64         // of a streamed body, in bytes; -1: unknown
 	ContentType string
 	RetryAfter  time.Duration // of a rejected request; 0: none
--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -23,13 +23,13 @@
 	pending        *PendingRequest // nil in tests of other packages
 	endpointIndex  int
 	number         int         // position among the request's attempts, from 0
-	startedAt      time.Time   // when the balancer decided; after BodySent: when the streamed body was written
+	startedAt      time.Time   // when the balancer decided; after ReportBodySent: when the streamed body was written
 	deadline       time.Time   // when the node stops waiting for an answer; never changes
 	bypassTimer    *time.Timer // runs checkBypassed; nil: the attempt is not checked
 	reported       bool        // the result was reported to the balancer
 	finished       bool        // Finish was called
 	bodySent       bool        // the balancer knows that the last byte of the streamed body was written
-	streaming      bool        // its answer was delivered, and the Rest of it is still being read
+	streaming      bool        // its answer was delivered, and its BodyStream is still being read
 	writtenCounted atomic.Bool // included in the metric of written attempts
 }
 
@@ -98,8 +98,8 @@
 }
 
 // Finish reports how the attempt ended. Further calls do nothing. The first complete answer to a request is delivered
-// to its client; delivered reports whether it is this one. The Rest of a delivered answer is read after Finish, until
-// Release, although the result has been reported to the balancer by then.
+// to its client; delivered reports whether it is this one. The BodyStream of a delivered answer is read after Finish,
+// until ReportAnswerClosed, although the result has been reported to the balancer by then.
 func (a *Attempt) Finish(result AttemptResult, answer Answer) (delivered bool) {
 	r := a.pending
 	d := r.dispatcher
@@ -109,7 +109,7 @@
 		}
 		a.finished = true
 		delivered = result == Complete && !r.ended.Load()
-		a.streaming = delivered && answer.Rest != nil
+		a.streaming = delivered && answer.BodyStream != nil
 		if !a.streaming {
 			r.inFlight--
 			defer d.releaseIfDone(r)
@@ -139,9 +139,9 @@
 	d.endpoints.releaseIfUnused(a.endpointIndex)
 }
 
-// Release reports that the Rest of an answer is closed, or that there was none. The request's trace id stays in use
-// until Release is called.
-func (a *Attempt) Release() {
+// ReportAnswerClosed reports that the BodyStream of an answer is closed, or that there was none. The request's trace id
+// stays in use until ReportAnswerClosed is called.
+func (a *Attempt) ReportAnswerClosed() {
 	r := a.pending
 	r.dispatcher.withLock("answer streamed", r, func(routing.Time) {
 		if a.streaming {
@@ -152,8 +152,8 @@
 	})
 }
 
-// BodySent reports that the last byte of a streamed body was written.
-func (a *Attempt) BodySent() {
+// ReportBodySent reports that the last byte of a streamed body was written.
+func (a *Attempt) ReportBodySent() {
 	a.pending.dispatcher.withLock("body sent", a.pending, func(routing.Time) { a.reportBodySent() })
 }
 
@@ -169,10 +169,10 @@
 	d.balancer.BodySent(d.beginDecision(), a.pending.index, a.number)
 }
 
-// Stalled reports that the answer has begun and then paused for unusually long, so that it may be stuck. If the attempt
-// may be hedged it is reported to the balancer as Bypassed, and the balancer may start another one. The first complete
-// answer is delivered.
-func (a *Attempt) Stalled() {
+// ReportStalled reports that the answer has begun and then paused for unusually long, so that it may be stuck. If the
+// attempt may be hedged it is reported to the balancer as Bypassed, and the balancer may start another one. The first
+// complete answer is delivered.
+func (a *Attempt) ReportStalled() {
 	if a.pending == nil {
 		return
 	}
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -9,13 +9,13 @@
 //	PendingRequest  pending -> ended (final answer or client gone) -> released (index and trace id are free)
 //	Attempt         in flight -> reported (the balancer knows its result) -> finished -> streamed answer closed
 //
-//	Attempt.Finish            ends an attempt, once; the transport calls it
-//	Attempt.settle            the second half of Finish: delivers a complete answer to the client, then calls report
-//	Attempt.report            tells the balancer the result, once; a Bypassed attempt is reported before Finish
-//	Attempt.Release           marks a streamed answer as closed; the transport calls it after Finish
-//	Dispatcher.finish         delivers a request's final answer and ends the request
-//	Dispatcher.end            marks a request as ended, with or without an answer
-//	Dispatcher.releaseIfDone  releases a request that has ended and has no attempt in flight
+//	Attempt.Finish              ends an attempt, once; the transport calls it
+//	Attempt.settle              the second half of Finish: delivers a complete answer to the client, then calls report
+//	Attempt.report              tells the balancer the result, once; a Bypassed attempt is reported before Finish
+//	Attempt.ReportAnswerClosed  marks a streamed answer as closed; the transport calls it after Finish
+//	Dispatcher.finish           delivers a request's final answer and ends the request
+//	Dispatcher.end              marks a request as ended, with or without an answer
+//	Dispatcher.releaseIfDone    releases a request that has ended and has no attempt in flight
 package dispatch
 
 import (
@@ -36,8 +36,8 @@
 // Transport carries attempts to the upstream servers. Its methods are called with the Dispatcher's lock held and must
 // not block.
 type Transport interface {
-	// Send starts an attempt. The transport calls Attempt.Finish and then Attempt.Release for it, from another
-	// goroutine.
+	// Send starts an attempt. The transport calls Attempt.Finish and then Attempt.ReportAnswerClosed for it, from
+	// another goroutine.
 	Send(*Attempt)
 	// CloseIdle closes the idle connections to an endpoint except for keep of them. The incarnation identifies the
 	// endpoint, as in Attempt.
@@ -167,7 +167,7 @@
 			Tenant:    tenant,
 			Key:       request.Key,
 			Deadline:  d.clock.toRoutingTime(d.balancerDeadline(r, timeout)),
-			Work:      request.Work,
+			Work:      request.EstimatedMs,
 			Write:     request.Write,
 			Streaming: request.Rest != nil,
 		})
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -9,12 +9,12 @@
 // Metrics returns the totals since New. They may be read without the lock.
 func (d *Dispatcher) Metrics() *metrics.Metrics { return d.metrics }
 
-// AddOpen changes the number of open requests: those received whose answer has not been written completely.
-func (d *Dispatcher) AddOpen(delta int64) { d.metrics.Open.Add(delta) }
+// AddOpenRequests changes the number of open requests: those received whose answer has not been written completely.
+func (d *Dispatcher) AddOpenRequests(delta int64) { d.metrics.Open.Add(delta) }
 
-// CountEnd counts the outcome of a client's request, including one that was refused before Submit. It ignores requests
+// CountOutcome counts the outcome of a client's request, including one that was refused before Submit. It ignores requests
 // of an unknown class.
-func (d *Dispatcher) CountEnd(class string, outcome Outcome) {
+func (d *Dispatcher) CountOutcome(class string, outcome Outcome) {
 	outcomes := d.metrics.Of(class)
 	if outcomes == nil {
 		return
@@ -29,8 +29,8 @@
 	}
 }
 
-// Written reports that the last byte of the attempt was written. An attempt is counted once.
-func (a *Attempt) Written() {
+// ReportWritten reports that the last byte of the attempt was written. An attempt is counted once.
+func (a *Attempt) ReportWritten() {
 	if a.pending != nil && !a.writtenCounted.Swap(true) {
 		a.pending.dispatcher.metrics.Written.Add(1)
 	}
--- a/internal/net/dispatch/request.go
+++ b/internal/net/dispatch/request.go
@@ -6,7 +6,7 @@
 // change after Submit.
 type Request struct {
 	Class, Tenant, Key string
-	Work               float64 // the client's estimate, in milliseconds; 0: none
+	EstimatedMs        float64 // the client's estimate of the request's work, in milliseconds; 0: none
 	Write              bool
 
 	Method, Target          string // the target is the raw path and query
--- a/internal/net/dispatch/streaming_test.go
+++ b/internal/net/dispatch/streaming_test.go
@@ -26,7 +26,7 @@
 			if attempt = transport.take(0); attempt != nil {
 				attempts++
 				_, _ = io.Copy(io.Discard, attempt.Rest)
-				attempt.BodySent()
+				attempt.ReportBodySent()
 				attempt.Finish(Complete, Answer{Body: []byte("v")})
 			}
 		}
@@ -47,34 +47,34 @@
 	d := startDispatcher(t, transport)
 	pending := submit(t, d, Request{Class: "read", Key: "k"}, time.Second)
 	attempt := transport.take(0)
-	attempt.Stalled() // a second attempt is started
+	attempt.ReportStalled() // a second attempt is started
 	hedge := transport.take(0)
 	if hedge == nil {
 		t.Fatal("no second attempt")
 	}
 	rest := io.NopCloser(strings.NewReader("long"))
-	if !attempt.Finish(Complete, Answer{Rest: rest, Length: 4}) || hedge.Finish(Complete, Answer{Rest: rest, Length: 4}) {
+	if !attempt.Finish(Complete, Answer{BodyStream: rest, Length: 4}) || hedge.Finish(Complete, Answer{BodyStream: rest, Length: 4}) {
 		t.Error("want the first answer delivered, and only that")
 	}
-	if a, answered := receivedAnswer(pending); !answered || a.Rest == nil {
+	if a, answered := receivedAnswer(pending); !answered || a.BodyStream == nil {
 		t.Errorf("answered %v: %+v", answered, a)
 	}
 	if _, err := d.Submit(pending.Request, time.Now(), time.Second); !errors.Is(err, ErrDuplicateID) {
 		t.Errorf("trace id in use: %v", err)
 	}
-	hedge.Release()
-	attempt.Release()
-	attempt.Release()
+	hedge.ReportAnswerClosed()
+	attempt.ReportAnswerClosed()
+	attempt.ReportAnswerClosed()
 	if d.InFlight() != 0 {
 		t.Errorf("%d requests are in flight", d.InFlight())
 	}
 	unsafe := submit(t, d, Request{Class: "once", Write: true}, time.Second)
 	attempt = transport.take(0)
-	if attempt.Stalled(); transport.take(0) != nil {
+	if attempt.ReportStalled(); transport.take(0) != nil {
 		t.Error("an unsafe request was hedged")
 	}
 	unsafe.Cancel()
-	if attempt.Finish(Complete, Answer{Rest: rest, Length: 4}) {
+	if attempt.Finish(Complete, Answer{BodyStream: rest, Length: 4}) {
 		t.Error("an answer was delivered after the client had left")
 	}
 }
--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -46,8 +46,8 @@
 		}
 	}
 	if h.counted {
-		h.dispatcher.AddOpen(-1)
-		h.dispatcher.CountEnd(h.class, h.outcome)
+		h.dispatcher.AddOpenRequests(-1)
+		h.dispatcher.CountOutcome(h.class, h.outcome)
 	}
 	if h.bodyStream != nil {
 		defer h.bodyStream.Close()
@@ -86,7 +86,7 @@
 // serve reads the request, submits it to the dispatcher and writes the answer.
 func (h *handler) serve() {
 	h.class, _ = classAndKey(originForm(h.r.RequestURI))
-	h.dispatcher.AddOpen(1)
+	h.dispatcher.AddOpenRequests(1)
 	h.counted = true
 	overLimit := h.inFlight.Add(1) > h.maxInFlight.Load()
 	defer h.inFlight.Add(-1)
@@ -145,8 +145,8 @@
 	pending.Cancel()
 	select {
 	case answer := <-pending.Answers(): // arrived at the same time as the cancellation
-		if answer.Rest != nil {
-			_ = answer.Rest.Close()
+		if answer.BodyStream != nil {
+			_ = answer.BodyStream.Close()
 		}
 	default:
 	}
@@ -191,7 +191,7 @@
 	if faults.Without(faults.AnswerOwed) && time.Now().Nanosecond()/1000%100 == 0 {
 		panic(http.ErrAbortHandler)
 	}
-	if answer.Rest == nil {
+	if answer.BodyStream == nil {
 		writeAnswer(h.w, answer)
 		return
 	}
@@ -207,9 +207,9 @@
 // streamAnswer forwards a long answer while it is received. An answer that the server truncates is truncated for the client too: streamAnswer writes
 // neither a last chunk nor padding up to the announced length.
 func (h *handler) streamAnswer(answer dispatch.Answer) error {
-	defer answer.Rest.Close()
+	defer answer.BodyStream.Close()
 	// If the client disconnects, the connection to the server is closed too, so that the rest of the answer is not transferred in vain.
-	defer context.AfterFunc(h.r.Context(), func() { _ = answer.Rest.Close() })()
+	defer context.AfterFunc(h.r.Context(), func() { _ = answer.BodyStream.Close() })()
 	_ = h.control.SetReadDeadline(time.Time{}) // a stream may take longer than any request's deadline
 	writeStreamHeader(h.w, answer)
 	buffer := bufferPool.Get().(*[]byte)
@@ -232,7 +232,7 @@
 			return nil
 		}
 		var n int
-		n, readErr = answer.Rest.Read(*buffer)
+		n, readErr = answer.BodyStream.Read(*buffer)
 		if readErr != nil && !errors.Is(readErr, io.EOF) {
 			return readErr
 		}
--- a/internal/net/frontend/request.go
+++ b/internal/net/frontend/request.go
@@ -42,7 +42,7 @@
 		return 0, errTraceID
 	}
 	request.Class, request.Key = classAndKey(request.Target)
-	request.Work = workHint(r.Header.Get("X-Size-Hint"))
+	request.EstimatedMs = workHint(r.Header.Get("X-Size-Hint"))
 	timeout, err = parseTimeout(r.Header.Get("X-Expires-In"))
 	request.Timeout = timeout
 	return timeout, err
--- a/internal/net/frontend/server_test.go
+++ b/internal/net/frontend/server_test.go
@@ -139,7 +139,7 @@
 	)
 	attempt := <-attempts
 	if attempt.Method != "PUT" || attempt.Target != "/once/a%2Fb/k%20y?x=1&&y" || string(attempt.Body) != "a\x00b" || attempt.TraceID != "9b1f" ||
-		attempt.IdempotencyKey != "Key 1" || attempt.Key != "k%20y" || attempt.Tenant != "acme" || attempt.Work != 99.633 || !attempt.Write ||
+		attempt.IdempotencyKey != "Key 1" || attempt.Key != "k%20y" || attempt.Tenant != "acme" || attempt.EstimatedMs != 99.633 || !attempt.Write ||
 		attempt.Address != "z:1" || attempt.Timeout > 280*time.Millisecond || attempt.Timeout < 150*time.Millisecond {
 		t.Errorf("%+v %+v", attempt, attempt.Request)
 	}
--- a/internal/net/upstream/answer_stream.go
+++ b/internal/net/upstream/answer_stream.go
@@ -37,7 +37,7 @@
 	}
 	stream.silence = time.AfterFunc(time.Hour, stream.checkSilence)
 	stream.silence.Stop()
-	answer.Rest = stream
+	answer.BodyStream = stream
 	if !x.attempt.Finish(dispatch.Complete, answer) {
 		return dispatch.Complete, dispatch.Answer{}, nil // another attempt has given the final answer
 	}
--- a/internal/net/upstream/attempt.go
+++ b/internal/net/upstream/attempt.go
@@ -30,7 +30,7 @@
 		// An answer proves that the request was written. The onFlush callback is not called if the transport's buffer was
 		// empty before the last byte.
 		if result.Answered() && (a.Rest == nil || a.Rest.Complete()) {
-			a.Written()
+			a.ReportWritten()
 		}
 		if err != nil {
 			c.logFailure(a, result, start, err)
--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -100,7 +100,7 @@
 				answer = dispatch.Answer{}
 			}
 			a.Finish(result, answer)
-			a.Release()
+			a.ReportAnswerClosed()
 		}()
 		if faults.Without(faults.OneAttempt) {
 			time.AfterFunc(a.Timeout/earlyFinishDivisor, func() { a.Finish(dispatch.TimedOut, dispatch.Answer{}) })
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -124,9 +124,9 @@
 	if info.Err != nil || x.conn == nil {
 		return
 	}
-	x.conn.setOnFlush(x.attempt.Written)
+	x.conn.setOnFlush(x.attempt.ReportWritten)
 	if x.attempt.Rest != nil {
-		x.attempt.BodySent()
+		x.attempt.ReportBodySent()
 		x.timeout.Reset(x.attempt.Timeout)
 	}
 }
--- a/internal/net/upstream/stall.go
+++ b/internal/net/upstream/stall.go
@@ -60,7 +60,7 @@
 		default:
 			if !reported {
 				reported = true
-				x.attempt.Stalled()
+				x.attempt.ReportStalled()
 			}
 			timer.Reset(abortThreshold - silence)
 		}
