--- a/internal/net/admission/admission_test.go
+++ b/internal/net/admission/admission_test.go
@@ -11,15 +11,15 @@
 	valid := Send{Now: now, GatherTime: time.Millisecond, SendBy: now.Add(time.Millisecond), ClientDeadline: now.Add(time.Second), DeclaredTimeout: time.Second}
 	for want, change := range map[Reason]func(*Send){
 		Granted:          func(*Send) {},
-		NotQuiet:         func(s *Send) { s.Refused = NotQuiet },
+		NotQuiet:         func(s *Send) { s.PriorReason = NotQuiet },
 		ConnectionEnding: func(s *Send) { s.ConnectionEnding = true },
-		UnsolicitedBytes: func(s *Send) { s.Unsolicited = true },
-		ClientGone:       func(s *Send) { s.Client = ClientGone },
-		RequestOver:      func(s *Send) { s.Client = RequestOver },
+		UnsolicitedBytes: func(s *Send) { s.UnsolicitedBytes = true },
+		ClientGone:       func(s *Send) { s.ClientState = ClientGone },
+		RequestOver:      func(s *Send) { s.ClientState = RequestOver },
 		TooLate:          func(s *Send) { s.SendBy = now.Add(-1) },
 		DeadlineStale:    func(s *Send) { s.DeclaredTimeout += 2 * maxDeadlineExcess },
 		FactsStale:       func(s *Send) { s.GatherTime = MaxFactAge },
-		FactsUnknown:     func(s *Send) { s.Unknown = true },
+		FactsUnknown:     func(s *Send) { s.ConnectionUnknown = true },
 	} {
 		s := valid
 		if change(&s); s.Decide() != want {
--- a/internal/net/admission/send.go
+++ b/internal/net/admission/send.go
@@ -20,31 +20,31 @@
 
 // Send holds the facts about an attempt just before its first byte is written.
 type Send struct {
-	Refused          Reason        // reason of an earlier check, or Granted
-	ConnectionEnding bool          // this node has closed the connection, or is about to
-	Unsolicited      bool          // the server sent bytes that answer no request, or closed the connection
-	Unknown          bool          // the state of the connection could not be read
-	Client           Reason        // Granted, RequestOver or ClientGone
-	GatherTime       time.Duration // time spent gathering the facts
-	Now              time.Time     // read after all other facts
-	SendBy           time.Time     // deadline for writing the first byte; zero: none
-	ClientDeadline   time.Time     // when the client stops waiting; zero: the request declares no timeout
-	DeclaredTimeout  time.Duration // the timeout that the request declares to its server
+	PriorReason       Reason        // reason of an earlier check, or Granted
+	ConnectionEnding  bool          // this node has closed the connection, or is about to
+	UnsolicitedBytes  bool          // the server sent bytes that answer no request, or closed the connection
+	ConnectionUnknown bool          // the state of the connection could not be read
+	ClientState       Reason        // Granted, RequestOver or ClientGone
+	GatherTime        time.Duration // time spent gathering the facts
+	Now               time.Time     // read after all other facts
+	SendBy            time.Time     // deadline for writing the first byte; zero: none
+	ClientDeadline    time.Time     // when the client stops waiting; zero: the request declares no timeout
+	DeclaredTimeout   time.Duration // the timeout that the request declares to its server
 }
 
 // Decide returns Granted if the first byte may be written, or else the first reason against it.
 func (s Send) Decide() Reason {
 	switch {
-	case s.Refused != Granted:
-		return s.Refused
+	case s.PriorReason != Granted:
+		return s.PriorReason
 	case s.ConnectionEnding:
 		return ConnectionEnding
-	case s.Unsolicited:
+	case s.UnsolicitedBytes:
 		return UnsolicitedBytes
-	case s.Unknown:
+	case s.ConnectionUnknown:
 		return FactsUnknown
-	case s.Client != Granted:
-		return s.Client
+	case s.ClientState != Granted:
+		return s.ClientState
 	case !s.SendBy.IsZero() && s.Now.After(s.SendBy):
 		return TooLate
 	case !s.ClientDeadline.IsZero() && s.DeclaredTimeout > s.ClientDeadline.Sub(s.Now)+maxDeadlineExcess:
--- a/internal/net/upstream/conn_write.go
+++ b/internal/net/upstream/conn_write.go
@@ -70,16 +70,16 @@
 		}
 		now := time.Now() // read last, so that no system call delays the decision
 		reason = admission.Send{
-			Refused:          request.presetRefusal,
-			ConnectionEnding: c.retired || c.localFailure.Load(),
-			Unsolicited:      request.unsolicited || c.closing,
-			Unknown:          unknown,
-			Client:           client,
-			GatherTime:       now.Sub(start),
-			Now:              now,
-			SendBy:           request.sendBy,
-			ClientDeadline:   request.clientDeadline,
-			DeclaredTimeout:  request.declaredTimeout,
+			PriorReason:       request.presetRefusal,
+			ConnectionEnding:  c.retired || c.localFailure.Load(),
+			UnsolicitedBytes:  request.unsolicited || c.closing,
+			ConnectionUnknown: unknown,
+			ClientState:       client,
+			GatherTime:        now.Sub(start),
+			Now:               now,
+			SendBy:            request.sendBy,
+			ClientDeadline:    request.clientDeadline,
+			DeclaredTimeout:   request.declaredTimeout,
 		}.Decide()
 		if reason != admission.FactsStale {
 			break
