--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -42,8 +42,8 @@
 	// CloseIdle closes the idle connections to an endpoint except for keep of them. The incarnation identifies the
 	// endpoint, as in Attempt.
 	CloseIdle(incarnation uint64, keep int)
-	// SetMaxConns bounds the connections to each cache server, dials included. There is no bound until it is called.
-	SetMaxConns(n int)
+	// SetMaxConnsPerCache bounds the connections to each cache server, dials included. There is no bound until it is called.
+	SetMaxConnsPerCache(n int)
 }
 
 // EndpointSource watches the endpoint list and reports it to Dispatcher.UpdateEndpoints.
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -33,7 +33,7 @@
 	f.closedIdle = append(f.closedIdle, incarnation)
 }
 
-func (f *fakeTransport) SetMaxConns(int) {}
+func (f *fakeTransport) SetMaxConnsPerCache(int) {}
 
 // take removes and returns attempt n modulo their number, or nil if there is none.
 func (f *fakeTransport) take(n int) *Attempt {
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -36,7 +36,7 @@
 			d.quotas.concurrencyUntil[limit] = time.Now().Add(validFor + cutoffMargin)
 		}
 		if limit == routing.CacheConcurrency {
-			d.transport.SetMaxConns(max(0, int(quota.Burst)))
+			d.transport.SetMaxConnsPerCache(max(0, int(quota.Burst)))
 		}
 	})
 	return usage
--- a/internal/net/frontend/body.go
+++ b/internal/net/frontend/body.go
@@ -27,7 +27,7 @@
 	errBodyTooSlow     = errors.New("the body has not come in time")
 )
 
-// readBody reads a request's body, or the beginning of a body longer than MaxBuffered. If the request must be rejected, it returns the status and the
+// readBody reads a request's body, or the beginning of a body longer than MaxBufferedBody. If the request must be rejected, it returns the status and the
 // reason. It rejects a body whose length is given in two ways, or in a way that HTTP/1.0 does not define: such a body may hide another request
 // (request smuggling).
 func (h *handler) readBody() (request dispatch.Request, status int, err error) {
@@ -37,23 +37,23 @@
 		return request, http.StatusHTTPVersionNotSupported, errVersion
 	case !h.unambiguous:
 		return request, http.StatusBadRequest, errAmbiguousLength
-	case r.ContentLength > h.limits.MaxStreamed:
+	case r.ContentLength > h.limits.MaxStreamedBody:
 		return request, http.StatusRequestEntityTooLarge, errBodyTooLong
 	case r.ContentLength == 0:
 		return request, 0, nil
 	}
 	request.Length = r.ContentLength
 	body := h.newPacedBody()
-	if r.ContentLength > h.limits.MaxBuffered {
+	if r.ContentLength > h.limits.MaxBufferedBody {
 		h.streamBody(&request, body)
 		return request, 0, nil
 	}
-	request.Body, err = io.ReadAll(io.LimitReader(body, h.limits.MaxBuffered+1))
+	request.Body, err = io.ReadAll(io.LimitReader(body, h.limits.MaxBufferedBody+1))
 	if err != nil {
 		status, err = bodyError(err)
 		return request, status, err
 	}
-	if int64(len(request.Body)) > h.limits.MaxBuffered {
+	if int64(len(request.Body)) > h.limits.MaxBufferedBody {
 		h.streamBody(&request, body)
 	} else {
 		body.complete()
@@ -87,7 +87,7 @@
 }
 
 func (h *handler) newPacedBody() *pacedBody {
-	return &pacedBody{handler: h, reader: http.MaxBytesReader(nil, h.r.Body, h.limits.MaxStreamed)}
+	return &pacedBody{handler: h, reader: http.MaxBytesReader(nil, h.r.Body, h.limits.MaxStreamedBody)}
 }
 
 func (b *pacedBody) Read(buffer []byte) (int, error) {
--- a/internal/net/frontend/closing_test.go
+++ b/internal/net/frontend/closing_test.go
@@ -124,7 +124,7 @@
 		time.Sleep(50 * time.Millisecond)
 		conn.send("GET /read/behind", "X-Trace-Id: behind", timeoutHeader)
 		if shutdown {
-			if err := srv.Shutdown(false); err != nil && srv.Open() == 0 {
+			if err := srv.Shutdown(false); err != nil && srv.OpenConns() == 0 {
 				t.Error(err)
 			}
 		}
@@ -277,9 +277,9 @@
 			}
 		}()
 	}
-	for srv.Open() > 0 {
+	for srv.OpenConns() > 0 {
 		if time.Since(start) > 3500*time.Millisecond {
-			t.Fatalf("%d connections still open", srv.Open())
+			t.Fatalf("%d connections still open", srv.OpenConns())
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/net/frontend/failing_test.go
+++ b/internal/net/frontend/failing_test.go
@@ -28,7 +28,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { conn.Close() })
-			for end := time.Now().Add(time.Second); srv.Open() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(time.Second); srv.OpenConns() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			kernel.FailTimes(call, errno, failures)
 			fmt.Fprintf(conn, "GET /read/k HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Expires-In: 300m\r\n\r\n")
--- a/internal/net/frontend/flood_test.go
+++ b/internal/net/frontend/flood_test.go
@@ -161,13 +161,13 @@
 	floodClients.Wait()
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		goroutines, descriptorCount := runtime.NumGoroutine(), openDescriptors(t)
-		if srv.Open() == 0 && srv.listener.Load().lingeringCount() == 0 && goroutines <= goroutinesBefore+4 &&
+		if srv.OpenConns() == 0 && srv.listener.Load().lingeringCount() == 0 && goroutines <= goroutinesBefore+4 &&
 			descriptorCount <= descriptorsBefore+4 {
 			break
 		}
 		if time.Now().After(deadline) {
 			t.Errorf("after the flood: %d connections open, %d lingering, %d goroutines (%d before), %d descriptors (%d before)",
-				srv.Open(), srv.listener.Load().lingeringCount(), goroutines, goroutinesBefore, descriptorCount, descriptorsBefore)
+				srv.OpenConns(), srv.listener.Load().lingeringCount(), goroutines, goroutinesBefore, descriptorCount, descriptorsBefore)
 			break
 		}
 	}
--- a/internal/net/frontend/server.go
+++ b/internal/net/frontend/server.go
@@ -17,12 +17,12 @@
 
 // Limits bounds the resources that clients may use.
 type Limits struct {
-	Descriptors   int           // connections, and requests in flight; further requests are rejected
-	OverflowConns int           // additional connections, for those rejections; further ones wait in the kernel's accept queue
-	MaxDeadline   time.Duration // the longest deadline of a request
-	MaxRetryAfter time.Duration // the longest Retry-After that clients respect; 0: none is sent
-	MaxBuffered   int64         // longest body in bytes that is buffered
-	MaxStreamed   int64         // longest body in bytes that is accepted; one over MaxBuffered is forwarded while it is received
+	MaxConns        int           // connections, and requests in flight; further requests are rejected
+	OverflowConns   int           // additional connections, for those rejections; further ones wait in the kernel's accept queue
+	MaxDeadline     time.Duration // the longest deadline of a request
+	MaxRetryAfter   time.Duration // the longest Retry-After that clients respect; 0: none is sent
+	MaxBufferedBody int64         // longest body in bytes that is buffered
+	MaxStreamedBody int64         // longest body in bytes that is accepted; one over MaxBufferedBody is forwarded while it is received
 }
 
 // Timeouts and limits of net/http's server.
@@ -57,8 +57,8 @@
 
 // New returns a server that submits requests to d.
 func New(d *dispatch.Dispatcher, limits Limits, log *zap.Logger) *Server {
-	s := &Server{log: log, dispatcher: d, limits: limits, conns: newConnTracker(limits.Descriptors)}
-	s.maxInFlight.Store(int64(limits.Descriptors))
+	s := &Server{log: log, dispatcher: d, limits: limits, conns: newConnTracker(limits.MaxConns)}
+	s.maxInFlight.Store(int64(limits.MaxConns))
 	s.httpServer = &http.Server{
 		Handler:                      s,
 		MaxHeaderBytes:               2 * maxHeaderBytes, // clientConn rejects longer heads before
@@ -82,7 +82,7 @@
 // Serve serves clients until Shutdown has finished or the listener fails.
 func (s *Server) Serve(l net.Listener) error {
 	onFull := func(acceptWait time.Duration) { s.conns.closeIdle(1, acceptWait) }
-	limited := newLimitedListener(l, s.limits.Descriptors+s.limits.OverflowConns, onFull, s.log)
+	limited := newLimitedListener(l, s.limits.MaxConns+s.limits.OverflowConns, onFull, s.log)
 	s.listener.Store(limited)
 	err := s.httpServer.Serve(limited)
 	if errors.Is(err, http.ErrServerClosed) || s.draining.Load() {
@@ -168,8 +168,8 @@
 // Draining reports whether Shutdown was called.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// Open returns the number of client connections.
-func (s *Server) Open() int { return s.conns.count() }
+// OpenConns returns the number of client connections.
+func (s *Server) OpenConns() int { return s.conns.count() }
 
 // ServeHTTP serves one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/internal/net/frontend/server_test.go
+++ b/internal/net/frontend/server_test.go
@@ -24,7 +24,7 @@
 func (a attemptSink) Send(attempt *dispatch.Attempt) { a <- attempt }
 func (a attemptSink) Subscribe()                     {}
 func (a attemptSink) CloseIdle(uint64, int)          {}
-func (a attemptSink) SetMaxConns(int)                {}
+func (a attemptSink) SetMaxConnsPerCache(int)        {}
 
 const maxDeadline = 300 * time.Millisecond
 
@@ -73,12 +73,12 @@
 		t.Fatal(err)
 	}
 	limits := Limits{
-		Descriptors:   descriptors,
-		OverflowConns: 4,
-		MaxDeadline:   maxDeadline,
-		MaxRetryAfter: maxDeadline,
-		MaxBuffered:   64,
-		MaxStreamed:   64,
+		MaxConns:        descriptors,
+		OverflowConns:   4,
+		MaxDeadline:     maxDeadline,
+		MaxRetryAfter:   maxDeadline,
+		MaxBufferedBody: 64,
+		MaxStreamedBody: 64,
 	}
 	srv := New(dispatcher, limits, zap.NewNop())
 	t.Cleanup(func() { srv.httpServer.Close() })
@@ -388,8 +388,8 @@
 		time.Sleep(usedConnTimeout / 10)
 	}
 	_ = conns[0].SetReadDeadline(time.Now().Add(time.Second))
-	if _, err := conns[0].reader.ReadByte(); err != io.EOF || srv.Open() > 3 {
-		t.Errorf("first connection: %v; %d open", err, srv.Open())
+	if _, err := conns[0].reader.ReadByte(); err != io.EOF || srv.OpenConns() > 3 {
+		t.Errorf("first connection: %v; %d open", err, srv.OpenConns())
 	}
 }
 
--- a/internal/net/node/gone_test.go
+++ b/internal/net/node/gone_test.go
@@ -325,7 +325,7 @@
 		list = append(list, dispatch.Endpoint{ID: id, Address: id + ":1", Model: "box"})
 	}
 	s.dispatcher.UpdateEndpoints(routing.Full, list)
-	front := frontend.New(s.dispatcher, frontend.Limits{Descriptors: 16, OverflowConns: 2, MaxDeadline: d.MaxDeadline, MaxBuffered: maxBufferedBodyBytes, MaxStreamed: maxStreamedBodyBytes}, zap.NewNop())
+	front := frontend.New(s.dispatcher, frontend.Limits{MaxConns: 16, OverflowConns: 2, MaxDeadline: d.MaxDeadline, MaxBufferedBody: maxBufferedBodyBytes, MaxStreamedBody: maxStreamedBodyBytes}, zap.NewNop())
 	l := loopback(s.t)
 	return l.Addr().String(), func() { go func() { _ = front.Serve(l) }() }
 }
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -136,12 +136,12 @@
 	n.frontend = frontend.New(
 		n.dispatcher,
 		frontend.Limits{
-			Descriptors:   l.clientConns,
-			OverflowConns: l.overflowConns,
-			MaxDeadline:   s.MaxDeadline,
-			MaxRetryAfter: s.MaxRetryAfter,
-			MaxBuffered:   maxBufferedBodyBytes,
-			MaxStreamed:   maxStreamedBodyBytes,
+			MaxConns:        l.clientConns,
+			OverflowConns:   l.overflowConns,
+			MaxDeadline:     s.MaxDeadline,
+			MaxRetryAfter:   s.MaxRetryAfter,
+			MaxBufferedBody: maxBufferedBodyBytes,
+			MaxStreamedBody: maxStreamedBodyBytes,
 		},
 		log.Named("frontend"),
 	)
--- a/internal/net/node/report.go
+++ b/internal/net/node/report.go
@@ -43,7 +43,7 @@
 		zap.Float64("median ms", stats.LatencyMs(50)),
 		zap.Float64("p99 ms", stats.LatencyMs(99)),
 		zap.Int("out", d.InFlight()),
-		zap.Int("connections", front.Open()),
+		zap.Int("connections", front.OpenConns()),
 		zap.Int("goroutines", runtime.NumGoroutine()),
 		zap.Uint64("heap KB", memory.HeapAlloc>>10),
 		zap.Uint64("sys KB", memory.Sys>>10),
--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -83,8 +83,8 @@
 	go c.dialer.closeIdle(poolKey(incarnation), keep)
 }
 
-// SetMaxConns limits the connections to each cache server, dials included.
-func (c *Client) SetMaxConns(n int) { c.dialer.setMaxConnsPerCache(n) }
+// SetMaxConnsPerCache limits the connections to each cache server, dials included.
+func (c *Client) SetMaxConnsPerCache(n int) { c.dialer.setMaxConnsPerCache(n) }
 
 // Send sends an attempt, then finishes and releases it. It does so in a new goroutine.
 func (c *Client) Send(a *dispatch.Attempt) {
