--- a/internal/net/admin/accept_test.go
+++ b/internal/net/admin/accept_test.go
@@ -49,7 +49,7 @@
 // The metrics page lists withheld attempts and violated rules by reason, and leaves out reasons that have not occurred.
 func TestMetricsPageListsReasonsThatOccurred(t *testing.T) {
 	m := metrics.New(nil)
-	m.Denied[admission.ClientGone].Add(2)
+	m.WithheldAttempts[admission.ClientGone].Add(2)
 	m.Violations[admission.MayHaveRun].Add(1)
 	page := New(&stubNode{}, m, 2, zap.NewNop()).metricsPage()
 	for _, line := range []string{"attempts.withheld.client_gone=2\n", "rules.violated.may_have_run=1\n"} {
--- a/internal/net/admin/admin_test.go
+++ b/internal/net/admin/admin_test.go
@@ -140,16 +140,16 @@
 	if got := page(); got != wantInitial {
 		t.Errorf("%q", got)
 	}
-	if m.Of("made up") != nil {
+	if m.ForClass("made up") != nil {
 		t.Error("Of returned counts for a class that isn't configured")
 	}
-	m.Of("read").Served.Add(1)
-	m.Of("read").Rejected.Add(2)
-	m.Of("write").Failed.Add(3)
-	m.Written.Add(4)
-	m.Open.Add(5)
-	m.Listed.Store(6)
-	m.Avoided.Store(7)
+	m.ForClass("read").Served.Add(1)
+	m.ForClass("read").Rejected.Add(2)
+	m.ForClass("write").Failed.Add(3)
+	m.AttemptsWritten.Add(4)
+	m.OpenRequests.Add(5)
+	m.ListedServers.Store(6)
+	m.ServersOutOfUse.Store(7)
 	const wantCounted = "operations.read.fulfilled=1\noperations.read.throttled=2\noperations.read.faulted=0\n" +
 		"operations.write.fulfilled=0\noperations.write.throttled=0\noperations.write.faulted=3\n" +
 		"relayed=4\nopen_requests=5\nregistry_entries=6\nout_of_rotation=7\n"
--- a/internal/net/admin/metrics.go
+++ b/internal/net/admin/metrics.go
@@ -13,10 +13,10 @@
 func (s *Server) metricsPage() string {
 	var page strings.Builder
 	s.writeClasses(&page)
-	fmt.Fprintf(&page, "relayed=%d\n", s.metrics.Written.Load())
-	fmt.Fprintf(&page, "open_requests=%d\n", s.metrics.Open.Load())
-	fmt.Fprintf(&page, "registry_entries=%d\n", s.metrics.Listed.Load())
-	fmt.Fprintf(&page, "out_of_rotation=%d\n", s.metrics.Avoided.Load())
+	fmt.Fprintf(&page, "relayed=%d\n", s.metrics.AttemptsWritten.Load())
+	fmt.Fprintf(&page, "open_requests=%d\n", s.metrics.OpenRequests.Load())
+	fmt.Fprintf(&page, "registry_entries=%d\n", s.metrics.ListedServers.Load())
+	fmt.Fprintf(&page, "out_of_rotation=%d\n", s.metrics.ServersOutOfUse.Load())
 	s.writeReasons(&page)
 	s.writeCluster(&page)
 	return page.String()
@@ -25,7 +25,7 @@
 // writeClasses writes how many requests of each class were served, rejected and failed.
 func (s *Server) writeClasses(page *strings.Builder) {
 	for _, name := range s.metrics.Classes() {
-		class := s.metrics.Of(name)
+		class := s.metrics.ForClass(name)
 		fmt.Fprintf(page, "operations.%s.fulfilled=%d\n", name, class.Served.Load())
 		fmt.Fprintf(page, "operations.%s.throttled=%d\n", name, class.Rejected.Load())
 		fmt.Fprintf(page, "operations.%s.faulted=%d\n", name, class.Failed.Load())
@@ -36,7 +36,7 @@
 // violated. Reasons that have not occurred are left out.
 func (s *Server) writeReasons(page *strings.Builder) {
 	for reason := admission.Granted + 1; reason < admission.NumReasons; reason++ {
-		if n := s.metrics.Denied[reason].Load(); n > 0 {
+		if n := s.metrics.WithheldAttempts[reason].Load(); n > 0 {
 			fmt.Fprintf(page, "attempts.withheld.%v=%d\n", reason, n)
 		}
 		if n := s.metrics.Violations[reason].Load(); n > 0 {
--- a/internal/net/dispatch/admission.go
+++ b/internal/net/dispatch/admission.go
@@ -38,7 +38,7 @@
 	case admission.Granted:
 		return true
 	case admission.BodySent:
-		h.metrics.Denied[reason].Add(1) // not a defect, as the balancer doesn't know whether a streamed body was read
+		h.metrics.WithheldAttempts[reason].Add(1) // not a defect, as the balancer doesn't know whether a streamed body was read
 	default:
 		h.reportViolation("attempt", r, reason)
 	}
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -10,12 +10,12 @@
 func (d *Dispatcher) Metrics() *metrics.Metrics { return d.metrics }
 
 // AddOpenRequests changes the number of open requests: those received whose answer has not been written completely.
-func (d *Dispatcher) AddOpenRequests(delta int64) { d.metrics.Open.Add(delta) }
+func (d *Dispatcher) AddOpenRequests(delta int64) { d.metrics.OpenRequests.Add(delta) }
 
 // CountOutcome counts the outcome of a client's request, including one that was refused before Submit. It ignores requests
 // of an unknown class.
 func (d *Dispatcher) CountOutcome(class string, outcome Outcome) {
-	outcomes := d.metrics.Of(class)
+	outcomes := d.metrics.ForClass(class)
 	if outcomes == nil {
 		return
 	}
@@ -32,14 +32,14 @@
 // ReportWritten reports that the last byte of the attempt was written. An attempt is counted once.
 func (a *Attempt) ReportWritten() {
 	if a.pending != nil && !a.writtenCounted.Swap(true) {
-		a.pending.dispatcher.metrics.Written.Add(1)
+		a.pending.dispatcher.metrics.AttemptsWritten.Add(1)
 	}
 }
 
 // CountDenied counts an attempt that was not written, by reason. admission.Granted is not counted.
 func (a *Attempt) CountDenied(reason admission.Reason) {
 	if a.pending != nil && reason != admission.Granted {
-		a.pending.dispatcher.metrics.Denied[reason].Add(1)
+		a.pending.dispatcher.metrics.WithheldAttempts[reason].Add(1)
 	}
 }
 
@@ -64,6 +64,6 @@
 			avoided++
 		}
 	}
-	d.metrics.Listed.Store(int64(listed))
-	d.metrics.Avoided.Store(int64(avoided))
+	d.metrics.ListedServers.Store(int64(listed))
+	d.metrics.ServersOutOfUse.Store(int64(avoided))
 }
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -34,7 +34,7 @@
 	var listeners []net.Listener
 	for range 2 {
 		f, err := original.(*net.TCPListener).File()
-		l, err := Socket(dup(t, f, err))
+		l, err := ListenerFromFD(dup(t, f, err))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,7 +104,7 @@
 	f, err = unixListener.(*net.UnixListener).File()
 	for kind, fd := range map[string]int{"a file": fileFD, "a connection": connFD, "nothing": 1 << 20,
 		"a socket of another family": dup(t, f, err)} {
-		if _, err := Socket(fd); err == nil || !strings.Contains(err.Error(), "expected a listening TCP socket") {
+		if _, err := ListenerFromFD(fd); err == nil || !strings.Contains(err.Error(), "expected a listening TCP socket") {
 			t.Errorf("%s: %v", kind, err)
 		}
 		_ = syscall.Close(fd)
--- a/internal/net/handover/socket.go
+++ b/internal/net/handover/socket.go
@@ -13,9 +13,9 @@
 // ErrNotListeningSocket is returned for a descriptor that is not a listening TCP socket.
 var ErrNotListeningSocket = errors.New("expected a listening TCP socket, as $BALANCER_PASSED_SOCKET says")
 
-// Socket returns a listener on a descriptor that this process inherited at its start, or an error that wraps ErrNotListeningSocket. Closing
+// ListenerFromFD returns a listener on a descriptor that this process inherited at its start, or an error that wraps ErrNotListeningSocket. Closing
 // the listener does not affect other processes that have the socket open: for them it keeps listening, with its accept queue.
-func Socket(descriptor int) (net.Listener, error) {
+func ListenerFromFD(descriptor int) (net.Listener, error) {
 	listening, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil || listening == 0 {
 		return nil, errors.Join(fmt.Errorf("descriptor %d: %w", descriptor, ErrNotListeningSocket), err)
--- a/internal/net/metrics/metrics.go
+++ b/internal/net/metrics/metrics.go
@@ -14,13 +14,13 @@
 
 // Metrics holds one node's counters and gauges. Use New to create it: the zero value has no classes.
 type Metrics struct {
-	Written atomic.Int64 // attempts whose last byte was written
-	Open    atomic.Int64 // gauge: requests received whose response is not complete
-	Listed  atomic.Int64 // gauge: cache servers on the endpoint list
-	Avoided atomic.Int64 // gauge: listed cache servers that currently get no requests
+	AttemptsWritten atomic.Int64 // attempts whose last byte was written
+	OpenRequests    atomic.Int64 // gauge: requests received whose response is not complete
+	ListedServers   atomic.Int64 // gauge: cache servers on the endpoint list
+	ServersOutOfUse atomic.Int64 // gauge: listed cache servers that currently get no requests
 
-	// Denied counts attempts whose first byte was not written, by reason.
-	Denied [admission.NumReasons]atomic.Int64
+	// WithheldAttempts counts attempts whose first byte was not written, by reason.
+	WithheldAttempts [admission.NumReasons]atomic.Int64
 	// Violations counts decisions of package routing that violated a rule and were therefore not carried out, by reason.
 	Violations [admission.NumReasons]atomic.Int64
 
@@ -37,8 +37,8 @@
 	return m
 }
 
-// Of returns the counts of a class, or nil for a class that New wasn't given.
-func (m *Metrics) Of(class string) *Outcomes { return m.outcomes[class] }
+// ForClass returns the counts of a class, or nil for a class that New wasn't given.
+func (m *Metrics) ForClass(class string) *Outcomes { return m.outcomes[class] }
 
 // Classes returns the sorted names of the classes. The caller must not change them.
 func (m *Metrics) Classes() []string { return m.classes }
--- a/internal/net/node/admin.go
+++ b/internal/net/node/admin.go
@@ -87,9 +87,9 @@
 // Metrics returns the totals over all classes. The cluster stores and reports the values under these keys.
 func (n localNode) Metrics() map[string]int64 {
 	m := n.Dispatcher.Metrics()
-	totals := map[string]int64{"shots": m.Written.Load(), "open": m.Open.Load()}
+	totals := map[string]int64{"shots": m.AttemptsWritten.Load(), "open": m.OpenRequests.Load()}
 	for _, name := range m.Classes() {
-		class := m.Of(name)
+		class := m.ForClass(name)
 		totals["resolved"] += class.Served.Load()
 		totals["deferred"] += class.Rejected.Load()
 		totals["abandoned"] += class.Failed.Load()
--- a/internal/net/node/listen.go
+++ b/internal/net/node/listen.go
@@ -45,7 +45,7 @@
 // listenForClients returns the listening socket that the platform passed to this process, or opens one.
 func listenForClients(ctx context.Context, s *config.Node, log *zap.Logger) (net.Listener, error) {
 	if s.PassedSocket != 0 {
-		return handover.Socket(s.PassedSocket)
+		return handover.ListenerFromFD(s.PassedSocket)
 	}
 	listener, err := listen(ctx, s.Listen, s.MaxDeadline, log)
 	if err != nil {
--- a/internal/net/upstream/client_test.go
+++ b/internal/net/upstream/client_test.go
@@ -231,9 +231,9 @@
 			time.Sleep(time.Millisecond)
 		}
 		stats := dispatcher.Stats()
-		if stats.Results[c.want] != 1 || stats.ClientGone != 1 || received.Load() != c.wantReceived || dispatcher.Metrics().Written.Load() != c.wantReceived || len(dispatcher.EjectedEndpoints()) > 0 || dispatcher.InFlight() > 0 {
+		if stats.Results[c.want] != 1 || stats.ClientGone != 1 || received.Load() != c.wantReceived || dispatcher.Metrics().AttemptsWritten.Load() != c.wantReceived || len(dispatcher.EjectedEndpoints()) > 0 || dispatcher.InFlight() > 0 {
 			t.Errorf("%s: results %v, %d clients gone, %d received, %d written, ejected %v, %d in flight", c.cancelPoint, stats.Results, stats.ClientGone, received.Load(),
-				dispatcher.Metrics().Written.Load(), dispatcher.EjectedEndpoints(), dispatcher.InFlight())
+				dispatcher.Metrics().AttemptsWritten.Load(), dispatcher.EjectedEndpoints(), dispatcher.InFlight())
 		}
 	}
 }
