--- a/internal/kernel/faults_on.go
+++ b/internal/kernel/faults_on.go
@@ -11,9 +11,9 @@
 	"syscall"
 )
 
-// Documented maps each call to the errors that its manual page documents, except those that a programming error causes (EBADF, EFAULT,
-// EINVAL, ENOTSOCK).
-var Documented = map[Call][]syscall.Errno{
+// DocumentedErrors maps each call to the errors that its manual page documents, except those that a programming error causes (EBADF,
+// EFAULT, EINVAL, ENOTSOCK).
+var DocumentedErrors = map[Call][]syscall.Errno{
 	Read:     {syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EIO},
 	Peek:     {syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EIO},
 	Write:    {syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EIO, syscall.EPERM},
@@ -29,8 +29,8 @@
 // injected returns the error to inject into a call; nil if injection is off.
 var injected atomic.Pointer[func(Call) error]
 
-// Fail injects the errors that f returns into all following calls; a nil error lets the call run. A nil f ends the injection.
-func Fail(f func(Call) error) {
+// InjectErrors injects the errors that f returns into all following calls; a nil error lets the call run. A nil f ends the injection.
+func InjectErrors(f func(Call) error) {
 	if f == nil {
 		injected.Store(nil)
 		return
@@ -38,12 +38,12 @@
 	injected.Store(&f)
 }
 
-// FailTimes injects err into the next calls of the target kind, as many as times says. It replaces any earlier injection, and the next call
-// of Fail or FailTimes ends it.
-func FailTimes(target Call, err error, times int64) {
+// InjectErrorTimes injects err into the next calls of the target kind, as many as times says. It replaces any earlier injection, and the
+// next call of InjectErrors or InjectErrorTimes ends it.
+func InjectErrorTimes(target Call, err error, times int64) {
 	var remaining atomic.Int64
 	remaining.Store(times)
-	Fail(func(call Call) error {
+	InjectErrors(func(call Call) error {
 		if call == target && remaining.Add(-1) >= 0 {
 			return os.NewSyscallError(string(call), err)
 		}
@@ -59,17 +59,17 @@
 	return nil
 }
 
-// init turns on random failures if the environment variable RateVariable is a number above 0.
+// init turns on random failures if the environment variable FailureRateEnv is a number above 0.
 func init() {
-	rate, err := strconv.ParseFloat(os.Getenv(RateVariable), 64)
+	rate, err := strconv.ParseFloat(os.Getenv(FailureRateEnv), 64)
 	if err != nil || rate <= 0 {
 		return
 	}
-	Fail(func(call Call) error {
+	InjectErrors(func(call Call) error {
 		if rand.Float64() >= rate {
 			return nil
 		}
-		errs := Documented[call]
+		errs := DocumentedErrors[call]
 		err := errs[rand.IntN(len(errs))]
 		if (call == Read || call == Write) && (err == syscall.EIO || err == syscall.EPERM) {
 			return nil
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -30,10 +30,10 @@
 	Accept   Call = "accept"
 )
 
-// RateVariable is the name of the environment variable that sets the fraction of calls that fail in a build with the tag faults. Each
+// FailureRateEnv is the name of the environment variable that sets the fraction of calls that fail in a build with the tag faults. Each
 // failure is one of the call's documented errors. Errors that end a connection are left out, since the client couldn't get a response
 // after them.
-const RateVariable = "THISTLERUDDER_KERNEL_FAILURES"
+const FailureRateEnv = "THISTLERUDDER_KERNEL_FAILURES"
 
 const (
 	maxTransientRetries = 4
@@ -100,14 +100,14 @@
 	return err
 }
 
-// FileText returns the contents of a file.
-func FileText(path string) ([]byte, error) {
+// ReadFileContents returns the contents of a file.
+func ReadFileContents(path string) ([]byte, error) {
 	return retry(ReadFile, func() ([]byte, error) { return os.ReadFile(path) })
 }
 
-// PutFile replaces the file at path. The replacement is atomic if the process is killed, but not if the machine loses power, as there is
-// no fsync. PutFile first writes path + ".new", so it must not run concurrently for the same path.
-func PutFile(path string, text []byte) error {
+// ReplaceFile replaces the file at path. The replacement is atomic if the process is killed, but not if the machine loses power, as there is
+// no fsync. ReplaceFile first writes path + ".new", so it must not run concurrently for the same path.
+func ReplaceFile(path string, text []byte) error {
 	_, err := retry(Put, func() (struct{}, error) {
 		temporary := path + ".new"
 		if err := os.WriteFile(temporary, text, 0o600); err != nil {
@@ -131,8 +131,8 @@
 // Dialer has the signature of net.Dialer.DialContext.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialing returns a dialer that calls dial, and into which errors of connect(2) and socket(2) can be injected.
-func Dialing(dial Dialer) Dialer {
+// InjectConnectErrors returns a dialer that calls dial, and into which errors of connect(2) and socket(2) can be injected.
+func InjectConnectErrors(dial Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if err := injectedFailure(Connect); err != nil {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: err}
@@ -141,10 +141,10 @@
 	}
 }
 
-// DialingWhole is like Dialing, but errors can also be injected into reads and writes of the connection. It is for connections that only
-// the standard library reads and writes; the calls of this package inject errors themselves.
-func DialingWhole(dial Dialer) Dialer {
-	connect := Dialing(dial)
+// InjectConnErrors is like InjectConnectErrors, but errors can also be injected into reads and writes of the connection. It is for
+// connections that only the standard library reads and writes; the calls of this package inject errors themselves.
+func InjectConnErrors(dial Dialer) Dialer {
+	connect := InjectConnectErrors(dial)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := connect(ctx, network, address)
 		if err != nil {
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -86,21 +86,21 @@
 	}
 }
 
-// PutFile replaces a file and leaves no temporary file behind. It returns an error for a path that can't be written.
+// ReplaceFile replaces a file and leaves no temporary file behind. It returns an error for a path that can't be written.
 func TestPutFileReplacesAtomically(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	for _, text := range []string{"one", "two"} {
-		if err := PutFile(path, []byte(text)); err != nil {
+		if err := ReplaceFile(path, []byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := FileText(path); string(got) != text || err != nil {
+		if got, err := ReadFileContents(path); string(got) != text || err != nil {
 			t.Errorf("%q, %v, want %q", got, err, text)
 		}
 	}
 	if _, err := os.Stat(path + ".new"); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the temporary file is left over: %v", err)
 	}
-	if err := PutFile(filepath.Join(path, "below"), nil); err == nil {
+	if err := ReplaceFile(filepath.Join(path, "below"), nil); err == nil {
 		t.Error("a file below a file was written")
 	}
 }
--- a/internal/net/discovery/faults_test.go
+++ b/internal/net/discovery/faults_test.go
@@ -74,21 +74,21 @@
 	waitForVersion("the first list", 1, maxAnsweredDelay)
 	for _, call := range []kernel.Call{kernel.Connect, kernel.Read, kernel.Write} {
 		var failures atomic.Int64
-		kernel.Fail(func(current kernel.Call) error {
+		kernel.InjectErrors(func(current kernel.Call) error {
 			if current != call {
 				return nil
 			}
-			errs := append(kernel.Documented[call], syscall.ETIMEDOUT, syscall.ECONNRESET)
+			errs := append(kernel.DocumentedErrors[call], syscall.ETIMEDOUT, syscall.ECONNRESET)
 			return errs[failures.Add(1)%int64(len(errs))]
 		})
-		t.Cleanup(func() { kernel.Fail(nil) })
+		t.Cleanup(func() { kernel.InjectErrors(nil) })
 		service.CloseClientConnections()
 		time.Sleep(failureTime)
 		if failures.Load() < clientCount {
 			t.Errorf("%s: only %d calls failed, want at least %d", call, failures.Load(), clientCount)
 		}
 		changed := version.Add(1)
-		kernel.Fail(nil)
+		kernel.InjectErrors(nil)
 		waitForVersion(fmt.Sprintf("a change after %s failed", call), changed, maxAnsweredDelay)
 	}
 	cancel()
--- a/internal/net/ejection/file.go
+++ b/internal/net/ejection/file.go
@@ -59,7 +59,7 @@
 	}
 	var text []byte
 	if err == nil && version.size <= maxFileBytes {
-		text, err = kernel.FileText(r.path)
+		text, err = kernel.ReadFileContents(r.path)
 	}
 	if err != nil {
 		r.logReadError(err) // lastRead is unchanged, so that the next Refresh reads the file again
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if err := kernel.PutFile(r.path, text); err != nil {
+	if err := kernel.ReplaceFile(r.path, text); err != nil {
 		return err
 	}
 	if r.lastRead, err = statVersion(r.path); err != nil {
--- a/internal/net/frontend/failing_test.go
+++ b/internal/net/frontend/failing_test.go
@@ -19,7 +19,7 @@
 // A request must be answered completely if a read, write or poll of its connection fails temporarily for lack of memory.
 func TestRequestSurvivesTransientMemoryErrors(t *testing.T) {
 	const failures = 2
-	t.Cleanup(func() { kernel.Fail(nil) })
+	t.Cleanup(func() { kernel.InjectErrors(nil) })
 	for _, call := range []kernel.Call{kernel.Read, kernel.Write, kernel.Poll} {
 		for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
 			srv, attempts, address := startServer(t, 8, true)
@@ -30,7 +30,7 @@
 			t.Cleanup(func() { conn.Close() })
 			for end := time.Now().Add(time.Second); srv.OpenConns() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
-			kernel.FailTimes(call, errno, failures)
+			kernel.InjectErrorTimes(call, errno, failures)
 			fmt.Fprintf(conn, "GET /read/k HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Expires-In: 300m\r\n\r\n")
 			go func() {
 				select {
@@ -49,7 +49,7 @@
 			if body, err := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK || string(body) != "value" || err != nil {
 				t.Errorf("%s, %v: %d %q %v", call, errno, resp.StatusCode, body, err)
 			}
-			kernel.Fail(nil)
+			kernel.InjectErrors(nil)
 		}
 	}
 }
--- a/internal/net/frontend/poll_test.go
+++ b/internal/net/frontend/poll_test.go
@@ -12,12 +12,12 @@
 
 // An interrupted poll must be retried. If poll keeps failing, the client must count as connected, and the accept queue as not empty.
 func TestFailedPollReportsNoClose(t *testing.T) {
-	t.Cleanup(func() { kernel.Fail(nil) })
+	t.Cleanup(func() { kernel.InjectErrors(nil) })
 	t.Run("interrupted", func(t *testing.T) {
 		listener, conn, clientSide := connPair(t)
 		clientSide.Close()
 		waitFor(t, conn.clientGone)
-		kernel.FailTimes(kernel.Poll, syscall.EINTR, 3)
+		kernel.InjectErrorTimes(kernel.Poll, syscall.EINTR, 3)
 		if !conn.clientGone() {
 			t.Error("clientGone = false for a disconnected client")
 		}
@@ -25,7 +25,7 @@
 		listener.conns.Store(0)
 		dial(t, listener.Addr().String())
 		waitFor(t, listener.hasQueued)
-		kernel.FailTimes(kernel.Poll, syscall.EINTR, 3)
+		kernel.InjectErrorTimes(kernel.Poll, syscall.EINTR, 3)
 		if !listener.hasQueued() {
 			t.Error("hasQueued = false with a connection in the accept queue")
 		}
@@ -33,7 +33,7 @@
 	t.Run("out of memory", func(t *testing.T) {
 		listener, conn, _ := connPair(t)
 		listener.lastAccept.Store(0)
-		kernel.FailTimes(kernel.Poll, syscall.ENOMEM, 1<<30)
+		kernel.InjectErrorTimes(kernel.Poll, syscall.ENOMEM, 1<<30)
 		if conn.clientGone() {
 			t.Error("clientGone = true for a connected client")
 		}
--- a/internal/net/upstream/dialer.go
+++ b/internal/net/upstream/dialer.go
@@ -58,7 +58,7 @@
 	if !d.startDial(target.address, key, target.toCache) {
 		return nil, errLimitReached
 	}
-	socketConn, err := kernel.Dialing(d.DialContext)(ctx, network, target.address)
+	socketConn, err := kernel.InjectConnectErrors(d.DialContext)(ctx, network, target.address)
 	d.finishDial(target.address, err != nil)
 	if err != nil {
 		return nil, err
--- a/internal/net/upstream/failing_test.go
+++ b/internal/net/upstream/failing_test.go
@@ -21,7 +21,7 @@
 // is repeated, and the attempt is answered. A call that keeps failing ends the attempt: as not run if the request's last byte
 // was not written, otherwise as one that may have run.
 func TestLocalReadAndWriteErrorsAreNotServerFailures(t *testing.T) {
-	t.Cleanup(func() { kernel.Fail(nil) })
+	t.Cleanup(func() { kernel.InjectErrors(nil) })
 	const transient, permanent = 2, 1 << 30
 	served, notSent := []routing.Result{routing.Served}, []routing.Result{routing.NotSent}
 	// The connection's first read may fail before or after the request is written.
@@ -50,9 +50,9 @@
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		})
 		client.dialer.Timeout = time.Second // a slow connect on a busy machine must not fail this test
-		kernel.FailTimes(c.call, c.err, c.times)
+		kernel.InjectErrorTimes(c.call, c.err, c.times)
 		result, _ := client.send(newAttempt(server, "GET", ""))
-		kernel.Fail(nil)
+		kernel.InjectErrors(nil)
 		if !slices.Contains(c.want, result.Code()) {
 			t.Errorf("%s, %v, %d times: %v (%v), want one of %v", c.call, c.err, c.times, result, result.Code(), c.want)
 		}
@@ -78,11 +78,11 @@
 
 // A read that fails with a local error in the middle of an answer must not count against the server either.
 func TestLocalReadErrorWithinAnswerIsNotServerFailure(t *testing.T) {
-	t.Cleanup(func() { kernel.Fail(nil) })
+	t.Cleanup(func() { kernel.InjectErrors(nil) })
 	client, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok")
 		time.Sleep(30 * time.Millisecond) // until the client has read the first half
-		kernel.FailTimes(kernel.Read, syscall.EIO, 1<<30)
+		kernel.InjectErrorTimes(kernel.Read, syscall.EIO, 1<<30)
 		fmt.Fprint(c, "ok")
 	})
 	if result, _ := client.send(newAttempt(server, "GET", "")); result.Code() != routing.Canceled || !result.MayHaveRun() {
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -69,7 +69,7 @@
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
 	}
 	const span, seed = 10 * time.Second, 3
-	run, err := Play(context.Background(), Plan{Program: build(t), For: span, Seed: seed, Env: []string{kernel.RateVariable + "=0.02"}})
+	run, err := Play(context.Background(), Plan{Program: build(t), For: span, Seed: seed, Env: []string{kernel.FailureRateEnv + "=0.02"}})
 	if err != nil {
 		t.Fatal(err)
 	}
