--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -175,7 +175,7 @@
 	if !held.MayAct(duration + actMarginForDelay) {
 		return
 	}
-	faults.Point(faults.BeforeAct)
+	faults.StopPoint(faults.BeforeAct)
 	if i%4 == 0 {
 		r.actOnFencedResource(held)
 		return
@@ -183,7 +183,7 @@
 	began := trueBootTime()
 	r.write(event{Type: "begin", TimeNs: began, Token: held.Token()})
 	time.Sleep(duration / 2)
-	faults.Point(faults.InAct)
+	faults.StopPoint(faults.InAct)
 	time.Sleep(duration / 2)
 	r.write(event{Type: "end", TimeNs: trueBootTime(), Token: held.Token(), StartNs: began})
 }
--- a/internal/cluster/held_lease.go
+++ b/internal/cluster/held_lease.go
@@ -48,7 +48,7 @@
 	h.alarm = newAlarm(h.onAlarm)
 	leaseDuration := toLeaseTime(c.config.Lease)
 	holderDuration := lease.HolderDuration(leaseDuration, c.config.MaxDrift)
-	if faults.Without(faults.DriftMargin) {
+	if faults.Disabled(faults.DriftMargin) {
 		holderDuration = leaseDuration
 	}
 	h.mu.Lock()
@@ -88,7 +88,7 @@
 	sent := now()
 	go func() {
 		response, err := h.client.sendTraced(r)
-		if faults.Without(faults.FromAnswer) {
+		if faults.Disabled(faults.FromAnswer) {
 			sent = now()
 		}
 		(*HeldLease)(h).handleOutcome(r, sent, response, err)
@@ -166,7 +166,7 @@
 	if !h.MayAct(0) {
 		return lease.ErrLeaseExpired
 	}
-	faults.Point(faults.BeforeAct)
+	faults.StopPoint(faults.BeforeAct)
 	response, err := h.client.sendTraced(lease.Request{
 		Operation: lease.OpEffect,
 		Name:      h.name,
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -30,7 +30,7 @@
 func (v *Voter) changeLeadership(leads bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !leads && faults.Without(faults.Confirmation) {
+	if !leads && faults.Disabled(faults.Confirmation) {
 		return // act as if the loss of leadership were not noticed
 	}
 	v.leaderChanges++
--- a/internal/cluster/lease_service.go
+++ b/internal/cluster/lease_service.go
@@ -59,8 +59,8 @@
 func (h leaseHost) ConfirmLeadership(round uint64) {
 	leaderChange := h.leaderChanges
 	go func() {
-		faults.Point(faults.OnRenewal)
-		confirmed := faults.Without(faults.Confirmation) || h.confirmLeadership()
+		faults.StopPoint(faults.OnRenewal)
+		confirmed := faults.Disabled(faults.Confirmation) || h.confirmLeadership()
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.quorumRounds++
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -191,7 +191,7 @@
 		RateAfterEnd: rate * float64(reserved),
 		ThenBurst:    float64(reserved),
 	}
-	if faults.Without(faults.BurstKept) && !quota.Concurrency {
+	if faults.Disabled(faults.BurstKept) && !quota.Concurrency {
 		m.mu.Lock()
 		m.maxBursts[name] = max(m.maxBursts[name], quota.Burst)
 		quota.Burst, quota.ThenBurst = m.maxBursts[name], m.maxBursts[name]
--- a/internal/cluster/state_machine.go
+++ b/internal/cluster/state_machine.go
@@ -19,7 +19,7 @@
 	e, err := lease.DecodeEntry(l.Data)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if faults.Without(faults.Door) && e.Kind == lease.KindEffect {
+	if faults.Disabled(faults.FencingCheck) && e.Kind == lease.KindEffect {
 		e.Token = m.state.Leases[e.Name].Token
 	}
 	result := lease.Result{Err: err}
--- a/internal/cluster/transport/dialer.go
+++ b/internal/cluster/transport/dialer.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c = faults.Counted(purpose, c)
+	c = faults.CountConn(purpose, c)
 	_ = c.SetDeadline(time.Now().Add(timeout))
 	if err := d.handshake(c, address, purpose, voterID); err != nil {
 		_ = c.Close()
--- a/internal/cluster/transport/listener.go
+++ b/internal/cluster/transport/listener.go
@@ -68,7 +68,7 @@
 
 // accept admits a connection and starts its handshake, or closes the connection if the limit is reached.
 func (l *Listener) accept(c net.Conn) {
-	conn := &Conn{Conn: faults.Counted("taken", c), listener: l, hasUnread: unreadCheck(c)}
+	conn := &Conn{Conn: faults.CountConn("taken", c), listener: l, hasUnread: unreadCheck(c)}
 	admitted, evicted := l.admit(conn, time.Now())
 	if evicted != nil {
 		_ = evicted.Close() // frees the descriptor before it returns, so MaxConnections also limits the number of descriptors
@@ -117,7 +117,7 @@
 		return fmt.Sprintf("fleet.name: this is %q, not %q", l.Cluster, h.Cluster)
 	case h.Purpose == PurposeRaft && voterID == "":
 		return "no voter: fleet.folder is empty or can't be used"
-	case (h.Purpose == PurposeRaft || h.VoterID != "") && h.VoterID != voterID && !faults.Without(faults.Vote):
+	case (h.Purpose == PurposeRaft || h.VoterID != "") && h.VoterID != voterID && !faults.Disabled(faults.Vote):
 		// A voter without its old folder may have lost a vote that it cast. It has a new id and must join as a new voter.
 		return fmt.Sprintf("this voter is %s, not %s, whose folder is gone", voterID, h.VoterID)
 	case h.Purpose != PurposeRaft && h.Purpose != PurposeRPC:
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -128,10 +128,10 @@
 	v.shutdownOnce.end = v.shutDown
 	v.leaseAlarm = newAlarm(v.onLeaseAlarm)
 	v.allocatorAlarm = newAlarm(v.onAllocatorAlarm)
-	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{ReuseUnreturned: faults.Without(faults.Reuse), ForgetQuotas: faults.Without(faults.Forget)})
+	v.allocator = budget.NewAllocator(allocatorHost{v}, v.state, budget.Unsafe{ReuseUnreturned: faults.Disabled(faults.Reuse), ForgetQuotas: faults.Disabled(faults.Forget)})
 	leaseDuration := toLeaseTime(c.Lease)
 	grantDuration := lease.GranterDuration(leaseDuration, c.MaxDrift)
-	if faults.Without(faults.DriftMargin) {
+	if faults.Disabled(faults.DriftMargin) {
 		grantDuration = leaseDuration
 	}
 	v.leases = lease.NewManager(leaseHost{v}, v.state, leaseDuration, grantDuration)
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -194,7 +194,7 @@
 }
 
 func isTask(name string) bool {
-	return name == TaskProbe || name == TaskRollUp || faults.On && name == TaskFaultTest
+	return name == TaskProbe || name == TaskRollUp || faults.Enabled && name == TaskFaultTest
 }
 
 // readBudgets reads the budgets, and the maximum number of nodes that the budgets are divided by.
--- a/internal/faults/names.go
+++ b/internal/faults/names.go
@@ -5,7 +5,7 @@
 const (
 	DriftMargin  = "drift-margin"        // lease durations have no margin for clocks that run at different rates
 	Confirmation = "leader-confirmation" // a leader renews leases without confirming that it still leads
-	Door         = "door-token"          // an effect is applied whatever its fencing token
+	FencingCheck = "door-token"          // an effect is applied whatever its fencing token
 	Vote         = "forgotten-vote"      // a voter that lost its folder still votes under its former ID
 	FromAnswer   = "count-from-answer"   // a lease starts when its response arrives, not when its request is sent
 )
@@ -19,24 +19,24 @@
 
 // Safeguards lists the safeguards that leases need, BudgetSafeguards those that budgets need.
 var (
-	Safeguards       = []string{DriftMargin, Confirmation, Door, Vote, FromAnswer}
+	Safeguards       = []string{DriftMargin, Confirmation, FencingCheck, Vote, FromAnswer}
 	BudgetSafeguards = []string{DriftMargin, FromAnswer, BurstKept, Reuse, Forget}
 )
 
 // The safeguards of single requests, described in the same way.
 const (
-	QuietPeriod  = "quiet-period"    // a connection is reused at once
-	ClientLook   = "client-look"     // a client that disconnects goes unnoticed
-	DrainNews    = "drain-news"      // a draining server counts as ready
-	ResetIsNoEnd = "reset-is-no-end" // a connection reset completes a response of undeclared length
-	MayHaveRun   = "may-have-run"    // a broken connection counts as proof that the request did not run
-	ToldDeadline = "told-deadline"   // the timeout declared to a server is half a second too long
-	AnswerOwed   = "answer-owed"     // about one response in a hundred is withheld
-	OneAttempt   = "one-attempt"     // an attempt that is reported as timed out stays open
+	QuietPeriod     = "quiet-period"    // a connection is reused at once
+	ClientGoneCheck = "client-look"     // a client that disconnects goes unnoticed
+	DrainState      = "drain-news"      // a draining server counts as ready
+	ResetIsError    = "reset-is-no-end" // a connection reset completes a response of undeclared length
+	MayHaveRun      = "may-have-run"    // a broken connection counts as proof that the request did not run
+	DeclaredTimeout = "told-deadline"   // the timeout declared to a server is half a second too long
+	FinalAnswer     = "answer-owed"     // about one response in a hundred is withheld
+	OneAttempt      = "one-attempt"     // an attempt that is reported as timed out stays open
 )
 
 // SoakSafeguards lists the safeguards that the soak tests show to be needed.
-var SoakSafeguards = []string{QuietPeriod, ClientLook, DrainNews, ResetIsNoEnd, MayHaveRun, ToldDeadline, AnswerOwed, OneAttempt}
+var SoakSafeguards = []string{QuietPeriod, ClientGoneCheck, DrainState, ResetIsError, MayHaveRun, DeclaredTimeout, FinalAnswer, OneAttempt}
 
 // The points at which the test rig can stop a process.
 const (
--- a/internal/faults/off.go
+++ b/internal/faults/off.go
@@ -7,14 +7,14 @@
 
 import "time"
 
-// On reports whether this build can inject faults.
-const On = false
+// Enabled reports whether this build can inject faults.
+const Enabled = false
 
 // Clock returns t unchanged.
 func Clock(t time.Duration) time.Duration { return t }
 
-// Point does nothing. With the faults tag, the test rig can stop the process here.
-func Point(string) {}
+// StopPoint does nothing. With the faults tag, the test rig can stop the process here.
+func StopPoint(string) {}
 
-// Without reports whether the test rig has disabled a safeguard, which it cannot do in this build.
-func Without(string) bool { return false }
+// Disabled reports whether the test rig has disabled a safeguard, which it cannot do in this build.
+func Disabled(string) bool { return false }
--- a/internal/faults/on.go
+++ b/internal/faults/on.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// On reports whether this build can inject faults.
-const On = true
+// Enabled reports whether this build can inject faults.
+const Enabled = true
 
 // The environment variables by which the test rig configures a process.
 const (
@@ -42,9 +42,9 @@
 // agree at boot.
 func Clock(t time.Duration) time.Duration { return time.Duration(float64(t) * clockRate) }
 
-// Point stops the process if the points folder has a file of this name. The file is removed, and the process stays stopped
-// until it receives SIGCONT.
-func Point(name string) {
+// StopPoint stops the process if the points folder has a file of this name. The file is removed, and the process stays
+// stopped until it receives SIGCONT.
+func StopPoint(name string) {
 	if pointsDir == "" {
 		return
 	}
@@ -54,5 +54,5 @@
 	}
 }
 
-// Without reports whether the test rig has disabled a safeguard.
-func Without(safeguard string) bool { return slices.Contains(disabledSafeguards, safeguard) }
+// Disabled reports whether the test rig has disabled a safeguard.
+func Disabled(safeguard string) bool { return slices.Contains(disabledSafeguards, safeguard) }
--- a/internal/faults/traffic_off.go
+++ b/internal/faults/traffic_off.go
@@ -7,11 +7,11 @@
 	"net"
 )
 
-// Counted returns c unchanged.
-func Counted(_ string, c net.Conn) net.Conn { return c }
+// CountConn returns c unchanged.
+func CountConn(_ string, c net.Conn) net.Conn { return c }
 
-// Dialing returns dial unchanged.
-func Dialing(_ string, dial func(ctx context.Context, network, address string) (net.Conn, error),
+// CountDialer returns dial unchanged.
+func CountDialer(_ string, dial func(ctx context.Context, network, address string) (net.Conn, error),
 ) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return dial
 }
--- a/internal/faults/traffic_on.go
+++ b/internal/faults/traffic_on.go
@@ -27,7 +27,7 @@
 // Usage holds the resources that this process has used since its start.
 type Usage struct {
 	Traffic             map[string]Traffic // by purpose
-	CPUBefore, CPUAfter int64              // user and system time in ns, before and after the garbage collection of Used
+	CPUBefore, CPUAfter int64              // user and system time in ns, before and after the garbage collection of MeasureUsage
 	Heap                uint64             // live bytes after the garbage collection
 	Goroutines          int
 }
@@ -63,22 +63,22 @@
 	return n, err
 }
 
-// Counted wraps a connection to count its traffic under a purpose.
-func Counted(purpose string, c net.Conn) net.Conn {
+// CountConn wraps a connection to count its traffic under a purpose.
+func CountConn(purpose string, c net.Conn) net.Conn {
 	counters := countersFor(purpose)
 	counters.connections.Add(1)
 	return countingConn{c, counters}
 }
 
-// Dialing wraps a dialer to count the traffic of its connections under a purpose.
-func Dialing(purpose string, dial func(ctx context.Context, network, address string) (net.Conn, error),
+// CountDialer wraps a dialer to count the traffic of its connections under a purpose.
+func CountDialer(purpose string, dial func(ctx context.Context, network, address string) (net.Conn, error),
 ) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return Counted(purpose, c), nil
+		return CountConn(purpose, c), nil
 	}
 }
 
@@ -88,8 +88,8 @@
 	return rusage.Utime.Nano() + rusage.Stime.Nano()
 }
 
-// Used returns the resources used so far. It runs a garbage collection to measure the live heap.
-func Used() Usage {
+// MeasureUsage returns the resources used so far. It runs a garbage collection to measure the live heap.
+func MeasureUsage() Usage {
 	u := Usage{Traffic: map[string]Traffic{}, CPUBefore: cpuTime()}
 	countersByPurpose.Range(func(purpose, v any) bool {
 		c := v.(*connCounters)
@@ -112,7 +112,7 @@
 	signal.Notify(signals, syscall.SIGUSR2)
 	go func() {
 		for range signals {
-			b, _ := json.Marshal(Used())
+			b, _ := json.Marshal(MeasureUsage())
 			if os.WriteFile(path+".new", b, 0o600) == nil {
 				_ = os.Rename(path+".new", path)
 			}
--- a/internal/net/discovery/poll.go
+++ b/internal/net/discovery/poll.go
@@ -41,7 +41,7 @@
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &http.Transport{
-		DialContext:            faults.Dialing(transportFaultTag, kernel.InjectConnErrors(dialer.DialContext)),
+		DialContext:            faults.CountDialer(transportFaultTag, kernel.InjectConnErrors(dialer.DialContext)),
 		DisableCompression:     true,
 		MaxConnsPerHost:        maxConnsPerHost,
 		MaxIdleConns:           maxIdleConns,
--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -71,7 +71,7 @@
 // called just before the first byte is written, and takes no lock. It checks the client's connection itself, as
 // net/http detects a closed one late, and not at all while unread bytes precede the end of the stream.
 func (a *Attempt) ClientState() admission.Reason {
-	if a.ClientGone != nil && !faults.Without(faults.ClientLook) && a.ClientGone() {
+	if a.ClientGone != nil && !faults.Disabled(faults.ClientGoneCheck) && a.ClientGone() {
 		return admission.ClientGone
 	}
 	if a.pending != nil && a.pending.ended.Load() { // checked last, as the request may end during the system call above
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -36,7 +36,7 @@
 
 // Code returns the routing.Result that is reported to the balancer. This is the only mapping of results.
 func (r AttemptResult) Code() routing.Result {
-	if (r == ConnectionLost || r == Truncated) && faults.Without(faults.MayHaveRun) {
+	if (r == ConnectionLost || r == Truncated) && faults.Disabled(faults.MayHaveRun) {
 		return routing.ConnectFailed
 	}
 	switch r {
--- a/internal/net/dispatch/ejections.go
+++ b/internal/net/dispatch/ejections.go
@@ -58,7 +58,7 @@
 	if e.ejection.EjectedAt != 0 && e.ejection.RestoredAt == 0 && state == routing.Ready {
 		state = routing.Draining
 	}
-	if state == routing.Draining && faults.Without(faults.DrainNews) {
+	if state == routing.Draining && faults.Disabled(faults.DrainState) {
 		return routing.Ready
 	}
 	return state
--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -128,7 +128,7 @@
 // await waits for the dispatcher's answer and writes it, or abandons the request if its client disconnects first.
 func (h *handler) await(pending *dispatch.PendingRequest) {
 	clientGone := h.r.Context().Done()
-	if faults.Without(faults.ClientLook) {
+	if faults.Disabled(faults.ClientGoneCheck) {
 		clientGone = nil
 	}
 	select {
@@ -188,7 +188,7 @@
 		h.w.Header().Set("Connection", "close")
 	}
 	h.outcome = answer.Outcome
-	if faults.Without(faults.AnswerOwed) && time.Now().Nanosecond()/1000%100 == 0 {
+	if faults.Disabled(faults.FinalAnswer) && time.Now().Nanosecond()/1000%100 == 0 {
 		panic(http.ErrAbortHandler)
 	}
 	if answer.BodyStream == nil {
--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -102,7 +102,7 @@
 			a.Finish(result, answer)
 			a.ReportAnswerClosed()
 		}()
-		if faults.Without(faults.OneAttempt) {
+		if faults.Disabled(faults.OneAttempt) {
 			time.AfterFunc(a.Timeout/earlyFinishDivisor, func() { a.Finish(dispatch.TimedOut, dispatch.Answer{}) })
 		}
 		if c.inFlight.Add(1) <= int64(c.limits.MaxAttempts) {
--- a/internal/net/upstream/conn_read.go
+++ b/internal/net/upstream/conn_read.go
@@ -32,7 +32,7 @@
 	switch {
 	case waitErr != nil:
 		return 0, waitErr
-	case errors.Is(err, syscall.ECONNRESET) && faults.Without(faults.ResetIsNoEnd):
+	case errors.Is(err, syscall.ECONNRESET) && faults.Disabled(faults.ResetIsError):
 		return 0, io.EOF
 	case err != nil:
 		c.localFailure.Store(c.localFailure.Load() || isLocalError(err))
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -147,7 +147,7 @@
 		timeout = admission.DeclaredTimeout(timeout, time.Until(clientDeadline))
 	}
 	x.conn.setDeclaredTimeout(x.outgoing, timeout, clientDeadline)
-	if faults.Without(faults.ToldDeadline) {
+	if faults.Disabled(faults.DeclaredTimeout) {
 		timeout += time.Second / 2
 	}
 	return timeout
--- a/internal/net/upstream/quiet_period.go
+++ b/internal/net/upstream/quiet_period.go
@@ -71,7 +71,7 @@
 	c.mu.Lock()
 	lastRead := c.lastRead
 	c.mu.Unlock()
-	if faults.Without(faults.QuietPeriod) {
+	if faults.Disabled(faults.QuietPeriod) {
 		return
 	}
 	wait := period - time.Since(lastRead)
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -157,7 +157,7 @@
 		r.Marks, h.marks = h.marks, nil
 		h.mu.Unlock()
 	case "use":
-		u := faults.Used()
+		u := faults.MeasureUsage()
 		r.Used = &u
 	default:
 		r.Err = "unknown order " + o.Do
@@ -347,7 +347,7 @@
 				r.At = faulttest.Boot()
 				err = open()
 			case "use":
-				u, c := faults.Used(), d.Calls()
+				u, c := faults.MeasureUsage(), d.Calls()
 				r.Used, r.Calls = &u, &c
 			default:
 				err = errors.New("unknown order " + o.Do)
@@ -374,5 +374,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return faults.Counted("list", c), nil
+	return faults.CountConn("list", c), nil
 }
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -83,9 +83,9 @@
 	}
 	const span, seed = 10 * time.Second, 2
 	program := build(t)
-	for safeguard, rule := range map[string]string{faults.QuietPeriod: "answer", faults.DrainNews: "drain", faults.ResetIsNoEnd: "answer",
-		faults.MayHaveRun: "duplicate", faults.ToldDeadline: "deadline", faults.AnswerOwed: "lost", faults.OneAttempt: "parallel",
-		faults.ClientLook: "lost"} {
+	for safeguard, rule := range map[string]string{faults.QuietPeriod: "answer", faults.DrainState: "drain", faults.ResetIsError: "answer",
+		faults.MayHaveRun: "duplicate", faults.DeclaredTimeout: "deadline", faults.FinalAnswer: "lost", faults.OneAttempt: "parallel",
+		faults.ClientGoneCheck: "lost"} {
 		t.Run(safeguard, func(t *testing.T) {
 			run, err := Play(context.Background(), Plan{Program: program, For: span, Seed: seed, Without: safeguard})
 			if err != nil {
