--- a/cmd/thistlerudder/root.go
+++ b/cmd/thistlerudder/root.go
@@ -79,7 +79,7 @@
 			cmd.Printf(
 				"%s listens on %s, asks %s, %d namespaces, %d partners, %g cores, %d MB, %d descriptors\n",
 				s.Name,
-				s.Listen,
+				s.ListenAddress,
 				s.Discovery,
 				len(s.Classes),
 				len(s.Tenants),
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -45,7 +45,7 @@
 func NewClient(c *config.Cluster, log *zap.Logger) *Client {
 	return &Client{
 		config:       c,
-		dialer:       transport.Dialer{Cluster: c.Name, Node: c.Node, Routes: c.DialOverrides},
+		dialer:       transport.Dialer{Cluster: c.Name, Node: c.Node, DialOverrides: c.DialOverrides},
 		log:          log,
 		slots:        make(chan struct{}, maxPendingRequests),
 		pendingCalls: map[*rpc.Client]int{},
--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -24,8 +24,8 @@
 
 // The environment variables that configure the task of the fault test.
 const (
-	DoorVariable   = "THISTLERUDDER_TRIAL_DOOR"   // address of a resource outside the cluster that checks fencing tokens
-	RecordVariable = "THISTLERUDDER_TRIAL_RECORD" // file that this process appends its events to
+	FencedResourceVariable = "THISTLERUDDER_TRIAL_DOOR"   // address of a resource outside the cluster that checks fencing tokens
+	RecordVariable         = "THISTLERUDDER_TRIAL_RECORD" // file that this process appends its events to
 )
 
 const (
@@ -190,7 +190,7 @@
 
 // actOnFencedResource acts on the resource that checks fencing tokens.
 func (r *recorder) actOnFencedResource(held *HeldLease) {
-	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(DoorVariable), held.Token(), r.node)
+	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(FencedResourceVariable), held.Token(), r.node)
 	response, err := http.Post(url, "", nil)
 	if err != nil {
 		return
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -191,7 +191,7 @@
 	m.mu.Lock()
 	m.identity = identity
 	m.mu.Unlock()
-	dialer := transport.Dialer{Cluster: m.config.Name, Node: m.config.Node, Routes: m.config.DialOverrides}
+	dialer := transport.Dialer{Cluster: m.config.Name, Node: m.config.Node, DialOverrides: m.config.DialOverrides}
 	layer := transport.NewStreamLayer(m.listener, dialer, transport.RaftAddress(identity.ID, m.config.Address))
 	return startVoter(m.config, identity, layer, m.log.Named("voter"))
 }
--- a/internal/cluster/transport/dialer.go
+++ b/internal/cluster/transport/dialer.go
@@ -14,16 +14,16 @@
 
 // Dialer opens connections to the other nodes of a cluster. It is safe for concurrent use.
 type Dialer struct {
-	Cluster string            // name of the cluster
-	Node    string            // name of the dialing node
-	Routes  map[string]string // maps a peer's address to the address to dial instead; may be nil
+	Cluster       string            // name of the cluster
+	Node          string            // name of the dialing node
+	DialOverrides map[string]string // maps a peer's address to the address to dial instead; may be nil
 }
 
 // Dial opens a connection for a purpose and waits until the peer has accepted it. If voterID is not empty, the peer refuses the
 // connection unless it is the voter with this id. timeout applies separately to the TCP connection and to the handshake.
 func (d Dialer) Dial(address, purpose, voterID string, timeout time.Duration) (net.Conn, error) {
 	dialAddress := address
-	if override, found := d.Routes[address]; found {
+	if override, found := d.DialOverrides[address]; found {
 		dialAddress = override
 	}
 	c, err := net.DialTimeout("tcp", dialAddress, timeout)
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -44,8 +44,8 @@
 type Node struct {
 	// Name identifies the node; "node" by default.
 	Name string
-	// Listen is HOST:PORT for clients. Required.
-	Listen string
+	// ListenAddress is HOST:PORT for clients. Required.
+	ListenAddress string
 	// Discovery is HOST:PORT of the discovery service. Required.
 	Discovery string
 	// Admin is HOST:PORT of the admin server for operators. Empty, the default, disables it.
@@ -175,7 +175,7 @@
 
 func (n *Node) readAddresses(root object) {
 	readRequired(root, nameKey, nonEmptyParser, &n.Name)
-	readRequiredAddress(root, listenKey, &n.Listen)
+	readRequiredAddress(root, listenKey, &n.ListenAddress)
 	readRequiredAddress(root, discoveryKey, &n.Discovery)
 	readOptional(root, adminKey, adminParser, &n.Admin)
 }
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if node.Name != "n4" || node.Listen != "127.0.0.1:7070" || node.Discovery != "127.0.0.2:8500" || node.Seed != 0x8c1f30d27a5be964 ||
+	if node.Name != "n4" || node.ListenAddress != "127.0.0.1:7070" || node.Discovery != "127.0.0.2:8500" || node.Seed != 0x8c1f30d27a5be964 ||
 		node.Cores != 1.5 || node.MemoryMB != 256 || node.Descriptors != 512 || !json.Valid(node.CachedEndpoints) {
 		t.Errorf("%+v", node)
 	}
--- a/internal/config/parsers.go
+++ b/internal/config/parsers.go
@@ -78,7 +78,7 @@
 		if !ok || !(x >= 0 && x < maxMilliseconds) {
 			return 0, false
 		}
-		return Ticks(x), true
+		return MillisecondsToTime(x), true
 	}}
 	stringParser = valueParser[string]{"a text", func(v any) (string, bool) {
 		x, ok := v.(string)
@@ -153,7 +153,7 @@
 		o.addError(key, "a time in milliseconds above 0")
 		return
 	}
-	*field = Duration(t)
+	*field = TimeToDuration(t)
 }
 
 // element returns v, the i-th element of the list at a key of o, as an object. The object is empty if v is not a JSON object.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -54,7 +54,7 @@
 // without idempotency keys.
 func (s *Settings) DedupWindow(class string) time.Duration {
 	if c := s.class(class); c.Idempotence == routing.IdempotentByKey {
-		return Duration(c.DedupWindow)
+		return TimeToDuration(c.DedupWindow)
 	}
 	return 0
 }
@@ -125,7 +125,7 @@
 	if enabled, found := lookup(o.values, "permissions.retry-after"); found && enabled == false {
 		c.MaxRetryAfter = 0
 	}
-	s.MaxRetryAfter = Duration(c.MaxRetryAfter)
+	s.MaxRetryAfter = TimeToDuration(c.MaxRetryAfter)
 }
 
 func (s *Settings) readClasses(o object) {
@@ -144,7 +144,7 @@
 		readOptional(entry, "late-utility", fractionParser, &c.LateUtility)
 		readOptional(entry, "utility", nonNegativeParser, &utility)
 		c.SharedDedup = group == groupAllServers
-		s.MaxDeadline = max(s.MaxDeadline, Duration(deadline))
+		s.MaxDeadline = max(s.MaxDeadline, TimeToDuration(deadline))
 		s.Routing.Classes = append(s.Routing.Classes, c)
 	}
 	if len(classes) == 0 {
@@ -178,10 +178,10 @@
 // tick is the duration of one unit of routing.Time.
 const tick = time.Millisecond / time.Duration(routing.Millisecond)
 
-// Ticks converts milliseconds to routing.Time, rounding down.
-func Ticks(ms float64) routing.Time { return routing.Time(math.Floor(ms * 10)) }
+// MillisecondsToTime converts milliseconds to routing.Time, rounding down.
+func MillisecondsToTime(ms float64) routing.Time { return routing.Time(math.Floor(ms * 10)) }
 
-// Duration converts routing.Time to time.Duration.
-func Duration(t routing.Time) time.Duration {
+// TimeToDuration converts routing.Time to time.Duration.
+func TimeToDuration(t routing.Time) time.Duration {
 	return time.Duration(t) * tick
 }
--- a/internal/net/discovery/outage_test.go
+++ b/internal/net/discovery/outage_test.go
@@ -37,7 +37,7 @@
 // Adds up the constants for each case, plus busyAllowance for a busy machine. The test fails if a constant of this package or of the balancer is
 // raised too far. TestPollIntervalBoundedWithoutSubscription checks that the waits between polls stay within PollSpread and MaxPollGap.
 func TestListDelayConstantsWithinLimits(t *testing.T) {
-	spread, maxWait := config.Duration(routing.PollSpread), config.Duration(routing.MaxPollGap)
+	spread, maxWait := config.TimeToDuration(routing.PollSpread), config.TimeToDuration(routing.MaxPollGap)
 	for _, c := range []struct {
 		name  string
 		sum   time.Duration
--- a/internal/net/discovery/overload_test.go
+++ b/internal/net/discovery/overload_test.go
@@ -491,9 +491,9 @@
 		minDelay, maxDelay time.Duration // from the start of the first of these polls to the start of the second
 		maxThirdDelay      time.Duration // longest time from the start of the first to the start of the third
 	}{
-		{map[string]any{"registry-mode": "ask"}, false, time.Hour, config.Duration(routing.MaxPollGap) / 2, config.Duration(routing.MaxPollGap), 2 * config.Duration(routing.MaxPollGap)},
-		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.Duration(routing.MaxPollGap), maxQueueTime, 2 * config.Duration(routing.MaxPollGap)},
-		{map[string]any{"registry-mode": "ask"}, true, 1900 * time.Millisecond, config.Duration(routing.MaxPollGap), 1900 * time.Millisecond, 2 * 1900 * time.Millisecond},
+		{map[string]any{"registry-mode": "ask"}, false, time.Hour, config.TimeToDuration(routing.MaxPollGap) / 2, config.TimeToDuration(routing.MaxPollGap), 2 * config.TimeToDuration(routing.MaxPollGap)},
+		{map[string]any{"registry-mode": "ask"}, true, time.Hour, config.TimeToDuration(routing.MaxPollGap), maxQueueTime, 2 * config.TimeToDuration(routing.MaxPollGap)},
+		{map[string]any{"registry-mode": "ask"}, true, 1900 * time.Millisecond, config.TimeToDuration(routing.MaxPollGap), 1900 * time.Millisecond, 2 * 1900 * time.Millisecond},
 		{map[string]any{"registry-mode": "push", "invariants": map[string]any{"stop-sending-within-ms": 1500.}}, true, time.Hour,
 			500 * time.Millisecond, time.Second, 1500 * time.Millisecond},
 	} {
--- a/internal/net/dispatch/clock.go
+++ b/internal/net/dispatch/clock.go
@@ -46,8 +46,8 @@
 		return 0
 	}
 	now := time.Now()
-	t := fromUnix(ms) - config.Ticks(float64(d.clock.wallOffset(now, d.wallNow()))/float64(time.Millisecond))
-	if routingNow := d.clock.toRoutingTime(now); t > routingNow+config.Ticks(float64(minClockStep/time.Millisecond)) {
+	t := fromUnix(ms) - config.MillisecondsToTime(float64(d.clock.wallOffset(now, d.wallNow()))/float64(time.Millisecond))
+	if routingNow := d.clock.toRoutingTime(now); t > routingNow+config.MillisecondsToTime(float64(minClockStep/time.Millisecond)) {
 		t = routingNow
 	}
 	return max(1, t)
--- a/internal/net/dispatch/endpoints.go
+++ b/internal/net/dispatch/endpoints.go
@@ -148,7 +148,7 @@
 // to a wrong clock then, and the time of that update is used instead. Called with the lock held.
 func (d *Dispatcher) startTime(e *endpointEntry, listed Endpoint) routing.Time {
 	startedAt := d.fromUnixNow(listed.StartedMs)
-	overdue := d.lastLiveUpdate-startedAt > config.Ticks(float64(maxStartReportDelay/time.Millisecond))
+	overdue := d.lastLiveUpdate-startedAt > config.MillisecondsToTime(float64(maxStartReportDelay/time.Millisecond))
 	if e.id == listed.ID && startedAt > 0 && overdue {
 		return d.lastLiveUpdate
 	}
--- a/internal/net/dispatch/host.go
+++ b/internal/net/dispatch/host.go
@@ -62,4 +62,4 @@
 func (h host) SetAlarm(fireAt routing.Time, handle int) { h.alarms.add(fireAt, handle, h.clock) }
 
 // toDuration converts a duration in ticks.
-func toDuration(t routing.Time) time.Duration { return config.Duration(t) }
+func toDuration(t routing.Time) time.Duration { return config.TimeToDuration(t) }
--- a/internal/net/dispatch/outliers.go
+++ b/internal/net/dispatch/outliers.go
@@ -30,6 +30,6 @@
 		if !known || d.endpoints.entries[i].gone || d.endpoints.entries[i].address != address {
 			return
 		}
-		d.balancer.ReportProbeResult(now, i, succeeded, now+config.Ticks(float64(next)/float64(time.Millisecond)))
+		d.balancer.ReportProbeResult(now, i, succeeded, now+config.MillisecondsToTime(float64(next)/float64(time.Millisecond)))
 	})
 }
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -29,7 +29,7 @@
 		return usage
 	}
 	d.withLock("quota", nil, func(now routing.Time) {
-		quota.End = int64(now + config.Ticks(float64(validFor)/float64(time.Millisecond)))
+		quota.End = int64(now + config.MillisecondsToTime(float64(validFor)/float64(time.Millisecond)))
 		usage = d.balancer.SetQuota(now, limit, tenantIndex, quota)
 		d.quotas.active = true
 		if quota.Concurrency {
--- a/internal/net/node/admin_test.go
+++ b/internal/net/node/admin_test.go
@@ -46,7 +46,7 @@
 			requestLine, namespace = "GET /unheard-of/k", "" // an unknown class is not counted
 		}
 		clients.Go(func() {
-			status, _ := sendRequest(s.Listen, requestLine, fmt.Sprint("X-Trace-Id: t", i), limit)
+			status, _ := sendRequest(s.ListenAddress, requestLine, fmt.Sprint("X-Trace-Id: t", i), limit)
 			mu.Lock()
 			defer mu.Unlock()
 			statuses[namespace+" "+fmt.Sprint(status)]++
@@ -54,7 +54,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 10 { // these clients disconnect before the response; either outcome may be counted for them
-		c, err := net.Dial("tcp", s.Listen)
+		c, err := net.Dial("tcp", s.ListenAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +114,7 @@
 	}
 	for i := range 120 {
 		flood.Go(func() {
-			holdConnection(s.Listen, fmt.Sprintf("GET /read/k%d HTTP/1.1\r\nHost: n\r\nX-Trace-Id: f%d\r\nX-Expires-In: 800m\r\n\r\n", i, i))
+			holdConnection(s.ListenAddress, fmt.Sprintf("GET /read/k%d HTTP/1.1\r\nHost: n\r\nX-Trace-Id: f%d\r\nX-Expires-In: 800m\r\n\r\n", i, i))
 		})
 	}
 	for range 40 {
@@ -155,7 +155,7 @@
 		mu.Unlock()
 		for range n {
 			requests++
-			sendRequest(s.Listen, fmt.Sprintf("GET /read/k%d", requests), fmt.Sprint("X-Trace-Id: t", requests), "X-Expires-In: 800m")
+			sendRequest(s.ListenAddress, fmt.Sprintf("GET /read/k%d", requests), fmt.Sprint("X-Trace-Id: t", requests), "X-Expires-In: 800m")
 		}
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/net/node/answers_test.go
+++ b/internal/net/node/answers_test.go
@@ -60,7 +60,7 @@
 					complete := framing == "none" && (ending == "closes" || ending == "ends, then resets") // closed before any reset
 					truncated := 0
 					for i := range 5 {
-						status, got := sendRequest(s.Listen, fmt.Sprint("GET /read/", i), fmt.Sprint("X-Trace-Id: t", i), "X-Expires-In: 800m")
+						status, got := sendRequest(s.ListenAddress, fmt.Sprint("GET /read/", i), fmt.Sprint("X-Trace-Id: t", i), "X-Expires-In: 800m")
 						if whole := status == http.StatusOK; whole != complete || whole && got != body {
 							t.Errorf("status %d, %d bytes", status, len(got))
 						}
@@ -105,11 +105,11 @@
 	}
 	s := w.nodeConfig(128)
 	startNode(t, s)
-	sendRequest(s.Listen, "GET /read/head/0", "X-Trace-Id: first", "X-Expires-In: 100m")
+	sendRequest(s.ListenAddress, "GET /read/head/0", "X-Trace-Id: first", "X-Expires-In: 100m")
 	before, started := runtime.NumGoroutine(), map[string]int{}
 	for _, kind := range []string{"head", "provisional", "length", "chunked", "none"} {
 		for i := range 2 {
-			c, err := net.Dial("tcp", s.Listen)
+			c, err := net.Dial("tcp", s.ListenAddress)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/net/node/fleet_test.go
+++ b/internal/net/node/fleet_test.go
@@ -24,7 +24,7 @@
 	w := newTestEnv(t, nil, "a")
 	s := w.nodeConfig(256)
 	stop := startNode(t, s)
-	if sendRequest(s.Listen, "GET /read/k", "X-Trace-Id: t1", "X-Expires-In: 900m"); strings.Contains(goroutineStacks(), clusterPackage) {
+	if sendRequest(s.ListenAddress, "GET /read/k", "X-Trace-Id: t1", "X-Expires-In: 900m"); strings.Contains(goroutineStacks(), clusterPackage) {
 		t.Error("a goroutine of the cluster package runs without a cluster")
 	}
 	if _, page := adminRequest(s.Admin, "GET", "/status/metrics"); strings.Contains(page, "fleet.") {
@@ -41,7 +41,7 @@
 			t.Fatal("metric fleet.voter is not 1 within 5 s")
 		}
 	}
-	if status, body := sendRequest(s.Listen, "GET /read/k", "X-Trace-Id: t2", "X-Expires-In: 900m"); status != 200 || body != "value" {
+	if status, body := sendRequest(s.ListenAddress, "GET /read/k", "X-Trace-Id: t2", "X-Expires-In: 900m"); status != 200 || body != "value" {
 		t.Errorf("no other node reachable: %d %q", status, body)
 	}
 	if _, err := os.Stat(filepath.Join(s.Cluster.DataDir, "voter.json")); err != nil {
--- a/internal/net/node/gone_stop_test.go
+++ b/internal/net/node/gone_stop_test.go
@@ -40,7 +40,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	if err := Run(ctx, &config.Node{Name: "n", Listen: addresses.Listen, Admin: addresses.Admin, Discovery: addresses.Discovery, Cores: 1, MemoryMB: 192,
+	if err := Run(ctx, &config.Node{Name: "n", ListenAddress: addresses.Listen, Admin: addresses.Admin, Discovery: addresses.Discovery, Cores: 1, MemoryMB: 192,
 		Descriptors: 128, Settings: d}, nil, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 				t.Run(fmt.Sprintf("%s, %s, pipelined %v", c.place, clientAction, pipelined), func(t *testing.T) {
 					t.Parallel()
 					g := newGatedNode(t, c.heldAttempt, c.missAttempt, c.fullQueue)
-					addresses, _ := json.Marshal(map[string]string{"Listen": g.config.Listen, "Admin": g.config.Admin, "Discovery": g.config.Discovery})
+					addresses, _ := json.Marshal(map[string]string{"Listen": g.config.ListenAddress, "Admin": g.config.Admin, "Discovery": g.config.Discovery})
 					node := exec.Command(os.Args[0], "-test.run=^TestPausedNodeProcess$", "-test.timeout=60s")
 					node.Env = append(os.Environ(), pausedNodeEnv+"="+string(addresses), "TMPDIR="+t.TempDir())
 					if err := node.Start(); err != nil {
@@ -83,7 +83,7 @@
 						}
 					}
 					client := func(id, requestLine, headersAndBody string) *net.TCPConn {
-						conn, err := net.Dial("tcp", g.config.Listen)
+						conn, err := net.Dial("tcp", g.config.ListenAddress)
 						if err != nil {
 							t.Fatal(err)
 						}
--- a/internal/net/node/left_test.go
+++ b/internal/net/node/left_test.go
@@ -98,7 +98,7 @@
 		}()
 	}
 	g.config = g.testEnv.nodeConfig(128)
-	g.config.Listen, g.config.Admin = uniqueAddress(), uniqueAddress()
+	g.config.ListenAddress, g.config.Admin = uniqueAddress(), uniqueAddress()
 	namespace := func(name, repeat string) map[string]any {
 		return map[string]any{"name": name, "repeat": repeat, "target-time-ms": 4800., "time-limit-ms": 5000.}
 	}
@@ -177,7 +177,7 @@
 				t.Parallel()
 				g := newGatedNode(t, c.heldAttempt, c.missAttempt, c.fullQueue)
 				client := func(id, requestLine, headersAndBody string) net.Conn {
-					conn, err := net.Dial("tcp", g.config.Listen)
+					conn, err := net.Dial("tcp", g.config.ListenAddress)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -188,7 +188,7 @@
 				before := 0
 				var socket *net.TCPListener
 				if c.acceptQueue {
-					l, err := net.Listen("tcp", g.config.Listen)
+					l, err := net.Listen("tcp", g.config.ListenAddress)
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/net/node/listen.go
+++ b/internal/net/node/listen.go
@@ -47,7 +47,7 @@
 	if s.PassedSocket != 0 {
 		return handover.ListenerFromFD(s.PassedSocket)
 	}
-	listener, err := listen(ctx, s.Listen, s.MaxDeadline, log)
+	listener, err := listen(ctx, s.ListenAddress, s.MaxDeadline, log)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/net/node/little_test.go
+++ b/internal/net/node/little_test.go
@@ -27,7 +27,7 @@
 		for _, requestLine := range []string{"GET /read/k", "GET /once/k", "PUT /once/k"} {
 			requests.Go(func() {
 				start := time.Now()
-				status, body := sendRequest(s.Listen, requestLine+fmt.Sprint(remainingMs), "Content-Length: 0", fmt.Sprintf("X-Trace-Id: %s-%d", requestLine, remainingMs), fmt.Sprintf("X-Expires-In: %dm", remainingMs))
+				status, body := sendRequest(s.ListenAddress, requestLine+fmt.Sprint(remainingMs), "Content-Length: 0", fmt.Sprintf("X-Trace-Id: %s-%d", requestLine, remainingMs), fmt.Sprintf("X-Expires-In: %dm", remainingMs))
 				lateness := time.Since(start) - time.Duration(remainingMs)*time.Millisecond
 				if status != http.StatusServiceUnavailable && status != http.StatusBadGateway {
 					t.Errorf("%s with %d ms left: %d %s", requestLine, remainingMs, status, body)
--- a/internal/net/node/long_test.go
+++ b/internal/net/node/long_test.go
@@ -97,7 +97,7 @@
 	for i := range 16 {
 		kind := []string{"quick", "slow", "coded", "slow-coded"}[i%4]
 		attempt := func(try int) (status int) {
-			c, err := net.Dial("tcp", s.Listen)
+			c, err := net.Dial("tcp", s.ListenAddress)
 			if err != nil {
 				t.Error(err)
 				return
@@ -190,7 +190,7 @@
 	s := w.nodeConfig(128)
 	startNode(t, s)
 	for i, kind := range []string{"length", "coded"} {
-		if status, body := sendRequest(s.Listen, "GET /read/"+kind, fmt.Sprint("X-Trace-Id: t", i), "X-Expires-In: 800m"); status != 0 {
+		if status, body := sendRequest(s.ListenAddress, "GET /read/"+kind, fmt.Sprint("X-Trace-Id: t", i), "X-Expires-In: 800m"); status != 0 {
 			t.Errorf("%s: complete response with status %d, %d bytes", kind, status, len(body))
 		}
 	}
@@ -214,7 +214,7 @@
 	}
 	s := w.nodeConfig(128)
 	startNode(t, s)
-	c, err := net.Dial("tcp", s.Listen)
+	c, err := net.Dial("tcp", s.ListenAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,7 +248,7 @@
 	s := w.nodeConfig(128)
 	startNode(t, s)
 	upload := func(length int64, chunked bool, size int64) (int, time.Duration) {
-		c, err := net.Dial("tcp", s.Listen)
+		c, err := net.Dial("tcp", s.ListenAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -312,7 +312,7 @@
 	t.Cleanup(func() { close(release) }) // runs before the cleanup of the servers, which waits for their handlers
 	s := w.nodeConfig(128)
 	startNode(t, s)
-	c, err := net.Dial("tcp", s.Listen)
+	c, err := net.Dial("tcp", s.ListenAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -86,7 +86,7 @@
 	wrapLocal func(cluster.LocalNode) cluster.LocalNode,
 ) error {
 	folder := os.Getenv("TMPDIR")
-	name := fileName(s.Listen)
+	name := fileName(s.ListenAddress)
 	membership, err := handover.Join(folder, name)
 	if err != nil {
 		log.Warn("cannot count the other processes of this node", zap.Error(err))
@@ -202,7 +202,7 @@
 func (n *node) serveClients(ctx context.Context, others int, leaveCluster func()) error {
 	served := make(chan error, 1)
 	go func() { served <- n.frontend.Serve(n.clientListener) }()
-	n.log.Info("serving", zap.String("listen", n.config.Listen), zap.Int("client descriptors", n.limits.clientConns),
+	n.log.Info("serving", zap.String("listen", n.config.ListenAddress), zap.Int("client descriptors", n.limits.clientConns),
 		zap.Int("server descriptors", n.limits.serverConns), zap.Int("memory MB", n.config.MemoryMB),
 		zap.Int("other processes", others))
 	select {
--- a/internal/net/node/world_test.go
+++ b/internal/net/node/world_test.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		e.t.Fatal(err)
 	}
-	return &config.Node{Name: "n", Listen: freeAddress(e.t), Admin: freeAddress(e.t), Discovery: e.discovery.Listener.Addr().String(),
+	return &config.Node{Name: "n", ListenAddress: freeAddress(e.t), Admin: freeAddress(e.t), Discovery: e.discovery.Listener.Addr().String(),
 		Cores: 1, MemoryMB: 192, Descriptors: descriptors, Settings: d}
 }
 
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -136,7 +136,7 @@
 			orders.end()
 		}
 	}()
-	m, now := &s.message, config.Ticks(s.nowMillis)
+	m, now := &s.message, config.MillisecondsToTime(s.nowMillis)
 	if m.kind == "create" {
 		return s.createInstance(name, orders, now)
 	}
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -76,7 +76,7 @@
 		Class:    class,
 		Tenant:   tenant,
 		Key:      m.key,
-		Deadline: config.Ticks(m.deadlineMillis),
+		Deadline: config.MillisecondsToTime(m.deadlineMillis),
 		Work:     m.workMillis,
 		Write:    m.write,
 	})
@@ -147,7 +147,7 @@
 			ID:        e.id,
 			Model:     n.model(e.model),
 			State:     state,
-			StartedAt: config.Ticks(e.startedAtMillis),
+			StartedAt: config.MillisecondsToTime(e.startedAtMillis),
 		})
 	}
 	n.balancer.UpdateEndpoints(now, kind, n.endpoints)
