--- a/budget/allocator_test.go
+++ b/budget/allocator_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -82,12 +82,12 @@
 }
 func (n *testNode) Send(r Request)  { n.request = &r }
 func (n *testNode) SetAlarm(t Time) { n.alarmTime = t }
-func (n *testNode) SetQuota(_ string, _ lease.BudgetConfig, units, _ int, _ Time) allowance.Usage {
+func (n *testNode) SetQuota(_ string, _ lease.BudgetConfig, units, _ int, _ Time) quotalimit.Usage {
 	if n.units > 0 {
 		n.lastHadUnits = n.cluster.now
 	}
 	n.longestWait = max(n.longestWait, n.cluster.now-n.lastHadUnits)
-	usage := allowance.Usage{Wanted: n.rate * seconds(n.cluster.now-n.lastSample), MeanSeconds: 0.1}
+	usage := quotalimit.Usage{Requested: n.rate * seconds(n.cluster.now-n.lastSample), MeanSeconds: 0.1}
 	n.units, n.lastSample = units, n.cluster.now
 	return usage
 }
@@ -99,7 +99,7 @@
 			e := c.allocator.proposals[ref]
 			c.state.Apply(e)
 			c.appliedEntries++
-			c.allocator.Applied(c.now, ref, false)
+			c.allocator.HandleProposalResult(c.now, ref, false)
 		}
 		c.proposals = nil
 		if c.now >= c.alarmTime {
@@ -128,7 +128,7 @@
 // With 20 units and 60 nodes that all have demand, the nodes take turns. No node waits for longer than the turns of the other
 // nodes take.
 func TestScarceUnitsRotateAmongNodes(t *testing.T) {
-	c := newFaultFreeCluster(t, lease.BudgetConfig{Kind: lease.ConcurrencyKind, Units: 20, MaxNodes: 60}, 60)
+	c := newFaultFreeCluster(t, lease.BudgetConfig{Kind: lease.BudgetKindConcurrency, Units: 20, MaxNodes: 60}, 60)
 	for _, n := range c.nodes {
 		n.rate = 20
 	}
@@ -150,7 +150,7 @@
 // A shift of demand between nodes moves the quotas within a second. A new node gets units within 0.4 s. The nodes shrink to a
 // lowered budget within a second. Steady demand takes few log entries.
 func TestQuotasFollowDemand(t *testing.T) {
-	config := lease.BudgetConfig{Kind: lease.RateKind, Units: 100, RatePerUnit: 1, MaxNodes: 20}
+	config := lease.BudgetConfig{Kind: lease.BudgetKindRate, Units: 100, RatePerUnit: 1, MaxNodes: 20}
 	c := newFaultFreeCluster(t, config, 10)
 	for _, n := range c.nodes {
 		n.rate = 4
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -212,17 +212,17 @@
 	p.cluster.messages = append(p.cluster.messages, message{process: p.index, id: p.latestRequestID, request: &r, sentAt: p.now()})
 }
 
-func (p *process) SetQuota(_ string, _ lease.BudgetConfig, units, reserved int, quotaEnd Time) allowance.Usage {
+func (p *process) SetQuota(_ string, _ lease.BudgetConfig, units, reserved int, quotaEnd Time) quotalimit.Usage {
 	p.units, p.reserved, p.quotaEnd = units, reserved, quotaEnd
 	if p.abortAtLeaseEnd(); p.cluster.disabledSafeguard != keepBurst {
 		p.tokens = min(p.tokens, p.usableUnits())
 	}
-	usage := allowance.Usage{InFlight: p.inFlight, MeanSeconds: 0.1}
+	usage := quotalimit.Usage{InFlight: p.inFlight, MeanSeconds: 0.1}
 	if p.cluster.disabledSafeguard == forgetInFlight {
 		usage.InFlight = 0
 	}
 	if p.hasDemand {
-		usage.Wanted = 100
+		usage.Requested = 100
 	}
 	return usage
 }
@@ -307,7 +307,7 @@
 		if c.renewals > 0 && !p.renewalInFlight && c.committed.Leases[leaseNameOf(p.node)].Token == p.token {
 			events = append(events, event{kind: sendRenewal, index: i})
 		}
-		if c.config.Kind == lease.ConcurrencyKind {
+		if c.config.Kind == lease.BudgetKindConcurrency {
 			if p.inFlight < p.usableUnits() && c.requests > 0 {
 				events = append(events, event{kind: beginRequest, index: i})
 			}
@@ -393,7 +393,7 @@
 			p.renewalInFlight = false
 		} else {
 			for _, l := range c.leaders {
-				l.allocator.CallerGone(m.id)
+				l.allocator.CancelRequest(m.id)
 			}
 			if m.id == p.latestRequestID {
 				p.client.HandleTimeout(p.now())
@@ -407,7 +407,7 @@
 			l.applyLog()
 			c.append(l.allocator.proposals[ref])
 			l.applyLog()
-			l.allocator.Applied(l.now(), ref, false)
+			l.allocator.HandleProposalResult(l.now(), ref, false)
 		}
 	case electLeader:
 		c.elections--
@@ -458,7 +458,7 @@
 		savedTokens += p.tokens
 		descriptions = append(descriptions, fmt.Sprintf("process %d of n%d: %d units, %d requests in flight, %d tokens", p.index, p.node, units, p.inFlight, p.tokens))
 	}
-	if c.violation == "" && (usedUnits > c.config.Units || c.config.Kind == lease.RateKind && savedTokens > c.config.Units) {
+	if c.violation == "" && (usedUnits > c.config.Units || c.config.Kind == lease.BudgetKindRate && savedTokens > c.config.Units) {
 		c.violation = fmt.Sprintf("budget of %d units exceeded: %v", c.config.Units, descriptions)
 	}
 }
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/lease"
 )
 
@@ -20,7 +20,7 @@
 type ClientHost interface {
 	// SetQuota sets a budget's limit on this node: units until the given time, and reserved units after it. It returns the
 	// usage since the previous call. Under a concurrency budget a request counts until it ends.
-	SetQuota(name string, config lease.BudgetConfig, units, reserved int, until Time) allowance.Usage
+	SetQuota(name string, config lease.BudgetConfig, units, reserved int, until Time) quotalimit.Usage
 	// Send sends a request to the leader. Its outcome must be reported to QuotaClient.HandleResponse or
 	// QuotaClient.HandleTimeout, unless a later request has been sent in the meantime.
 	Send(r Request)
@@ -121,7 +121,7 @@
 	reserved = max(0, reserved-b.loan.reserved)
 	usage := c.host.SetQuota(b.name, b.config, ownUnits+reserved, reserved, c.quotaEnd(b))
 	b.requestsInFlight = usage.InFlight
-	b.requestsDone = usage.Done
+	b.requestsDone = usage.Started
 	b.unitsInUse = b.maxUnitsInUse(units, reserved)
 	if b.demand.record(now, usage) {
 		c.reportNeeded = b.demand.update(now, b.config) || c.reportNeeded
@@ -131,7 +131,7 @@
 // quotaEnd returns the time until which the units of a budget may be used. Under a rate budget this is the end of the lease.
 // Under a concurrency budget it is earlier by cutoffMargin, because requests in flight are aborted at the end of the lease.
 func (c *QuotaClient) quotaEnd(b *clientBudget) Time {
-	if b.config.Kind == lease.ConcurrencyKind {
+	if b.config.Kind == lease.BudgetKindConcurrency {
 		return c.leaseEnd - c.cutoffMargin
 	}
 	return c.leaseEnd
@@ -141,7 +141,7 @@
 // units reserved for this node and not lent.
 func (b *clientBudget) maxUnitsInUse(units, reserved int) int {
 	bound := max(units, b.loan.units)
-	if b.config.Kind == lease.ConcurrencyKind { // units in use become free only when requests end
+	if b.config.Kind == lease.BudgetKindConcurrency { // units in use become free only when requests end
 		occupied := b.loan.units + max(0, b.requestsInFlight-reserved)
 		bound = max(bound, min(b.unitsInUse, occupied))
 	}
@@ -149,9 +149,9 @@
 }
 
 // holdings returns the node's report on each budget.
-func (c *QuotaClient) holdings() (reports []Holding) {
+func (c *QuotaClient) holdings() (reports []Report) {
 	for _, b := range c.budgets {
-		reports = append(reports, Holding{
+		reports = append(reports, Report{
 			Budget:   b.name,
 			Token:    b.token,
 			Units:    b.unitsInUse,
@@ -182,20 +182,20 @@
 	c.reportNeeded = false
 	c.nextRequest = now + minRequestInterval
 	c.host.Send(Request{
-		Lease:    c.lease,
-		Token:    c.token,
-		Weight:   c.weight,
-		Wait:     requestWait,
-		Holdings: c.holdings(),
-		Declared: declared,
+		Lease:           c.lease,
+		Token:           c.token,
+		Weight:          c.weight,
+		Wait:            requestWait,
+		Holdings:        c.holdings(),
+		DeclaredConfigs: declared,
 	})
 	c.host.SetAlarm(c.lastSample + sampleInterval)
 }
 
-// ConfigMismatch describes a budget whose configuration on this node (Local) differs from the cluster's (Agreed).
+// ConfigMismatch describes a budget whose configuration on this node (Local) differs from the cluster's (ClusterConfig).
 type ConfigMismatch struct {
-	Name          string
-	Local, Agreed lease.BudgetConfig
+	Name                 string
+	Local, ClusterConfig lease.BudgetConfig
 }
 
 // HandleResponse processes the response to the latest request. It returns the budgets whose local configuration differs from
@@ -212,7 +212,7 @@
 		}
 		b := c.budgets[i]
 		if !b.confirmed && !sameBudget(b.config, u.Config) {
-			mismatches = append(mismatches, ConfigMismatch{Name: u.Budget, Local: b.config, Agreed: u.Config})
+			mismatches = append(mismatches, ConfigMismatch{Name: u.Budget, Local: b.config, ClusterConfig: u.Config})
 		}
 		b.apply(u)
 	}
@@ -279,7 +279,7 @@
 	Confirmed          bool    // Config comes from the cluster; otherwise it comes from the node's own configuration
 	Units, Demand      int     // units of the node's quota, and units that the node could use
 	InFlight           int     // requests in flight, under a concurrency budget
-	Used               float64 // requests that began between the last two samples, which are a tenth of a second apart
+	RequestsStarted    float64 // requests that began between the last two samples, which are a tenth of a second apart
 	Allocated, Reserve int     // units allocated to all nodes, and held back for nodes without units, as last reported by the leader
 	End                Time    // end of the node's lease
 }
@@ -288,16 +288,16 @@
 func (c *QuotaClient) Status() (statuses []QuotaStatus) {
 	for _, b := range c.budgets {
 		statuses = append(statuses, QuotaStatus{
-			Name:      b.name,
-			Config:    b.config,
-			Confirmed: b.confirmed,
-			Units:     b.units,
-			Demand:    b.demand.units,
-			InFlight:  b.requestsInFlight,
-			Used:      b.requestsDone,
-			Allocated: b.allocated,
-			Reserve:   b.reserve,
-			End:       c.leaseEnd,
+			Name:            b.name,
+			Config:          b.config,
+			Confirmed:       b.confirmed,
+			Units:           b.units,
+			Demand:          b.demand.units,
+			InFlight:        b.requestsInFlight,
+			RequestsStarted: b.requestsDone,
+			Allocated:       b.allocated,
+			Reserve:         b.reserve,
+			End:             c.leaseEnd,
 		})
 	}
 	return statuses
--- a/cmd/thistlerudder/budget.go
+++ b/cmd/thistlerudder/budget.go
@@ -94,7 +94,7 @@
 
 // formatAmount formats a number of units as the budget's limit is given: as a number of requests in flight, or as a rate per second.
 func formatAmount(config lease.BudgetConfig, units int) string {
-	if config.Kind == lease.ConcurrencyKind {
+	if config.Kind == lease.BudgetKindConcurrency {
 		return strconv.Itoa(units)
 	}
 	return fmt.Sprintf("%.4g/s", config.RatePerUnit*float64(units))
--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/routing"
@@ -26,7 +26,7 @@
 func (fakeLocalNode) Metrics() map[string]int64                       { return nil }
 func (fakeLocalNode) EjectedEndpoints() map[string]string             { return nil }
 func (fakeLocalNode) ProbeResult(string, string, bool, time.Duration) {}
-func (fakeLocalNode) SetQuota(routing.Limit, string, allowance.Quota, time.Duration, time.Duration) (u allowance.Usage) {
+func (fakeLocalNode) SetQuota(routing.Limit, string, quotalimit.Quota, time.Duration, time.Duration) (u quotalimit.Usage) {
 	return u
 }
 
--- a/cmd/thistlerudder/root.go
+++ b/cmd/thistlerudder/root.go
@@ -88,7 +88,7 @@
 			cmd.Printf(
 				"%s listens on %s, asks %s, %d namespaces, %d partners, %g cores, %d MB, %d descriptors\n",
 				settings.Name,
-				settings.Listen,
+				settings.ListenAddress,
 				settings.Discovery,
 				len(settings.Classes),
 				len(settings.Tenants),
--- a/internal/cluster/faulttest_task_on.go
+++ b/internal/cluster/faulttest_task_on.go
@@ -24,8 +24,8 @@
 
 // The environment variables that configure the task of the fault test.
 const (
-	DoorVariable   = "THISTLERUDDER_TRIAL_DOOR"   // address of a resource outside the cluster that checks fencing tokens
-	RecordVariable = "THISTLERUDDER_TRIAL_RECORD" // file that this process appends its events to
+	FencedResourceVariable = "THISTLERUDDER_TRIAL_DOOR"   // address of a resource outside the cluster that checks fencing tokens
+	RecordVariable         = "THISTLERUDDER_TRIAL_RECORD" // file that this process appends its events to
 )
 
 const (
@@ -175,7 +175,7 @@
 	if !held.MayAct(duration + actMarginForDelay) {
 		return
 	}
-	faults.Point(faults.BeforeAct)
+	faults.StopPoint(faults.BeforeAct)
 	if i%4 == 0 {
 		r.actOnFencedResource(held)
 		return
@@ -183,14 +183,14 @@
 	began := trueBootTime()
 	r.write(event{Type: "begin", TimeNs: began, Token: held.Token()})
 	time.Sleep(duration / 2)
-	faults.Point(faults.InAct)
+	faults.StopPoint(faults.InAct)
 	time.Sleep(duration / 2)
 	r.write(event{Type: "end", TimeNs: trueBootTime(), Token: held.Token(), StartNs: began})
 }
 
 // actOnFencedResource acts on the resource that checks fencing tokens.
 func (r *recorder) actOnFencedResource(held *HeldLease) {
-	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(DoorVariable), held.Token(), r.node)
+	url := fmt.Sprintf("http://%s/?token=%d&who=%s", os.Getenv(FencedResourceVariable), held.Token(), r.node)
 	response, err := http.Post(url, "", nil)
 	if err != nil {
 		return
--- a/internal/cluster/lease_service.go
+++ b/internal/cluster/lease_service.go
@@ -28,7 +28,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.leaseRequests, id)
-	v.leases.CallerGone(now(), id)
+	v.leases.CancelRequest(now(), id)
 	return lease.Response{Err: lease.ErrNotLeader}
 }
 
@@ -59,8 +59,8 @@
 func (h leaseHost) ConfirmLeadership(round uint64) {
 	leaderChange := h.leaderChanges
 	go func() {
-		faults.Point(faults.OnRenewal)
-		confirmed := faults.Without(faults.Confirmation) || h.confirmLeadership()
+		faults.StopPoint(faults.OnRenewal)
+		confirmed := faults.Disabled(faults.Confirmation) || h.confirmLeadership()
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.quorumRounds++
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/budget"
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/config"
 	"github.com/thistlerudder/thistlerudder/internal/faults"
 	"github.com/thistlerudder/thistlerudder/lease"
@@ -98,7 +98,7 @@
 func (q *nodeQuotas) SetAlarm(alarmTime lease.Time) { q.alarm.set(alarmTime) }
 
 // SetQuota applies a quota to this node until a time.
-func (q *nodeQuotas) SetQuota(name string, c lease.BudgetConfig, units, reserved int, until lease.Time) allowance.Usage {
+func (q *nodeQuotas) SetQuota(name string, c lease.BudgetConfig, units, reserved int, until lease.Time) quotalimit.Usage {
 	return q.member.applyQuota(name, c, units, reserved, toDuration(until-now()), q.member.cutoffMargin())
 }
 
@@ -131,8 +131,8 @@
 	}
 	for _, difference := range q.client.HandleResponse(now(), budget.Response{Updates: reply.Updates, Err: reply.Error.toError()}) {
 		q.member.log.Warn("budget differs from the configuration, the cluster's is used", zap.String("budget", difference.Name),
-			zap.Float64("configured_limit", difference.Local.Limit()), zap.Float64("cluster_limit", difference.Agreed.Limit()),
-			zap.Any("configured", difference.Local), zap.Any("cluster", difference.Agreed))
+			zap.Float64("configured_limit", difference.Local.Limit()), zap.Float64("cluster_limit", difference.ClusterConfig.Limit()),
+			zap.Any("configured", difference.Local), zap.Any("cluster", difference.ClusterConfig))
 	}
 	q.member.recordAgreedConfigs(reply.Updates)
 }
@@ -175,23 +175,23 @@
 }
 
 // applyQuota sets the node's quota of one budget: units for the duration, and the reserved units afterwards.
-func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, cutoffMargin time.Duration) allowance.Usage {
+func (m *Member) applyQuota(name string, c lease.BudgetConfig, units, reserved int, duration, cutoffMargin time.Duration) quotalimit.Usage {
 	index := slices.IndexFunc(m.config.Budgets, func(b config.Budget) bool { return b.Name == name })
 	if index < 0 {
-		return allowance.Usage{}
+		return quotalimit.Usage{}
 	}
 	rate := 0.0
-	if c.Kind == lease.RateKind {
+	if c.Kind == lease.BudgetKindRate {
 		rate = c.RatePerUnit * (1 - m.config.MaxDrift) // this node's clock may run too fast by MaxDrift
 	}
-	quota := allowance.Quota{
-		Concurrency: c.Kind == lease.ConcurrencyKind,
-		Rate:        rate * float64(units),
-		Burst:       float64(units),
-		ThenRate:    rate * float64(reserved),
-		ThenBurst:   float64(reserved),
+	quota := quotalimit.Quota{
+		Concurrency:  c.Kind == lease.BudgetKindConcurrency,
+		Rate:         rate * float64(units),
+		Burst:        float64(units),
+		RateAfterEnd: rate * float64(reserved),
+		ThenBurst:    float64(reserved),
 	}
-	if faults.Without(faults.BurstKept) && !quota.Concurrency {
+	if faults.Disabled(faults.BurstKept) && !quota.Concurrency {
 		m.mu.Lock()
 		m.maxBursts[name] = max(m.maxBursts[name], quota.Burst)
 		quota.Burst, quota.ThenBurst = m.maxBursts[name], m.maxBursts[name]
@@ -219,7 +219,7 @@
 	defer q.mu.Unlock()
 	for _, s := range q.client.Status() {
 		limitOf := func(units int) float64 {
-			if s.Config.Kind == lease.ConcurrencyKind {
+			if s.Config.Kind == lease.BudgetKindConcurrency {
 				return float64(units)
 			}
 			return s.Config.RatePerUnit * float64(units)
@@ -234,7 +234,7 @@
 			"part":     limitOf(s.Units),                                    // this node's quota
 			"wanted":   limitOf(s.Demand),                                   // this node's demand
 			"out":      s.InFlight,                                          // requests in flight
-			"used":     s.Used,                                              // requests of the latest sample of about 0.1 s
+			"used":     s.RequestsStarted,                                   // requests of the latest sample of about 0.1 s
 			"end_ms":   max(0, toDuration(s.End-now()).Milliseconds()),      // time until the quota ends
 			"revision": s.Config.Revision,
 		} {
--- a/internal/cluster/quota_service.go
+++ b/internal/cluster/quota_service.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	limitPerUnit := config.RatePerUnit
-	if config.Kind == lease.ConcurrencyKind {
+	if config.Kind == lease.BudgetKindConcurrency {
 		limitPerUnit = 1
 	}
 	config.Units = int(change.Limit/limitPerUnit + unitRounding)
@@ -112,7 +112,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.quotaRequests, id)
-	v.allocator.CallerGone(id)
+	v.allocator.CancelRequest(id)
 	return budget.Response{Err: lease.ErrNotLeader}
 }
 
@@ -135,7 +135,7 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.leaderChanges == leaderChange {
-			h.allocator.Applied(now(), ref, err != nil)
+			h.allocator.HandleProposalResult(now(), ref, err != nil)
 		}
 	}()
 }
--- a/internal/net/dispatch/metrics.go
+++ b/internal/net/dispatch/metrics.go
@@ -9,13 +9,13 @@
 // Metrics returns the totals since New. They may be read without the lock.
 func (d *Dispatcher) Metrics() *metrics.Metrics { return d.metrics }
 
-// AddOpen changes the number of open requests: those received whose answer has not been written completely.
-func (d *Dispatcher) AddOpen(delta int64) { d.metrics.Open.Add(delta) }
+// AddOpenRequests changes the number of open requests: those received whose answer has not been written completely.
+func (d *Dispatcher) AddOpenRequests(delta int64) { d.metrics.OpenRequests.Add(delta) }
 
-// CountEnd counts the outcome of a client's request, including one that was refused before Submit. It ignores requests
+// CountOutcome counts the outcome of a client's request, including one that was refused before Submit. It ignores requests
 // of an unknown class.
-func (d *Dispatcher) CountEnd(class string, outcome Outcome) {
-	outcomes := d.metrics.Of(class)
+func (d *Dispatcher) CountOutcome(class string, outcome Outcome) {
+	outcomes := d.metrics.ForClass(class)
 	if outcomes == nil {
 		return
 	}
@@ -29,17 +29,17 @@
 	}
 }
 
-// Written reports that the last byte of the attempt was written. An attempt is counted once.
-func (a *Attempt) Written() {
+// ReportWritten reports that the last byte of the attempt was written. An attempt is counted once.
+func (a *Attempt) ReportWritten() {
 	if a.pending != nil && !a.writtenCounted.Swap(true) {
-		a.pending.dispatcher.metrics.Written.Add(1)
+		a.pending.dispatcher.metrics.AttemptsWritten.Add(1)
 	}
 }
 
 // CountDenied counts an attempt that was not written, by reason. admission.Granted is not counted.
 func (a *Attempt) CountDenied(reason admission.Reason) {
 	if a.pending != nil && reason != admission.Granted {
-		a.pending.dispatcher.metrics.Denied[reason].Add(1)
+		a.pending.dispatcher.metrics.WithheldAttempts[reason].Add(1)
 	}
 }
 
@@ -64,6 +64,6 @@
 			avoided++
 		}
 	}
-	d.metrics.Listed.Store(int64(listed))
-	d.metrics.Avoided.Store(int64(avoided))
+	d.metrics.ListedServers.Store(int64(listed))
+	d.metrics.ServersOutOfUse.Store(int64(avoided))
 }
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -124,9 +124,9 @@
 	if info.Err != nil || x.conn == nil {
 		return
 	}
-	x.conn.setOnFlush(x.attempt.Written)
+	x.conn.setOnFlush(x.attempt.ReportWritten)
 	if x.attempt.Rest != nil {
-		x.attempt.BodySent()
+		x.attempt.ReportBodySent()
 		x.timeout.Reset(x.attempt.Timeout)
 	}
 }
@@ -147,7 +147,7 @@
 		timeout = admission.DeclaredTimeout(timeout, time.Until(clientDeadline))
 	}
 	x.conn.setDeclaredTimeout(x.outgoing, timeout, clientDeadline)
-	if faults.Without(faults.ToldDeadline) {
+	if faults.Disabled(faults.DeclaredTimeout) {
 		timeout += time.Second / 2
 	}
 	return timeout
--- a/internal/scaletest/demand.go
+++ b/internal/scaletest/demand.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 	"github.com/thistlerudder/thistlerudder/internal/cluster"
 	"github.com/thistlerudder/thistlerudder/routing"
 )
@@ -31,7 +31,7 @@
 }
 
 // SetQuota applies a quota and adds the simulated demand since the last call to the usage that it returns.
-func (l *loadedNode) SetQuota(limit routing.Limit, partner string, quota allowance.Quota, duration, cutoffMargin time.Duration) allowance.Usage {
+func (l *loadedNode) SetQuota(limit routing.Limit, partner string, quota quotalimit.Quota, duration, cutoffMargin time.Duration) quotalimit.Usage {
 	usage := l.LocalNode.SetQuota(limit, partner, quota, duration, cutoffMargin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 	mean := demandRate(l.host.seed, l.number, l.lastCall) * seconds
 	wanted := max(0, mean+l.rnd.NormFloat64()*mean/2)
-	return usage.Max(allowance.Usage{Wanted: wanted, Done: min(wanted, quota.Rate*seconds)})
+	return usage.Max(quotalimit.Usage{Requested: wanted, Started: min(wanted, quota.Rate*seconds)})
 }
 
 // demandRate returns the demand of a node in requests per second. Which nodes have high demand is pseudo-random, and changes every
--- a/internal/scaletest/discovery_process.go
+++ b/internal/scaletest/discovery_process.go
@@ -46,7 +46,7 @@
 				answer.BootTimeNs = faulttest.Boot()
 				err = listen()
 			case "use":
-				usage, counts := faults.Used(), discovery.CallCounts()
+				usage, counts := faults.MeasureUsage(), discovery.CallCounts()
 				answer.Usage, answer.CallCounts = &usage, &counts
 			default:
 				err = errors.New("unknown command " + c.Name)
@@ -74,5 +74,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return faults.Counted("list", c), nil
+	return faults.CountConn("list", c), nil
 }
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -103,7 +103,7 @@
 		answer.NodeEvents, h.nodeEvents = h.nodeEvents, nil
 		h.mu.Unlock()
 	case "use":
-		usage := faults.Used()
+		usage := faults.MeasureUsage()
 		answer.Usage = &usage
 	default:
 		answer.Error = "unknown command " + c.Name
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -136,7 +136,7 @@
 			orders.end()
 		}
 	}()
-	m, now := &s.message, config.Ticks(s.nowMillis)
+	m, now := &s.message, config.MillisecondsToTime(s.nowMillis)
 	if m.kind == "create" {
 		return s.createInstance(name, orders, now)
 	}
@@ -153,7 +153,7 @@
 	case "started", "client-left": // the simulator forwards a started answer without the balancer
 		n.clientGone(m.requestID, now)
 	case "alarm":
-		n.balancer.Alarm(now, m.alarm)
+		n.balancer.HandleAlarm(now, m.alarm)
 	case "peers-known":
 		return n.updateEndpoints(m, now)
 	case "power-off":
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -72,7 +72,7 @@
 		t.Skip("THISTLERUDDER_TRIAL is not set: dozens of processes, as .ci/run plays them by themselves")
 	}
 	const duration, seed = 10 * time.Second, 3
-	result, err := Run(context.Background(), Plan{Program: buildProgram(t), Duration: duration, Seed: seed, Env: []string{kernel.RateVariable + "=0.02"}})
+	result, err := Run(context.Background(), Plan{Program: buildProgram(t), Duration: duration, Seed: seed, Env: []string{kernel.FailureRateEnv + "=0.02"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,12 +86,12 @@
 	}
 	const duration, seed = 10 * time.Second, 2
 	program := buildProgram(t)
-	for safeguard, rule := range map[string]string{faults.QuietPeriod: "answer", faults.DrainNews: "drain", faults.ResetIsNoEnd: "answer",
-		faults.MayHaveRun: "duplicate", faults.ToldDeadline: "deadline", faults.AnswerOwed: "lost", faults.OneAttempt: "parallel",
-		faults.ClientLook: "lost"} {
+	for safeguard, rule := range map[string]string{faults.QuietPeriod: "answer", faults.DrainState: "drain", faults.ResetIsError: "answer",
+		faults.MayHaveRun: "duplicate", faults.DeclaredTimeout: "deadline", faults.FinalAnswer: "lost", faults.OneAttempt: "parallel",
+		faults.ClientGoneCheck: "lost"} {
 		t.Run(safeguard, func(t *testing.T) {
 			plan := Plan{Program: program, Duration: duration, Seed: seed, DisabledSafeguard: safeguard}
-			if safeguard == faults.ClientLook {
+			if safeguard == faults.ClientGoneCheck {
 				// Few clients disconnect by chance: about one request in a run has a retry over 100 ms after its client has gone.
 				plan.LeavingShare = 0.5
 			}
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/thistlerudder/thistlerudder/budget/allowance"
+	"github.com/thistlerudder/thistlerudder/budget/quotalimit"
 )
 
 // Balancer makes the routing decisions of one node. It is not safe for
@@ -27,8 +27,8 @@
 	origins  []int // servers that are ready origins, in ascending order of their index
 	inFlight int   // total attempts in flight at ready caches
 
-	fetchWaiters map[uint64][]int               // requests that wait for a fetch in flight, by key hash
-	quotas       [limitCount]*allowance.Limiter // this node's quotas; nil: the cluster has no such limit
+	fetchWaiters map[uint64][]int                // requests that wait for a fetch in flight, by key hash
+	quotas       [limitCount]*quotalimit.Limiter // this node's quotas; nil: the cluster has no such limit
 
 	// Histogram of the keys and ranges of the caches, see partition.go.
 	binWeights         []float64 // weight of each bin, before multiplication by weightScale
@@ -78,11 +78,11 @@
 	return b
 }
 
-// Request starts a client's request. The request gets exactly one final answer:
+// StartRequest starts a client's request. The request gets exactly one final answer:
 // an attempt that ends it, Host.Reject or Host.Fail.
-func (b *Balancer) Request(now Time, id int, request Request) {
+func (b *Balancer) StartRequest(now Time, id int, request Request) {
 	b.advanceClock(now)
-	r := b.startRequest(id, request)
+	r := b.initRequest(id, request)
 	if !b.admit(r) {
 		b.rejectOrFail(id)
 		return
@@ -110,9 +110,9 @@
 	}
 }
 
-// Alarm reports that a time passed to Host.SetAlarm has been reached. A stale
+// HandleAlarm reports that a time passed to Host.SetAlarm has been reached. A stale
 // alarm has no effect.
-func (b *Balancer) Alarm(now Time, handle int) {
+func (b *Balancer) HandleAlarm(now Time, handle int) {
 	b.advanceClock(now)
 	if handle == pollAlarmHandle {
 		b.pollIfDue()
