--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -7,52 +7,52 @@
 )
 
 // origo is the clock's start: not 0, which stands for long ago on the box list.
-const origo = routing.Time(1_000_000)
+const startTime = routing.Time(1_000_000)
 
 // clock runs what is due, in the order of time, and what is due at once in the order in which it was asked for.
 type clock struct {
-	now   routing.Time
-	asked uint64
-	queue agenda
+	now          routing.Time
+	lastSequence uint64
+	queue        callQueue
 }
 
-type due struct {
-	at    routing.Time
-	asked uint64
-	do    func()
+type scheduledCall struct {
+	runAt    routing.Time
+	sequence uint64
+	call     func()
 }
 
-type agenda []due
+type callQueue []scheduledCall
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].asked < a[j].asked
+func (q callQueue) Len() int { return len(q) }
+func (q callQueue) Less(i, j int) bool {
+	return q[i].runAt < q[j].runAt || q[i].runAt == q[j].runAt && q[i].sequence < q[j].sequence
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push is for container/heap; so is Pop.
-func (a *agenda) Push(x any) { *a = append(*a, x.(due)) }
+func (q *callQueue) Push(x any) { *q = append(*q, x.(scheduledCall)) }
 
 // Pop takes the last one.
-func (a *agenda) Pop() any {
-	last := (*a)[len(*a)-1]
-	(*a)[len(*a)-1].do = nil
-	*a = (*a)[:len(*a)-1]
+func (q *callQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	(*q)[len(*q)-1].call = nil
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
 // in asks for something after a span.
-func (c *clock) in(span routing.Time, do func()) {
-	c.asked++
-	heap.Push(&c.queue, due{c.now + max(0, span), c.asked, do})
+func (c *clock) schedule(delay routing.Time, call func()) {
+	c.lastSequence++
+	heap.Push(&c.queue, scheduledCall{c.now + max(0, delay), c.lastSequence, call})
 }
 
 // run plays all that is due up to a time.
-func (c *clock) run(until routing.Time) {
-	for len(c.queue) > 0 && c.queue[0].at <= until {
-		d := heap.Pop(&c.queue).(due)
-		c.now = d.at
-		d.do()
+func (c *clock) runUntil(end routing.Time) {
+	for len(c.queue) > 0 && c.queue[0].runAt <= end {
+		next := heap.Pop(&c.queue).(scheduledCall)
+		c.now = next.runAt
+		next.call()
 	}
-	c.now = until
+	c.now = end
 }
--- a/internal/simulation/ejections.go
+++ b/internal/simulation/ejections.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	tellEvery = 500 * routing.Millisecond // as the nodes on sockets do
-	dueEvery  = 50 * routing.Millisecond
-	trialIn   = 500 * routing.Millisecond
+	reportInterval = 500 * routing.Millisecond // as the nodes on sockets do
+	pollInterval   = 50 * routing.Millisecond
+	probeTimeout   = 500 * routing.Millisecond
 )
 
 // silenceStats is what was seen of caches that fell silent.
 type silenceStats struct {
-	Silent float64      // seconds of silence, all caches together
-	Shots  int          // lookups' shots that silent caches got,
-	Own    int          // those of them with which a node tried a cache that rested there,
-	Trials int          // and the fleet's trials
-	Back   []float64    // seconds from a cache's return until each node that rested it used it again
-	unled  routing.Time // until when the fleet is silent
+	Silent          float64      // seconds of silence, all caches together
+	Attempts        int          // lookups' shots that silent caches got,
+	NodeProbes      int          // those of them with which a node tried a cache that rested there,
+	ClusterProbes   int          // and the fleet's trials
+	ReuseSeconds    []float64    // seconds from a cache's return until each node that rested it used it again
+	leaderlessUntil routing.Time // until when the fleet is silent
 }
 
 // ejector is a policy that ejects servers, and hears of others' probes.
@@ -34,88 +34,90 @@
 var _ ejector = (*routing.Balancer)(nil)
 
 // silence lets caches hear nothing for a while, and looks when the nodes use them again.
-func (w *testbed) silence(some []*server, span routing.Time) {
-	for _, s := range some {
-		s.silent = true
-		before := s.unheard
-		w.clock.in(span, func() {
-			s.silent = false
-			w.sick.Silent += float64(span) / float64(second)
-			w.sick.Shots += s.unheard - before
-			back := w.clock.now
-			var rest []*node
-			for _, n := range w.nodes {
-				if r, is := n.policy.(ejector); is && r.IsEjected(s.box.Server) {
-					rest = append(rest, n)
+func (tb *testbed) silenceCaches(caches []*server, duration routing.Time) {
+	for _, s := range caches {
+		s.isSilent = true
+		unansweredBefore := s.unansweredAttempts
+		tb.clock.schedule(duration, func() {
+			s.isSilent = false
+			tb.silenceStats.Silent += float64(duration) / float64(second)
+			tb.silenceStats.Attempts += s.unansweredAttempts - unansweredBefore
+			returnedAt := tb.clock.now
+			var ejecting []*node
+			for _, n := range tb.nodes {
+				if ej, ok := n.policy.(ejector); ok && ej.IsEjected(s.endpoint.Server) {
+					ejecting = append(ejecting, n)
 				}
 			}
-			w.until(func() bool {
-				rest = slices.DeleteFunc(rest, func(n *node) bool {
-					used := !n.policy.(ejector).IsEjected(s.box.Server)
-					if used {
-						w.sick.Back = append(w.sick.Back, float64(w.clock.now-back)/float64(second))
+			tb.pollUntil(func() bool {
+				ejecting = slices.DeleteFunc(ejecting, func(n *node) bool {
+					usesAgain := !n.policy.(ejector).IsEjected(s.endpoint.Server)
+					if usesAgain {
+						tb.silenceStats.ReuseSeconds = append(tb.silenceStats.ReuseSeconds, float64(tb.clock.now-returnedAt)/float64(second))
 					}
-					return used
+					return usesAgain
 				})
-				return len(rest) == 0 || w.clock.now >= origo+w.e.Length.ticks()
+				return len(ejecting) == 0 || tb.clock.now >= startTime+tb.experiment.Length.ticks()
 			})
 		})
 	}
 }
 
 // until looks again and again.
-func (w *testbed) until(done func() bool) {
-	w.clock.in(dueEvery, func() {
+func (tb *testbed) pollUntil(done func() bool) {
+	tb.clock.schedule(pollInterval, func() {
 		if !done() {
-			w.until(done)
+			tb.pollUntil(done)
 		}
 	})
 }
 
 // probe lets one node try resting caches for all, by the board that a fleet's leader keeps.
-func (w *testbed) probe() {
-	board := lease.NewProbeScheduler()
-	way := w.e.Network.OneWay.ticks()
-	led := func() bool {
-		if w.clock.now < w.sick.unled {
-			board = lease.NewProbeScheduler() // the next leader begins with nothing
+func (tb *testbed) startProbes() {
+	scheduler := lease.NewProbeScheduler()
+	oneWay := tb.experiment.Network.OneWayDelay.ticks()
+	hasLeader := func() bool {
+		if tb.clock.now < tb.silenceStats.leaderlessUntil {
+			scheduler = lease.NewProbeScheduler() // the next leader begins with nothing
 			return false
 		}
 		return true
 	}
-	for i := range w.nodes {
-		var tell func()
-		tell = func() {
-			n := w.nodes[i] // another after a restart
-			if r, is := n.policy.(ejector); is && led() {
-				for _, server := range slices.Sorted(maps.Keys(n.known)) {
-					if n.known[server].State != routing.Ready || !r.IsEjected(server) {
+	for i := range tb.nodes {
+		var report func()
+		report = func() {
+			n := tb.nodes[i] // another after a restart
+			if ej, ok := n.policy.(ejector); ok && hasLeader() {
+				for _, server := range slices.Sorted(maps.Keys(n.knownEndpoints)) {
+					if n.knownEndpoints[server].State != routing.Ready || !ej.IsEjected(server) {
 						continue
 					}
-					if news, known := board.ReportEjected(lease.Time(w.clock.now), n.known[server].ID, ""); known {
-						w.clock.in(2*way, func() { r.ProbeResult(w.clock.now, server, news.Healthy, w.clock.now+routing.Time(news.NextProbe)) })
+					if status, known := scheduler.ReportEjected(lease.Time(tb.clock.now), n.knownEndpoints[server].ID, ""); known {
+						tb.clock.schedule(2*oneWay, func() {
+							ej.ProbeResult(tb.clock.now, server, status.Healthy, tb.clock.now+routing.Time(status.NextProbe))
+						})
 					}
 				}
 			}
-			w.clock.in(tellEvery, tell)
+			tb.clock.schedule(reportInterval, report)
 		}
-		w.clock.in(routing.Time(float64(tellEvery)*float64(i)/float64(len(w.nodes))), tell)
+		tb.clock.schedule(routing.Time(float64(reportInterval)*float64(i)/float64(len(tb.nodes))), report)
 	}
-	var try func()
-	try = func() {
-		if led() {
-			for _, t := range board.DueProbes(lease.Time(w.clock.now), 1) {
-				at := slices.IndexFunc(w.servers, func(s *server) bool { return s.box.ID == t.ID })
-				s, on := w.servers[at], board
-				if s.silent {
-					w.sick.Trials++
-					w.clock.in(trialIn, func() { on.ReportResult(lease.Time(w.clock.now), 1, t.ID, false) })
+	var runDueProbes func()
+	runDueProbes = func() {
+		if hasLeader() {
+			for _, probe := range scheduler.DueProbes(lease.Time(tb.clock.now), 1) {
+				index := slices.IndexFunc(tb.servers, func(s *server) bool { return s.endpoint.ID == probe.ID })
+				s, current := tb.servers[index], scheduler
+				if s.isSilent {
+					tb.silenceStats.ClusterProbes++
+					tb.clock.schedule(probeTimeout, func() { current.ReportResult(lease.Time(tb.clock.now), 1, probe.ID, false) })
 				} else {
-					w.clock.in(2*way, func() { on.ReportResult(lease.Time(w.clock.now), 1, t.ID, s.box.State == routing.Ready) })
+					tb.clock.schedule(2*oneWay, func() { current.ReportResult(lease.Time(tb.clock.now), 1, probe.ID, s.endpoint.State == routing.Ready) })
 				}
 			}
 		}
-		w.clock.in(dueEvery, try)
+		tb.clock.schedule(pollInterval, runDueProbes)
 	}
-	try()
+	runDueProbes()
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -7,154 +7,156 @@
 )
 
 // request is what a client wants; it may ask several times for it.
-type request struct {
-	key     uint64
-	write   bool
-	node    int
-	arrived routing.Time // its first lookup
-	tries   int
+type clientRequest struct {
+	key         uint64
+	isWrite     bool
+	nodeIndex   int
+	firstSentAt routing.Time // its first lookup
+	tries       int
 }
 
 // pendingRequest is one try of a client to get its request served, as a node holds it.
 type pendingRequest struct {
-	*request
-	index int
-	limit routing.Time
-	shots []*attempt
-	out   int
-	over  bool
+	*clientRequest
+	index    int
+	deadline routing.Time
+	attempts []*attempt
+	inFlight int
+	ended    bool
 }
 
 type attempt struct {
-	server  *server
-	settled bool
+	server *server
+	done   bool
 }
 
 // node carries out what its policy orders.
 type node struct {
-	w       *testbed
-	number  int
-	policy  Policy
-	lookups []*pendingRequest
-	free    []int
-	known   map[int]routing.Endpoint // the list as told, where the fleet's trials go by it
-	drained map[int]routing.Time
+	tb             *testbed
+	index          int
+	policy         Policy
+	pending        []*pendingRequest
+	freeIndexes    []int
+	knownEndpoints map[int]routing.Endpoint // the list as told, where the fleet's trials go by it
+	drainedSince   map[int]routing.Time
 }
 
-func (w *testbed) newNode(number int, seed uint64) *node {
-	n := &node{w: w, number: number, known: map[int]routing.Endpoint{}, drained: map[int]routing.Time{}}
-	n.policy = w.maker(n, seed, w.clock.now, w.e)
-	n.list(routing.Cached, w.boxes())
+func (tb *testbed) newNode(index int, seed uint64) *node {
+	n := &node{tb: tb, index: index, knownEndpoints: map[int]routing.Endpoint{}, drainedSince: map[int]routing.Time{}}
+	n.policy = tb.newPolicy(n, seed, tb.clock.now, tb.experiment)
+	n.updateEndpoints(routing.Cached, tb.endpoints())
 	return n
 }
 
 // list tells the policy, and notes from when on a server is to be spared.
-func (n *node) list(how routing.UpdateKind, boxes []routing.Endpoint) {
-	for _, b := range boxes {
-		if b.State == routing.Ready {
-			delete(n.drained, b.Server)
-		} else if _, since := n.drained[b.Server]; !since {
-			n.drained[b.Server] = n.w.clock.now
+func (n *node) updateEndpoints(kind routing.UpdateKind, endpoints []routing.Endpoint) {
+	for _, ep := range endpoints {
+		if ep.State == routing.Ready {
+			delete(n.drainedSince, ep.Server)
+		} else if _, isDraining := n.drainedSince[ep.Server]; !isDraining {
+			n.drainedSince[ep.Server] = n.tb.clock.now
 		}
-		if n.w.e.Fleet.Probe {
-			n.known[b.Server] = b
+		if n.tb.experiment.Fleet.ClusterProbes {
+			n.knownEndpoints[ep.Server] = ep
 		}
 	}
-	n.policy.UpdateEndpoints(n.w.clock.now, how, boxes)
+	n.policy.UpdateEndpoints(n.tb.clock.now, kind, endpoints)
 }
 
 // take brings a lookup.
-func (n *node) take(r *request) {
-	l := &pendingRequest{request: r, index: len(n.lookups), limit: n.w.clock.now + n.w.e.Demand.Limit.ticks()}
-	if last := len(n.free) - 1; last >= 0 {
-		l.index, n.free = n.free[last], n.free[:last]
-		n.lookups[l.index] = l
+func (n *node) startRequest(r *clientRequest) {
+	req := &pendingRequest{clientRequest: r, index: len(n.pending), deadline: n.tb.clock.now + n.tb.experiment.Demand.TimeLimit.ticks()}
+	if last := len(n.freeIndexes) - 1; last >= 0 {
+		req.index, n.freeIndexes = n.freeIndexes[last], n.freeIndexes[:last]
+		n.pending[req.index] = req
 	} else {
-		n.lookups = append(n.lookups, l)
+		n.pending = append(n.pending, req)
 	}
 	r.tries++
-	n.w.check.taken(l)
-	if n.w.division != nil && r.write {
-		n.w.division.wants(n.number)
+	n.tb.checker.requestStarted(req)
+	if n.tb.budgetSim != nil && r.isWrite {
+		n.tb.budgetSim.recordDemand(n.index)
 	}
-	in := routing.Request{Tenant: -1, Key: strconv.FormatUint(r.key, 10), Deadline: l.limit, Write: r.write}
-	if r.write {
-		in.Class = 1
+	routingRequest := routing.Request{Tenant: -1, Key: strconv.FormatUint(r.key, 10), Deadline: req.deadline, Write: r.isWrite}
+	if r.isWrite {
+		routingRequest.Class = 1
 	}
-	n.policy.Request(n.w.clock.now, l.index, in)
+	n.policy.Request(n.tb.clock.now, req.index, routingRequest)
 }
 
 // Send is for routing.Host, as all below.
-func (n *node) Send(lkp, to int, timeout routing.Time) {
-	w, l := n.w, n.lookups[lkp]
-	s := &attempt{server: w.servers[to]}
-	if r, is := n.policy.(ejector); is && s.server.silent && r.IsEjected(to) {
-		w.sick.Own++
+func (n *node) Send(request, server int, timeout routing.Time) {
+	tb, req := n.tb, n.pending[request]
+	a := &attempt{server: tb.servers[server]}
+	if ej, ok := n.policy.(ejector); ok && a.server.isSilent && ej.IsEjected(server) {
+		tb.silenceStats.NodeProbes++
 	}
-	w.check.shot(n, l, s)
-	number := len(l.shots)
-	l.shots = append(l.shots, s)
-	l.out++
-	settle := func(code routing.Result) {
-		if s.settled {
+	tb.checker.attemptStarted(n, req, a)
+	attemptIndex := len(req.attempts)
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	finish := func(result routing.Result) {
+		if a.done {
 			return
 		}
-		s.settled = true
-		l.out--
-		if code == routing.Served && !l.over {
-			n.end(l, resolved, 0)
+		a.done = true
+		req.inFlight--
+		if result == routing.Served && !req.ended {
+			n.endRequest(req, outcomeServed, 0)
 		}
-		n.policy.AttemptDone(w.clock.now, lkp, number, code, l.over)
-		n.forget(l)
+		n.policy.AttemptDone(tb.clock.now, request, attemptIndex, result, req.ended)
+		n.releaseIndex(req)
 	}
-	way := w.e.Network.OneWay.ticks()
-	w.clock.in(way, func() {
-		w.check.arrived(s.server)
-		counted := w.division != nil && s.server.origin
-		if counted {
-			w.division.fetched(n.number)
+	oneWay := tb.experiment.Network.OneWayDelay.ticks()
+	tb.clock.schedule(oneWay, func() {
+		tb.checker.attemptArrived(a.server)
+		countsTowardBudget := tb.budgetSim != nil && a.server.isOrigin
+		if countsTowardBudget {
+			tb.budgetSim.fetchStarted(n.index)
 		}
-		s.server.take(job{key: l.key, write: l.write, done: func(code routing.Result) {
-			if counted {
-				w.division.gone()
+		a.server.handle(job{key: req.key, isWrite: req.isWrite, done: func(result routing.Result) {
+			if countsTowardBudget {
+				tb.budgetSim.fetchEnded()
 			}
-			w.worked(l, s, code)
-			w.clock.in(way, func() { settle(code) })
+			tb.recordServerResult(req, a, result)
+			tb.clock.schedule(oneWay, func() { finish(result) })
 		}})
 	})
-	w.clock.in(timeout, func() { settle(routing.TimedOut) })
+	tb.clock.schedule(timeout, func() { finish(routing.TimedOut) })
 }
 
 // Reject turns a lookup away; its client may come back.
-func (n *node) Reject(lkp int, retryAfter routing.Time) { n.end(n.lookups[lkp], deferred, retryAfter) }
+func (n *node) Reject(request int, retryAfter routing.Time) {
+	n.endRequest(n.pending[request], outcomeRejected, retryAfter)
+}
 
 // Fail gives a lookup up.
-func (n *node) Fail(lkp int) { n.end(n.lookups[lkp], abandoned, 0) }
+func (n *node) Fail(request int) { n.endRequest(n.pending[request], outcomeFailed, 0) }
 
 // Subscribe asks for the list; what changes comes from then on.
 func (n *node) Subscribe() {
-	n.w.clock.in(n.w.delay(), func() { n.list(routing.Full, n.w.boxes()) })
+	n.tb.clock.schedule(n.tb.notificationDelay(), func() { n.updateEndpoints(routing.Full, n.tb.endpoints()) })
 }
 
 // CloseIdle does nothing: connections cost nothing here.
 func (n *node) CloseIdle(int, int) {}
 
 // SetAlarm books an alarm.
-func (n *node) SetAlarm(at routing.Time, handle int) {
-	n.w.clock.in(at-n.w.clock.now, func() { n.policy.Alarm(n.w.clock.now, handle) })
+func (n *node) SetAlarm(alarmTime routing.Time, handle int) {
+	n.tb.clock.schedule(alarmTime-n.tb.clock.now, func() { n.policy.Alarm(n.tb.clock.now, handle) })
 }
 
-func (n *node) end(l *pendingRequest, how outcome, retryAfter routing.Time) {
-	n.w.check.ended(l, how)
-	l.over = true
-	n.w.ended(l, how, retryAfter)
-	n.forget(l)
+func (n *node) endRequest(req *pendingRequest, result outcome, retryAfter routing.Time) {
+	n.tb.checker.requestEnded(req, result)
+	req.ended = true
+	n.tb.recordEnd(req, result, retryAfter)
+	n.releaseIndex(req)
 }
 
 // forget gives a lookup's index back once it is over and nothing of it is out.
-func (n *node) forget(l *pendingRequest) {
-	if l.over && l.out == 0 && n.lookups[l.index] == l {
-		n.lookups[l.index] = nil
-		n.free = append(n.free, l.index)
+func (n *node) releaseIndex(req *pendingRequest) {
+	if req.ended && req.inFlight == 0 && n.pending[req.index] == req {
+		n.pending[req.index] = nil
+		n.freeIndexes = append(n.freeIndexes, req.index)
 	}
 }
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -13,50 +13,50 @@
 
 // Policy is what a node decides by; routing.Balancer is one.
 type Policy interface {
-	Request(now routing.Time, lkp int, in routing.Request)
-	AttemptDone(now routing.Time, lkp, number int, code routing.Result, ended bool)
-	ClientGone(now routing.Time, lkp int)
-	UpdateEndpoints(now routing.Time, how routing.UpdateKind, boxes []routing.Endpoint)
+	Request(now routing.Time, request int, r routing.Request)
+	AttemptDone(now routing.Time, request, attempt int, result routing.Result, requestEnded bool)
+	ClientGone(now routing.Time, request int)
+	UpdateEndpoints(now routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint)
 	Alarm(now routing.Time, handle int)
 }
 
 // maker starts a policy for one node.
-type maker func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy
+type policyFactory func(host routing.Host, seed uint64, now routing.Time, experiment *Experiment) Policy
 
 const (
 	lateUtility = 0.25 // share of the utility of an answer after the latency target
-	originKind  = 1    // routing.Endpoint.Kind of the origin; 0 is a cache
+	originModel = 1    // routing.Endpoint.Kind of the origin; 0 is a cache
 )
 
 // policies are the project's own, by its ranges, and the plain ones that it is compared with.
-var policies = map[string]maker{
-	"ranges":  ranges,
-	"random":  plainly(func(p *plain, _ uint64, fit []int) int { return fit[p.rnd.IntN(len(fit))] }),
-	"hashing": plainly(hashing),
-	"least":   plainly(least),
+var policies = map[string]policyFactory{
+	"ranges":  newBalancer,
+	"random":  baselineFactory(func(p *baseline, _ uint64, candidates []int) int { return candidates[p.rng.IntN(len(candidates))] }),
+	"hashing": baselineFactory(pickByHash),
+	"least":   baselineFactory(pickLeastInFlight),
 }
 
-func ranges(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
-	class := func(i routing.Idempotence) routing.Class {
-		return routing.Class{Idempotence: i, LatencyTarget: e.Demand.Target.ticks(), LateUtility: lateUtility}
+func newBalancer(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
+	class := func(idempotence routing.Idempotence) routing.Class {
+		return routing.Class{Idempotence: idempotence, LatencyTarget: e.Demand.LatencyTarget.ticks(), LateUtility: lateUtility}
 	}
-	c := routing.DefaultConfig()
-	c.Nodes = e.Fleet.Nodes
-	c.CacheAside, c.OriginModel = true, originKind
-	c.MaxAttempts = e.Rules.Shots
-	c.MaxRetryAfter = e.Demand.Target.ticks() * 2
-	c.SlowStartShare, c.SlowStartWindow = e.Fleet.ColdShare, e.Fleet.WarmUp.ticks()
-	c.OverloadFactor, c.OverloadWindow = e.Rules.Overload, e.Rules.Window.ticks()
-	c.Classes = []routing.Class{class(routing.Safe), class(routing.Unsafe)}
-	return routing.New(host, seed, now, c)
+	config := routing.DefaultConfig()
+	config.Nodes = e.Fleet.Nodes
+	config.CacheAside, config.OriginModel = true, originModel
+	config.MaxAttempts = e.Rules.MaxAttempts
+	config.MaxRetryAfter = e.Demand.LatencyTarget.ticks() * 2
+	config.SlowStartShare, config.SlowStartWindow = e.Fleet.ColdShare, e.Fleet.WarmUp.ticks()
+	config.OverloadFactor, config.OverloadWindow = e.Rules.OverloadFactor, e.Rules.OverloadWindow.ticks()
+	config.Classes = []routing.Class{class(routing.Safe), class(routing.Unsafe)}
+	return routing.New(host, seed, now, config)
 }
 
 // hashing takes the cache that hashes highest with the key: consistent, as only a lost cache's keys move.
-func hashing(p *plain, key uint64, fit []int) int {
-	score := func(i int) uint64 {
-		return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(p.boxes[i].ID), key))
+func pickByHash(p *baseline, key uint64, candidates []int) int {
+	score := func(server int) uint64 {
+		return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(p.endpoints[server].ID), key))
 	}
-	return slices.MaxFunc(fit, func(x, y int) int {
+	return slices.MaxFunc(candidates, func(x, y int) int {
 		if score(x) < score(y) {
 			return -1
 		}
@@ -65,12 +65,12 @@
 }
 
 // least takes the cache with the fewest of the node's own shots in flight, by chance among equals.
-func least(p *plain, _ uint64, fit []int) int {
-	from := p.rnd.IntN(len(fit))
-	best := fit[from]
-	for i := range fit {
-		if at := fit[(from+i)%len(fit)]; p.out[at] < p.out[best] {
-			best = at
+func pickLeastInFlight(p *baseline, _ uint64, candidates []int) int {
+	start := p.rng.IntN(len(candidates))
+	best := candidates[start]
+	for i := range candidates {
+		if server := candidates[(start+i)%len(candidates)]; p.inFlight[server] < p.inFlight[best] {
+			best = server
 		}
 	}
 	return best
@@ -78,100 +78,100 @@
 
 // plain is a textbook policy: it picks among ready caches, asks the origin after a miss and another cache after a
 // failure, and keeps the rules on effects and drains, but spares nobody.
-type plain struct {
-	host  routing.Host
-	e     *Experiment
-	rnd   *rand.Rand
-	pick  func(p *plain, key uint64, fit []int) int
-	boxes map[int]routing.Endpoint
-	ready []int
-	at    int // the origin
-	out   map[int]int
-	lkps  map[int]*plainLookup
+type baseline struct {
+	host         routing.Host
+	experiment   *Experiment
+	rng          *rand.Rand
+	pick         func(p *baseline, key uint64, candidates []int) int
+	endpoints    map[int]routing.Endpoint
+	readyCaches  []int
+	originServer int // the origin
+	inFlight     map[int]int
+	requests     map[int]*baselineRequest
 }
 
-type plainLookup struct {
+type baselineRequest struct {
 	routing.Request
-	key    uint64
-	tried  []int
-	missed bool
-	ran    bool
+	key          uint64
+	triedServers []int
+	cacheMissed  bool
+	mayHaveRun   bool
 }
 
-func plainly(pick func(p *plain, key uint64, fit []int) int) maker {
+func baselineFactory(pick func(p *baseline, key uint64, candidates []int) int) policyFactory {
 	return func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 		host.SetAlarm(now, 0)
-		return &plain{host: host, e: e, rnd: rand.New(rand.NewPCG(seed, 1)), pick: pick, boxes: map[int]routing.Endpoint{},
-			at: -1, out: map[int]int{}, lkps: map[int]*plainLookup{}}
+		return &baseline{host: host, experiment: e, rng: rand.New(rand.NewPCG(seed, 1)), pick: pick, endpoints: map[int]routing.Endpoint{},
+			originServer: -1, inFlight: map[int]int{}, requests: map[int]*baselineRequest{}}
 	}
 }
 
-func (p *plain) Alarm(routing.Time, int) { p.host.Subscribe() }
+func (p *baseline) Alarm(routing.Time, int) { p.host.Subscribe() }
 
-func (p *plain) ClientGone(_ routing.Time, lkp int) { delete(p.lkps, lkp) }
+func (p *baseline) ClientGone(_ routing.Time, request int) { delete(p.requests, request) }
 
-func (p *plain) UpdateEndpoints(_ routing.Time, how routing.UpdateKind, boxes []routing.Endpoint) {
-	if how == routing.Full || how == routing.Cached {
-		clear(p.boxes)
+func (p *baseline) UpdateEndpoints(_ routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint) {
+	if kind == routing.Full || kind == routing.Cached {
+		clear(p.endpoints)
 	}
-	for _, b := range boxes {
-		p.boxes[b.Server] = b
+	for _, ep := range endpoints {
+		p.endpoints[ep.Server] = ep
 	}
-	p.ready, p.at = p.ready[:0], -1
-	for i, b := range p.boxes {
+	p.readyCaches, p.originServer = p.readyCaches[:0], -1
+	for server, ep := range p.endpoints {
 		switch {
-		case b.State != routing.Ready:
-		case b.Model == 1:
-			p.at = i
+		case ep.State != routing.Ready:
+		case ep.Model == 1:
+			p.originServer = server
 		default:
-			p.ready = append(p.ready, i)
+			p.readyCaches = append(p.readyCaches, server)
 		}
 	}
-	slices.Sort(p.ready)
+	slices.Sort(p.readyCaches)
 }
 
-func (p *plain) Request(now routing.Time, lkp int, in routing.Request) {
-	key, _ := strconv.ParseUint(in.Key, 10, 64)
-	p.lkps[lkp] = &plainLookup{Request: in, key: key}
-	p.next(now, lkp)
+func (p *baseline) Request(now routing.Time, request int, r routing.Request) {
+	key, _ := strconv.ParseUint(r.Key, 10, 64)
+	p.requests[request] = &baselineRequest{Request: r, key: key}
+	p.nextAttempt(now, request)
 }
 
-func (p *plain) next(now routing.Time, lkp int) {
-	l := p.lkps[lkp]
-	to := -1
-	if len(l.tried) < p.e.Rules.Shots && now < l.Deadline && !(l.Write && l.ran) {
-		fit := slices.DeleteFunc(slices.Clone(p.ready), func(i int) bool { return slices.Contains(l.tried, i) })
-		if l.Write || l.missed {
-			to = p.at
-		} else if len(fit) > 0 {
-			to = p.pick(p, l.key, fit)
+func (p *baseline) nextAttempt(now routing.Time, request int) {
+	req := p.requests[request]
+	server := -1
+	if len(req.triedServers) < p.experiment.Rules.MaxAttempts && now < req.Deadline && !(req.Write && req.mayHaveRun) {
+		candidates := slices.DeleteFunc(slices.Clone(p.readyCaches), func(server int) bool { return slices.Contains(req.triedServers, server) })
+		if req.Write || req.cacheMissed {
+			server = p.originServer
+		} else if len(candidates) > 0 {
+			server = p.pick(p, req.key, candidates)
 		}
 	}
 	switch {
-	case to >= 0:
-		l.tried = append(l.tried, to)
-		p.out[to]++
-		p.host.Send(lkp, to, l.Deadline-now)
-	case l.Write && l.ran:
-		delete(p.lkps, lkp)
-		p.host.Fail(lkp)
+	case server >= 0:
+		req.triedServers = append(req.triedServers, server)
+		p.inFlight[server]++
+		p.host.Send(request, server, req.Deadline-now)
+	case req.Write && req.mayHaveRun:
+		delete(p.requests, request)
+		p.host.Fail(request)
 	default:
-		delete(p.lkps, lkp)
-		p.host.Reject(lkp, 0)
+		delete(p.requests, request)
+		p.host.Reject(request, 0)
 	}
 }
 
-func (p *plain) AttemptDone(now routing.Time, lkp, number int, code routing.Result, ended bool) {
-	l := p.lkps[lkp]
-	if l == nil {
+func (p *baseline) AttemptDone(now routing.Time, request, attempt int, result routing.Result, requestEnded bool) {
+	req := p.requests[request]
+	if req == nil {
 		return // it left; whom its shot was at is not known any more, as in many a simple program
 	}
-	p.out[l.tried[number]]--
-	l.missed = l.missed || code == routing.NotFound
-	l.ran = l.ran || code == routing.ServerError || code == routing.TimedOut || code == routing.Served
-	if ended {
-		delete(p.lkps, lkp)
+	p.inFlight[req.triedServers[attempt]]--
+	req.cacheMissed = req.cacheMissed || result == routing.NotFound
+	req.mayHaveRun = req.mayHaveRun || result == routing.ServerError || result == routing.TimedOut || result == routing.Served
+	if requestEnded {
+		delete(p.requests, request)
 		return
 	}
-	p.next(now, lkp)
+	p.nextAttempt(now, request)
 }
--- a/internal/simulation/series.go
+++ b/internal/simulation/series.go
@@ -30,115 +30,115 @@
 	Broken             map[string]int // rules, and how often
 	Faults             []string
 	Sick               silenceStats
-	Use                *Use    // of a budget; nil: there is none
-	Busiest            float64 // shots at the busiest cache that was there all the time, over the mean of those
+	Use                *BudgetUsage // of a budget; nil: there is none
+	Busiest            float64      // shots at the busiest cache that was there all the time, over the mean of those
 
-	times  *hdrhistogram.Histogram // of resolved requests, in ticks
-	worked float64
+	latencies     *hdrhistogram.Histogram // of resolved requests, in ticks
+	busySlotTicks float64
 }
 
 func newSeries(e *Experiment, policy string, seed uint64) *Series {
-	longest := int64(e.Demand.Limit.ticks()) * int64(2*e.Demand.Tries+2)
+	maxTicks := int64(e.Demand.TimeLimit.ticks()) * int64(2*e.Demand.MaxTries+2)
 	return &Series{Experiment: e.Name, Policy: policy, Seed: seed, Points: make([]Point, 1),
-		times: hdrhistogram.New(1, max(2, longest), 3)}
+		latencies: hdrhistogram.New(1, max(2, maxTicks), 3)}
 }
 
-func (s *Series) now() *Point { return &s.Points[len(s.Points)-1] }
+func (s *Series) current() *Point { return &s.Points[len(s.Points)-1] }
 
-func (s *Series) took(t routing.Time) {
-	_ = s.times.RecordValue(min(max(1, int64(t)), s.times.HighestTrackableValue())) // within its range
+func (s *Series) recordLatency(latency routing.Time) {
+	_ = s.latencies.RecordValue(min(max(1, int64(latency)), s.latencies.HighestTrackableValue())) // within its range
 }
 
-func (s *Series) next(w *testbed) {
-	at, worked, slots := s.now(), 0.0, 0
-	for _, v := range w.servers {
-		worked += v.worked
-		if v.box.State == routing.Gone {
+func (s *Series) closePoint(tb *testbed) {
+	point, slotTicks, slots := s.current(), 0.0, 0
+	for _, server := range tb.servers {
+		slotTicks += server.busySlotTicks
+		if server.endpoint.State == routing.Gone {
 			continue
 		}
-		if !v.origin && v.box.State == routing.Ready {
-			at.Ready++
+		if !server.isOrigin && server.endpoint.State == routing.Ready {
+			point.Ready++
 		}
-		slots += v.of.Slots
-		at.Queued += len(v.waiting)
+		slots += server.config.Slots
+		point.Queued += len(server.queue)
 	}
-	at.Busy = (worked - s.worked) / float64(second) / float64(slots)
-	s.worked = worked
+	point.Busy = (slotTicks - s.busySlotTicks) / float64(second) / float64(slots)
+	s.busySlotTicks = slotTicks
 	s.Points = append(s.Points, Point{})
 }
 
-func (s *Series) sum() (sum Point) {
+func (s *Series) total() (total Point) {
 	for _, p := range s.Points {
-		sum.InTime += p.InTime
-		sum.Late += p.Late
-		sum.Refused += p.Refused
-		sum.Failed += p.Failed
-		sum.Deferrals += p.Deferrals
-		sum.Fetches += p.Fetches
-		sum.Hits += p.Hits
+		total.InTime += p.InTime
+		total.Late += p.Late
+		total.Refused += p.Refused
+		total.Failed += p.Failed
+		total.Deferrals += p.Deferrals
+		total.Fetches += p.Fetches
+		total.Hits += p.Hits
 	}
-	return sum
+	return total
 }
 
 // Fetches is how many values the origin gave in a second, on average.
 func (s *Series) Fetches() float64 {
-	return float64(s.sum().Fetches) / float64(max(1, len(s.Points)-1))
+	return float64(s.total().Fetches) / float64(max(1, len(s.Points)-1))
 }
 
 // AtSilent is what each silent cache got in a second, shots and trials (nodes' own and the fleet's), and the longest and
 // the mean time from its return until a node that rested it used it again.
-func (s *Series) AtSilent() (shots, trials, longest, mean float64) {
-	for _, t := range s.Sick.Back {
-		longest, mean = max(longest, t), mean+t/float64(len(s.Sick.Back))
+func (s *Series) AtSilent() (attempts, probes, longest, mean float64) {
+	for _, seconds := range s.Sick.ReuseSeconds {
+		longest, mean = max(longest, seconds), mean+seconds/float64(len(s.Sick.ReuseSeconds))
 	}
-	per := max(1, s.Sick.Silent)
-	return float64(s.Sick.Shots) / per, float64(s.Sick.Own+s.Sick.Trials) / per, longest, mean
+	silentSeconds := max(1, s.Sick.Silent)
+	return float64(s.Sick.Attempts) / silentSeconds, float64(s.Sick.NodeProbes+s.Sick.ClusterProbes) / silentSeconds, longest, mean
 }
 
 // Share is the part of all requests that were answered in time.
 func (s *Series) Share() float64 {
-	return float64(s.sum().InTime) / float64(max(1, s.Offered))
+	return float64(s.total().InTime) / float64(max(1, s.Offered))
 }
 
 // Worst is the lowest share in time over any ten seconds.
 func (s *Series) Worst() float64 {
-	const span = 10
-	worst := 1.0
-	for i := 0; i+span <= len(s.Points); i++ {
-		in, all := 0, 0
-		for _, p := range s.Points[i : i+span] {
-			in, all = in+p.InTime, all+p.InTime+p.Late+p.Refused+p.Failed
+	const windowSeconds = 10
+	lowest := 1.0
+	for i := 0; i+windowSeconds <= len(s.Points); i++ {
+		inTime, total := 0, 0
+		for _, p := range s.Points[i : i+windowSeconds] {
+			inTime, total = inTime+p.InTime, total+p.InTime+p.Late+p.Refused+p.Failed
 		}
-		if all > 0 {
-			worst = min(worst, float64(in)/float64(all))
+		if total > 0 {
+			lowest = min(lowest, float64(inTime)/float64(total))
 		}
 	}
-	return worst
+	return lowest
 }
 
 // Millis gives a quantile of the resolved requests' times, from their first lookup on.
 func (s *Series) Millis(percent float64) float64 {
-	return float64(s.times.ValueAtPercentile(percent)) / float64(routing.Millisecond)
+	return float64(s.latencies.ValueAtPercentile(percent)) / float64(routing.Millisecond)
 }
 
 // FetchRatio is how much the origin gave in the busiest so many seconds after a time, beside what it gave on average in
 // as many before it.
-func (s *Series) FetchRatio(at, span int) float64 {
+func (s *Series) FetchRatio(atSecond, windowSeconds int) float64 {
 	rate := func(from, to int) float64 {
-		n := 0
+		fetches := 0
 		for _, p := range s.Points[max(0, from):min(to, len(s.Points))] {
-			n += p.Fetches
+			fetches += p.Fetches
 		}
-		return float64(n) / float64(max(1, to-from))
+		return float64(fetches) / float64(max(1, to-from))
 	}
-	before, most := rate(at-span, at), 0.0
-	for from := at; from+span < len(s.Points); from++ {
-		most = max(most, rate(from, from+span))
+	before, peak := rate(atSecond-windowSeconds, atSecond), 0.0
+	for from := atSecond; from+windowSeconds < len(s.Points); from++ {
+		peak = max(peak, rate(from, from+windowSeconds))
 	}
 	if before == 0 {
 		return 0
 	}
-	return most / before
+	return peak / before
 }
 
 // Header is the first line of a table of points.
@@ -146,14 +146,14 @@
 	"fetches", "hits", "ready", "queued", "busy"}
 
 // Write writes the points as lines of comma-separated values.
-func (s *Series) Write(to io.Writer) error {
-	w := csv.NewWriter(to)
+func (s *Series) Write(out io.Writer) error {
+	w := csv.NewWriter(out)
 	for i, p := range s.Points {
-		line := []string{s.Experiment, s.Policy, fmt.Sprint(s.Seed), strconv.Itoa(i)}
+		record := []string{s.Experiment, s.Policy, fmt.Sprint(s.Seed), strconv.Itoa(i)}
 		for _, n := range []int{p.InTime, p.Late, p.Refused, p.Failed, p.Deferrals, p.Fetches, p.Hits, p.Ready, p.Queued} {
-			line = append(line, strconv.Itoa(n))
+			record = append(record, strconv.Itoa(n))
 		}
-		if err := w.Write(append(line, strconv.FormatFloat(p.Busy, 'f', 4, 64))); err != nil {
+		if err := w.Write(append(record, strconv.FormatFloat(p.Busy, 'f', 4, 64))); err != nil {
 			return err
 		}
 	}
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -12,148 +12,148 @@
 
 // job is a shot at a server.
 type job struct {
-	key   uint64
-	write bool
-	done  func(routing.Result)
+	key     uint64
+	isWrite bool
+	done    func(routing.Result)
 }
 
 // server is a cache or the origin: slots that work, a queue before them, and for a cache the values that it holds.
 type server struct {
-	box    routing.Endpoint
-	clock  *clock
-	rnd    *rand.Rand
-	of     Station
-	origin bool
-	miss   float64
-
-	coldShare float64
-	warmUp    routing.Time
-	slow      float64 // factor on times
-
-	busy, life int         // life is another number after each crash: what was at work before is lost
-	working    map[int]job // by their numbers
-	waiting    []job
-	values     *values
-
-	arrivals []routing.Time // of late, for the checker
-	jobs     int
-	begun    int
-	silent   bool    // it hears nothing, and is listed as before
-	unheard  int     // shots that came meanwhile
-	worked   float64 // in ticks of slots
+	endpoint routing.Endpoint
+	clock    *clock
+	rng      *rand.Rand
+	config   ServerConfig
+	isOrigin bool
+	missCost float64
+
+	coldShare  float64
+	warmUp     routing.Time
+	slowFactor float64 // factor on times
+
+	busySlots, incarnation int         // life is another number after each crash: what was at work before is lost
+	running                map[int]job // by their numbers
+	queue                  []job
+	cached                 *lruCache
+
+	arrivalTimes       []routing.Time // of late, for the checker
+	attemptCount       int
+	startedJobs        int
+	isSilent           bool    // it hears nothing, and is listed as before
+	unansweredAttempts int     // shots that came meanwhile
+	busySlotTicks      float64 // in ticks of slots
 }
 
 // speed is the share of its capacity that a server has by now.
-func (s *server) speed() float64 {
-	age := s.clock.now - s.box.StartedAt
-	if s.box.StartedAt == 0 || age >= s.warmUp {
+func (s *server) capacityShare() float64 {
+	age := s.clock.now - s.endpoint.StartedAt
+	if s.endpoint.StartedAt == 0 || age >= s.warmUp {
 		return 1
 	}
 	return s.coldShare + (1-s.coldShare)*float64(age)/float64(s.warmUp)
 }
 
 // capacity is what it can do in a second, warm.
-func (s *server) capacity() float64 {
-	return float64(s.of.Slots) / s.of.Service.Seconds()
+func (s *server) warmJobsPerSecond() float64 {
+	return float64(s.config.Slots) / s.config.Service.Seconds()
 }
 
 // take brings a shot to the server.
-func (s *server) take(j job) {
-	s.jobs++
+func (s *server) handle(j job) {
+	s.attemptCount++
 	switch {
-	case s.silent:
-		s.unheard++
-	case s.box.State == routing.Gone:
+	case s.isSilent:
+		s.unansweredAttempts++
+	case s.endpoint.State == routing.Gone:
 		j.done(routing.ConnectFailed)
-	case s.box.State == routing.Draining:
+	case s.endpoint.State == routing.Draining:
 		j.done(routing.Rejected)
-	case s.busy < s.of.Slots:
-		s.begin(j)
-	case len(s.waiting) < s.of.Queue:
-		s.waiting = append(s.waiting, j)
+	case s.busySlots < s.config.Slots:
+		s.start(j)
+	case len(s.queue) < s.config.Queue:
+		s.queue = append(s.queue, j)
 	default:
 		j.done(routing.Rejected)
 	}
 }
 
-func (s *server) begin(j job) {
-	s.busy++
+func (s *server) start(j job) {
+	s.busySlots++
 	work := 1.0
-	if s.of.Shape == "exponential" {
-		work = s.rnd.ExpFloat64()
+	if s.config.Shape == "exponential" {
+		work = s.rng.ExpFloat64()
 	}
-	code := routing.Served
-	if !s.origin && !s.values.use(j.key) {
-		code, work = routing.NotFound, work*s.miss
+	result := routing.Served
+	if !s.isOrigin && !s.cached.touch(j.key) {
+		result, work = routing.NotFound, work*s.missCost
 	}
-	span := routing.Time(math.Ceil(work * float64(s.of.Service.ticks()) * s.slow / s.speed()))
-	s.worked += float64(span)
-	s.begun++
-	life, nth := s.life, s.begun
-	s.working[nth] = j
-	s.clock.in(span, func() {
-		if life != s.life {
+	duration := routing.Time(math.Ceil(work * float64(s.config.Service.ticks()) * s.slowFactor / s.capacityShare()))
+	s.busySlotTicks += float64(duration)
+	s.startedJobs++
+	incarnation, jobID := s.incarnation, s.startedJobs
+	s.running[jobID] = j
+	s.clock.schedule(duration, func() {
+		if incarnation != s.incarnation {
 			return
 		}
-		s.busy--
-		delete(s.working, nth)
-		j.done(code)
-		if len(s.waiting) > 0 {
-			next := s.waiting[0]
-			s.waiting = s.waiting[1:]
-			s.begin(next)
+		s.busySlots--
+		delete(s.running, jobID)
+		j.done(result)
+		if len(s.queue) > 0 {
+			next := s.queue[0]
+			s.queue = s.queue[1:]
+			s.start(next)
 		}
 	})
 }
 
 // crash ends it with all that it has.
 func (s *server) crash() {
-	s.life++
-	s.busy = 0
-	lost := s.waiting
-	for _, nth := range slices.Sorted(maps.Keys(s.working)) {
-		lost = append(lost, s.working[nth])
+	s.incarnation++
+	s.busySlots = 0
+	lostJobs := s.queue
+	for _, jobID := range slices.Sorted(maps.Keys(s.running)) {
+		lostJobs = append(lostJobs, s.running[jobID])
 	}
-	clear(s.working)
-	s.waiting = nil
-	s.box.State = routing.Gone
-	for _, j := range lost {
+	clear(s.running)
+	s.queue = nil
+	s.endpoint.State = routing.Gone
+	for _, j := range lostJobs {
 		j.done(routing.ServerError)
 	}
 }
 
 // values is what a cache holds: the one used longest ago goes first.
-type values struct {
-	most  int
-	order *list.List // of uint64
-	at    map[uint64]*list.Element
+type lruCache struct {
+	maxKeys  int
+	order    *list.List // of uint64
+	elements map[uint64]*list.Element
 }
 
-func newValues(most int) *values {
-	return &values{most: most, order: list.New(), at: map[uint64]*list.Element{}}
+func newLRUCache(maxKeys int) *lruCache {
+	return &lruCache{maxKeys: maxKeys, order: list.New(), elements: map[uint64]*list.Element{}}
 }
 
-func (v *values) use(key uint64) bool {
-	e := v.at[key]
+func (c *lruCache) touch(key uint64) bool {
+	e := c.elements[key]
 	if e != nil {
-		v.order.MoveToFront(e)
+		c.order.MoveToFront(e)
 	}
 	return e != nil
 }
 
-func (v *values) store(key uint64) {
-	if v.use(key) {
+func (c *lruCache) add(key uint64) {
+	if c.touch(key) {
 		return
 	}
-	v.at[key] = v.order.PushFront(key)
-	if len(v.at) > v.most {
-		delete(v.at, v.order.Remove(v.order.Back()).(uint64))
+	c.elements[key] = c.order.PushFront(key)
+	if len(c.elements) > c.maxKeys {
+		delete(c.elements, c.order.Remove(c.order.Back()).(uint64))
 	}
 }
 
-func (v *values) drop(key uint64) {
-	if e := v.at[key]; e != nil {
-		v.order.Remove(e)
-		delete(v.at, key)
+func (c *lruCache) remove(key uint64) {
+	if e := c.elements[key]; e != nil {
+		c.order.Remove(e)
+		delete(c.elements, key)
 	}
 }
--- a/internal/simulation/emulator_test.go
+++ b/internal/simulation/simulation_test.go
@@ -17,20 +17,20 @@
 
 // A server alone is a queue of which theory knows the figures: the wait before one place and before several, and how
 // much several places without a queue turn away.
-func TestServersQueueAsTheorySays(t *testing.T) {
+func TestServerQueueMatchesTheory(t *testing.T) {
 	const jobs = 400_000
-	erlangB := func(places int, load float64) float64 {
+	erlangB := func(slots int, load float64) float64 {
 		b := 1.0
-		for k := 1; k <= places; k++ {
-			b = load * b / (float64(k) + load*b)
+		for n := 1; n <= slots; n++ {
+			b = load * b / (float64(n) + load*b)
 		}
 		return b
 	}
 	for _, c := range []struct {
-		places, queue int
-		shape         string
-		busy          float64
-		wait, lost    float64 // in mean services; share
+		slots, queue        int
+		shape               string
+		load                float64
+		meanWait, lostShare float64 // in mean services; share
 	}{
 		{1, 1 << 30, "exponential", 0.7, 0.7 / 0.3, 0},
 		{1, 1 << 30, "fixed", 0.7, 0.7 / 0.3 / 2, 0}, // half, by Pollaczek and Khinchine
@@ -40,32 +40,32 @@
 		}(), 0},
 		{4, 0, "exponential", 0.8, 0, erlangB(4, 3.2)},
 	} {
-		k, r := &clock{now: origo}, rand.New(rand.NewPCG(1, 1))
-		s := &server{clock: k, rnd: rand.New(rand.NewPCG(2, 2)), slow: 1, origin: true, working: map[int]job{},
-			of: Station{c.places, c.queue, Span{100 * time.Millisecond}, c.shape}}
-		sum, lost, done := 0.0, 0, 0
+		simClock, rng := &clock{now: startTime}, rand.New(rand.NewPCG(1, 1))
+		s := &server{clock: simClock, rng: rand.New(rand.NewPCG(2, 2)), slowFactor: 1, isOrigin: true, running: map[int]job{},
+			config: ServerConfig{c.slots, c.queue, Duration{100 * time.Millisecond}, c.shape}}
+		sum, lostCount, done := 0.0, 0, 0
 		for at, n := 0.0, 0; n < jobs; n++ {
-			at += r.ExpFloat64() * 1000 / (c.busy * float64(c.places))
-			k.run(origo + routing.Time(at))
-			came := k.now
-			s.take(job{done: func(code routing.Result) {
-				if code == routing.Rejected {
-					lost++
+			at += rng.ExpFloat64() * 1000 / (c.load * float64(c.slots))
+			simClock.runUntil(startTime + routing.Time(at))
+			arrivedAt := simClock.now
+			s.handle(job{done: func(result routing.Result) {
+				if result == routing.Rejected {
+					lostCount++
 					return
 				}
 				done++
-				sum += float64(k.now - came)
+				sum += float64(simClock.now - arrivedAt)
 			}})
 		}
-		k.run(k.now + 1_000_000)
-		wait, share := sum/float64(done)/1000-1, float64(lost)/jobs
-		if math.Abs(wait-c.wait) > 0.03*c.wait+0.01 || math.Abs(share-c.lost) > 0.005 || done+lost != jobs {
-			t.Errorf("%+v: waits %.3f, turns away %.4f, %d of %d ended", c, wait, share, done+lost, jobs)
+		simClock.runUntil(simClock.now + 1_000_000)
+		meanWait, lostRatio := sum/float64(done)/1000-1, float64(lostCount)/jobs
+		if math.Abs(meanWait-c.meanWait) > 0.03*c.meanWait+0.01 || math.Abs(lostRatio-c.lostShare) > 0.005 || done+lostCount != jobs {
+			t.Errorf("%+v: waits %.3f, turns away %.4f, %d of %d ended", c, meanWait, lostRatio, done+lostCount, jobs)
 		}
 	}
 }
 
-const eventful = `
+const eventsExperiment = `
 name = "eventful"
 length = "40s"
 policies = ["ranges", "random", "hashing", "least"]
@@ -116,8 +116,8 @@
 }
 
 // The same description and seed give the same run to the last digit; another seed gives another one.
-func TestRunsAreToldByTheirSeed(t *testing.T) {
-	e := parse(t, eventful)
+func TestRunSameSeedGivesSameResult(t *testing.T) {
+	e := parse(t, eventsExperiment)
 	e.Length.Duration, e.Events = 14*time.Second, e.Events[:3]
 	text := func(policy string, seed uint64) string {
 		s, err := Run(e, policy, seed)
@@ -130,145 +130,149 @@
 		}
 		return b.String()
 	}
-	for _, p := range Policies() {
-		if first := text(p, 7); first != text(p, 7) || first == text(p, 8) {
-			t.Errorf("%s: not told by its seed", p)
+	for _, policy := range Policies() {
+		if first := text(policy, 7); first != text(policy, 7) || first == text(policy, 8) {
+			t.Errorf("%s: not told by its seed", policy)
 		}
 	}
 }
 
 // Through every kind of event the module breaks no rule and loses nothing, and it keeps keys where they are.
-func TestTheModuleKeepsTheRulesThroughAllEvents(t *testing.T) {
-	e := parse(t, eventful)
+func TestBalancerAllEventsBreaksNoRule(t *testing.T) {
+	e := parse(t, eventsExperiment)
 	for seed := range uint64(3) {
 		s, err := Run(e, "ranges", seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		plain, _ := Run(e, "random", seed)
+		baseline, _ := Run(e, "random", seed)
 		if len(s.Broken) > 0 || s.Offered < 15000 || s.Share() < 0.8 {
 			t.Errorf("seed %d: %d requests, %.3f in time, broken %v: %v", seed, s.Offered, s.Share(), s.Broken, s.Faults)
 		}
-		if kept, scattered := hits(s), hits(plain); kept < scattered+0.05 {
-			t.Errorf("seed %d: %.3f hits, by chance %.3f", seed, kept, scattered)
+		if balancerRatio, baselineRatio := hitRatio(s), hitRatio(baseline); balancerRatio < baselineRatio+0.05 {
+			t.Errorf("seed %d: %.3f hits, by chance %.3f", seed, balancerRatio, baselineRatio)
 		}
 	}
 }
 
-func hits(s *Series) float64 {
-	sum := s.sum()
-	return float64(sum.Hits) / float64(sum.Hits+sum.Fetches)
+func hitRatio(s *Series) float64 {
+	total := s.total()
+	return float64(total.Hits) / float64(total.Hits+total.Fetches)
 }
 
 // faulty is the module with one of its orders changed.
-type faulty struct {
+type alteredHost struct {
 	*node
-	shoot func(n *node, lkp, to int, timeout routing.Time)
-	give  func(n *node, lkp int, after routing.Time)
+	send   func(n *node, request, server int, timeout routing.Time)
+	reject func(n *node, request int, retryAfter routing.Time)
 }
 
-func (f faulty) Send(lkp, to int, timeout routing.Time) { f.shoot(f.node, lkp, to, timeout) }
+func (f alteredHost) Send(request, server int, timeout routing.Time) {
+	f.send(f.node, request, server, timeout)
+}
 
-func (f faulty) Reject(lkp int, after routing.Time) { f.give(f.node, lkp, after) }
+func (f alteredHost) Reject(request int, retryAfter routing.Time) {
+	f.reject(f.node, request, retryAfter)
+}
 
 // heedless sends each lookup on at once, whatever the list says, to the newest cache that there ever was.
-type heedless struct {
-	*plain
-	newest int
+type newestCachePolicy struct {
+	*baseline
+	newestCache int
 }
 
-func (h *heedless) UpdateEndpoints(now routing.Time, how routing.UpdateKind, boxes []routing.Endpoint) {
-	for _, b := range boxes {
+func (h *newestCachePolicy) UpdateEndpoints(now routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint) {
+	for _, b := range endpoints {
 		if b.Model == 0 {
-			h.newest = max(h.newest, b.Server)
+			h.newestCache = max(h.newestCache, b.Server)
 		}
 	}
-	h.plain.UpdateEndpoints(now, how, boxes)
+	h.baseline.UpdateEndpoints(now, kind, endpoints)
 }
 
-func (h *heedless) Request(now routing.Time, lkp int, in routing.Request) {
-	h.lkps[lkp] = &plainLookup{Request: in, tried: []int{h.newest}}
-	h.host.Send(lkp, h.newest, in.Deadline-now)
+func (h *newestCachePolicy) Request(now routing.Time, request int, r routing.Request) {
+	h.requests[request] = &baselineRequest{Request: r, triedServers: []int{h.newestCache}}
+	h.host.Send(request, h.newestCache, r.Deadline-now)
 }
 
 // What breaks a rule is seen to: a checker that nothing can fail shows nothing.
-func TestFaultyPoliciesAreCaught(t *testing.T) {
-	e := parse(t, eventful)
-	e.Demand.Rate, e.Length.Duration, e.Events = 3*e.Demand.Rate, 12*time.Second, e.Events[:2]
-	honest := faulty{shoot: (*node).Send, give: (*node).Reject}
-	with := func(change func(f *faulty)) maker {
+func TestCheckerFaultyPolicyReportsViolation(t *testing.T) {
+	e := parse(t, eventsExperiment)
+	e.Demand.RequestsPerSecond, e.Length.Duration, e.Events = 3*e.Demand.RequestsPerSecond, 12*time.Second, e.Events[:2]
+	unaltered := alteredHost{send: (*node).Send, reject: (*node).Reject}
+	withHost := func(change func(f *alteredHost)) policyFactory {
 		return func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
-			f := honest
+			f := unaltered
 			f.node = host.(*node)
 			change(&f)
-			return ranges(f, seed, now, e)
+			return newBalancer(f, seed, now, e)
 		}
 	}
-	number := 0
-	for what, c := range map[string]struct {
-		rule string
-		make maker
+	rejectCount := 0
+	for name, c := range map[string]struct {
+		rule    string
+		factory policyFactory
 	}{
-		"a lookup that is never answered": {"lost", with(func(f *faulty) {
-			f.give = func(n *node, lkp int, after routing.Time) {
-				if number++; number%50 != 0 {
-					n.Reject(lkp, after)
+		"a lookup that is never answered": {"lost", withHost(func(f *alteredHost) {
+			f.reject = func(n *node, request int, retryAfter routing.Time) {
+				if rejectCount++; rejectCount%50 != 0 {
+					n.Reject(request, retryAfter)
 				}
 			}
 		})},
-		"an answer given twice": {"lost", with(func(f *faulty) {
-			f.give = func(n *node, lkp int, after routing.Time) {
-				l := n.lookups[lkp]
-				n.Reject(lkp, after)
-				n.w.check.ended(l, deferred)
+		"an answer given twice": {"lost", withHost(func(f *alteredHost) {
+			f.reject = func(n *node, request int, retryAfter routing.Time) {
+				req := n.pending[request]
+				n.Reject(request, retryAfter)
+				n.tb.checker.requestEnded(req, outcomeRejected)
 			}
 		})},
-		"a write sent twice": {"twice", with(func(f *faulty) {
-			f.shoot = func(n *node, lkp, to int, timeout routing.Time) {
-				n.Send(lkp, to, timeout)
-				if l := n.lookups[lkp]; l.write {
-					n.w.clock.in(10, func() { n.w.worked(l, l.shots[0], routing.Served) })
+		"a write sent twice": {"twice", withHost(func(f *alteredHost) {
+			f.send = func(n *node, request, server int, timeout routing.Time) {
+				n.Send(request, server, timeout)
+				if req := n.pending[request]; req.isWrite {
+					n.tb.clock.schedule(10, func() { n.tb.recordServerResult(req, req.attempts[0], routing.Served) })
 				}
 			}
 		})},
 		"a cold cache pushed over, and one that drains": {"cold", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
-			return &heedless{plain: policies["random"](h, seed, now, e).(*plain)}
+			return &newestCachePolicy{baseline: policies["random"](h, seed, now, e).(*baseline)}
 		}},
 		"more shots than are allowed": {"shots", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
-			more := *e
-			more.Rules.Shots = 9
-			return policies["random"](h, seed, now, &more)
+			raised := *e
+			raised.Rules.MaxAttempts = 9
+			return policies["random"](h, seed, now, &raised)
 		}},
-		"shots at what drains": {"drain", with(func(f *faulty) {
-			f.shoot = func(n *node, lkp, to int, timeout routing.Time) {
-				for i, s := range n.w.servers {
-					if s.box.State == routing.Draining {
-						to = i
+		"shots at what drains": {"drain", withHost(func(f *alteredHost) {
+			f.send = func(n *node, request, server int, timeout routing.Time) {
+				for index, s := range n.tb.servers {
+					if s.endpoint.State == routing.Draining {
+						server = index
 					}
 				}
-				n.Send(lkp, to, timeout)
+				n.Send(request, server, timeout)
 			}
 		})},
 	} {
-		s := play(e, what, c.make, 1)
+		s := simulate(e, name, c.factory, 1)
 		if s.Broken[c.rule] == 0 || len(s.Faults) == 0 {
-			t.Errorf("%s is not caught: %v", what, s.Broken)
+			t.Errorf("%s is not caught: %v", name, s.Broken)
 		}
 	}
 }
 
 // rampless is the module, told of each cache as one that has run for long.
-type rampless struct{ Policy }
+type noSlowStartPolicy struct{ Policy }
 
-func (r rampless) UpdateEndpoints(now routing.Time, how routing.UpdateKind, boxes []routing.Endpoint) {
-	boxes = slices.Clone(boxes)
-	for i := range boxes {
-		boxes[i].StartedAt = 0
+func (r noSlowStartPolicy) UpdateEndpoints(now routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint) {
+	endpoints = slices.Clone(endpoints)
+	for i := range endpoints {
+		endpoints[i].StartedAt = 0
 	}
-	r.Policy.UpdateEndpoints(now, how, boxes)
+	r.Policy.UpdateEndpoints(now, kind, endpoints)
 }
 
-const thirty = `
+const thirtyNodesExperiment = `
 name = "thirty"
 length = "40s"
 [fleet]
@@ -290,32 +294,32 @@
 
 // Thirty nodes before caches that join cold while nodes are restarted: the sum stays under what the settings allow, beyond
 // which 2 roots of it and 2 are put down to chance, and the caches come to their share. Without the ramp it doesn't.
-func TestTheSumOfThirtyNodesSparesColdCaches(t *testing.T) {
-	text := thirty
-	for at := 3; at < 30; at += 9 {
-		text += fmt.Sprintf("[[event]]\nat = \"%ds\"\nwhat = \"add\"\ncaches = 1\n", at)
+func TestThirtyNodesColdCachesNotOverloaded(t *testing.T) {
+	text := thirtyNodesExperiment
+	for addSecond := 3; addSecond < 30; addSecond += 9 {
+		text += fmt.Sprintf("[[event]]\nat = \"%ds\"\nwhat = \"add\"\ncaches = 1\n", addSecond)
 		for i := range 6 {
-			text += fmt.Sprintf("[[event]]\nat = \"%ds\"\nwhat = \"restart\"\nnodes = 5\n", at+1+i)
+			text += fmt.Sprintf("[[event]]\nat = \"%ds\"\nwhat = \"restart\"\nnodes = 5\n", addSecond+1+i)
 		}
 	}
 	e := parse(t, text)
 	for seed := range uint64(4) {
-		s := play(e, "ranges", ranges, seed)
-		bare := play(e, "rampless", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
-			return rampless{ranges(h, seed, now, e)}
+		s := simulate(e, "ranges", newBalancer, seed)
+		withoutSlowStart := simulate(e, "rampless", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
+			return noSlowStartPolicy{newBalancer(h, seed, now, e)}
 		}, seed)
-		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.Share(), bare.Share(), s.Faults, bare.Broken)
-		if len(s.Broken) > 0 || s.Share() < bare.Share()-0.01 {
+		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.Share(), withoutSlowStart.Share(), s.Faults, withoutSlowStart.Broken)
+		if len(s.Broken) > 0 || s.Share() < withoutSlowStart.Share()-0.01 {
 			t.Errorf("seed %d: %.3f in time, %v", seed, s.Share(), s.Faults)
 		}
-		if bare.Broken["cold"] == 0 {
-			t.Errorf("seed %d: without the ramp nothing is seen: %v", seed, bare.Broken)
+		if withoutSlowStart.Broken["cold"] == 0 {
+			t.Errorf("seed %d: without the ramp nothing is seen: %v", seed, withoutSlowStart.Broken)
 		}
 	}
 }
 
 // A malformed description is refused with the place and what was expected there.
-func TestMalformedDescriptionsAreRefused(t *testing.T) {
+func TestParseMalformedExperimentReturnsError(t *testing.T) {
 	for text, want := range map[string]string{
 		"[fleet]\nnodes = 0":                    "fleet.nodes: expected 1 to 20000, not 0",
 		"[fleet]\nnodes = 20001":                "fleet.nodes: expected 1 to 20000, not 20001",
@@ -347,8 +351,8 @@
 }
 
 // The largest sizes are taken, and of these no two are played at once.
-func TestTheLargestSizes(t *testing.T) {
-	for _, c := range []struct{ nodes, caches, atOnce int }{{20000, 1000, 1}, {3333, 6000, 1}, {19000, 70, 15}, {4, 10, pairsMost / 40}} {
+func TestAtOnceLargestExperimentRunsAlone(t *testing.T) {
+	for _, c := range []struct{ nodes, caches, atOnce int }{{20000, 1000, 1}, {3333, 6000, 1}, {19000, 70, 15}, {4, 10, maxPairs / 40}} {
 		e := parse(t, fmt.Sprintf("[fleet]\nnodes = %d\ncaches = %d", c.nodes, c.caches))
 		if got := e.AtOnce(); got != c.atOnce {
 			t.Errorf("%+v: %d at once", c, got)
@@ -357,7 +361,7 @@
 }
 
 // Hundreds of nodes and caches play in seconds.
-func TestALargeFleet(t *testing.T) {
+func TestRunLargeFleetBreaksNoRule(t *testing.T) {
 	e := parse(t, "length = \"3s\"\n[fleet]\nnodes = 300\ncaches = 100\n[origin]\nslots=200\nqueue=2000\n[demand]\nrate = 12000\nkeys = 100000")
 	began := time.Now()
 	s, err := Run(e, "ranges", 1)
@@ -368,7 +372,7 @@
 }
 
 // A description varies to one for each value, each with one key changed; a fault names the key and the value.
-func TestADescriptionVaries(t *testing.T) {
+func TestReadVaryTableReturnsVariants(t *testing.T) {
 	for _, c := range []struct{ vary, want string }{
 		{"fleet.nodes = [2, 3]\ndemand.skew = [1.5]", "[base 4 1.1] [base, demand.skew 1.5 4 1.5] [base, fleet.nodes 2 2 1.1] [base, fleet.nodes 3 3 1.1]"},
 		{`event = [[{at = "1s", what = "shift"}]]`, "[base 4 1.1] [base, event [map[at:1s what:shift]] 4 1.1]"},
@@ -381,10 +385,10 @@
 		if err := os.WriteFile(path, []byte("name = \"base\"\nlength = \"3s\"\n[vary]\n"+c.vary), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		all, err := Read(path)
+		experiments, err := Read(path)
 		var got []string
-		for _, e := range all {
-			got = append(got, fmt.Sprint([]any{e.Name, e.Fleet.Nodes, e.Demand.Skew}))
+		for _, e := range experiments {
+			got = append(got, fmt.Sprint([]any{e.Name, e.Fleet.Nodes, e.Demand.ZipfExponent}))
 		}
 		if err != nil {
 			got = []string{err.Error()}
@@ -396,7 +400,7 @@
 }
 
 // One cache of ten has all that is asked of a single key.
-func TestTheBusiestCacheIsTold(t *testing.T) {
+func TestRunSingleKeyReportsBusiestCache(t *testing.T) {
 	e, err := Parse([]byte("length = \"3s\"\n[demand]\nkeys = 1\nwrites = 0.0\nrate = 100"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/testbed.go
+++ b/internal/simulation/testbed.go
@@ -12,314 +12,314 @@
 type outcome int
 
 const (
-	resolved outcome = iota
-	deferred
-	abandoned
+	outcomeServed outcome = iota
+	outcomeRejected
+	outcomeFailed
 )
 
 // testbed is one run: a policy, a seed, and all that stands round the nodes.
 type testbed struct {
-	e       *Experiment
-	clock   *clock
-	maker   maker
-	servers []*server // the origin first
-	nodes   []*node
-	check   *checker
-	series  *Series
+	experiment *Experiment
+	clock      *clock
+	newPolicy  policyFactory
+	servers    []*server // the origin first
+	nodes      []*node
+	checker    *checker
+	series     *Series
 
-	demand float64    // factor on the rate
-	offset uint64     // of the popular keys
-	rnd    *rand.Rand // the clients'; the same for all policies
-	chance *rand.Rand // delays, and which servers events strike
-	zipf   *rand.Zipf
-	seeds  *rand.Rand
-	made   int // caches so far
-	sick   silenceStats
+	demandFactor float64    // factor on the rate
+	keyOffset    uint64     // of the popular keys
+	clientRand   *rand.Rand // the clients'; the same for all policies
+	fleetRand    *rand.Rand // delays, and which servers events strike
+	zipf         *rand.Zipf
+	seedRand     *rand.Rand
+	cacheCount   int // caches so far
+	silenceStats silenceStats
 
-	division *division // of a budget; nil: there is none
-	hot      []int     // nodes that are asked more than others
-	dead     map[int]bool
+	budgetSim *budgetSim // of a budget; nil: there is none
+	hotNodes  []int      // nodes that are asked more than others
+	deadNodes map[int]bool
 }
 
 const second = 1000 * routing.Millisecond
 
 // Run plays an experiment under one policy and one seed.
 func Run(e *Experiment, policy string, seed uint64) (*Series, error) {
-	m := policies[policy]
-	if m == nil {
+	newPolicy := policies[policy]
+	if newPolicy == nil {
 		return nil, fmt.Errorf("policy %q: expected one of %v", policy, Policies())
 	}
-	return play(e, policy, m, seed), nil
+	return simulate(e, policy, newPolicy, seed), nil
 }
 
-func play(e *Experiment, policy string, m maker, seed uint64) *Series {
-	w := &testbed{e: e, clock: &clock{now: origo}, maker: m, demand: 1, dead: map[int]bool{},
-		seeds: rand.New(rand.NewPCG(seed, 5)),
-		rnd:   rand.New(rand.NewPCG(seed, 2)), chance: rand.New(rand.NewPCG(seed, 3))}
-	w.zipf = rand.NewZipf(w.rnd, e.Demand.Skew, 1, e.Demand.Keys-1)
-	w.series = newSeries(e, policy, seed)
-	w.check = newChecker(w)
-	w.add(e.Origin, true, 0)
+func simulate(e *Experiment, policy string, newPolicy policyFactory, seed uint64) *Series {
+	tb := &testbed{experiment: e, clock: &clock{now: startTime}, newPolicy: newPolicy, demandFactor: 1, deadNodes: map[int]bool{},
+		seedRand:   rand.New(rand.NewPCG(seed, 5)),
+		clientRand: rand.New(rand.NewPCG(seed, 2)), fleetRand: rand.New(rand.NewPCG(seed, 3))}
+	tb.zipf = rand.NewZipf(tb.clientRand, e.Demand.ZipfExponent, 1, e.Demand.KeyCount-1)
+	tb.series = newSeries(e, policy, seed)
+	tb.checker = newChecker(tb)
+	tb.addServer(e.Origin, true, 0)
 	for range e.Fleet.Caches {
-		w.add(e.Fleet.Station, false, 0)
+		tb.addServer(e.Fleet.ServerConfig, false, 0)
 	}
 	for i := range e.Fleet.Nodes {
-		w.nodes = append(w.nodes, w.newNode(i, w.seed()))
+		tb.nodes = append(tb.nodes, tb.newNode(i, tb.nextSeed()))
 	}
 	for _, ev := range e.Events {
-		w.clock.in(ev.At.ticks(), func() { w.happens(ev) })
+		tb.clock.schedule(ev.Start.ticks(), func() { tb.applyEvent(ev) })
 	}
-	if e.Fleet.Probe {
-		w.probe()
+	if e.Fleet.ClusterProbes {
+		tb.startProbes()
 	}
 	if e.Fleet.Budget != nil {
-		w.divide()
+		tb.startBudget()
 	}
-	w.arrive()
-	w.tick()
-	w.clock.run(origo + e.Length.ticks())
-	w.series.Offered, w.series.Busiest = w.check.offered, w.busiest()
-	w.demand = 0 // what is out ends
-	w.clock.run(w.clock.now + routing.Time(e.Demand.Tries)*(e.Demand.Limit.ticks()+3*e.Demand.Target.ticks()) + second)
-	w.check.close()
-	w.series.Sick = w.sick
-	if w.division != nil {
-		w.series.Use = &w.division.use
+	tb.generateRequest()
+	tb.sampleEverySecond()
+	tb.clock.runUntil(startTime + e.Length.ticks())
+	tb.series.Offered, tb.series.Busiest = tb.checker.offeredRequests, tb.busiestCacheRatio()
+	tb.demandFactor = 0 // what is out ends
+	tb.clock.runUntil(tb.clock.now + routing.Time(e.Demand.MaxTries)*(e.Demand.TimeLimit.ticks()+3*e.Demand.LatencyTarget.ticks()) + second)
+	tb.checker.checkEnd()
+	tb.series.Sick = tb.silenceStats
+	if tb.budgetSim != nil {
+		tb.series.Use = &tb.budgetSim.usage
 	}
-	w.series.Broken, w.series.Faults = w.check.broken, w.check.faults
-	return w.series
+	tb.series.Broken, tb.series.Faults = tb.checker.violationCounts, tb.checker.violations
+	return tb.series
 }
 
 // busiest gives the shots at the busiest of the caches that were there all the time, over their mean.
-func (w *testbed) busiest() float64 {
-	most, sum, n := 0, 0, 0
-	for _, s := range w.servers {
-		if !s.origin && s.box.StartedAt == 0 && s.box.State == routing.Ready {
-			most, sum, n = max(most, s.jobs), sum+s.jobs, n+1
+func (tb *testbed) busiestCacheRatio() float64 {
+	maxAttempts, sum, caches := 0, 0, 0
+	for _, s := range tb.servers {
+		if !s.isOrigin && s.endpoint.StartedAt == 0 && s.endpoint.State == routing.Ready {
+			maxAttempts, sum, caches = max(maxAttempts, s.attemptCount), sum+s.attemptCount, caches+1
 		}
 	}
-	return float64(most) * float64(n) / float64(max(1, sum))
+	return float64(maxAttempts) * float64(caches) / float64(max(1, sum))
 }
 
 // seed gives the next node or server one of its own.
-func (w *testbed) seed() uint64 { return w.seeds.Uint64() }
+func (tb *testbed) nextSeed() uint64 { return tb.seedRand.Uint64() }
 
 // add starts a server; since 0 says that it has run for long.
-func (w *testbed) add(of Station, origin bool, since routing.Time) {
-	i := len(w.servers)
-	s := &server{clock: w.clock, rnd: rand.New(rand.NewPCG(w.seed(), 4)), of: of, origin: origin, miss: w.e.Fleet.Miss,
-		coldShare: w.e.Fleet.ColdShare, warmUp: w.e.Fleet.WarmUp.ticks(), slow: 1, values: newValues(w.e.Fleet.Keep),
-		working: map[int]job{}, box: routing.Endpoint{Server: i, ID: "origin", Model: 1, StartedAt: since}}
-	if !origin {
-		w.made++
-		s.box.ID, s.box.Model = fmt.Sprintf("c-%08x", w.chance.Uint32()), 0
+func (tb *testbed) addServer(config ServerConfig, isOrigin bool, startedAt routing.Time) {
+	index := len(tb.servers)
+	s := &server{clock: tb.clock, rng: rand.New(rand.NewPCG(tb.nextSeed(), 4)), config: config, isOrigin: isOrigin, missCost: tb.experiment.Fleet.MissCost,
+		coldShare: tb.experiment.Fleet.ColdShare, warmUp: tb.experiment.Fleet.WarmUp.ticks(), slowFactor: 1, cached: newLRUCache(tb.experiment.Fleet.CacheSize),
+		running: map[int]job{}, endpoint: routing.Endpoint{Server: index, ID: "origin", Model: 1, StartedAt: startedAt}}
+	if !isOrigin {
+		tb.cacheCount++
+		s.endpoint.ID, s.endpoint.Model = fmt.Sprintf("c-%08x", tb.fleetRand.Uint32()), 0
 	}
-	w.servers = append(w.servers, s)
+	tb.servers = append(tb.servers, s)
 }
 
 // boxes is the list as the discovery service has it.
-func (w *testbed) boxes() (list []routing.Endpoint) {
-	for _, s := range w.servers {
-		if s.box.State != routing.Gone {
-			list = append(list, s.box)
+func (tb *testbed) endpoints() (list []routing.Endpoint) {
+	for _, s := range tb.servers {
+		if s.endpoint.State != routing.Gone {
+			list = append(list, s.endpoint)
 		}
 	}
 	return list
 }
 
 // delay is how long a node takes to hear of something.
-func (w *testbed) delay() routing.Time {
-	return routing.Time(w.chance.Float64() * float64(w.e.Network.Notice.ticks()))
+func (tb *testbed) notificationDelay() routing.Time {
+	return routing.Time(tb.fleetRand.Float64() * float64(tb.experiment.Network.MaxNotificationDelay.ticks()))
 }
 
 // tell brings a change of the list to each node, to each in its own time and in order.
-func (w *testbed) tell(changed ...*server) {
-	boxes := make([]routing.Endpoint, 0, len(changed))
+func (tb *testbed) notifyNodes(changed ...*server) {
+	endpoints := make([]routing.Endpoint, 0, len(changed))
 	for _, s := range changed {
-		boxes = append(boxes, s.box)
+		endpoints = append(endpoints, s.endpoint)
 	}
-	for _, n := range w.nodes {
-		w.clock.in(w.delay(), func() {
+	for _, n := range tb.nodes {
+		tb.clock.schedule(tb.notificationDelay(), func() {
 			// A later change may have come first: what holds now is told.
-			for i := range boxes {
-				boxes[i] = w.servers[boxes[i].Server].box
+			for i := range endpoints {
+				endpoints[i] = tb.servers[endpoints[i].Server].endpoint
 			}
-			n.list(routing.Incremental, slices.Clone(boxes))
+			n.updateEndpoints(routing.Incremental, slices.Clone(endpoints))
 		})
 	}
 }
 
 // caches gives those in a state, in an order of chance.
-func (w *testbed) caches(state routing.State, most int) (some []*server) {
-	for _, s := range w.servers {
-		if !s.origin && s.box.State == state {
-			some = append(some, s)
+func (tb *testbed) randomCaches(state routing.State, maxCount int) (chosen []*server) {
+	for _, s := range tb.servers {
+		if !s.isOrigin && s.endpoint.State == state {
+			chosen = append(chosen, s)
 		}
 	}
-	w.chance.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	return some[:min(most, len(some))]
+	tb.fleetRand.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
+	return chosen[:min(maxCount, len(chosen))]
 }
 
 // happens plays an event.
-func (w *testbed) happens(ev Event) {
-	switch ev.What {
+func (tb *testbed) applyEvent(ev Event) {
+	switch ev.Kind {
 	case "add":
-		from := len(w.servers)
+		firstAdded := len(tb.servers)
 		for range ev.Caches {
-			w.add(w.e.Fleet.Station, false, w.clock.now)
+			tb.addServer(tb.experiment.Fleet.ServerConfig, false, tb.clock.now)
 		}
-		w.tell(w.servers[from:]...)
+		tb.notifyNodes(tb.servers[firstAdded:]...)
 	case "drain":
-		some := w.caches(routing.Ready, ev.Caches)
-		for _, s := range some {
-			s.box.State = routing.Draining
+		caches := tb.randomCaches(routing.Ready, ev.Caches)
+		for _, s := range caches {
+			s.endpoint.State = routing.Draining
 		}
-		w.tell(some...)
-		w.clock.in(w.e.Network.Notice.ticks()+w.e.Rules.Grace.ticks()+w.e.Demand.Limit.ticks(), func() {
-			for _, s := range some {
-				s.box.State = routing.Gone
+		tb.notifyNodes(caches...)
+		tb.clock.schedule(tb.experiment.Network.MaxNotificationDelay.ticks()+tb.experiment.Rules.DrainGrace.ticks()+tb.experiment.Demand.TimeLimit.ticks(), func() {
+			for _, s := range caches {
+				s.endpoint.State = routing.Gone
 			}
-			w.tell(some...)
+			tb.notifyNodes(caches...)
 		})
 	case "crash":
-		some := w.caches(routing.Ready, ev.Caches)
-		for _, s := range some {
+		caches := tb.randomCaches(routing.Ready, ev.Caches)
+		for _, s := range caches {
 			s.crash()
 		}
-		w.tell(some...)
+		tb.notifyNodes(caches...)
 	case "slow":
-		some := w.caches(routing.Ready, ev.Caches)
-		for _, s := range some {
-			s.slow *= ev.Factor
+		caches := tb.randomCaches(routing.Ready, ev.Caches)
+		for _, s := range caches {
+			s.slowFactor *= ev.Factor
 		}
-		w.clock.in(ev.For.ticks(), func() {
-			for _, s := range some {
-				s.slow /= ev.Factor
+		tb.clock.schedule(ev.Duration.ticks(), func() {
+			for _, s := range caches {
+				s.slowFactor /= ev.Factor
 			}
 		})
 	case "demand":
-		w.demand *= ev.Factor
-		w.clock.in(ev.For.ticks(), func() { w.demand /= ev.Factor })
+		tb.demandFactor *= ev.Factor
+		tb.clock.schedule(ev.Duration.ticks(), func() { tb.demandFactor /= ev.Factor })
 	case "restart":
-		for _, i := range w.chance.Perm(len(w.nodes))[:min(ev.Nodes, len(w.nodes))] {
+		for _, i := range tb.fleetRand.Perm(len(tb.nodes))[:min(ev.Nodes, len(tb.nodes))] {
 			// The old process answers what it has; the new one knows the list and nothing else.
-			w.nodes[i] = w.newNode(i, w.seed())
-			if w.division != nil { // as a process that is killed: its lease runs on
-				w.division.holds[i].kill()
-				w.division.holds[i].down = false
-				w.division.holds[i].begin()
+			tb.nodes[i] = tb.newNode(i, tb.nextSeed())
+			if tb.budgetSim != nil { // as a process that is killed: its lease runs on
+				tb.budgetSim.budgetNodes[i].kill()
+				tb.budgetSim.budgetNodes[i].isDown = false
+				tb.budgetSim.budgetNodes[i].start()
 			}
 		}
 	case "silent":
-		w.silence(w.caches(routing.Ready, ev.Caches), ev.For.ticks())
+		tb.silenceCaches(tb.randomCaches(routing.Ready, ev.Caches), ev.Duration.ticks())
 	case "unled":
-		w.sick.unled = max(w.sick.unled, w.clock.now+ev.For.ticks())
-		if w.division != nil {
-			w.division.lose(ev.For.ticks())
+		tb.silenceStats.leaderlessUntil = max(tb.silenceStats.leaderlessUntil, tb.clock.now+ev.Duration.ticks())
+		if tb.budgetSim != nil {
+			tb.budgetSim.loseLeader(ev.Duration.ticks())
 		}
 	case "move":
-		w.hot = w.chance.Perm(len(w.nodes))[:min(ev.Nodes, len(w.nodes))]
-		if w.division != nil {
-			w.division.moved(w.hot)
+		tb.hotNodes = tb.fleetRand.Perm(len(tb.nodes))[:min(ev.Nodes, len(tb.nodes))]
+		if tb.budgetSim != nil {
+			tb.budgetSim.watchShift(tb.hotNodes)
 		}
 	case "kill":
-		if w.division != nil {
-			w.division.killed()
+		if tb.budgetSim != nil {
+			tb.budgetSim.watchRecovery()
 		}
-		for _, i := range w.chance.Perm(len(w.nodes))[:min(ev.Nodes, len(w.nodes)-1)] {
-			w.dead[i] = true
-			if w.division != nil {
-				w.division.holds[i].kill()
+		for _, i := range tb.fleetRand.Perm(len(tb.nodes))[:min(ev.Nodes, len(tb.nodes)-1)] {
+			tb.deadNodes[i] = true
+			if tb.budgetSim != nil {
+				tb.budgetSim.budgetNodes[i].kill()
 			}
 		}
 	case "cut":
-		for _, i := range w.chance.Perm(len(w.nodes))[:min(ev.Nodes, len(w.nodes))] {
-			if w.division != nil {
-				w.division.holds[i].cut = w.clock.now + ev.For.ticks()
+		for _, i := range tb.fleetRand.Perm(len(tb.nodes))[:min(ev.Nodes, len(tb.nodes))] {
+			if tb.budgetSim != nil {
+				tb.budgetSim.budgetNodes[i].disconnectedUntil = tb.clock.now + ev.Duration.ticks()
 			}
 		}
 	case "shift":
-		w.offset += w.e.Demand.Keys / 2
+		tb.keyOffset += tb.experiment.Demand.KeyCount / 2
 	}
 }
 
 // arrive brings the next request, and books the one after it.
-func (w *testbed) arrive() {
-	if w.demand > 0 {
-		r := &request{key: (w.zipf.Uint64() + w.offset) % w.e.Demand.Keys, write: w.rnd.Float64() < w.e.Demand.Writes,
-			node: w.rnd.IntN(len(w.nodes)), arrived: w.clock.now}
-		if len(w.hot) > 0 && w.rnd.Float64() < w.heat() {
-			r.node = w.hot[w.rnd.IntN(len(w.hot))]
+func (tb *testbed) generateRequest() {
+	if tb.demandFactor > 0 {
+		r := &clientRequest{key: (tb.zipf.Uint64() + tb.keyOffset) % tb.experiment.Demand.KeyCount, isWrite: tb.clientRand.Float64() < tb.experiment.Demand.WriteShare,
+			nodeIndex: tb.clientRand.IntN(len(tb.nodes)), firstSentAt: tb.clock.now}
+		if len(tb.hotNodes) > 0 && tb.clientRand.Float64() < tb.hotShare() {
+			r.nodeIndex = tb.hotNodes[tb.clientRand.IntN(len(tb.hotNodes))]
 		}
-		for w.dead[r.node] {
-			r.node = w.rnd.IntN(len(w.nodes))
+		for tb.deadNodes[r.nodeIndex] {
+			r.nodeIndex = tb.clientRand.IntN(len(tb.nodes))
 		}
-		gap := w.rnd.ExpFloat64() / (w.e.Demand.Rate * w.demand) * float64(second)
-		w.clock.in(routing.Time(math.Round(gap)), w.arrive)
-		w.check.offered++
-		w.nodes[r.node].take(r)
+		gap := tb.clientRand.ExpFloat64() / (tb.experiment.Demand.RequestsPerSecond * tb.demandFactor) * float64(second)
+		tb.clock.schedule(routing.Time(math.Round(gap)), tb.generateRequest)
+		tb.checker.offeredRequests++
+		tb.nodes[r.nodeIndex].startRequest(r)
 	}
 }
 
 // heat is the share of all demand that goes to the hot nodes alone: so that each has so many times what another has.
-func (w *testbed) heat() float64 {
-	n, k := float64(len(w.nodes)), float64(len(w.hot))
-	return k * (w.e.Demand.Hot - 1) / (n - k + k*w.e.Demand.Hot)
+func (tb *testbed) hotShare() float64 {
+	nodes, hot := float64(len(tb.nodes)), float64(len(tb.hotNodes))
+	return hot * (tb.experiment.Demand.HotFactor - 1) / (nodes - hot + hot*tb.experiment.Demand.HotFactor)
 }
 
 // worked says what a shot came to at its server: a value fetched is stored where it was missing, one written is
 // dropped everywhere.
-func (w *testbed) worked(l *pendingRequest, s *attempt, code routing.Result) {
-	if code != routing.Served {
+func (tb *testbed) recordServerResult(req *pendingRequest, a *attempt, result routing.Result) {
+	if result != routing.Served {
 		return
 	}
-	w.check.ran(l)
+	tb.checker.requestServed(req)
 	switch {
-	case l.write:
-		for _, c := range w.servers[1:] {
-			c.values.drop(l.key)
+	case req.isWrite:
+		for _, cache := range tb.servers[1:] {
+			cache.cached.remove(req.key)
 		}
-	case s.server.origin:
-		w.series.now().Fetches++
-		for _, t := range l.shots {
-			if !t.server.origin && t.server.box.State != routing.Gone {
-				t.server.values.store(l.key)
+	case a.server.isOrigin:
+		tb.series.current().Fetches++
+		for _, tried := range req.attempts {
+			if !tried.server.isOrigin && tried.server.endpoint.State != routing.Gone {
+				tried.server.cached.add(req.key)
 			}
 		}
 	default:
-		w.series.now().Hits++
+		tb.series.current().Hits++
 	}
 }
 
 // ended notes a final answer, and lets a client that was deferred come back.
-func (w *testbed) ended(l *pendingRequest, how outcome, retryAfter routing.Time) {
-	took, target := w.clock.now-l.arrived, w.e.Demand.Target.ticks()
-	at := w.series.now()
+func (tb *testbed) recordEnd(req *pendingRequest, result outcome, retryAfter routing.Time) {
+	latency, target := tb.clock.now-req.firstSentAt, tb.experiment.Demand.LatencyTarget.ticks()
+	point := tb.series.current()
 	switch {
-	case how == resolved && took <= target:
-		at.InTime++
-	case how == resolved:
-		at.Late++
-	case how == deferred && l.tries < w.e.Demand.Tries:
-		at.Deferrals++
-		wait := max(retryAfter, target/20) + routing.Time(w.rnd.Float64()*float64(target)/10)
-		w.clock.in(wait, func() { w.nodes[l.node].take(l.request) })
+	case result == outcomeServed && latency <= target:
+		point.InTime++
+	case result == outcomeServed:
+		point.Late++
+	case result == outcomeRejected && req.tries < tb.experiment.Demand.MaxTries:
+		point.Deferrals++
+		delay := max(retryAfter, target/20) + routing.Time(tb.clientRand.Float64()*float64(target)/10)
+		tb.clock.schedule(delay, func() { tb.nodes[req.nodeIndex].startRequest(req.clientRequest) })
 		return
-	case how == deferred:
-		at.Refused++
+	case result == outcomeRejected:
+		point.Refused++
 	default:
-		at.Failed++
+		point.Failed++
 	}
-	if how == resolved {
-		w.series.took(took)
+	if result == outcomeServed {
+		tb.series.recordLatency(latency)
 	}
-	w.check.done++
+	tb.checker.endedRequests++
 }
 
 // tick notes the state of the fleet at each second.
-func (w *testbed) tick() {
-	w.clock.in(second, func() {
-		w.series.next(w)
-		w.tick()
+func (tb *testbed) sampleEverySecond() {
+	tb.clock.schedule(second, func() {
+		tb.series.closePoint(tb)
+		tb.sampleEverySecond()
 	})
 }
--- a/internal/simulation/vary.go
+++ b/internal/simulation/vary.go
@@ -12,64 +12,64 @@
 
 // varied gives the descriptions that the vary table asks for: each sets one key to one value and leaves the rest of the
 // text as it is.
-func (e *Experiment) varied(text []byte) (all []*Experiment, err error) {
-	var faults []error
-	err = eachList("", e.Vary, func(key string, values []any) {
+func (e *Experiment) variants(text []byte) (variants []*Experiment, err error) {
+	var errs []error
+	err = visitLists("", e.Vary, func(key string, values []any) {
 		for _, value := range values {
-			v, err := with(text, key, value)
+			variant, err := parseWith(text, key, value)
 			if err != nil {
-				faults = append(faults, fmt.Errorf("vary.%s, value %v: %w", key, value, err))
+				errs = append(errs, fmt.Errorf("vary.%s, value %v: %w", key, value, err))
 				continue
 			}
-			v.Name = fmt.Sprintf("%s, %s %v", e.Name, key, value)
-			all = append(all, v)
+			variant.Name = fmt.Sprintf("%s, %s %v", e.Name, key, value)
+			variants = append(variants, variant)
 		}
 	})
-	return all, errors.Join(append(faults, err)...)
+	return variants, errors.Join(append(errs, err)...)
 }
 
 // eachList goes through the lists of a table and of those in it, by their dotted keys in the order of the alphabet.
-func eachList(under string, table map[string]any, f func(key string, values []any)) error {
-	var faults []error
+func visitLists(prefix string, table map[string]any, visit func(key string, values []any)) error {
+	var errs []error
 	for _, key := range slices.Sorted(maps.Keys(table)) {
 		switch v := table[key].(type) {
 		case map[string]any:
-			faults = append(faults, eachList(under+key+".", v, f))
+			errs = append(errs, visitLists(prefix+key+".", v, visit))
 		case []any:
-			f(under+key, v)
+			visit(prefix+key, v)
 		default:
-			faults = append(faults, fmt.Errorf("vary.%s%s: expected a list of values, not %v", under, key, v))
+			errs = append(errs, fmt.Errorf("vary.%s%s: expected a list of values, not %v", prefix, key, v))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // with reads a description in which a key has another value.
-func with(text []byte, key string, value any) (*Experiment, error) {
-	var plain map[string]any
-	if err := toml.Unmarshal(text, &plain); err != nil {
+func parseWith(text []byte, key string, value any) (*Experiment, error) {
+	var document map[string]any
+	if err := toml.Unmarshal(text, &document); err != nil {
 		return nil, err
 	}
-	delete(plain, "vary")
-	at, path := plain, strings.Split(key, ".")
+	delete(document, "vary")
+	parent, path := document, strings.Split(key, ".")
 	for _, name := range path[:len(path)-1] {
-		table, ok := at[name].(map[string]any)
+		table, ok := parent[name].(map[string]any)
 		if !ok {
 			table = map[string]any{}
-			at[name] = table
+			parent[name] = table
 		}
-		at = table
+		parent = table
 	}
-	at[path[len(path)-1]] = value
-	changed, err := toml.Marshal(plain)
+	parent[path[len(path)-1]] = value
+	encoded, err := toml.Marshal(document)
 	if err != nil {
 		return nil, err
 	}
-	e, err := Parse(changed)
+	e, err := Parse(encoded)
 	if err != nil {
-		_, what, placed := strings.Cut(err.Error(), ": ") // the line is one of our own text, which nobody sees
-		if strings.HasPrefix(err.Error(), "line ") && placed {
-			err = errors.New(what)
+		_, message, hasPosition := strings.Cut(err.Error(), ": ") // the line is one of our own text, which nobody sees
+		if strings.HasPrefix(err.Error(), "line ") && hasPosition {
+			err = errors.New(message)
 		}
 		return nil, err
 	}
