--- a/internal/simulation/budget.go
+++ b/internal/simulation/budget.go
@@ -13,17 +13,18 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Budget is what all nodes together may do at the origin, divided among them as on sockets: by the same leader's memory, the
-// same purses and the same state. Agreement is a log with a delay and one leader at a time.
+// Budget configures a limit of the attempts that all nodes together send to the origin. It is divided among the nodes by the
+// same code as in real nodes: budget.Allocator, budget.QuotaClient and lease.State. Consensus is simulated by a log that
+// applies an entry after a fixed delay, with at most one leader at a time.
 type Budget struct {
-	Kind          string   `toml:"kind"`  // rate or number
-	Limit         float64  `toml:"whole"` // fetches a second, or at a time
-	Burst         int      `toml:"burst"` // of a rate
-	ReservedShare float64  `toml:"apart"` // share set aside for nodes that are cut off
-	LeaseDuration Duration `toml:"lease"`
-	ClockDrift    float64  `toml:"drift"`
-	LogDelay      Duration `toml:"log"` // from an entry's proposal to its agreement
-	// Way is how the whole is shared out: divided (empty), or even: an even part for each node, for ever.
+	Kind          string   `toml:"kind"`  // rate (attempts per second) or number (attempts in flight)
+	Limit         float64  `toml:"whole"` // attempts per second, or in flight
+	Burst         int      `toml:"burst"` // burst of a rate limit, in attempts
+	ReservedShare float64  `toml:"apart"` // share of the units that is reserved in equal parts for nodes that can't reach the leader
+	LeaseDuration Duration `toml:"lease"` // of a node's lease; 0: 3 s
+	ClockDrift    float64  `toml:"drift"` // largest relative difference of the rates of two clocks
+	LogDelay      Duration `toml:"log"`   // from the proposal of a log entry until it is applied; 0: 5 ms
+	// Allocation is "divided" (or empty) if quotas follow demand, or "even" if each node has a fixed equal part.
 	Allocation string `toml:"way"`
 }
 
@@ -42,6 +43,7 @@
 	}
 }
 
+// config returns the budget for a number of nodes as the lease package has it.
 func (b *Budget) config(nodes int) lease.BudgetConfig {
 	config := lease.BudgetConfig{Kind: b.Kind, Resource: "origin", Units: int(b.Limit), RatePerUnit: 1, MaxNodes: nodes}
 	if b.Kind == lease.RateKind {
@@ -51,77 +53,95 @@
 	return config
 }
 
-// Use is how much of a budget was used, beside what others would have given the same demand.
+// BudgetUsage describes how a budget was used, and what two other limiters would have allowed for the same demand: exact, a
+// single limiter that sees all requests, and even, one limiter per node with an equal part of the budget. These two are
+// simulated for rate limits only.
 type BudgetUsage struct {
-	DemandPerTenth, StartedPerTenth []int // lookups that wanted it and those that had it, by tenths of a second
-	ExactPerTenth, EvenPerTenth     []int // had of one limiter that sees all, and of even parts
-	ShiftSeconds                    []float64
-	RecoverySeconds                 []float64 // seconds until all of what killed nodes had was given again
-	LogEntries, Messages            int
-	PeakShare                       float64 // the most that came in any window beyond the rate in it, or at a time, as a share of what may be
-	requestedByNode, startedByNode  []int   // by node
-}
-
-// quotaHolder is one node's side.
+	// DemandPerTenth and StartedPerTenth count the writes that nodes received and the attempts that reached the origin, per
+	// 0.1 s.
+	DemandPerTenth, StartedPerTenth []int
+	// ExactPerTenth and EvenPerTenth count the writes that the exact and the even limiters allow, per 0.1 s.
+	ExactPerTenth, EvenPerTenth []int
+	// ShiftSeconds holds for a move event the seconds until the hot nodes hold 90% of the units that they hold after
+	// settleTime.
+	ShiftSeconds []float64
+	// RecoverySeconds holds for a kill event the seconds until the live nodes hold 90% of the units that were allocated
+	// before.
+	RecoverySeconds []float64
+	// LogEntries and Messages count the applied log entries and the messages between nodes and leader.
+	LogEntries, Messages int
+	// PeakShare is the peak use relative to the budget: for a rate limit the largest excess over the rate relative to the
+	// burst, for a concurrency limit the largest number of attempts in flight relative to the limit.
+	PeakShare float64
+
+	requestedByNode, startedByNode []int // like DemandPerTenth and StartedPerTenth, by node index
+}
+
+// budgetNode is one node's side of the budget: its lease and its quota client. It implements budget.ClientHost.
 type budgetNode struct {
 	sim               *budgetSim
 	index             int
 	client            *budget.QuotaClient
 	leaseToken        uint64
 	leaseEnd          lease.Time
-	incarnation       int
-	isDown            bool
-	disconnectedUntil routing.Time // until when nobody hears it
-	lastSendID        uint64
-	limit             routing.Limit
+	incarnation       int           // changes when the process is killed or loses its lease; calls that were scheduled before are ignored
+	isDown            bool          // the process has ended and has not been restarted
+	disconnectedUntil routing.Time  // the node can't reach the leader before this time
+	lastSendID        uint64        // of the latest request; responses to earlier ones are ignored
+	limit             routing.Limit // the limit of the balancer that the quota sets
 }
 
-// division is the agreement and its leader, and all nodes' sides.
+// budgetSim simulates a budget: the replicated state, the leader with its allocator, and the nodes' sides. It implements
+// budget.Host.
 type budgetSim struct {
 	*testbed
 	config           lease.BudgetConfig
 	state            *lease.State
 	allocator        *budget.Allocator
-	leaseEnds        map[string]lease.Time
-	leaderlessUntil  routing.Time
+	leaseEnds        map[string]lease.Time // by lease name; kept by the leader
+	leaderlessUntil  routing.Time          // no leader is elected before this time
 	leaderElected    bool
-	leaderChanges    int
+	leaderChanges    int // counts elections and losses, so that proposals of an earlier leader are dropped
 	budgetNodes      []*budgetNode
-	alarmAt          routing.Time
+	alarmAt          routing.Time // of the allocator; calls that were scheduled for an earlier alarm are ignored
 	usage            BudgetUsage
-	pendingResponses map[uint64]func(budget.Response)
+	pendingResponses map[uint64]func(budget.Response) // by request ID, of requests that the leader has not answered
 	lastRequestID    uint64
 
-	exactTokens     float64
+	exactTokens     float64 // token bucket of the exact limiter
 	exactUpdatedAt  routing.Time
-	evenTokens      []float64
+	evenTokens      []float64 // token buckets of the even limiters, by node index
 	evenUpdatedAt   []routing.Time
-	bucketLevel     float64
+	bucketLevel     float64 // leaky bucket of the attempts at the origin: the excess over the rate
 	bucketUpdatedAt routing.Time
-	inFlight        int
-	shiftedNodes    []int // nodes whose demand has just come
+	inFlight        int   // attempts at the origin
+	shiftedNodes    []int // indexes of the nodes that became hot at shiftedAt; nil after settleTime
 	shiftedAt       routing.Time
-	recoveryUnits   int
+	recoveryUnits   int // units that the live nodes must hold to end the recovery from a kill; 0: no recovery
 	nodesKilledAt   routing.Time
-	shiftedUnits    []int // by those, every lookEvery
-	evenUnits       float64
+	shiftedUnits    []int   // samples of the units that shiftedNodes hold
+	evenUnits       float64 // burst of each even limiter
 }
 
 const (
 	budgetName     = "origin"
-	sampleInterval = 20 * routing.Millisecond
-	settleTime     = 5 * second // after a move, when all has come to rest
+	sampleInterval = 20 * routing.Millisecond // between samples of the allocation, and between checks for expired leases
+	settleTime     = 5 * second               // after a move event, until the allocation counts as final
 )
 
-func leaseName(n int) string { return fmt.Sprint("node/", n) }
+// leaseName returns the name of a node's lease.
+func leaseName(node int) string { return fmt.Sprint("node/", node) }
 
+// startBudget starts the simulation of the budget with a leader, and each node's side.
 func (tb *testbed) startBudget() {
 	budgetConfig := tb.experiment.Fleet.Budget
-	s := &budgetSim{testbed: tb, config: budgetConfig.config(tb.experiment.Fleet.Nodes), state: lease.NewState(), leaseEnds: map[string]lease.Time{}, pendingResponses: map[uint64]func(budget.Response){},
+	s := &budgetSim{testbed: tb, config: budgetConfig.config(tb.experiment.Fleet.Nodes), state: lease.NewState(),
+		leaseEnds: map[string]lease.Time{}, pendingResponses: map[uint64]func(budget.Response){},
 		evenTokens: make([]float64, tb.experiment.Fleet.Nodes), evenUpdatedAt: make([]routing.Time, tb.experiment.Fleet.Nodes)}
 	tb.budgetSim = s
 	tenths := int(tb.experiment.Length.Seconds()*10) + 1
-	s.usage = BudgetUsage{DemandPerTenth: make([]int, tenths), StartedPerTenth: make([]int, tenths), ExactPerTenth: make([]int, tenths), EvenPerTenth: make([]int, tenths),
+	s.usage = BudgetUsage{DemandPerTenth: make([]int, tenths), StartedPerTenth: make([]int, tenths),
+		ExactPerTenth: make([]int, tenths), EvenPerTenth: make([]int, tenths),
 		requestedByNode: make([]int, tb.experiment.Fleet.Nodes), startedByNode: make([]int, tb.experiment.Fleet.Nodes)}
 	s.exactTokens, s.evenUnits = float64(s.config.Units), max(1, float64(s.config.Units)/float64(tb.experiment.Fleet.Nodes))
 	for i := range s.evenTokens {
@@ -143,8 +163,10 @@
 
 func (s *budgetSim) now() lease.Time { return lease.Time(s.clock.now) }
 
+// hasLeader reports whether there is a leader now.
 func (s *budgetSim) hasLeader() bool { return s.leaderElected && s.clock.now >= s.leaderlessUntil }
 
+// electLeader starts a new term. The new leader doesn't know when the leases were renewed, so it extends all of them.
 func (s *budgetSim) electLeader() {
 	s.leaderChanges++
 	result := s.apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"})
@@ -155,6 +177,7 @@
 	s.allocator.Promote(s.now(), result.Term)
 }
 
+// loseLeader stops the leader, if there is one, and delays the next election.
 func (s *budgetSim) loseLeader(duration routing.Time) {
 	s.leaderlessUntil = max(s.leaderlessUntil, s.clock.now+duration)
 	if s.leaderElected {
@@ -179,12 +202,13 @@
 	return s.state.Apply(entry)
 }
 
+// granterDuration returns how long the leader keeps a lease after a renewal.
 func (s *budgetSim) granterDuration() lease.Time {
 	b := s.experiment.Fleet.Budget
 	return lease.GranterDuration(lease.Time(b.LeaseDuration.ticks()), b.ClockDrift)
 }
 
-// sweep ends leases that have run out.
+// expireLeases revokes the leases that have expired, at intervals.
 func (s *budgetSim) expireLeases() {
 	if s.hasLeader() {
 		for i := range s.budgetNodes {
@@ -198,7 +222,7 @@
 	s.clock.schedule(sampleInterval, s.expireLeases)
 }
 
-// look notes when what was waited for is there.
+// sampleAllocation samples the units of hot nodes after a move event, and detects the end of the recovery from a kill event.
 func (s *budgetSim) sampleAllocation() {
 	budgetState := s.state.Budgets[budgetName]
 	if budgetState == nil {
@@ -210,7 +234,7 @@
 			units += budgetState.Quotas[leaseName(node)].Units
 		}
 		if s.shiftedUnits = append(s.shiftedUnits, units); s.clock.now >= s.shiftedAt+settleTime {
-			for i, sample := range s.shiftedUnits { // until nine tenths of what they come to hold in the end
+			for i, sample := range s.shiftedUnits { // the first sample with 90% of the final units
 				if sample*10 >= 9*units {
 					s.usage.ShiftSeconds = append(s.usage.ShiftSeconds, float64(i)*float64(sampleInterval)/float64(second))
 					break
@@ -231,9 +255,7 @@
 	}
 }
 
-// The division is its divider's host.
-
-// Propose is for budget.Host, as all below.
+// Propose implements budget.Host.
 func (s *budgetSim) Propose(ref uint64, entry lease.Entry) {
 	leaderChanges := s.leaderChanges
 	s.clock.schedule(s.experiment.Fleet.Budget.LogDelay.ticks(), func() {
@@ -244,7 +266,7 @@
 	})
 }
 
-// Respond ends an asking.
+// Respond implements budget.Host.
 func (s *budgetSim) Respond(id uint64, response budget.Response) {
 	if respond := s.pendingResponses[id]; respond != nil {
 		delete(s.pendingResponses, id)
@@ -252,7 +274,7 @@
 	}
 }
 
-// SetAlarm books the divider's alarm.
+// SetAlarm implements budget.Host.
 func (s *budgetSim) SetAlarm(alarmTime lease.Time) {
 	s.alarmAt = routing.Time(alarmTime)
 	s.clock.schedule(s.alarmAt-s.clock.now, func() {
@@ -262,7 +284,7 @@
 	})
 }
 
-// begin starts a node's process: its name is claimed until it is had.
+// start starts a node's process. It applies the reserved units, and tries to acquire the node's lease until it succeeds.
 func (n *budgetNode) start() {
 	incarnation, s := n.incarnation, n.sim
 	n.applyQuota(s.config, s.config.ReservedPerNode, s.config.ReservedPerNode, 0)
@@ -281,14 +303,16 @@
 				s.clock.schedule(50*routing.Millisecond, claim)
 				return
 			}
-			result := s.apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: leaseName(n.index), Holder: lease.Holder{Name: fmt.Sprint(n.index), Process: n.incarnation}})
+			result := s.apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: leaseName(n.index),
+				Holder: lease.Holder{Name: fmt.Sprint(n.index), Process: n.incarnation}})
 			if result.Err != nil {
 				s.clock.schedule(50*routing.Millisecond, claim)
 				return
 			}
 			s.leaseEnds[leaseName(n.index)] = s.now() + s.granterDuration()
 			n.leaseToken, n.leaseEnd = result.Token, sentAt+n.holderDuration()
-			n.client = budget.NewQuotaClient(n, s.now(), leaseName(n.index), n.leaseToken, 1, map[string]lease.BudgetConfig{budgetName: s.config}, n.leaseEnd,
+			n.client = budget.NewQuotaClient(n, s.now(), leaseName(n.index), n.leaseToken, 1,
+				map[string]lease.BudgetConfig{budgetName: s.config}, n.leaseEnd,
 				min(lease.Time(s.experiment.Demand.TimeLimit.ticks()), lease.Time(s.experiment.Fleet.Budget.LeaseDuration.ticks()/3)))
 			n.scheduleRenewal(incarnation)
 		})
@@ -296,6 +320,7 @@
 	s.clock.schedule(routing.Time(float64(100*routing.Millisecond)*s.fleetRand.Float64()), claim)
 }
 
+// holderDuration returns how long the node relies on its lease after it has sent a renewal.
 func (n *budgetNode) holderDuration() lease.Time {
 	b := n.sim.experiment.Fleet.Budget
 	return lease.HolderDuration(lease.Time(b.LeaseDuration.ticks()), b.ClockDrift)
@@ -303,11 +328,13 @@
 
 func (s *budgetSim) oneWayDelay() routing.Time { return s.experiment.Network.OneWayDelay.ticks() }
 
-// heard says whether the leader and the node hear each other now.
+// canReachLeader reports whether messages between the node and a leader arrive now.
 func (n *budgetNode) canReachLeader() bool {
 	return !n.isDown && n.sim.hasLeader() && n.sim.clock.now >= n.disconnectedUntil
 }
 
+// scheduleRenewal renews the lease after a third of its duration, and again after each further third. If the lease has been
+// revoked, it starts the node's side anew.
 func (n *budgetNode) scheduleRenewal(incarnation int) {
 	s := n.sim
 	s.clock.schedule(s.experiment.Fleet.Budget.LeaseDuration.ticks()/3, func() {
@@ -315,7 +342,7 @@
 			return
 		}
 		sentAt, token := s.now(), n.leaseToken
-		if current := s.state.Leases[leaseName(n.index)]; current.Token != token && n.canReachLeader() { // it ran out: anew
+		if current := s.state.Leases[leaseName(n.index)]; current.Token != token && n.canReachLeader() { // the lease was revoked
 			n.incarnation++
 			n.client = nil
 			n.start()
@@ -335,12 +362,14 @@
 	})
 }
 
-// kill ends the process for good, or for a while.
+// kill ends the node's process without releasing its lease.
 func (n *budgetNode) kill() {
 	n.incarnation++
 	n.isDown, n.client = true, nil
 }
 
+// applyQuota sets the quota of the node's balancer, with reservedUnits from the end of remaining on. The rates are lowered by
+// the clock drift, since the node's clock may be fast. Other policies have no limit.
 func (n *budgetNode) applyQuota(config lease.BudgetConfig, units, reservedUnits int, remaining routing.Time) allowance.Usage {
 	rateFactor := 1 - n.sim.experiment.Fleet.Budget.ClockDrift
 	balancer, ok := n.sim.nodes[n.index].policy.(*routing.Balancer)
@@ -349,24 +378,24 @@
 	}
 	if n.sim.experiment.Fleet.Budget.Allocation == "even" {
 		units, reservedUnits = 0, 0
-		return balancer.SetQuota(n.sim.clock.now, n.limit, 0, allowance.Quota{Concurrency: config.Kind == lease.ConcurrencyKind, Rate: n.sim.config.RatePerUnit * float64(n.sim.config.Units) / float64(len(n.sim.nodes)),
+		return balancer.SetQuota(n.sim.clock.now, n.limit, 0, allowance.Quota{Concurrency: config.Kind == lease.ConcurrencyKind,
+			Rate:  n.sim.config.RatePerUnit * float64(n.sim.config.Units) / float64(len(n.sim.nodes)),
 			Burst: n.sim.evenUnits, Until: math.MaxInt64})
 	}
-	quota := allowance.Quota{Concurrency: config.Kind == lease.ConcurrencyKind, Burst: float64(units), ThenBurst: float64(reservedUnits), Until: int64(n.sim.clock.now + remaining)}
+	quota := allowance.Quota{Concurrency: config.Kind == lease.ConcurrencyKind, Burst: float64(units), ThenBurst: float64(reservedUnits),
+		Until: int64(n.sim.clock.now + remaining)}
 	if !quota.Concurrency {
 		quota.Rate, quota.ThenRate = config.RatePerUnit*rateFactor*float64(units), config.RatePerUnit*rateFactor*float64(reservedUnits)
 	}
 	return balancer.SetQuota(n.sim.clock.now, n.limit, 0, quota)
 }
 
-// quotaHolder is the host of its quota client.
-
-// SetQuota is for budget.Acts, as all below.
+// SetQuota implements budget.ClientHost.
 func (n *budgetNode) SetQuota(_ string, config lease.BudgetConfig, units, reservedUnits int, end lease.Time) allowance.Usage {
 	return n.applyQuota(config, units, reservedUnits, routing.Time(end)-n.sim.clock.now)
 }
 
-// Send sends an asking to the leader.
+// Send implements budget.ClientHost. It sends a request to the leader.
 func (n *budgetNode) Send(request budget.Request) {
 	n.lastSendID++
 	sendID, incarnation, s := n.lastSendID, n.incarnation, n.sim
@@ -393,14 +422,14 @@
 		}
 		s.allocator.Handle(s.now(), requestID, request)
 	})
-	s.clock.schedule(routing.Time(request.Wait)+300*routing.Millisecond, func() { // no answer in time
+	s.clock.schedule(routing.Time(request.Wait)+300*routing.Millisecond, func() { // the response is late or lost
 		if isCurrent() {
 			n.client.HandleTimeout(s.now())
 		}
 	})
 }
 
-// SetAlarm books the purse's alarm.
+// SetAlarm implements budget.ClientHost.
 func (n *budgetNode) SetAlarm(alarmTime lease.Time) {
 	incarnation := n.incarnation
 	n.sim.clock.schedule(routing.Time(alarmTime)-n.sim.clock.now, func() {
@@ -410,7 +439,7 @@
 	})
 }
 
-// wants notes a lookup that wants a fetch, and asks the limiters that only look on.
+// recordDemand counts a write that a node receives, and whether the exact and the even limiters would allow it.
 func (s *budgetSim) recordDemand(node int) {
 	tenth, now := s.tenthIndex(), s.clock.now
 	if tenth >= len(s.usage.DemandPerTenth) {
@@ -434,9 +463,10 @@
 	}
 }
 
+// tenthIndex returns the index of the current 0.1 s in the counters of BudgetUsage.
 func (s *budgetSim) tenthIndex() int { return int((s.clock.now - startTime) / (second / 10)) }
 
-// fetched notes a fetch that comes to the origin, and holds it against the whole.
+// fetchStarted counts an attempt that reaches the origin and updates PeakShare.
 func (s *budgetSim) fetchStarted(node int) {
 	if tenth := s.tenthIndex(); tenth < len(s.usage.StartedPerTenth) {
 		s.usage.StartedPerTenth[tenth]++
@@ -453,9 +483,10 @@
 	}
 }
 
+// fetchEnded counts the end of an attempt at the origin.
 func (s *budgetSim) fetchEnded() { s.inFlight-- }
 
-// Ratios gives the shares of the whole in use, and of what one exact limiter gives, from a second on to another.
+// Shares returns the mean use between two seconds relative to the limit, and what the exact and the even limiters allow.
 func (u *BudgetUsage) Shares(limit float64, fromSecond, toSecond int) (usedShare, exactShare, evenShare float64) {
 	share := func(counts []int) (total float64) {
 		for i := fromSecond * 10; i < min(toSecond*10, len(counts)); i++ {
@@ -466,7 +497,8 @@
 	return share(u.StartedPerTenth), share(u.ExactPerTenth), share(u.EvenPerTenth)
 }
 
-// Jain gives the fairness of what nodes had, each beside what it should have had by max-min of what they wanted.
+// JainFairness returns Jain's fairness index of the nodes' attempts at the origin, each relative to the node's max-min fair
+// share of their sum.
 func (u *BudgetUsage) JainFairness() float64 {
 	total := 0
 	for _, started := range u.startedByNode {
@@ -497,21 +529,22 @@
 	return sum * sum / n / squares
 }
 
-// moved begins to look at what nodes come to hold whose demand has just risen.
+// watchShift begins to sample the units of nodes that have become hot. It ignores the first 10 s, in which the allocation
+// starts from nothing.
 func (s *budgetSim) watchShift(hotNodes []int) {
 	if s.clock.now > startTime+10*second {
 		s.shiftedNodes, s.shiftedAt, s.shiftedUnits = hotNodes, s.clock.now, nil
 	}
 }
 
-// killed begins to wait until as much is given again as before.
+// watchRecovery begins to wait until the live nodes hold 90% of the units that are allocated now.
 func (s *budgetSim) watchRecovery() {
 	if budgetState := s.state.Budgets[budgetName]; budgetState != nil {
 		s.recoveryUnits, s.nodesKilledAt = budgetState.Allocated()*9/10, s.clock.now
 	}
 }
 
-// Line tells a run's use of its budget in words; the first ten seconds, in which all begins, don't count.
+// Line returns a summary of the usage. Its shares leave out the first 10 s, in which the allocation starts from nothing.
 func (u *BudgetUsage) Line(e *Experiment) string {
 	nodes, seconds := float64(e.Fleet.Nodes), e.Length.Seconds()
 	usedShare, exactShare, evenShare := u.Shares(e.Fleet.Budget.Limit, 10, int(seconds))
@@ -529,10 +562,11 @@
 	return text + fmt.Sprintf("; %.2f messages a node and second, %.2f entries a node in 10 s", float64(u.Messages)/nodes/seconds, float64(u.LogEntries)/nodes/seconds*10)
 }
 
-// UseHeader is the first line of a table of use.
+// UseHeader is the header record of the CSV file of budget usage.
 var UseHeader = []string{"experiment", "second", "wanted", "used", "exact", "even"}
 
-// Write writes the shares of the whole that were wanted, used, and given by others, second by second.
+// Write writes a CSV record for each second, without the header: the demand, the use, and what the exact and the even
+// limiters allow, relative to the limit.
 func (u *BudgetUsage) Write(w *csv.Writer, e *Experiment) error {
 	for start := 0; start+10 <= len(u.DemandPerTenth); start += 10 {
 		record := []string{e.Name, strconv.Itoa(start / 10)}
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -7,17 +7,18 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// checker holds a run against the rules, from what clients and servers see alone: it knows nothing of how a policy
-// decides, so that a faulty one is caught.
+// checker verifies that a run keeps the rules. It sees only what clients and servers see and shares no code with the
+// policies, so that it detects a faulty policy.
 type checker struct {
 	tb                             *testbed
 	offeredRequests, endedRequests int
 	openRequests                   map[*pendingRequest]bool
-	writeRuns                      map[*clientRequest]int
-	violationCounts                map[string]int
-	violations                     []string // the first few, in words
+	writeRuns                      map[*clientRequest]int // how many times a server executed each write
+	violationCounts                map[string]int         // by name of the rule
+	violations                     []string               // messages of the first maxViolations violations
 }
 
+// maxViolations limits the violations that are kept with a message; all are counted.
 const maxViolations = 10
 
 func newChecker(tb *testbed) *checker {
@@ -31,33 +32,37 @@
 	}
 }
 
+// requestStarted reports a violation if the request has no final answer 10 ms after its deadline.
 func (c *checker) requestStarted(req *pendingRequest) {
 	c.openRequests[req] = true
 	c.tb.clock.schedule(req.deadline-c.tb.clock.now+10*routing.Millisecond, func() {
 		if !req.ended {
-			c.recordViolation("lost", "no final answer 1 ms after its limit")
+			c.recordViolation("lost", "no final answer 10 ms after the deadline")
 			req.ended = true
 			delete(c.openRequests, req)
 		}
 	})
 }
 
-// shot is asked for each before it leaves.
+// attemptStarted checks an attempt before it is sent and before it is added to the request.
 func (c *checker) attemptStarted(n *node, req *pendingRequest, a *attempt) {
 	switch {
 	case req.ended:
-		c.recordViolation("lost", "a shot after the final answer")
+		c.recordViolation("lost", "attempt sent after the final answer")
 	case len(req.attempts) >= c.tb.experiment.Rules.MaxAttempts:
-		c.recordViolation("shots", "more than %d", c.tb.experiment.Rules.MaxAttempts)
+		c.recordViolation("shots", "more than %d attempts", c.tb.experiment.Rules.MaxAttempts)
 	}
-	if drainedSince, isDraining := n.drainedSince[a.server.endpoint.Server]; isDraining && c.tb.clock.now > drainedSince+c.tb.experiment.Rules.DrainGrace.ticks() {
-		c.recordViolation("drain", "node %d shoots at %s, told to spare it %.1f s ago", n.index, a.server.endpoint.ID,
+	if drainedSince, isDraining := n.drainedSince[a.server.endpoint.Server]; isDraining &&
+		c.tb.clock.now > drainedSince+c.tb.experiment.Rules.DrainGrace.ticks() {
+		c.recordViolation("drain", "node %d sends an attempt to %s, which the endpoint list has shown as not ready for %.1f s",
+			n.index, a.server.endpoint.ID,
 			float64(c.tb.clock.now-drainedSince)/float64(second))
 	}
 }
 
-// arrived counts shots at a cache that starts cold, from all nodes. It falls under more in a window than the settings allow
-// it by then and 2 x root of that and 2, which are put down to chance.
+// attemptArrived limits the attempts that all nodes together send to a cache in slow start. The expected number of a
+// window is the overload factor times what the cache can serve at its current capacity. The bound adds
+// 2*sqrt(expected) + 2 for random variation.
 func (c *checker) attemptArrived(s *server) {
 	if s.isOrigin || s.endpoint.State != routing.Ready || s.capacityShare() == 1 {
 		return
@@ -67,43 +72,47 @@
 	for s.arrivalTimes[0] <= c.tb.clock.now-window {
 		s.arrivalTimes = s.arrivalTimes[1:]
 	}
-	expected := c.tb.experiment.Rules.OverloadFactor * s.capacityShare() * s.warmJobsPerSecond() * c.tb.experiment.Rules.OverloadWindow.Seconds()
+	expected := c.tb.experiment.Rules.OverloadFactor * s.capacityShare() * s.warmJobsPerSecond() *
+		c.tb.experiment.Rules.OverloadWindow.Seconds()
 	if bound := expected + 2*math.Sqrt(expected) + 2; float64(len(s.arrivalTimes)) > bound {
-		c.recordViolation("cold", "%s gets %d shots in %v, bears %.1f", s.endpoint.ID, len(s.arrivalTimes), c.tb.experiment.Rules.OverloadWindow, bound)
+		c.recordViolation("cold", "%s received %d attempts in %v, more than %.1f", s.endpoint.ID, len(s.arrivalTimes),
+			c.tb.experiment.Rules.OverloadWindow, bound)
 		s.arrivalTimes = s.arrivalTimes[:0]
 	}
 }
 
-// ran says that a server has done what a lookup asks.
+// requestServed counts that a server executed the request; a write must be executed once at most.
 func (c *checker) requestServed(req *pendingRequest) {
 	if req.isWrite {
 		if c.writeRuns[req.clientRequest]++; c.writeRuns[req.clientRequest] > 1 {
-			c.recordViolation("twice", "a write has run %d times", c.writeRuns[req.clientRequest])
+			c.recordViolation("twice", "a write was executed %d times", c.writeRuns[req.clientRequest])
 		}
 	}
 }
 
+// requestEnded checks a final answer.
 func (c *checker) requestEnded(req *pendingRequest, result outcome) {
 	switch {
 	case req.ended || !c.openRequests[req]:
-		c.recordViolation("lost", "a second final answer")
+		c.recordViolation("lost", "second final answer")
 	case c.tb.clock.now > req.deadline+10*routing.Millisecond:
-		c.recordViolation("lost", "a final answer after the limit")
+		c.recordViolation("lost", "final answer more than 10 ms after the deadline")
 	}
-	// A deferral promises that a write has not run: a shot that may have is one that was not proved otherwise.
+	// A rejection tells the client that the write was not executed. A policy must therefore not reject a write if one of
+	// its attempts may have been executed.
 	if result == outcomeRejected && req.isWrite && c.writeRuns[req.clientRequest] > 0 {
-		c.recordViolation("twice", "a write that has run is deferred")
+		c.recordViolation("twice", "a write was rejected as safe to retry but had been executed")
 	}
 	delete(c.openRequests, req)
 }
 
-// close looks whether all that came has ended, once.
+// checkEnd checks at the end of a run that every request has ended exactly once.
 func (c *checker) checkEnd() {
 	if len(c.openRequests) > 0 {
-		c.recordViolation("lost", "%d lookups are open at the end", len(c.openRequests))
+		c.recordViolation("lost", "%d requests have no final answer at the end", len(c.openRequests))
 	}
 	series := c.tb.series
 	if total := series.total(); total.InTime+total.Late+total.Refused+total.Failed != c.endedRequests || c.endedRequests != c.offeredRequests {
-		c.recordViolation("conservation", "%d requests came, %d ended: %+v", c.offeredRequests, c.endedRequests, total)
+		c.recordViolation("conservation", "%d requests arrived, %d ended: %+v", c.offeredRequests, c.endedRequests, total)
 	}
 }
--- a/internal/simulation/ejections.go
+++ b/internal/simulation/ejections.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	reportInterval = 500 * routing.Millisecond // as the nodes on sockets do
-	pollInterval   = 50 * routing.Millisecond
-	probeTimeout   = 500 * routing.Millisecond
+	reportInterval = 500 * routing.Millisecond // between a node's reports of its ejections, as in real nodes
+	pollInterval   = 50 * routing.Millisecond  // between checks for due probes and for the end of ejections
+	probeTimeout   = 500 * routing.Millisecond // of a probe of a silent cache
 )
 
-// silenceStats is what was seen of caches that fell silent.
+// silenceStats describes how nodes treat caches that stop answering without leaving the endpoint list.
 type silenceStats struct {
-	Silent          float64      // seconds of silence, all caches together
-	Attempts        int          // lookups' shots that silent caches got,
-	NodeProbes      int          // those of them with which a node tried a cache that rested there,
-	ClusterProbes   int          // and the fleet's trials
-	ReuseSeconds    []float64    // seconds from a cache's return until each node that rested it used it again
-	leaderlessUntil routing.Time // until when the fleet is silent
+	Silent          float64      // seconds of silence, summed over the caches
+	Attempts        int          // attempts of requests that reached a silent cache
+	NodeProbes      int          // those attempts that a node sent to a cache it had ejected
+	ClusterProbes   int          // probes on behalf of the whole cluster that reached a silent cache
+	ReuseSeconds    []float64    // per cache and node that ejected it: seconds from the silence's end to the ejection's end
+	leaderlessUntil routing.Time // no leader schedules probes before this time
 }
 
-// ejector is a policy that ejects servers, and hears of others' probes.
+// ejector is a Policy that ejects failing servers and accepts the results of probes on behalf of the cluster.
 type ejector interface {
 	IsEjected(server int) bool
 	ProbeResult(now routing.Time, server int, healthy bool, next routing.Time)
 }
 
-// The nodes find out at run time whether their policy is one.
+// Nodes check by a type assertion whether their policy is an ejector.
 var _ ejector = (*routing.Balancer)(nil)
 
-// silence lets caches hear nothing for a while, and looks when the nodes use them again.
+// silenceCaches makes caches ignore all attempts for a duration. Afterwards it records when the nodes that have ejected
+// them end their ejections.
 func (tb *testbed) silenceCaches(caches []*server, duration routing.Time) {
 	for _, s := range caches {
 		s.isSilent = true
@@ -63,7 +64,7 @@
 	}
 }
 
-// until looks again and again.
+// pollUntil calls done at intervals until it returns true.
 func (tb *testbed) pollUntil(done func() bool) {
 	tb.clock.schedule(pollInterval, func() {
 		if !done() {
@@ -72,13 +73,14 @@
 	})
 }
 
-// probe lets one node try resting caches for all, by the board that a fleet's leader keeps.
+// startProbes simulates probes on behalf of the whole cluster. Nodes report their ejections to the leader's
+// lease.ProbeScheduler, each ejected cache is probed once for all nodes, and the nodes learn the result.
 func (tb *testbed) startProbes() {
 	scheduler := lease.NewProbeScheduler()
 	oneWay := tb.experiment.Network.OneWayDelay.ticks()
 	hasLeader := func() bool {
 		if tb.clock.now < tb.silenceStats.leaderlessUntil {
-			scheduler = lease.NewProbeScheduler() // the next leader begins with nothing
+			scheduler = lease.NewProbeScheduler() // a new leader has no reports
 			return false
 		}
 		return true
@@ -86,7 +88,7 @@
 	for i := range tb.nodes {
 		var report func()
 		report = func() {
-			n := tb.nodes[i] // another after a restart
+			n := tb.nodes[i] // a restart replaces the node
 			if ej, ok := n.policy.(ejector); ok && hasLeader() {
 				for _, server := range slices.Sorted(maps.Keys(n.knownEndpoints)) {
 					if n.knownEndpoints[server].State != routing.Ready || !ej.IsEjected(server) {
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -1,6 +1,7 @@
-// Package simulation plays a fleet in simulated time: clients, nodes, caches, an origin and a discovery service. The nodes
-// decide by the same routing.Balancer as the real ones, or by plain baselines. A run is told by its description and its
-// seed alone, so that designs can be tried at sizes that sockets do not reach.
+// Package simulation is a discrete-event simulation of a fleet: clients, nodes, caches, an origin and a discovery service
+// share one virtual clock. Nodes decide with the same routing.Balancer as real nodes, or with a simple baseline policy. The
+// result depends only on the experiment, the policy and the seed. The simulation reaches fleet sizes that are out of reach
+// for tests with real connections.
 package simulation
 
 import (
@@ -17,10 +18,10 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Span is a time of a description, as 200ms or 2s.
+// Duration is a duration in an experiment file, such as "200ms" or "2s".
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads one.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (s *Duration) UnmarshalText(text []byte) (err error) {
 	if s.Duration, err = time.ParseDuration(string(text)); err != nil {
 		return fmt.Errorf("expected a time in quotes with its unit, as \"200ms\" or \"2s\", not %s", text)
@@ -28,14 +29,14 @@
 	return nil
 }
 
-// ticks gives it on the module's clock.
+// ticks returns the duration in the unit of routing.Time.
 func (s Duration) ticks() routing.Time { return ticks(s.Duration) }
 
 func ticks(d time.Duration) routing.Time {
 	return routing.Time(d / (time.Millisecond / time.Duration(routing.Millisecond)))
 }
 
-// Experiment is what is to be played.
+// Experiment describes the runs of a simulation. It is read from a TOML file.
 type Experiment struct {
 	Name     string       `toml:"name"`
 	Seed     uint64       `toml:"seed"`
@@ -47,81 +48,95 @@
 	Demand   Demand       `toml:"demand"`
 	Rules    Rules        `toml:"rules"`
 	Events   []Event      `toml:"event"`
-	// Vary has lists of values under keys of a description. Each value makes one more, else like this one.
+	// Vary maps keys of an experiment to lists of values. Each value defines one more experiment, which differs from this
+	// one in that key only.
 	Vary map[string]any `toml:"vary"`
 }
 
-// Station is a server: places at which it works, a queue before them, and how long a lookup takes.
+// ServerConfig configures a kind of server. It executes as many jobs at a time as it has slots, and queues further ones.
 type ServerConfig struct {
 	Slots   int      `toml:"slots"`
 	Queue   int      `toml:"queue"`
-	Service Duration `toml:"service"` // mean
-	Shape   string   `toml:"shape"`   // fixed or exponential
+	Service Duration `toml:"service"` // mean service time of a job
+	Shape   string   `toml:"shape"`   // distribution of service times: fixed or exponential
 }
 
-// Fleet is the nodes and the caches.
+// Fleet configures the nodes and the caches.
 type Fleet struct {
 	Nodes  int `toml:"nodes"`
 	Caches int `toml:"caches"`
 	ServerConfig
-	MissCost      float64  `toml:"miss"` // share of a hit's work that finding nothing takes
-	CacheSize     int      `toml:"keep"` // values that a cache holds; the one used longest ago goes
-	ColdShare     float64  `toml:"cold_share"`
-	WarmUp        Duration `toml:"warm_up"`
-	Budget        *Budget  `toml:"budget"`
-	ClusterProbes bool     `toml:"probe"` // one node tries resting caches for all, and the others hear of it
+	MissCost      float64  `toml:"miss"`       // service time of a miss, relative to that of a hit
+	CacheSize     int      `toml:"keep"`       // keys that a cache holds; it evicts the least recently used one
+	ColdShare     float64  `toml:"cold_share"` // share of its capacity that a cache has right after its start
+	WarmUp        Duration `toml:"warm_up"`    // from a cache's start to its full capacity
+	Budget        *Budget  `toml:"budget"`     // nil: no limit of fetches
+	ClusterProbes bool     `toml:"probe"`      // ejected caches are probed once for all nodes, which learn the result
 }
 
-// Network is the way between any two, and how news spreads.
+// Network configures delays.
 type Network struct {
-	OneWayDelay          Duration `toml:"one_way"`
-	MaxNotificationDelay Duration `toml:"notice"` // the longest until a node hears of a change
+	OneWayDelay          Duration `toml:"one_way"` // between any two machines
+	MaxNotificationDelay Duration `toml:"notice"`  // largest delay until a node learns of a change of the endpoint list; the delay is uniformly random
 }
 
-// Demand is what clients ask.
+// Demand configures the requests of clients.
 type Demand struct {
-	RequestsPerSecond float64  `toml:"rate"` // lookups a second before all nodes
-	KeyCount          uint64   `toml:"keys"`
-	ZipfExponent      float64  `toml:"skew"`   // of Zipf's law, above 1
-	WriteShare        float64  `toml:"writes"` // share, each with an effect that must not happen twice
-	MaxTries          int      `toml:"tries"`  // a client asks so often at the most, after deferrals
-	LatencyTarget     Duration `toml:"target"`
-	TimeLimit         Duration `toml:"limit"`
-	HotFactor         float64  `toml:"hot"` // how many times as much the nodes of a move are asked as others
+	RequestsPerSecond float64  `toml:"rate"`   // new requests at all nodes together
+	KeyCount          uint64   `toml:"keys"`   // number of different keys
+	ZipfExponent      float64  `toml:"skew"`   // exponent of the Zipf distribution of keys, above 1
+	WriteShare        float64  `toml:"writes"` // share of requests that are writes, which must not be executed twice
+	MaxTries          int      `toml:"tries"`  // maximum number of times a client sends a request that is rejected
+	LatencyTarget     Duration `toml:"target"` // a later answer counts as late
+	TimeLimit         Duration `toml:"limit"`  // from each try to the request's deadline
+	HotFactor         float64  `toml:"hot"`    // after a move event: requests of a hot node relative to those of another node
 }
 
-// Rules is what the checker holds a run against.
+// Rules configures the checker, and the limits of the policies that must keep its rules.
 type Rules struct {
-	MaxAttempts    int      `toml:"shots"`
-	DrainGrace     Duration `toml:"grace"` // from a drain's news to the last new shot
-	OverloadFactor float64  `toml:"overload"`
-	OverloadWindow Duration `toml:"window"`
+	MaxAttempts    int      `toml:"shots"`    // maximum number of attempts of a request at a node
+	DrainGrace     Duration `toml:"grace"`    // after a node learns that a server drains, it may still send attempts for this long
+	OverloadFactor float64  `toml:"overload"` // limit of attempts at a cache in slow start, relative to its current capacity
+	OverloadWindow Duration `toml:"window"`   // window in which these attempts are counted
 }
 
-// Event is something that happens.
+// Event is a change of the fleet or of the demand during a run. Its kind determines which keys it needs.
 type Event struct {
-	Start    Duration `toml:"at"`
-	Kind     string   `toml:"what"`
-	Caches   int      `toml:"caches"`
-	Nodes    int      `toml:"nodes"`
-	Factor   float64  `toml:"factor"`
-	Duration Duration `toml:"for"`
+	Start    Duration `toml:"at"`     // time from the start of the run
+	Kind     string   `toml:"what"`   // one of EventKinds
+	Caches   int      `toml:"caches"` // number of caches affected
+	Nodes    int      `toml:"nodes"`  // number of nodes affected
+	Factor   float64  `toml:"factor"` // multiplies service times (slow) or the request rate (demand)
+	Duration Duration `toml:"for"`    // how long the change lasts
 }
 
-// whats are the kinds of event, with what each needs.
+// eventChecks maps each kind of event to the check of the keys that it needs. A check returns an error message, or an empty
+// string if the event is valid.
 var eventChecks = map[string]func(e Event) string{
-	"add":     func(e Event) string { return atLeast("caches", e.Caches, 1) },
-	"drain":   func(e Event) string { return atLeast("caches", e.Caches, 1) },
-	"crash":   func(e Event) string { return atLeast("caches", e.Caches, 1) },
+	// Cold caches join.
+	"add": func(e Event) string { return atLeast("caches", e.Caches, 1) },
+	// Caches drain, then leave.
+	"drain": func(e Event) string { return atLeast("caches", e.Caches, 1) },
+	// Caches fail and leave the endpoint list.
+	"crash": func(e Event) string { return atLeast("caches", e.Caches, 1) },
+	// Nodes are killed and started again at once.
 	"restart": func(e Event) string { return atLeast("nodes", e.Nodes, 1) },
-	"slow":    func(e Event) string { return firstNonEmpty(atLeast("caches", e.Caches, 1), checkFactorAndDuration(e)) },
-	"demand":  checkFactorAndDuration,
-	"shift":   func(Event) string { return "" },
-	"silent":  func(e Event) string { return firstNonEmpty(atLeast("caches", e.Caches, 1), checkDuration(e)) },
-	"unled":   checkDuration,
-	"move":    func(e Event) string { return atLeast("nodes", e.Nodes, 1) },
-	"kill":    func(e Event) string { return atLeast("nodes", e.Nodes, 1) },
-	"cut":     func(e Event) string { return firstNonEmpty(atLeast("nodes", e.Nodes, 1), checkDuration(e)) },
+	// Service times of caches are multiplied.
+	"slow": func(e Event) string { return firstNonEmpty(atLeast("caches", e.Caches, 1), checkFactorAndDuration(e)) },
+	// The request rate is multiplied.
+	"demand": checkFactorAndDuration,
+	// Other keys become popular.
+	"shift": func(Event) string { return "" },
+	// Caches ignore attempts and stay on the endpoint list.
+	"silent": func(e Event) string { return firstNonEmpty(atLeast("caches", e.Caches, 1), checkDuration(e)) },
+	// The cluster has no leader.
+	"unled": checkDuration,
+	// These nodes become hot, others are no longer.
+	"move": func(e Event) string { return atLeast("nodes", e.Nodes, 1) },
+	// Nodes end for good.
+	"kill": func(e Event) string { return atLeast("nodes", e.Nodes, 1) },
+	// Nodes can't reach the leader of the cluster.
+	"cut": func(e Event) string { return firstNonEmpty(atLeast("nodes", e.Nodes, 1), checkDuration(e)) },
 }
 
 func atLeast(key string, n, minimum int) string {
@@ -154,33 +169,36 @@
 	return ""
 }
 
-// most bounds what a description may ask for, so that a slip doesn't take a machine down.
+// These limits of an experiment keep a typing error from exhausting the machine.
 const (
 	maxNodes  = 20_000
 	maxCaches = 6_000
-	// pairsMost bounds what all nodes together know of caches, those added later included: some 0.35 KB a pair, as 7.1 GB with
-	// 20,000 nodes and 1,000 caches, and 7.8 GB with 3,500 and 5,700.
+	// maxPairs limits the number of nodes times the number of caches, including those added by events, since each node keeps
+	// state of each cache. A pair takes about 0.35 KB: 20,000 nodes and 1,000 caches take 7.1 GB, 3,500 nodes and 5,700 caches
+	// 7.8 GB.
 	maxPairs    = 20_000_000
-	maxRequests = 50_000_000
+	maxRequests = 50_000_000 // at the configured rate over the whole length
 )
 
-// caches counts those of the start and all that are added.
+// totalCaches returns the number of caches, including those added by events.
 func (e *Experiment) totalCaches() int {
 	n := e.Fleet.Caches
 	for _, ev := range e.Events {
 		if ev.Kind == "add" {
-			n += max(0, min(ev.Caches, 1<<30)) // a sum of slips must not wrap round
+			n += max(0, min(ev.Caches, 1<<30)) // keeps the sum from overflowing
 		}
 	}
 	return n
 }
 
-// AtOnce tells how many runs of an experiment may be played at a time, one at least: all keep their pairs in memory.
+// AtOnce returns how many runs of the experiment may be simulated at the same time, which is 1 or more. The runs together
+// keep about maxPairs pairs in memory.
 func (e *Experiment) AtOnce() int {
 	return max(1, maxPairs/max(1, e.Fleet.Nodes*e.totalCaches()))
 }
 
-// Read reads a description from a file, and all that it varies to. The error names each place, and what was expected there.
+// Read reads an experiment from a TOML file and returns it, followed by the variants of its vary table. The error names
+// each invalid key with what is expected there.
 func Read(path string) ([]*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -197,7 +215,7 @@
 	return append([]*Experiment{e}, variants...), nil
 }
 
-// Parse reads a description. What is left out takes a value of a middling fleet.
+// Parse parses an experiment from TOML. Keys that are left out have the values of a medium-sized fleet.
 func Parse(text []byte) (*Experiment, error) {
 	second := Duration{time.Second}
 	e := &Experiment{Name: "unnamed", Seed: 1, Length: Duration{time.Minute}, Policies: []string{"ranges"},
@@ -205,8 +223,8 @@
 			MissCost: 0.2, CacheSize: 2000, ColdShare: 0.25, WarmUp: Duration{15 * time.Second}},
 		Origin:  ServerConfig{20, 200, Duration{60 * time.Millisecond}, "exponential"},
 		Network: Network{Duration{500 * time.Microsecond}, second},
-		Demand: Demand{RequestsPerSecond: 400, KeyCount: 10000, ZipfExponent: 1.1, WriteShare: 0.04, MaxTries: 3, LatencyTarget: Duration{200 * time.Millisecond},
-			TimeLimit: Duration{750 * time.Millisecond}, HotFactor: 10},
+		Demand: Demand{RequestsPerSecond: 400, KeyCount: 10000, ZipfExponent: 1.1, WriteShare: 0.04, MaxTries: 3,
+			LatencyTarget: Duration{200 * time.Millisecond}, TimeLimit: Duration{750 * time.Millisecond}, HotFactor: 10},
 		Rules: Rules{3, Duration{500 * time.Millisecond}, 4, Duration{1500 * time.Millisecond}}}
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -229,6 +247,7 @@
 	return e, e.check()
 }
 
+// check returns an error that lists all invalid values.
 func (e *Experiment) check() error {
 	var errs []error
 	require := func(ok bool, key, expected string, got any) {
@@ -263,7 +282,8 @@
 	require(e.Network.OneWayDelay.Duration >= 0, "network.one_way", "0s or more", e.Network.OneWayDelay)
 	require(e.Network.MaxNotificationDelay.Duration >= 0, "network.notice", "0s or more", e.Network.MaxNotificationDelay)
 	require(e.Demand.RequestsPerSecond > 0, "demand.rate", "a number above 0", e.Demand.RequestsPerSecond)
-	require(e.Demand.RequestsPerSecond*e.Length.Seconds() <= maxRequests, "demand.rate", fmt.Sprintf("%d lookups in all at most", maxRequests), e.Demand.RequestsPerSecond)
+	require(e.Demand.RequestsPerSecond*e.Length.Seconds() <= maxRequests, "demand.rate",
+		fmt.Sprintf("%d lookups in all at most", maxRequests), e.Demand.RequestsPerSecond)
 	require(e.Demand.KeyCount >= 1, "demand.keys", "1 or more", e.Demand.KeyCount)
 	require(e.Demand.ZipfExponent > 1, "demand.skew", "a number above 1", e.Demand.ZipfExponent)
 	require(e.Demand.WriteShare >= 0 && e.Demand.WriteShare <= 1, "demand.writes", "a share from 0 to 1", e.Demand.WriteShare)
@@ -291,10 +311,10 @@
 	return errors.Join(errs...)
 }
 
-// Whats names the kinds of event.
+// EventKinds returns the names of the kinds of event, sorted.
 func EventKinds() []string { return sortedKeys(eventChecks) }
 
-// Policies names what nodes can decide by.
+// Policies returns the names of the policies, sorted.
 func Policies() []string { return sortedKeys(policies) }
 
 func sortedKeys[T any](m map[string]T) []string {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -6,41 +6,43 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// request is what a client wants; it may ask several times for it.
+// clientRequest is a request of a client, which may retry it after rejections.
 type clientRequest struct {
 	key         uint64
 	isWrite     bool
 	nodeIndex   int
-	firstSentAt routing.Time // its first lookup
-	tries       int
+	firstSentAt routing.Time // time of the first try
+	tries       int          // how often the client has sent it so far
 }
 
-// pendingRequest is one try of a client to get its request served, as a node holds it.
+// pendingRequest is one try of a client request at a node.
 type pendingRequest struct {
 	*clientRequest
-	index    int
+	index    int // in node.pending
 	deadline routing.Time
 	attempts []*attempt
-	inFlight int
-	ended    bool
+	inFlight int  // attempts without a result
+	ended    bool // a final answer was given
 }
 
+// attempt is one attempt of a request at a server.
 type attempt struct {
 	server *server
-	done   bool
+	done   bool // the policy has its result
 }
 
-// node carries out what its policy orders.
+// node is a node of the fleet. As the routing.Host of its policy it carries out the policy's decisions.
 type node struct {
 	tb             *testbed
 	index          int
 	policy         Policy
-	pending        []*pendingRequest
-	freeIndexes    []int
-	knownEndpoints map[int]routing.Endpoint // the list as told, where the fleet's trials go by it
-	drainedSince   map[int]routing.Time
+	pending        []*pendingRequest        // nil at free indexes
+	freeIndexes    []int                    // of pending
+	knownEndpoints map[int]routing.Endpoint // by server index; only kept if the cluster probes ejected caches
+	drainedSince   map[int]routing.Time     // by server index, for servers that this node knows not to be ready
 }
 
+// newNode starts a node with the current endpoint list as its cached list.
 func (tb *testbed) newNode(index int, seed uint64) *node {
 	n := &node{tb: tb, index: index, knownEndpoints: map[int]routing.Endpoint{}, drainedSince: map[int]routing.Time{}}
 	n.policy = tb.newPolicy(n, seed, tb.clock.now, tb.experiment)
@@ -48,7 +50,8 @@
 	return n
 }
 
-// list tells the policy, and notes from when on a server is to be spared.
+// updateEndpoints passes an update of the endpoint list to the policy and records since when the node knows a server not
+// to be ready.
 func (n *node) updateEndpoints(kind routing.UpdateKind, endpoints []routing.Endpoint) {
 	for _, ep := range endpoints {
 		if ep.State == routing.Ready {
@@ -63,7 +66,7 @@
 	n.policy.UpdateEndpoints(n.tb.clock.now, kind, endpoints)
 }
 
-// take brings a lookup.
+// startRequest starts a try of a client request at this node.
 func (n *node) startRequest(r *clientRequest) {
 	req := &pendingRequest{clientRequest: r, index: len(n.pending), deadline: n.tb.clock.now + n.tb.experiment.Demand.TimeLimit.ticks()}
 	if last := len(n.freeIndexes) - 1; last >= 0 {
@@ -84,7 +87,7 @@
 	n.policy.Request(n.tb.clock.now, req.index, routingRequest)
 }
 
-// Send is for routing.Host, as all below.
+// Send implements routing.Host.
 func (n *node) Send(request, server int, timeout routing.Time) {
 	tb, req := n.tb, n.pending[request]
 	a := &attempt{server: tb.servers[server]}
@@ -125,27 +128,29 @@
 	tb.clock.schedule(timeout, func() { finish(routing.TimedOut) })
 }
 
-// Reject turns a lookup away; its client may come back.
+// Reject implements routing.Host. The client may retry the request.
 func (n *node) Reject(request int, retryAfter routing.Time) {
 	n.endRequest(n.pending[request], outcomeRejected, retryAfter)
 }
 
-// Fail gives a lookup up.
+// Fail implements routing.Host. The client doesn't retry the request.
 func (n *node) Fail(request int) { n.endRequest(n.pending[request], outcomeFailed, 0) }
 
-// Subscribe asks for the list; what changes comes from then on.
+// Subscribe implements routing.Host. The node receives the full list after a delay; testbed.notifyNodes sends the changes
+// whether or not a node has subscribed.
 func (n *node) Subscribe() {
 	n.tb.clock.schedule(n.tb.notificationDelay(), func() { n.updateEndpoints(routing.Full, n.tb.endpoints()) })
 }
 
-// CloseIdle does nothing: connections cost nothing here.
+// CloseIdle implements routing.Host. It does nothing, since the simulation has no connections.
 func (n *node) CloseIdle(int, int) {}
 
-// SetAlarm books an alarm.
+// SetAlarm implements routing.Host.
 func (n *node) SetAlarm(alarmTime routing.Time, handle int) {
 	n.tb.clock.schedule(alarmTime-n.tb.clock.now, func() { n.policy.Alarm(n.tb.clock.now, handle) })
 }
 
+// endRequest gives a request its final answer.
 func (n *node) endRequest(req *pendingRequest, result outcome, retryAfter routing.Time) {
 	n.tb.checker.requestEnded(req, result)
 	req.ended = true
@@ -153,7 +158,7 @@
 	n.releaseIndex(req)
 }
 
-// forget gives a lookup's index back once it is over and nothing of it is out.
+// releaseIndex makes a request's index available for reuse once the request has ended and no attempt is in flight.
 func (n *node) releaseIndex(req *pendingRequest) {
 	if req.ended && req.inFlight == 0 && n.pending[req.index] == req {
 		n.pending[req.index] = nil
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -11,7 +11,7 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Policy is what a node decides by; routing.Balancer is one.
+// Policy decides for a node where requests go. Its methods are those of routing.Balancer that the simulation calls.
 type Policy interface {
 	Request(now routing.Time, request int, r routing.Request)
 	AttemptDone(now routing.Time, request, attempt int, result routing.Result, requestEnded bool)
@@ -20,15 +20,15 @@
 	Alarm(now routing.Time, handle int)
 }
 
-// maker starts a policy for one node.
+// policyFactory creates the policy of one node.
 type policyFactory func(host routing.Host, seed uint64, now routing.Time, experiment *Experiment) Policy
 
 const (
-	lateUtility = 0.25 // share of the utility of an answer after the latency target
-	originModel = 1    // routing.Endpoint.Kind of the origin; 0 is a cache
+	lateUtility = 0.25 // utility of an answer after the latency target, relative to one in time
+	originModel = 1    // routing.Endpoint.Model of the origin; that of a cache is 0
 )
 
-// policies are the project's own, by its ranges, and the plain ones that it is compared with.
+// policies maps names to factories: ranges is routing.Balancer, the others are baselines for comparison.
 var policies = map[string]policyFactory{
 	"ranges":  newBalancer,
 	"random":  baselineFactory(func(p *baseline, _ uint64, candidates []int) int { return candidates[p.rng.IntN(len(candidates))] }),
@@ -36,6 +36,7 @@
 	"least":   baselineFactory(pickLeastInFlight),
 }
 
+// newBalancer creates a routing.Balancer that is configured from the experiment.
 func newBalancer(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 	class := func(idempotence routing.Idempotence) routing.Class {
 		return routing.Class{Idempotence: idempotence, LatencyTarget: e.Demand.LatencyTarget.ticks(), LateUtility: lateUtility}
@@ -51,7 +52,8 @@
 	return routing.New(host, seed, now, config)
 }
 
-// hashing takes the cache that hashes highest with the key: consistent, as only a lost cache's keys move.
+// pickByHash implements rendezvous hashing: it returns the cache with the highest hash of its ID and the key. When a cache
+// leaves, only the keys of that cache move.
 func pickByHash(p *baseline, key uint64, candidates []int) int {
 	score := func(server int) uint64 {
 		return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(p.endpoints[server].ID), key))
@@ -64,7 +66,8 @@
 	})
 }
 
-// least takes the cache with the fewest of the node's own shots in flight, by chance among equals.
+// pickLeastInFlight returns the cache with the fewest attempts of this node in flight. It begins at a random cache, so
+// that ties are spread.
 func pickLeastInFlight(p *baseline, _ uint64, candidates []int) int {
 	start := p.rng.IntN(len(candidates))
 	best := candidates[start]
@@ -76,28 +79,31 @@
 	return best
 }
 
-// plain is a textbook policy: it picks among ready caches, asks the origin after a miss and another cache after a
-// failure, and keeps the rules on effects and drains, but spares nobody.
+// baseline is a simple policy. It sends reads to a ready cache, then to the origin after a miss or to another cache after a
+// failure, and writes to the origin. It doesn't repeat a write that may have been executed and doesn't send to draining
+// caches, but it doesn't protect servers from overload.
 type baseline struct {
 	host         routing.Host
 	experiment   *Experiment
 	rng          *rand.Rand
 	pick         func(p *baseline, key uint64, candidates []int) int
-	endpoints    map[int]routing.Endpoint
-	readyCaches  []int
-	originServer int // the origin
-	inFlight     map[int]int
+	endpoints    map[int]routing.Endpoint // by server index
+	readyCaches  []int                    // server indexes, sorted
+	originServer int                      // server index; -1: no origin is ready
+	inFlight     map[int]int              // attempts of this node by server index
 	requests     map[int]*baselineRequest
 }
 
+// baselineRequest is a request that has not ended.
 type baselineRequest struct {
 	routing.Request
 	key          uint64
-	triedServers []int
+	triedServers []int // server indexes in the order of the attempts
 	cacheMissed  bool
-	mayHaveRun   bool
+	mayHaveRun   bool // a server may have executed it
 }
 
+// baselineFactory returns a factory of baselines that pick caches with the given function.
 func baselineFactory(pick func(p *baseline, key uint64, candidates []int) int) policyFactory {
 	return func(host routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 		host.SetAlarm(now, 0)
@@ -106,10 +112,13 @@
 	}
 }
 
+// Alarm implements Policy. The only alarm is the one at the start.
 func (p *baseline) Alarm(routing.Time, int) { p.host.Subscribe() }
 
+// ClientGone implements Policy.
 func (p *baseline) ClientGone(_ routing.Time, request int) { delete(p.requests, request) }
 
+// UpdateEndpoints implements Policy.
 func (p *baseline) UpdateEndpoints(_ routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint) {
 	if kind == routing.Full || kind == routing.Cached {
 		clear(p.endpoints)
@@ -130,12 +139,14 @@
 	slices.Sort(p.readyCaches)
 }
 
+// Request implements Policy.
 func (p *baseline) Request(now routing.Time, request int, r routing.Request) {
 	key, _ := strconv.ParseUint(r.Key, 10, 64)
 	p.requests[request] = &baselineRequest{Request: r, key: key}
 	p.nextAttempt(now, request)
 }
 
+// nextAttempt sends the next attempt of a request, or ends the request if it may not have another one.
 func (p *baseline) nextAttempt(now routing.Time, request int) {
 	req := p.requests[request]
 	server := -1
@@ -161,10 +172,11 @@
 	}
 }
 
+// AttemptDone implements Policy.
 func (p *baseline) AttemptDone(now routing.Time, request, attempt int, result routing.Result, requestEnded bool) {
 	req := p.requests[request]
 	if req == nil {
-		return // it left; whom its shot was at is not known any more, as in many a simple program
+		return // the client has gone; inFlight keeps counting the attempt, since its server is no longer known
 	}
 	p.inFlight[req.triedServers[attempt]]--
 	req.cacheMissed = req.cacheMissed || result == routing.NotFound
--- a/internal/simulation/series.go
+++ b/internal/simulation/series.go
@@ -11,30 +11,30 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// Point is what happened in one second. Requests count when they end.
+// Point describes one second of a run. A request is counted in the second in which it ends.
 type Point struct {
-	InTime, Late, Refused, Failed int // requests, by how they ended
-	Deferrals                     int // lookups whose clients came back
-	Fetches, Hits                 int // values that the origin gave, and caches
-	Ready                         int // caches at the second's end,
-	Queued                        int // and what waits at all servers
-	Busy                          float64
+	InTime, Late, Refused, Failed int     // requests by how they ended
+	Deferrals                     int     // rejections after which the client retries
+	Fetches, Hits                 int     // answers of the origin to reads, and of caches
+	Ready                         int     // ready caches at the end of the second
+	Queued                        int     // jobs in the queues of all servers at the end of the second
+	Busy                          float64 // service time of the jobs started in the second, as a share of the time of all slots
 }
 
-// Series is a run's result.
+// Series is the result of one run.
 type Series struct {
 	Experiment, Policy string
 	Seed               uint64
 	Points             []Point
-	Offered            int
-	Broken             map[string]int // rules, and how often
-	Faults             []string
+	Offered            int            // requests of clients, without their retries
+	Broken             map[string]int // number of violations by rule
+	Faults             []string       // messages of the first violations
 	Sick               silenceStats
-	Use                *BudgetUsage // of a budget; nil: there is none
-	Busiest            float64      // shots at the busiest cache that was there all the time, over the mean of those
+	Use                *BudgetUsage // nil if the fleet has no budget
+	Busiest            float64      // attempts at the busiest cache relative to the mean, of caches present during the whole run
 
-	latencies     *hdrhistogram.Histogram // of resolved requests, in ticks
-	busySlotTicks float64
+	latencies     *hdrhistogram.Histogram // of served requests, in ticks
+	busySlotTicks float64                 // sum over all servers at the end of the last point
 }
 
 func newSeries(e *Experiment, policy string, seed uint64) *Series {
@@ -43,12 +43,14 @@
 		latencies: hdrhistogram.New(1, max(2, maxTicks), 3)}
 }
 
+// current returns the point of the current second.
 func (s *Series) current() *Point { return &s.Points[len(s.Points)-1] }
 
 func (s *Series) recordLatency(latency routing.Time) {
-	_ = s.latencies.RecordValue(min(max(1, int64(latency)), s.latencies.HighestTrackableValue())) // within its range
+	_ = s.latencies.RecordValue(min(max(1, int64(latency)), s.latencies.HighestTrackableValue())) // the value is in range, so no error
 }
 
+// closePoint completes the point of the current second and begins the next one.
 func (s *Series) closePoint(tb *testbed) {
 	point, slotTicks, slots := s.current(), 0.0, 0
 	for _, server := range tb.servers {
@@ -67,6 +69,7 @@
 	s.Points = append(s.Points, Point{})
 }
 
+// total returns the sums of those fields that are counts of events.
 func (s *Series) total() (total Point) {
 	for _, p := range s.Points {
 		total.InTime += p.InTime
@@ -80,13 +83,14 @@
 	return total
 }
 
-// Fetches is how many values the origin gave in a second, on average.
+// Fetches returns the mean number of fetches per second.
 func (s *Series) Fetches() float64 {
 	return float64(s.total().Fetches) / float64(max(1, len(s.Points)-1))
 }
 
-// AtSilent is what each silent cache got in a second, shots and trials (nodes' own and the fleet's), and the longest and
-// the mean time from its return until a node that rested it used it again.
+// AtSilent returns how many attempts and probes (of nodes and on behalf of the cluster) a silent cache receives per
+// second, and the longest and the mean time in seconds from the end of a silence until a node that has ejected the cache
+// uses it again.
 func (s *Series) AtSilent() (attempts, probes, longest, mean float64) {
 	for _, seconds := range s.Sick.ReuseSeconds {
 		longest, mean = max(longest, seconds), mean+seconds/float64(len(s.Sick.ReuseSeconds))
@@ -95,12 +99,12 @@
 	return float64(s.Sick.Attempts) / silentSeconds, float64(s.Sick.NodeProbes+s.Sick.ClusterProbes) / silentSeconds, longest, mean
 }
 
-// Share is the part of all requests that were answered in time.
+// Share returns the share of all requests that were served within the latency target.
 func (s *Series) Share() float64 {
 	return float64(s.total().InTime) / float64(max(1, s.Offered))
 }
 
-// Worst is the lowest share in time over any ten seconds.
+// Worst returns the lowest share of requests served within the latency target over any 10 s.
 func (s *Series) Worst() float64 {
 	const windowSeconds = 10
 	lowest := 1.0
@@ -116,13 +120,13 @@
 	return lowest
 }
 
-// Millis gives a quantile of the resolved requests' times, from their first lookup on.
+// Millis returns a percentile of the latencies of served requests, in milliseconds from the client's first try.
 func (s *Series) Millis(percent float64) float64 {
 	return float64(s.latencies.ValueAtPercentile(percent)) / float64(routing.Millisecond)
 }
 
-// FetchRatio is how much the origin gave in the busiest so many seconds after a time, beside what it gave on average in
-// as many before it.
+// FetchRatio returns the highest mean rate of fetches in any window of windowSeconds from atSecond on, relative to the rate
+// in the window before atSecond.
 func (s *Series) FetchRatio(atSecond, windowSeconds int) float64 {
 	rate := func(from, to int) float64 {
 		fetches := 0
@@ -141,11 +145,11 @@
 	return peak / before
 }
 
-// Header is the first line of a table of points.
+// Header is the header record of the CSV file of points.
 var Header = []string{"experiment", "policy", "seed", "second", "in_time", "late", "refused", "failed", "deferrals",
 	"fetches", "hits", "ready", "queued", "busy"}
 
-// Write writes the points as lines of comma-separated values.
+// Write writes the points as CSV records, without the header.
 func (s *Series) Write(out io.Writer) error {
 	w := csv.NewWriter(out)
 	for i, p := range s.Points {
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -10,40 +10,42 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// job is a shot at a server.
+// job is an attempt of a request as a server sees it.
 type job struct {
 	key     uint64
 	isWrite bool
-	done    func(routing.Result)
+	done    func(routing.Result) // called with the result, unless the server is silent
 }
 
-// server is a cache or the origin: slots that work, a queue before them, and for a cache the values that it holds.
+// server simulates a cache or the origin: a queue in front of slots that each execute one job at a time. A cache also
+// holds a limited number of keys.
 type server struct {
 	endpoint routing.Endpoint
 	clock    *clock
 	rng      *rand.Rand
 	config   ServerConfig
 	isOrigin bool
-	missCost float64
-
-	coldShare  float64
-	warmUp     routing.Time
-	slowFactor float64 // factor on times
-
-	busySlots, incarnation int         // life is another number after each crash: what was at work before is lost
-	running                map[int]job // by their numbers
-	queue                  []job
-	cached                 *lruCache
-
-	arrivalTimes       []routing.Time // of late, for the checker
-	attemptCount       int
-	startedJobs        int
-	isSilent           bool    // it hears nothing, and is listed as before
-	unansweredAttempts int     // shots that came meanwhile
-	busySlotTicks      float64 // in ticks of slots
+	missCost float64 // service time of a miss, relative to that of a hit
+
+	coldShare  float64      // share of its capacity that a cache has right after its start
+	warmUp     routing.Time // from the start to full capacity
+	slowFactor float64      // multiplies service times
+
+	busySlots   int
+	incarnation int         // number of crashes; the end of a job that started before a crash is ignored
+	running     map[int]job // by job ID
+	queue       []job
+	cached      *lruCache // keys that a cache holds
+
+	arrivalTimes       []routing.Time // of the last window of checker.attemptArrived
+	attemptCount       int            // attempts that reached the server
+	startedJobs        int            // also the ID of the latest job
+	isSilent           bool           // it ignores attempts and stays on the endpoint list
+	unansweredAttempts int            // attempts that it ignored while silent
+	busySlotTicks      float64        // sum of the service times of all started jobs, in ticks
 }
 
-// speed is the share of its capacity that a server has by now.
+// capacityShare returns the current capacity relative to that of a warm server. It rises linearly during the warm-up.
 func (s *server) capacityShare() float64 {
 	age := s.clock.now - s.endpoint.StartedAt
 	if s.endpoint.StartedAt == 0 || age >= s.warmUp {
@@ -52,12 +54,12 @@
 	return s.coldShare + (1-s.coldShare)*float64(age)/float64(s.warmUp)
 }
 
-// capacity is what it can do in a second, warm.
+// warmJobsPerSecond returns the capacity of a warm server, in cache hits per second for a cache.
 func (s *server) warmJobsPerSecond() float64 {
 	return float64(s.config.Slots) / s.config.Service.Seconds()
 }
 
-// take brings a shot to the server.
+// handle accepts an attempt that has reached the server.
 func (s *server) handle(j job) {
 	s.attemptCount++
 	switch {
@@ -76,6 +78,7 @@
 	}
 }
 
+// start executes a job in a free slot.
 func (s *server) start(j job) {
 	s.busySlots++
 	work := 1.0
@@ -106,7 +109,7 @@
 	})
 }
 
-// crash ends it with all that it has.
+// crash removes the server from the list and fails its queued and running jobs.
 func (s *server) crash() {
 	s.incarnation++
 	s.busySlots = 0
@@ -122,10 +125,10 @@
 	}
 }
 
-// values is what a cache holds: the one used longest ago goes first.
+// lruCache is a set of keys that evicts the least recently used one.
 type lruCache struct {
 	maxKeys  int
-	order    *list.List // of uint64
+	order    *list.List // of uint64, the most recently used first
 	elements map[uint64]*list.Element
 }
 
@@ -133,6 +136,7 @@
 	return &lruCache{maxKeys: maxKeys, order: list.New(), elements: map[uint64]*list.Element{}}
 }
 
+// touch marks a key as used and reports whether it is present.
 func (c *lruCache) touch(key uint64) bool {
 	e := c.elements[key]
 	if e != nil {
--- a/internal/simulation/testbed.go
+++ b/internal/simulation/testbed.go
@@ -9,41 +9,43 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
+// outcome is how a try of a request ended.
 type outcome int
 
 const (
-	outcomeServed outcome = iota
-	outcomeRejected
-	outcomeFailed
+	outcomeServed   outcome = iota
+	outcomeRejected         // not executed; the client may retry
+	outcomeFailed           // may have been executed
 )
 
-// testbed is one run: a policy, a seed, and all that stands round the nodes.
+// testbed simulates one run of an experiment: the fleet, its clients and the discovery service.
 type testbed struct {
 	experiment *Experiment
 	clock      *clock
 	newPolicy  policyFactory
-	servers    []*server // the origin first
+	servers    []*server // the origin at index 0, then the caches; a server's index never changes
 	nodes      []*node
 	checker    *checker
 	series     *Series
 
-	demandFactor float64    // factor on the rate
-	keyOffset    uint64     // of the popular keys
-	clientRand   *rand.Rand // the clients'; the same for all policies
-	fleetRand    *rand.Rand // delays, and which servers events strike
-	zipf         *rand.Zipf
-	seedRand     *rand.Rand
-	cacheCount   int // caches so far
+	demandFactor float64    // multiplies the request rate; 0 stops new requests
+	keyOffset    uint64     // added to the drawn keys, so that other keys are popular
+	clientRand   *rand.Rand // for clients: keys, nodes, and times of requests and retries
+	fleetRand    *rand.Rand // for delays, names of caches, and the servers and nodes that an event affects
+	zipf         *rand.Zipf // draws keys from clientRand
+	seedRand     *rand.Rand // for the seeds of nodes and servers
+	cacheCount   int        // caches started so far
 	silenceStats silenceStats
 
-	budgetSim *budgetSim // of a budget; nil: there is none
-	hotNodes  []int      // nodes that are asked more than others
-	deadNodes map[int]bool
+	budgetSim *budgetSim   // nil if the fleet has no budget
+	hotNodes  []int        // indexes of nodes that receive more requests than others
+	deadNodes map[int]bool // by node index; they receive no requests
 }
 
+// second is one second of the virtual clock.
 const second = 1000 * routing.Millisecond
 
-// Run plays an experiment under one policy and one seed.
+// Run simulates an experiment with one policy and one seed. The same arguments always give the same result.
 func Run(e *Experiment, policy string, seed uint64) (*Series, error) {
 	newPolicy := policies[policy]
 	if newPolicy == nil {
@@ -52,6 +54,8 @@
 	return simulate(e, policy, newPolicy, seed), nil
 }
 
+// simulate runs an experiment with the policies of a factory. After the length of the experiment no new requests arrive, and
+// the run goes on until the clients' last retries must have ended.
 func simulate(e *Experiment, policy string, newPolicy policyFactory, seed uint64) *Series {
 	tb := &testbed{experiment: e, clock: &clock{now: startTime}, newPolicy: newPolicy, demandFactor: 1, deadNodes: map[int]bool{},
 		seedRand:   rand.New(rand.NewPCG(seed, 5)),
@@ -79,7 +83,7 @@
 	tb.sampleEverySecond()
 	tb.clock.runUntil(startTime + e.Length.ticks())
 	tb.series.Offered, tb.series.Busiest = tb.checker.offeredRequests, tb.busiestCacheRatio()
-	tb.demandFactor = 0 // what is out ends
+	tb.demandFactor = 0 // no new requests while the pending ones end
 	tb.clock.runUntil(tb.clock.now + routing.Time(e.Demand.MaxTries)*(e.Demand.TimeLimit.ticks()+3*e.Demand.LatencyTarget.ticks()) + second)
 	tb.checker.checkEnd()
 	tb.series.Sick = tb.silenceStats
@@ -90,7 +94,8 @@
 	return tb.series
 }
 
-// busiest gives the shots at the busiest of the caches that were there all the time, over their mean.
+// busiestCacheRatio returns the attempts at the busiest cache relative to the mean. Only caches that were present during the
+// whole run count.
 func (tb *testbed) busiestCacheRatio() float64 {
 	maxAttempts, sum, caches := 0, 0, 0
 	for _, s := range tb.servers {
@@ -101,14 +106,16 @@
 	return float64(maxAttempts) * float64(caches) / float64(max(1, sum))
 }
 
-// seed gives the next node or server one of its own.
+// nextSeed returns the seed for the next node or server.
 func (tb *testbed) nextSeed() uint64 { return tb.seedRand.Uint64() }
 
-// add starts a server; since 0 says that it has run for long.
+// addServer starts a server; startedAt 0 means that it is warm.
 func (tb *testbed) addServer(config ServerConfig, isOrigin bool, startedAt routing.Time) {
 	index := len(tb.servers)
-	s := &server{clock: tb.clock, rng: rand.New(rand.NewPCG(tb.nextSeed(), 4)), config: config, isOrigin: isOrigin, missCost: tb.experiment.Fleet.MissCost,
-		coldShare: tb.experiment.Fleet.ColdShare, warmUp: tb.experiment.Fleet.WarmUp.ticks(), slowFactor: 1, cached: newLRUCache(tb.experiment.Fleet.CacheSize),
+	s := &server{clock: tb.clock, rng: rand.New(rand.NewPCG(tb.nextSeed(), 4)), config: config, isOrigin: isOrigin,
+		missCost:  tb.experiment.Fleet.MissCost,
+		coldShare: tb.experiment.Fleet.ColdShare, warmUp: tb.experiment.Fleet.WarmUp.ticks(), slowFactor: 1,
+		cached:  newLRUCache(tb.experiment.Fleet.CacheSize),
 		running: map[int]job{}, endpoint: routing.Endpoint{Server: index, ID: "origin", Model: 1, StartedAt: startedAt}}
 	if !isOrigin {
 		tb.cacheCount++
@@ -117,7 +124,7 @@
 	tb.servers = append(tb.servers, s)
 }
 
-// boxes is the list as the discovery service has it.
+// endpoints returns the endpoint list of the discovery service.
 func (tb *testbed) endpoints() (list []routing.Endpoint) {
 	for _, s := range tb.servers {
 		if s.endpoint.State != routing.Gone {
@@ -127,12 +134,12 @@
 	return list
 }
 
-// delay is how long a node takes to hear of something.
+// notificationDelay draws the delay until a node learns of a change of the endpoint list.
 func (tb *testbed) notificationDelay() routing.Time {
 	return routing.Time(tb.fleetRand.Float64() * float64(tb.experiment.Network.MaxNotificationDelay.ticks()))
 }
 
-// tell brings a change of the list to each node, to each in its own time and in order.
+// notifyNodes sends changed servers to all nodes, each after its own delay.
 func (tb *testbed) notifyNodes(changed ...*server) {
 	endpoints := make([]routing.Endpoint, 0, len(changed))
 	for _, s := range changed {
@@ -140,7 +147,7 @@
 	}
 	for _, n := range tb.nodes {
 		tb.clock.schedule(tb.notificationDelay(), func() {
-			// A later change may have come first: what holds now is told.
+			// A later change may arrive earlier, so the state at the time of arrival is sent.
 			for i := range endpoints {
 				endpoints[i] = tb.servers[endpoints[i].Server].endpoint
 			}
@@ -149,7 +156,7 @@
 	}
 }
 
-// caches gives those in a state, in an order of chance.
+// randomCaches returns up to maxCount random caches in a state.
 func (tb *testbed) randomCaches(state routing.State, maxCount int) (chosen []*server) {
 	for _, s := range tb.servers {
 		if !s.isOrigin && s.endpoint.State == state {
@@ -160,7 +167,7 @@
 	return chosen[:min(maxCount, len(chosen))]
 }
 
-// happens plays an event.
+// applyEvent applies an event of the experiment. The kinds are documented at eventChecks.
 func (tb *testbed) applyEvent(ev Event) {
 	switch ev.Kind {
 	case "add":
@@ -175,7 +182,8 @@
 			s.endpoint.State = routing.Draining
 		}
 		tb.notifyNodes(caches...)
-		tb.clock.schedule(tb.experiment.Network.MaxNotificationDelay.ticks()+tb.experiment.Rules.DrainGrace.ticks()+tb.experiment.Demand.TimeLimit.ticks(), func() {
+		tb.clock.schedule(tb.experiment.Network.MaxNotificationDelay.ticks()+tb.experiment.Rules.DrainGrace.ticks()+
+			tb.experiment.Demand.TimeLimit.ticks(), func() {
 			for _, s := range caches {
 				s.endpoint.State = routing.Gone
 			}
@@ -202,9 +210,9 @@
 		tb.clock.schedule(ev.Duration.ticks(), func() { tb.demandFactor /= ev.Factor })
 	case "restart":
 		for _, i := range tb.fleetRand.Perm(len(tb.nodes))[:min(ev.Nodes, len(tb.nodes))] {
-			// The old process answers what it has; the new one knows the list and nothing else.
+			// The old process still ends its pending requests. The new one starts with the endpoint list and no other state.
 			tb.nodes[i] = tb.newNode(i, tb.nextSeed())
-			if tb.budgetSim != nil { // as a process that is killed: its lease runs on
+			if tb.budgetSim != nil { // no graceful shutdown: the old process's lease stays until it expires
 				tb.budgetSim.budgetNodes[i].kill()
 				tb.budgetSim.budgetNodes[i].isDown = false
 				tb.budgetSim.budgetNodes[i].start()
@@ -243,10 +251,11 @@
 	}
 }
 
-// arrive brings the next request, and books the one after it.
+// generateRequest starts a client request now and schedules the next one. Arrivals are a Poisson process.
 func (tb *testbed) generateRequest() {
 	if tb.demandFactor > 0 {
-		r := &clientRequest{key: (tb.zipf.Uint64() + tb.keyOffset) % tb.experiment.Demand.KeyCount, isWrite: tb.clientRand.Float64() < tb.experiment.Demand.WriteShare,
+		r := &clientRequest{key: (tb.zipf.Uint64() + tb.keyOffset) % tb.experiment.Demand.KeyCount,
+			isWrite:   tb.clientRand.Float64() < tb.experiment.Demand.WriteShare,
 			nodeIndex: tb.clientRand.IntN(len(tb.nodes)), firstSentAt: tb.clock.now}
 		if len(tb.hotNodes) > 0 && tb.clientRand.Float64() < tb.hotShare() {
 			r.nodeIndex = tb.hotNodes[tb.clientRand.IntN(len(tb.hotNodes))]
@@ -261,14 +270,15 @@
 	}
 }
 
-// heat is the share of all demand that goes to the hot nodes alone: so that each has so many times what another has.
+// hotShare returns the share of requests that is sent to hot nodes only, in addition to their even share of the rest. With
+// it each hot node receives HotFactor times as many requests as another node.
 func (tb *testbed) hotShare() float64 {
 	nodes, hot := float64(len(tb.nodes)), float64(len(tb.hotNodes))
 	return hot * (tb.experiment.Demand.HotFactor - 1) / (nodes - hot + hot*tb.experiment.Demand.HotFactor)
 }
 
-// worked says what a shot came to at its server: a value fetched is stored where it was missing, one written is
-// dropped everywhere.
+// recordServerResult handles the result of an attempt when its server has finished it. A value fetched from the origin is
+// stored in all caches that the request tried; a write removes the key from all caches.
 func (tb *testbed) recordServerResult(req *pendingRequest, a *attempt, result routing.Result) {
 	if result != routing.Served {
 		return
@@ -291,7 +301,8 @@
 	}
 }
 
-// ended notes a final answer, and lets a client that was deferred come back.
+// recordEnd counts a final answer of a node. If the answer is a rejection and the client has tries left, it schedules the
+// retry at the same node.
 func (tb *testbed) recordEnd(req *pendingRequest, result outcome, retryAfter routing.Time) {
 	latency, target := tb.clock.now-req.firstSentAt, tb.experiment.Demand.LatencyTarget.ticks()
 	point := tb.series.current()
@@ -316,7 +327,7 @@
 	tb.checker.endedRequests++
 }
 
-// tick notes the state of the fleet at each second.
+// sampleEverySecond completes a point of the series at the end of each second.
 func (tb *testbed) sampleEverySecond() {
 	tb.clock.schedule(second, func() {
 		tb.series.closePoint(tb)
--- a/internal/simulation/vary.go
+++ b/internal/simulation/vary.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// varied gives the descriptions that the vary table asks for: each sets one key to one value and leaves the rest of the
-// text as it is.
+// variants returns the experiments of the vary table. Each one sets one key of the TOML text to one of its values and leaves
+// the rest unchanged.
 func (e *Experiment) variants(text []byte) (variants []*Experiment, err error) {
 	var errs []error
 	err = visitLists("", e.Vary, func(key string, values []any) {
@@ -28,7 +28,8 @@
 	return variants, errors.Join(append(errs, err)...)
 }
 
-// eachList goes through the lists of a table and of those in it, by their dotted keys in the order of the alphabet.
+// visitLists calls visit for each list in a table and its nested tables, with its dotted key. Keys are visited in
+// alphabetical order.
 func visitLists(prefix string, table map[string]any, visit func(key string, values []any)) error {
 	var errs []error
 	for _, key := range slices.Sorted(maps.Keys(table)) {
@@ -44,7 +45,7 @@
 	return errors.Join(errs...)
 }
 
-// with reads a description in which a key has another value.
+// parseWith parses an experiment after it has set a dotted key to a value.
 func parseWith(text []byte, key string, value any) (*Experiment, error) {
 	var document map[string]any
 	if err := toml.Unmarshal(text, &document); err != nil {
@@ -67,7 +68,7 @@
 	}
 	e, err := Parse(encoded)
 	if err != nil {
-		_, message, hasPosition := strings.Cut(err.Error(), ": ") // the line is one of our own text, which nobody sees
+		_, message, hasPosition := strings.Cut(err.Error(), ": ") // the position refers to the encoded text, which the user doesn't see
 		if strings.HasPrefix(err.Error(), "line ") && hasPosition {
 			err = errors.New(message)
 		}
