--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -15,8 +15,8 @@
 	"github.com/thistlerudder/thistlerudder/routing"
 )
 
-// A server alone is a queue of which theory knows the figures: the wait before one place and before several, and how
-// much several places without a queue turn away.
+// A single server is an M/M/c, M/D/1 or M/M/c/c queue. The mean wait and the share of rejected jobs must match the formulas
+// of queueing theory.
 func TestServerQueueMatchesTheory(t *testing.T) {
 	const jobs = 400_000
 	erlangB := func(slots int, load float64) float64 {
@@ -30,13 +30,13 @@
 		slots, queue        int
 		shape               string
 		load                float64
-		meanWait, lostShare float64 // in mean services; share
+		meanWait, lostShare float64 // in mean service times; share of jobs that are rejected
 	}{
 		{1, 1 << 30, "exponential", 0.7, 0.7 / 0.3, 0},
-		{1, 1 << 30, "fixed", 0.7, 0.7 / 0.3 / 2, 0}, // half, by Pollaczek and Khinchine
+		{1, 1 << 30, "fixed", 0.7, 0.7 / 0.3 / 2, 0}, // M/D/1: half of M/M/1, by the Pollaczek-Khinchine formula
 		{4, 1 << 30, "exponential", 0.8, func() float64 {
 			b := erlangB(4, 3.2)
-			return b / (1 - 0.8*(1-b)) / (4 * 0.2) // Erlang's C over the spare places
+			return b / (1 - 0.8*(1-b)) / (4 * 0.2) // Erlang C divided by the spare capacity
 		}(), 0},
 		{4, 0, "exponential", 0.8, 0, erlangB(4, 3.2)},
 	} {
@@ -60,7 +60,7 @@
 		simClock.runUntil(simClock.now + 1_000_000)
 		meanWait, lostRatio := sum/float64(done)/1000-1, float64(lostCount)/jobs
 		if math.Abs(meanWait-c.meanWait) > 0.03*c.meanWait+0.01 || math.Abs(lostRatio-c.lostShare) > 0.005 || done+lostCount != jobs {
-			t.Errorf("%+v: waits %.3f, turns away %.4f, %d of %d ended", c, meanWait, lostRatio, done+lostCount, jobs)
+			t.Errorf("%+v: mean wait %.3f, rejected %.4f, %d of %d jobs ended", c, meanWait, lostRatio, done+lostCount, jobs)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	return e
 }
 
-// The same description and seed give the same run to the last digit; another seed gives another one.
+// Two runs with the same experiment and seed write the same CSV records; a run with another seed writes different ones.
 func TestRunSameSeedGivesSameResult(t *testing.T) {
 	e := parse(t, eventsExperiment)
 	e.Length.Duration, e.Events = 14*time.Second, e.Events[:3]
@@ -132,12 +132,13 @@
 	}
 	for _, policy := range Policies() {
 		if first := text(policy, 7); first != text(policy, 7) || first == text(policy, 8) {
-			t.Errorf("%s: not told by its seed", policy)
+			t.Errorf("%s: the result depends on something else than the seed, or not on the seed", policy)
 		}
 	}
 }
 
-// Through every kind of event the module breaks no rule and loses nothing, and it keeps keys where they are.
+// The balancer breaks no rule and loses no request while caches join, drain, crash and slow down, nodes restart and demand
+// changes. It has a better hit ratio than random routing, since it keeps sending a key to the same cache.
 func TestBalancerAllEventsBreaksNoRule(t *testing.T) {
 	e := parse(t, eventsExperiment)
 	for seed := range uint64(3) {
@@ -150,52 +151,53 @@
 			t.Errorf("seed %d: %d requests, %.3f in time, broken %v: %v", seed, s.Offered, s.Share(), s.Broken, s.Faults)
 		}
 		if balancerRatio, baselineRatio := hitRatio(s), hitRatio(baseline); balancerRatio < baselineRatio+0.05 {
-			t.Errorf("seed %d: %.3f hits, by chance %.3f", seed, balancerRatio, baselineRatio)
+			t.Errorf("seed %d: hit ratio %.3f, with random routing %.3f", seed, balancerRatio, baselineRatio)
 		}
 	}
 }
 
+// hitRatio returns the share of hits among all answers to reads.
 func hitRatio(s *Series) float64 {
 	total := s.total()
 	return float64(total.Hits) / float64(total.Hits+total.Fetches)
 }
 
-// faulty is the module with one of its orders changed.
+// alteredHost is a node whose Send and Reject are replaced, so that a balancer on it seems to decide differently.
 type alteredHost struct {
 	*node
 	send   func(n *node, request, server int, timeout routing.Time)
 	reject func(n *node, request int, retryAfter routing.Time)
 }
 
-func (f alteredHost) Send(request, server int, timeout routing.Time) {
-	f.send(f.node, request, server, timeout)
+func (h alteredHost) Send(request, server int, timeout routing.Time) {
+	h.send(h.node, request, server, timeout)
 }
 
-func (f alteredHost) Reject(request int, retryAfter routing.Time) {
-	f.reject(f.node, request, retryAfter)
+func (h alteredHost) Reject(request int, retryAfter routing.Time) {
+	h.reject(h.node, request, retryAfter)
 }
 
-// heedless sends each lookup on at once, whatever the list says, to the newest cache that there ever was.
+// newestCachePolicy sends the first attempt of each request to the newest cache, whatever its state.
 type newestCachePolicy struct {
 	*baseline
 	newestCache int
 }
 
-func (h *newestCachePolicy) UpdateEndpoints(now routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint) {
-	for _, b := range endpoints {
-		if b.Model == 0 {
-			h.newestCache = max(h.newestCache, b.Server)
+func (p *newestCachePolicy) UpdateEndpoints(now routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint) {
+	for _, ep := range endpoints {
+		if ep.Model == 0 {
+			p.newestCache = max(p.newestCache, ep.Server)
 		}
 	}
-	h.baseline.UpdateEndpoints(now, kind, endpoints)
+	p.baseline.UpdateEndpoints(now, kind, endpoints)
 }
 
-func (h *newestCachePolicy) Request(now routing.Time, request int, r routing.Request) {
-	h.requests[request] = &baselineRequest{Request: r, triedServers: []int{h.newestCache}}
-	h.host.Send(request, h.newestCache, r.Deadline-now)
+func (p *newestCachePolicy) Request(now routing.Time, request int, r routing.Request) {
+	p.requests[request] = &baselineRequest{Request: r, triedServers: []int{p.newestCache}}
+	p.host.Send(request, p.newestCache, r.Deadline-now)
 }
 
-// What breaks a rule is seen to: a checker that nothing can fail shows nothing.
+// The checker must report each kind of violation; otherwise runs without violations would prove nothing.
 func TestCheckerFaultyPolicyReportsViolation(t *testing.T) {
 	e := parse(t, eventsExperiment)
 	e.Demand.RequestsPerSecond, e.Length.Duration, e.Events = 3*e.Demand.RequestsPerSecond, 12*time.Second, e.Events[:2]
@@ -213,21 +215,21 @@
 		rule    string
 		factory policyFactory
 	}{
-		"a lookup that is never answered": {"lost", withHost(func(f *alteredHost) {
+		"a request without an answer": {"lost", withHost(func(f *alteredHost) {
 			f.reject = func(n *node, request int, retryAfter routing.Time) {
 				if rejectCount++; rejectCount%50 != 0 {
 					n.Reject(request, retryAfter)
 				}
 			}
 		})},
-		"an answer given twice": {"lost", withHost(func(f *alteredHost) {
+		"a second final answer": {"lost", withHost(func(f *alteredHost) {
 			f.reject = func(n *node, request int, retryAfter routing.Time) {
 				req := n.pending[request]
 				n.Reject(request, retryAfter)
 				n.tb.checker.requestEnded(req, outcomeRejected)
 			}
 		})},
-		"a write sent twice": {"twice", withHost(func(f *alteredHost) {
+		"a write executed twice": {"twice", withHost(func(f *alteredHost) {
 			f.send = func(n *node, request, server int, timeout routing.Time) {
 				n.Send(request, server, timeout)
 				if req := n.pending[request]; req.isWrite {
@@ -235,15 +237,15 @@
 				}
 			}
 		})},
-		"a cold cache pushed over, and one that drains": {"cold", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
+		"overload of a cache in slow start": {"cold", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			return &newestCachePolicy{baseline: policies["random"](h, seed, now, e).(*baseline)}
 		}},
-		"more shots than are allowed": {"shots", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
+		"too many attempts": {"shots", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			raised := *e
 			raised.Rules.MaxAttempts = 9
 			return policies["random"](h, seed, now, &raised)
 		}},
-		"shots at what drains": {"drain", withHost(func(f *alteredHost) {
+		"attempts at a draining cache": {"drain", withHost(func(f *alteredHost) {
 			f.send = func(n *node, request, server int, timeout routing.Time) {
 				for index, s := range n.tb.servers {
 					if s.endpoint.State == routing.Draining {
@@ -256,20 +258,20 @@
 	} {
 		s := simulate(e, name, c.factory, 1)
 		if s.Broken[c.rule] == 0 || len(s.Faults) == 0 {
-			t.Errorf("%s is not caught: %v", name, s.Broken)
+			t.Errorf("%s: not reported, violations %v", name, s.Broken)
 		}
 	}
 }
 
-// rampless is the module, told of each cache as one that has run for long.
+// noSlowStartPolicy hides the start times of caches from its policy, so that the policy treats each cache as warm.
 type noSlowStartPolicy struct{ Policy }
 
-func (r noSlowStartPolicy) UpdateEndpoints(now routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint) {
+func (p noSlowStartPolicy) UpdateEndpoints(now routing.Time, kind routing.UpdateKind, endpoints []routing.Endpoint) {
 	endpoints = slices.Clone(endpoints)
 	for i := range endpoints {
 		endpoints[i].StartedAt = 0
 	}
-	r.Policy.UpdateEndpoints(now, kind, endpoints)
+	p.Policy.UpdateEndpoints(now, kind, endpoints)
 }
 
 const thirtyNodesExperiment = `
@@ -292,8 +294,10 @@
 window = "1s"
 `
 
-// Thirty nodes before caches that join cold while nodes are restarted: the sum stays under what the settings allow, beyond
-// which 2 roots of it and 2 are put down to chance, and the caches come to their share. Without the ramp it doesn't.
+// Each of thirty nodes sees only its own load, so together they may overload a cache in slow start, above all when nodes
+// restart. The attempts of all nodes must stay within the bound of checker.attemptArrived, which is 2 square roots and 2
+// above the expected number, and about as many requests must be in time as without slow start. Without slow start the
+// attempts exceed the bound, which shows that the experiment loads the caches enough.
 func TestThirtyNodesColdCachesNotOverloaded(t *testing.T) {
 	text := thirtyNodesExperiment
 	for addSecond := 3; addSecond < 30; addSecond += 9 {
@@ -305,7 +309,7 @@
 	e := parse(t, text)
 	for seed := range uint64(4) {
 		s := simulate(e, "ranges", newBalancer, seed)
-		withoutSlowStart := simulate(e, "rampless", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
+		withoutSlowStart := simulate(e, "no slow start", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			return noSlowStartPolicy{newBalancer(h, seed, now, e)}
 		}, seed)
 		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.Share(), withoutSlowStart.Share(), s.Faults, withoutSlowStart.Broken)
@@ -313,12 +317,12 @@
 			t.Errorf("seed %d: %.3f in time, %v", seed, s.Share(), s.Faults)
 		}
 		if withoutSlowStart.Broken["cold"] == 0 {
-			t.Errorf("seed %d: without the ramp nothing is seen: %v", seed, withoutSlowStart.Broken)
+			t.Errorf("seed %d: no overload without slow start: %v", seed, withoutSlowStart.Broken)
 		}
 	}
 }
 
-// A malformed description is refused with the place and what was expected there.
+// The error of an invalid experiment names the key or the position, and what is expected there.
 func TestParseMalformedExperimentReturnsError(t *testing.T) {
 	for text, want := range map[string]string{
 		"[fleet]\nnodes = 0":                    "fleet.nodes: expected 1 to 20000, not 0",
@@ -350,17 +354,17 @@
 	}
 }
 
-// The largest sizes are taken, and of these no two are played at once.
+// Parse accepts the largest fleets. AtOnce allows only one run of them at a time.
 func TestAtOnceLargestExperimentRunsAlone(t *testing.T) {
 	for _, c := range []struct{ nodes, caches, atOnce int }{{20000, 1000, 1}, {3333, 6000, 1}, {19000, 70, 15}, {4, 10, maxPairs / 40}} {
 		e := parse(t, fmt.Sprintf("[fleet]\nnodes = %d\ncaches = %d", c.nodes, c.caches))
 		if got := e.AtOnce(); got != c.atOnce {
-			t.Errorf("%+v: %d at once", c, got)
+			t.Errorf("%+v: got %d runs at a time", c, got)
 		}
 	}
 }
 
-// Hundreds of nodes and caches play in seconds.
+// A run with hundreds of nodes and caches keeps the rules. Its time is logged.
 func TestRunLargeFleetBreaksNoRule(t *testing.T) {
 	e := parse(t, "length = \"3s\"\n[fleet]\nnodes = 300\ncaches = 100\n[origin]\nslots=200\nqueue=2000\n[demand]\nrate = 12000\nkeys = 100000")
 	began := time.Now()
@@ -371,7 +375,8 @@
 	t.Logf("%d requests in %v, %.3f in time", s.Offered, time.Since(began).Round(time.Millisecond), s.Share())
 }
 
-// A description varies to one for each value, each with one key changed; a fault names the key and the value.
+// The vary table defines one experiment per value, with one key changed. The error of an invalid variant names the key and
+// the value.
 func TestReadVaryTableReturnsVariants(t *testing.T) {
 	for _, c := range []struct{ vary, want string }{
 		{"fleet.nodes = [2, 3]\ndemand.skew = [1.5]", "[base 4 1.1] [base, demand.skew 1.5 4 1.5] [base, fleet.nodes 2 2 1.1] [base, fleet.nodes 3 3 1.1]"},
@@ -399,13 +404,13 @@
 	}
 }
 
-// One cache of ten has all that is asked of a single key.
+// With a single key, consistent hashing sends all requests to one of ten caches, which thus has ten times the mean.
 func TestRunSingleKeyReportsBusiestCache(t *testing.T) {
 	e, err := Parse([]byte("length = \"3s\"\n[demand]\nkeys = 1\nwrites = 0.0\nrate = 100"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s, err := Run(e, "hashing", 1); err != nil || s.Busiest != 10 {
-		t.Errorf("the busiest has %.2f times the mean, want 10 (%v)", s.Busiest, err)
+		t.Errorf("the busiest cache has %.2f times the mean, want 10 (%v)", s.Busiest, err)
 	}
 }
