--- a/cmd/thistlerudder/emulate.go
+++ b/cmd/thistlerudder/emulate.go
@@ -37,16 +37,16 @@
 		}
 		var experiments []*simulation.Experiment
 		for _, file := range files {
-			described, err := simulation.Read(file)
+			fileExperiments, err := simulation.Read(file)
 			if err != nil {
 				return err
 			}
-			for _, e := range described {
+			for _, e := range fileExperiments {
 				if len(*policies) > 0 {
 					e.Policies = *policies
 				}
 			}
-			experiments = append(experiments, described...)
+			experiments = append(experiments, fileExperiments...)
 		}
 		for _, policy := range *policies {
 			if !slices.Contains(simulation.Policies(), policy) {
@@ -62,8 +62,8 @@
 	return c
 }
 
-// runPoliciesAndSeeds runs an experiment under each of its policies with consecutive seeds, as many runs at a time as memory allows. The
-// results are in the order of the policies, then of the seeds.
+// runPoliciesAndSeeds runs an experiment under each of its policies with each of the consecutive seeds that start at its own. It runs
+// as many at a time as e.AtOnce allows, which bounds the memory that they use. The results are ordered by policy, then by seed.
 func runPoliciesAndSeeds(e *simulation.Experiment, seeds int) ([]*simulation.Series, []error) {
 	runs := make([]*simulation.Series, len(e.Policies)*seeds)
 	var wg sync.WaitGroup
@@ -79,8 +79,11 @@
 	return runs, errs
 }
 
-// runExperiments runs each experiment under its policies and seeds, and prints one line for each run. It writes the points and the
-// use of budgets to the files whose paths are not empty. If runs of the policy ranges break rules, the error says which and how.
+// runExperiments runs each experiment under its policies and seeds, and prints a table with one line for each run. It writes
+// the results of each second (points) to pointsFile, and the use of budgets in each second to budgetsFile; if a path is empty, it
+// does not write that file. If afterSeconds is above 0, the table has a column that compares fetches after and before that second, over
+// intervals of spanSeconds. If runs of the policy ranges break rules, the error describes the violations. Runs of other policies may
+// break rules.
 func runExperiments(cmd *cobra.Command, experiments []*simulation.Experiment, seeds int, pointsFile, budgetsFile string,
 	afterSeconds, spanSeconds int,
 ) error {
--- a/cmd/thistlerudder/faulttest_on.go
+++ b/cmd/thistlerudder/faulttest_on.go
@@ -23,10 +23,10 @@
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
-// faultTests returns the commands of the test rig.
-func faultTests() []*cobra.Command {
+// faultTestCommands returns the commands that run nodes under faults or at scale. Only a build with the tag faults has them.
+func faultTestCommands() []*cobra.Command {
 	c := &cobra.Command{Use: "trial", Short: "Run clusters under faults and check them"}
-	c.AddCommand(newTrialCommand(&leaseTrials), newTrialCommand(&budgetTrials), newMeasureCommand(), trialScale(), trialSoak(), hollowNodes(), directory())
+	c.AddCommand(newTrialCommand(&leaseTrials), newTrialCommand(&budgetTrials), newMeasureCommand(), newScaleCommand(), newSoakCommand(), newHollowNodesCommand(), newDiscoveryCommand())
 	return []*cobra.Command{c}
 }
 
@@ -34,7 +34,7 @@
 func newMeasureCommand() *cobra.Command {
 	c := &cobra.Command{Use: "measure", Args: cobra.NoArgs, Short: "Measure the cost of a cluster without faults"}
 	processes := c.Flags().Int("processes", 6, "number of processes; 3 are voters, and the last runs without the cluster")
-	span := c.Flags().Duration("for", 20*time.Second, "duration of the measurement")
+	duration := c.Flags().Duration("for", 20*time.Second, "duration of the measurement")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		program, err := os.Executable()
 		if err != nil {
@@ -42,7 +42,7 @@
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		cost, err := faulttest.Measure(ctx, faulttest.Plan{Program: program, Nodes: max(4, *processes), Seed: 1}, *span)
+		cost, err := faulttest.Measure(ctx, faulttest.Plan{Program: program, Nodes: max(4, *processes), Seed: 1}, *duration)
 		if err != nil {
 			return err
 		}
@@ -56,15 +56,15 @@
 	return c
 }
 
-const maxAttempts = 3 // of a run, while it is inconclusive
+const maxRunsPerSeed = 3 // an inconclusive run is repeated with the same seed, up to this many runs
 
-// trialKind is a kind of test run.
+// trialKind is a kind of test run: of leases or of budgets.
 type trialKind struct {
-	name, short string
-	faults      func() []faulttest.FaultInfo
-	safeguards  []string
-	run         func(context.Context, faulttest.Plan) (faulttest.RunResult, error)
-	coresPerRun int // that a run of five processes needs; with fewer, processes are delayed and runs become inconclusive
+	name, short           string
+	faults                func() []faulttest.FaultInfo
+	safeguards            []string
+	run                   func(context.Context, faulttest.Plan) (faulttest.RunResult, error)
+	coresPerFiveProcesses int // that a run with five processes needs; with fewer, processes are delayed and runs become inconclusive
 }
 
 var (
@@ -74,7 +74,7 @@
 		faults.BudgetSafeguards, faulttest.RunBudgets, 3}
 )
 
-// newTrialCommand returns the command for a kind of test run.
+// newTrialCommand returns the command that runs one kind of test once for each seed.
 func newTrialCommand(kind *trialKind) *cobra.Command {
 	c := &cobra.Command{Use: kind.name, Args: cobra.NoArgs, Short: kind.short}
 	seeds := c.Flags().String("seeds", "1-20", "FROM-TO")
@@ -84,7 +84,7 @@
 	keep := c.Flags().String("keep", "", "a folder for the histories of failed runs")
 	list := c.Flags().Bool("list", false, "list the faults and the safeguards")
 	jobs := c.Flags().Int("jobs", 0, "number of concurrent runs; 0: depends on the number of cores")
-	first := c.Flags().Bool("first", false, "stop at the first run that breaks a rule")
+	stopAtFirst := c.Flags().Bool("first", false, "stop at the first run that breaks a rule")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		knownFaults := kind.faults()
 		if *list {
@@ -96,7 +96,7 @@
 			}
 			return nil
 		}
-		from, to, err := seedsOf(*seeds)
+		from, to, err := parseSeedRange(*seeds)
 		if err != nil {
 			return err
 		}
@@ -115,13 +115,13 @@
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		return runTrials(ctx, cmd, kind, faulttest.Plan{Program: program, Nodes: *processes, DisabledSafeguard: *without, OnlyFault: *only, KeepDir: *keep},
-			from, to, *jobs, *first)
+			from, to, *jobs, *stopAtFirst)
 	}
 	return c
 }
 
-// seedsOf parses a range of seeds, FROM-TO, or a single seed.
-func seedsOf(s string) (from, to uint64, err error) {
+// parseSeedRange parses a range of seeds, FROM-TO, or a single seed.
+func parseSeedRange(s string) (from, to uint64, err error) {
 	first, last, found := strings.Cut(s, "-")
 	if !found {
 		last = first
@@ -134,7 +134,7 @@
 	return from, to, nil
 }
 
-// trialSummary adds up the results of all runs.
+// trialSummary totals the results of the runs of all seeds. If a run was repeated, only its last result counts.
 type trialSummary struct {
 	runs, voidRuns                               int
 	actions                                      int
@@ -144,8 +144,8 @@
 	failoverTimes                                []time.Duration
 	failoverTimesByFault                         map[string][]time.Duration
 	windows                                      int
-	peakShares                                   map[string]float64 // by budget; the highest of all runs
-	utilization                                  map[string]float64 // by budget; the sum of all runs
+	peakShares                                   map[string]float64 // by budget; the fullest window of all runs, as a share of the budget's limit
+	utilization                                  map[string]float64 // by budget; the sum over all runs of the mean use, as a share of the budget's limit
 	failures                                     []string           // a message for each failed run
 }
 
@@ -154,7 +154,7 @@
 		utilization: map[string]float64{}}
 }
 
-// add adds the figures of a run. It doesn't look at the run's outcome.
+// add adds the counts and durations of a run. The caller counts void runs and records failures.
 func (s *trialSummary) add(r *faulttest.RunResult) {
 	s.runs++
 	s.actions += r.Actions
@@ -177,7 +177,7 @@
 	}
 }
 
-// print prints the figures of all runs.
+// print prints the summary. It has shares of budgets, or, for runs without budgets, overlaps and failover times.
 func (s *trialSummary) print(cmd *cobra.Command) {
 	for _, fault := range slices.Sorted(maps.Keys(s.failoverTimesByFault)) {
 		times := s.failoverTimesByFault[fault]
@@ -200,10 +200,10 @@
 	for _, budget := range slices.Sorted(maps.Keys(s.peakShares)) {
 		shares += fmt.Sprintf(", %s %.2f (%.2f of it used in the mean)", budget, s.peakShares[budget], s.utilization[budget]/float64(s.runs))
 	}
-	cmd.Printf("windows judged %d, the fullest as a share of its bound%s\n", s.windows, strings.Replace(shares, ",", ":", 1))
+	cmd.Printf("windows judged %d, the fullest as a share of its bound%s\n", s.windows, strings.Replace(shares, ",", ":", 1)) // the first separator is a colon
 }
 
-// rerunCommand returns the command line that repeats the run of a seed.
+// rerunCommand returns the command line that runs a seed again, with the same number of processes, disabled safeguard and only fault.
 func rerunCommand(kind *trialKind, plan *faulttest.Plan, seed uint64) string {
 	command := fmt.Sprintf("thistlerudder trial %s --seeds %d --processes %d", kind.name, seed, plan.Nodes)
 	for flag, v := range map[string]string{"without": plan.DisabledSafeguard, "only": plan.OnlyFault} {
@@ -214,16 +214,16 @@
 	return command
 }
 
-// runTrials runs the test once for each seed in [from, to], up to jobs runs at a time, and prints a summary. With first, it stops at
-// the first failed run.
-func runTrials(ctx context.Context, cmd *cobra.Command, kind *trialKind, plan faulttest.Plan, from, to uint64, jobs int, first bool) error {
+// runTrials runs the test for each seed in [from, to], up to jobs seeds at a time, and prints a summary. If jobs is 0 or less, the
+// number depends on the available cores. With stopAtFirst, it stops at the first failed run.
+func runTrials(ctx context.Context, cmd *cobra.Command, kind *trialKind, plan faulttest.Plan, from, to uint64, jobs int, stopAtFirst bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if jobs <= 0 {
-		jobs = max(1, availableCores()*5/(kind.coresPerRun*plan.Nodes))
+		jobs = max(1, availableCores()*5/(kind.coresPerFiveProcesses*plan.Nodes))
 	}
 	_, err := unix.IoctlGetTermios(int(os.Stderr.Fd()), unix.TCGETS)
-	terminal := err == nil
+	isTerminal := err == nil
 	var mu sync.Mutex
 	s := newTrialSummary()
 	slots := make(chan int, jobs)
@@ -239,7 +239,7 @@
 			p.Seed, p.Slot = seed, slot
 			var r faulttest.RunResult
 			var err error
-			for range maxAttempts {
+			for range maxRunsPerSeed {
 				if r, err = kind.run(ctx, p); err != nil || r.VoidReason == "" {
 					break
 				}
@@ -262,17 +262,17 @@
 			}
 			if failure != "" {
 				s.failures = append(s.failures, fmt.Sprintf("seed %d: %s\n  again: %s; history: %s", seed, failure, rerunCommand(kind, &plan, seed), r.HistoryDir))
-				if first {
+				if stopAtFirst {
 					cancel()
 				}
 			}
-			if terminal {
+			if isTerminal {
 				cmd.PrintErrf("\r%d of %d runs, %d failed, %d void ", s.runs, to-from+1, len(s.failures), s.voidRuns)
 			}
 		})
 	}
 	running.Wait()
-	if terminal {
+	if isTerminal {
 		cmd.PrintErrln()
 	}
 	for _, f := range s.failures {
@@ -290,7 +290,7 @@
 	return nil
 }
 
-// percentile returns a percentile of sorted durations, rounded to milliseconds, or 0 if there are none.
+// percentile returns the p-th percentile of durations in ascending order, rounded to milliseconds, or 0 if there are none.
 func percentile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/scaletest/disruptions.go
+++ b/internal/scaletest/disruptions.go
@@ -76,7 +76,7 @@
 		r.reportLatencies(scenario, "list in force at its return",
 			changeLatencies([]AppliedChange{change}, groupByNode(r.nodeEvents), r.nodesOutside(lostRacks), eventListInForce, maxPropagation))
 	}
-	return r.reportUsageOfSurvivors(scenario, before, leader, hosts)
+	return r.reportLeaderAndDiscoveryUsage(scenario, before, leader, hosts)
 }
 
 // racksToLose maps the racks that are lost in a scenario to true.
@@ -143,7 +143,7 @@
 		r.reportLatencies(ScenarioPartition, "lease renewed or had again after the cut", leaseLatencies)
 		r.reportLostLeases(ScenarioPartition)
 	}
-	return r.reportUsageOfSurvivors(ScenarioPartition, before, leader, nil)
+	return r.reportLeaderAndDiscoveryUsage(ScenarioPartition, before, leader, nil)
 }
 
 // runDiscoveryOutage stops the discovery service for outageDuration. Afterwards all nodes call it at once.
@@ -180,7 +180,7 @@
 		}
 	}
 	r.reportLatencies(ScenarioDiscoveryOutage, fmt.Sprintf("list in force after an outage of %v", outageDuration), latencies)
-	return r.reportUsageOfSurvivors(ScenarioDiscoveryOutage, before, leader, nil)
+	return r.reportLeaderAndDiscoveryUsage(ScenarioDiscoveryOutage, before, leader, nil)
 }
 
 // killLeader kills the leader, and starts it again once the nodes have renewed their leases at its successor.
@@ -207,7 +207,7 @@
 	}
 	r.reportLatencies(ScenarioLeaderKill, "lease renewed or had again", latencies)
 	r.reportLostLeases(ScenarioLeaderKill)
-	if err := r.reportUsageOfSurvivors(ScenarioLeaderKill, before, r.leaderIndex(), []*process{r.voters[leader]}); err != nil {
+	if err := r.reportLeaderAndDiscoveryUsage(ScenarioLeaderKill, before, r.leaderIndex(), []*process{r.voters[leader]}); err != nil {
 		return err
 	}
 	return r.voters[leader].start(r.Program)
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -17,9 +17,10 @@
 	Value                                float64
 }
 
+// columns is the header row of a CSV file of measurements.
 var columns = []string{"nodes", "real", "servers", "seed", "phase", "role", "what", "value"}
 
-// WriteMeasurements writes measurements as CSV, after a header row if withHeader is set.
+// WriteMeasurements writes measurements as CSV. If withHeader is set, it writes the header row first.
 func WriteMeasurements(w io.Writer, measurements []Measurement, withHeader bool) error {
 	c := csv.NewWriter(w)
 	if withHeader {
@@ -33,7 +34,7 @@
 	return c.Error()
 }
 
-// ReadMeasurements reads the output of WriteMeasurements.
+// ReadMeasurements reads the output of WriteMeasurements, with or without the header row.
 func ReadMeasurements(r io.Reader) (measurements []Measurement, err error) {
 	c := csv.NewReader(r)
 	c.FieldsPerRecord = len(columns)
@@ -59,21 +60,21 @@
 	return measurements, err
 }
 
-// FittedLine is a line fitted to the values of a metric by least squares.
+// FittedLine is a straight line fitted to the values of a metric by least squares.
 type FittedLine struct {
 	Phase, Role, Metric string
-	Sizes               []float64 // the numbers of nodes or servers at which Values were measured
+	Sizes               []float64 // the number of hollow nodes or of cache servers for each of Values
 	Values              []float64
 	Intercept, Slope    float64
 	Residuals           []float64 // measured values minus predicted values
 	R2                  float64   // coefficient of determination; 1 if all values are equal
 }
 
-// Predict returns the line's value at a size.
+// Predict returns the line's value at a size, a number of hollow nodes or of cache servers as in Sizes.
 func (l *FittedLine) Predict(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// WorstRelativeResidual returns the largest residual relative to the measured value, or relative to the largest value if the
-// measured value is 0.
+// WorstRelativeResidual returns the largest ratio of a residual to its measured value, both absolute. If a measured value is 0, the
+// residual is divided by the largest absolute value of the metric instead.
 func (l *FittedLine) WorstRelativeResidual() (worst float64) {
 	for i, r := range l.Residuals {
 		reference := math.Abs(l.Values[i])
@@ -89,7 +90,8 @@
 	return worst
 }
 
-// leastSquares fits a line to the values measured at the sizes.
+// leastSquares fits a line to the values, which were measured at the sizes. The variations are sums of squared deviations from the
+// mean, and the covariation is the sum of products of the deviations.
 func leastSquares(sizes, values []float64) (intercept, slope float64, residuals []float64, r2 float64) {
 	n, meanSize, meanValue := float64(len(sizes)), 0.0, 0.0
 	for i := range sizes {
@@ -118,8 +120,8 @@
 	return intercept, slope, residuals, r2
 }
 
-// FitLines fits a line to each metric of each phase and role, over the number of hollow nodes or of cache servers. The measurements
-// may be in any order. Metrics measured at fewer than three sizes are left out.
+// FitLines fits a line to each metric of each phase and role, as a function of the number of cache servers if byServers is set, else
+// of the number of hollow nodes. The measurements may be in any order. Metrics measured at fewer than three sizes are left out.
 func FitLines(measurements []Measurement, byServers bool) (lines []FittedLine) {
 	measurements = slices.Clone(measurements)
 	slices.SortStableFunc(measurements, func(a, b Measurement) int {
@@ -129,19 +131,19 @@
 		return a.HollowNodes - b.HollowNodes
 	})
 	type key struct{ phase, role, metric string }
-	var order []key
+	var keyOrder []key
 	sizes, values := map[key][]float64{}, map[key][]float64{}
 	for _, m := range measurements {
 		k, size := key{m.Phase, m.Role, m.Metric}, m.HollowNodes
 		if byServers {
 			size = m.CacheServers
 		}
-		if _, known := sizes[k]; !known {
-			order = append(order, k)
+		if _, seen := sizes[k]; !seen {
+			keyOrder = append(keyOrder, k)
 		}
 		sizes[k], values[k] = append(sizes[k], float64(size)), append(values[k], m.Value)
 	}
-	for _, k := range order {
+	for _, k := range keyOrder {
 		distinctSizes := slices.Compact(slices.Sorted(slices.Values(sizes[k])))
 		if len(distinctSizes) < 3 {
 			continue
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -24,29 +24,30 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/node"
 )
 
-const gcPercent = 300 // the value that a real node sets
+const gcPercent = 300 // the value that a real node sets (internal/net/node/limits.go, gcPercent)
 
 // host runs the hollow nodes of one process.
 type host struct {
 	dir     string
-	noLoad  bool
+	noLoad  bool // the nodes have no demand for the budget
 	seed    uint64
 	logCore zapcore.Core
 
 	mu         sync.Mutex
-	nodes      map[int]*hollowNode
-	nodeEvents []NodeEvent
+	nodes      map[int]*hollowNode // running nodes by number
+	nodeEvents []NodeEvent         // events since the last command "marks"
 }
 
 // hollowNode is a running hollow node.
 type hollowNode struct {
-	signals chan os.Signal
+	signals chan os.Signal // SIGHUP makes the node reload its configuration
 	stop    context.CancelFunc
 	done    chan struct{} // closed when the node has ended
 }
 
-// RunHollowNodes runs hollow nodes. It handles the commands from in and writes the responses to out, until in ends or ctx is done.
-// The nodes' configuration files are in dir, and the log file there is called name.log.
+// RunHollowNodes runs hollow nodes in this process. It reads commands from in and writes a response to each to out. When in ends or
+// ctx is done, it shuts the nodes down and returns. The nodes read their configuration files from dir, and log to the file name.log
+// there. With noLoad, the nodes have no demand for the budget. The demand is random and depends on seed.
 func RunHollowNodes(ctx context.Context, in io.Reader, out io.Writer, dir, name string, noLoad bool, seed uint64) error {
 	runtime.GOMAXPROCS(1) // the nodes are configured with one core
 	debug.SetGCPercent(gcPercent)
@@ -70,7 +71,15 @@
 	return err
 }
 
-// handle handles a command.
+// handle executes a command of the scale test:
+//   - start: starts the given nodes
+//   - restart: shuts the given nodes down and starts them again, after the response
+//   - reload: makes all running nodes reload their configuration files
+//   - leave: shuts all running nodes down
+//   - marks: returns the events since the last such command
+//   - use: returns the resources that this process has used
+//
+// BootTimeNs of the response is the time at which the command arrived.
 func (h *host) handle(c command) (answer response) {
 	answer.BootTimeNs = faulttest.Boot()
 	switch c.Name {
@@ -89,9 +98,9 @@
 		}()
 	case "reload":
 		h.mu.Lock()
-		for _, node := range h.nodes {
+		for _, runningNode := range h.nodes {
 			select {
-			case node.signals <- syscall.SIGHUP:
+			case runningNode.signals <- syscall.SIGHUP:
 			default: // a reload is pending already
 			}
 		}
@@ -121,7 +130,7 @@
 	return numbers
 }
 
-// start starts a node from its configuration file, as a separate process would.
+// start reads a node's configuration file, as a real node does at its start, and starts the node.
 func (h *host) start(n int) error {
 	h.addEvent(NodeEvent{Node: n, Kind: eventStart})
 	nodeConfig, err := config.Read(filepath.Join(h.dir, hollowConfigFile(n)))
@@ -143,19 +152,19 @@
 	return nil
 }
 
-// shutDown shuts nodes down gracefully and waits until they have ended.
+// shutDown shuts down those of the given nodes that are running, gracefully, and waits until they have ended.
 func (h *host) shutDown(nodes []int) {
-	var done []chan struct{}
+	var doneChannels []chan struct{}
 	h.mu.Lock()
 	for _, n := range nodes {
-		if node, isRunning := h.nodes[n]; isRunning {
-			node.stop()
-			done = append(done, node.done)
+		if runningNode, isRunning := h.nodes[n]; isRunning {
+			runningNode.stop()
+			doneChannels = append(doneChannels, runningNode.done)
 			delete(h.nodes, n)
 		}
 	}
 	h.mu.Unlock()
-	for _, nodeDone := range done {
+	for _, nodeDone := range doneChannels {
 		<-nodeDone
 	}
 }
--- a/internal/scaletest/phase.go
+++ b/internal/scaletest/phase.go
@@ -13,14 +13,15 @@
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
-// runPhase applies the scheduled changes, and reports how long they took and what the processes used.
+// runPhase applies the scheduled changes. It then reports how long they took to come into force at the nodes, and what the processes
+// used during the phase.
 func (r *run) runPhase(name string, schedule []ScheduledChange) error {
 	leader := r.leaderIndex()
 	before, err := r.usageByProcess()
 	if err != nil {
 		return err
 	}
-	if err := r.fetchNodeEvents(); err != nil { // events before this phase are reported elsewhere
+	if err := r.fetchNodeEvents(); err != nil { // discards events from before this phase
 		return err
 	}
 	r.nodeEvents = nil
@@ -34,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	r.sleep(maxPropagation / 5) // wait for late events
+	r.sleep(maxPropagation / 5) // waits for events of changes that nodes get after the phase ends
 	if err := r.appendNodeEvents(); err != nil {
 		return err
 	}
@@ -46,13 +47,13 @@
 	return nil
 }
 
-// applyChanges applies the scheduled changes at their times. It returns them by kind, and the number of changes of the budget's limit
-// that failed.
+// applyChanges applies each scheduled change at its offset from startTime. It returns the applied changes by kind, and how many changes
+// of the budget's limit failed.
 func (r *run) applyChanges(name string, schedule []ScheduledChange, startTime time.Time) (map[string][]AppliedChange, int, error) {
 	changes, failedLimitChanges := map[string][]AppliedChange{}, 0
 	var mu, reloadMu sync.Mutex
 	var errs []error
-	var slowChanges sync.WaitGroup // slow changes must not delay the other changes
+	var slowChanges sync.WaitGroup // changes that run in the background, since they would delay the other changes
 	recordChange := func(kind string, c AppliedChange, err error) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -75,12 +76,13 @@
 			recordChange(scheduled.Kind, c, err)
 		case changeConfig:
 			slowChanges.Go(func() {
-				reloadMu.Lock() // one at a time
+				reloadMu.Lock() // one reload at a time
 				defer reloadMu.Unlock()
 				c, err := r.reloadConfigs()
 				recordChange(scheduled.Kind, c, err)
 			})
 		case changeBudget:
+			// Raises the limit by 10%. If it would exceed 1.2 times the configured limit, lowers it to the previous limit / 1.1 instead.
 			if r.budgetLimit *= 1.1; r.budgetLimit > 1.2*budgetRatePerNode*float64(r.HollowNodes+r.RealNodes+voterCount) {
 				r.budgetLimit /= 1.21
 			}
@@ -88,7 +90,7 @@
 			slowChanges.Go(func() {
 				c := AppliedChange{BootTimeNs: faulttest.Boot()}
 				status, err := r.client.SetLimit(budgetName, limit)
-				if err != nil { // for example during an election; the other changes go on
+				if err != nil { // for example during an election; the phase continues
 					mu.Lock()
 					defer mu.Unlock()
 					r.addLine("%s: the budget's whole could not be set: %v", name, err)
@@ -107,9 +109,10 @@
 	return changes, failedLimitChanges, errors.Join(errs...)
 }
 
-// reportPhase reports how long the changes of a phase took to come into force, the starts of restarted nodes, and lease renewals.
+// reportPhase reports how long the changes of a phase took to come into force at the nodes, how long restarted nodes took to have their
+// lists, leases and quotas, and how long lease renewals took.
 func (r *run) reportPhase(name string, changes map[string][]AppliedChange, failedLimitChanges int, startNs int64) {
-	eventsByNode, nodes := groupByNode(r.nodeEvents), r.nodesOutside(nil)
+	eventsByNode, nodes := groupByNode(r.nodeEvents), r.nodesOutside(nil) // all hollow nodes
 	for i, p := range r.realNodes {
 		eventsByNode[firstRealNodeNumber+i] = p.loggedEvents(firstRealNodeNumber + i)
 		nodes = append(nodes, firstRealNodeNumber+i)
@@ -120,7 +123,7 @@
 		r.reportLatencies(name, "configuration in force",
 			changeLatencies(changes[changeConfig], eventsByNode, nodes, eventConfigInForce, maxPropagation))
 	}
-	if r.Includes(ScenarioBudget) {
+	if r.Includes(ScenarioBudget) { // without the real nodes, whose logs don't show received quotas
 		if r.addMeasurement(name, "node", "wholes that could not be set", float64(failedLimitChanges)); failedLimitChanges > 0 {
 			r.addExceededBound("%s: a budget's whole could not be set %d times", name, failedLimitChanges)
 		}
@@ -139,7 +142,7 @@
 	}
 }
 
-// changeEntries changes entries of the endpoint list.
+// changeEntries replaces entries of the endpoint list at the discovery service.
 func (r *run) changeEntries(entries []Entry) (AppliedChange, error) {
 	response, err := r.discovery.send(command{Name: "change", Entries: entries})
 	return AppliedChange{response.BootTimeNs, response.Version}, err
--- a/internal/scaletest/processes_test.go
+++ b/internal/scaletest/processes_test.go
@@ -14,8 +14,8 @@
 
 const trialEnvVariable = "THISTLERUDDER_TRIAL"
 
-// buildProgram builds the program with the tag faults. It returns a function that makes commands of the scale test, and the folder in
-// which their runs keep files.
+// buildProgram builds the program with the tag faults. It returns a function that creates a command that runs the scale test with the
+// given arguments, and the folder that these runs use as their temporary directory.
 func buildProgram(t *testing.T) (scaleCommand func(args ...string) *exec.Cmd, folder string) {
 	t.Helper()
 	if os.Getenv(trialEnvVariable) == "" {
@@ -33,8 +33,9 @@
 	}, folder
 }
 
-// findLeftovers returns the processes whose temporary directory is the folder, and the files of runs in it.
-func findLeftovers(folder string) (processes, files []string) {
+// findRunProcessesAndFiles returns the directories in /proc of running processes whose temporary directory is the folder, and the files
+// that runs have in the folder.
+func findRunProcessesAndFiles(folder string) (processes, files []string) {
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, path := range paths {
 		environ, _ := os.ReadFile(path)
@@ -46,13 +47,14 @@
 	return processes, files
 }
 
-// A small run with a zone restart and a killed leader measures each metric, and leaves no processes or files behind.
+// A small run with a zone restart and a killed leader reports the metrics below as values above 0, and leaves no processes or files
+// behind.
 func TestProcessesAtScale(t *testing.T) {
 	scaleCommand, folder := buildProgram(t)
 	measurementsPath := filepath.Join(folder, "points.csv")
 	var out []byte
 	var err error
-	for range 3 { // a run is void if the machine stalls it
+	for range 3 { // a run is void if it exceeds bounds after the machine did not schedule the test process for longer than maxStall
 		_ = os.Remove(measurementsPath)
 		out, err = scaleCommand("--nodes", "24", "--real", "2", "--servers", "12", "--for", "4s", "--what", "list,lease,budget,configuration,restart,leader",
 			"--out", measurementsPath).CombinedOutput()
@@ -74,17 +76,18 @@
 			t.Errorf("%s: %g", metric, values[metric])
 		}
 	}
-	if processes, files := findLeftovers(folder); len(processes)+len(files) > 0 {
+	if processes, files := findRunProcessesAndFiles(folder); len(processes)+len(files) > 0 {
 		t.Errorf("left behind: %v %v", processes, files)
 	}
 }
 
-// A hollow node that is alone in its process costs as much as a real node: traffic, memory and processor time are within a fifth.
+// A hollow node that is alone in its process costs as much as a real node: traffic, memory and CPU time differ by at most 20%. With 8
+// nodes, each of the 8 racks is a process with one node.
 func TestProcessesAtScaleHollowNodeCostsMatchRealNode(t *testing.T) {
 	scaleCommand, folder := buildProgram(t)
 	measurementsPath := filepath.Join(folder, "points.csv")
 	out, err := scaleCommand("--nodes", "8", "--real", "8", "--servers", "30", "--for", "8s", "--quiet", "--out", measurementsPath).CombinedOutput()
-	if err != nil && !strings.Contains(string(out), "Error: void") { // a void run still reports the costs
+	if err != nil && !strings.Contains(string(out), "Error: void") { // a void run still writes its measurements
 		t.Fatalf("%v:\n%s", err, out)
 	}
 	values := readMeasurements(t, measurementsPath)
@@ -97,7 +100,7 @@
 	}
 }
 
-// readMeasurements reads the measurements of a run, by phase, role and metric.
+// readMeasurements reads the measurements of a run. The keys have the form "PHASE: ROLE: METRIC".
 func readMeasurements(t *testing.T, path string) map[string]float64 {
 	t.Helper()
 	f, err := os.Open(path)
@@ -116,7 +119,8 @@
 	return values
 }
 
-// A run that is interrupted ends at once and leaves no processes or files behind. A run that is killed leaves no processes.
+// A run that gets SIGINT or SIGTERM ends within 15 s and leaves no processes or files behind. A run that is killed may leave files, but
+// no processes.
 func TestProcessesAtScaleEndWithRun(t *testing.T) {
 	scaleCommand, folder := buildProgram(t)
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
@@ -131,7 +135,7 @@
 		if _, err := bufio.NewReader(out).ReadString('\n'); err != nil { // printed once all processes have started
 			t.Fatal(err)
 		}
-		if processes, _ := findLeftovers(folder); len(processes) < 10 {
+		if processes, _ := findRunProcessesAndFiles(folder); len(processes) < 10 {
 			t.Errorf("%v: only %d processes are running", signal, len(processes))
 		}
 		signalTime := time.Now()
@@ -144,7 +148,7 @@
 		}
 		var processes, files []string
 		for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
-			if processes, files = findLeftovers(folder); len(processes) == 0 {
+			if processes, files = findRunProcessesAndFiles(folder); len(processes) == 0 {
 				break
 			}
 		}
@@ -167,7 +171,7 @@
 			t.Errorf("%s: %v: %s", args, err, out)
 		}
 	}
-	if processes, files := findLeftovers(folder); len(processes)+len(files) > 0 {
+	if processes, files := findRunProcessesAndFiles(folder); len(processes)+len(files) > 0 {
 		t.Errorf("left behind: %v %v", processes, files)
 	}
 }
--- a/internal/scaletest/resources.go
+++ b/internal/scaletest/resources.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The limits of a run.
+// Limits of a run, for all its processes together.
 const (
 	maxProcesses   = 200
-	maxMemoryBytes = 12 << 30
+	maxMemoryBytes = 12 << 30 // resident memory
 )
 
 // Estimates of the resources that a process needs, from a run with 800 nodes and 240 servers, rounded up.
@@ -20,20 +20,20 @@
 	baseDescriptors    = 96        // descriptors of a process without hollow nodes
 )
 
-// The descriptors in a voter's configuration. The leader has a connection from each node. A node sets a reserve apart, and at most
-// half of the remaining descriptors is for the cluster (internal/net/node/limits.go, clusterShare).
+// The number of descriptors to configure for a voter. A voter that becomes leader needs a connection from each node. Every node first
+// subtracts a reserve from its configured descriptors, and then uses at most half of the rest for the cluster
+// (internal/net/node/limits.go, reserved and clusterShare).
 const (
-	voterClusterDescriptors = 36  // a voter's cluster descriptors without those for nodes: clusterReserve, and connsPerVoter for each voter
+	voterClusterDescriptors = 36  // cluster descriptors that are not for connections from nodes: clusterReserve, and connsPerVoter for each voter
 	clusterDivisor          = 2   // clusterDivisor in limits.go
-	maxReserve              = 64  // maxDividedReserve in limits.go
-	voterRequestDescriptors = 448 // for connections of clients and servers
+	maxReservedDescriptors  = 64  // the reserve: maxDividedReserve in limits.go
+	voterRequestDescriptors = 448 // descriptors for connections from clients and to cache servers
 )
 
-// maxLeases is the limit on leases that are held at once (lease/state.go). Each node and each voter holds the lease of its name, and
-// each task of the cluster, probe and roll-up, has a lease.
+// Leases of the cluster. Each node, including the voters, holds a lease on its own name.
 const (
-	maxLeases  = 4096
-	taskLeases = 2
+	maxLeases  = 4096 // the limit on leases that are held at the same time (lease/state.go, maxLeases)
+	taskLeases = 2    // one for each cluster task: probe and roll-up
 )
 
 // Resources is what the machine has available for a run.
@@ -42,23 +42,25 @@
 	Descriptors int   // descriptor limit of a process
 }
 
-// voterDescriptors returns how many descriptors a voter needs to hold connections of all nodes when it is the leader.
+// voterDescriptors returns how many descriptors a voter needs so that each node can connect to it when it is the leader.
 func (p *Plan) voterDescriptors() int {
-	return clusterDivisor*(p.HollowNodes+p.RealNodes+voterClusterDescriptors) + maxReserve
+	return clusterDivisor*(p.HollowNodes+p.RealNodes+voterClusterDescriptors) + maxReservedDescriptors
 }
 
-// voterSocketLimit returns limits.sockets of a voter's configuration, given the descriptor limit of a process.
-func (p *Plan) voterSocketLimit(descriptors int) int {
-	return min(p.voterDescriptors()+voterRequestDescriptors, descriptors)
+// voterSocketLimit returns the value of limits.sockets for a voter's configuration. It is at most descriptorLimit, the descriptor
+// limit of a process.
+func (p *Plan) voterSocketLimit(descriptorLimit int) int {
+	return min(p.voterDescriptors()+voterRequestDescriptors, descriptorLimit)
 }
 
 // exceededLimit describes the first resource or limit that the plan exceeds, or returns "" if the plan fits.
 func (p *Plan) exceededLimit(available Resources) string {
 	racks := p.Zones() * racksPerZone
-	processes := racks + p.RealNodes + 2
+	processes := racks + p.RealNodes + 2 // 2: the discovery service and the test process, which also runs the cache servers
 	if p.Includes(ScenarioLease) {
 		processes += voterCount
 	}
+	// Each hollow node is counted with twice the size of its configuration file.
 	memoryBytes := int64(processes)*bytesPerProcess + int64(p.HollowNodes+p.RealNodes+voterCount)*(bytesPerNode+int64(p.CacheServers)*bytesPerEntry) +
 		2*int64(p.ConfigFileKB)<<10*int64(p.HollowNodes)
 	memoryLimitBytes := min(maxMemoryBytes, available.MemoryBytes*3/4)
@@ -67,6 +69,8 @@
 	if p.Includes(ScenarioLease) {
 		leaderDescriptors = p.voterDescriptors()
 	}
+	// The largest of: a process of hollow nodes, the leader, the discovery service with a connection from each node, and the test process
+	// with its cache servers.
 	descriptors := max(hostDescriptors, leaderDescriptors, p.HollowNodes+p.RealNodes+voterCount+baseDescriptors, min(maxCacheListeners, p.CacheServers)+4*p.RealNodes*maxCacheListeners/8+baseDescriptors)
 	switch leases := p.HollowNodes + p.RealNodes + voterCount + taskLeases; {
 	case processes > maxProcesses:
@@ -81,7 +85,7 @@
 	return ""
 }
 
-// checkRunLimits returns an error if the processes of a run use more than a run may.
+// checkRunLimits returns an error if a run exceeds maxProcesses or maxMemoryBytes.
 func checkRunLimits(residentBytes int64, processes int) error {
 	if residentBytes > maxMemoryBytes || processes > maxProcesses {
 		return fmt.Errorf("run canceled: %d processes use %d MB, the limits are %d processes and %d MB", processes, residentBytes>>20, maxProcesses, int64(maxMemoryBytes)>>20)
--- a/internal/scaletest/usage.go
+++ b/internal/scaletest/usage.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// usageByProcess returns the usage of all processes.
+// usageByProcess returns what each process has used since its start.
 func (r *run) usageByProcess() (map[*process]processUsage, error) {
 	usages := map[*process]processUsage{}
 	var mu sync.Mutex
@@ -23,7 +23,7 @@
 	})
 }
 
-// startMeasurement discards the events so far and returns what each process has used so far.
+// startMeasurement discards all events recorded before it, and returns what each process has used since its start.
 func (r *run) startMeasurement() (map[*process]processUsage, error) {
 	if err := r.fetchNodeEvents(); err != nil {
 		return nil, err
@@ -32,14 +32,17 @@
 	return r.usageByProcess()
 }
 
-// reportUsage reports what the processes of each role used between two measurements.
+// reportUsage reports, for each role, the CPU time, messages and bytes that its processes used per second between two measurements, and
+// their memory and descriptors at the second one. leader is the index of the leader among the voters, or -1 if it is unknown.
 func (r *run) reportUsage(phase string, before, after map[*process]processUsage, leader int) {
+	// reportRole reports each metric's sum over the processes, divided by divisor. baseHeapBytes is subtracted from each live heap.
 	reportRole := func(role string, processes []*process, divisor float64, baseHeapBytes uint64) {
 		sums := map[string]float64{}
-		bytesByPurpose := map[string]float64{}
+		byteRatesByPurpose := map[string]float64{}
 		for _, p := range processes {
 			first, last := before[p], after[p]
 			seconds := float64(last.measuredNs-first.measuredNs) / float64(time.Second)
+			// The difference excludes the garbage collections of the two measurements: each runs between its CPUBefore and CPUAfter.
 			sums["share of a core %"] += 100 * float64(last.CPUBefore-first.CPUAfter) / float64(time.Second) / seconds
 			for purpose, traffic := range last.Traffic {
 				earlier := first.Traffic[purpose]
@@ -47,21 +50,21 @@
 				sums["messages received /s"] += float64(traffic.Reads-earlier.Reads) / seconds
 				sums["bytes sent /s"] += float64(traffic.Sent-earlier.Sent) / seconds
 				sums["bytes received /s"] += float64(traffic.Received-earlier.Received) / seconds
-				bytesByPurpose["bytes both ways /s: "+purpose] += float64(traffic.Sent-earlier.Sent+traffic.Received-earlier.Received) / seconds
+				byteRatesByPurpose["bytes both ways /s: "+purpose] += float64(traffic.Sent-earlier.Sent+traffic.Received-earlier.Received) / seconds
 			}
 			sums["resident MB"] += float64(last.residentBytes) / (1 << 20)
 			sums["live heap KB"] += (float64(last.Heap) - float64(baseHeapBytes)) / 1024
 			sums["descriptors"] += float64(last.descriptors)
-			if last.calls != (CallCounts{}) {
+			if last.calls != (CallCounts{}) { // only the discovery service counts calls
 				sums["whole lists /s"] += float64(last.calls.FullLists-first.calls.FullLists) / seconds
 				sums["lists of changes /s"] += float64(last.calls.Changes-first.calls.Changes) / seconds
 			}
 		}
 		text := fmt.Sprintf("%s: %s:", phase, role)
-		for _, metric := range slices.Concat(metricOrder, sortedKeys(bytesByPurpose)) {
+		for _, metric := range slices.Concat(metricOrder, sortedKeys(byteRatesByPurpose)) {
 			value, reported := sums[metric]
-			if bytes, isPurpose := bytesByPurpose[metric]; isPurpose {
-				value, reported = bytes, true
+			if byteRate, isPurpose := byteRatesByPurpose[metric]; isPurpose {
+				value, reported = byteRate, true
 			}
 			if reported {
 				r.addMeasurement(phase, role, metric, value/divisor)
@@ -71,7 +74,8 @@
 		r.addLine("%s", text[:len(text)-1])
 	}
 	reportRole("node", r.hosts, float64(r.HollowNodes), r.baseHeapBytes)
-	// In a fit over the number of nodes, the slope is the cost of a node, and the intercept that of the processes.
+	// This role reports the total of all hollow nodes and their processes. In a line fitted to it over the number of nodes, the slope is
+	// the cost of a node, and the intercept is the cost of the processes without nodes.
 	reportRole("all nodes", r.hosts, 1, r.baseHeapBytes)
 	if r.RealNodes > 0 {
 		reportRole("real node", r.realNodes, float64(r.RealNodes), r.baseHeapBytes)
@@ -89,13 +93,14 @@
 	reportRole("discovery", []*process{r.discovery}, 1, 0)
 }
 
-// metricOrder lists the metrics of reportUsage in the order of the report.
+// metricOrder lists the metrics in the order in which reportUsage reports them. The bytes by purpose follow.
 var metricOrder = []string{"share of a core %", "messages sent /s", "messages received /s", "bytes sent /s", "bytes received /s", "resident MB",
 	"live heap KB", "descriptors", "whole lists /s", "lists of changes /s"}
 
-// reportUsageOfSurvivors reports what the leader and the discovery service have used during a scenario, unless they are among the
-// excluded processes.
-func (r *run) reportUsageOfSurvivors(scenario string, before map[*process]processUsage, leader int, excluded []*process) error {
+// reportLeaderAndDiscoveryUsage reports the CPU time and sent bytes of the leader and of the discovery service since the measurement
+// before. It omits a process that is excluded or was not measured before. leader is the index of the leader among the voters, or -1 if
+// it is unknown.
+func (r *run) reportLeaderAndDiscoveryUsage(scenario string, before map[*process]processUsage, leader int, excluded []*process) error {
 	after := map[*process]processUsage{}
 	for _, p := range r.processes() {
 		if _, measuredBefore := before[p]; !measuredBefore || slices.Contains(excluded, p) {
@@ -110,7 +115,7 @@
 	reportRole := func(name string, p *process) {
 		first, last := before[p], after[p]
 		if first.measuredNs == 0 || last.measuredNs == 0 {
-			return
+			return // not measured before or after the scenario
 		}
 		seconds := float64(last.measuredNs-first.measuredNs) / float64(time.Second)
 		cpuPercent := 100 * float64(last.CPUBefore-first.CPUAfter) / float64(time.Second) / seconds
@@ -132,5 +137,5 @@
 	return nil
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -12,7 +12,8 @@
 	"testing/quick"
 )
 
-// The list accepts lines of the expected form, and rejects others, repeated tests and too many tests.
+// parseList accepts empty lines and lines of the form "PACKAGE TEST: CAUSE; issue NUMBER". It rejects other lines, a test that is
+// listed twice, and more than maxKnownFailures tests.
 func TestParseListRejectsInvalidLines(t *testing.T) {
 	const good = "m/a TestBad: the wait is too long; issue 37\n"
 	known, err := parseList("\n" + good + "\n")
@@ -38,8 +39,11 @@
 	}
 }
 
-// newTestRun returns a run with the events of the steps. A step is an action, a package and a test, such as "fail m/a TestBad". The
-// step "says m/a TestBad words" is output of the test, "unbuilt m/a" a failed build, and "ends m/a" a package that ends with FAIL.
+// newTestRun returns a run with one or more events for each step. Most steps are an action, a package and, for events of a test, a
+// test name: "fail m/a TestBad". Three steps differ:
+//   - "says m/a TestBad words": the test prints the words
+//   - "unbuilt m/a": the package fails because its build failed
+//   - "ends m/a": the package prints the FAIL lines of a complete run and fails; after "fail m/a" without them, the run is incomplete
 func newTestRun(steps ...string) *testRun {
 	r := &testRun{}
 	for _, step := range steps {
@@ -63,7 +67,7 @@
 	return r
 }
 
-// Of the failures in a run, exactly those are reported that the list does not cover.
+// evaluate reports exactly those failures of a run that the list does not cover.
 func TestEvaluateReportsUnlistedFailures(t *testing.T) {
 	bad, subtest := knownFailure{"m/a", "TestBad", "c", "1"}, knownFailure{"m/a", "TestSub/x", "c", "1"}
 	for _, c := range []struct {
@@ -71,8 +75,8 @@
 		known    []knownFailure
 		run      *testRun
 		exitCode int
-		want     []string // failures reported
-		outcome  outcome  // of the first listed test
+		want     []string // the reported failures
+		outcome  outcome  // outcome of the first listed test
 	}{
 		{"passing test, no list", nil, newTestRun("run m/a TestBad", "pass m/a TestBad", "pass m/a"), 0, nil, absent},
 		{"failing test, no list", nil, newTestRun("run m/a TestBad", "fail m/a TestBad", "ends m/a"), 1, []string{"m/a TestBad failed"}, absent},
@@ -117,7 +121,7 @@
 	}
 }
 
-// In random runs, exactly those failures are reported that are not listed.
+// In random runs, evaluate reports exactly the failed tests that are not listed.
 func TestEvaluateRandomRunsReportsUnlistedFailures(t *testing.T) {
 	check := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
@@ -157,11 +161,11 @@
 	}
 }
 
-// A line is stale unless its test fails in one of the runs.
+// staleLines reports a line of the list unless its test fails in at least one run.
 func TestStaleLinesReported(t *testing.T) {
 	for _, c := range []struct {
-		runs []outcome
-		want string
+		outcomes []outcome
+		want     string
 	}{
 		{[]outcome{failed, failed, absent}, ""},
 		{[]outcome{passed, failed, absent}, ""},
@@ -174,7 +178,7 @@
 		{nil, "no such test"},
 	} {
 		var runs [][]outcome
-		for _, o := range c.runs {
+		for _, o := range c.outcomes {
 			runs = append(runs, []outcome{failed, o})
 		}
 		if len(runs) == 0 {
@@ -185,13 +189,13 @@
 		}
 		problems := staleLines([]knownFailure{{Package: "m/a", Test: "TestOther"}, {Package: "m/a", Test: "TestBad"}}, runs)
 		if c.want == "" && len(problems) > 0 || c.want != "" && (len(problems) != 1 || !strings.Contains(problems[0], "m/a TestBad") || !strings.Contains(problems[0], c.want)) {
-			t.Errorf("%v: got %q, want %q", c.runs, problems, c.want)
+			t.Errorf("%v: got %q, want %q", c.outcomes, problems, c.want)
 		}
 	}
 }
 
-// The go command reports a failing test, a panic and a failed build in the form that the cases above assume. If a Go release
-// changed that form, knownred could misjudge a run.
+// runTests evaluates the output of the real go command for a failing test, a panic and a failed build. The tests above construct
+// this output themselves. If a Go release changed its form, they would still pass, and knownred could misjudge a run.
 func TestGoCommandOutputEvaluated(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -205,11 +209,11 @@
 	}
 	write("go.mod", "module m\n\ngo 1.26\n")
 	write("a/a_test.go", "package a\nimport \"testing\"\nfunc TestBad(t *testing.T) { t.Error(\"it is red\") }\n"+
-		"func TestGood(t *testing.T) { t.Log(\"not to be seen\") }\n")
+		"func TestGood(t *testing.T) { t.Log(\"output of a passing test\") }\n")
 	write("b/b_test.go", "package b\nimport \"testing\"\nfunc TestDies(t *testing.T) { panic(\"gone\") }\nfunc TestLater(t *testing.T) {}\n")
 	write("c/c_test.go", "package c\nimport \"testing\"\nfunc TestX(t *testing.T) { nothing() }\n")
 	t.Chdir(dir)
-	t.Setenv("GOFLAGS", "") // CI's flags are not inherited: this module has no dependencies to read
+	t.Setenv("GOFLAGS", "") // CI's GOFLAGS are for this repository's dependencies; the module in dir has none
 	t.Setenv("GOWORK", "off")
 	runList := func(list string, args ...string) (string, error) {
 		write("list", list)
@@ -224,11 +228,11 @@
 			t.Errorf("printed %q, want %q in it", output, want)
 		}
 	}
-	if err != nil || strings.Contains(output, "not to be seen") {
+	if err != nil || strings.Contains(output, "output of a passing test") {
 		t.Errorf("failing listed test: %v, printed %q", err, output)
 	}
 	if err := checkList("list", "outcomes", &bytes.Buffer{}); err != nil {
-		t.Errorf("the listed test still fails: %v", err)
+		t.Errorf("checkList rejected the list although its test still fails: %v", err)
 	}
 	if _, err := runList("", "./a"); err == nil || !strings.Contains(err.Error(), "m/a TestBad failed") {
 		t.Errorf("empty list: %v", err)
