--- a/changelog/fleet_test.go
+++ b/changelog/fleet_test.go
@@ -15,21 +15,21 @@
 // parents that stop responding. Logs and followers of this package carry each committed change to each node.
 
 const (
-	ms               = lease.Millisecond
-	longPollTimeout  = 500 * ms // how long a parent holds a request while it has no changes for it
-	requestTimeout   = 800 * ms // from the sending of a request until the child stops waiting for its response
-	commitInterval   = 50 * ms  // changes are committed in batches, one per interval
-	regionDelay      = 2 * ms   // average delay of a message within a region, one way
-	crossRegionDelay = 80 * ms  // average delay of a message between regions, one way
-	purgesPerSecond  = 120
-	leaderRegion     = -1
-	noRegion         = -2
-	unknownAge       = 1 << 40   // counts as the age of a node whose age is unknown
-	configChangeGap  = 7200 * ms // time between two changes of the configuration
+	ms                   = lease.Millisecond
+	longPollTimeout      = 500 * ms // how long a parent holds a request while it has no changes for it
+	requestTimeout       = 800 * ms // from the sending of a request until the child stops waiting for its response
+	commitInterval       = 50 * ms  // changes are committed in batches, one per interval
+	regionDelay          = 2 * ms   // average delay of a message within a region, one way
+	crossRegionDelay     = 80 * ms  // average delay of a message between regions, one way
+	purgesPerSecond      = 120
+	leaderRegion         = -1        // the leader is in no region of relays and nodes
+	noRegion             = -2        // value of isolatedRegion while no region is isolated
+	unknownAge           = 1 << 40   // stands for the age of a node whose age is unknown
+	configChangeInterval = 7200 * ms // time between two changes of the configuration
 )
 
 type simEvent struct {
-	at       Time
+	dueAt    Time
 	sequence int // order among events at the same time
 	run      func()
 }
@@ -38,7 +38,7 @@
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+	return q[i].dueAt < q[j].dueAt || q[i].dueAt == q[j].dueAt && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
@@ -67,7 +67,7 @@
 	isDown        bool
 	alarmAt       Time
 	startRevision uint64 // latest revision when the member started; latencies of changes up to it aren't recorded
-	missedEvents  uint64
+	missedEvents  uint64 // number of revisions whose events may have been missed
 }
 
 type simulation struct {
@@ -79,8 +79,8 @@
 	nodes           []*member
 	isolatedRegion  int                     // region without a connection to others, or noRegion
 	committedAt     []Time                  // of each change, by revision - 1
-	latencies       *hdrhistogram.Histogram // of each change to each node, in tenths of a millisecond
-	lastNodeLatency []Time                  // of each change to the last node, by revision - 1
+	latencies       *hdrhistogram.Histogram // from the commit of each change until each node has it, in tenths of a millisecond
+	lastNodeLatency []Time                  // from the commit of each change until the last node has it, by revision - 1
 	maxAge          Time                    // largest age of all nodes that are up, at the last sample
 	requests        int
 	commits         int
@@ -94,9 +94,9 @@
 
 // run advances the simulation to a time.
 func (s *simulation) run(until Time) {
-	for len(s.queue) > 0 && s.queue[0].at <= until {
+	for len(s.queue) > 0 && s.queue[0].dueAt <= until {
 		next := heap.Pop(&s.queue).(simEvent)
-		s.now = next.at
+		s.now = next.dueAt
 		next.run()
 	}
 	s.now = until
@@ -158,7 +158,8 @@
 	}
 }
 
-// respond sends the response to a request if the response isn't empty or the request's long poll has ended. It reports whether it did.
+// respond sends the response to a request if the response isn't empty or the request's long poll has ended. It reports whether it sent
+// the response, which may be lost.
 func (m *member) respond(child *member, r Request, pollEnded bool) bool {
 	s := m.sim
 	var resp Response
@@ -196,6 +197,7 @@
 	}
 }
 
+// Apply records the latency of a change to a node. Relays, whose followers have a ring, don't count.
 func (m *member) Apply(c Change) {
 	if m.region < 0 || m.follower.config.RingBytes > 0 || c.Revision <= m.startRevision {
 		return
@@ -204,14 +206,16 @@
 	_ = m.sim.latencies.RecordValue(int64(latency))
 	m.sim.lastNodeLatency[c.Revision-1] = max(m.sim.lastNodeLatency[c.Revision-1], latency)
 }
+
 func (m *member) StateReplaced() {}
+
 func (m *member) EventsMissed(_, after, upTo uint64) {
-	if after > 0 {
+	if after > 0 { // it is 0 when a new follower receives its first state
 		m.missedEvents += upTo - after
 	}
 }
 
-// start starts the member's follower, without a snapshot.
+// start starts the member with a new, empty follower.
 func (m *member) start() {
 	config := Config{ParentCount: len(m.parents), HomeParentCount: min(2, len(m.parents)), MinRequestInterval: 250 * ms, RetryBackoff: 100 * ms, MaxParentAge: 2350 * ms, MaxResponseBytes: defaultConfig.MaxResponseBytes, MaxDriftFraction: 0.01,
 		JitterSeed: hashOf(m.name)}
@@ -267,14 +271,14 @@
 	for range purgesPerSecond * int(commitInterval) / int(1000*ms) {
 		add(Change{Topic: "purge", Key: hashedKey(len(s.committedAt)), Event: true})
 	}
-	if s.commits++; s.commits%int(configChangeGap/commitInterval) == 0 {
+	if s.commits++; s.commits%int(configChangeInterval/commitInterval) == 0 {
 		add(Change{Topic: "configuration", Key: fmt.Sprint("part-", s.commits%25), Value: make([]byte, 2000)})
 	}
 	s.leader.servePolls()
 	s.schedule(s.now+commitInterval, s.commit)
 }
 
-// sampleAges updates s.maxAge.
+// sampleAges updates s.maxAge every 100 ms.
 func (s *simulation) sampleAges() {
 	s.maxAge = 0
 	for _, m := range s.nodes {
@@ -292,7 +296,7 @@
 	s.schedule(s.now+100*ms, s.sampleAges)
 }
 
-// runFault begins a fault, ends it after a duration, and observes the fleet for some time afterwards. It returns the largest age of
+// runFault begins a fault, ends it after a duration, and observes the fleet for a time afterwards. It returns the largest age of
 // all nodes, and how long after the end of the fault the age of any node was last above ageLimit.
 func (s *simulation) runFault(begin, end func(), duration, observation, ageLimit Time) (maxAge, recovery Time) {
 	begin()
@@ -326,7 +330,7 @@
 		begin, end                    func(s *simulation) func() // nil: no action
 		duration, maxAge, maxRecovery Time
 	}{
-		{"peace", nil, nil, 5000 * ms, 1600 * ms, 0},
+		{"no fault", nil, nil, 5000 * ms, 1600 * ms, 0},
 		{"one relay stops responding", func(s *simulation) func() { return func() { s.relays[0].isDown = true } }, nil, 5000 * ms, 2400 * ms, 0},
 		{"both relays of a region stop responding one second apart", func(s *simulation) func() {
 			return func() {
@@ -363,6 +367,7 @@
 			s.latencies.Reset()
 			maxAge, recovery := s.runFault(begin, end, c.duration, 20_000*ms, ageLimit)
 			maxLatency, lateChanges := Time(0), 0
+			// The changes of the last two seconds are left out: they may not have reached all nodes.
 			for _, latency := range s.lastNodeLatency[changesBefore : len(s.lastNodeLatency)-2*purgesPerSecond] {
 				if maxLatency = max(maxLatency, latency); latency > ageLimit {
 					lateChanges++
--- a/changelog/follower.go
+++ b/changelog/follower.go
@@ -25,8 +25,8 @@
 	Apply(c Change)
 	// StateReplaced notifies that the whole state was replaced. Follower.State returns the new one.
 	StateReplaced()
-	// EventsMissed notifies that events of an epoch with revisions above after and up to upTo may have been skipped: Apply isn't
-	// called for those that were.
+	// EventsMissed notifies that events of an epoch with revisions above after and up to upTo may have been skipped. Apply isn't
+	// called for skipped events.
 	EventsMissed(epoch, after, upTo uint64)
 	// SetAlarm schedules a call of Follower.Alarm at or soon after time t. It replaces an earlier alarm.
 	SetAlarm(t Time)
@@ -65,8 +65,8 @@
 	stagedState map[string]Change // a state that is being fetched bucket by bucket; nil if none is
 
 	ageKnown      bool
-	ageMeasuredAt Time // when, by the follower's clock, the request was sent whose response had parentAge
-	parentAge     Time
+	ageMeasuredAt Time // when, by its own clock, the follower sent the request whose response carried parentAge
+	parentAge     Time // Response.Age of that response
 }
 
 // Snapshot is a stored state and its position. It has no ring, so a follower with children doesn't start from it.
@@ -87,8 +87,8 @@
 	return f
 }
 
-// Age returns a duration, in true time: the follower has every change that was committed longer ago than that. It returns false
-// if no such duration is known.
+// Age returns an upper bound on how outdated the follower is: it has every change that was committed longer ago than that. The bound
+// is in true time, which the follower's clock may deviate from. Age returns false if no bound is known.
 func (f *Follower) Age(now Time) (Time, bool) {
 	if !f.ageKnown {
 		return 0, false
@@ -115,7 +115,8 @@
 	return float64(h.Sum64()%(1<<20)) / (1 << 20)
 }
 
-// send sends a request for the changes after the follower's position, or for state if a state is being fetched.
+// send sends a request for the changes after the follower's position. It requests state instead if the follower has no epoch yet or
+// is fetching a state.
 func (f *Follower) send(now Time) {
 	if f.parentIndex >= f.config.HomeParentCount && now-f.leftHomeRegionAt >= homeRetryInterval {
 		f.parentIndex = 0
@@ -135,7 +136,8 @@
 	f.host.Send(f.parentIndex, req)
 }
 
-// switchParent switches to the next parent after a failure and schedules the next request after a backoff with jitter.
+// switchParent switches to the next parent, because the current one failed or its contents are too old, and schedules the next request
+// after a backoff with jitter.
 func (f *Follower) switchParent(now Time) {
 	f.parentIndex = (f.parentIndex + 1) % f.config.ParentCount
 	if f.parentIndex == f.config.HomeParentCount {
@@ -179,9 +181,9 @@
 	f.switchParent(now)
 }
 
-// HandleResponse handles the response to the request with an ID. It ignores responses to requests before the latest one. On an
-// error the follower switches parents, and the caller should close the connection. A response that fails verification is not
-// applied. If a change would exceed the size limit of the state, only the changes before it are applied.
+// HandleResponse handles the response to the request with an ID. It ignores responses to requests before the latest one. If it
+// returns an error, the follower has switched parents, and the caller should close the connection. A response that fails
+// verification is not applied. If a change would exceed the size limit of the state, only the changes before it are applied.
 func (f *Follower) HandleResponse(now Time, id uint64, resp Response) error {
 	isCurrent := f.requestInFlight && id == f.requestID
 	if !isCurrent && !f.disabled.AcceptStaleResponse {
@@ -216,7 +218,7 @@
 func (f *Follower) apply(resp Response) error {
 	switch {
 	case resp.BelowFloor:
-		if f.stagedState == nil {
+		if f.stagedState == nil { // the next request carries digests of the current state, to fetch only buckets that differ
 			f.stagedState = maps.Clone(f.state)
 		}
 		return nil
@@ -242,12 +244,12 @@
 	return nil
 }
 
-// updateAge adopts the age of a parent's contents if it gives a lower bound than the current one.
+// updateAge stores the age of a parent's contents if that lowers the upper bound that Age returns.
 func (f *Follower) updateAge(now, age Time) {
 	if f.disabled.IgnoreParentAge {
 		age = 0
 	}
-	measuredAt := f.sentAt // the response has everything that the parent had when the request was sent
+	measuredAt := f.sentAt // the response has every change that the parent had when the request was sent
 	if f.disabled.AgeFromResponseTime {
 		measuredAt = now
 	}
@@ -293,8 +295,8 @@
 	}
 }
 
-// Serve returns the response to a child's request from the follower's log, with the age of its contents. It returns ErrNotReady
-// until that age is known.
+// Serve returns the response to a child's request from the follower's log, with the follower's Age. The response has
+// ErrNotReady until that age is known.
 func (f *Follower) Serve(now Time, r Request) Response {
 	age, known := f.Age(now)
 	if !known {
--- a/internal/faulttest/budgets.go
+++ b/internal/faulttest/budgets.go
@@ -16,15 +16,15 @@
 
 // The limits of the budgets in a run. The counting backends record what the budgets limit.
 const (
-	fetchesPerSecond = 240.0 // at the origin
-	acmePerSecond    = 60.0
-	listsPerSecond   = 60.0
-	coldPerSecond    = 30.0
-	maxCacheConns    = 36
-	spareNodes       = 2 // the configuration allows this many nodes more than the run has
+	fetchesPerSecond = 240.0 // requests to the origin
+	acmePerSecond    = 60.0  // lookups of the tenant acme that reach a backend
+	listsPerSecond   = 60.0  // requests to the discovery service for the whole endpoint list
+	coldPerSecond    = 30.0  // requests to a cache that restarted recently
+	maxCacheConns    = 36    // open connections to one cache
+	spareNodes       = 2     // the configuration allows this many nodes more than the run has
 
-	longLeaseDuration = 1500 * time.Millisecond
-	longResponseDelay = longLeaseDuration / 4   // slightly below the time limit of a call
+	longLeaseDuration = 1500 * time.Millisecond // in runs for which usesLongLeases is true
+	longResponseDelay = longLeaseDuration / 4   // slightly below the time limit of a call in these runs
 	quotaShiftTime    = 1300 * time.Millisecond // in which quota moves to the nodes under load
 )
 
@@ -35,15 +35,15 @@
 	if tc.plan.Seed%2 == 0 && tc.plan.DisabledSafeguard == "" {
 		return 8, 0, 60 // the rate of fetches is the bottleneck
 	}
-	return 16, maxNodes/16 + 0.01, 3 + int(tc.plan.Seed)%9 // the concurrency is; it can be below the number of nodes, so that units have to move between nodes
+	return 16, maxNodes/16 + 0.01, 3 + int(tc.plan.Seed)%9 // the limit of concurrent fetches is the bottleneck; it can be below the number of nodes, so that quota has to move between nodes
 }
 
-// joinsLate reports whether a node joins after the others, with different budget totals in its configuration.
+// joinsLate reports whether a node joins after the others, with other budget totals in its configuration.
 func (tc *testCluster) joinsLate(nodeIndex int) bool {
 	return tc.plan.testBudgets && nodeIndex >= voterCount && nodeIndex == tc.plan.Nodes-1
 }
 
-// addBudgets adds budgets to a node's configuration. The last node's has different totals, which the cluster must ignore.
+// addBudgets adds budgets to a node's configuration. A node that joins late has other totals, which the cluster must ignore.
 func (tc *testCluster) addBudgets(nodeIndex int, nodeConfig, clusterConfig map[string]any) {
 	burst, reservedFraction, maxFetches := tc.budgetSizes()
 	factor := 1.0
@@ -135,20 +135,20 @@
 	}, false},
 	{"whole-lowered", "an operator lowers budget totals under load, and raises them again", func(tc *testCluster, ctx context.Context, node *clusterNode) bool {
 		burst, _, maxFetches := tc.budgetSizes()
-		lowered := max(tc.plan.Nodes+spareNodes, burst*5/8) // not below the reserved units
+		loweredBurst := max(tc.plan.Nodes+spareNodes, burst*5/8) // at least the units that are reserved, one per node
 		if burst == 8 {
-			lowered = 5
+			loweredBurst = 5 // no units are reserved
 		}
 		setTotal := func(name string, total float64) bool {
 			_, err := tc.runCommand(ctx, node.index, "budget", "set", name, fmt.Sprint(total))
 			return err == nil
 		}
-		perUnit := fetchesPerSecond / float64(burst)
-		if !setTotal("fetches", perUnit*float64(lowered)) || !setTotal("room", float64((maxFetches+1)/2)) {
+		perSecondPerUnit := fetchesPerSecond / float64(burst)
+		if !setTotal("fetches", perSecondPerUnit*float64(loweredBurst)) || !setTotal("room", float64((maxFetches+1)/2)) {
 			return false
 		}
 		tc.sleep(ctx, leaseDuration*125/100+100*time.Millisecond) // by then all quota beyond the new totals has been returned or has expired
-		tc.addLimit("fetches", limit{fromNs: bootTimeNs(), perSecond: perUnit * float64(lowered), max: float64(lowered)})
+		tc.addLimit("fetches", limit{fromNs: bootTimeNs(), perSecond: perSecondPerUnit * float64(loweredBurst), max: float64(loweredBurst)})
 		tc.addLimit("room", limit{fromNs: bootTimeNs(), max: float64((maxFetches + 1) / 2), concurrency: true})
 		tc.sleep(ctx, overOneLease)
 		tc.addLimit("fetches", limit{fromNs: bootTimeNs(), perSecond: fetchesPerSecond, max: float64(burst)})
@@ -162,14 +162,14 @@
 	}, false},
 }
 
-// usesLongLeases reports whether the run has longer leases. These allow longer response delays, and a new leader is elected well
-// within one lease.
+// usesLongLeases reports whether the run has longer leases, so that responses can be delayed for longer, and so that a new leader is
+// elected well within one lease.
 func (tc *testCluster) usesLongLeases() bool {
 	return tc.plan.OnlyFault == "late-answers" || tc.plan.OnlyFault == "handed-on-unled"
 }
 
-// isolateLoadedNode lets one node get nearly all quota, and then partitions it while all nodes are under load. It takes a node that
-// is not a voter if there is one.
+// isolateLoadedNode lets one node get nearly all quota, and then partitions it while all nodes are under load. It replaces the
+// given node by one that is not a voter, if there is one. If killLeader is set, the leader is killed during the partition.
 func (tc *testCluster) isolateLoadedNode(ctx context.Context, node *clusterNode, killLeader bool) bool {
 	if len(tc.nodes) > voterCount {
 		node = tc.nodes[voterCount+node.index%(len(tc.nodes)-voterCount)]
@@ -205,21 +205,21 @@
 	return <-injected
 }
 
-// addLimit adds a limit of a budget that applies from now on.
+// addLimit adds a limit of a budget. It applies from l.fromNs on, in place of the previous one.
 func (tc *testCluster) addLimit(budget string, l limit) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	tc.limits[budget] = append(tc.limits[budget], l)
 }
 
-// faultForSafeguard maps a safeguard to the fault that shows most often that it is disabled.
+// faultForSafeguard maps a safeguard to the fault under which most runs detect that the safeguard is disabled.
 var faultForSafeguard = map[string]string{"drift-margin": "clock-bound", "count-from-answer": "late-answers", "burst-kept": "in-turn",
 	"leader-forgets": "handed-on-unled"}
 
 // RunBudgets runs a cluster under faults and checks its budgets.
 func RunBudgets(ctx context.Context, plan Plan) (r RunResult, err error) {
 	plan.testBudgets = true
-	if plan.OnlyFault == "" && plan.Seed%4 > 0 { // a quarter of the seeds use all faults, the others the one that fits the safeguard
+	if plan.OnlyFault == "" && plan.Seed%4 > 0 { // a quarter of the seeds use all faults, the others the fault for the disabled safeguard
 		plan.OnlyFault = faultForSafeguard[plan.DisabledSafeguard]
 	}
 	r.Seed = plan.Seed
@@ -275,7 +275,7 @@
 	if r.FirstUnserved, _ = load.firstUnanswered.Load().(string); r.UnservedLookups > 0 {
 		r.Violations = append(r.Violations, fmt.Sprintf("%d lookups got no response in time from nodes that ran; the first: %s", r.UnservedLookups, r.FirstUnserved))
 	}
-	limitViolations := len(r.Violations)
+	violationsBeforeLogs := len(r.Violations) // of limits, and by unserved lookups; if there are any, they count even in a void run
 	r.Violations = append(append(r.Violations, tc.slowExits...), tc.checkLogs()...)
 	summary, _ := json.MarshalIndent(map[string]any{"broken": r.Violations, "worst": r.PeakShares, "wholes": fmt.Sprint(tc.limits), "pauses": fmt.Sprint(tc.pauses),
 		"processes": tc.nodeNames}, "", " ")
@@ -286,21 +286,22 @@
 	case r.Actions < 200:
 		r.VoidReason = fmt.Sprintf("only %d actions", r.Actions)
 	}
-	if r.VoidReason != "" && limitViolations == 0 {
+	if r.VoidReason != "" && violationsBeforeLogs == 0 {
 		r.Violations = nil
 	}
 	return r, nil
 }
 
-// The values of loadFocus beside 0 and 1 + the index of a node.
+// Values of loadFocus. It may also be 0 for the usual pattern, 1 + index if only that node is under load, or focusAll - (1 + index) if
+// all nodes are under load and that one has the most.
 const (
 	focusNone = -1   // no node is under load
-	focusAll  = -100 // all nodes are under load; minus (1 + index): that node most
+	focusAll  = -100 // all nodes are under load
 
 	baseLookupsPerSecond = 50 // to each node in the usual pattern
 )
 
-// recordMaxDelay records the longest delay of a timer of the rig, which shows whether the machine has too few cores.
+// recordMaxDelay records by how much a timer of this process fires late at most, which shows whether the machine has too few cores.
 func recordMaxDelay(maxNs *atomic.Int64, done <-chan struct{}) {
 	for {
 		beforeNs := bootTimeNs()
@@ -334,7 +335,7 @@
 				perSecond = 1
 			case int(focus) == i+1 || focus == focusAll-int32(i+1): // the node in focus
 				perSecond = 8 * baseLookupsPerSecond
-			case focus != 0:
+			case focus != 0: // all nodes are under load
 				perSecond = 3 * baseLookupsPerSecond
 			case i == hotNode:
 				perSecond = 5 * baseLookupsPerSecond
@@ -372,7 +373,7 @@
 		arrivals := slices.Clone(log.arrivals)
 		log.mu.Unlock()
 		if budget == "cold" || budget == "links-0" || budget == "links-1" {
-			// A paused node can neither learn that a cache restarted nor close a connection.
+			// Arrivals around a pause don't count: a paused node can't learn that a cache restarted, and can't close connections.
 			arrivals = slices.DeleteFunc(arrivals, func(a arrival) bool { return tc.pausedAround(a) })
 		}
 		var result limitResult
@@ -389,8 +390,9 @@
 	slices.Sort(run.Violations)
 }
 
-// pausedAround reports whether the node that caused an arrival was paused around that time. An arrival of an unknown node counts
-// as caused by any node.
+// pausedAround reports whether the node that caused an arrival was paused around that time: the arrival begins at most 3 s before a
+// pause and 1.5 s after it, and doesn't end before it. If the node isn't known, the pause of any node counts. The exit of a process
+// doesn't count as a pause.
 func (tc *testCluster) pausedAround(a arrival) bool {
 	const marginNs = int64(1500 * time.Millisecond)
 	for _, p := range tc.pauses {
--- a/internal/faulttest/check.go
+++ b/internal/faulttest/check.go
@@ -12,21 +12,21 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// event is a line of a process's record, as package cluster writes it. Its times are boot times in ns.
+// event is a line of the record file that package cluster writes in each process. Its times are boot times in ns.
 type event struct {
-	Type           string `json:"what"`
+	Type           string `json:"what"` // "begin" or "end" of an action on the unguarded resource, "ask": lease request, "late": scheduling delay
 	Node           string `json:"who"`
 	PID            int    `json:"pid"`
 	TimeNs         int64  `json:"at"`
-	StartNs        int64  `json:"from"`
+	StartNs        int64  `json:"from"` // of an end: TimeNs of the action's begin
 	Token          uint64 `json:"token"`
-	Operation      string `json:"kind"`
+	Operation      string `json:"kind"` // of a lease request
 	Holder         string `json:"holder"`
-	RequestToken   uint64 `json:"asked"`
+	RequestToken   uint64 `json:"asked"` // token in a lease request; Token is that of the response
 	CallNs         int64  `json:"call"`
 	ReturnNs       int64  `json:"return"`
-	ErrorName      string `json:"refusal"`
-	OutcomeUnknown bool   `json:"unknown"`
+	ErrorName      string `json:"refusal"` // error in the response; empty: none
+	OutcomeUnknown bool   `json:"unknown"` // the request got no response
 	DelayNs        int64  `json:"ns"`
 }
 
@@ -38,7 +38,7 @@
 	accepted bool
 }
 
-// pause is a time in which the rig had a process stopped. It ends at 1 << 62 if the process exited.
+// pause is a time in which the test had a process stopped. The exit of a process is recorded as a pause whose endNs is 1 << 62.
 type pause struct {
 	pid            int
 	startNs, endNs int64
@@ -65,17 +65,17 @@
 	actions           int
 	fencingViolations []string                   // stale tokens that the guarded resource accepted
 	overlaps          []string                   // of unguarded actions, while no process was paused and all clock rates were in bounds
-	orderViolations   []string                   // histories of lease requests that no order explains
-	maxDelay          time.Duration              // of a process that the rig did not pause
+	orderViolations   []string                   // histories of lease requests that are not linearizable
+	maxDelay          time.Duration              // longest scheduling delay of a process that the test did not stop
 	failoverTimes     map[string][]time.Duration // by fault
-	orderUnknown      bool                       // the check of the order timed out
+	orderUnknown      bool                       // checkOrder timed out
 	excusedOverlaps   int                        // of unguarded actions, while a process was paused or a clock rate out of bounds
-	acceptedRequests  int                        // by the guarded resource
+	acceptedRequests  int                        // requests that the guarded resource accepted
 }
 
 const (
 	orderCheckTimeout   = 20 * time.Second
-	pauseLookbackLeases = 2 // a pause in this many lease durations before an action excuses an overlap
+	pauseLookbackLeases = 2 // an overlap is excused if a pause is at most this many lease durations before an action
 )
 
 func readEvents(path string) (events []event, err error) {
@@ -93,7 +93,7 @@
 	return events, nil
 }
 
-// pausedDuring reports whether the rig had the process stopped at some time from startNs to endNs.
+// pausedDuring reports whether the process was stopped, or had exited, at some time from startNs to endNs.
 func (h *history) pausedDuring(pid int, startNs, endNs int64) bool {
 	return slices.ContainsFunc(h.pauses, func(p pause) bool { return p.pid == pid && p.startNs <= endNs && p.endNs >= startNs })
 }
@@ -105,6 +105,7 @@
 	h.checkOrder(&result)
 	h.measureFailovers(&result)
 	for _, e := range h.events {
+		// A delay doesn't count if the process was stopped during it or up to a lease duration before.
 		if e.Type == "late" && !h.pausedDuring(e.PID, e.TimeNs-e.DelayNs-int64(h.leaseDuration), e.TimeNs) {
 			result.maxDelay = max(result.maxDelay, time.Duration(e.DelayNs))
 		}
@@ -147,7 +148,7 @@
 				a.endNs = end.TimeNs
 			}
 		}
-		if a.endNs == math.MaxInt64 { // the process exited during the action
+		if a.endNs == math.MaxInt64 { // the process exited during the action, which then lasts until the process was stopped or exited
 			for _, p := range h.pauses {
 				if p.pid == e.PID && p.startNs >= e.TimeNs {
 					a.endNs = min(a.endNs, p.startNs)
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -21,7 +21,7 @@
 // Plan configures a run.
 type Plan struct {
 	Program            string // path of a binary built with the tag faults
-	Nodes              int    // the first 3 are voters
+	Nodes              int    // number of nodes; the first 3 are voters
 	Seed               uint64
 	DisabledSafeguard  string // name of a safeguard; empty: none is disabled
 	OnlyFault          string // name of a fault; empty: all faults in turn
@@ -38,10 +38,10 @@
 	maxClockDrift    = 0.01
 	widestClockDrift = 0.2 // the largest fleet.drift that a configuration accepts
 	bootstrapTimeout = 15 * time.Second
-	startupWait      = 500 * time.Millisecond
+	startupWait      = 500 * time.Millisecond  // time to settle, before a node joins late and before the first fault
 	finalWait        = 1200 * time.Millisecond // after the last fault; two lease durations
 	faultsPerRun     = 5
-	maxProcessDelay  = leaseDuration / 6 // of a process that the rig did not stop; a longer delay shows that the machine has too few cores
+	maxProcessDelay  = leaseDuration / 6 // scheduling delay of a process that the test did not stop; a longer one shows that the machine has too few cores
 )
 
 // route identifies the relay from one node to another by the indexes of the nodes.
@@ -67,7 +67,7 @@
 
 	countingBackends *countingBackends  // only in runs that test budgets
 	limits           map[string][]limit // by budget, in order of fromNs
-	loadFocus        atomic.Int32       // 1 + index of the only node under load, or a focus constant; 0: the usual pattern
+	loadFocus        atomic.Int32       // which nodes are under load; its values are listed at focusNone
 	nodeNames        map[int]string     // by PID
 }
 
@@ -80,14 +80,14 @@
 	}
 }
 
-// recordPause records a time in which a process was stopped, or its exit.
+// recordPause records a time in which a process was stopped, or the exit of a process.
 func (tc *testCluster) recordPause(p pause) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	tc.pauses = append(tc.pauses, p)
 }
 
-// ip returns a loopback address that no other active run uses.
+// ip returns the loopback address with the given last byte, in a range that no other active run uses.
 func (tc *testCluster) ip(host int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 1+tc.plan.Slot%250, host)
 }
@@ -95,7 +95,7 @@
 const (
 	clientPort     = 7070
 	clusterPort    = 7100
-	firstAdminPort = 7200
+	firstAdminPort = 7200 // plus the number of processes that the node has started, modulo 100
 	firstRelayPort = 8000 // plus the index of the target node
 )
 
@@ -176,7 +176,7 @@
 		// The voters, which can lead, are fast. The other nodes, which can hold leases, are slow.
 		node.clockRate = []float64{1 + widestClockDrift*0.95, 1 - widestClockDrift*0.95}[min(1, i/voterCount)]
 	case "clock-beyond":
-		node.clockRate = []float64{0.6, 1}[i%2] // a slow node takes its lease to be valid long after it has expired
+		node.clockRate = []float64{0.6, 1}[i%2] // a slow node regards its lease as valid long after it has expired
 	}
 	if i < voterCount {
 		node.folder = filepath.Join(tc.dir, fmt.Sprintf("voter%d", i))
@@ -184,7 +184,8 @@
 	return node, drift
 }
 
-// startRelays starts the relays from a node to all others. It returns their addresses by the address of the target.
+// startRelays starts the relays from a node to all others. It returns their addresses, keyed by the
+// address of the target.
 func (tc *testCluster) startRelays(node *clusterNode) (routes map[string]string, err error) {
 	routes = map[string]string{}
 	for to := range tc.plan.Nodes {
@@ -267,7 +268,7 @@
 	Seed              uint64
 	Actions           int
 	InjectedFaults    map[string]int             // number of times that each fault took effect
-	FencingViolations int                        // stale tokens accepted, and histories of lease requests that no order explains
+	FencingViolations int                        // stale tokens accepted, and histories of lease requests that are not linearizable
 	Overlaps          int                        // of actions that no fencing token protects
 	ExcusedOverlaps   int                        // overlaps while a process was paused, or its clock rate out of bounds
 	FailoverTimes     map[string][]time.Duration // by fault
@@ -279,7 +280,7 @@
 	Windows           int                // time windows checked against the limits of budgets
 	Utilization       map[string]float64 // mean use of each budget, as a share of its limit
 	PeakShares        map[string]float64 // the fullest window of each budget, as a share of its limit
-	HistoryDir        string             // of a failed run
+	HistoryDir        string             // directory with the files of a failed run; empty: they were not kept
 }
 
 // keepHistory moves the files of a failed run to KeepDir, and deletes those of any other run.
@@ -339,8 +340,8 @@
 func (tc *testCluster) checkLeases(r *RunResult, clients *lookupClient) error {
 	history := &history{requests: tc.resource.requests, pauses: tc.pauses, holderLosses: tc.holderLosses,
 		clocksBeyondBound: tc.plan.OnlyFault == "clock-beyond", leaseDuration: leaseDuration}
-	records, _ := filepath.Glob(filepath.Join(tc.dir, "*.record"))
-	for _, path := range records {
+	recordPaths, _ := filepath.Glob(filepath.Join(tc.dir, "*.record"))
+	for _, path := range recordPaths {
 		events, err := readEvents(path)
 		if err != nil {
 			return err
@@ -369,7 +370,7 @@
 		r.VoidReason = "no node performed an action"
 	}
 	if r.VoidReason != "" && len(result.fencingViolations)+len(result.orderViolations) == 0 {
-		r.Violations = nil // the other guarantees hold only for processes that get a core
+		r.Violations = nil // the other guarantees hold only for processes that get enough CPU time
 	}
 	return nil
 }
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -16,20 +16,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ClusterCost is the cost of membership in a cluster without faults.
+// ClusterCost is the cost of the cluster to its nodes while there are no faults.
 type ClusterCost struct {
-	VoterLatency, StandaloneLatency map[float64]time.Duration // of lookups by percentile, at a voter and at a node without the cluster
+	VoterLatency, StandaloneLatency map[float64]time.Duration // latency of lookups by percentile, at a voter and at a node that runs without the cluster
 	Lookups                         int64
-	CoreShares                      map[string]float64 // mean use of a processor core, by node
+	CoreShares                      map[string]float64 // CPU time used by a node per time elapsed, by node name
 	FolderBytesPerHour              int64              // growth of a voter's folder on the disk
 }
 
 const (
-	clockTicksPerSecond = 100 // unit of the CPU times in /proc/PID/stat on Linux
-	settleTime          = 3 * time.Second
+	clockTicksPerSecond = 100             // unit of the CPU times in /proc/PID/stat on Linux
+	settleTime          = 3 * time.Second // from the bootstrap to the measurement
 )
 
-// Measure runs a cluster without faults and one node without the cluster. It sends lookups to a voter and to that node in turn.
+// Measure runs a cluster without faults and one node without the cluster. It sends lookups alternately to a voter and to
+// that node.
 func Measure(ctx context.Context, plan Plan, duration time.Duration) (cost ClusterCost, err error) {
 	plan.lastNodeStandalone = true
 	tc := &testCluster{plan: plan, program: plan.Program, rnd: rand.New(rand.NewPCG(plan.Seed, 29)), relays: map[route]*relay{},
@@ -44,7 +45,7 @@
 		return cost, err
 	}
 	tc.sleep(ctx, settleTime)
-	folderBytes, cpuBefore, start := diskUsage(tc.nodes[0].folder), tc.cpuSeconds(), time.Now()
+	folderBytesBefore, cpuBefore, start := diskUsage(tc.nodes[0].folder), tc.cpuSeconds(), time.Now()
 	nodes := []*clusterNode{tc.nodes[0], tc.nodes[plan.Nodes-1]}
 	latencies := []*hdrhistogram.Histogram{hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)}
 	client := &http.Client{Timeout: 2 * time.Second}
@@ -72,7 +73,7 @@
 		cost.VoterLatency[percentile] = time.Duration(latencies[0].ValueAtPercentile(percentile)) * time.Microsecond
 		cost.StandaloneLatency[percentile] = time.Duration(latencies[1].ValueAtPercentile(percentile)) * time.Microsecond
 	}
-	cost.FolderBytesPerHour = int64(float64(diskUsage(tc.nodes[0].folder)-folderBytes) * float64(time.Hour) / float64(elapsed))
+	cost.FolderBytesPerHour = int64(float64(diskUsage(tc.nodes[0].folder)-folderBytesBefore) * float64(time.Hour) / float64(elapsed))
 	cost.CoreShares = map[string]float64{}
 	for name, t := range tc.cpuSeconds() {
 		cost.CoreShares[name] = (t - cpuBefore[name]) / elapsed.Seconds()
@@ -80,8 +81,8 @@
 	return cost, ctx.Err()
 }
 
-// diskUsage returns the disk space of the files in a folder. It counts allocated blocks, since the log's file is longer than
-// the part that has been written.
+// diskUsage returns the disk space of the files in a folder. It counts allocated blocks, not file sizes, since the log file is
+// extended ahead of the data written to it.
 func diskUsage(folder string) (bytes int64) {
 	_ = filepath.WalkDir(folder, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -13,19 +13,19 @@
 // relay forwards the connections that one node opens to another.
 type relay struct {
 	listener net.Listener
-	target   string
-	toTarget relayDirection // from the node that dials
-	toDialer relayDirection
+	target   string         // address
+	toTarget relayDirection // from the node that opens the connections
+	toDialer relayDirection // to the node that opens the connections
 
 	mu    sync.Mutex
-	conns map[net.Conn]bool
+	conns map[net.Conn]bool // open connections, from dialers and to the target
 }
 
-// relayDirection controls one direction of a relay. While it is blocked, data is neither lost nor delivered and the connections
-// stay open, as when a machine loses power or a network is partitioned.
+// relayDirection controls one direction of a relay. While it is blocked, the relay holds the data back and keeps the connections open,
+// as when a machine loses power or a network is partitioned.
 type relayDirection struct {
 	blocked atomic.Bool
-	delayNs atomic.Int64
+	delayNs atomic.Int64 // from the reading of data until it is forwarded
 }
 
 // chunk holds the data of one read and the time at which to forward it.
@@ -59,6 +59,7 @@
 	}
 }
 
+// track adds a connection to conns, or removes it once it is closed.
 func (r *relay) track(c net.Conn, open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,6 +70,7 @@
 	}
 }
 
+// forward opens a connection to the target and forwards data in both directions until one of the connections ends.
 func (r *relay) forward(dialer net.Conn) {
 	defer dialer.Close()
 	r.track(dialer, true)
--- a/internal/soaktest/checker.go
+++ b/internal/soaktest/checker.go
@@ -45,7 +45,7 @@
 	defer rec.mu.Unlock()
 	sort.Slice(rec.delaySamples, func(i, j int) bool { return rec.delaySamples[i].observedAt.Before(rec.delaySamples[j].observedAt) })
 	summary := checkSummary{outcomes: map[string]int{}}
-	rec.excuseCounts = summary.outcomes
+	rec.outcomeCounts = summary.outcomes
 	for _, id := range rec.unknownIDs {
 		summary.violations = append(summary.violations, Violation{"strange", id, -1, "a server received a request ID that no client sent"})
 	}
@@ -66,7 +66,7 @@
 }
 
 // countExcuse counts a violation that is not reported because a scheduling delay of this process may have caused it.
-func (rec *recorder) countExcuse(reason string) { rec.excuseCounts["excused: "+reason]++ }
+func (rec *recorder) countExcuse(reason string) { rec.outcomeCounts["excused: "+reason]++ }
 
 func compare(a, b string) int {
 	switch {
--- a/internal/soaktest/discovery.go
+++ b/internal/soaktest/discovery.go
@@ -18,7 +18,7 @@
 	Kind    string `json:"kind"`
 	State   string `json:"state"`
 	Started int64  `json:"started_ms"`
-	version int    // of the list at the entry's last change
+	version int    // version of the list that last changed the entry
 }
 
 // discovery holds the endpoint list and the current fault of the discovery service.
@@ -28,8 +28,8 @@
 	version   int
 	entries   map[string]*entry
 	changed   chan struct{} // closed at the next change
-	bytesSent atomic.Int64  // sent in responses so far
-	mode      string        // fault of the service: "refusing", "silent", "slow" or, if there is none, ""
+	bytesSent atomic.Int64  // total size of the responses, including any that could not be delivered
+	fault     string        // "refusing": responds with 503; "silent": never responds; "slow": delays responses; empty: no fault
 }
 
 func newDiscovery(rec *recorder) *discovery {
@@ -56,15 +56,15 @@
 	return *d.entries[id]
 }
 
-// setMode sets the fault of the service.
-func (d *discovery) setMode(mode string) {
+// setFault sets the fault of the service; an empty one ends it.
+func (d *discovery) setFault(fault string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.mode = mode
+	d.fault = fault
 }
 
-// discoveryHost differs from the host of the servers. The list may still hold a server that has died, and its port must not be reused
-// by discovery.
+// discoveryHost differs from the host of the servers. Nodes may send requests to a server that has ended but is still in the list, so
+// no discovery server may listen at the same address and port.
 const discoveryHost = "127.0.0.2"
 
 // discoveryServer serves the list to one process of a node at an address of its own, so that it is known which process received a
@@ -119,8 +119,8 @@
 	return ds, nil
 }
 
-// ServeHTTP answers a request for the whole list or, if the query has "from", a watch: it responds once the list is newer than that
-// version, or after hold_ms.
+// ServeHTTP responds to a request for the whole list at once. A request whose query has "from" is a watch: ServeHTTP responds to it
+// once the list's version is above "from", or after hold_ms milliseconds.
 func (ds *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	watch := r.URL.Query().Has("from")
 	fromVersion, _ := strconv.Atoi(r.URL.Query().Get("from"))
@@ -129,9 +129,9 @@
 	defer holdTimer.Stop()
 	for {
 		ds.discovery.mu.Lock()
-		mode, changed, version := ds.discovery.mode, ds.discovery.changed, ds.discovery.version
+		fault, changed, version := ds.discovery.fault, ds.discovery.changed, ds.discovery.version
 		ds.discovery.mu.Unlock()
-		switch mode {
+		switch fault {
 		case "refusing":
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -156,8 +156,8 @@
 	}
 }
 
-// respond writes the whole list, or for a watch its changes since a version, and records them in the process's view if the response
-// could be sent.
+// respond writes the whole list or, for a watch, the entries changed after fromVersion. If the response could be sent, it records the
+// entries in the process's view.
 func (ds *discoveryServer) respond(w http.ResponseWriter, r *http.Request, watch bool, fromVersion, version int) {
 	ds.discovery.mu.Lock()
 	entries := []entry{}
@@ -176,7 +176,7 @@
 	ds.view.observe(entries, !watch)
 }
 
-// observe records entries that the process has received.
+// observe records the entries of a response that the process has received. full tells whether they are the whole list.
 func (v *processView) observe(entries []entry, full bool) {
 	now := time.Now()
 	v.mu.Lock()
@@ -193,20 +193,20 @@
 	}
 }
 
-// observeState records the state of a server that the process has received. Called with the lock held.
+// observeState records the state of a server that the process has received. v.mu must be held.
 func (v *processView) observeState(id, state string, now time.Time) {
-	draining := state != "Ready"
+	notReady := state != "Ready"
 	last := v.latestDrains[id]
 	v.states[id] = state
 	v.recorder.update(func() {
-		if _, wasReady := v.record.firstReadyAt[id]; !draining && !wasReady {
+		if _, recorded := v.record.firstReadyAt[id]; !notReady && !recorded {
 			v.record.firstReadyAt[id] = now
 		}
 		switch {
-		case draining && !v.ended && (last == nil || !last.withdrawnAt.IsZero()):
+		case notReady && !v.ended && (last == nil || !last.withdrawnAt.IsZero()):
 			v.latestDrains[id] = &drainNotice{serverID: id, nodeIndex: v.nodeIndex, process: v.record, receivedAt: now}
 			v.recorder.drainNotices = append(v.recorder.drainNotices, v.latestDrains[id])
-		case !draining && last != nil && last.withdrawnAt.IsZero():
+		case !notReady && last != nil && last.withdrawnAt.IsZero():
 			last.withdrawnAt = now
 		}
 	})
--- a/internal/soaktest/fault_injection.go
+++ b/internal/soaktest/fault_injection.go
@@ -106,11 +106,11 @@
 
 // injectDiscoveryFault makes the discovery service fail or respond slowly for a while.
 func (tb *testbed) injectDiscoveryFault(rng *rand.Rand) error {
-	mode := randomChoice(rng, "refusing", "silent", "slow")
-	tb.faultCounts.add("discovery: "+mode, 1)
-	tb.discovery.setMode(mode)
+	fault := randomChoice(rng, "refusing", "silent", "slow")
+	tb.faultCounts.add("discovery: "+fault, 1)
+	tb.discovery.setFault(fault)
 	time.Sleep(randomDuration(rng, minFaultDuration, maxFaultDuration))
-	tb.discovery.setMode("")
+	tb.discovery.setFault("")
 	return nil
 }
 
--- a/internal/soaktest/recorder.go
+++ b/internal/soaktest/recorder.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// idempotence is whether a request may take effect more than once.
+// idempotence tells whether a request may be repeated without a further effect.
 type idempotence string
 
 const (
@@ -45,7 +45,8 @@
 	attempts             []*attempt
 }
 
-// recorder holds what the clients and the stand-ins record during a run.
+// recorder holds what the clients, the stand-ins of servers and of the discovery service, and the controls of the nodes record during
+// a run.
 type recorder struct {
 	mu                sync.Mutex
 	requests          map[string]*request
@@ -55,8 +56,8 @@
 	drainNotices      []*drainNotice
 	processes         []*processRecord
 	delaySamples      []delaySample
-	excuseCounts      map[string]int           // violations that are not reported, by reason
-	lateSecondAnswers map[string]time.Duration // delays of second answers that were written later than maxSecondAnswerDelay, by body
+	outcomeCounts     map[string]int           // set by the checker to checkSummary.outcomes: requests by outcome, attempts, and excused violations by reason
+	lateSecondAnswers map[string]time.Duration // by answer body: delay from the first to the second answer, if above maxSecondAnswerDelay
 }
 
 // interruption is a period in which a process of a node was stopped by SIGSTOP, was being killed, or was handing over to the next one.
@@ -66,7 +67,7 @@
 	kind               string // "stalled", "handed over" or "killed"
 }
 
-// drainNotice records that one process of a node was notified that a server drains.
+// drainNotice records that one process of a node was notified that a server drains or is gone.
 type drainNotice struct {
 	serverID       string
 	nodeIndex      int
@@ -76,7 +77,7 @@
 	processEndedAt time.Time // when the process ended; zero: it is running
 }
 
-// processRecord records the lifetime of one process of a node and the servers that it was notified of.
+// processRecord records the lifetime of one process of a node, and when it was first notified that a server is ready.
 type processRecord struct {
 	nodeIndex          int
 	startedAt, endedAt time.Time            // endedAt is zero while the process is running
@@ -84,7 +85,7 @@
 }
 
 // maySend reports whether the process may send an attempt to a server at time t: the process is running, was notified that the
-// server is ready, and has no drain notice older than the grace.
+// server is ready, and has no drain notice for the server that is older than the grace and not withdrawn by t.
 func (p *processRecord) maySend(serverID string, t time.Time, notices []*drainNotice, grace time.Duration) bool {
 	readyAt, known := p.firstReadyAt[serverID]
 	if p.startedAt.After(t) || !p.endedAt.IsZero() && p.endedAt.Before(t) || !known || readyAt.After(t) {
@@ -98,7 +99,7 @@
 	return true
 }
 
-// delaySample is a scheduling delay of this process.
+// delaySample is a scheduling delay of this process, observed when the delay ended.
 type delaySample struct {
 	observedAt time.Time
 	delay      time.Duration
@@ -155,7 +156,7 @@
 	rec.completeBodies[id][body] = true
 }
 
-// sampleSchedulingDelays records scheduling delays of this process until done is closed.
+// sampleSchedulingDelays measures how late timers of this process fire, and records delays above a threshold, until done is closed.
 func (rec *recorder) sampleSchedulingDelays(done <-chan struct{}) {
 	const interval, threshold = 2 * time.Millisecond, 8 * time.Millisecond
 	for previous := time.Now(); ; {
--- a/internal/soaktest/usage.go
+++ b/internal/soaktest/usage.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// ResourceUsage is what one node used in a run with a number of cache servers, and with settings for a number of nodes.
+// ResourceUsage is the resource usage of one node in a run.
 type ResourceUsage struct {
-	Caches         int
-	Nodes          int
+	Caches         int           // cache servers in the endpoint list
+	Nodes          int           // number of nodes in the node's settings; only one node runs
 	CPU            time.Duration // user and system time of the process since its start
 	PeakMemoryKB   int           // peak resident memory
 	MaxDescriptors int           // most open file descriptors in any sample
-	Connections    int64         // opened to the stand-ins of servers
+	Connections    int64         // opened to the stand-ins of servers during the measurement
 	ListBytes      int64         // of discovery responses during the measurement
 	ServedShare    float64       // share of the requests that were answered with 200
 }
 
 const (
-	standInCount           = 8                      // cache server stand-ins, which share the entries of the list
-	usageClients           = 8                      // clients of the node
+	standInCount           = 8                      // stand-ins of cache servers; each has the address of an equal share of the list's cache servers
+	usageClientCount       = 8                      // clients that send requests to the node
 	replacementInterval    = 300 * time.Millisecond // time between two changes of the list
 	replacedShare          = 0.6                    // share of the cache servers that are replaced
-	replacementDuration    = 7 * time.Second        // from the first change of the list to the last
+	replacementPeriod      = 7 * time.Second        // from the start of the measurement; the list changes only within this time
 	descriptorPollInterval = 50 * time.Millisecond
 )
 
 // MeasureUsage measures the resource usage of one node for a duration. The endpoint list has the given number of cache servers, of
-// which replacedShare are replaced within replacementDuration. The node's settings name the given number of nodes. The traffic does
-// not depend on either number.
+// which replacedShare are replaced within replacementPeriod. The node's settings are for the given number of nodes. The traffic
+// doesn't depend on either number.
 func MeasureUsage(ctx context.Context, program string, caches, nodes int, duration time.Duration) (usage ResourceUsage, err error) {
 	folder, err := os.MkdirTemp("", "growth")
 	if err != nil {
@@ -64,7 +64,8 @@
 	return usage, err
 }
 
-// startStandInsFor starts standInCount stand-ins, divides the entries of all cache servers among them, and starts the origin.
+// startStandInsFor starts the stand-ins of the cache servers and of the origin, and lists the given number of cache servers at the
+// stand-ins' addresses.
 func (tb *testbed) startStandInsFor(caches int) error {
 	for n := range standInCount + 1 {
 		s := newServer(fmt.Sprintf("c%d", n), n == standInCount, tb.recorder, tb.faultCounts, uint64(n))
@@ -93,7 +94,7 @@
 	connectionsBefore, bytesBefore := connectionCount.Load(), tb.discovery.bytesSent.Load()
 	done := make(chan struct{})
 	var running sync.WaitGroup
-	for n := range usageClients {
+	for n := range usageClientCount {
 		c := &client{testbed: tb, wellBehaved: true, rng: rand.New(rand.NewPCG(9, uint64(n)))}
 		running.Go(func() { c.run(done) })
 	}
@@ -117,9 +118,9 @@
 	}
 }
 
-// replaceCaches replaces replacedShare of the cache servers by new ones, an equal part at each replacementInterval.
+// replaceCaches replaces replacedShare of the cache servers by new ones, an equal part of them after each replacementInterval.
 func (tb *testbed) replaceCaches(caches int, done <-chan struct{}) {
-	steps := int(replacementDuration / replacementInterval)
+	steps := int(replacementPeriod / replacementInterval)
 	replaced := int(replacedShare * float64(caches))
 	for step := range steps {
 		select {
@@ -151,48 +152,48 @@
 	return float64(n) / float64(max(1, len(rec.requests)))
 }
 
-// clockTicksPerSecond is the unit of processor times in /proc. It is the same on all platforms of Linux.
+// clockTicksPerSecond is the rate of the ticks in which /proc/PID/stat gives CPU times. It is the same on all Linux platforms.
 const clockTicksPerSecond = 100
 
 // cpuTime returns the user and system time of a process.
 func cpuTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	const user, system = 11, 12 // index of the fields, counted from the state
-	if len(fields) <= system {
+	const userField, systemField = 11, 12 // indexes in fields, which starts after the process name, with the state
+	if len(fields) <= systemField {
 		return 0
 	}
-	u, _ := strconv.Atoi(fields[user])
-	s, _ := strconv.Atoi(fields[system])
-	return time.Duration(u+s) * time.Second / clockTicksPerSecond
+	userTicks, _ := strconv.Atoi(fields[userField])
+	systemTicks, _ := strconv.Atoi(fields[systemField])
+	return time.Duration(userTicks+systemTicks) * time.Second / clockTicksPerSecond
 }
 
 // peakMemoryKB returns the peak resident memory of a process.
 func peakMemoryKB(pid int) int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(text)) {
-		if kb, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			n, _ := strconv.Atoi(strings.Fields(kb)[0])
+		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
+			n, _ := strconv.Atoi(strings.Fields(value)[0])
 			return n
 		}
 	}
 	return 0
 }
 
-// ExceededLimits returns the resources of which the usage exceeds the limits that the operators set relative to a baseline, with their
-// values. It is empty if there are none.
+// ExceededLimits describes each resource whose usage exceeds its limit. The operators set the limits relative to a baseline. The
+// result is empty if no limit is exceeded.
 func (u ResourceUsage) ExceededLimits(baseline ResourceUsage) (exceeded []string) {
-	thousands := float64(u.Caches) / 1000
+	thousandCaches := float64(u.Caches) / 1000
 	check := func(resource string, got, limit float64) {
 		if got > limit {
 			exceeded = append(exceeded, fmt.Sprintf("%s: %.2f, %.2f at most", resource, got, limit))
 		}
 	}
-	check("processor seconds", u.CPU.Seconds(), 1.4*baseline.CPU.Seconds()+0.02+0.03*thousands)
-	check("memory, MB", float64(u.PeakMemoryKB)/1024, 1.5*float64(baseline.PeakMemoryKB)/1024+8+4*thousands)
+	check("processor seconds", u.CPU.Seconds(), 1.4*baseline.CPU.Seconds()+0.02+0.03*thousandCaches)
+	check("memory, MB", float64(u.PeakMemoryKB)/1024, 1.5*float64(baseline.PeakMemoryKB)/1024+8+4*thousandCaches)
 	check("descriptors", float64(u.MaxDescriptors), 2*float64(baseline.MaxDescriptors)+40)
 	check("connections", float64(u.Connections), 2.5*float64(baseline.Connections)+40)
-	check("KB of lists", float64(u.ListBytes)/1024, 2*float64(baseline.ListBytes)/1024+64+500*thousands)
+	check("KB of lists", float64(u.ListBytes)/1024, 2*float64(baseline.ListBytes)/1024+64+500*thousandCaches)
 	check("share of requests not served", 1-u.ServedShare, 1-0.85*baseline.ServedShare)
 	return exceeded
 }
