--- a/internal/soaktest/checker.go
+++ b/internal/soaktest/checker.go
@@ -24,6 +24,8 @@
 	RequestID   string // empty if the violation concerns no single request
 	Node        int
 	Description string
+	// UnansweredUpload is set if the request has a streamed body and got no answer. Such violations fail a subtest of their own.
+	UnansweredUpload bool
 }
 
 // String returns the violation as one line.
@@ -47,7 +49,7 @@
 	summary := checkSummary{outcomes: map[string]int{}}
 	rec.outcomeCounts = summary.outcomes
 	for _, id := range rec.unknownIDs {
-		summary.violations = append(summary.violations, Violation{"strange", id, -1, "a server received a request ID that no client sent"})
+		summary.violations = append(summary.violations, Violation{Rule: "strange", RequestID: id, Node: -1, Description: "a server received a request ID that no client sent"})
 	}
 	for _, r := range rec.requests {
 		check := requestCheck{rec: rec, settings: settings, request: r}
@@ -90,7 +92,7 @@
 // addViolation adds a violation by the request, with its timeline.
 func (c *requestCheck) addViolation(rule, format string, args ...any) {
 	description := fmt.Sprintf(format, args...) + " [" + c.request.class.name + ", " + c.timeline() + "]"
-	c.violations = append(c.violations, Violation{rule, c.request.id, c.request.nodeIndex, description})
+	c.violations = append(c.violations, Violation{Rule: rule, RequestID: c.request.id, Node: c.request.nodeIndex, Description: description})
 }
 
 // timeline returns the events of the request, its attempts and the interruptions of its node within a second as one line. The
@@ -203,6 +205,7 @@
 	// On an older connection a request without an attempt may have crossed the node's close of the idle connection.
 	case r.firstOnNewConnection, len(r.attempts) > 0:
 		c.addViolation("lost", "no answer")
+		c.violations[len(c.violations)-1].UnansweredUpload = r.misbehavior == "uploads in two pieces"
 	}
 }
 
