--- a/budget/quotalimit/limiter.go
+++ b/budget/quotalimit/limiter.go
@@ -10,10 +10,10 @@
 
 // Quota is a limit with an end, and the lower limit that applies after the end.
 type Quota struct {
-	Concurrency             bool    // if true, Burst limits the requests in flight; otherwise Rate and Burst limit the request rate
-	Rate, Burst             float64 // tokens per second, and size of the token bucket
-	End                     int64   // end of the quota, in ticks
-	RateAfterEnd, ThenBurst float64 // Rate and Burst after the end, never above those before
+	Concurrency                 bool    // if true, Burst limits the requests in flight; otherwise Rate and Burst limit the request rate
+	Rate, Burst                 float64 // tokens per second, and size of the token bucket
+	End                         int64   // end of the quota, in ticks
+	RateAfterEnd, BurstAfterEnd float64 // Rate and Burst after the end, never above those before
 }
 
 // Usage counts the requests at a limiter since the last call of SetQuota.
@@ -74,7 +74,7 @@
 	}
 	if now >= l.quota.End {
 		l.quota.Rate = l.quota.RateAfterEnd
-		l.quota.Burst = l.quota.ThenBurst
+		l.quota.Burst = l.quota.BurstAfterEnd
 	}
 	if l.quota.Concurrency {
 		return l.quota.Burst - float64(l.usage.InFlight)
--- a/budget/quotalimit/limiter_test.go
+++ b/budget/quotalimit/limiter_test.go
@@ -67,7 +67,7 @@
 		t.Error("nil limiter limits requests or has a non-nil clone")
 	}
 	concurrencyLimiter.RequestStarted()
-	SetQuota(&concurrencyLimiter, 0, Quota{Concurrency: true, Burst: 3, End: 100, ThenBurst: 1})
+	SetQuota(&concurrencyLimiter, 0, Quota{Concurrency: true, Burst: 3, End: 100, BurstAfterEnd: 1})
 	concurrencyLimiter.RequestStarted()
 	concurrencyLimiter.RequestStarted()
 	concurrencyLimiter.RequestDenied()
@@ -88,7 +88,7 @@
 		t.Errorf("clone under an empty quota: Available = %g, want 0", clone.Available(70))
 	}
 	var rateLimiter *Limiter
-	SetQuota(&rateLimiter, 0, Quota{Rate: 2, Burst: 4, End: 10000, RateAfterEnd: 1, ThenBurst: 1})
+	SetQuota(&rateLimiter, 0, Quota{Rate: 2, Burst: 4, End: 10000, RateAfterEnd: 1, BurstAfterEnd: 1})
 	if rateLimiter.Available(5000) != 1 || rateLimiter.Available(20000) != 1 {
 		t.Error("tokens don't accumulate with time, or the bucket doesn't shrink when the quota ends")
 	}
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -35,7 +35,7 @@
 	// ProbeResult reports the result of the cluster's last probe of a server, and the maximum time until its next probe.
 	ProbeResult(id, address string, healthy bool, next time.Duration)
 	// SetQuota sets this node's quota of a budget. Requests may begin under quota's Rate and Burst for the duration, and under
-	// its RateAfterEnd and ThenBurst afterwards. Requests under a concurrency limit are cut off cutoffMargin after the duration.
+	// its RateAfterEnd and BurstAfterEnd afterwards. Requests under a concurrency limit are cut off cutoffMargin after the duration.
 	// It returns the usage since the last call.
 	SetQuota(limit routing.Limit, tenant string, quota quotalimit.Quota, duration, cutoffMargin time.Duration) quotalimit.Usage
 }
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -185,16 +185,16 @@
 		rate = c.RatePerUnit * (1 - m.config.MaxDrift) // this node's clock may run too fast by MaxDrift
 	}
 	quota := quotalimit.Quota{
-		Concurrency:  c.Kind == lease.BudgetKindConcurrency,
-		Rate:         rate * float64(units),
-		Burst:        float64(units),
-		RateAfterEnd: rate * float64(reserved),
-		ThenBurst:    float64(reserved),
+		Concurrency:   c.Kind == lease.BudgetKindConcurrency,
+		Rate:          rate * float64(units),
+		Burst:         float64(units),
+		RateAfterEnd:  rate * float64(reserved),
+		BurstAfterEnd: float64(reserved),
 	}
 	if faults.Disabled(faults.BurstKept) && !quota.Concurrency {
 		m.mu.Lock()
 		m.maxBursts[name] = max(m.maxBursts[name], quota.Burst)
-		quota.Burst, quota.ThenBurst = m.maxBursts[name], m.maxBursts[name]
+		quota.Burst, quota.BurstAfterEnd = m.maxBursts[name], m.maxBursts[name]
 		m.mu.Unlock()
 	}
 	b := m.config.Budgets[index]
--- a/internal/cluster/quotas_test.go
+++ b/internal/cluster/quotas_test.go
@@ -36,7 +36,7 @@
 	if time.Now().Before(n.until) {
 		return n.quota.Burst
 	}
-	return n.quota.ThenBurst
+	return n.quota.BurstAfterEnd
 }
 
 // The quotas of all nodes together never exceed the limit, also after an operator lowers it. The process that replaces a node's
--- a/internal/net/dispatch/quotas.go
+++ b/internal/net/dispatch/quotas.go
@@ -19,7 +19,7 @@
 }
 
 // SetQuota sets this node's quota of a limit. tenant is used for routing.TenantRate only. Rate and Burst of the quota
-// apply for validFor, then RateAfterEnd and ThenBurst. Attempts that start under a concurrency quota must have ended
+// apply for validFor, then RateAfterEnd and BurstAfterEnd. Attempts that start under a concurrency quota must have ended
 // cutoffMargin after that time. SetQuota returns the usage of the limit since the last call, or a zero value for an
 // unknown tenant.
 func (d *Dispatcher) SetQuota(limit routing.Limit, tenant string, quota quotalimit.Quota, validFor, cutoffMargin time.Duration) (
--- a/internal/net/dispatch/quotas_test.go
+++ b/internal/net/dispatch/quotas_test.go
@@ -20,7 +20,7 @@
 	if _, attempt := submitWrite(); attempt == nil || !attempt.SendBy.IsZero() || attempt.Timeout < 600*time.Millisecond {
 		t.Fatalf("without a quota: %+v", attempt)
 	}
-	quota := quotalimit.Quota{Concurrency: true, Burst: 2, ThenBurst: 1}
+	quota := quotalimit.Quota{Concurrency: true, Burst: 2, BurstAfterEnd: 1}
 	d.SetQuota(routing.OriginConcurrency, "", quota, 200*time.Millisecond, 100*time.Millisecond)
 	_, first := submitWrite()
 	_, second := submitWrite()
--- a/internal/simulation/budget.go
+++ b/internal/simulation/budget.go
@@ -382,7 +382,7 @@
 			Rate:  n.sim.config.RatePerUnit * float64(n.sim.config.Units) / float64(len(n.sim.nodes)),
 			Burst: n.sim.evenUnits, End: math.MaxInt64})
 	}
-	quota := quotalimit.Quota{Concurrency: config.Kind == lease.BudgetKindConcurrency, Burst: float64(units), ThenBurst: float64(reservedUnits),
+	quota := quotalimit.Quota{Concurrency: config.Kind == lease.BudgetKindConcurrency, Burst: float64(units), BurstAfterEnd: float64(reservedUnits),
 		End: int64(n.sim.clock.now + remaining)}
 	if !quota.Concurrency {
 		quota.Rate, quota.RateAfterEnd = config.RatePerUnit*rateFactor*float64(units), config.RatePerUnit*rateFactor*float64(reservedUnits)
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -21,7 +21,7 @@
 		changeQuota := func() {
 			n := float64(rnd.Intn(int(maxUnits) + 1))
 			f.b.SetQuota(f.now, quotaLimit, 0, quotalimit.Quota{Concurrency: quotaLimit == OriginConcurrency || quotaLimit == CacheConcurrency, Rate: rate * n / maxUnits, Burst: n,
-				End: int64(f.now + Time(rnd.Intn(3000))*Millisecond), RateAfterEnd: rate * min(1, n) / maxUnits, ThenBurst: min(1, n)})
+				End: int64(f.now + Time(rnd.Intn(3000))*Millisecond), RateAfterEnd: rate * min(1, n) / maxUnits, BurstAfterEnd: min(1, n)})
 		}
 		changeQuota()
 		for n := 0; n < 800 && len(f.violations) == 0; n++ {
@@ -63,7 +63,7 @@
 func TestExhaustedQuotaRejects(t *testing.T) {
 	f := newFakeHost(3, 2)
 	f.advance(2000 * Millisecond)
-	f.b.SetQuota(f.now, OriginRate, 0, quotalimit.Quota{Rate: 100, Burst: 2, End: int64(f.now + 500*Millisecond), RateAfterEnd: 1, ThenBurst: 1})
+	f.b.SetQuota(f.now, OriginRate, 0, quotalimit.Quota{Rate: 100, Burst: 2, End: int64(f.now + 500*Millisecond), RateAfterEnd: 1, BurstAfterEnd: 1})
 	write := func() (sent bool, retryAfter Time) {
 		_, client := f.request(2, "k", true, f.now+700*Millisecond)
 		return len(client.attempts) > 0, client.retryAfter
