--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -23,9 +23,9 @@
 // fakeLocalNode is the node of a voter that serves no requests.
 type fakeLocalNode struct{}
 
-func (fakeLocalNode) Metrics() map[string]int64                       { return nil }
-func (fakeLocalNode) EjectedEndpoints() map[string]string             { return nil }
-func (fakeLocalNode) ProbeResult(string, string, bool, time.Duration) {}
+func (fakeLocalNode) Metrics() map[string]int64                             { return nil }
+func (fakeLocalNode) EjectedEndpoints() map[string]string                   { return nil }
+func (fakeLocalNode) ReportProbeResult(string, string, bool, time.Duration) {}
 func (fakeLocalNode) SetQuota(routing.Limit, string, quotalimit.Quota, time.Duration, time.Duration) (u quotalimit.Usage) {
 	return u
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -18,9 +18,9 @@
 // stubNode is a LocalNode with fixed metrics, without endpoints and quotas.
 type stubNode map[string]int64
 
-func (f stubNode) Metrics() map[string]int64                     { return f }
-func (stubNode) EjectedEndpoints() map[string]string             { return nil }
-func (stubNode) ProbeResult(string, string, bool, time.Duration) {}
+func (f stubNode) Metrics() map[string]int64                           { return f }
+func (stubNode) EjectedEndpoints() map[string]string                   { return nil }
+func (stubNode) ReportProbeResult(string, string, bool, time.Duration) {}
 func (stubNode) SetQuota(routing.Limit, string, quotalimit.Quota, time.Duration, time.Duration) (u quotalimit.Usage) {
 	return u
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -32,8 +32,8 @@
 	Metrics() map[string]int64
 	// EjectedEndpoints returns the addresses of the servers that are ejected after failures, by id.
 	EjectedEndpoints() map[string]string
-	// ProbeResult reports the result of the cluster's last probe of a server, and the maximum time until its next probe.
-	ProbeResult(id, address string, healthy bool, next time.Duration)
+	// ReportProbeResult reports the result of the cluster's last probe of a server, and the maximum time until its next probe.
+	ReportProbeResult(id, address string, healthy bool, next time.Duration)
 	// SetQuota sets this node's quota of a budget. Requests may begin under quota's Rate and Burst for the duration, and under
 	// its RateAfterEnd and BurstAfterEnd afterwards. Requests under a concurrency limit are cut off cutoffMargin after the duration.
 	// It returns the usage since the last call.
--- a/internal/cluster/task_probe.go
+++ b/internal/cluster/task_probe.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		for _, s := range statuses {
-			m.node.ProbeResult(s.ID, ejected[s.ID], s.Healthy, toDuration(s.UntilNextResult))
+			m.node.ReportProbeResult(s.ID, ejected[s.ID], s.Healthy, toDuration(s.UntilNextResult))
 		}
 	}
 }
--- a/internal/cluster/task_probe_test.go
+++ b/internal/cluster/task_probe_test.go
@@ -22,7 +22,7 @@
 }
 
 func (n *ejectingNode) EjectedEndpoints() map[string]string { return map[string]string{"c": n.address} }
-func (n *ejectingNode) ProbeResult(id, address string, healthy bool, next time.Duration) {
+func (n *ejectingNode) ReportProbeResult(id, address string, healthy bool, next time.Duration) {
 	if id == "c" && address == n.address && next > 0 {
 		if healthy {
 			n.healthyResult.Store(true)
--- a/internal/net/dispatch/admission.go
+++ b/internal/net/dispatch/admission.go
@@ -31,7 +31,7 @@
 		Ended:    r.ended.Load(),
 		Now:      h.decisionTime,
 		Hedging:  h.settings.HedgingAllowed() && !h.quotas.boundsConcurrency(a),
-		BodySent: r.Rest != nil && r.Rest.Started(),
+		BodySent: r.BodyStream != nil && r.BodyStream.Started(),
 	}
 	reason := attempt.Decide()
 	switch reason {
--- a/internal/net/dispatch/attempt.go
+++ b/internal/net/dispatch/attempt.go
@@ -130,7 +130,7 @@
 	if answeredAfterReport {
 		d.balancer.ClientGone(now, r.index) // ends the request for the balancer, which waits for other attempts
 	}
-	if result == Withheld && !r.ended.Load() {
+	if result == EndedBeforeWrite && !r.ended.Load() {
 		r.clientGone(now)
 		r.answers <- Answer{Outcome: Failed} // the HTTP handler has not noticed that the client is gone, and waits
 	}
@@ -160,7 +160,7 @@
 // reportBodySent tells the balancer, once, that a streamed body is written, and restarts the attempt's latency
 // measurement. Called with the lock held.
 func (a *Attempt) reportBodySent() {
-	if a.Rest == nil || a.bodySent || a.reported {
+	if a.BodyStream == nil || a.bodySent || a.reported {
 		return
 	}
 	a.bodySent = true
--- a/internal/net/dispatch/attempt_result.go
+++ b/internal/net/dispatch/attempt_result.go
@@ -27,7 +27,7 @@
 	NoResources                             // no descriptor, dial or goroutine was free: nothing was sent
 	NotConnected                            // the deadline passed before the connection was established or had failed
 	Canceled                                // the node is shutting down, or reading failed locally; the error tells which
-	Withheld                                // the request ended, or its client left, before the first byte was written
+	EndedBeforeWrite                        // the request ended, or its client left, before the first byte was written
 	attemptResultCount                      // number of results
 )
 
@@ -60,7 +60,7 @@
 		return routing.TimedOut
 	case NoResources, NotConnected:
 		return routing.NotSent
-	case Withheld:
+	case EndedBeforeWrite:
 		return routing.EndedBeforeWrite
 	case Bypassed, Canceled:
 		return routing.Canceled
@@ -80,24 +80,24 @@
 }
 
 var attemptResultNames = [attemptResultCount]string{
-	Complete:        "complete",
-	NotFound:        "not_found",
-	ServerError:     "server_error",
-	Shed:            "shed",
-	ConnectionLimit: "connection_limit",
-	UnclearStatus:   "unclear_status",
-	ConnectRefused:  "connect_refused",
-	ConnectTimeout:  "connect_timeout",
-	WriteFailed:     "write_failed",
-	ConnectionLost:  "connection_lost",
-	Truncated:       "truncated",
-	Malformed:       "malformed",
-	TimedOut:        "timed_out",
-	Bypassed:        "bypassed",
-	NoResources:     "no_resources",
-	NotConnected:    "not_connected",
-	Canceled:        "canceled",
-	Withheld:        "withheld",
+	Complete:         "complete",
+	NotFound:         "not_found",
+	ServerError:      "server_error",
+	Shed:             "shed",
+	ConnectionLimit:  "connection_limit",
+	UnclearStatus:    "unclear_status",
+	ConnectRefused:   "connect_refused",
+	ConnectTimeout:   "connect_timeout",
+	WriteFailed:      "write_failed",
+	ConnectionLost:   "connection_lost",
+	Truncated:        "truncated",
+	Malformed:        "malformed",
+	TimedOut:         "timed_out",
+	Bypassed:         "bypassed",
+	NoResources:      "no_resources",
+	NotConnected:     "not_connected",
+	Canceled:         "canceled",
+	EndedBeforeWrite: "withheld",
 }
 
 // String returns the result's name in logs.
--- a/internal/net/dispatch/dispatcher.go
+++ b/internal/net/dispatch/dispatcher.go
@@ -39,9 +39,9 @@
 	// Send starts an attempt. The transport calls Attempt.Finish and then Attempt.ReportAnswerClosed for it, from
 	// another goroutine.
 	Send(*Attempt)
-	// CloseIdle closes the idle connections to an endpoint except for keep of them. The incarnation identifies the
+	// CloseIdleConnections closes the idle connections to an endpoint except for keep of them. The incarnation identifies the
 	// endpoint, as in Attempt.
-	CloseIdle(incarnation uint64, keep int)
+	CloseIdleConnections(incarnation uint64, keep int)
 	// SetMaxConnsPerCache bounds the connections to each cache server, dials included. There is no bound until it is called.
 	SetMaxConnsPerCache(n int)
 }
@@ -169,7 +169,7 @@
 			Deadline:  d.clock.toRoutingTime(d.balancerDeadline(r, timeout)),
 			Work:      request.EstimatedMs,
 			Write:     request.Write,
-			Streaming: request.Rest != nil,
+			Streaming: request.BodyStream != nil,
 		})
 	})
 	if duplicate {
@@ -183,7 +183,7 @@
 // maxBodyDuration, and clientDeadline stays unset.
 func (d *Dispatcher) balancerDeadline(r *PendingRequest, timeout time.Duration) time.Time {
 	deadline := r.receivedAt.Add(min(timeout, d.settings.MaxDeadline))
-	if r.Rest != nil {
+	if r.BodyStream != nil {
 		return deadline.Add(maxBodyDuration)
 	}
 	r.clientDeadline = r.receivedAt.Add(timeout)
--- a/internal/net/dispatch/ejections.go
+++ b/internal/net/dispatch/ejections.go
@@ -28,7 +28,7 @@
 			e := &d.endpoints.entries[i]
 			d.applyEjection(e, ejection)
 			// The endpoint may restart while it is ejected, so connections from before must not be used afterwards.
-			d.transport.CloseIdle(e.incarnation, 0)
+			d.transport.CloseIdleConnections(e.incarnation, 0)
 			e.incarnation = d.endpoints.nextIncarnation()
 			if !e.gone {
 				update = append(update, d.routingEndpoint(i))
--- a/internal/net/dispatch/endpoint_latency_test.go
+++ b/internal/net/dispatch/endpoint_latency_test.go
@@ -59,7 +59,7 @@
 	if attempt.ClientState() == admission.Granted {
 		t.Error("an attempt may begin though its request ended during the check")
 	}
-	attempt.Finish(Withheld, Answer{})
+	attempt.Finish(EndedBeforeWrite, Answer{})
 	hedge.Finish(Complete, Answer{Body: []byte("other")})
 	if a, answeredTwice := receivedAnswer(pending); answeredTwice {
 		t.Errorf("second final answer: %v", a)
--- a/internal/net/dispatch/helper_test.go
+++ b/internal/net/dispatch/helper_test.go
@@ -18,7 +18,7 @@
 	mu       sync.Mutex
 	attempts []*Attempt
 
-	closedIdle []uint64 // incarnations passed to CloseIdle
+	closedIdle []uint64 // incarnations passed to CloseIdleConnections
 }
 
 func (f *fakeTransport) Send(a *Attempt) {
@@ -27,7 +27,7 @@
 	f.attempts = append(f.attempts, a)
 }
 
-func (f *fakeTransport) CloseIdle(incarnation uint64, _ int) {
+func (f *fakeTransport) CloseIdleConnections(incarnation uint64, _ int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closedIdle = append(f.closedIdle, incarnation)
--- a/internal/net/dispatch/host.go
+++ b/internal/net/dispatch/host.go
@@ -55,7 +55,7 @@
 
 // CloseIdleConnections closes an endpoint's idle connections, except for keep of them.
 func (h host) CloseIdleConnections(endpointIndex, keep int) {
-	h.transport.CloseIdle(h.endpoints.entries[endpointIndex].incarnation, keep)
+	h.transport.CloseIdleConnections(h.endpoints.entries[endpointIndex].incarnation, keep)
 }
 
 // SetAlarm schedules a call of the balancer's Alarm method at fireAt or soon after.
--- a/internal/net/dispatch/outliers.go
+++ b/internal/net/dispatch/outliers.go
@@ -22,9 +22,9 @@
 	return addresses
 }
 
-// ProbeResult reports the result of another node's probe of an endpoint to the balancer. The result of the next probe
+// ReportProbeResult reports the result of another node's probe of an endpoint to the balancer. The result of the next probe
 // is due within next. A result for an endpoint that is not listed with this address is ignored.
-func (d *Dispatcher) ProbeResult(id, address string, succeeded bool, next time.Duration) {
+func (d *Dispatcher) ReportProbeResult(id, address string, succeeded bool, next time.Duration) {
 	d.withLock("probe result", nil, func(now routing.Time) {
 		i, known := d.endpoints.byID[id]
 		if !known || d.endpoints.entries[i].gone || d.endpoints.entries[i].address != address {
--- a/internal/net/dispatch/outliers_test.go
+++ b/internal/net/dispatch/outliers_test.go
@@ -22,9 +22,9 @@
 		t.Fatalf("ejected endpoints: %v", ejected)
 	}
 	for id, address := range ejected {
-		d.ProbeResult(id, "elsewhere:1", true, 0)
-		d.ProbeResult("unknown", address, true, 0)
-		d.ProbeResult(id, address, true, 0)
+		d.ReportProbeResult(id, "elsewhere:1", true, 0)
+		d.ReportProbeResult("unknown", address, true, 0)
+		d.ReportProbeResult(id, address, true, 0)
 	}
 	if len(d.EjectedEndpoints()) != len(ejected) {
 		t.Error("a probe result alone ended an ejection")
--- a/internal/net/dispatch/retry_window_test.go
+++ b/internal/net/dispatch/retry_window_test.go
@@ -18,7 +18,7 @@
 	stalledAt time.Time // start of the latest stall
 }
 
-func (s *stallingTransport) CloseIdle(uint64, int) {
+func (s *stallingTransport) CloseIdleConnections(uint64, int) {
 	s.stalledAt = time.Now()
 	time.Sleep(s.stall)
 }
--- a/internal/net/dispatch/streaming_test.go
+++ b/internal/net/dispatch/streaming_test.go
@@ -14,18 +14,18 @@
 	for started, want := range map[bool]int{false: 2, true: 1} {
 		transport := &fakeTransport{}
 		d := startDispatcher(t, transport)
-		request := Request{Class: "read", Write: true, Rest: NewBodyStream(strings.NewReader("rest")), Length: 4, Timeout: 1e9}
+		request := Request{Class: "read", Write: true, BodyStream: NewBodyStream(strings.NewReader("rest")), Length: 4, Timeout: 1e9}
 		pending := submit(t, d, request, time.Second)
 		attempt := transport.take(0)
 		if started {
-			_, _ = attempt.Rest.Read(make([]byte, 1))
+			_, _ = attempt.BodyStream.Read(make([]byte, 1))
 		}
 		attempt.Finish(WriteFailed, Answer{})
 		attempts := 1
 		for deadline := time.Now().Add(200 * time.Millisecond); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 			if attempt = transport.take(0); attempt != nil {
 				attempts++
-				_, _ = io.Copy(io.Discard, attempt.Rest)
+				_, _ = io.Copy(io.Discard, attempt.BodyStream)
 				attempt.ReportBodySent()
 				attempt.Finish(Complete, Answer{Body: []byte("v")})
 			}
--- a/internal/net/frontend/body.go
+++ b/internal/net/frontend/body.go
@@ -64,7 +64,7 @@
 // streamBody makes request forward the rest of the body while it is received.
 func (h *handler) streamBody(request *dispatch.Request, body *pacedBody) {
 	_ = h.control.EnableFullDuplex() // the answer may be written before the end of the body is read
-	request.Rest = dispatch.NewBodyStream(body)
+	request.BodyStream = dispatch.NewBodyStream(body)
 }
 
 // bodyError maps an error of reading the body to the status and the error text that the client receives.
--- a/internal/net/frontend/handler.go
+++ b/internal/net/frontend/handler.go
@@ -96,8 +96,8 @@
 		h.refuseBody(status, err)
 		return
 	}
-	if request.Rest != nil {
-		h.bodyStream = request.Rest
+	if request.BodyStream != nil {
+		h.bodyStream = request.BodyStream
 		h.w.Header().Set("Connection", "close") // the unread rest of the body would precede the next request on the connection
 	}
 	if overLimit {
--- a/internal/net/frontend/server_test.go
+++ b/internal/net/frontend/server_test.go
@@ -21,10 +21,10 @@
 // attemptSink passes each attempt that the dispatcher sends to the test.
 type attemptSink chan *dispatch.Attempt
 
-func (a attemptSink) Send(attempt *dispatch.Attempt) { a <- attempt }
-func (a attemptSink) Subscribe()                     {}
-func (a attemptSink) CloseIdle(uint64, int)          {}
-func (a attemptSink) SetMaxConnsPerCache(int)        {}
+func (a attemptSink) Send(attempt *dispatch.Attempt)   { a <- attempt }
+func (a attemptSink) Subscribe()                       {}
+func (a attemptSink) CloseIdleConnections(uint64, int) {}
+func (a attemptSink) SetMaxConnsPerCache(int)          {}
 
 const maxDeadline = 300 * time.Millisecond
 
--- a/internal/net/node/client_gone_attempt_test.go
+++ b/internal/net/node/client_gone_attempt_test.go
@@ -240,7 +240,7 @@
 		a.Address = s.addresses["fetch"]
 	case a.TraceID != "t":
 		a.Address = s.addresses["plain"]
-	case attempt < s.attempt && a.Rest != nil:
+	case attempt < s.attempt && a.BodyStream != nil:
 		l, err := net.Listen("tcp", uniqueAddress())
 		if err == nil {
 			a.Address = l.Addr().String()
--- a/internal/net/upstream/attempt.go
+++ b/internal/net/upstream/attempt.go
@@ -29,7 +29,7 @@
 		}
 		// An answer proves that the request was written. The onFlush callback is not called if the transport's buffer was
 		// empty before the last byte.
-		if result.Answered() && (a.Rest == nil || a.Rest.Complete()) {
+		if result.Answered() && (a.BodyStream == nil || a.BodyStream.Complete()) {
 			a.ReportWritten()
 		}
 		if err != nil {
@@ -61,7 +61,7 @@
 	if !time.Now().Before(deadline) {
 		return false
 	}
-	return a.Rest == nil || !a.Rest.Started()
+	return a.BodyStream == nil || !a.BodyStream.Started()
 }
 
 func (c *Client) logFailure(a *dispatch.Attempt, result dispatch.AttemptResult, start time.Time, err error) {
--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -78,8 +78,8 @@
 // Resize sets how many descriptors connections may use, and closes idle connections in excess of that.
 func (c *Client) Resize(descriptors int) { c.dialer.resize(descriptors) }
 
-// CloseIdle closes all but keep of an endpoint's idle connections. It does so in a new goroutine.
-func (c *Client) CloseIdle(incarnation uint64, keep int) {
+// CloseIdleConnections closes all but keep of an endpoint's idle connections. It does so in a new goroutine.
+func (c *Client) CloseIdleConnections(incarnation uint64, keep int) {
 	go c.dialer.closeIdle(poolKey(incarnation), keep)
 }
 
--- a/internal/net/upstream/client_test.go
+++ b/internal/net/upstream/client_test.go
@@ -194,7 +194,7 @@
 		cancelPoint  string // when the client leaves
 		want         dispatch.AttemptResult
 		wantReceived int64
-	}{{"during the dial", dispatch.Withheld, 0}, {"between two dials", dispatch.Withheld, 0}, {"after the write", dispatch.Complete, 1}} {
+	}{{"during the dial", dispatch.EndedBeforeWrite, 0}, {"between two dials", dispatch.EndedBeforeWrite, 0}, {"after the write", dispatch.Complete, 1}} {
 		settings, err := config.ParseSettings(map[string]any{"namespaces": []any{map[string]any{"name": "read", "repeat": "safe",
 			"target-time-ms": 700., "time-limit-ms": 750.}}})
 		if err != nil {
--- a/internal/net/upstream/dialer_test.go
+++ b/internal/net/upstream/dialer_test.go
@@ -15,7 +15,7 @@
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 )
 
-// CloseIdle must close idle connections and keep those in use. An attempt that acquires a connection while it is being closed
+// CloseIdleConnections must close idle connections and keep those in use. An attempt that acquires a connection while it is being closed
 // must not fail.
 func TestCloseIdleClosesOnlyIdleConnections(t *testing.T) {
 	var opened, served atomic.Int64
@@ -55,18 +55,18 @@
 	waitForOpenConns(1)
 	send("/quick")
 	waitForOpenConns(2)
-	client.CloseIdle(1, 0) // another endpoint
-	client.CloseIdle(0, 1) // the only idle connection is kept
+	client.CloseIdleConnections(1, 0) // another endpoint
+	client.CloseIdleConnections(0, 1) // the only idle connection is kept
 	time.Sleep(10 * time.Millisecond)
 	waitForOpenConns(2)
-	client.CloseIdle(0, 0)
+	client.CloseIdleConnections(0, 0)
 	waitForOpenConns(1)
 	if close(releaseSlow); <-slowResult != dispatch.Complete {
 		t.Error("a connection in use was closed")
 	}
 	servedBefore := served.Load()
 	for range 200 {
-		client.CloseIdle(0, 0)
+		client.CloseIdleConnections(0, 0)
 		if result := send("/quick"); result != dispatch.Complete {
 			t.Fatalf("an attempt ended %v", result)
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// CloseIdle must close the least recently used connections first, because the transport reuses the most recently used one.
+// CloseIdleConnections must close the least recently used connections first, because the transport reuses the most recently used one.
 func TestCloseIdleKeepsMostRecentlyUsedConnection(t *testing.T) {
 	client, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		time.Sleep(20 * time.Millisecond)
--- a/internal/net/upstream/exchange.go
+++ b/internal/net/upstream/exchange.go
@@ -107,14 +107,14 @@
 		quietPeriod := x.client.dialer.quietPeriods.required(poolKey(a.Incarnation))
 		x.conn.awaitQuiet(x.ctx, x.outgoing, quietPeriod, earlier(x.deadline, a.SendBy))
 	}
-	if a.Rest == nil {
+	if a.BodyStream == nil {
 		x.request.Header["X-Expires-In"] = []string{formatExpiresIn(x.declareTimeout())}
 	}
 }
 
 // wroteHeaders stops the timeout of a request with a streamed body; wroteRequest restarts it after the last byte.
 func (x *exchange) wroteHeaders() {
-	if x.attempt.Rest != nil {
+	if x.attempt.BodyStream != nil {
 		x.timeout.Stop()
 	}
 }
@@ -125,7 +125,7 @@
 		return
 	}
 	x.conn.setOnFlush(x.attempt.ReportWritten)
-	if x.attempt.Rest != nil {
+	if x.attempt.BodyStream != nil {
 		x.attempt.ReportBodySent()
 		x.timeout.Reset(x.attempt.Timeout)
 	}
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -38,8 +38,8 @@
 		Body:          unrewindableBody{bytes.NewReader(a.Body)},
 		ContentLength: int64(len(a.Body)),
 	}
-	if a.Rest != nil {
-		r.Body = unrewindableBody{io.MultiReader(bytes.NewReader(a.Body), a.Rest)}
+	if a.BodyStream != nil {
+		r.Body = unrewindableBody{io.MultiReader(bytes.NewReader(a.Body), a.BodyStream)}
 		r.ContentLength = a.Length
 	}
 	if a.IdempotencyKey != "" {
--- a/internal/net/upstream/result.go
+++ b/internal/net/upstream/result.go
@@ -19,7 +19,7 @@
 		return x.resultWithoutConn(err)
 	}
 	reason := x.denial()
-	rest := x.attempt.Rest
+	rest := x.attempt.BodyStream
 	switch {
 	case errors.Is(err, errLimitReached):
 		return dispatch.NoResources
@@ -79,7 +79,7 @@
 func resultOfDenial(reason admission.Reason) dispatch.AttemptResult {
 	switch reason {
 	case admission.RequestOver, admission.ClientGone:
-		return dispatch.Withheld
+		return dispatch.EndedBeforeWrite
 	case admission.UnsolicitedBytes:
 		return dispatch.WriteFailed
 	default:
