--- a/internal/net/node/client_gone_attempt_test.go
+++ b/internal/net/node/client_gone_attempt_test.go
@@ -316,8 +316,8 @@
 		s.t.Fatal(err)
 	}
 	s.dispatcher = dispatch.New(d, zap.NewNop())
-	carrier := upstream.New(upstream.Limits{Descriptors: 32, MaxAttempts: 32, ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, MaxBuffered: maxBufferedBodyBytes,
-		MaxStreamed: maxStreamedBodyBytes}, zap.NewNop())
+	carrier := upstream.New(upstream.Limits{MaxConns: 32, MaxAttempts: 32, ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, MaxBufferedBody: maxBufferedBodyBytes,
+		MaxStreamedBody: maxStreamedBodyBytes}, zap.NewNop())
 	s.t.Cleanup(carrier.Close)
 	s.dispatcher.Start(1, &redirectedUpstream{Client: carrier, attempts: map[string]int{}, redirect: s.redirect}, noDiscovery{})
 	list := []dispatch.Endpoint{{ID: "z", Address: "z:1", Model: "origin"}}
--- a/internal/net/node/migration_test.go
+++ b/internal/net/node/migration_test.go
@@ -117,8 +117,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := upstream.New(upstream.Limits{Descriptors: 64, MaxAttempts: 256, ConnectTimeout: 75 * time.Millisecond,
-		IdleTimeout: 15 * time.Second, MaxBuffered: 1 << 10, MaxStreamed: 1 << 10}, zap.NewNop())
+	client := upstream.New(upstream.Limits{MaxConns: 64, MaxAttempts: 256, ConnectTimeout: 75 * time.Millisecond,
+		IdleTimeout: 15 * time.Second, MaxBufferedBody: 1 << 10, MaxStreamedBody: 1 << 10}, zap.NewNop())
 	t.Cleanup(client.Close)
 	dispatcher := dispatch.New(d, zap.NewNop())
 	dispatcher.Start(uint64(len(kind)+nodes), client, noDiscovery{})
--- a/internal/net/node/node.go
+++ b/internal/net/node/node.go
@@ -123,12 +123,12 @@
 	n.dispatcher = dispatch.New(s.Settings, log.Named("dispatch"))
 	n.upstream = upstream.New(
 		upstream.Limits{
-			Descriptors:    l.serverConns,
-			MaxAttempts:    l.serverConns + l.clientConns,
-			ConnectTimeout: s.ConnectTimeout,
-			IdleTimeout:    s.IdleTimeout,
-			MaxBuffered:    maxBufferedBodyBytes,
-			MaxStreamed:    maxStreamedBodyBytes,
+			MaxConns:        l.serverConns,
+			MaxAttempts:     l.serverConns + l.clientConns,
+			ConnectTimeout:  s.ConnectTimeout,
+			IdleTimeout:     s.IdleTimeout,
+			MaxBufferedBody: maxBufferedBodyBytes,
+			MaxStreamedBody: maxStreamedBodyBytes,
 		},
 		log.Named("upstream"),
 	)
--- a/internal/net/upstream/answer.go
+++ b/internal/net/upstream/answer.go
@@ -28,7 +28,7 @@
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
 		return dispatch.Malformed, dispatch.Answer{}, errUpgraded
-	case resp.ContentLength > c.limits.MaxStreamed, resp.ContentLength > c.limits.MaxBuffered && !ok:
+	case resp.ContentLength > c.limits.MaxStreamedBody, resp.ContentLength > c.limits.MaxBufferedBody && !ok:
 		return dispatch.Malformed, dispatch.Answer{}, errTooLong
 	}
 	body, hasRest, err := c.readBody(resp, ok, deadline)
@@ -63,13 +63,13 @@
 }
 
 // readBody reads a body to its end, except for a long body that may be streamed: then it stops after the first bytes, and
-// hasRest is true. A body is long if its declared length exceeds MaxBuffered. A body of unknown length is long if it exceeds
-// MaxBuffered, or is incomplete after a part of the remaining time, see bufferTimeDivisor.
+// hasRest is true. A body is long if its declared length exceeds MaxBufferedBody. A body of unknown length is long if it exceeds
+// MaxBufferedBody, or is incomplete after a part of the remaining time, see bufferTimeDivisor.
 func (c *Client) readBody(resp *http.Response, mayStream bool, deadline time.Time) (body []byte, hasRest bool, err error) {
 	size := initialReadBytes
 	knownLength := resp.ContentLength >= 0
 	if knownLength {
-		size = int(min(resp.ContentLength, c.limits.MaxBuffered)) + 1 // 1 more, so that the last Read returns io.EOF
+		size = int(min(resp.ContentLength, c.limits.MaxBufferedBody)) + 1 // 1 more, so that the last Read returns io.EOF
 	}
 	now := time.Now()
 	bufferUntil := now.Add(deadline.Sub(now) / bufferTimeDivisor)
@@ -77,7 +77,7 @@
 	for {
 		n, err := resp.Body.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
-		tooLong := int64(len(body)) > c.limits.MaxBuffered
+		tooLong := int64(len(body)) > c.limits.MaxBufferedBody
 		switch {
 		case errors.Is(err, io.EOF) && !tooLong:
 			return body, false, nil
@@ -85,7 +85,7 @@
 			return nil, false, err
 		case tooLong && !mayStream:
 			return nil, false, errTooLong
-		case mayStream && n > 0 && (tooLong || resp.ContentLength > c.limits.MaxBuffered || !knownLength && time.Now().After(bufferUntil)):
+		case mayStream && n > 0 && (tooLong || resp.ContentLength > c.limits.MaxBufferedBody || !knownLength && time.Now().After(bufferUntil)):
 			return body, true, nil
 		}
 		if len(body) == cap(body) {
--- a/internal/net/upstream/answer_stream.go
+++ b/internal/net/upstream/answer_stream.go
@@ -30,7 +30,7 @@
 	}
 	stream := &answerStream{
 		source:    resp.Body,
-		remaining: x.client.limits.MaxStreamed - int64(len(answer.Body)),
+		remaining: x.client.limits.MaxStreamedBody - int64(len(answer.Body)),
 		cancel:    x.cancel,
 		onError:   x.logStreamError,
 		closed:    make(chan struct{}),
--- a/internal/net/upstream/answers_test.go
+++ b/internal/net/upstream/answers_test.go
@@ -325,8 +325,8 @@
 		}
 		backlog = append(backlog, c)
 	}
-	client := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 4 * time.Second, IdleTimeout: 500 * time.Millisecond, MaxBuffered: 1 << 10,
-		MaxStreamed: 1 << 10}, zap.NewNop())
+	client := New(Limits{MaxConns: 8, MaxAttempts: 8, ConnectTimeout: 4 * time.Second, IdleTimeout: 500 * time.Millisecond, MaxBufferedBody: 1 << 10,
+		MaxStreamedBody: 1 << 10}, zap.NewNop())
 	defer client.Close()
 	start := time.Now()
 	attempt := newAttempt(address, "GET", "")
--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -17,12 +17,12 @@
 
 // Limits bounds the resources and times of a Client.
 type Limits struct {
-	Descriptors    int           // connections to servers, dials included
-	MaxAttempts    int           // in flight; further attempts end with NoResources and are not sent
-	ConnectTimeout time.Duration // of a dial
-	IdleTimeout    time.Duration // after which servers close an idle connection
-	MaxBuffered    int64         // largest body, in bytes, that is read to its end before the answer is delivered
-	MaxStreamed    int64         // largest body, in bytes, that is streamed to the client
+	MaxConns        int           // connections to servers, dials included
+	MaxAttempts     int           // in flight; further attempts end with NoResources and are not sent
+	ConnectTimeout  time.Duration // of a dial
+	IdleTimeout     time.Duration // after which servers close an idle connection
+	MaxBufferedBody int64         // largest body, in bytes, that is read to its end before the answer is delivered
+	MaxStreamedBody int64         // largest body, in bytes, that is streamed to the client
 }
 
 const (
@@ -58,8 +58,8 @@
 		Proxy:                  nil, // ignore proxies set in the environment
 		DialContext:            d.dial,
 		DisableCompression:     true,
-		MaxIdleConns:           max(1, limits.Descriptors/maxIdleDivisor),
-		MaxIdleConnsPerHost:    max(1, limits.Descriptors/maxIdleDivisor),
+		MaxIdleConns:           max(1, limits.MaxConns/maxIdleDivisor),
+		MaxIdleConnsPerHost:    max(1, limits.MaxConns/maxIdleDivisor),
 		IdleConnTimeout:        time.Duration(float64(limits.IdleTimeout) * idleTimeoutFactor),
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         bufferBytes,
--- a/internal/net/upstream/dialer.go
+++ b/internal/net/upstream/dialer.go
@@ -42,7 +42,7 @@
 	return &dialer{
 		Dialer:            net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1},
 		maxDialsPerServer: maxDialsPerServer,
-		maxConns:          limits.Descriptors,
+		maxConns:          limits.MaxConns,
 		dialsByAddress:    map[string]int{},
 		connsByKey:        map[string]map[*conn]bool{},
 	}
--- a/internal/net/upstream/helper_test.go
+++ b/internal/net/upstream/helper_test.go
@@ -14,7 +14,7 @@
 )
 
 func newTestClient(t *testing.T) *Client {
-	client := New(Limits{Descriptors: 8, MaxAttempts: 8, ConnectTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, MaxBuffered: 1 << 10, MaxStreamed: 1 << 10},
+	client := New(Limits{MaxConns: 8, MaxAttempts: 8, ConnectTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, MaxBufferedBody: 1 << 10, MaxStreamedBody: 1 << 10},
 		zap.NewNop())
 	t.Cleanup(client.Close)
 	return client
