--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -143,7 +143,7 @@
 	n := a.getOrCreateNode(r)
 	a.reply(n, Response{Err: lease.ErrWithdrawn}) // a new request of a node replaces the one that waits
 	n.requestID = id
-	n.deadline = now + min(max(r.Wait, 0), maxWait)
+	n.deadline = now + min(max(r.MaxWait, 0), maxWait)
 	n.weight = cmp.Or(r.Weight, 1)
 	a.recordHoldings(n, r)
 	a.proposeDeclared(r.DeclaredConfigs)
@@ -162,7 +162,7 @@
 	if len(a.nodes) >= maxNodes && a.nodes[r.Lease] == nil {
 		return lease.ErrLimitExceeded
 	}
-	if r.Weight < 0 || r.Weight > maxWeight || len(r.Holdings) > maxHoldings || len(r.DeclaredConfigs) > maxHoldings {
+	if r.Weight < 0 || r.Weight > maxWeight || len(r.Reports) > maxHoldings || len(r.DeclaredConfigs) > maxHoldings {
 		return lease.ErrMalformed
 	}
 	return nil
@@ -187,7 +187,7 @@
 // recordHoldings stores a node's reports. It requests a division if a budget is reported for the first time, its demand has
 // changed, or units have been returned.
 func (a *Allocator) recordHoldings(n *nodeRecord, r Request) {
-	for _, h := range r.Holdings {
+	for _, h := range r.Reports {
 		previous, known := n.holdings[h.Budget]
 		b := a.state.Budgets[h.Budget]
 		returned := b != nil && b.Quotas[r.Lease].Units > h.Units
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -53,8 +53,8 @@
 	}
 	delete(c.responses, c.lastRequestIDs[node])
 	for _, u := range response.Updates {
-		for i := range c.requests[node].Holdings {
-			if h := &c.requests[node].Holdings[i]; h.Budget == u.Budget {
+		for i := range c.requests[node].Reports {
+			if h := &c.requests[node].Reports[i]; h.Budget == u.Budget {
 				h.Token, h.Units, h.ShrinkTo, h.Revision = u.Quota.Token, u.Quota.Units, u.ShrinkTo, u.Config.Revision
 				if u.ShrinkTo >= 0 {
 					h.Units = min(h.Units, u.ShrinkTo)
@@ -83,7 +83,7 @@
 	for n := range nodes {
 		name := fmt.Sprintf("node/%05d", n)
 		r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: name, Holder: lease.Holder{Name: name, Process: n}})
-		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, Wait: requestWait, DeclaredConfigs: declared, Holdings: append([]Report(nil), holdings...)}
+		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, MaxWait: requestWait, DeclaredConfigs: declared, Reports: append([]Report(nil), holdings...)}
 		c.sendRequest(n)
 	}
 	for range 8 {
@@ -161,7 +161,7 @@
 			for b.Loop() {
 				n := i * 7 % nodes
 				i++
-				c.requests[n].Holdings[0].Demand = 3 - c.requests[n].Holdings[0].Demand // alternates between one and two units
+				c.requests[n].Reports[0].Demand = 3 - c.requests[n].Reports[0].Demand // alternates between one and two units
 				c.sendRequest(n)
 				c.allocator.nodes[c.requests[n].Lease].deadline = 1 << 60
 				for range 2 { // the second division reuses the units that the first one asked back
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -564,7 +564,7 @@
 	for _, m := range c.messages {
 		description := fmt.Sprint(m.process, m.sentAt, m.received, m.renewal, m.id == c.processes[m.process].latestRequestID)
 		if m.request != nil {
-			description += fmt.Sprint(m.request.Holdings)
+			description += fmt.Sprint(m.request.Reports)
 		}
 		if m.response != nil {
 			description += fmt.Sprint(*m.response)
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -19,13 +19,13 @@
 }
 
 // Request is a node's report on all its budgets. The node sends it under the lease of its own name. The leader answers it
-// as soon as it has an update for the node. Without an update, it answers with lease.ErrStillHeld after Wait.
+// as soon as it has an update for the node. Without an update, it answers with lease.ErrStillHeld after MaxWait.
 type Request struct {
 	Lease           string                        `json:"Lease"`
 	Token           uint64                        `json:"Token"`
 	Weight          float64                       `json:"Weight"` // weight of the node relative to other nodes, 0: 1
-	Wait            Time                          `json:"Wait"`
-	Holdings        []Report                      `json:"Holds"`
+	MaxWait         Time                          `json:"Wait"`
+	Reports         []Report                      `json:"Holds"`
 	DeclaredConfigs map[string]lease.BudgetConfig `json:"Declares"` // budgets of the node's configuration that the node hasn't seen in the cluster
 }
 
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -185,8 +185,8 @@
 		Lease:           c.lease,
 		Token:           c.token,
 		Weight:          c.weight,
-		Wait:            requestWait,
-		Holdings:        c.holdings(),
+		MaxWait:         requestWait,
+		Reports:         c.holdings(),
 		DeclaredConfigs: declared,
 	})
 	c.host.SetAlarm(c.lastSample + sampleInterval)
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -151,11 +151,11 @@
 		for _, budgets := range []int{1, 2, 4, 8} {
 			b.Run(fmt.Sprintf("news=%v/budgets=%d", updates, budgets), func(b *testing.B) {
 				c, conn, renewal := leaderClient(b)
-				request := budget.Request{Lease: renewal.Name, Token: renewal.Token, Weight: 1, Wait: lease.Time(200 * lease.Millisecond), DeclaredConfigs: map[string]lease.BudgetConfig{}}
+				request := budget.Request{Lease: renewal.Name, Token: renewal.Token, Weight: 1, MaxWait: lease.Time(200 * lease.Millisecond), DeclaredConfigs: map[string]lease.BudgetConfig{}}
 				for i := range budgets {
 					name := fmt.Sprint("origin-rate-", i)
 					request.DeclaredConfigs[name] = lease.BudgetConfig{Kind: lease.BudgetKindRate, Resource: "origin", Units: 4000, RatePerUnit: 2.5, ReservedPerNode: 1, MaxNodes: 300}
-					request.Holdings = append(request.Holdings, budget.Report{Budget: name, Demand: 3, ShrinkTo: -1})
+					request.Reports = append(request.Reports, budget.Report{Budget: name, Demand: 3, ShrinkTo: -1})
 				}
 				var response QuotaResponse
 				eventually(b, "no quotas granted", func() bool {
@@ -164,21 +164,21 @@
 						b.Fatal(err)
 					}
 					for _, update := range response.Updates {
-						for i := range request.Holdings {
-							if h := &request.Holdings[i]; h.Budget == update.Budget {
+						for i := range request.Reports {
+							if h := &request.Reports[i]; h.Budget == update.Budget {
 								h.Token, h.Units, h.ShrinkTo, h.Revision = update.Quota.Token, update.Quota.Units, update.ShrinkTo, update.Config.Revision
 							}
 						}
 					}
 					allGranted := len(response.Updates) == 0
-					for _, h := range request.Holdings {
+					for _, h := range request.Reports {
 						allGranted = allGranted && h.Token > 0
 					}
 					return allGranted
 				})
-				if request.DeclaredConfigs, request.Wait = nil, 0; updates {
-					for i := range request.Holdings {
-						request.Holdings[i].Token = 1 // outdated, so that the response has an update
+				if request.DeclaredConfigs, request.MaxWait = nil, 0; updates {
+					for i := range request.Reports {
+						request.Reports[i].Token = 1 // outdated, so that the response has an update
 					}
 				}
 				measureCall(b, conn, func() error {
--- a/internal/cluster/lease_service.go
+++ b/internal/cluster/lease_service.go
@@ -51,7 +51,7 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.leaderChanges == leaderChange {
-			h.leases.Applied(now(), ref, result, err != nil)
+			h.leases.HandleProposalResult(now(), ref, result, err != nil)
 		}
 	}()
 }
--- a/internal/cluster/node_quotas.go
+++ b/internal/cluster/node_quotas.go
@@ -108,7 +108,7 @@
 	number := q.lastRequest
 	go func() {
 		var reply QuotaResponse
-		err := q.member.client.callCurrentTimeout(methodQuotas, &r, &reply, toDuration(r.Wait)+q.member.client.callTimeout())
+		err := q.member.client.callCurrentTimeout(methodQuotas, &r, &reply, toDuration(r.MaxWait)+q.member.client.callTimeout())
 		q.handleOutcome(number, reply, err)
 	}()
 }
--- a/internal/simulation/budget.go
+++ b/internal/simulation/budget.go
@@ -422,7 +422,7 @@
 		}
 		s.allocator.Handle(s.now(), requestID, request)
 	})
-	s.clock.schedule(routing.Time(request.Wait)+300*routing.Millisecond, func() { // the response is late or lost
+	s.clock.schedule(routing.Time(request.MaxWait)+300*routing.Millisecond, func() { // the response is late or lost
 		if isCurrent() {
 			n.client.HandleTimeout(s.now())
 		}
--- a/lease/cluster_test.go
+++ b/lease/cluster_test.go
@@ -166,7 +166,7 @@
 		v.cluster.append(e)
 		r := v.state.Apply(e)
 		v.applied = len(v.cluster.log)
-		v.manager.Applied(v.now(), ref, r, false)
+		v.manager.HandleProposalResult(v.now(), ref, r, false)
 	}
 }
 
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -10,7 +10,7 @@
 
 // Host carries out the effects of a Manager. None of its methods may block or call back into the Manager.
 type Host interface {
-	// Propose proposes an entry for the replicated log. The host reports the outcome to Manager.Applied.
+	// Propose proposes an entry for the replicated log. The host reports the outcome to Manager.HandleProposalResult.
 	Propose(ref uint64, e Entry)
 	// ConfirmLeadership starts a quorum round that confirms whether this process is still the leader. The host reports
 	// the outcome to Manager.LeadershipConfirmed.
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -65,7 +65,7 @@
 	for len(h.proposed) > 0 {
 		ref := h.proposed[0]
 		h.proposed = h.proposed[1:]
-		h.manager.Applied(h.now, ref, h.state.Apply(h.entries[ref]), false)
+		h.manager.HandleProposalResult(h.now, ref, h.state.Apply(h.entries[ref]), false)
 	}
 }
 
@@ -163,7 +163,7 @@
 			h.handle(tokenRequest(OpRelease, 0, 1))
 			ref := h.proposed[0]
 			h.proposed = nil
-			h.manager.Applied(h.now, ref, h.state.Apply(h.entries[ref]), false)
+			h.manager.HandleProposalResult(h.now, ref, h.state.Apply(h.entries[ref]), false)
 			h.manager.CancelRequest(h.now, goneRequest)
 			h.apply()
 			return nextRequest
--- a/lease/proposals.go
+++ b/lease/proposals.go
@@ -22,9 +22,9 @@
 	m.propose(Entry{Kind: KindRevoke, Term: m.term, Name: name, Token: token}, requestID)
 }
 
-// Applied handles the outcome of a proposal. outcomeUnknown means that this leader cannot know the outcome. The next leader,
-// which may be this process again, learns it from its log.
-func (m *Manager) Applied(now Time, ref uint64, result Result, outcomeUnknown bool) {
+// HandleProposalResult handles the outcome of a proposal. outcomeUnknown means that this leader cannot know the outcome.
+// The next leader, which may be this process again, learns it from its log.
+func (m *Manager) HandleProposalResult(now Time, ref uint64, result Result, outcomeUnknown bool) {
 	p, known := m.proposals[ref]
 	if !known {
 		return
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -47,9 +47,9 @@
 	admissionLevel float64 // from 0 to 1, see admissionProbability
 	idleTimeout    Time    // how long an idle connection is kept open
 
-	subscribed  bool // whether a subscription to the endpoint list is active
-	maxPollWait Time // longest wait between two polls while not subscribed
-	pollDue     Time // when the next poll is due
+	subscribed bool // whether a subscription to the endpoint list is active
+	maxPollGap Time // longest wait between two polls while not subscribed
+	pollDue    Time // when the next poll is due
 }
 
 // New returns the Balancer of one node. It starts polling for the endpoint list.
@@ -71,7 +71,7 @@
 		idleTimeout:    maxIdleTimeout,
 	}
 	b.initialLimit = initialConcurrencyLimit(b.nodeCount)
-	b.maxPollWait = maxPollWait(config)
+	b.maxPollGap = maxPollGap(config)
 	b.initClasses()
 	b.initTenants()
 	b.scheduleFirstPoll()
--- a/routing/polling.go
+++ b/routing/polling.go
@@ -20,8 +20,8 @@
 	pushedGraceDivisor = 3
 )
 
-// maxPollWait returns the longest time between two polls for a configuration.
-func maxPollWait(config Config) Time {
+// maxPollGap returns the longest time between two polls for a configuration.
+func maxPollGap(config Config) Time {
 	return max(PollSpread, min(MaxPollGap, config.MaxPollInterval/2, config.PushedGrace/pushedGraceDivisor))
 }
 
@@ -58,6 +58,6 @@
 	} else {
 		quota.RequestDenied()
 	}
-	b.pollDue = b.now + b.maxPollWait/2 + Time(b.draw()*float64(b.maxPollWait/2))
+	b.pollDue = b.now + b.maxPollGap/2 + Time(b.draw()*float64(b.maxPollGap/2))
 	b.host.SetAlarm(b.pollDue, pollAlarmHandle)
 }
