--- a/internal/faulttest/budget_backends.go
+++ b/internal/faulttest/budget_backends.go
@@ -252,7 +252,7 @@
 	maxAnswerTime         = lookupTimeout + 600*time.Millisecond
 )
 
-// run sends lookups to one node until done is closed. excused is as in Lookups.Ask.
+// run sends lookups to one node until done is closed. excused is as in Lookups.Run.
 func (g *loadGenerator) run(nodeIndex int, address string, seed uint64, done <-chan struct{}, excused func(startNs int64) bool) {
 	rnd := rand.New(rand.NewPCG(seed, uint64(nodeIndex)))
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
--- a/internal/scaletest/discovery_process.go
+++ b/internal/scaletest/discovery_process.go
@@ -38,12 +38,12 @@
 				discovery = NewDiscoveryServer(c.Entries)
 				err = listen()
 			case "change":
-				answer.BootTimeNs = faulttest.Boot()
+				answer.BootTimeNs = faulttest.BootTimeNs()
 				answer.Version = discovery.ChangeEntries(c.Entries)
 			case "close":
 				err = server.Close()
 			case "open again":
-				answer.BootTimeNs = faulttest.Boot()
+				answer.BootTimeNs = faulttest.BootTimeNs()
 				err = listen()
 			case "use":
 				usage, counts := faults.MeasureUsage(), discovery.CallCounts()
--- a/internal/scaletest/disruptions.go
+++ b/internal/scaletest/disruptions.go
@@ -50,7 +50,7 @@
 			changeLatencies([]AppliedChange{change}, groupByNode(r.nodeEvents), remainingNodes, eventListInForce, maxPropagation))
 		r.addLine("%s: %d nodes and %d cache servers lost at once", scenario, r.HollowNodes-len(remainingNodes), len(removedEntries))
 	}
-	restartNs := faulttest.Boot()
+	restartNs := faulttest.BootTimeNs()
 	if err := inParallel(hosts, func(p *process) error {
 		if err := p.start(r.Program); err != nil {
 			return err
@@ -110,7 +110,7 @@
 	}
 	partitionedNodes := r.nodesOutside(racksOutside)
 	for _, relay := range r.relays {
-		relay.Cut(true)
+		relay.SetBlocked(true)
 	}
 	r.sleep(r.PartitionDuration / 2)
 	entry := r.entries[0]
@@ -120,9 +120,9 @@
 		return err
 	}
 	r.sleep(r.PartitionDuration / 2)
-	healedNs := faulttest.Boot()
+	healedNs := faulttest.BootTimeNs()
 	for _, relay := range r.relays {
-		relay.Cut(false)
+		relay.SetBlocked(false)
 	}
 	var listLatencies, leaseLatencies Latencies
 	for deadline := time.Now().Add(maxRecovery); ; r.sleep(200 * time.Millisecond) {
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	killedNs := faulttest.Boot()
+	killedNs := faulttest.BootTimeNs()
 	r.voters[leader].stop(syscall.SIGKILL)
 	var latencies Latencies
 	for deadline := time.Now().Add(maxRecovery); ; r.sleep(200 * time.Millisecond) {
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -72,7 +72,7 @@
 
 // handle handles a command.
 func (h *host) handle(c command) (answer response) {
-	answer.BootTimeNs = faulttest.Boot()
+	answer.BootTimeNs = faulttest.BootTimeNs()
 	switch c.Name {
 	case "start":
 		for _, n := range c.Nodes {
@@ -162,7 +162,7 @@
 
 // addEvent records an event at the current time.
 func (h *host) addEvent(event NodeEvent) {
-	event.BootTimeNs = faulttest.Boot()
+	event.BootTimeNs = faulttest.BootTimeNs()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.nodeEvents = append(h.nodeEvents, event)
--- a/internal/scaletest/host_trace.go
+++ b/internal/scaletest/host_trace.go
@@ -57,9 +57,9 @@
 	if err != nil || request.Operation != lease.OpAcquire && request.Operation != lease.OpRenew {
 		return func(lease.Response, error) {}
 	}
-	sentNs := faulttest.Boot()
+	sentNs := faulttest.BootTimeNs()
 	return func(answer lease.Response, err error) {
-		event := NodeEvent{Node: n, Value: faulttest.Boot() - sentNs}
+		event := NodeEvent{Node: n, Value: faulttest.BootTimeNs() - sentNs}
 		switch {
 		case errors.Is(answer.Err, lease.ErrStillHeld):
 			return
--- a/internal/scaletest/machine.go
+++ b/internal/scaletest/machine.go
@@ -38,9 +38,9 @@
 // watch records stalls until ctx is done.
 func (m *stallMonitor) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		beforeNs := faulttest.Boot()
+		beforeNs := faulttest.BootTimeNs()
 		time.Sleep(stallCheckInterval)
-		if stallNs := faulttest.Boot() - beforeNs - int64(stallCheckInterval); stallNs > m.longestNs.Load() {
+		if stallNs := faulttest.BootTimeNs() - beforeNs - int64(stallCheckInterval); stallNs > m.longestNs.Load() {
 			m.longestNs.Store(stallNs)
 		}
 	}
--- a/internal/scaletest/phase.go
+++ b/internal/scaletest/phase.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	r.nodeEvents = nil
-	startTime, startNs := time.Now(), faulttest.Boot()
+	startTime, startNs := time.Now(), faulttest.BootTimeNs()
 	changes, failedLimitChanges, err := r.applyChanges(name, schedule, startTime)
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 			}
 			limit := math.Round(r.budgetLimit)
 			slowChanges.Go(func() {
-				c := AppliedChange{BootTimeNs: faulttest.Boot()}
+				c := AppliedChange{BootTimeNs: faulttest.BootTimeNs()}
 				status, err := r.client.SetLimit(budgetName, limit)
 				if err != nil { // for example during an election; the other changes go on
 					mu.Lock()
@@ -150,7 +150,7 @@
 	if err := r.writeConfigs(); err != nil {
 		return AppliedChange{}, err
 	}
-	startNs := faulttest.Boot()
+	startNs := faulttest.BootTimeNs()
 	err := inParallel(r.hosts, func(p *process) error { _, err := p.send(command{Name: "reload"}); return err })
 	for _, p := range r.realNodes {
 		_ = p.cmd.Process.Signal(syscall.SIGHUP)
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -148,7 +148,7 @@
 
 // usage returns the resources that the process has used, as reported by the process itself and by the kernel.
 func (p *process) usage() (usage processUsage, err error) {
-	usage.measuredNs = faulttest.Boot()
+	usage.measuredNs = faulttest.BootTimeNs()
 	if p.acceptsCommands {
 		received, err := p.send(command{Name: "use"})
 		if err != nil {
@@ -192,7 +192,7 @@
 // later.
 func (p *process) loggedEvents(node int) (events []NodeEvent) {
 	log, _ := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
-	bootOffsetNs := time.Now().UnixNano() - faulttest.Boot()
+	bootOffsetNs := time.Now().UnixNano() - faulttest.BootTimeNs()
 	for line := range bytes.SplitSeq(log, []byte{'\n'}) {
 		var entry struct {
 			TS      string `json:"ts"`
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -183,7 +183,7 @@
 		}
 	}
 	if r.RealNodes > 0 && !r.NoLoad {
-		lookups, unserved, firstReason := r.lookups.Verdict()
+		lookups, unserved, firstReason := r.lookups.Counts()
 		r.addLine("lookups at %d real nodes: %d, left unserved by a running node: %d", r.RealNodes, lookups, unserved)
 		if unserved > 0 || lookups == 0 {
 			r.addExceededBound("%d of %d lookups were not served by nodes that ran; the first: %s", unserved, lookups, firstReason)
--- a/internal/scaletest/startup.go
+++ b/internal/scaletest/startup.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	r.baseHeapBytes = usage.Heap
-	startNs := faulttest.Boot()
+	startNs := faulttest.BootTimeNs()
 	if err = inParallel(r.hosts, func(p *process) error { _, err := p.send(command{Name: "start", Nodes: p.nodes}); return err }); err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 			if !r.waitUntilServing(address) {
 				return fmt.Errorf("%s did not become ready", p.name)
 			}
-			r.lookupClients.Go(func() { r.lookups.Ask(address, r.done, func(int64) bool { return false }) })
+			r.lookupClients.Go(func() { r.lookups.Run(address, r.done, func(int64) bool { return false }) })
 		}
 	}
 	return r.ctx.Err()
