--- a/cmd/thistlerudder/faulttest_on.go
+++ b/cmd/thistlerudder/faulttest_on.go
@@ -23,10 +23,10 @@
 	"github.com/thistlerudder/thistlerudder/internal/faulttest"
 )
 
-// faultTests returns the commands of the test rig.
-func faultTests() []*cobra.Command {
+// faultTestCommands returns the commands of the test rig.
+func faultTestCommands() []*cobra.Command {
 	c := &cobra.Command{Use: "trial", Short: "Run clusters under faults and check them"}
-	c.AddCommand(newTrialCommand(&leaseTrials), newTrialCommand(&budgetTrials), newMeasureCommand(), trialScale(), trialSoak(), hollowNodes(), directory())
+	c.AddCommand(newTrialCommand(&leaseTrials), newTrialCommand(&budgetTrials), newMeasureCommand(), newScaleCommand(), newSoakCommand(), newHollowNodesCommand(), newDiscoveryCommand())
 	return []*cobra.Command{c}
 }
 
@@ -96,7 +96,7 @@
 			}
 			return nil
 		}
-		from, to, err := seedsOf(*seeds)
+		from, to, err := parseSeedRange(*seeds)
 		if err != nil {
 			return err
 		}
@@ -120,8 +120,8 @@
 	return c
 }
 
-// seedsOf parses a range of seeds, FROM-TO, or a single seed.
-func seedsOf(s string) (from, to uint64, err error) {
+// parseSeedRange parses a range of seeds, FROM-TO, or a single seed.
+func parseSeedRange(s string) (from, to uint64, err error) {
 	first, last, found := strings.Cut(s, "-")
 	if !found {
 		last = first
--- a/cmd/thistlerudder/root.go
+++ b/cmd/thistlerudder/root.go
@@ -39,7 +39,7 @@
 		budgetCommand(configFile),
 		versionCommand(),
 	)
-	c.AddCommand(faultTests()...)
+	c.AddCommand(faultTestCommands()...)
 	return c
 }
 
--- a/cmd/thistlerudder/scaletest_on.go
+++ b/cmd/thistlerudder/scaletest_on.go
@@ -17,8 +17,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/scaletest"
 )
 
-// trialScale returns the command that runs the scale test, or fits lines to its measurements.
-func trialScale() *cobra.Command {
+// newScaleCommand returns the command that runs the scale test, or fits lines to its measurements.
+func newScaleCommand() *cobra.Command {
 	command := &cobra.Command{Use: "scale", Args: cobra.NoArgs, Short: "Run the control plane of a large cluster and measure its cost (docs/scale.md)"}
 	plan := scaletest.Plan{}
 	flags := command.Flags()
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// hollowNodes returns the command of a child process that runs hollow nodes for the scale test.
-func hollowNodes() *cobra.Command {
+// newHollowNodesCommand returns the command of a child process that runs hollow nodes for the scale test.
+func newHollowNodesCommand() *cobra.Command {
 	command := &cobra.Command{Use: "hollow", Args: cobra.NoArgs, Hidden: true, Short: "Run hollow nodes, controlled by commands on standard input"}
 	flags := command.Flags()
 	dir, name := flags.String("folder", "", "folder of the nodes' configuration files"), flags.String("name", "", "of this process")
@@ -124,8 +124,8 @@
 	return command
 }
 
-// directory returns the command of a child process that simulates the discovery service for the scale test.
-func directory() *cobra.Command {
+// newDiscoveryCommand returns the command of a child process that simulates the discovery service for the scale test.
+func newDiscoveryCommand() *cobra.Command {
 	command := &cobra.Command{Use: "directory", Args: cobra.NoArgs, Hidden: true, Short: "Simulate the discovery service, controlled by commands on standard input"}
 	address := command.Flags().String("address", "", "address to listen on")
 	command.RunE = func(*cobra.Command, []string) error {
--- a/cmd/thistlerudder/soaktest_on.go
+++ b/cmd/thistlerudder/soaktest_on.go
@@ -16,8 +16,8 @@
 	"github.com/thistlerudder/thistlerudder/internal/soaktest"
 )
 
-// trialSoak returns the command soak. It runs dozens of nodes while faults overlap, once per seed, and checks each request.
-func trialSoak() *cobra.Command {
+// newSoakCommand returns the command soak. It runs dozens of nodes while faults overlap, once per seed, and checks each request.
+func newSoakCommand() *cobra.Command {
 	soakCmd := &cobra.Command{Use: "soak", Args: cobra.NoArgs, Short: "Run nodes under overlapping faults; exit 0 only if no run violates a rule"}
 	seeds := soakCmd.Flags().String("seeds", "1-5", "FROM-TO")
 	nodes := soakCmd.Flags().Int("nodes", 30, "number of nodes")
@@ -26,7 +26,7 @@
 	programPath := soakCmd.Flags().String("program", "", "path of the program to run as nodes; this program if empty")
 	keepLogs := soakCmd.Flags().Bool("keep", false, "keep the nodes' logs of runs that violate a rule")
 	soakCmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		from, to, err := seedsOf(*seeds)
+		from, to, err := parseSeedRange(*seeds)
 		if err != nil {
 			return err
 		}
