--- a/cmd/thistlerudder/emulate.go
+++ b/cmd/thistlerudder/emulate.go
@@ -64,8 +64,8 @@
 
 // runPoliciesAndSeeds runs an experiment under each of its policies with consecutive seeds, as many runs at a time as memory allows. The
 // results are in the order of the policies, then of the seeds.
-func runPoliciesAndSeeds(e *simulation.Experiment, seeds int) ([]*simulation.Series, []error) {
-	runs := make([]*simulation.Series, len(e.Policies)*seeds)
+func runPoliciesAndSeeds(e *simulation.Experiment, seeds int) ([]*simulation.Result, []error) {
+	runs := make([]*simulation.Result, len(e.Policies)*seeds)
 	var wg sync.WaitGroup
 	errs, slots := make([]error, len(runs)), make(chan struct{}, e.AtOnce())
 	for i := range runs {
@@ -93,11 +93,11 @@
 	var violations []string
 	var points strings.Builder
 	pointsWriter := csv.NewWriter(&points)
-	_ = pointsWriter.Write(simulation.Header) // a write to memory doesn't fail
+	_ = pointsWriter.Write(simulation.PointsHeader) // a write to memory doesn't fail
 	pointsWriter.Flush()
 	var budgetUse strings.Builder
 	budgetWriter := csv.NewWriter(&budgetUse)
-	_ = budgetWriter.Write(simulation.UseHeader) // a write to memory doesn't fail
+	_ = budgetWriter.Write(simulation.BudgetUsageHeader) // a write to memory doesn't fail
 	for _, e := range experiments {
 		runs, errs := runPoliciesAndSeeds(e, seeds)
 		for i, s := range runs {
--- a/internal/simulation/budget.go
+++ b/internal/simulation/budget.go
@@ -562,8 +562,8 @@
 	return text + fmt.Sprintf("; %.2f messages a node and second, %.2f entries a node in 10 s", float64(u.Messages)/nodes/seconds, float64(u.LogEntries)/nodes/seconds*10)
 }
 
-// UseHeader is the header record of the CSV file of budget usage.
-var UseHeader = []string{"experiment", "second", "wanted", "used", "exact", "even"}
+// BudgetUsageHeader is the header record of the CSV file of budget usage.
+var BudgetUsageHeader = []string{"experiment", "second", "wanted", "used", "exact", "even"}
 
 // Write writes a CSV record for each second, without the header: the demand, the use, and what the exact and the even
 // limiters allow, relative to the limit.
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -111,8 +111,8 @@
 	if len(c.openRequests) > 0 {
 		c.recordViolation("lost", "%d requests have no final answer at the end", len(c.openRequests))
 	}
-	series := c.tb.series
-	if total := series.total(); total.InTime+total.Late+total.Refused+total.Failed != c.endedRequests || c.endedRequests != c.offeredRequests {
+	result := c.tb.result
+	if total := result.total(); total.InTime+total.Late+total.Refused+total.Failed != c.endedRequests || c.endedRequests != c.offeredRequests {
 		c.recordViolation("conservation", "%d requests arrived, %d ended: %+v", c.offeredRequests, c.endedRequests, total)
 	}
 }
--- a/internal/simulation/series.go
+++ b/internal/simulation/result.go
@@ -21,8 +21,8 @@
 	Busy                          float64 // service time of the jobs started in the second, as a share of the time of all slots
 }
 
-// Series is the result of one run.
-type Series struct {
+// Result holds what one run measured.
+type Result struct {
 	Experiment, Policy string
 	Seed               uint64
 	Points             []Point
@@ -37,22 +37,22 @@
 	busySlotTicks float64                 // sum over all servers at the end of the last point
 }
 
-func newSeries(e *Experiment, policy string, seed uint64) *Series {
+func newResult(e *Experiment, policy string, seed uint64) *Result {
 	maxTicks := int64(e.Demand.TimeLimit.ticks()) * int64(2*e.Demand.MaxTries+2)
-	return &Series{Experiment: e.Name, Policy: policy, Seed: seed, Points: make([]Point, 1),
+	return &Result{Experiment: e.Name, Policy: policy, Seed: seed, Points: make([]Point, 1),
 		latencies: hdrhistogram.New(1, max(2, maxTicks), 3)}
 }
 
 // current returns the point of the current second.
-func (s *Series) current() *Point { return &s.Points[len(s.Points)-1] }
+func (r *Result) current() *Point { return &r.Points[len(r.Points)-1] }
 
-func (s *Series) recordLatency(latency routing.Time) {
-	_ = s.latencies.RecordValue(min(max(1, int64(latency)), s.latencies.HighestTrackableValue())) // the value is in range, so no error
+func (r *Result) recordLatency(latency routing.Time) {
+	_ = r.latencies.RecordValue(min(max(1, int64(latency)), r.latencies.HighestTrackableValue())) // the value is in range, so no error
 }
 
 // closePoint completes the point of the current second and begins the next one.
-func (s *Series) closePoint(tb *testbed) {
-	point, slotTicks, slots := s.current(), 0.0, 0
+func (r *Result) closePoint(tb *testbed) {
+	point, slotTicks, slots := r.current(), 0.0, 0
 	for _, server := range tb.servers {
 		slotTicks += server.busySlotTicks
 		if server.endpoint.State == routing.Gone {
@@ -64,14 +64,14 @@
 		slots += server.config.Slots
 		point.Queued += len(server.queue)
 	}
-	point.Busy = (slotTicks - s.busySlotTicks) / float64(second) / float64(slots)
-	s.busySlotTicks = slotTicks
-	s.Points = append(s.Points, Point{})
+	point.Busy = (slotTicks - r.busySlotTicks) / float64(second) / float64(slots)
+	r.busySlotTicks = slotTicks
+	r.Points = append(r.Points, Point{})
 }
 
 // total returns the sums of those fields that are counts of events.
-func (s *Series) total() (total Point) {
-	for _, p := range s.Points {
+func (r *Result) total() (total Point) {
+	for _, p := range r.Points {
 		total.InTime += p.InTime
 		total.Late += p.Late
 		total.Refused += p.Refused
@@ -84,33 +84,33 @@
 }
 
 // Fetches returns the mean number of fetches per second.
-func (s *Series) Fetches() float64 {
-	return float64(s.total().Fetches) / float64(max(1, len(s.Points)-1))
+func (r *Result) Fetches() float64 {
+	return float64(r.total().Fetches) / float64(max(1, len(r.Points)-1))
 }
 
 // AtSilent returns how many attempts and probes (of nodes and on behalf of the cluster) a silent cache receives per
 // second, and the longest and the mean time in seconds from the end of a silence until a node that has ejected the cache
 // uses it again.
-func (s *Series) AtSilent() (attempts, probes, longest, mean float64) {
-	for _, seconds := range s.Sick.ReuseSeconds {
-		longest, mean = max(longest, seconds), mean+seconds/float64(len(s.Sick.ReuseSeconds))
+func (r *Result) AtSilent() (attempts, probes, longest, mean float64) {
+	for _, seconds := range r.Sick.ReuseSeconds {
+		longest, mean = max(longest, seconds), mean+seconds/float64(len(r.Sick.ReuseSeconds))
 	}
-	silentSeconds := max(1, s.Sick.Silent)
-	return float64(s.Sick.Attempts) / silentSeconds, float64(s.Sick.NodeProbes+s.Sick.ClusterProbes) / silentSeconds, longest, mean
+	silentSeconds := max(1, r.Sick.Silent)
+	return float64(r.Sick.Attempts) / silentSeconds, float64(r.Sick.NodeProbes+r.Sick.ClusterProbes) / silentSeconds, longest, mean
 }
 
 // Share returns the share of all requests that were served within the latency target.
-func (s *Series) Share() float64 {
-	return float64(s.total().InTime) / float64(max(1, s.Offered))
+func (r *Result) Share() float64 {
+	return float64(r.total().InTime) / float64(max(1, r.Offered))
 }
 
 // Worst returns the lowest share of requests served within the latency target over any 10 s.
-func (s *Series) Worst() float64 {
+func (r *Result) Worst() float64 {
 	const windowSeconds = 10
 	lowest := 1.0
-	for i := 0; i+windowSeconds <= len(s.Points); i++ {
+	for i := 0; i+windowSeconds <= len(r.Points); i++ {
 		inTime, total := 0, 0
-		for _, p := range s.Points[i : i+windowSeconds] {
+		for _, p := range r.Points[i : i+windowSeconds] {
 			inTime, total = inTime+p.InTime, total+p.InTime+p.Late+p.Refused+p.Failed
 		}
 		if total > 0 {
@@ -121,22 +121,22 @@
 }
 
 // Millis returns a percentile of the latencies of served requests, in milliseconds from the client's first try.
-func (s *Series) Millis(percent float64) float64 {
-	return float64(s.latencies.ValueAtPercentile(percent)) / float64(routing.Millisecond)
+func (r *Result) Millis(percent float64) float64 {
+	return float64(r.latencies.ValueAtPercentile(percent)) / float64(routing.Millisecond)
 }
 
 // FetchRatio returns the highest mean rate of fetches in any window of windowSeconds from atSecond on, relative to the rate
 // in the window before atSecond.
-func (s *Series) FetchRatio(atSecond, windowSeconds int) float64 {
+func (r *Result) FetchRatio(atSecond, windowSeconds int) float64 {
 	rate := func(from, to int) float64 {
 		fetches := 0
-		for _, p := range s.Points[max(0, from):min(to, len(s.Points))] {
+		for _, p := range r.Points[max(0, from):min(to, len(r.Points))] {
 			fetches += p.Fetches
 		}
 		return float64(fetches) / float64(max(1, to-from))
 	}
 	before, peak := rate(atSecond-windowSeconds, atSecond), 0.0
-	for from := atSecond; from+windowSeconds < len(s.Points); from++ {
+	for from := atSecond; from+windowSeconds < len(r.Points); from++ {
 		peak = max(peak, rate(from, from+windowSeconds))
 	}
 	if before == 0 {
@@ -145,15 +145,15 @@
 	return peak / before
 }
 
-// Header is the header record of the CSV file of points.
-var Header = []string{"experiment", "policy", "seed", "second", "in_time", "late", "refused", "failed", "deferrals",
+// PointsHeader is the header record of the CSV file of points.
+var PointsHeader = []string{"experiment", "policy", "seed", "second", "in_time", "late", "refused", "failed", "deferrals",
 	"fetches", "hits", "ready", "queued", "busy"}
 
 // Write writes the points as CSV records, without the header.
-func (s *Series) Write(out io.Writer) error {
+func (r *Result) Write(out io.Writer) error {
 	w := csv.NewWriter(out)
-	for i, p := range s.Points {
-		record := []string{s.Experiment, s.Policy, fmt.Sprint(s.Seed), strconv.Itoa(i)}
+	for i, p := range r.Points {
+		record := []string{r.Experiment, r.Policy, fmt.Sprint(r.Seed), strconv.Itoa(i)}
 		for _, n := range []int{p.InTime, p.Late, p.Refused, p.Failed, p.Deferrals, p.Fetches, p.Hits, p.Ready, p.Queued} {
 			record = append(record, strconv.Itoa(n))
 		}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -157,7 +157,7 @@
 }
 
 // hitRatio returns the share of hits among all answers to reads.
-func hitRatio(s *Series) float64 {
+func hitRatio(s *Result) float64 {
 	total := s.total()
 	return float64(total.Hits) / float64(total.Hits+total.Fetches)
 }
--- a/internal/simulation/testbed.go
+++ b/internal/simulation/testbed.go
@@ -26,7 +26,7 @@
 	servers    []*server // the origin at index 0, then the caches; a server's index never changes
 	nodes      []*node
 	checker    *checker
-	series     *Series
+	result     *Result
 
 	demandFactor float64    // multiplies the request rate; 0 stops new requests
 	keyOffset    uint64     // added to the drawn keys, so that other keys are popular
@@ -46,7 +46,7 @@
 const second = 1000 * routing.Millisecond
 
 // Run simulates an experiment with one policy and one seed. The same arguments always give the same result.
-func Run(e *Experiment, policy string, seed uint64) (*Series, error) {
+func Run(e *Experiment, policy string, seed uint64) (*Result, error) {
 	newPolicy := policies[policy]
 	if newPolicy == nil {
 		return nil, fmt.Errorf("policy %q: expected one of %v", policy, Policies())
@@ -56,12 +56,12 @@
 
 // simulate runs an experiment with the policies of a factory. After the length of the experiment no new requests arrive, and
 // the run goes on until the clients' last retries must have ended.
-func simulate(e *Experiment, policy string, newPolicy policyFactory, seed uint64) *Series {
+func simulate(e *Experiment, policy string, newPolicy policyFactory, seed uint64) *Result {
 	tb := &testbed{experiment: e, clock: &clock{now: startTime}, newPolicy: newPolicy, demandFactor: 1, deadNodes: map[int]bool{},
 		seedRand:   rand.New(rand.NewPCG(seed, 5)),
 		clientRand: rand.New(rand.NewPCG(seed, 2)), fleetRand: rand.New(rand.NewPCG(seed, 3))}
 	tb.zipf = rand.NewZipf(tb.clientRand, e.Demand.ZipfExponent, 1, e.Demand.KeyCount-1)
-	tb.series = newSeries(e, policy, seed)
+	tb.result = newResult(e, policy, seed)
 	tb.checker = newChecker(tb)
 	tb.addServer(e.Origin, true, 0)
 	for range e.Fleet.Caches {
@@ -82,16 +82,16 @@
 	tb.generateRequest()
 	tb.sampleEverySecond()
 	tb.clock.runUntil(startTime + e.Length.ticks())
-	tb.series.Offered, tb.series.Busiest = tb.checker.offeredRequests, tb.busiestCacheRatio()
+	tb.result.Offered, tb.result.Busiest = tb.checker.offeredRequests, tb.busiestCacheRatio()
 	tb.demandFactor = 0 // no new requests while the pending ones end
 	tb.clock.runUntil(tb.clock.now + routing.Time(e.Demand.MaxTries)*(e.Demand.TimeLimit.ticks()+3*e.Demand.LatencyTarget.ticks()) + second)
 	tb.checker.checkEnd()
-	tb.series.Sick = tb.silenceStats
+	tb.result.Sick = tb.silenceStats
 	if tb.budgetSim != nil {
-		tb.series.Use = &tb.budgetSim.usage
+		tb.result.Use = &tb.budgetSim.usage
 	}
-	tb.series.Broken, tb.series.Faults = tb.checker.violationCounts, tb.checker.violations
-	return tb.series
+	tb.result.Broken, tb.result.Faults = tb.checker.violationCounts, tb.checker.violations
+	return tb.result
 }
 
 // busiestCacheRatio returns the attempts at the busiest cache relative to the mean. Only caches that were present during the
@@ -290,14 +290,14 @@
 			cache.cached.remove(req.key)
 		}
 	case a.server.isOrigin:
-		tb.series.current().Fetches++
+		tb.result.current().Fetches++
 		for _, tried := range req.attempts {
 			if !tried.server.isOrigin && tried.server.endpoint.State != routing.Gone {
 				tried.server.cached.add(req.key)
 			}
 		}
 	default:
-		tb.series.current().Hits++
+		tb.result.current().Hits++
 	}
 }
 
@@ -305,7 +305,7 @@
 // retry at the same node.
 func (tb *testbed) recordEnd(req *pendingRequest, result outcome, retryAfter routing.Time) {
 	latency, target := tb.clock.now-req.firstSentAt, tb.experiment.Demand.LatencyTarget.ticks()
-	point := tb.series.current()
+	point := tb.result.current()
 	switch {
 	case result == outcomeServed && latency <= target:
 		point.InTime++
@@ -322,15 +322,15 @@
 		point.Failed++
 	}
 	if result == outcomeServed {
-		tb.series.recordLatency(latency)
+		tb.result.recordLatency(latency)
 	}
 	tb.checker.endedRequests++
 }
 
-// sampleEverySecond completes a point of the series at the end of each second.
+// sampleEverySecond completes a point of the result at the end of each second.
 func (tb *testbed) sampleEverySecond() {
 	tb.clock.schedule(second, func() {
-		tb.series.closePoint(tb)
+		tb.result.closePoint(tb)
 		tb.sampleEverySecond()
 	})
 }
