--- a/cmd/thistlerudder/emulate.go
+++ b/cmd/thistlerudder/emulate.go
@@ -105,25 +105,25 @@
 				return errs[i]
 			}
 			brokenRules := "-"
-			if len(s.Broken) > 0 {
-				brokenRules = fmt.Sprint(s.Broken)
+			if len(s.ViolationCounts) > 0 {
+				brokenRules = fmt.Sprint(s.ViolationCounts)
 				if s.Policy == "ranges" {
-					violations = append(violations, s.Faults...)
+					violations = append(violations, s.Violations...)
 				}
 			}
-			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.4f\t%.4f\t%.1f\t%.1f\t%.1f\t%.2f\t%s", s.Experiment, s.Policy, s.Seed, s.Offered,
-				s.Share(), s.Worst(), s.Millis(50), s.Millis(99), s.Fetches(), s.Busiest, brokenRules)
+			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.4f\t%.4f\t%.1f\t%.1f\t%.1f\t%.2f\t%s", s.Experiment, s.Policy, s.Seed, s.OfferedRequests,
+				s.Share(), s.Worst(), s.Millis(50), s.Millis(99), s.Fetches(), s.BusiestCacheRatio, brokenRules)
 			if afterSeconds > 0 {
 				fmt.Fprintf(table, "\t%.2f", s.FetchRatio(afterSeconds, spanSeconds))
 			}
-			if s.Sick.Silent > 0 {
+			if s.SilenceStats.SilentSeconds > 0 {
 				attemptRate, probeRate, maxDelay, meanDelay := s.AtSilent()
 				fmt.Fprintf(table, "\tat a silent cache %.2f shots/s, %.2f trials/s, back with all after %.2f s, mean %.2f s",
 					attemptRate, probeRate, maxDelay, meanDelay)
 			}
-			if s.Use != nil {
-				fmt.Fprint(table, "\t"+s.Use.Line(e))
-				if err := s.Use.Write(budgetWriter, e); err != nil {
+			if s.BudgetUsage != nil {
+				fmt.Fprint(table, "\t"+s.BudgetUsage.Line(e))
+				if err := s.BudgetUsage.Write(budgetWriter, e); err != nil {
 					return err
 				}
 			}
--- a/internal/simulation/ejections.go
+++ b/internal/simulation/ejections.go
@@ -16,7 +16,7 @@
 
 // silenceStats describes how nodes treat caches that stop answering without leaving the endpoint list.
 type silenceStats struct {
-	Silent          float64      // seconds of silence, summed over the caches
+	SilentSeconds   float64      // seconds of silence, summed over the caches
 	Attempts        int          // attempts of requests that reached a silent cache
 	NodeProbes      int          // those attempts that a node sent to a cache it had ejected
 	ClusterProbes   int          // probes on behalf of the whole cluster that reached a silent cache
@@ -41,7 +41,7 @@
 		unansweredBefore := s.unansweredAttempts
 		tb.clock.schedule(duration, func() {
 			s.isSilent = false
-			tb.silenceStats.Silent += float64(duration) / float64(second)
+			tb.silenceStats.SilentSeconds += float64(duration) / float64(second)
 			tb.silenceStats.Attempts += s.unansweredAttempts - unansweredBefore
 			returnedAt := tb.clock.now
 			var ejecting []*node
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -26,12 +26,12 @@
 	Experiment, Policy string
 	Seed               uint64
 	Points             []Point
-	Offered            int            // requests of clients, without their retries
-	Broken             map[string]int // number of violations by rule
-	Faults             []string       // messages of the first violations
-	Sick               silenceStats
-	Use                *BudgetUsage // nil if the fleet has no budget
-	Busiest            float64      // attempts at the busiest cache relative to the mean, of caches present during the whole run
+	OfferedRequests    int            // requests of clients, without their retries
+	ViolationCounts    map[string]int // number of violations by rule
+	Violations         []string       // messages of the first violations
+	SilenceStats       silenceStats
+	BudgetUsage        *BudgetUsage // nil if the fleet has no budget
+	BusiestCacheRatio  float64      // attempts at the busiest cache relative to the mean, of caches present during the whole run
 
 	latencies     *hdrhistogram.Histogram // of served requests, in ticks
 	busySlotTicks float64                 // sum over all servers at the end of the last point
@@ -92,16 +92,16 @@
 // second, and the longest and the mean time in seconds from the end of a silence until a node that has ejected the cache
 // uses it again.
 func (r *Result) AtSilent() (attempts, probes, longest, mean float64) {
-	for _, seconds := range r.Sick.ReuseSeconds {
-		longest, mean = max(longest, seconds), mean+seconds/float64(len(r.Sick.ReuseSeconds))
+	for _, seconds := range r.SilenceStats.ReuseSeconds {
+		longest, mean = max(longest, seconds), mean+seconds/float64(len(r.SilenceStats.ReuseSeconds))
 	}
-	silentSeconds := max(1, r.Sick.Silent)
-	return float64(r.Sick.Attempts) / silentSeconds, float64(r.Sick.NodeProbes+r.Sick.ClusterProbes) / silentSeconds, longest, mean
+	silentSeconds := max(1, r.SilenceStats.SilentSeconds)
+	return float64(r.SilenceStats.Attempts) / silentSeconds, float64(r.SilenceStats.NodeProbes+r.SilenceStats.ClusterProbes) / silentSeconds, longest, mean
 }
 
 // Share returns the share of all requests that were served within the latency target.
 func (r *Result) Share() float64 {
-	return float64(r.total().InTime) / float64(max(1, r.Offered))
+	return float64(r.total().InTime) / float64(max(1, r.OfferedRequests))
 }
 
 // Worst returns the lowest share of requests served within the latency target over any 10 s.
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -147,8 +147,8 @@
 			t.Fatal(err)
 		}
 		baseline, _ := Run(e, "random", seed)
-		if len(s.Broken) > 0 || s.Offered < 15000 || s.Share() < 0.8 {
-			t.Errorf("seed %d: %d requests, %.3f in time, broken %v: %v", seed, s.Offered, s.Share(), s.Broken, s.Faults)
+		if len(s.ViolationCounts) > 0 || s.OfferedRequests < 15000 || s.Share() < 0.8 {
+			t.Errorf("seed %d: %d requests, %.3f in time, broken %v: %v", seed, s.OfferedRequests, s.Share(), s.ViolationCounts, s.Violations)
 		}
 		if balancerRatio, baselineRatio := hitRatio(s), hitRatio(baseline); balancerRatio < baselineRatio+0.05 {
 			t.Errorf("seed %d: hit ratio %.3f, with random routing %.3f", seed, balancerRatio, baselineRatio)
@@ -257,8 +257,8 @@
 		})},
 	} {
 		s := simulate(e, name, c.factory, 1)
-		if s.Broken[c.rule] == 0 || len(s.Faults) == 0 {
-			t.Errorf("%s: not reported, violations %v", name, s.Broken)
+		if s.ViolationCounts[c.rule] == 0 || len(s.Violations) == 0 {
+			t.Errorf("%s: not reported, violations %v", name, s.ViolationCounts)
 		}
 	}
 }
@@ -312,12 +312,12 @@
 		withoutSlowStart := simulate(e, "no slow start", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			return noSlowStartPolicy{newBalancer(h, seed, now, e)}
 		}, seed)
-		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.Share(), withoutSlowStart.Share(), s.Faults, withoutSlowStart.Broken)
-		if len(s.Broken) > 0 || s.Share() < withoutSlowStart.Share()-0.01 {
-			t.Errorf("seed %d: %.3f in time, %v", seed, s.Share(), s.Faults)
+		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.Share(), withoutSlowStart.Share(), s.Violations, withoutSlowStart.ViolationCounts)
+		if len(s.ViolationCounts) > 0 || s.Share() < withoutSlowStart.Share()-0.01 {
+			t.Errorf("seed %d: %.3f in time, %v", seed, s.Share(), s.Violations)
 		}
-		if withoutSlowStart.Broken["cold"] == 0 {
-			t.Errorf("seed %d: no overload without slow start: %v", seed, withoutSlowStart.Broken)
+		if withoutSlowStart.ViolationCounts["cold"] == 0 {
+			t.Errorf("seed %d: no overload without slow start: %v", seed, withoutSlowStart.ViolationCounts)
 		}
 	}
 }
@@ -369,10 +369,10 @@
 	e := parse(t, "length = \"3s\"\n[fleet]\nnodes = 300\ncaches = 100\n[origin]\nslots=200\nqueue=2000\n[demand]\nrate = 12000\nkeys = 100000")
 	began := time.Now()
 	s, err := Run(e, "ranges", 1)
-	if err != nil || len(s.Broken) > 0 || s.Offered < 30000 {
-		t.Error(err, s.Offered, s.Broken, s.Faults)
+	if err != nil || len(s.ViolationCounts) > 0 || s.OfferedRequests < 30000 {
+		t.Error(err, s.OfferedRequests, s.ViolationCounts, s.Violations)
 	}
-	t.Logf("%d requests in %v, %.3f in time", s.Offered, time.Since(began).Round(time.Millisecond), s.Share())
+	t.Logf("%d requests in %v, %.3f in time", s.OfferedRequests, time.Since(began).Round(time.Millisecond), s.Share())
 }
 
 // The vary table defines one experiment per value, with one key changed. The error of an invalid variant names the key and
@@ -410,7 +410,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := Run(e, "hashing", 1); err != nil || s.Busiest != 10 {
-		t.Errorf("the busiest cache has %.2f times the mean, want 10 (%v)", s.Busiest, err)
+	if s, err := Run(e, "hashing", 1); err != nil || s.BusiestCacheRatio != 10 {
+		t.Errorf("the busiest cache has %.2f times the mean, want 10 (%v)", s.BusiestCacheRatio, err)
 	}
 }
--- a/internal/simulation/testbed.go
+++ b/internal/simulation/testbed.go
@@ -82,15 +82,15 @@
 	tb.generateRequest()
 	tb.sampleEverySecond()
 	tb.clock.runUntil(startTime + e.Length.ticks())
-	tb.result.Offered, tb.result.Busiest = tb.checker.offeredRequests, tb.busiestCacheRatio()
+	tb.result.OfferedRequests, tb.result.BusiestCacheRatio = tb.checker.offeredRequests, tb.busiestCacheRatio()
 	tb.demandFactor = 0 // no new requests while the pending ones end
 	tb.clock.runUntil(tb.clock.now + routing.Time(e.Demand.MaxTries)*(e.Demand.TimeLimit.ticks()+3*e.Demand.LatencyTarget.ticks()) + second)
 	tb.checker.checkEnd()
-	tb.result.Sick = tb.silenceStats
+	tb.result.SilenceStats = tb.silenceStats
 	if tb.budgetSim != nil {
-		tb.result.Use = &tb.budgetSim.usage
+		tb.result.BudgetUsage = &tb.budgetSim.usage
 	}
-	tb.result.Broken, tb.result.Faults = tb.checker.violationCounts, tb.checker.violations
+	tb.result.ViolationCounts, tb.result.Violations = tb.checker.violationCounts, tb.checker.violations
 	return tb.result
 }
 
