--- a/cmd/thistlerudder/emulate.go
+++ b/cmd/thistlerudder/emulate.go
@@ -112,12 +112,12 @@
 				}
 			}
 			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.4f\t%.4f\t%.1f\t%.1f\t%.1f\t%.2f\t%s", s.Experiment, s.Policy, s.Seed, s.OfferedRequests,
-				s.Share(), s.Worst(), s.Millis(50), s.Millis(99), s.Fetches(), s.BusiestCacheRatio, brokenRules)
+				s.InTimeShare(), s.WorstInTimeShare(), s.LatencyMilliseconds(50), s.LatencyMilliseconds(99), s.FetchesPerSecond(), s.BusiestCacheRatio, brokenRules)
 			if afterSeconds > 0 {
-				fmt.Fprintf(table, "\t%.2f", s.FetchRatio(afterSeconds, spanSeconds))
+				fmt.Fprintf(table, "\t%.2f", s.PeakFetchRatio(afterSeconds, spanSeconds))
 			}
 			if s.SilenceStats.SilentSeconds > 0 {
-				attemptRate, probeRate, maxDelay, meanDelay := s.AtSilent()
+				attemptRate, probeRate, maxDelay, meanDelay := s.SilenceSummary()
 				fmt.Fprintf(table, "\tat a silent cache %.2f shots/s, %.2f trials/s, back with all after %.2f s, mean %.2f s",
 					attemptRate, probeRate, maxDelay, meanDelay)
 			}
@@ -128,7 +128,7 @@
 				}
 			}
 			fmt.Fprintln(table)
-			if err := s.Write(&points); err != nil {
+			if err := s.WritePoints(&points); err != nil {
 				return err
 			}
 		}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -83,15 +83,15 @@
 	return total
 }
 
-// Fetches returns the mean number of fetches per second.
-func (r *Result) Fetches() float64 {
+// FetchesPerSecond returns the mean number of fetches per second.
+func (r *Result) FetchesPerSecond() float64 {
 	return float64(r.total().Fetches) / float64(max(1, len(r.Points)-1))
 }
 
-// AtSilent returns how many attempts and probes (of nodes and on behalf of the cluster) a silent cache receives per
+// SilenceSummary returns how many attempts and probes (of nodes and on behalf of the cluster) a silent cache receives per
 // second, and the longest and the mean time in seconds from the end of a silence until a node that has ejected the cache
 // uses it again.
-func (r *Result) AtSilent() (attempts, probes, longest, mean float64) {
+func (r *Result) SilenceSummary() (attempts, probes, longest, mean float64) {
 	for _, seconds := range r.SilenceStats.ReuseSeconds {
 		longest, mean = max(longest, seconds), mean+seconds/float64(len(r.SilenceStats.ReuseSeconds))
 	}
@@ -99,13 +99,13 @@
 	return float64(r.SilenceStats.Attempts) / silentSeconds, float64(r.SilenceStats.NodeProbes+r.SilenceStats.ClusterProbes) / silentSeconds, longest, mean
 }
 
-// Share returns the share of all requests that were served within the latency target.
-func (r *Result) Share() float64 {
+// InTimeShare returns the share of all requests that were served within the latency target.
+func (r *Result) InTimeShare() float64 {
 	return float64(r.total().InTime) / float64(max(1, r.OfferedRequests))
 }
 
-// Worst returns the lowest share of requests served within the latency target over any 10 s.
-func (r *Result) Worst() float64 {
+// WorstInTimeShare returns the lowest share of requests served within the latency target over any 10 s.
+func (r *Result) WorstInTimeShare() float64 {
 	const windowSeconds = 10
 	lowest := 1.0
 	for i := 0; i+windowSeconds <= len(r.Points); i++ {
@@ -120,14 +120,14 @@
 	return lowest
 }
 
-// Millis returns a percentile of the latencies of served requests, in milliseconds from the client's first try.
-func (r *Result) Millis(percent float64) float64 {
+// LatencyMilliseconds returns a percentile of the latencies of served requests, in milliseconds from the client's first try.
+func (r *Result) LatencyMilliseconds(percent float64) float64 {
 	return float64(r.latencies.ValueAtPercentile(percent)) / float64(routing.Millisecond)
 }
 
-// FetchRatio returns the highest mean rate of fetches in any window of windowSeconds from atSecond on, relative to the rate
+// PeakFetchRatio returns the highest mean rate of fetches in any window of windowSeconds from atSecond on, relative to the rate
 // in the window before atSecond.
-func (r *Result) FetchRatio(atSecond, windowSeconds int) float64 {
+func (r *Result) PeakFetchRatio(atSecond, windowSeconds int) float64 {
 	rate := func(from, to int) float64 {
 		fetches := 0
 		for _, p := range r.Points[max(0, from):min(to, len(r.Points))] {
@@ -149,8 +149,8 @@
 var PointsHeader = []string{"experiment", "policy", "seed", "second", "in_time", "late", "refused", "failed", "deferrals",
 	"fetches", "hits", "ready", "queued", "busy"}
 
-// Write writes the points as CSV records, without the header.
-func (r *Result) Write(out io.Writer) error {
+// WritePoints writes the points as CSV records, without the header.
+func (r *Result) WritePoints(out io.Writer) error {
 	w := csv.NewWriter(out)
 	for i, p := range r.Points {
 		record := []string{r.Experiment, r.Policy, fmt.Sprint(r.Seed), strconv.Itoa(i)}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -125,7 +125,7 @@
 			t.Fatal(err)
 		}
 		var b bytes.Buffer
-		if err := s.Write(&b); err != nil {
+		if err := s.WritePoints(&b); err != nil {
 			t.Fatal(err)
 		}
 		return b.String()
@@ -147,8 +147,8 @@
 			t.Fatal(err)
 		}
 		baseline, _ := Run(e, "random", seed)
-		if len(s.ViolationCounts) > 0 || s.OfferedRequests < 15000 || s.Share() < 0.8 {
-			t.Errorf("seed %d: %d requests, %.3f in time, broken %v: %v", seed, s.OfferedRequests, s.Share(), s.ViolationCounts, s.Violations)
+		if len(s.ViolationCounts) > 0 || s.OfferedRequests < 15000 || s.InTimeShare() < 0.8 {
+			t.Errorf("seed %d: %d requests, %.3f in time, broken %v: %v", seed, s.OfferedRequests, s.InTimeShare(), s.ViolationCounts, s.Violations)
 		}
 		if balancerRatio, baselineRatio := hitRatio(s), hitRatio(baseline); balancerRatio < baselineRatio+0.05 {
 			t.Errorf("seed %d: hit ratio %.3f, with random routing %.3f", seed, balancerRatio, baselineRatio)
@@ -312,9 +312,9 @@
 		withoutSlowStart := simulate(e, "no slow start", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			return noSlowStartPolicy{newBalancer(h, seed, now, e)}
 		}, seed)
-		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.Share(), withoutSlowStart.Share(), s.Violations, withoutSlowStart.ViolationCounts)
-		if len(s.ViolationCounts) > 0 || s.Share() < withoutSlowStart.Share()-0.01 {
-			t.Errorf("seed %d: %.3f in time, %v", seed, s.Share(), s.Violations)
+		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.InTimeShare(), withoutSlowStart.InTimeShare(), s.Violations, withoutSlowStart.ViolationCounts)
+		if len(s.ViolationCounts) > 0 || s.InTimeShare() < withoutSlowStart.InTimeShare()-0.01 {
+			t.Errorf("seed %d: %.3f in time, %v", seed, s.InTimeShare(), s.Violations)
 		}
 		if withoutSlowStart.ViolationCounts["cold"] == 0 {
 			t.Errorf("seed %d: no overload without slow start: %v", seed, withoutSlowStart.ViolationCounts)
@@ -372,7 +372,7 @@
 	if err != nil || len(s.ViolationCounts) > 0 || s.OfferedRequests < 30000 {
 		t.Error(err, s.OfferedRequests, s.ViolationCounts, s.Violations)
 	}
-	t.Logf("%d requests in %v, %.3f in time", s.OfferedRequests, time.Since(began).Round(time.Millisecond), s.Share())
+	t.Logf("%d requests in %v, %.3f in time", s.OfferedRequests, time.Since(began).Round(time.Millisecond), s.InTimeShare())
 }
 
 // The vary table defines one experiment per value, with one key changed. The error of an invalid variant names the key and
