--- a/cmd/thistlerudder/emulate.go
+++ b/cmd/thistlerudder/emulate.go
@@ -37,7 +37,7 @@
 		}
 		var experiments []*simulation.Experiment
 		for _, file := range files {
-			described, err := simulation.Read(file)
+			described, err := simulation.ReadFile(file)
 			if err != nil {
 				return err
 			}
@@ -67,7 +67,7 @@
 func runPoliciesAndSeeds(e *simulation.Experiment, seeds int) ([]*simulation.Result, []error) {
 	runs := make([]*simulation.Result, len(e.Policies)*seeds)
 	var wg sync.WaitGroup
-	errs, slots := make([]error, len(runs)), make(chan struct{}, e.AtOnce())
+	errs, slots := make([]error, len(runs)), make(chan struct{}, e.MaxConcurrentRuns())
 	for i := range runs {
 		wg.Go(func() {
 			slots <- struct{}{}
@@ -122,8 +122,8 @@
 					attemptRate, probeRate, maxDelay, meanDelay)
 			}
 			if s.BudgetUsage != nil {
-				fmt.Fprint(table, "\t"+s.BudgetUsage.Line(e))
-				if err := s.BudgetUsage.Write(budgetWriter, e); err != nil {
+				fmt.Fprint(table, "\t"+s.BudgetUsage.Summary(e))
+				if err := s.BudgetUsage.WriteCSV(budgetWriter, e); err != nil {
 					return err
 				}
 			}
--- a/internal/simulation/budget.go
+++ b/internal/simulation/budget.go
@@ -544,8 +544,8 @@
 	}
 }
 
-// Line returns a summary of the usage. Its shares leave out the first 10 s, in which the allocation starts from nothing.
-func (u *BudgetUsage) Line(e *Experiment) string {
+// Summary describes the usage in one line. Its shares leave out the first 10 s, in which the allocation starts from nothing.
+func (u *BudgetUsage) Summary(e *Experiment) string {
 	nodes, seconds := float64(e.Fleet.Nodes), e.Length.Seconds()
 	usedShare, exactShare, evenShare := u.Shares(e.Fleet.Budget.Limit, 10, int(seconds))
 	text := fmt.Sprintf("fullest %.2f; fairness %.3f", u.PeakShare, u.JainFairness())
@@ -565,9 +565,9 @@
 // BudgetUsageHeader is the header record of the CSV file of budget usage.
 var BudgetUsageHeader = []string{"experiment", "second", "wanted", "used", "exact", "even"}
 
-// Write writes a CSV record for each second, without the header: the demand, the use, and what the exact and the even
+// WriteCSV writes a CSV record for each second, without the header: the demand, the use, and what the exact and the even
 // limiters allow, relative to the limit.
-func (u *BudgetUsage) Write(w *csv.Writer, e *Experiment) error {
+func (u *BudgetUsage) WriteCSV(w *csv.Writer, e *Experiment) error {
 	for start := 0; start+10 <= len(u.DemandPerTenth); start += 10 {
 		record := []string{e.Name, strconv.Itoa(start / 10)}
 		for _, counts := range [][]int{u.DemandPerTenth, u.StartedPerTenth, u.ExactPerTenth, u.EvenPerTenth} {
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -191,15 +191,15 @@
 	return n
 }
 
-// AtOnce returns how many runs of the experiment may be simulated at the same time, which is 1 or more. The runs together
+// MaxConcurrentRuns returns how many runs of the experiment may be simulated at the same time, which is 1 or more. The runs together
 // keep about maxPairs pairs in memory.
-func (e *Experiment) AtOnce() int {
+func (e *Experiment) MaxConcurrentRuns() int {
 	return max(1, maxPairs/max(1, e.Fleet.Nodes*e.totalCaches()))
 }
 
-// Read reads an experiment from a TOML file and returns it, followed by the variants of its vary table. The error names
+// ReadFile reads an experiment from a TOML file and returns it, followed by the variants of its vary table. The error names
 // each invalid key with what is expected there.
-func Read(path string) ([]*Experiment, error) {
+func ReadFile(path string) ([]*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -354,11 +354,11 @@
 	}
 }
 
-// Parse accepts the largest fleets. AtOnce allows only one run of them at a time.
+// Parse accepts the largest fleets. MaxConcurrentRuns allows only one run of them at a time.
 func TestAtOnceLargestExperimentRunsAlone(t *testing.T) {
 	for _, c := range []struct{ nodes, caches, atOnce int }{{20000, 1000, 1}, {3333, 6000, 1}, {19000, 70, 15}, {4, 10, maxPairs / 40}} {
 		e := parse(t, fmt.Sprintf("[fleet]\nnodes = %d\ncaches = %d", c.nodes, c.caches))
-		if got := e.AtOnce(); got != c.atOnce {
+		if got := e.MaxConcurrentRuns(); got != c.atOnce {
 			t.Errorf("%+v: got %d runs at a time", c, got)
 		}
 	}
@@ -390,7 +390,7 @@
 		if err := os.WriteFile(path, []byte("name = \"base\"\nlength = \"3s\"\n[vary]\n"+c.vary), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		experiments, err := Read(path)
+		experiments, err := ReadFile(path)
 		var got []string
 		for _, e := range experiments {
 			got = append(got, fmt.Sprint([]any{e.Name, e.Fleet.Nodes, e.Demand.ZipfExponent}))
