--- a/cmd/thistlerudder/emulate.go
+++ b/cmd/thistlerudder/emulate.go
@@ -37,7 +37,7 @@
 		}
 		var experiments []*simulation.Experiment
 		for _, file := range files {
-			fileExperiments, err := simulation.Read(file)
+			fileExperiments, err := simulation.ReadFile(file)
 			if err != nil {
 				return err
 			}
@@ -63,11 +63,11 @@
 }
 
 // runPoliciesAndSeeds runs an experiment under each of its policies with each of the consecutive seeds that start at its own. It runs
-// as many at a time as e.AtOnce allows, which bounds the memory that they use. The results are ordered by policy, then by seed.
-func runPoliciesAndSeeds(e *simulation.Experiment, seeds int) ([]*simulation.Series, []error) {
-	runs := make([]*simulation.Series, len(e.Policies)*seeds)
+// as many at a time as e.MaxConcurrentRuns allows, which bounds the memory that they use. The results are ordered by policy, then by seed.
+func runPoliciesAndSeeds(e *simulation.Experiment, seeds int) ([]*simulation.Result, []error) {
+	runs := make([]*simulation.Result, len(e.Policies)*seeds)
 	var wg sync.WaitGroup
-	errs, slots := make([]error, len(runs)), make(chan struct{}, e.AtOnce())
+	errs, slots := make([]error, len(runs)), make(chan struct{}, e.MaxConcurrentRuns())
 	for i := range runs {
 		wg.Go(func() {
 			slots <- struct{}{}
@@ -96,11 +96,11 @@
 	var violations []string
 	var points strings.Builder
 	pointsWriter := csv.NewWriter(&points)
-	_ = pointsWriter.Write(simulation.Header) // a write to memory doesn't fail
+	_ = pointsWriter.Write(simulation.PointsHeader) // a write to memory doesn't fail
 	pointsWriter.Flush()
 	var budgetUse strings.Builder
 	budgetWriter := csv.NewWriter(&budgetUse)
-	_ = budgetWriter.Write(simulation.UseHeader) // a write to memory doesn't fail
+	_ = budgetWriter.Write(simulation.BudgetUsageHeader) // a write to memory doesn't fail
 	for _, e := range experiments {
 		runs, errs := runPoliciesAndSeeds(e, seeds)
 		for i, s := range runs {
@@ -108,30 +108,30 @@
 				return errs[i]
 			}
 			brokenRules := "-"
-			if len(s.Broken) > 0 {
-				brokenRules = fmt.Sprint(s.Broken)
+			if len(s.ViolationCounts) > 0 {
+				brokenRules = fmt.Sprint(s.ViolationCounts)
 				if s.Policy == "ranges" {
-					violations = append(violations, s.Faults...)
+					violations = append(violations, s.Violations...)
 				}
 			}
-			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.4f\t%.4f\t%.1f\t%.1f\t%.1f\t%.2f\t%s", s.Experiment, s.Policy, s.Seed, s.Offered,
-				s.Share(), s.Worst(), s.Millis(50), s.Millis(99), s.Fetches(), s.Busiest, brokenRules)
+			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.4f\t%.4f\t%.1f\t%.1f\t%.1f\t%.2f\t%s", s.Experiment, s.Policy, s.Seed, s.OfferedRequests,
+				s.InTimeShare(), s.WorstInTimeShare(), s.LatencyMilliseconds(50), s.LatencyMilliseconds(99), s.FetchesPerSecond(), s.BusiestCacheRatio, brokenRules)
 			if afterSeconds > 0 {
-				fmt.Fprintf(table, "\t%.2f", s.FetchRatio(afterSeconds, spanSeconds))
+				fmt.Fprintf(table, "\t%.2f", s.PeakFetchRatio(afterSeconds, spanSeconds))
 			}
-			if s.Sick.Silent > 0 {
-				attemptRate, probeRate, maxDelay, meanDelay := s.AtSilent()
+			if s.SilenceStats.SilentSeconds > 0 {
+				attemptRate, probeRate, maxDelay, meanDelay := s.SilenceSummary()
 				fmt.Fprintf(table, "\tat a silent cache %.2f shots/s, %.2f trials/s, back with all after %.2f s, mean %.2f s",
 					attemptRate, probeRate, maxDelay, meanDelay)
 			}
-			if s.Use != nil {
-				fmt.Fprint(table, "\t"+s.Use.Line(e))
-				if err := s.Use.Write(budgetWriter, e); err != nil {
+			if s.BudgetUsage != nil {
+				fmt.Fprint(table, "\t"+s.BudgetUsage.Summary(e))
+				if err := s.BudgetUsage.WriteCSV(budgetWriter, e); err != nil {
 					return err
 				}
 			}
 			fmt.Fprintln(table)
-			if err := s.Write(&points); err != nil {
+			if err := s.WritePoints(&points); err != nil {
 				return err
 			}
 		}
--- a/internal/net/upstream/client.go
+++ b/internal/net/upstream/client.go
@@ -17,12 +17,12 @@
 
 // Limits bounds the resources and times of a Client.
 type Limits struct {
-	Descriptors    int           // connections to servers, dials included
-	MaxAttempts    int           // in flight; further attempts end with NoResources and are not sent
-	ConnectTimeout time.Duration // of a dial
-	IdleTimeout    time.Duration // after which servers close an idle connection
-	MaxBuffered    int64         // largest body, in bytes, that is read to its end before the answer is delivered
-	MaxStreamed    int64         // largest body, in bytes, that is streamed to the client
+	MaxConns        int           // connections to servers, dials included
+	MaxAttempts     int           // in flight; further attempts end with NoResources and are not sent
+	ConnectTimeout  time.Duration // of a dial
+	IdleTimeout     time.Duration // after which servers close an idle connection
+	MaxBufferedBody int64         // largest body, in bytes, that is read to its end before the answer is delivered
+	MaxStreamedBody int64         // largest body, in bytes, that is streamed to the client
 }
 
 const (
@@ -58,8 +58,8 @@
 		Proxy:                  nil, // ignore proxies set in the environment
 		DialContext:            d.dial,
 		DisableCompression:     true,
-		MaxIdleConns:           max(1, limits.Descriptors/maxIdleDivisor),
-		MaxIdleConnsPerHost:    max(1, limits.Descriptors/maxIdleDivisor),
+		MaxIdleConns:           max(1, limits.MaxConns/maxIdleDivisor),
+		MaxIdleConnsPerHost:    max(1, limits.MaxConns/maxIdleDivisor),
 		IdleConnTimeout:        time.Duration(float64(limits.IdleTimeout) * idleTimeoutFactor),
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         bufferBytes,
@@ -78,8 +78,8 @@
 // Resize sets how many descriptors connections may use, and closes idle connections in excess of that.
 func (c *Client) Resize(descriptors int) { c.dialer.resize(descriptors) }
 
-// CloseIdle closes all but keep of an endpoint's idle connections. It does so in a new goroutine.
-func (c *Client) CloseIdle(incarnation uint64, keep int) {
+// CloseIdleConnections closes all but keep of an endpoint's idle connections. It does so in a new goroutine.
+func (c *Client) CloseIdleConnections(incarnation uint64, keep int) {
 	go c.dialer.closeIdle(poolKey(incarnation), keep)
 }
 
--- a/internal/scaletest/phase.go
+++ b/internal/scaletest/phase.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	r.nodeEvents = nil
-	startTime, startNs := time.Now(), faulttest.Boot()
+	startTime, startNs := time.Now(), faulttest.BootTimeNs()
 	changes, failedLimitChanges, err := r.applyChanges(name, schedule, startTime)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 			}
 			limit := math.Round(r.budgetLimit)
 			slowChanges.Go(func() {
-				c := AppliedChange{BootTimeNs: faulttest.Boot()}
+				c := AppliedChange{BootTimeNs: faulttest.BootTimeNs()}
 				status, err := r.client.SetLimit(budgetName, limit)
 				if err != nil { // for example during an election; the phase continues
 					mu.Lock()
@@ -153,7 +153,7 @@
 	if err := r.writeConfigs(); err != nil {
 		return AppliedChange{}, err
 	}
-	startNs := faulttest.Boot()
+	startNs := faulttest.BootTimeNs()
 	err := inParallel(r.hosts, func(p *process) error { _, err := p.send(command{Name: "reload"}); return err })
 	for _, p := range r.realNodes {
 		_ = p.cmd.Process.Signal(syscall.SIGHUP)
--- a/internal/simulation/budget.go
+++ b/internal/simulation/budget.go
@@ -382,7 +382,7 @@
 			Rate:  n.sim.config.RatePerUnit * float64(n.sim.config.Units) / float64(len(n.sim.nodes)),
 			Burst: n.sim.evenUnits, End: math.MaxInt64})
 	}
-	quota := quotalimit.Quota{Concurrency: config.Kind == lease.BudgetKindConcurrency, Burst: float64(units), ThenBurst: float64(reservedUnits),
+	quota := quotalimit.Quota{Concurrency: config.Kind == lease.BudgetKindConcurrency, Burst: float64(units), BurstAfterEnd: float64(reservedUnits),
 		End: int64(n.sim.clock.now + remaining)}
 	if !quota.Concurrency {
 		quota.Rate, quota.RateAfterEnd = config.RatePerUnit*rateFactor*float64(units), config.RatePerUnit*rateFactor*float64(reservedUnits)
@@ -422,7 +422,7 @@
 		}
 		s.allocator.Handle(s.now(), requestID, request)
 	})
-	s.clock.schedule(routing.Time(request.Wait)+300*routing.Millisecond, func() { // the response is late or lost
+	s.clock.schedule(routing.Time(request.MaxWait)+300*routing.Millisecond, func() { // the response is late or lost
 		if isCurrent() {
 			n.client.HandleTimeout(s.now())
 		}
@@ -544,8 +544,8 @@
 	}
 }
 
-// Line returns a summary of the usage. Its shares leave out the first 10 s, in which the allocation starts from nothing.
-func (u *BudgetUsage) Line(e *Experiment) string {
+// Summary describes the usage in one line. Its shares leave out the first 10 s, in which the allocation starts from nothing.
+func (u *BudgetUsage) Summary(e *Experiment) string {
 	nodes, seconds := float64(e.Fleet.Nodes), e.Length.Seconds()
 	usedShare, exactShare, evenShare := u.Shares(e.Fleet.Budget.Limit, 10, int(seconds))
 	text := fmt.Sprintf("fullest %.2f; fairness %.3f", u.PeakShare, u.JainFairness())
@@ -562,12 +562,12 @@
 	return text + fmt.Sprintf("; %.2f messages a node and second, %.2f entries a node in 10 s", float64(u.Messages)/nodes/seconds, float64(u.LogEntries)/nodes/seconds*10)
 }
 
-// UseHeader is the header record of the CSV file of budget usage.
-var UseHeader = []string{"experiment", "second", "wanted", "used", "exact", "even"}
+// BudgetUsageHeader is the header record of the CSV file of budget usage.
+var BudgetUsageHeader = []string{"experiment", "second", "wanted", "used", "exact", "even"}
 
-// Write writes a CSV record for each second, without the header: the demand, the use, and what the exact and the even
+// WriteCSV writes a CSV record for each second, without the header: the demand, the use, and what the exact and the even
 // limiters allow, relative to the limit.
-func (u *BudgetUsage) Write(w *csv.Writer, e *Experiment) error {
+func (u *BudgetUsage) WriteCSV(w *csv.Writer, e *Experiment) error {
 	for start := 0; start+10 <= len(u.DemandPerTenth); start += 10 {
 		record := []string{e.Name, strconv.Itoa(start / 10)}
 		for _, counts := range [][]int{u.DemandPerTenth, u.StartedPerTenth, u.ExactPerTenth, u.EvenPerTenth} {
