--- a/budget/allocator.go
+++ b/budget/allocator.go
@@ -11,10 +11,10 @@
 
 // Limits on what an Allocator accepts.
 const (
-	maxNodes    = 4096
-	maxHoldings = 64                         // number of budgets in one request
-	maxWeight   = 1e6                        // weight of one node
-	maxWait     = 10_000 * lease.Millisecond // longer waits of requests are shortened to this
+	maxNodes   = 4096
+	maxReports = 64                         // number of budgets in one request
+	maxWeight  = 1e6                        // weight of one node
+	maxWait    = 10_000 * lease.Millisecond // longer waits of requests are shortened to this
 )
 
 // divisionInterval is the minimum time between two divisions. Changes within this interval share one log entry.
@@ -47,7 +47,7 @@
 type nodeRecord struct {
 	token     uint64 // token of the node's lease
 	weight    float64
-	holdings  map[string]Report // latest report of the node, by budget
+	reports   map[string]Report // latest report of the node, by budget
 	shrinkTo  map[string]int    // units that the node has to shrink its usage to, by budget
 	requestID uint64            // ID of the request that waits for a response, 0: none
 	deadline  Time              // time by which that request must be answered
@@ -128,7 +128,7 @@
 // back for nodes without units.
 func (a *Allocator) Demand(name string) (demand, reserve int) {
 	for _, n := range a.nodes {
-		demand += n.holdings[name].Demand
+		demand += n.reports[name].Demand
 	}
 	return demand, a.reserves[name]
 }
@@ -145,7 +145,7 @@
 	n.requestID = id
 	n.deadline = now + min(max(r.MaxWait, 0), maxWait)
 	n.weight = cmp.Or(r.Weight, 1)
-	a.recordHoldings(n, r)
+	a.recordReports(n, r)
 	a.proposeDeclared(r.DeclaredConfigs)
 	a.notifyNode(r.Lease)
 	a.scheduleAlarm(now)
@@ -162,7 +162,7 @@
 	if len(a.nodes) >= maxNodes && a.nodes[r.Lease] == nil {
 		return lease.ErrLimitExceeded
 	}
-	if r.Weight < 0 || r.Weight > maxWeight || len(r.Reports) > maxHoldings || len(r.DeclaredConfigs) > maxHoldings {
+	if r.Weight < 0 || r.Weight > maxWeight || len(r.Reports) > maxReports || len(r.DeclaredConfigs) > maxReports {
 		return lease.ErrMalformed
 	}
 	return nil
@@ -178,23 +178,23 @@
 	if n != nil {
 		a.reply(n, Response{Err: lease.ErrWithdrawn})
 	}
-	n = &nodeRecord{token: r.Token, holdings: map[string]Report{}, shrinkTo: map[string]int{}}
+	n = &nodeRecord{token: r.Token, reports: map[string]Report{}, shrinkTo: map[string]int{}}
 	a.nodes[r.Lease] = n
 	a.stale = true
 	return n
 }
 
-// recordHoldings stores a node's reports. It requests a division if a budget is reported for the first time, its demand has
+// recordReports stores a node's reports. It requests a division if a budget is reported for the first time, its demand has
 // changed, or units have been returned.
-func (a *Allocator) recordHoldings(n *nodeRecord, r Request) {
-	for _, h := range r.Reports {
-		previous, known := n.holdings[h.Budget]
-		b := a.state.Budgets[h.Budget]
-		returned := b != nil && b.Quotas[r.Lease].Units > h.Units
-		if !known || previous.Demand != h.Demand || returned {
+func (a *Allocator) recordReports(n *nodeRecord, r Request) {
+	for _, report := range r.Reports {
+		previous, known := n.reports[report.Budget]
+		b := a.state.Budgets[report.Budget]
+		returned := b != nil && b.Quotas[r.Lease].Units > report.Units
+		if !known || previous.Demand != report.Demand || returned {
 			a.stale = true
 		}
-		n.holdings[h.Budget] = h
+		n.reports[report.Budget] = report
 	}
 }
 
@@ -292,7 +292,7 @@
 	}
 	changed := false
 	var updates []QuotaUpdate
-	for _, budget := range slices.Sorted(maps.Keys(n.holdings)) {
+	for _, budget := range slices.Sorted(maps.Keys(n.reports)) {
 		b := a.state.Budgets[budget]
 		if b == nil {
 			continue
@@ -308,7 +308,7 @@
 		if target, ok := n.shrinkTo[budget]; ok && target < u.Quota.Units {
 			u.ShrinkTo = target
 		}
-		changed = changed || u.differs(n.holdings[budget])
+		changed = changed || u.differs(n.reports[budget])
 		updates = append(updates, u)
 	}
 	if changed {
@@ -317,11 +317,11 @@
 }
 
 // differs reports whether the update contains anything that the node didn't know when it sent the report.
-func (u QuotaUpdate) differs(h Report) bool {
-	if u.Quota.Token > h.Token || u.Config.Revision != h.Revision {
+func (u QuotaUpdate) differs(report Report) bool {
+	if u.Quota.Token > report.Token || u.Config.Revision != report.Revision {
 		return true
 	}
-	return u.Quota.Token == h.Token && u.ShrinkTo != h.ShrinkTo
+	return u.Quota.Token == report.Token && u.ShrinkTo != report.ShrinkTo
 }
 
 // Alarm must be called at or soon after the time passed to Host.SetAlarm.
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -74,16 +74,16 @@
 	c.allocator = NewAllocator(c, c.state, Unsafe{})
 	c.allocator.Promote(c.now, c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindNewTerm, Name: "l"}).Term)
 	declared := map[string]lease.BudgetConfig{}
-	var holdings []Report
+	var reports []Report
 	for i := range budgets {
 		name := fmt.Sprint("budget-", i)
 		declared[name] = lease.BudgetConfig{Kind: lease.BudgetKindRate, Units: 2 * nodes, RatePerUnit: 1, MaxNodes: nodes}
-		holdings = append(holdings, Report{Budget: name, Demand: 1, ShrinkTo: -1})
+		reports = append(reports, Report{Budget: name, Demand: 1, ShrinkTo: -1})
 	}
 	for n := range nodes {
 		name := fmt.Sprintf("node/%05d", n)
 		r := c.state.Apply(lease.Entry{Version: 1, Kind: lease.KindGrant, Name: name, Holder: lease.Holder{Name: name, Process: n}})
-		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, MaxWait: requestWait, DeclaredConfigs: declared, Reports: append([]Report(nil), holdings...)}
+		c.requests[n] = Request{Lease: name, Token: r.Token, Weight: 1, MaxWait: requestWait, DeclaredConfigs: declared, Reports: append([]Report(nil), reports...)}
 		c.sendRequest(n)
 	}
 	for range 8 {
--- a/budget/cluster_test.go
+++ b/budget/cluster_test.go
@@ -515,7 +515,7 @@
 		allocatorCopy.turns = map[string]map[string]turn{}
 		for name, n := range l.allocator.nodes {
 			nodeCopy := *n
-			nodeCopy.holdings, nodeCopy.shrinkTo = maps.Clone(n.holdings), maps.Clone(n.shrinkTo)
+			nodeCopy.reports, nodeCopy.shrinkTo = maps.Clone(n.reports), maps.Clone(n.shrinkTo)
 			allocatorCopy.nodes[name] = &nodeCopy
 		}
 		for name, turns := range l.allocator.turns {
@@ -550,7 +550,7 @@
 			fmt.Fprint(h, l.allocator.stale, l.allocator.nextDivision, l.allocator.redivideTime, l.allocator.moveInFlight, l.allocator.turns)
 			for _, name := range slices.Sorted(maps.Keys(l.allocator.nodes)) {
 				n := l.allocator.nodes[name]
-				fmt.Fprint(h, name, n.token, n.holdings, n.shrinkTo, n.requestID != 0, n.deadline)
+				fmt.Fprint(h, name, n.token, n.reports, n.shrinkTo, n.requestID != 0, n.deadline)
 			}
 		}
 	}
--- a/budget/division.go
+++ b/budget/division.go
@@ -144,11 +144,11 @@
 		quota := d.budget.Quotas[leaseName]
 		c := claim{demand: quota.Units, weight: 1, units: quota.Units, rank: i}
 		if n := d.allocator.nodes[leaseName]; n != nil {
-			h := n.holdings[d.name]
-			c.demand = max(h.Demand-d.budget.ReservedPerNode, minDemand)
+			report := n.reports[d.name]
+			c.demand = max(report.Demand-d.budget.ReservedPerNode, minDemand)
 			c.weight = n.weight
-			if d.isCurrent(h, quota) && h.Units < quota.Units {
-				c.units = max(0, h.Units)
+			if d.isCurrent(report, quota) && report.Units < quota.Units {
+				c.units = max(0, report.Units)
 				d.addMove(leaseName, c.units)
 			}
 		}
@@ -161,8 +161,8 @@
 
 // isCurrent reports whether a report refers to the current quota of the node. An older report doesn't cover units that were
 // added to the quota later.
-func (d *division) isCurrent(h Report, quota lease.Quota) bool {
-	return quota.Token != 0 && (h.Token == quota.Token || d.allocator.unsafe.AcceptStaleReports)
+func (d *division) isCurrent(report Report, quota lease.Quota) bool {
+	return quota.Token != 0 && (report.Token == quota.Token || d.allocator.unsafe.AcceptStaleReports)
 }
 
 // addMove adds a move that sets the quota of a node. The node must have sent a request in this term.
--- a/budget/quota_client.go
+++ b/budget/quota_client.go
@@ -148,8 +148,8 @@
 	return bound
 }
 
-// holdings returns the node's report on each budget.
-func (c *QuotaClient) holdings() (reports []Report) {
+// reports returns the node's report on each budget.
+func (c *QuotaClient) reports() (reports []Report) {
 	for _, b := range c.budgets {
 		reports = append(reports, Report{
 			Budget:   b.name,
@@ -186,7 +186,7 @@
 		Token:           c.token,
 		Weight:          c.weight,
 		MaxWait:         requestWait,
-		Reports:         c.holdings(),
+		Reports:         c.reports(),
 		DeclaredConfigs: declared,
 	})
 	c.host.SetAlarm(c.lastSample + sampleInterval)
@@ -255,10 +255,10 @@
 // Alarm must be called at or soon after the time passed to ClientHost.SetAlarm.
 func (c *QuotaClient) Alarm(now Time) {
 	if now >= c.lastSample+sampleInterval {
-		previous := c.holdings()
+		previous := c.reports()
 		c.sample(now)
-		for i, h := range c.holdings() {
-			c.reportNeeded = c.reportNeeded || h.Units < previous[i].Units // units became free when requests ended; report that they can be given back
+		for i, report := range c.reports() {
+			c.reportNeeded = c.reportNeeded || report.Units < previous[i].Units // units became free when requests ended; report that they can be given back
 		}
 	}
 	if c.reportNeeded && now >= c.nextRequest {
--- a/internal/cluster/task_probe_test.go
+++ b/internal/cluster/task_probe_test.go
@@ -33,7 +33,7 @@
 }
 
 // All nodes eject a failed server. One node probes it for all of them, and all get the results, also that of its recovery.
-func TestProbeResultsSharedByAllNodes(t *testing.T) {
+func TestReportProbeResultCalledOnAllNodes(t *testing.T) {
 	var requests atomic.Int32
 	var healthy atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -107,10 +107,10 @@
 
 // ReplaceFile replaces the file at path. The replacement is atomic if the process is killed, but not if the machine loses power, as there is
 // no fsync. ReplaceFile first writes path + ".new", so it must not run concurrently for the same path.
-func ReplaceFile(path string, text []byte) error {
+func ReplaceFile(path string, contents []byte) error {
 	_, err := retry(Put, func() (struct{}, error) {
 		temporary := path + ".new"
-		if err := os.WriteFile(temporary, text, 0o600); err != nil {
+		if err := os.WriteFile(temporary, contents, 0o600); err != nil {
 			return struct{}{}, err
 		}
 		return struct{}{}, os.Rename(temporary, path)
--- a/internal/net/dispatch/endpoints_test.go
+++ b/internal/net/dispatch/endpoints_test.go
@@ -22,7 +22,7 @@
 }
 
 // An order to close idle connections is passed to the transport with the incarnation of the ordered endpoint.
-func TestCloseIdleUsesIncarnation(t *testing.T) {
+func TestCloseIdleConnectionsUsesIncarnation(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	d.withLock("test", nil, func(routing.Time) { host{d}.CloseIdleConnections(1, 0) })
--- a/internal/net/dispatch/outliers_test.go
+++ b/internal/net/dispatch/outliers_test.go
@@ -8,7 +8,7 @@
 
 // Probe results of other nodes reach the balancer if the endpoint is listed with this id and address, and are ignored
 // otherwise. A good result alone does not end an ejection: a request of this node has to succeed too.
-func TestProbeResultsOfOtherNodes(t *testing.T) {
+func TestReportProbeResultOfOtherNodes(t *testing.T) {
 	transport := &fakeTransport{}
 	d := startDispatcher(t, transport)
 	for range 40 { // the cache of each range refuses a connection
--- a/internal/net/upstream/dialer_test.go
+++ b/internal/net/upstream/dialer_test.go
@@ -17,7 +17,7 @@
 
 // CloseIdleConnections must close idle connections and keep those in use. An attempt that acquires a connection while it is being closed
 // must not fail.
-func TestCloseIdleClosesOnlyIdleConnections(t *testing.T) {
+func TestCloseIdleConnectionsClosesOnlyIdleOnes(t *testing.T) {
 	var opened, served atomic.Int64
 	releaseSlow, slowStarted := make(chan struct{}), make(chan struct{})
 	client, server := newTestClient(t), rawServer(t, func(c net.Conn, r *http.Request, nth int) {
@@ -77,7 +77,7 @@
 }
 
 // CloseIdleConnections must close the least recently used connections first, because the transport reuses the most recently used one.
-func TestCloseIdleKeepsMostRecentlyUsedConnection(t *testing.T) {
+func TestCloseIdleConnectionsKeepsMostRecentlyUsed(t *testing.T) {
 	client, server := newTestClient(t), rawServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		time.Sleep(20 * time.Millisecond)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -52,11 +52,11 @@
 	case len(req.attempts) >= c.tb.experiment.Rules.MaxAttempts:
 		c.recordViolation("shots", "more than %d attempts", c.tb.experiment.Rules.MaxAttempts)
 	}
-	if drainedSince, isDraining := n.drainedSince[a.server.endpoint.Server]; isDraining &&
-		c.tb.clock.now > drainedSince+c.tb.experiment.Rules.DrainGrace.ticks() {
+	if since, notReady := n.notReadySince[a.server.endpoint.Server]; notReady &&
+		c.tb.clock.now > since+c.tb.experiment.Rules.DrainGrace.ticks() {
 		c.recordViolation("drain", "node %d sends an attempt to %s, which the endpoint list has shown as not ready for %.1f s",
 			n.index, a.server.endpoint.ID,
-			float64(c.tb.clock.now-drainedSince)/float64(second))
+			float64(c.tb.clock.now-since)/float64(second))
 	}
 }
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -39,12 +39,12 @@
 	pending        []*pendingRequest        // nil at free indexes
 	freeIndexes    []int                    // of pending
 	knownEndpoints map[int]routing.Endpoint // by server index; only kept if the cluster probes ejected caches
-	drainedSince   map[int]routing.Time     // by server index, for servers that this node knows not to be ready
+	notReadySince  map[int]routing.Time     // by server index, for servers that this node knows not to be ready
 }
 
 // newNode starts a node with the current endpoint list as its cached list.
 func (tb *testbed) newNode(index int, seed uint64) *node {
-	n := &node{tb: tb, index: index, knownEndpoints: map[int]routing.Endpoint{}, drainedSince: map[int]routing.Time{}}
+	n := &node{tb: tb, index: index, knownEndpoints: map[int]routing.Endpoint{}, notReadySince: map[int]routing.Time{}}
 	n.policy = tb.newPolicy(n, seed, tb.clock.now, tb.experiment)
 	n.updateEndpoints(routing.Cached, tb.endpoints())
 	return n
@@ -55,9 +55,9 @@
 func (n *node) updateEndpoints(kind routing.UpdateKind, endpoints []routing.Endpoint) {
 	for _, ep := range endpoints {
 		if ep.State == routing.Ready {
-			delete(n.drainedSince, ep.Server)
-		} else if _, isDraining := n.drainedSince[ep.Server]; !isDraining {
-			n.drainedSince[ep.Server] = n.tb.clock.now
+			delete(n.notReadySince, ep.Server)
+		} else if _, known := n.notReadySince[ep.Server]; !known {
+			n.notReadySince[ep.Server] = n.tb.clock.now
 		}
 		if n.tb.experiment.Fleet.ClusterProbes {
 			n.knownEndpoints[ep.Server] = ep
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -27,10 +27,10 @@
 		return b
 	}
 	for _, c := range []struct {
-		slots, queue        int
-		shape               string
-		load                float64
-		meanWait, lostShare float64 // in mean service times; share of jobs that are rejected
+		slots, queue            int
+		shape                   string
+		load                    float64
+		meanWait, rejectedShare float64 // in mean service times; share of jobs that are rejected
 	}{
 		{1, 1 << 30, "exponential", 0.7, 0.7 / 0.3, 0},
 		{1, 1 << 30, "fixed", 0.7, 0.7 / 0.3 / 2, 0}, // M/D/1: half of M/M/1, by the Pollaczek-Khinchine formula
@@ -43,24 +43,24 @@
 		simClock, rng := &clock{now: startTime}, rand.New(rand.NewPCG(1, 1))
 		s := &server{clock: simClock, rng: rand.New(rand.NewPCG(2, 2)), slowFactor: 1, isOrigin: true, running: map[int]job{},
 			config: ServerConfig{c.slots, c.queue, Duration{100 * time.Millisecond}, c.shape}}
-		sum, lostCount, done := 0.0, 0, 0
-		for at, n := 0.0, 0; n < jobs; n++ {
-			at += rng.ExpFloat64() * 1000 / (c.load * float64(c.slots))
-			simClock.runUntil(startTime + routing.Time(at))
+		waitSum, rejectedCount, doneCount := 0.0, 0, 0
+		for arrivalTicks, n := 0.0, 0; n < jobs; n++ {
+			arrivalTicks += rng.ExpFloat64() * 1000 / (c.load * float64(c.slots))
+			simClock.runUntil(startTime + routing.Time(arrivalTicks))
 			arrivedAt := simClock.now
 			s.handle(job{done: func(result routing.Result) {
 				if result == routing.Rejected {
-					lostCount++
+					rejectedCount++
 					return
 				}
-				done++
-				sum += float64(simClock.now - arrivedAt)
+				doneCount++
+				waitSum += float64(simClock.now - arrivedAt)
 			}})
 		}
 		simClock.runUntil(simClock.now + 1_000_000)
-		meanWait, lostRatio := sum/float64(done)/1000-1, float64(lostCount)/jobs
-		if math.Abs(meanWait-c.meanWait) > 0.03*c.meanWait+0.01 || math.Abs(lostRatio-c.lostShare) > 0.005 || done+lostCount != jobs {
-			t.Errorf("%+v: mean wait %.3f, rejected %.4f, %d of %d jobs ended", c, meanWait, lostRatio, done+lostCount, jobs)
+		meanWait, rejectedRatio := waitSum/float64(doneCount)/1000-1, float64(rejectedCount)/jobs
+		if math.Abs(meanWait-c.meanWait) > 0.03*c.meanWait+0.01 || math.Abs(rejectedRatio-c.rejectedShare) > 0.005 || doneCount+rejectedCount != jobs {
+			t.Errorf("%+v: mean wait %.3f, rejected %.4f, %d of %d jobs ended", c, meanWait, rejectedRatio, doneCount+rejectedCount, jobs)
 		}
 	}
 }
@@ -120,12 +120,12 @@
 	e := parse(t, eventsExperiment)
 	e.Length.Duration, e.Events = 14*time.Second, e.Events[:3]
 	text := func(policy string, seed uint64) string {
-		s, err := Run(e, policy, seed)
+		result, err := Run(e, policy, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var b bytes.Buffer
-		if err := s.WritePoints(&b); err != nil {
+		if err := result.WritePoints(&b); err != nil {
 			t.Fatal(err)
 		}
 		return b.String()
@@ -142,23 +142,23 @@
 func TestBalancerAllEventsBreaksNoRule(t *testing.T) {
 	e := parse(t, eventsExperiment)
 	for seed := range uint64(3) {
-		s, err := Run(e, "ranges", seed)
+		result, err := Run(e, "ranges", seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		baseline, _ := Run(e, "random", seed)
-		if len(s.ViolationCounts) > 0 || s.OfferedRequests < 15000 || s.InTimeShare() < 0.8 {
-			t.Errorf("seed %d: %d requests, %.3f in time, broken %v: %v", seed, s.OfferedRequests, s.InTimeShare(), s.ViolationCounts, s.Violations)
+		if len(result.ViolationCounts) > 0 || result.OfferedRequests < 15000 || result.InTimeShare() < 0.8 {
+			t.Errorf("seed %d: %d requests, %.3f in time, broken %v: %v", seed, result.OfferedRequests, result.InTimeShare(), result.ViolationCounts, result.Violations)
 		}
-		if balancerRatio, baselineRatio := hitRatio(s), hitRatio(baseline); balancerRatio < baselineRatio+0.05 {
+		if balancerRatio, baselineRatio := hitRatio(result), hitRatio(baseline); balancerRatio < baselineRatio+0.05 {
 			t.Errorf("seed %d: hit ratio %.3f, with random routing %.3f", seed, balancerRatio, baselineRatio)
 		}
 	}
 }
 
 // hitRatio returns the share of hits among all answers to reads.
-func hitRatio(s *Result) float64 {
-	total := s.total()
+func hitRatio(result *Result) float64 {
+	total := result.total()
 	return float64(total.Hits) / float64(total.Hits+total.Fetches)
 }
 
@@ -256,9 +256,9 @@
 			}
 		})},
 	} {
-		s := simulate(e, name, c.factory, 1)
-		if s.ViolationCounts[c.rule] == 0 || len(s.Violations) == 0 {
-			t.Errorf("%s: not reported, violations %v", name, s.ViolationCounts)
+		result := simulate(e, name, c.factory, 1)
+		if result.ViolationCounts[c.rule] == 0 || len(result.Violations) == 0 {
+			t.Errorf("%s: not reported, violations %v", name, result.ViolationCounts)
 		}
 	}
 }
@@ -308,13 +308,13 @@
 	}
 	e := parse(t, text)
 	for seed := range uint64(4) {
-		s := simulate(e, "ranges", newBalancer, seed)
+		result := simulate(e, "ranges", newBalancer, seed)
 		withoutSlowStart := simulate(e, "no slow start", func(h routing.Host, seed uint64, now routing.Time, e *Experiment) Policy {
 			return noSlowStartPolicy{newBalancer(h, seed, now, e)}
 		}, seed)
-		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, s.InTimeShare(), withoutSlowStart.InTimeShare(), s.Violations, withoutSlowStart.ViolationCounts)
-		if len(s.ViolationCounts) > 0 || s.InTimeShare() < withoutSlowStart.InTimeShare()-0.01 {
-			t.Errorf("seed %d: %.3f in time, %v", seed, s.InTimeShare(), s.Violations)
+		t.Logf("seed %d: %.3f and %.3f in time, %v and %v", seed, result.InTimeShare(), withoutSlowStart.InTimeShare(), result.Violations, withoutSlowStart.ViolationCounts)
+		if len(result.ViolationCounts) > 0 || result.InTimeShare() < withoutSlowStart.InTimeShare()-0.01 {
+			t.Errorf("seed %d: %.3f in time, %v", seed, result.InTimeShare(), result.Violations)
 		}
 		if withoutSlowStart.ViolationCounts["cold"] == 0 {
 			t.Errorf("seed %d: no overload without slow start: %v", seed, withoutSlowStart.ViolationCounts)
@@ -355,10 +355,10 @@
 }
 
 // Parse accepts the largest fleets. MaxConcurrentRuns allows only one run of them at a time.
-func TestAtOnceLargestExperimentRunsAlone(t *testing.T) {
-	for _, c := range []struct{ nodes, caches, atOnce int }{{20000, 1000, 1}, {3333, 6000, 1}, {19000, 70, 15}, {4, 10, maxPairs / 40}} {
+func TestMaxConcurrentRunsLargestExperimentRunsAlone(t *testing.T) {
+	for _, c := range []struct{ nodes, caches, want int }{{20000, 1000, 1}, {3333, 6000, 1}, {19000, 70, 15}, {4, 10, maxPairs / 40}} {
 		e := parse(t, fmt.Sprintf("[fleet]\nnodes = %d\ncaches = %d", c.nodes, c.caches))
-		if got := e.MaxConcurrentRuns(); got != c.atOnce {
+		if got := e.MaxConcurrentRuns(); got != c.want {
 			t.Errorf("%+v: got %d runs at a time", c, got)
 		}
 	}
@@ -368,11 +368,11 @@
 func TestRunLargeFleetBreaksNoRule(t *testing.T) {
 	e := parse(t, "length = \"3s\"\n[fleet]\nnodes = 300\ncaches = 100\n[origin]\nslots=200\nqueue=2000\n[demand]\nrate = 12000\nkeys = 100000")
 	began := time.Now()
-	s, err := Run(e, "ranges", 1)
-	if err != nil || len(s.ViolationCounts) > 0 || s.OfferedRequests < 30000 {
-		t.Error(err, s.OfferedRequests, s.ViolationCounts, s.Violations)
+	result, err := Run(e, "ranges", 1)
+	if err != nil || len(result.ViolationCounts) > 0 || result.OfferedRequests < 30000 {
+		t.Error(err, result.OfferedRequests, result.ViolationCounts, result.Violations)
 	}
-	t.Logf("%d requests in %v, %.3f in time", s.OfferedRequests, time.Since(began).Round(time.Millisecond), s.InTimeShare())
+	t.Logf("%d requests in %v, %.3f in time", result.OfferedRequests, time.Since(began).Round(time.Millisecond), result.InTimeShare())
 }
 
 // The vary table defines one experiment per value, with one key changed. The error of an invalid variant names the key and
@@ -410,7 +410,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := Run(e, "hashing", 1); err != nil || s.BusiestCacheRatio != 10 {
-		t.Errorf("the busiest cache has %.2f times the mean, want 10 (%v)", s.BusiestCacheRatio, err)
+	if result, err := Run(e, "hashing", 1); err != nil || result.BusiestCacheRatio != 10 {
+		t.Errorf("the busiest cache has %.2f times the mean, want 10 (%v)", result.BusiestCacheRatio, err)
 	}
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -81,7 +81,7 @@
 
 // The other tests have no idle connections to close, so this one calls CloseIdleConnections
 // and checks the order that it writes.
-func TestCloseIdleWritesHangUpOrder(t *testing.T) {
+func TestCloseIdleConnectionsWritesHangUpOrder(t *testing.T) {
 	s := &session{}
 	n := &instance{serverIDs: []string{"10.0.0.1:1", "10.0.0.2:1"}, orders: &orderWriter{w: &s.reply, instance: "node_0"}}
 	n.CloseIdleConnections(1, 0)
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -30,7 +30,7 @@
 // An unhealthy probe of another node extends the ejection at this node, by maxEjectionTime at most. A healthy probe ends
 // the ejection time, so that the next request of this node probes the server. A server that is not ejected is not
 // affected.
-func TestProbeResultOfOtherNodeMovesProbe(t *testing.T) {
+func TestReportProbeResultOfOtherNodeMovesProbe(t *testing.T) {
 	const unhealthyNext, healthy, distantNext = 2000 * Millisecond, 0, 1 << 40
 	for _, tc := range []struct {
 		name    string
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -6,7 +6,7 @@
 
 // A withheld attempt must not change what is known of its server, even if it waited long for a connection. Its retry
 // budget and slow-start tokens are refunded, unless the server has restarted since.
-func TestWithheldAttemptIsRefunded(t *testing.T) {
+func TestEndedBeforeWriteAttemptIsRefunded(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		f := newFakeHost(1, 2)
 		k := key(f.b, 0)
