--- a/cmd/thistlerudder/fleet_test.go
+++ b/cmd/thistlerudder/fleet_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -35,12 +34,7 @@
 	t.Helper()
 	var voters []map[string]string
 	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		voters = append(voters, map[string]string{"name": fmt.Sprint("n", i), "address": l.Addr().String()})
-		_ = l.Close()
+		voters = append(voters, map[string]string{"name": fmt.Sprint("n", i), "address": freeAddress(t)})
 	}
 	for i, voter := range voters {
 		configFile = filepath.Join(t.TempDir(), "node.json")
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -3,8 +3,10 @@
 import (
 	"fmt"
 	"net"
+	"os"
 	"path/filepath"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -25,18 +27,32 @@
 	return u
 }
 
+// usedAddresses is the number of addresses that freeAddress has tried.
+var usedAddresses atomic.Uint32
+
+// freeAddress returns a loopback address that nobody listens on. Nobody else takes it before the node listens on it: the IP address
+// is derived from the id of this process, and the port lies below the range from which the kernel assigns ephemeral ports.
+func freeAddress(t testing.TB) string {
+	t.Helper()
+	for range 100 {
+		number, pid := usedAddresses.Add(1), uint32(os.Getpid())
+		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%64, pid/64%256, 1+number%250, 7000+number/250))
+		if err == nil {
+			defer l.Close()
+			return l.Addr().String()
+		}
+	}
+	t.Fatal("no free address")
+	return ""
+}
+
 // clusterConfigs returns the configurations of nodeCount nodes, the first three of which are voters.
 func clusterConfigs(t testing.TB, nodeCount int) (configs []*config.Cluster) {
 	t.Helper()
 	var voters []config.Voter
 	for i := range nodeCount {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		c := &config.Cluster{Name: "f", Node: fmt.Sprint("n", i), Address: l.Addr().String(), Lease: 2 * time.Second,
+		c := &config.Cluster{Name: "f", Node: fmt.Sprint("n", i), Address: freeAddress(t), Lease: 2 * time.Second,
 			MaxDrift: 0.01, MaxDelay: 40 * time.Millisecond, RollUpInterval: time.Second}
-		_ = l.Close()
 		if i < 3 {
 			c.DataDir = filepath.Join(t.TempDir(), "v")
 			voters = append(voters, config.Voter{Name: c.Node, Address: c.Address})
--- a/internal/net/node/testenv_test.go
+++ b/internal/net/node/testenv_test.go
@@ -9,8 +9,10 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"os"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -116,13 +118,23 @@
 		Cores: 1, MemoryMB: 192, Descriptors: descriptors, Settings: d}
 }
 
+// usedAddresses is the number of addresses that freeAddress has tried.
+var usedAddresses atomic.Uint32
+
+// freeAddress returns a loopback address that nobody listens on. Nobody else takes it before the node listens on it: the IP address
+// is derived from the id of this process, and the port lies below the range from which the kernel assigns ephemeral ports.
 func freeAddress(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	t.Helper()
+	for range 100 {
+		number, pid := usedAddresses.Add(1), uint32(os.Getpid())
+		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%64, pid/64%256, 1+number%250, 7000+number/250))
+		if err == nil {
+			defer l.Close()
+			return l.Addr().String()
+		}
 	}
-	defer l.Close()
-	return l.Addr().String()
+	t.Fatal("no free address")
+	return ""
 }
 
 // startNode starts a node and waits until it serves. The returned function stops the node.
