--- a/internal/net/node/migration_test.go
+++ b/internal/net/node/migration_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"runtime"
 	"strings"
 	"sync"
 	"testing"
@@ -12,6 +13,7 @@
 	"go.uber.org/zap"
 
 	"github.com/thistlerudder/thistlerudder/internal/config"
+	"github.com/thistlerudder/thistlerudder/internal/net/admission"
 	"github.com/thistlerudder/thistlerudder/internal/net/dispatch"
 	"github.com/thistlerudder/thistlerudder/internal/net/upstream"
 	"github.com/thistlerudder/thistlerudder/routing"
@@ -35,6 +37,9 @@
 	coldServer  = 3                    // index of the cache that restarts
 )
 
+// initialCores is the number of cores that this process used before any test started a node. A node sets the number for its whole process.
+var initialCores = runtime.GOMAXPROCS(0)
+
 func newServerGroup(t *testing.T) *serverGroup {
 	servers := &serverGroup{inFlight: map[string]int{}, effects: map[string]int{}, parallelAttempts: map[string]int{}}
 	for i, id := range []string{"a", "b", "c", "d", "z"} {
@@ -131,6 +136,9 @@
 // the other.
 func TestOldAndNewNodesShareCaches(t *testing.T) {
 	const nodes, calmInterval, overloadInterval = 6, 25 * time.Millisecond, 5 * time.Millisecond // between a node's requests
+	// A node of an earlier test has left its limit of one core. The six nodes, five servers and all clients of this test would share it: they
+	// would overload the core instead of the caches, and the new nodes would withhold most attempts as too late.
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(initialCores))
 	servers := newServerGroup(t)
 	var dispatchers []*dispatch.Dispatcher
 	for i := range nodes {
@@ -204,6 +212,11 @@
 	if oldShare < 0.15 || newShare < 0.15 || oldShare < newShare/2.5 || newShare < oldShare/2.5 {
 		t.Errorf("overload: %.2f of the requests of old nodes served, %.2f of new nodes", oldShare, newShare)
 	}
+	late := map[string]int64{}
+	for i, dispatcher := range dispatchers {
+		late[[]string{"old", "new"}[i%2]] += dispatcher.Metrics().WithheldAttempts[admission.TooLate].Load()
+	}
+	t.Logf("attempts withheld as too late %v; GOMAXPROCS %d", late, runtime.GOMAXPROCS(0))
 	t.Logf("overload: %.2f and %.2f; parallel attempts %v; %d attempts at the cold cache, at most %d per window", oldShare, newShare, servers.parallelAttempts, len(servers.coldArrivals), maxInWindow)
 	servers.mu.Lock()
 	defer servers.mu.Unlock()
