--- a/internal/net/node/migration_test.go
+++ b/internal/net/node/migration_test.go
@@ -37,9 +37,6 @@
 	coldServer  = 3                    // index of the cache that restarts
 )
 
-// initialCores is the number of cores that this process used before any test started a node. A node sets the number for its whole process.
-var initialCores = runtime.GOMAXPROCS(0)
-
 func newServerGroup(t *testing.T) *serverGroup {
 	servers := &serverGroup{inFlight: map[string]int{}, effects: map[string]int{}, parallelAttempts: map[string]int{}}
 	for i, id := range []string{"a", "b", "c", "d", "z"} {
@@ -136,9 +133,6 @@
 // the other.
 func TestOldAndNewNodesShareCaches(t *testing.T) {
 	const nodes, calmInterval, overloadInterval = 6, 25 * time.Millisecond, 5 * time.Millisecond // between a node's requests
-	// A node of an earlier test has left its limit of one core. The six nodes, five servers and all clients of this test would share it: they
-	// would overload the core instead of the caches, and the new nodes would withhold most attempts as too late.
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(initialCores))
 	servers := newServerGroup(t)
 	var dispatchers []*dispatch.Dispatcher
 	for i := range nodes {
--- a/internal/net/node/node_test.go
+++ b/internal/net/node/node_test.go
@@ -60,7 +60,7 @@
 	result := make(chan error)
 	go func() {
 		// The cached endpoint list is invalid. The node logs that, and becomes ready with the first list from the discovery service.
-		result <- Run(ctx, &config.Node{Name: "n", ListenAddress: address, Discovery: discovery.Listener.Addr().String(), Cores: 1, MemoryMB: 192,
+		result <- Run(ctx, &config.Node{Name: "n", ListenAddress: address, Discovery: discovery.Listener.Addr().String(), Cores: float64(initialCores), MemoryMB: 192,
 			Descriptors: 128, CachedEndpoints: []byte("no list"), Settings: d}, nil, zap.New(core))
 	}()
 	client := &http.Client{Timeout: 2 * time.Second}
--- a/internal/net/node/testenv_test.go
+++ b/internal/net/node/testenv_test.go
@@ -10,6 +10,7 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
+	"runtime"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -21,6 +22,9 @@
 	"github.com/thistlerudder/thistlerudder/internal/config"
 )
 
+// initialCores is the number of cores that this process used before any test started a node.
+var initialCores = runtime.GOMAXPROCS(0)
+
 // testEnv is the environment of a node under test: caches, an origin and a discovery service, all on loopback addresses.
 type testEnv struct {
 	t                *testing.T
@@ -100,7 +104,8 @@
 	e.changed = make(chan struct{})
 }
 
-// nodeConfig returns the configuration of a node with free addresses.
+// nodeConfig returns the configuration of a node with free addresses. A node sets the number of cores for its whole process, which in a test also runs
+// the servers and the clients of this and later tests, so the node gets all cores.
 func (e *testEnv) nodeConfig(descriptors int) *config.Node {
 	e.t.Helper()
 	namespace := func(name, repeat string) map[string]any {
@@ -115,7 +120,7 @@
 		e.t.Fatal(err)
 	}
 	return &config.Node{Name: "n", ListenAddress: freeAddress(e.t), Admin: freeAddress(e.t), Discovery: e.discovery.Listener.Addr().String(),
-		Cores: 1, MemoryMB: 192, Descriptors: descriptors, Settings: d}
+		Cores: float64(initialCores), MemoryMB: 192, Descriptors: descriptors, Settings: d}
 }
 
 // usedAddresses is the number of addresses that freeAddress has tried.
