--- a/internal/net/node/long_test.go
+++ b/internal/net/node/long_test.go
@@ -86,6 +86,8 @@
 	}
 	s := w.nodeConfig(256)
 	s.MemoryMB = 48
+	s.Cores = 1                                            // more cores allocate more until a garbage collection ends
+	t.Cleanup(func() { runtime.GOMAXPROCS(initialCores) }) // runs after the node has stopped
 	startNode(t, s)
 	runtime.GC()
 	var before runtime.MemStats
