--- a/cmd/thistlerudder/process_test.go
+++ b/cmd/thistlerudder/process_test.go
@@ -227,7 +227,7 @@
 func (s *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.requests++
-	intercept, changed := s.intercept, s.changed
+	intercept, changed, server := s.intercept, s.changed, s.server
 	upToDate := r.URL.Query().Get("from") == fmt.Sprint(s.version)
 	s.mu.Unlock()
 	if intercept != nil && intercept(w, r) {
@@ -244,7 +244,7 @@
 	_, _ = w.Write(list)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.versionSent.IsZero() {
+	if s.server == server && s.versionSent.IsZero() { // a server that was stopped meanwhile has closed the connection
 		s.versionSent = time.Now()
 	}
 }
