--- a/cmd/thistlerudder/cold_test.go
+++ b/cmd/thistlerudder/cold_test.go
@@ -133,9 +133,7 @@
 		if sockets[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
-		if passedSockets[i], err = sockets[i].(*net.TCPListener).File(); err != nil {
-			t.Fatal(err)
-		}
+		passedSockets[i] = socketFile(t, sockets[i])
 		defer sockets[i].Close()
 		defer passedSockets[i].Close()
 		discovery := httptest.NewServer(c.serveList(i))
--- a/cmd/thistlerudder/descriptors_test.go
+++ b/cmd/thistlerudder/descriptors_test.go
@@ -243,10 +243,7 @@
 			s.start()
 			socket := listenAt(t, freeAddress(t))
 			defer socket.Close()
-			passedSocket, err := socket.(*net.TCPListener).File()
-			if err != nil {
-				t.Fatal(err)
-			}
+			passedSocket := socketFile(t, socket)
 			defer passedSocket.Close()
 			overrides := map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": maxDescriptors}}
 			first := newProcess(t, s.address, overrides, "BALANCER_PASSED_SOCKET=3")
--- a/cmd/thistlerudder/process_test.go
+++ b/cmd/thistlerudder/process_test.go
@@ -17,6 +17,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // usedAddresses is the number of addresses that freeAddress has tried.
@@ -49,6 +51,22 @@
 	return l
 }
 
+// socketFile returns a file of a listener's socket that processes can inherit. A file of TCPListener.File would put the socket, which all of them share,
+// into blocking mode whenever a process is started with it. An Accept of a running process could then wait in the kernel, and its shutdown with it.
+func socketFile(t *testing.T, l net.Listener) *os.File {
+	t.Helper()
+	raw, err := l.(*net.TCPListener).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	duplicate := -1
+	controlErr := raw.Control(func(fd uintptr) { duplicate, err = unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0) })
+	if controlErr != nil || err != nil {
+		t.Fatal(controlErr, err)
+	}
+	return os.NewFile(uintptr(duplicate), "socket")
+}
+
 // process is a node that runs as a separate process, with its own configuration and limits.
 type process struct {
 	*exec.Cmd
--- a/cmd/thistlerudder/upgrade_test.go
+++ b/cmd/thistlerudder/upgrade_test.go
@@ -120,10 +120,7 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	passedSocket, err := socket.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
-	}
+	passedSocket := socketFile(t, socket)
 	defer passedSocket.Close()
 	folder, configFile := t.TempDir(), filepath.Join(t.TempDir(), "node.json")
 	namespace := func(name, repeat string) map[string]any {
